--- /dev/null
+++ b/tests/compatibility/samples.py
@@ -0,0 +1,599 @@
+"""Samples of all that the program stores or sends: each function makes one sample with the present code.
+
+A sample is a set of named byte strings. The recorded ones in `recorded/` were written by version 0.2.0,
+before its modules and names were changed; test_compatibility.py compares the two byte for byte.
+"""
+
+import asyncio
+import itertools
+import json
+import tempfile
+from collections.abc import Callable, Iterator
+from dataclasses import asdict
+from pathlib import Path
+from types import SimpleNamespace
+
+import click
+import msgspec
+
+from elmglade import interface as face
+from elmglade.budget.desk import Budget, Desk
+from elmglade.budget.told import status as budget_status
+from elmglade.cli import elmglade as command_table
+from elmglade.control import messages as control
+from elmglade.control.channel import Channel, KnownStart
+from elmglade.control.document import Document
+from elmglade.control.document_file import DocumentFile
+from elmglade.control.folder import Identity, StateFolder
+from elmglade.control.log_file import LogFile, make_batch
+from elmglade.control.raft import HardState
+from elmglade.core import explain, inventory
+from elmglade.core.engine import Handed
+from elmglade.core.ports import End, State
+from elmglade.directory.maintenance import Record
+from elmglade.directory.overrides import Book, Kind
+from elmglade.directory.store import Store
+from elmglade.fleet import wire as fleet
+from elmglade.fleet.seal import Seal
+from elmglade.grpc.route import from_metadata, pairs
+from elmglade.http.codec import Connection
+from elmglade.http.platform import Discovery, Listed
+from elmglade.http.server import Server
+from elmglade.http.succession import Succession, engine_text
+from elmglade.interface import Outcome
+from elmglade.journal.answers import Answers
+from elmglade.journal.disk import Files
+from elmglade.journal.durable import DurableJournal
+from elmglade.journal.file import Attempt, Journal
+from elmglade.manage.figures import Figures
+from elmglade.message import HandedIn
+from elmglade.recovery import ids, snapshot
+
+from helpers import SAFE, KEYED, World, endpoint  # isort: skip
+
+Sample = dict[str, bytes]
+
+RECORDED = Path(__file__).parent / "recorded"
+LIMIT_BYTES = 100_000  # of a journal
+KEY = bytes(range(32))
+EXTRAS = ((":path", "/svc/Call"), ("x-trace-bin", "AAEC"))
+
+
+def in_folder(make: Callable[[Path], None]) -> Sample:
+    """The files that `make` leaves in an empty folder."""
+    with tempfile.TemporaryDirectory() as name:
+        folder = Path(name)
+        make(folder)
+        found = {str(each.relative_to(folder)): each for each in sorted(folder.rglob("*")) if each.is_file()}
+        return {each: path.read_bytes() for each, path in found.items() if each != "lock"}
+
+
+def message(name: str, **changes: object) -> HandedIn:
+    """A message with every field set."""
+    values: dict[str, object] = {
+        "message_class": "keyed", "destination": 3, "until": 1_700_000_000_000_000, "tenant": "t\u00e9",
+        "key": "k 1", "idempotency_key": f"key of {name}", "again": False, "body": bytes(range(0, 256, 5)),
+    }  # fmt: skip
+    return HandedIn(id=name, **(values | changes))  # type: ignore[arg-type]
+
+
+def fill(journal: Journal) -> None:
+    """Messages in every state that a journal holds."""
+    journal.taken(message("m1"))
+    journal.taken(message("m2", again=True, key="", tenant="", extras=EXTRAS))
+    journal.taken(message("m3", body=b"", destination=2**40))
+    journal.sent("m1", 0, Attempt(1_600_000_000_000_001, "hub-1", "z1"))
+    journal.outcome("m1", 0, Outcome.FULL)
+    journal.sent("m1", 1, Attempt(1_600_000_000_000_002, "hub-2", ""))
+    journal.sent("m3", 0, Attempt(1_600_000_000_000_003, "hub-\u00fc", "z2"))
+    journal.outcome("m3", 0, Outcome.SPOILT)
+    journal.taken(message("m4"))
+    journal.verdict("m2", State.REFUSED.value, 1_500_000)
+    journal.sent("m4", 0, Attempt(1_600_000_000_000_004, "hub-1", "z1"))
+    journal.outcome("m4", 0, Outcome.OK)
+    journal.ended("m4", State.DELIVERED.value)
+
+
+def platform_journal() -> Sample:
+    """The journal of the platform's sender, as it was appended to."""
+
+    def make(folder: Path) -> None:
+        journal = Journal(folder, LIMIT_BYTES)
+        fill(journal)
+        journal.close()
+
+    return in_folder(make)
+
+
+def compacted_journal() -> Sample:
+    """The same after a start, which writes only what is owed."""
+
+    def make(folder: Path) -> None:
+        journal = Journal(folder, LIMIT_BYTES)
+        fill(journal)
+        journal.close()
+        Journal(folder, LIMIT_BYTES).close()
+
+    return in_folder(make)
+
+
+def open_durable(folder: Path, gather: float | None) -> DurableJournal:
+    """A journal that survives the machine, on a clock that counts up."""
+    clock = itertools.count(1_600_000_000_000_010)
+    return DurableJournal(folder, LIMIT_BYTES, gather, None, "boot 1", lambda: next(clock))
+
+
+def durable_journal() -> Sample:
+    """The journal that survives the machine, with its proofs, and the room that it keeps."""
+
+    def make(folder: Path) -> None:
+        async def write() -> None:
+            journal = open_durable(folder, 0.0)
+            fill(journal)
+            synced = asyncio.get_running_loop().create_future()
+            journal.when_durable(synced.set_result)
+            assert await synced
+            journal.taken(message("m5"))
+            journal.close()
+
+        asyncio.run(write())
+
+    return in_folder(make)
+
+
+def carried_over_journal() -> Sample:
+    """The durable journal that a start makes of the platform's form."""
+
+    def make(folder: Path) -> None:
+        journal = Journal(folder, LIMIT_BYTES)
+        fill(journal)
+        journal.close()
+        open_durable(folder, None).close()
+
+    return in_folder(make)
+
+
+def answers() -> Sample:
+    """Final answers that a host has not collected."""
+
+    def make(folder: Path) -> None:
+        kept = Answers(folder, 3)
+        kept.keep("m1", State.DELIVERED.value, 0, b"\0reply", "")
+        kept.keep("m2", State.REFUSED.value, 1_500_000, b"", "FULL")
+        kept.keep("m3", State.FAILED.value, 0, b"", "")
+        kept.collect("m1")
+        kept.close()
+
+    return in_folder(make)
+
+
+BREAKER_VALUES = {
+    "calls": 7.0, "cold_since": 5.0, "failures": 3.0, "full_since": 2.0, "gap": 1_000.0, "gap_changed": 4.0,
+    "known": 1.0, "last_sent": 9.0, "last_served": float("-inf"), "served_sent": 6.0, "sick": 0.0,
+    "span": 8.0, "spread": 2.5, "took": 11.0, "trial_at": 12.0, "unserved": 1.0, "wait_until": 13.0,
+}  # fmt: skip
+
+
+def learned() -> Sample:
+    """What a sender has learned of its destinations."""
+    return {"learned": snapshot.encode(1_600_000_000_000_000, ((3, "hub-1", BREAKER_VALUES), (4, "", {})))}
+
+
+def overrides() -> Sample:
+    """Overrides of each kind, and the log of who set them."""
+
+    def make(folder: Path) -> None:
+        book, store, second = Book(), Store(folder), 1_000_000
+        span = (1_000 * second, 2_000 * second, 1_500 * second)
+        made = [
+            book.set(Kind.OUT, "hub-1", "ann", "disk \u00e9", *span),
+            book.set(Kind.WEIGHT, "hub-2", "bob", "slow", *span, weight=0.25),
+            book.set(Kind.PIN, "hub-3", "cas", "trial", *span, destination=7),
+            book.set(Kind.PIN, "hub-3", "cas", "trial", *span, tenant="t1"),
+            book.set(Kind.PIN, "hub-3", "cas", "trial", *span, key="k1"),
+        ]
+        store.save(book)
+        for each in made:
+            store.record(1_500 * second, each.who, "set", each, each.why)
+        store.record(1_600 * second, "ann", "ended", made[0])
+
+    return in_folder(make)
+
+
+def maintenance() -> Sample:
+    """The operators' orders."""
+    return in_folder(lambda folder: Record(folder).save({"hub-2", "hub-1"}, True))
+
+
+def document() -> Document:
+    """A document of the control plane."""
+    resources = {"endpoints/hub-1": b'{"destination":1}', "budgets/b\u00e9": b'{"calls":5}'}
+    return Document(7, resources)
+
+
+def control_folder() -> Sample:
+    """A control node's folder: identity, epoch, starts, mark of a learner, log and hard state."""
+
+    def make(folder: Path) -> None:
+        disk, path = Files(), folder / "node"
+        state = StateFolder(path)
+        state.initialise(Identity("fleet", "node-1", "2026-12-01T00:00:00Z"), disk)
+        state.write_epoch(3)
+        state.write_starts({"node-2": KnownStart(4, 2**61)})
+        state.mark_learner("its disk is old")
+        log = LogFile(path, disk)
+        log.load()
+        change = control.Change("r1", 0, (control.Resource("endpoints/a", b"{}"),), ("budgets/b",), "ann")
+        data = msgspec.msgpack.encode(change)
+        entries = [control.LogEntry(1, 1, b""), control.LogEntry(2, 1, data), control.LogEntry(3, 2, b"")]
+        log.store(make_batch(HardState(1, "node-2"), None, entries[:2]))
+        log.store(make_batch(HardState(2, ""), 2, [control.LogEntry(2, 2, b"")]))
+        log.store(make_batch(None, None, entries[2:]))
+        log.close()
+        disk.finish()
+
+    return in_folder(make)
+
+
+def control_documents() -> Sample:
+    """What a sender keeps of the control plane: the version in force and the one for its next start."""
+
+    def make(folder: Path) -> None:
+        disk = Files()
+        DocumentFile(folder / "control.document", disk).store(document())
+        DocumentFile(folder / "control.next", disk).store(Document(8))
+        disk.finish()
+
+    return in_folder(make)
+
+
+def handed_state() -> Handed:
+    """What an engine hands over, with every field set."""
+    inherited = face.Inherited(
+        breakers=((3, "hub-1", BREAKER_VALUES | {"last_served": -1.0}),),
+        endpoints=(("hub-1", {"bad_until": 1.0, "last_sent": 2.0, "refused_at": 3.0, "scarce_until": 4.0}),),
+        keys=(("k1", 5),),
+        credit=(("t1", 6.5, 7),),
+        silent=((9, 8.0),),
+    )
+    return Handed(
+        inherited=inherited,
+        calls={"m1": (1, face.CallOut("hub-1", "z1", 11, True, True)), "m2": (0, face.CallOut("h", "", 12))},
+        ending={"m3": End(State.REFUSED, 1_500_000), "m4": End(State.FAILED)},
+        shares={"m1": 0.5},
+        ended=("m5", "m6"),
+    )
+
+
+def handover_packet() -> Sample:
+    """Version 1 of what a process tells the one that follows."""
+    hosts = [
+        {"host": "hub-1", "dial": "10.0.0.1:80", "site": "z1", "class": "k", "block": 3, "health": "ready",
+         "share": 2.0},
+        {"host": "hub-2", "dial": "10.0.0.2:80", "site": "", "class": "", "block": 4, "health": "draining",
+         "share": 1.0},
+    ]  # fmt: skip
+    listed = Listed({"seq": 41, "whole": True, "hosts": hosts})
+    engine = SimpleNamespace(told_on=handed_state)
+    discovery = SimpleNamespace(seq=41, dials=listed.dials, destinations={4, 3, 9})
+    maintenance = SimpleNamespace(
+        listed={each.id: each for each in listed.endpoints}, back={"hub-9", "hub-2"}
+    )
+    sender = SimpleNamespace(
+        engine=engine, discovery=discovery, maintenance=maintenance, clock=SimpleNamespace(base=123_456_789),
+        drain=SimpleNamespace(ordered_at=12.5),
+    )  # fmt: skip
+    steps = Succession(sender, None)  # type: ignore[arg-type]
+    text = json.dumps(steps.state())
+    return {"packet.json": text.encode(), "engine.json": json.dumps(engine_text(handed_state())).encode()}
+
+
+def fleet_datagrams() -> Sample:
+    """Sealed datagrams between senders, one of each kind, under a fixed key and nonce."""
+    seal = Seal([KEY], lambda size: bytes(range(size)))
+    bodies: dict[str, fleet.Body] = {
+        "hello": fleet.Hello(3, True),
+        "ping": fleet.Ping(4, "s2"),
+        "ack": fleet.Ack(5),
+        "bulletin": fleet.Bulletin(6, 1, 2, b"text"),
+        "ask": fleet.Ask(7, b"question"),
+        "answer": fleet.Answer(8, b"answer"),
+        "leave": fleet.Leave(),
+        "share": fleet.Share("b1", 2, 3, 4, 5, 6, 7, 8, 9, 1000),
+    }
+    news = (fleet.Rumour("s3", ("10.0.0.3", 7000), 5, 6, 1),)
+    return {
+        name: seal.seal(fleet.encode(fleet.Envelope("s1", ("10.0.0.1", 7000), 2, 9, 8, 7, body, news)))
+        for name, body in bodies.items()
+    }
+
+
+def control_bodies() -> Iterator[tuple[str, control.Body]]:
+    """One message of each kind of the control plane."""
+    put = (control.Resource("endpoints/a", b'{"x":1}'),)
+    change = control.Change("r1", 4, put, ("budgets/b",), "ann")
+    result = control.ChangeResult("r1", control.Outcome.INVALID, 4, ("budgets/b: no",))
+    watcher = control.WatcherStatus("s1", 4, 3, "why", 120)
+    status = control.NodeStatus(1, "n1", "leader", "n1", 2, 4, 9, 10, (watcher,), "disk")
+    yield "poll", control.Poll(4, 2**63 + 1, 3, "why")
+    yield "version-notice", control.VersionNotice(5, 77, True, 120, 250)
+    yield "delta", control.Delta(4, 5, put, ("budgets/b",), 77)
+    yield "snapshot-request", control.SnapshotRequest(5, 1000)
+    yield "snapshot-chunk", control.SnapshotChunk(5, 1000, 2000, b"chunk")
+    yield "vote-request", control.VoteRequest(3, 9, 2, True)
+    yield "vote-reply", control.VoteReply(3, True, False)
+    yield "append-request", control.AppendRequest(3, 9, 2, 8, 7, (control.LogEntry(10, 3, b"data"),))
+    yield "append-reply", control.AppendReply(3, True, 10, 7, True)
+    yield "timeout-now", control.TimeoutNow(3)
+    yield "forwarded-change", control.ForwardedChange(change)
+    yield "forwarded-result", control.ForwardedResult(result)
+    yield "status-request", control.StatusRequest(5)
+    yield "node-status", status
+    yield "fragments", control.SnapshotChunk(5, 0, 3000, bytes(3000))
+
+
+def control_channels() -> tuple[Channel, Channel]:
+    """The two ends of a link, n1 and s1, with fixed sessions."""
+    addresses = {"n1": ("10.0.0.1", 7100)}
+    first = Channel("n1", 2, 1001, Seal([KEY], lambda size: bytes(range(size))), addresses)
+    second = Channel("s1", 5, 2002, Seal([KEY], lambda size: bytes(range(1, size + 1))), addresses)
+    return first, second
+
+
+def control_datagrams() -> Sample:
+    """Sealed datagrams between a sender and a control node: greetings, then one message of each kind."""
+    node, sender = control_channels()
+    found: Sample = {}
+    sender.send("n1", control.Poll(1, 2), 0.0)
+    for step in range(4):
+        for _, datagram in sender.take_datagrams():
+            found[f"greeting-{step}-sender-{len(found)}"] = datagram
+            node.receive(datagram, ("10.0.0.9", 9000), 0.0)
+        for address, datagram in node.take_datagrams():
+            found[f"greeting-{step}-node-{len(found)}"] = datagram
+            sender.receive(datagram, address, 0.0)
+    for name, body in control_bodies():
+        sender.send("n1", body, 1.0)
+        for number, (_, datagram) in enumerate(sender.take_datagrams()):
+            found[f"{name}-{number}"] = datagram
+    return found
+
+
+def questions() -> Sample:
+    """What a sender asks the others of ids that it owes, and their answer."""
+    known = {"m1": ids.Known.OUT, "m2": ids.Known.ENDED}
+    asked = ids.questions(["m1", "m2", "m3", "x" * 600, "y" * 600])
+    reply = ids.answer(asked[0], known.get)
+    assert reply is not None
+    return {f"question-{number}": each for number, each in enumerate(asked)} | {"answer": reply}
+
+
+def notices() -> Sample:
+    """Lines that tell the platform how messages ended."""
+    listed = Listed({"seq": 1, "whole": True, "hosts": []})
+
+    async def make() -> dict[str, str]:
+        discovery = Discovery(("127.0.0.1", 1), listed, lambda event: None, lambda name: None)
+        assert discovery.tell("m1", End(State.REFUSED, 1_500_001))
+        assert discovery.tell("m2 \u00e9", End(State.FAILED))
+        assert discovery.tell("m3", End(State.REFUSED))
+        assert not discovery.tell("m4", End(State.DELIVERED))
+        return discovery.notices
+
+    return {"notices": "\n".join(asyncio.run(make()).values()).encode()}
+
+
+class Heard:
+    """A socket that keeps what is written to it."""
+
+    def __init__(self) -> None:
+        self.data = b""
+
+    def send(self, data: bytes) -> int:
+        self.data += bytes(data)
+        return len(data)
+
+
+def request_headers() -> dict[str, str]:
+    return {
+        "X-Correlation-Id": "m1",
+        "Idempotency-Key": "k\u00e9",
+        "X-Time-Left": "1.500",
+        "Content-Length": "4",
+    }
+
+
+def requests() -> Sample:
+    """Calls to a receiver and to discovery, written plainly and by the codec."""
+
+    async def make(quick: bool, method: str, target: str, headers: dict[str, str], body: bytes) -> bytes:
+        heard = Heard()
+        connection = Connection(heard, ("10.0.0.1", 80))  # type: ignore[arg-type]
+        connection.quick = quick
+        await connection.send(method, target, headers, body)
+        return heard.data
+
+    return {
+        "call-quick": asyncio.run(make(True, "POST", "/hook", request_headers(), b"body")),
+        "call-codec": asyncio.run(make(False, "POST", "/hook", request_headers(), b"body")),
+        "watch": asyncio.run(make(False, "GET", "/registry/instances?watch=1&after=41", {}, b"")),
+    }
+
+
+def client_request(path: str = "/safe/x", method: str = "POST", **headers: str | None) -> bytes:
+    """A client's request; None takes a header out."""
+    usual = {
+        "Host": "x", "X-Service-Class": "safe", "X-Route-To": "dest=1", "X-Time-Left": "2.5",
+        "X-Correlation-Id": "m1", "Content-Length": "1",
+    }  # fmt: skip
+    lines = {name: headers.get(name.replace("-", "_"), value) for name, value in usual.items()}
+    head = "".join(f"{name}: {value}\r\n" for name, value in lines.items() if value is not None)
+    return f"{method} {path} HTTP/1.1\r\n{head}\r\nx".encode()
+
+
+REQUESTS = {
+    "accepted": client_request(),
+    "again": client_request(X_Correlation_Id="again"),
+    "refused": client_request(X_Correlation_Id="refused"),
+    "no-room": client_request(X_Correlation_Id="no-room"),
+    "other-id": client_request(X_Correlation_Id="other-id"),
+    "no-class": client_request("/other/x", X_Service_Class="other"),
+    "no-class-header": client_request(X_Service_Class=None),
+    "no-route": client_request(X_Route_To="x=1"),
+    "no-time": client_request(X_Time_Left="1e3"),
+    "no-id": client_request(X_Correlation_Id=None),
+    "no-key": client_request("/keyed/x", X_Service_Class="keyed"),
+    "no-destination": client_request(X_Route_To="dest=99"),
+    "too-long": client_request(Content_Length="70000"),
+    "bad-length": client_request(Content_Length="1, 2"),
+    "long-head": client_request(Host="x" * 17_000),
+    "spoilt": b"NONSENSE\r\n\r\n",
+    "get": client_request("/safe/x", "GET"),
+    "put": client_request("/health/ready", "PUT"),
+    "ready": b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n",
+    "head-ready": b"HEAD /health/ready HTTP/1.1\r\nHost: x\r\n\r\n",
+}
+
+
+def client_answers() -> Sample:
+    """What clients hear on a socket, by the request that they sent."""
+    from elmglade.core.ports import TurnedAway, Why
+
+    def take(taken: HandedIn, caller: object) -> None:
+        rejections = {
+            "refused": TurnedAway(Why.REFUSED, 1_250_000),
+            "no-room": TurnedAway(Why.NO_ROOM, 0),
+            "other-id": TurnedAway(Why.OTHER_ID, 500_000),
+        }
+        if taken.id in rejections:
+            caller.turned_away(rejections[taken.id])  # type: ignore[attr-defined]
+        else:
+            caller.taken()  # type: ignore[attr-defined]
+
+    async def ask(server: Server, data: bytes) -> bytes:
+        reader, writer = await asyncio.open_connection(*server.address())
+        writer.write(data)
+        writer.write_eof()
+        try:
+            return await asyncio.wait_for(reader.read(), 10)
+        finally:
+            writer.close()
+
+    async def make() -> Sample:
+        classes = {each.name: each for each in (SAFE, KEYED)}
+        server = Server(classes, take, lambda: 1_000_000, 50, named=lambda number: number != 99)
+        server.listen("127.0.0.1", 0)
+        server.ready = True
+        found = {name: await ask(server, data) for name, data in REQUESTS.items()}
+        server.ready = False
+        found["not-ready"] = await ask(server, REQUESTS["ready"])
+        server.close()
+        return found
+
+    return asyncio.run(make())
+
+
+def figures() -> Sample:
+    """The figures of the management API."""
+    ends = {"safe": {"answered": 3, "deferred": 2, "errored": 1}, "keyed": dict.fromkeys(("answered",), 0)}
+    return {"figures": Figures(ends, 12, 5, 40, 2).text().encode()}
+
+
+def people_json() -> Sample:
+    """Objects that the control socket and the state folder tell: destinations, endpoints, a message's way."""
+    world = World(endpoint("a"), endpoint("b", destination=2))
+    world.take()
+    world.answer("m1", Outcome.FULL, wait=500_000)
+    dispatcher, now = world.dispatcher, world.now
+    destinations = [asdict(each) for each in inventory.inventory(dispatcher, now)]
+    told = {
+        "destinations": [each | {"bytes": 0} for each in destinations],  # its value is the interpreter's
+        "endpoints": explain.endpoints(dispatcher, now),
+        "explain": explain.explain(dispatcher, 1, "", now),
+    }
+    return {"told.json": json.dumps(told, indent=1, sort_keys=True).encode()}
+
+
+def budget_json() -> Sample:
+    """A budget as `fleet budgets` shows it."""
+    clock = itertools.count(5_000_000, 1_000_000)
+    desk = Desk("s1", 3, lambda: next(clock))
+    desk.open(Budget("b1", "calls", 10, 2, 1_000_000), lambda: 3)
+    for _ in range(4):
+        desk.tick(["s2"])
+    return {"budgets.json": json.dumps(budget_status(desk), indent=1, sort_keys=True).encode()}
+
+
+def grpc_metadata() -> Sample:
+    """Metadata that routes a call, and what of it goes on."""
+    metadata = (
+        ("elmglade-destination", "7"), ("elmglade-class", "keyed"), ("elmglade-tenant", "t1"),
+        ("elmglade-key", "k1"), ("elmglade-id", "m1"), ("idempotency-key", "i1"), ("x-own", "1"),
+        ("x-own-bin", b"\0\1"), ("grpc-timeout", "1S"),
+    )  # fmt: skip
+    route = from_metadata("/svc/Call", b"", metadata)
+    fields = (
+        route.destination,
+        route.message_class,
+        route.tenant,
+        route.key,
+        route.idempotency_key,
+        route.id,
+    )
+    told = {"route": fields, "passed on": pairs("/svc/Call", metadata)}
+    return {"metadata.json": json.dumps(told, indent=1).encode()}
+
+
+def describe(command: click.Command) -> dict[str, object]:
+    """A command's options and arguments, without their help."""
+    context = click.Context(command)
+    names = command.list_commands(context) if isinstance(command, click.Group) else []
+    return {
+        "parameters": [
+            {
+                "kind": each.param_type_name, "name": each.opts + each.secondary_opts, "type": each.type.name,
+                "required": each.required, "nargs": each.nargs, "multiple": each.multiple,
+            }
+            for each in command.params
+        ],
+        "commands": {name: describe(each) for name in names if (each := command.get_command(context, name))},  # type: ignore[attr-defined]
+    }  # fmt: skip
+
+
+def command_line() -> Sample:
+    """All commands with their options and arguments."""
+    return {"commands.json": json.dumps(describe(command_table), indent=1, sort_keys=True).encode()}
+
+
+SAMPLES: tuple[Callable[[], Sample], ...] = (
+    platform_journal, compacted_journal, durable_journal, carried_over_journal, answers, learned, overrides,
+    maintenance, control_folder, control_documents, handover_packet, fleet_datagrams, control_datagrams,
+    questions, notices, requests, client_answers, figures, people_json, budget_json, grpc_metadata,
+    command_line,
+)  # fmt: skip
+
+
+def recorded(make: Callable[[], Sample]) -> Sample:
+    """The recorded sample of that name."""
+    folder = RECORDED / make.__name__
+    return {
+        str(each.relative_to(folder)): each.read_bytes()
+        for each in sorted(folder.rglob("*"))
+        if each.is_file()
+    }
+
+
+def write_all() -> None:
+    """Records samples that are not there yet; those that are stay as they were."""
+    for make in SAMPLES:
+        folder = RECORDED / make.__name__
+        if folder.exists():
+            continue
+        for name, data in make().items():
+            path = folder / name
+            path.parent.mkdir(parents=True, exist_ok=True)
+            path.write_bytes(data)
+
+
+if __name__ == "__main__":
+    write_all()
--- /dev/null
+++ b/tests/compatibility/test_decisions.py
@@ -0,0 +1,80 @@
+"""Decisions and outcomes stay as they were: digests by value over recorded streams and scenarios.
+
+The digests were made by version 0.2.0. They hold no name of a class or a field of the program, only values
+and the names that the program's figures have in files.
+"""
+
+import dataclasses
+import hashlib
+import json
+from enum import Enum
+from pathlib import Path
+from typing import Any
+
+import pytest
+
+from elmglade import Dispatcher
+from elmglade import interface as face
+from elmglade.cli.emulate import played, scenario_of
+from elmglade.lab import stream
+
+SCENARIOS = Path(__file__).parents[2] / "scenarios"
+DIGESTS = json.loads((Path(__file__).parent / "digests.json").read_text())
+STREAMS = 12
+RATES = (30, 60, 120)  # messages a second, in turn
+#: Each action has the number of its place.
+ACTIONS = (
+    face.Send, face.Refuse, face.Fail, face.CancelAttempt, face.WakeAfter, face.Subscribe, face.CloseIdle,
+    face.Note,
+)  # fmt: skip
+
+
+def values(of: object) -> Any:  # noqa: ANN401
+    """The values of a dataclass in the order of its fields, without any name."""
+    if isinstance(of, Enum):
+        return of.value
+    if dataclasses.is_dataclass(of):
+        return [values(getattr(of, each.name)) for each in dataclasses.fields(of)]
+    return [values(each) for each in of] if isinstance(of, tuple | list) else of
+
+
+def stream_digest(seed: int) -> tuple[int, str]:
+    """How many calls the decision module had, and a digest of all that it said."""
+    world = stream.StreamWorld(stream.Shape(rate=RATES[seed % len(RATES)]), seed)
+    dispatcher = Dispatcher(world.settings, seed)
+    found, calls = hashlib.sha256(), 0
+
+    def heard(now: int, events: list[face.Event], actions: list[face.Action]) -> None:
+        nonlocal calls
+        calls += 1
+        told = [[ACTIONS.index(type(each)), values(each)] for each in actions]
+        found.update(json.dumps([now, [values(each) for each in events], told]).encode())
+
+    world.run(dispatcher.handle, heard)
+    return calls, found.hexdigest()
+
+
+def scenario_digest(name: str) -> str:
+    """A digest of all figures of a scenario at its own seed."""
+    scenario = scenario_of(SCENARIOS / f"{name}.toml", ())
+    outcomes = played(scenario, scenario.seed, "elmglade")
+    return hashlib.sha256(json.dumps(outcomes.as_json(), sort_keys=True).encode()).hexdigest()
+
+
+@pytest.mark.parametrize("seed", range(STREAMS))
+def test_decisions_on_a_stream_are_as_recorded(seed: int) -> None:
+    assert list(stream_digest(seed)) == DIGESTS["streams"][seed]
+
+
+def test_the_streams_have_as_many_calls_as_recorded() -> None:
+    assert sum(calls for calls, _ in DIGESTS["streams"]) == 34_563
+
+
+@pytest.mark.parametrize("name", sorted(DIGESTS["scenarios"]))
+def test_outcomes_of_a_scenario_are_as_recorded(name: str) -> None:
+    assert scenario_digest(name) == DIGESTS["scenarios"][name]
+
+
+def test_all_scenarios_but_the_large_ones_are_recorded() -> None:
+    small = {each.stem for each in SCENARIOS.glob("*.toml") if not each.stem.startswith("forty-")}
+    assert small == DIGESTS["scenarios"].keys() and len(small) == 29
