--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -16,8 +16,8 @@
 from collections.abc import Callable, Iterable
 from functools import partial
 
-from elmglade.budget.desk import Budget, Desk
-from elmglade.emulator.shared import Fleet
+from message_sender.budget.desk import Budget, Desk
+from message_sender.emulator.shared import Fleet
 
 US = 1_000_000
 SINCE, UNTIL = 12.0, 40.0  # s: when all have begun, and the end
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -24,7 +24,7 @@
 
 def play(root: Path, scenario: Path, seed: int) -> dict[str, float]:
     """The figures of one draw. Raises RuntimeError where the run itself failed."""
-    command = [sys.executable, "-m", "elmglade", "emulate", "run", str(scenario), "--seed", str(seed)]
+    command = [sys.executable, "-m", "message_sender", "emulate", "run", str(scenario), "--seed", str(seed)]
     ran = subprocess.run(command, cwd=root, capture_output=True, text=True, check=False)
     lines = [line.split() for line in ran.stdout.splitlines() if line.startswith("  ")]
     found = {line[0]: line[1] for line in lines if len(line) == 2}
@@ -36,9 +36,11 @@
 def with_decisions(root: Path, folder: Path) -> Path:
     """A copy of this program with the decision module of `root`."""
     copy = folder / "other"
-    shutil.copytree(HERE / "elmglade", copy / "elmglade", ignore=shutil.ignore_patterns("__pycache__"))
+    shutil.copytree(
+        HERE / "message_sender", copy / "message_sender", ignore=shutil.ignore_patterns("__pycache__")
+    )
     for name in DECISIONS:
-        shutil.copy(root / "elmglade" / name, copy / "elmglade" / name)
+        shutil.copy(root / "message_sender" / name, copy / "message_sender" / name)
     return copy
 
 
--- a/benchmarks/listing.py
+++ b/benchmarks/listing.py
@@ -47,7 +47,7 @@
     parser = argparse.ArgumentParser(description=__doc__.partition("\n")[0])
     parser.add_argument("--root", type=Path, default=Path(__file__).resolve().parent.parent)
     sys.path.insert(0, str(parser.parse_args().root))
-    from elmglade import Dispatcher, interface
+    from message_sender import Dispatcher, interface
 
     found = {size: measure(interface, Dispatcher, size) for size in SIZES}
     for size, took in found.items():
--- a/benchmarks/overrides.py
+++ b/benchmarks/overrides.py
@@ -14,16 +14,16 @@
 from collections import Counter
 from pathlib import Path
 
-from elmglade import Dispatcher, config
-from elmglade import interface as face
-from elmglade.directory.control import ask
-from elmglade.directory.overrides import Book, Kind, Overlay
-from elmglade.http.serve import LineTeller, PlainSender
-from elmglade.interface import EndpointState, Listing, Outcome
-from elmglade.lab.history import Began, History
-from elmglade.lab.http import HttpClient, HttpEndpoint
-from elmglade.lab.running import running
-from elmglade.lab.script import Script
+from message_sender import Dispatcher, config
+from message_sender import interface as face
+from message_sender.directory.control import ask
+from message_sender.directory.overrides import Book, Kind, Overlay
+from message_sender.http.serve import LineTeller, PlainSender
+from message_sender.interface import EndpointState, Listing, Outcome
+from message_sender.lab.history import Began, History
+from message_sender.lab.http import HttpClient, HttpEndpoint
+from message_sender.lab.running import running
+from message_sender.lab.script import Script
 
 SECOND = 1_000_000
 KIND = face.MessageClass("c", 4 * SECOND, 20 * SECOND, 1.0, 0.3, face.Effect.SAFE)
--- a/benchmarks/pcap.py
+++ b/benchmarks/pcap.py
@@ -21,18 +21,18 @@
 
 import dpkt
 
-from elmglade import config
-from elmglade.http.serve import LineTeller, PlainSender
-from elmglade.lab.history import History
-from elmglade.lab.http import HttpClient, HttpEndpoint
-from elmglade.lab.running import running
-from elmglade.lab.script import Script
-from elmglade.pcap.capture import Capture
-from elmglade.pcap.files import Writer, read
-from elmglade.pcap.flows import Flows
-from elmglade.pcap.layers import Layers
-from elmglade.pcap.tap import Tap
-from elmglade.pcap.writer import Conversation
+from message_sender import config
+from message_sender.http.serve import LineTeller, PlainSender
+from message_sender.lab.history import History
+from message_sender.lab.http import HttpClient, HttpEndpoint
+from message_sender.lab.running import running
+from message_sender.lab.script import Script
+from message_sender.pcap.capture import Capture
+from message_sender.pcap.files import Writer, read
+from message_sender.pcap.flows import Flows
+from message_sender.pcap.layers import Layers
+from message_sender.pcap.tap import Tap
+from message_sender.pcap.writer import Conversation
 
 REQUEST = b"POST /c HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s"
 ANSWER = b"HTTP/1.1 202 \r\nContent-Length: 0\r\n\r\n"
@@ -129,7 +129,7 @@
 
 def memory(megabytes: int) -> None:
     """Peak memory of `pcap info` on a stream that is never whole anywhere."""
-    words = [sys.executable, "-m", "elmglade", "pcap", "info", "-"]
+    words = [sys.executable, "-m", "message_sender", "pcap", "info", "-"]
     process = subprocess.Popen(
         words, stdin=subprocess.PIPE, stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL
     )
--- a/benchmarks/plugin.py
+++ b/benchmarks/plugin.py
@@ -7,8 +7,8 @@
 
 - bare: a `grpc.aio` call from the host to the endpoint.
 - plugin: the same call through the plug-in (journal and rules included).
-- daemon: the host posts to `elmglade serve` on the same core, which calls the HTTP endpoint; over when the
-  host reads the final answer from the daemon's output. CPU is that of host and daemon together.
+- daemon: the host posts to `message-sender serve` on the same core, which calls the HTTP endpoint; over when
+  the host reads the final answer from the daemon's output. CPU is that of host and daemon together.
 """
 
 import argparse
@@ -27,11 +27,11 @@
 
 import grpc
 
-from elmglade.grpc import open_channel
-from elmglade.lab.grpc import GrpcEndpoint
-from elmglade.lab.history import Event, History
-from elmglade.lab.http import HttpClient, HttpEndpoint
-from elmglade.lab.script import Script
+from message_sender.grpc import open_channel
+from message_sender.lab.grpc import GrpcEndpoint
+from message_sender.lab.history import Event, History
+from message_sender.lab.http import HttpClient, HttpEndpoint
+from message_sender.lab.script import Script
 
 ROOT = Path(__file__).resolve().parent.parent
 HOST_CORE, ENDPOINT_CORE = 0, 1
@@ -116,7 +116,7 @@
         file = Path(folder) / "c.toml"
         file.write_text(toml(port))
         process = await asyncio.create_subprocess_exec(
-            *(sys.executable, "-m", "elmglade", "serve", "--config", str(file), "--state", folder),
+            *(sys.executable, "-m", "message_sender", "serve", "--config", str(file), "--state", folder),
             stdout=asyncio.subprocess.PIPE,
             stderr=asyncio.subprocess.PIPE,
             cwd=ROOT,
--- a/benchmarks/power.py
+++ b/benchmarks/power.py
@@ -21,11 +21,11 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from elmglade.journal.durable import DurableJournal
-from elmglade.journal.file import Journal
-from elmglade.lab.cluster import Cluster, Hub
-from elmglade.lab.http import HttpClient
-from elmglade.message import HandedIn
+from message_sender.journal.durable import DurableJournal
+from message_sender.journal.file import Journal
+from message_sender.lab.cluster import Cluster, Hub
+from message_sender.lab.http import HttpClient
+from message_sender.message import HandedIn
 
 LIMIT = 200_000_000  # bytes
 HELD = 600  # messages that all senders hold as the power goes
--- a/benchmarks/scale/changes.py
+++ b/benchmarks/scale/changes.py
@@ -31,10 +31,10 @@
     Request,
     Terms,
 )
-from elmglade.control.document import Document, decode_snapshot, encode_snapshot
-from elmglade.control.fanout import Fanout
-from elmglade.control.messages import Poll
-from elmglade.control.store import ConfigurationStore
+from message_sender.control.document import Document, decode_snapshot, encode_snapshot
+from message_sender.control.fanout import Fanout
+from message_sender.control.messages import Poll
+from message_sender.control.store import ConfigurationStore
 
 SENDERS = (10, 40, 126, 315, plan.SENDERS)
 SENDERS_SMALL = (10, 40)
--- a/benchmarks/scale/control_plane.py
+++ b/benchmarks/scale/control_plane.py
@@ -17,10 +17,10 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from elmglade.control.channel import Channel
-from elmglade.control.document import Document
-from elmglade.control.fanout import Fanout
-from elmglade.control.messages import (
+from message_sender.control.channel import Channel
+from message_sender.control.document import Document
+from message_sender.control.fanout import Fanout
+from message_sender.control.messages import (
     Address,
     AppendReply,
     AppendRequest,
@@ -36,11 +36,11 @@
     VoteReply,
     VoteRequest,
 )
-from elmglade.control.raft import Ready
-from elmglade.control.replica import HardState, Replica, Role
-from elmglade.control.store import ConfigurationStore, encode_change
-from elmglade.control.watch import ControlNodeAddress, Watch
-from elmglade.fleet.seal import Seal
+from message_sender.control.raft import Ready
+from message_sender.control.replica import HardState, Replica, Role
+from message_sender.control.store import ConfigurationStore, encode_change
+from message_sender.control.watch import ControlNodeAddress, Watch
+from message_sender.fleet.seal import Seal
 
 HEADER_BYTES = 28  # UDP and IPv4
 STEP_S = 0.01  # between two rounds of ticks; a datagram is delivered at its own time
--- a/benchmarks/scale/destinations.py
+++ b/benchmarks/scale/destinations.py
@@ -15,8 +15,8 @@
 from benchmarks.scale.memory import traced_memory
 from benchmarks.scale.quantity import quantity_of
 from benchmarks.scale.results import Allowance, Effort, Figure, Measured, Point, Quantity, Source
-from elmglade import interface as face
-from elmglade.http.platform import LINE_LIMIT, Listed
+from message_sender import interface as face
+from message_sender.http.platform import LINE_LIMIT, Listed
 
 SLOTS, MAX_OPEN = 60, 1_000
 CALL_US = 5_000  # virtual, between a message and the answer to its call
--- a/benchmarks/scale/held.py
+++ b/benchmarks/scale/held.py
@@ -18,12 +18,12 @@
 from benchmarks.scale.memory import traced_memory
 from benchmarks.scale.quantity import quantity_of
 from benchmarks.scale.results import Allowance, Effort, Figure, Measured, Point, Quantity, Source
-from elmglade import interface as face
-from elmglade.interface import Outcome
-from elmglade.journal.disk import Files
-from elmglade.journal.durable import DurableJournal
-from elmglade.journal.file import FILE, Attempt
-from elmglade.message import HandedIn
+from message_sender import interface as face
+from message_sender.interface import Outcome
+from message_sender.journal.disk import Files
+from message_sender.journal.durable import DurableJournal
+from message_sender.journal.file import FILE, Attempt
+from message_sender.message import HandedIn
 
 BODY_BYTES = 300
 DESTINATIONS = 100  # that the held messages are for
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -12,13 +12,13 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from elmglade.fleet import wire
-from elmglade.fleet.members import PERIOD, Member, State
-from elmglade.fleet.node import Me, Node
-from elmglade.fleet.seal import Seal
-from elmglade.fleet.session import PeerSession
-from elmglade.fleet.udp import TICK
-from elmglade.fleet.wire import Address
+from message_sender.fleet import wire
+from message_sender.fleet.members import PERIOD, Member, State
+from message_sender.fleet.node import Me, Node
+from message_sender.fleet.seal import Seal
+from message_sender.fleet.session import PeerSession
+from message_sender.fleet.udp import TICK
+from message_sender.fleet.wire import Address
 
 KEY = bytes(32)
 NETWORK_DELAY_S = 0.001
--- a/benchmarks/scale/load.py
+++ b/benchmarks/scale/load.py
@@ -160,7 +160,7 @@
         path = folder / "config.json"
         path.write_text(json.dumps(configuration(port, stand, down, closed)))
         environment = os.environ | {"BALANCER_CONFIG": str(path), "BALANCER_STATE": str(folder / "state")}
-        words = [sys.executable, "-m", "elmglade"]
+        words = [sys.executable, "-m", "message_sender"]
         process = subprocess.Popen(words, cwd=ROOT, env=environment, stderr=subprocess.DEVNULL)
         try:
             await storm.ready(port)
--- a/benchmarks/scale/outage.py
+++ b/benchmarks/scale/outage.py
@@ -1,7 +1,7 @@
 """Calls that one sender makes to a destination that is down, counted on virtual time."""
 
 from benchmarks.scale import policy
-from elmglade import interface as face
+from message_sender import interface as face
 
 CONNECTION_REFUSED_AFTER_US = 1_000
 IDLE_US = 1_000_000  # between two looks where the module asks for none
--- a/benchmarks/scale/policy.py
+++ b/benchmarks/scale/policy.py
@@ -2,8 +2,8 @@
 
 from collections.abc import Sequence
 
-from elmglade import Dispatcher
-from elmglade import interface as face
+from message_sender import Dispatcher
+from message_sender import interface as face
 
 MICROSECONDS = 1_000_000
 SEED = 1
--- a/benchmarks/scale/real.py
+++ b/benchmarks/scale/real.py
@@ -8,9 +8,9 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from elmglade.fleet import wire
-from elmglade.fleet.seal import Seal
-from elmglade.lab.cluster import Cluster, Relay
+from message_sender.fleet import wire
+from message_sender.fleet.seal import Seal
+from message_sender.lab.cluster import Cluster, Relay
 
 WINDOW_S = 10.0
 ANNOUNCED_WITHIN_S = 20.0  # after the start: every member has announced itself
--- a/benchmarks/scale/restarts.py
+++ b/benchmarks/scale/restarts.py
@@ -12,7 +12,7 @@
 from benchmarks.scale.hollow import HollowFleet, Traffic
 from benchmarks.scale.quantity import quantity_of
 from benchmarks.scale.results import Allowance, Effort, Figure, Measured, Point, Quantity, Source
-from elmglade import interface as face
+from message_sender import interface as face
 
 ANNOUNCEMENT_BYTES = 200
 WINDOW_S = 10.0  # virtual
--- a/benchmarks/storm.py
+++ b/benchmarks/storm.py
@@ -260,7 +260,7 @@
     environment = os.environ | {"BALANCER_CONFIG": str(path), "BALANCER_STATE": str(state)}
     with open(log, "ab") as out:
         process = subprocess.Popen(
-            [str(root / ".venv/bin/python"), "-m", "elmglade"], cwd=root, env=environment, stderr=out
+            [str(root / ".venv/bin/python"), "-m", "message_sender"], cwd=root, env=environment, stderr=out
         )
     pin(SENDER_CORE, process.pid)
     return process
--- a/benchmarks/streams.py
+++ b/benchmarks/streams.py
@@ -4,7 +4,7 @@
     python benchmarks/streams.py replay FOLDER [--root CHECKOUT]
     python benchmarks/streams.py cost [--root CHECKOUT]
 
-`record` plays a closed world (elmglade/lab/stream.py) with the module of CHECKOUT (this one without the
+`record` plays a closed world (message_sender/lab/stream.py) with the module of CHECKOUT (this one without the
 option) and writes a file a seed. `replay` tells at which call of each file the module of CHECKOUT first says
 something else, and what. `cost` tells the CPU of one message, calm, with 100 destinations down and beside
 10,000 quiet ones.
@@ -23,7 +23,7 @@
 
 def load_stream() -> Any:  # noqa: ANN401
     """This checkout's streams, over the interface of the module that is measured."""
-    spec = importlib.util.spec_from_file_location("stream", HERE / "elmglade" / "lab" / "stream.py")
+    spec = importlib.util.spec_from_file_location("stream", HERE / "message_sender" / "lab" / "stream.py")
     assert spec and spec.loader
     module = importlib.util.module_from_spec(spec)
     sys.modules["stream"] = module
@@ -108,7 +108,7 @@
     parser.add_argument("--root", type=Path, default=HERE)
     told = parser.parse_args()
     sys.path.insert(0, str(told.root))
-    from elmglade import Dispatcher
+    from message_sender import Dispatcher
 
     stream = load_stream()
     if told.what == "cost":
--- a/elmglade/__main__.py
+++ b/message_sender/__main__.py
@@ -1,4 +1,5 @@
-"""What `python -m elmglade` starts: without arguments the platform's sender; with them the command line."""
+"""What `python -m message_sender` starts: without arguments the platform's sender; with them the command
+line."""
 
 import signal
 import sys
@@ -6,13 +7,13 @@
 
 def main() -> int:
     if len(sys.argv) > 1:
-        from elmglade.cli import main as command
+        from message_sender.cli import main as command
 
         return command()
     # Guards a start from SIGHUP, which would end a process that cannot hear it yet. The configuration is read
     # after this, so that nothing is missed.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
-    from elmglade.start import main as run
+    from message_sender.start import main as run
 
     return run()
 
--- a/elmglade/adapter.py
+++ b/message_sender/adapter.py
@@ -5,9 +5,9 @@
 from collections.abc import Callable
 from typing import IO, Any
 
-from elmglade import interface as face
-from elmglade.policy.dispatcher import Dispatcher
-from elmglade.settings import settings_from
+from message_sender import interface as face
+from message_sender.policy.dispatcher import Dispatcher
+from message_sender.settings import settings_from
 
 OUTCOMES = {
     "OK": face.Outcome.OK,
@@ -236,7 +236,7 @@
     try:
         Adapter(sys.stdin, sys.stdout).run()
     except (WireError, UnicodeDecodeError) as error:
-        print(f"elmglade: {error}", file=sys.stderr)
+        print(f"message-sender: {error}", file=sys.stderr)
         return 1
     return 0
 
--- a/elmglade/budget/desk.py
+++ b/message_sender/budget/desk.py
@@ -30,10 +30,10 @@
 from dataclasses import dataclass, field, replace
 from functools import cached_property
 
-from elmglade.budget import division, lease
-from elmglade.budget.lease import Kind, Member, Terms, Word
-from elmglade.budget.spend import NEVER, Spender
-from elmglade.fleet.wire import Share
+from message_sender.budget import division, lease
+from message_sender.budget.lease import Kind, Member, Terms, Word
+from message_sender.budget.spend import NEVER, Spender
+from message_sender.fleet.wire import Share
 
 FAST = 1.0102  # by a clock that is 1% fast, how long a true time takes, with something over
 APART = 0.021  # what two clocks may differ by, 1% each
--- a/elmglade/budget/earned.py
+++ b/message_sender/budget/earned.py
@@ -11,7 +11,7 @@
 
 from collections import deque
 
-from elmglade.budget.spend import NEVER
+from message_sender.budget.spend import NEVER
 
 
 class Earned:
--- a/elmglade/budget/told.py
+++ b/message_sender/budget/told.py
@@ -1,7 +1,7 @@
 """A member's budgets for people: what it has of each and why, and what it gave out where it keeps one."""
 
-from elmglade.budget import lease
-from elmglade.budget.desk import Book, Desk
+from message_sender.budget import lease
+from message_sender.budget.desk import Book, Desk
 
 
 def seconds(us: int) -> float:
--- a/elmglade/cli/basic.py
+++ b/message_sender/cli/basic.py
@@ -1,4 +1,4 @@
-"""`elmglade serve|check|destinations|demo`."""
+"""`message-sender serve|check|destinations|demo`."""
 
 import asyncio
 import contextlib
@@ -13,10 +13,10 @@
 
 import click
 
-from elmglade.config import ConfigError, General, load
+from message_sender.config import ConfigError, General, load
 
 if TYPE_CHECKING:
-    from elmglade.pcap.tap import Tap
+    from message_sender.pcap.tap import Tap
 
 FILE = click.Path(path_type=Path, dir_okay=False)
 FOLDER = click.Path(path_type=Path, file_okay=False)
@@ -60,10 +60,10 @@
     """Run a sender without the platform.
 
     \b
-    elmglade serve --config deploy/serve.toml --state /var/lib/elmglade --log json
+    message-sender serve --config deploy/serve.toml --state /var/lib/message-sender --log json
     """
-    from elmglade.cli.records import begin
-    from elmglade.http.serve import serve as run
+    from message_sender.cli.records import begin
+    from message_sender.http.serve import serve as run
 
     begin("json" if form == "json" else "people")
     with complaints("configuration: "):
@@ -83,7 +83,7 @@
 @contextlib.contextmanager
 def capturing(config: General) -> Iterator["Tap"]:
     """Has the sender's traffic written as capture files while it is held."""
-    from elmglade.pcap.tap import Tap
+    from message_sender.pcap.tap import Tap
 
     assert config.capture
     to = config.capture
@@ -107,7 +107,7 @@
 
     PATH is its state folder, or the file there that it writes on SIGUSR1.
     """
-    from elmglade.core.inventory import ORDER, read
+    from message_sender.core.inventory import ORDER, read
 
     with complaints():
         at, kept = read(path)
@@ -142,12 +142,12 @@
 @click.pass_context
 def demo(ctx: click.Context, pace: float, rate: float, seed: int, capture: Path | None, plain: bool) -> None:
     """Stand-ins and one sender, through an outage and back."""
-    from elmglade.lab.demo import demo as run
+    from message_sender.lab.demo import demo as run
 
     if capture is None:
         ctx.exit(run(pace, rate, seed, plain=plain))
-    from elmglade.cli.commands import given_in
-    from elmglade.pcap.files import BadCapture
+    from message_sender.cli.commands import given_in
+    from message_sender.pcap.files import BadCapture
 
     try:
         given = given_in(capture)
--- a/elmglade/cli/chart.py
+++ b/message_sender/cli/chart.py
@@ -1,5 +1,5 @@
 """A chart of a budget over time, as running senders tell it: what each member was granted and what it spent,
-against the whole. matplotlib draws it (`elmglade[report]`): one SVG, which opens without a network."""
+against the whole. matplotlib draws it (`message-sender[report]`): one SVG, which opens without a network."""
 
 import time
 from collections.abc import Iterable, Mapping
@@ -9,7 +9,7 @@
 
 import click
 
-from elmglade.cli.override import tell
+from message_sender.cli.override import tell
 
 
 @dataclass
--- a/elmglade/cli/commands.py
+++ b/message_sender/cli/commands.py
@@ -3,8 +3,8 @@
 import zlib
 from pathlib import Path
 
-from elmglade.lab.demo import Given
-from elmglade.pcap.capture import Found, requests
+from message_sender.lab.demo import Given
+from message_sender.pcap.capture import Found, requests
 
 
 def given_in(path: Path) -> list[Given]:
--- a/elmglade/cli/control.py
+++ b/message_sender/cli/control.py
@@ -1,4 +1,4 @@
-"""`elmglade control serve|init|set|get|status`: control nodes, and the configuration that they keep.
+"""`message-sender control serve|init|set|get|status`: control nodes, and the configuration that they keep.
 
 Exit codes: 0 well, 1 not (refused, not known, not everywhere), 2 misused.
 """
@@ -13,13 +13,13 @@
 
 import click
 
-from elmglade.cli import control_change as change
-from elmglade.cli.basic import FILE, complaints
-from elmglade.cli.control_change import ChangeAnswer, ChangeRequest, ControlNodeError, Outcome, Present
-from elmglade.cli.control_status import Overview, overview
-from elmglade.cli.fleet import EVERY, TIMES, again
-from elmglade.cli.override import JSON
-from elmglade.control import schema
+from message_sender.cli import control_change as change
+from message_sender.cli.basic import FILE, complaints
+from message_sender.cli.control_change import ChangeAnswer, ChangeRequest, ControlNodeError, Outcome, Present
+from message_sender.cli.control_status import Overview, overview
+from message_sender.cli.fleet import EVERY, TIMES, again
+from message_sender.cli.override import JSON
+from message_sender.control import schema
 
 WAIT_INTERVAL_S = 0.2  # between two looks while a version is waited for
 EXPECTED_BASE = "version {present} is in force, and {expected} was expected: nothing was changed"
@@ -44,10 +44,10 @@
     """Run a control node.
 
     \b
-    elmglade control serve --config control-1.toml --log json
+    message-sender control serve --config control-1.toml --log json
     """
-    from elmglade.cli.records import begin
-    from elmglade.control.process import run
+    from message_sender.cli.records import begin
+    from message_sender.control.process import run
 
     begin("json" if form == "json" else "people")
     with complaints("configuration: "):
@@ -63,9 +63,9 @@
     may have forgotten a vote.
 
     \b
-    elmglade control init --config control-1.toml
+    message-sender control init --config control-1.toml
     """
-    from elmglade.control.process import initialise
+    from message_sender.control.process import initialise
 
     with complaints("configuration: "):
         initialise(file)
@@ -112,9 +112,9 @@
     deleted, unless --patch is given.
 
     \b
-    elmglade control set /var/lib/control-1 fleet.toml --expect 7
-    elmglade control set /var/lib/control-1 hub-9.toml --patch
-    elmglade control set /var/lib/control-1 --patch --delete endpoints/hub-1
+    message-sender control set /var/lib/control-1 fleet.toml --expect 7
+    message-sender control set /var/lib/control-1 hub-9.toml --patch
+    message-sender control set /var/lib/control-1 --patch --delete endpoints/hub-1
     """
     if file is None and not (patch and delete):
         raise click.UsageError("FILE is missing; without it --patch and --delete are needed")
@@ -196,7 +196,7 @@
     """Show the configuration.
 
     \b
-    elmglade control get /var/lib/control-1 > fleet.toml
+    message-sender control get /var/lib/control-1 > fleet.toml
     """
     if as_toml and as_json:
         raise click.UsageError("--toml and --json don't go together")
@@ -245,8 +245,8 @@
     """Which version is in force where, who lags and why.
 
     \b
-    elmglade control status /var/lib/control-1
-    elmglade control status /var/lib/control-1 --wait 8 --timeout 10
+    message-sender control status /var/lib/control-1
+    message-sender control status /var/lib/control-1 --wait 8 --timeout 10
     """
     if version is not None and is_watched:
         raise click.UsageError("--wait and --watch don't go together")
--- a/elmglade/cli/control_change.py
+++ b/message_sender/cli/control_change.py
@@ -16,8 +16,8 @@
 from pathlib import Path
 from typing import Any
 
-from elmglade.control.schema import Difference, changes_between, encode_value
-from elmglade.directory.control import ask
+from message_sender.control.schema import Difference, changes_between, encode_value
+from message_sender.directory.control import ask
 
 RETRY_INTERVAL_S = 0.3
 ANSWER_PATIENCE_S = 10.0  # for one answer of a control node
--- a/elmglade/cli/emulate.py
+++ b/message_sender/cli/emulate.py
@@ -1,4 +1,4 @@
-"""`elmglade emulate`: the sender in simulated time, and experiments on it."""
+"""`message-sender emulate`: the sender in simulated time, and experiments on it."""
 
 import json
 import sys
@@ -7,15 +7,15 @@
 
 import click
 
-from elmglade.cli.basic import FOLDER, complaints
-from elmglade.emulator import experiment
-from elmglade.emulator.experiment import Job, Ran
-from elmglade.emulator.fleet import Outcomes
-from elmglade.emulator.loop import EmulationError
-from elmglade.emulator.play import play
-from elmglade.emulator.policies import POLICIES
-from elmglade.emulator.scenario import Scenario, changed, load
-from elmglade.tables import ConfigError
+from message_sender.cli.basic import FOLDER, complaints
+from message_sender.emulator import experiment
+from message_sender.emulator.experiment import Job, Ran
+from message_sender.emulator.fleet import Outcomes
+from message_sender.emulator.loop import EmulationError
+from message_sender.emulator.play import play
+from message_sender.emulator.policies import OWN_POLICY, POLICIES
+from message_sender.emulator.scenario import Scenario, changed, load
+from message_sender.tables import ConfigError
 
 OUT = click.Path(path_type=Path, dir_okay=False)
 FILE = click.argument("file", type=click.Path(path_type=Path, dir_okay=False, exists=True))
@@ -24,7 +24,7 @@
 )
 SEED = click.option("--seed", type=click.IntRange(0), help="In place of the scenario's.")
 SEEDS = click.option("--seeds", type=click.IntRange(1), default=5, show_default=True, help="From 1 on.")
-POLICY = click.option("--policy", type=click.Choice(list(POLICIES)), default="elmglade", show_default=True)
+POLICY = click.option("--policy", type=click.Choice(list(POLICIES)), default=OWN_POLICY, show_default=True)
 LEVEL = click.option(
     "--level", type=click.Choice(["ports", "bytes"]), default="ports", show_default=True,
     help="bytes: the real doors and couriers too, over sockets in memory.",
@@ -83,7 +83,7 @@
     """Play one scenario.
 
     \b
-    elmglade emulate run scenarios/herd-on-return.toml --set fleet.senders=5
+    message-sender emulate run scenarios/herd-on-return.toml --set fleet.senders=5
     """
     scenario = scenario_of(file, changes)
     outcomes = played(scenario, scenario.seed if seed is None else seed, policy, bool(trace), level)
@@ -120,9 +120,9 @@
 ) -> None:
     """Play one scenario and show it as a page of figures and plots."""
     try:
-        from elmglade.emulator.report import write
+        from message_sender.emulator.report import write
     except ImportError as error:
-        raise click.ClickException(f"{error}; pip install 'elmglade[report]'") from None
+        raise click.ClickException(f"{error}; pip install 'message-sender[report]'") from None
     scenario = scenario_of(file, changes)
     chosen = scenario.seed if seed is None else seed
     outcomes = played(scenario, chosen, policy)
@@ -149,8 +149,8 @@
     """Many values of a scenario's fields.
 
     \b
-    elmglade emulate sweep scenarios/overload.toml --grid clients.rate=60,90,120 --out runs.jsonl
-    elmglade emulate sweep scenarios/overload.toml --latin clients.rate=40,200 --processes 8
+    message-sender emulate sweep scenarios/overload.toml --grid clients.rate=60,90,120 --out runs.jsonl
+    message-sender emulate sweep scenarios/overload.toml --latin clients.rate=40,200 --processes 8
     """
     scenario = scenario_of(file)
     values = dict(field_of(each) for each in fields)
@@ -212,8 +212,8 @@
     """Policies or settings on the same draws, with 95% intervals; bold is what differs from the first.
 
     \b
-    elmglade emulate compare scenarios/*.toml --processes 8
-    elmglade emulate compare scenarios/overload.toml --vary fleet.max_open=100,400
+    message-sender emulate compare scenarios/*.toml --processes 8
+    message-sender emulate compare scenarios/overload.toml --vary fleet.max_open=100,400
     """
     scenarios = {file.stem: scenario_of(file) for file in files}
     some = next(iter(scenarios.values()))
@@ -247,7 +247,7 @@
 @click.pass_context
 def search(ctx: click.Context, lives: int, seed: int, processes: int, as_json: bool) -> None:
     """Random lives with troubles and kills, the referee after each."""
-    from elmglade.emulator.search import search as run
+    from message_sender.emulator.search import search as run
 
     ctx.exit(run(seed, lives, processes, json_lines=as_json))
 
@@ -263,9 +263,9 @@
     """Scenarios drawn at random: fleets, troubles, kills, pauses; the referee after each.
 
     \b
-    elmglade emulate hunt --count 1000 --processes 8 --level bytes --keep found
+    message-sender emulate hunt --count 1000 --processes 8 --level bytes --keep found
     """
-    from elmglade.emulator import hunt as hunting
+    from message_sender.emulator import hunt as hunting
 
     broken = calls = kills = 0
     for prey in hunting.hunt(seed, count, processes, level):
@@ -289,7 +289,7 @@
 @click.pass_context
 def shrink(ctx: click.Context, seed: int, case: Path) -> None:
     """Cut a broken life down to what it takes, and write it as a case."""
-    from elmglade.emulator.search import cut_down
+    from message_sender.emulator.search import cut_down
 
     with complaints():
         ctx.exit(cut_down(seed, case))
@@ -302,8 +302,8 @@
 @click.pass_context
 def replay(ctx: click.Context, seed: int | None, case: Path | None, trace: Path) -> None:
     """Write a life event by event, the same bytes each time."""
-    from elmglade.emulator.search import show
-    from elmglade.emulator.shrink import Case
+    from message_sender.emulator.search import show
+    from message_sender.emulator.shrink import Case
 
     if (seed is None) == (case is None):
         raise click.UsageError("either --seed or --case")
--- a/elmglade/cli/fleet.py
+++ b/message_sender/cli/fleet.py
@@ -1,5 +1,5 @@
-"""`elmglade fleet status|watch|budgets|explain|chart`: how service returns and who may spend what, as running
-senders of this machine tell it."""
+"""`message-sender fleet status|watch|budgets|explain|chart`: how service returns and who may spend what, as
+running senders of this machine tell it."""
 
 import json
 import time
@@ -9,8 +9,8 @@
 
 import click
 
-from elmglade.cli import chart as charts
-from elmglade.cli.override import JSON, tell
+from message_sender.cli import chart as charts
+from message_sender.cli.override import JSON, tell
 
 FOLDERS = click.argument(
     "folders", type=click.Path(path_type=Path), metavar="STATE...", nargs=-1, required=True
@@ -204,7 +204,7 @@
     try:
         charts.draw(name, run, to)
     except ImportError:
-        raise click.ClickException("a chart needs elmglade[report]") from None
+        raise click.ClickException("a chart needs message-sender[report]") from None
     except OSError as error:
         raise click.ClickException(f"{to}: {error.strerror}") from None
     most = max(map(sum, zip(*run.granted.values(), strict=True)))
--- a/elmglade/cli/journal.py
+++ b/message_sender/cli/journal.py
@@ -1,5 +1,5 @@
-"""`elmglade journal show|verify|repair`: what a state folder owes, whether its records are whole, and a whole
-journal beside a damaged one."""
+"""`message-sender journal show|verify|repair`: what a state folder owes, whether its records are whole, and a
+whole journal beside a damaged one."""
 
 import json
 import logging
@@ -8,9 +8,9 @@
 
 import click
 
-from elmglade.cli.basic import FOLDER, complaints
-from elmglade.journal.file import FILE
-from elmglade.journal.inspected import Inspected
+from message_sender.cli.basic import FOLDER, complaints
+from message_sender.journal.file import FILE
+from message_sender.journal.inspected import Inspected
 
 
 @click.group()
--- a/elmglade/cli/override.py
+++ b/message_sender/cli/override.py
@@ -1,4 +1,4 @@
-"""`elmglade override|endpoints|explain`: a running sender, asked and told over its control socket."""
+"""`message-sender override|endpoints|explain`: a running sender, asked and told over its control socket."""
 
 import getpass
 import json
@@ -9,8 +9,8 @@
 
 import click
 
-from elmglade.directory.control import ask
-from elmglade.directory.when import parse, show
+from message_sender.directory.control import ask
+from message_sender.directory.when import parse, show
 
 STATE = click.option(
     "--state", "folder", type=click.Path(path_type=Path), required=True, help="The sender's state folder."
--- a/elmglade/cli/pcap.py
+++ b/message_sender/cli/pcap.py
@@ -1,4 +1,4 @@
-"""`elmglade pcap`: what packet captures hold, as HTTP/1.1 messages; replayed and compared."""
+"""`message-sender pcap`: what packet captures hold, as HTTP/1.1 messages; replayed and compared."""
 
 import asyncio
 import contextlib
@@ -10,10 +10,10 @@
 
 import click
 
-from elmglade.pcap.capture import Capture, as_json, decimal, requests
-from elmglade.pcap.compare import compare
-from elmglade.pcap.files import BadCapture
-from elmglade.pcap.replay import HttpLine, NewIds, Outcome, Replay, plan
+from message_sender.pcap.capture import Capture, as_json, decimal, requests
+from message_sender.pcap.compare import compare
+from message_sender.pcap.files import BadCapture
+from message_sender.pcap.replay import HttpLine, NewIds, Outcome, Replay, plan
 
 FILE = click.File("rb", lazy=False)
 
--- a/elmglade/config.py
+++ b/message_sender/config.py
@@ -11,10 +11,10 @@
 
 from pydantic import AfterValidator, Field, PlainValidator, model_validator
 
-from elmglade import interface as face
-from elmglade.directory.eject import Terms
-from elmglade.directory.static import Dial, Place
-from elmglade.resource_tables import (
+from message_sender import interface as face
+from message_sender.directory.eject import Terms
+from message_sender.directory.static import Dial, Place
+from message_sender.resource_tables import (
     MOST,
     WHOLE,
     Address,
@@ -29,10 +29,11 @@
     node_list_faults,
     us,
 )
-from elmglade.tables import ConfigError, Fault, Share, Table, check, parse, within
+from message_sender.tables import ConfigError, Fault, Share, Table, check, parse, within
 
+DEFAULT_NAME = "elmglade"  # of a sender whose file has none; its peers know it by that
 HEADER_NAME = re.compile(r"[A-Za-z0-9!#$%&'*+.^_`|~-]{1,64}")
-CONTROL_NAME_LENGTH_LIMIT = 64  # characters, as elmglade/control/messages.py has it
+CONTROL_NAME_LENGTH_LIMIT = 64  # characters, as message_sender/control/messages.py has it
 CONTROL_NAME = re.compile(r"[A-Za-z0-9.-]{1,64}")
 BLANK = ("authorization", "proxy-authorization", "cookie", "set-cookie")
 
@@ -290,7 +291,7 @@
 
 
 class GeneralTable(Endpoints):
-    name: str = "elmglade"
+    name: str = DEFAULT_NAME
     listen: Address = "127.0.0.1:0"  # type: ignore[assignment]  # read as what a file says
     state: str = ""
     seed: Annotated[int, within(0, 2**63)] = 0
--- a/elmglade/control/channel.py
+++ b/message_sender/control/channel.py
@@ -23,9 +23,9 @@
 
 import msgspec
 
-from elmglade.control.messages import Address, Body, Envelope, Fragment, Hello
-from elmglade.fleet.seal import LEAST, MOST, RefusedError, Seal
-from elmglade.fleet.session import PeerSession
+from message_sender.control.messages import Address, Body, Envelope, Fragment, Hello
+from message_sender.fleet.seal import LEAST, MOST, RefusedError, Seal
+from message_sender.fleet.session import PeerSession
 
 GREETINGS_PER_SECOND = 500  # answers to all that are not in the table
 PEER_GREETINGS_PER_SECOND = 50  # to each that is: what others send or replay takes nothing of it
--- a/elmglade/control/document.py
+++ b/message_sender/control/document.py
@@ -14,7 +14,7 @@
 import msgspec
 import xxhash
 
-from elmglade.control.messages import Delta, Resource
+from message_sender.control.messages import Delta, Resource
 
 
 class DeltaMismatchError(ValueError):
--- a/elmglade/control/document_file.py
+++ b/message_sender/control/document_file.py
@@ -9,8 +9,8 @@
 
 import google_crc32c
 
-from elmglade.control.document import Document, SnapshotError, decode_snapshot, encode_snapshot
-from elmglade.journal.disk import Disk
+from message_sender.control.document import Document, SnapshotError, decode_snapshot, encode_snapshot
+from message_sender.journal.disk import Disk
 
 MAGIC = b"elmglade document 1\n"
 HEADER = struct.Struct(">QI")  # length of the body in bytes, its CRC-32C
--- a/elmglade/control/fanout.py
+++ b/message_sender/control/fanout.py
@@ -20,9 +20,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from elmglade.control.document import encode_snapshot
-from elmglade.control.fetch import SNAPSHOT_WINDOW
-from elmglade.control.messages import (
+from message_sender.control.document import encode_snapshot
+from message_sender.control.fetch import SNAPSHOT_WINDOW
+from message_sender.control.messages import (
     CHUNK_BYTES,
     Delta,
     Poll,
@@ -32,7 +32,7 @@
     WatcherStatus,
     WatchMessage,
 )
-from elmglade.control.store import RESOURCE_OVERHEAD, ConfigurationStore
+from message_sender.control.store import RESOURCE_OVERHEAD, ConfigurationStore
 
 # Seconds.
 PUSH_AGE = 5.0  # who hasn't polled for so long is not pushed to
--- a/elmglade/control/fetch.py
+++ b/message_sender/control/fetch.py
@@ -12,8 +12,8 @@
 - The whole is believed only if it decodes, its version is the one asked for and its content has its digest.
 """
 
-from elmglade.control.document import Document, SnapshotError, decode_snapshot
-from elmglade.control.messages import CHUNK_BYTES, Delta, Resource, SnapshotChunk, SnapshotRequest
+from message_sender.control.document import Document, SnapshotError, decode_snapshot
+from message_sender.control.messages import CHUNK_BYTES, Delta, Resource, SnapshotChunk, SnapshotRequest
 
 SNAPSHOT_WINDOW = 16  # chunks in flight
 SNAPSHOT_BYTES_LIMIT = 64 * 1024 * 1024
--- a/elmglade/control/folder.py
+++ b/message_sender/control/folder.py
@@ -16,10 +16,10 @@
 
 import msgspec
 
-from elmglade.control.channel import KnownStart
-from elmglade.control.log_file import LogFile
-from elmglade.files import replace_json
-from elmglade.journal.disk import Disk
+from message_sender.control.channel import KnownStart
+from message_sender.control.log_file import LogFile
+from message_sender.files import replace_json
+from message_sender.journal.disk import Disk
 
 IDENTITY_FILE = "identity.json"
 EPOCH_FILE = "epoch.json"
--- a/elmglade/control/leadership.py
+++ b/message_sender/control/leadership.py
@@ -2,10 +2,10 @@
 
 from collections.abc import Sequence
 
-from elmglade.control.log import ReplicatedLog
-from elmglade.control.messages import AppendReply, AppendRequest
-from elmglade.control.progress import Progress
-from elmglade.control.quorum import Quorum
+from message_sender.control.log import ReplicatedLog
+from message_sender.control.messages import AppendReply, AppendRequest
+from message_sender.control.progress import Progress
+from message_sender.control.quorum import Quorum
 
 BATCH_BYTES_LIMIT = 24 * 1024  # data of the entries of one AppendRequest; one larger entry goes alone
 
--- a/elmglade/control/log.py
+++ b/message_sender/control/log.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Sequence
 
-from elmglade.control.messages import LogEntry
+from message_sender.control.messages import LogEntry
 
 
 class ReplicatedLog:
--- a/elmglade/control/log_file.py
+++ b/message_sender/control/log_file.py
@@ -22,9 +22,9 @@
 import google_crc32c
 import msgspec
 
-from elmglade.control.messages import Count, LogEntry
-from elmglade.control.raft import HardState
-from elmglade.journal.disk import Disk
+from message_sender.control.messages import Count, LogEntry
+from message_sender.control.raft import HardState
+from message_sender.journal.disk import Disk
 
 LOG_FILE = "log"
 DAMAGED_SUFFIX = ".damaged"
--- a/elmglade/control/node.py
+++ b/message_sender/control/node.py
@@ -16,10 +16,10 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-from elmglade.control.channel import BodyTooLargeError, Channel
-from elmglade.control.fanout import Fanout
-from elmglade.control.log_file import LogBatch, make_batch
-from elmglade.control.messages import (
+from message_sender.control.channel import BodyTooLargeError, Channel
+from message_sender.control.fanout import Fanout
+from message_sender.control.log_file import LogBatch, make_batch
+from message_sender.control.messages import (
     Address,
     AppendReply,
     Body,
@@ -33,10 +33,10 @@
     StatusRequest,
     WatcherStatus,
 )
-from elmglade.control.raft import Ready, Role
-from elmglade.control.replica import Replica
-from elmglade.control.requests import Answer, ChangeRequests, Validate
-from elmglade.control.store import ConfigurationStore
+from message_sender.control.raft import Ready, Role
+from message_sender.control.replica import Replica
+from message_sender.control.requests import Answer, ChangeRequests, Validate
+from message_sender.control.store import ConfigurationStore
 
 DISK_RETRY_S = 1.0
 HAND_OVER_REPEAT_S = 0.3
--- a/elmglade/control/operators.py
+++ b/message_sender/control/operators.py
@@ -7,12 +7,12 @@
 
 import msgspec
 
-from elmglade.control.messages import Change, ChangeResult, NodeStatus, Outcome, Resource
-from elmglade.control.node import ControlNode
-from elmglade.control.schema import read_values
-from elmglade.control.udp import NodeDriver
-from elmglade.directory.control import AskedBadlyError, Command
-from elmglade.tables import ConfigError
+from message_sender.control.messages import Change, ChangeResult, NodeStatus, Outcome, Resource
+from message_sender.control.node import ControlNode
+from message_sender.control.schema import read_values
+from message_sender.control.udp import NodeDriver
+from message_sender.directory.control import AskedBadlyError, Command
+from message_sender.tables import ConfigError
 
 
 class SetRequest(msgspec.Struct, frozen=True, kw_only=True):
--- a/elmglade/control/process.py
+++ b/message_sender/control/process.py
@@ -1,7 +1,7 @@
 """A control node as a process: state folder, log, socket, signals, control socket.
 
-`python -m elmglade.control.process FILE` serves with records in plain form; `elmglade control serve` is the
-same with records as the other commands have them.
+`python -m message_sender.control.process FILE` serves with records in plain form; `message-sender control
+serve` is the same with records as the other commands have them.
 """
 
 import asyncio
@@ -13,22 +13,22 @@
 from datetime import UTC, datetime
 from pathlib import Path
 
-from elmglade.control.channel import Channel
-from elmglade.control.configuration import NodeConfiguration, load
-from elmglade.control.folder import FolderError, Identity, StateFolder
-from elmglade.control.log_file import LOG_FILE, LogFile
-from elmglade.control.node import ControlNode
-from elmglade.control.operators import OperatorCommands
-from elmglade.control.raft import Role
-from elmglade.control.replica import Replica
-from elmglade.control.schema import Validator
-from elmglade.control.store import ConfigurationStore
-from elmglade.control.udp import FolderNotes, NodeDriver, UdpSocket
-from elmglade.directory.control import Control
-from elmglade.fleet.seal import KeyFileError, Seal, read_keys, reread_keys
-from elmglade.journal.disk import Disk, Files
-from elmglade.journal.lock import Lock, LockTakenError
-from elmglade.tables import ConfigError, Fault
+from message_sender.control.channel import Channel
+from message_sender.control.configuration import NodeConfiguration, load
+from message_sender.control.folder import FolderError, Identity, StateFolder
+from message_sender.control.log_file import LOG_FILE, LogFile
+from message_sender.control.node import ControlNode
+from message_sender.control.operators import OperatorCommands
+from message_sender.control.raft import Role
+from message_sender.control.replica import Replica
+from message_sender.control.schema import Validator
+from message_sender.control.store import ConfigurationStore
+from message_sender.control.udp import FolderNotes, NodeDriver, UdpSocket
+from message_sender.directory.control import Control
+from message_sender.fleet.seal import KeyFileError, Seal, read_keys, reread_keys
+from message_sender.journal.disk import Disk, Files
+from message_sender.journal.lock import Lock, LockTakenError
+from message_sender.tables import ConfigError, Fault
 
 SESSION_BITS = 62
 SEED_BITS = 64
@@ -92,7 +92,7 @@
         raise FolderError(f"{folder.path}: belongs to {identity.name} of the cluster {identity.cluster}")
     reason = folder.learner_reason()
     if identity is None:
-        reason = reason or "its folder was not initialised (elmglade control init)"
+        reason = reason or "its folder was not initialised (message-sender control init)"
     loaded = log_file.load()
     if loaded.damage:
         where = f"{LOG_FILE}: {loaded.damage.reason} at byte {loaded.damage.offset}"
--- a/elmglade/control/raft.py
+++ b/message_sender/control/raft.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-from elmglade.control.messages import AppendRequest, LogEntry, RaftMessage
+from message_sender.control.messages import AppendRequest, LogEntry, RaftMessage
 
 
 class Role(StrEnum):
--- a/elmglade/control/replica.py
+++ b/message_sender/control/replica.py
@@ -30,9 +30,9 @@
 from collections import deque
 from collections.abc import Mapping, Sequence
 
-from elmglade.control.leadership import Leadership
-from elmglade.control.log import ReplicatedLog
-from elmglade.control.messages import (
+from message_sender.control.leadership import Leadership
+from message_sender.control.log import ReplicatedLog
+from message_sender.control.messages import (
     AppendReply,
     AppendRequest,
     LogEntry,
@@ -41,8 +41,8 @@
     VoteReply,
     VoteRequest,
 )
-from elmglade.control.quorum import Quorum
-from elmglade.control.raft import (
+from message_sender.control.quorum import Quorum
+from message_sender.control.raft import (
     NOTHING_READY,
     HardState,
     NotLeaderError,
--- a/elmglade/control/requests.py
+++ b/message_sender/control/requests.py
@@ -19,8 +19,8 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field
 
-from elmglade.control.document import DeltaMismatchError
-from elmglade.control.messages import (
+from message_sender.control.document import DeltaMismatchError
+from message_sender.control.messages import (
     Change,
     ChangeResult,
     ForwardedChange,
@@ -29,9 +29,9 @@
     OperatorMessage,
     Outcome,
 )
-from elmglade.control.raft import Role
-from elmglade.control.replica import Replica
-from elmglade.control.store import ChangeFormatError, ConfigurationStore, decode_change, encode_change
+from message_sender.control.raft import Role
+from message_sender.control.replica import Replica
+from message_sender.control.store import ChangeFormatError, ConfigurationStore, decode_change, encode_change
 
 RETRY_INTERVAL_S = 0.3
 ANSWER_TIMEOUT_S = 3.0
--- a/elmglade/control/schema.py
+++ b/message_sender/control/schema.py
@@ -20,15 +20,15 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from elmglade.directory.static import Dial, Place
-from elmglade.resource_tables import (
+from message_sender.directory.static import Dial, Place
+from message_sender.resource_tables import (
     BudgetTable,
     Endpoints,
     EndpointTable,
     Shared,
     budget_faults,
 )
-from elmglade.tables import ConfigError, Fault, Table, check
+from message_sender.tables import ConfigError, Fault, Table, check
 
 ENDPOINTS, BUDGETS = "endpoints", "budgets"
 VALUE_CACHE_SIZE = 4096  # tables of resources that are kept, least recently used first out
--- a/elmglade/control/store.py
+++ b/message_sender/control/store.py
@@ -17,8 +17,8 @@
 
 import msgspec
 
-from elmglade.control.document import DeltaMismatchError, Document
-from elmglade.control.messages import (
+from message_sender.control.document import DeltaMismatchError, Document
+from message_sender.control.messages import (
     CHANGE_BYTES_LIMIT,
     NAME_LENGTH_LIMIT,
     Change,
--- a/elmglade/control/udp.py
+++ b/message_sender/control/udp.py
@@ -11,11 +11,11 @@
 from functools import partial
 from typing import Any, cast
 
-from elmglade.control.channel import KnownStart
-from elmglade.control.folder import StateFolder
-from elmglade.control.log_file import LogBatch, LogFile
-from elmglade.control.messages import Address
-from elmglade.control.node import ControlNode
+from message_sender.control.channel import KnownStart
+from message_sender.control.folder import StateFolder
+from message_sender.control.log_file import LogBatch, LogFile
+from message_sender.control.messages import Address
+from message_sender.control.node import ControlNode
 
 TICK_S = 0.02
 FOLDER_RETRY_S = 1.0
--- a/elmglade/control/watch.py
+++ b/message_sender/control/watch.py
@@ -24,10 +24,10 @@
 
 import xxhash
 
-from elmglade.control.choice import NodeChoice
-from elmglade.control.document import DeltaMismatchError, Document, SnapshotError
-from elmglade.control.fetch import SnapshotFetch, difference
-from elmglade.control.messages import (
+from message_sender.control.choice import NodeChoice
+from message_sender.control.document import DeltaMismatchError, Document, SnapshotError
+from message_sender.control.fetch import SnapshotFetch, difference
+from message_sender.control.messages import (
     REASON_LENGTH_LIMIT,
     Address,
     Delta,
--- a/elmglade/core/counts.py
+++ b/message_sender/core/counts.py
@@ -6,7 +6,7 @@
 
 from collections.abc import Iterable
 
-from elmglade.core.ports import State
+from message_sender.core.ports import State
 
 NAMES = {State.DELIVERED: "answered", State.REFUSED: "deferred", State.FAILED: "errored"}
 
--- a/elmglade/core/engine.py
+++ b/message_sender/core/engine.py
@@ -1,7 +1,7 @@
 """The engine: owns the decision module, feeds it what happened and does what it says.
 
 The only place that joins doors, couriers, a directory, a teller and the journal. It knows their ports alone
-(elmglade/core/ports.py). All of it runs on one asyncio loop; nothing here is safe to call from another
+(message_sender/core/ports.py). All of it runs on one asyncio loop; nothing here is safe to call from another
 thread.
 """
 
@@ -15,16 +15,16 @@
 from pathlib import Path
 from typing import Any
 
-from elmglade import interface as face
-from elmglade.core.counts import Counts
-from elmglade.core.lateness import OLD, Lateness
-from elmglade.core.peer import describe
-from elmglade.core.ports import Answer, Caller, Courier, Directory, End, State, Teller, TurnedAway, Why
-from elmglade.interface import Outcome
-from elmglade.journal.file import Attempt, Entry, Journal
-from elmglade.message import HandedIn
-from elmglade.policy.dispatcher import Dispatcher
-from elmglade.policy.inherit import tell
+from message_sender import interface as face
+from message_sender.core.counts import Counts
+from message_sender.core.lateness import OLD, Lateness
+from message_sender.core.peer import describe
+from message_sender.core.ports import Answer, Caller, Courier, Directory, End, State, Teller, TurnedAway, Why
+from message_sender.interface import Outcome
+from message_sender.journal.file import Attempt, Entry, Journal
+from message_sender.message import HandedIn
+from message_sender.policy.dispatcher import Dispatcher
+from message_sender.policy.inherit import tell
 
 SWEEP = 0.25  # s between chores; what clients are owed within 3 s goes by it
 # s: a timer must not run before its time on the module's clock, which then sets no other
--- a/elmglade/core/explain.py
+++ b/message_sender/core/explain.py
@@ -4,10 +4,10 @@
 from dataclasses import asdict, dataclass
 from typing import Any
 
-from elmglade import interface as face
-from elmglade.core.inventory import breaker_state
-from elmglade.policy.breaker import NEVER, Endpoint, Message
-from elmglade.policy.dispatcher import Dispatcher
+from message_sender import interface as face
+from message_sender.core.inventory import breaker_state
+from message_sender.policy.breaker import NEVER, Endpoint, Message
+from message_sender.policy.dispatcher import Dispatcher
 
 
 @dataclass(frozen=True, slots=True)
--- a/elmglade/core/inventory.py
+++ b/message_sender/core/inventory.py
@@ -11,10 +11,10 @@
 from pathlib import Path
 from typing import Any
 
-from elmglade.files import replace_json
-from elmglade.policy.breaker import NEVER, Breaker
-from elmglade.policy.dispatcher import Dispatcher
-from elmglade.policy.schedule import Destination
+from message_sender.files import replace_json
+from message_sender.policy.breaker import NEVER, Breaker
+from message_sender.policy.dispatcher import Dispatcher
+from message_sender.policy.schedule import Destination
 
 FILE = "destinations.json"
 
--- a/elmglade/core/ports.py
+++ b/message_sender/core/ports.py
@@ -15,8 +15,8 @@
 from enum import Enum
 from typing import Any, Protocol
 
-from elmglade.interface import Outcome
-from elmglade.message import HandedIn
+from message_sender.interface import Outcome
+from message_sender.message import HandedIn
 
 LONGEST_WAIT = 3600.0  # s: no message lives so long; a longer told wait would only keep its breaker for ever
 
--- a/elmglade/directory/file.py
+++ b/message_sender/directory/file.py
@@ -1,7 +1,8 @@
 """A directory from files that others write: looked at now and then, taken whole or not at all.
 
-Each file is a list of its own, the first one before the others (elmglade/directory/belief.py). What was last
-believed is kept in the state folder, so that a start with no file that can be read has a list all the same.
+Each file is a list of its own, the first one before the others (message_sender/directory/belief.py). What was
+last believed is kept in the state folder, so that a start with no file that can be read has a list all the
+same.
 """
 
 import asyncio
@@ -11,10 +12,10 @@
 from collections.abc import Callable, Iterable
 from pathlib import Path
 
-from elmglade import interface as face
-from elmglade.directory.belief import Belief, merged
-from elmglade.directory.static import Place, StaticDirectory
-from elmglade.files import replace_json
+from message_sender import interface as face
+from message_sender.directory.belief import Belief, merged
+from message_sender.directory.static import Place, StaticDirectory
+from message_sender.files import replace_json
 
 LOOK = 1.0  # s between looks at the files
 COPY = "endpoints.json"  # the last good copy
--- a/elmglade/directory/maintenance.py
+++ b/message_sender/directory/maintenance.py
@@ -19,8 +19,8 @@
 from dataclasses import replace
 from pathlib import Path
 
-from elmglade.files import replace_json
-from elmglade.interface import Endpoint, EndpointsListed, EndpointState, Listing
+from message_sender.files import replace_json
+from message_sender.interface import Endpoint, EndpointsListed, EndpointState, Listing
 
 LATELY = 1024  # ids that are known though they are listed no more
 MOST_OUT = 500  # receivers out at once: what the file may hold within ROOM
--- a/elmglade/directory/overridden.py
+++ b/message_sender/directory/overridden.py
@@ -5,12 +5,12 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from elmglade import interface as face
-from elmglade.directory.eject import Ejector, Terms
-from elmglade.directory.overrides import Kind, Overlay, Override
-from elmglade.directory.ramp import Ramp
-from elmglade.directory.store import Store
-from elmglade.directory.when import show
+from message_sender import interface as face
+from message_sender.directory.eject import Ejector, Terms
+from message_sender.directory.overrides import Kind, Overlay, Override
+from message_sender.directory.ramp import Ramp
+from message_sender.directory.store import Store
+from message_sender.directory.when import show
 
 CHECK = 0.2  # s after news of the list until it is looked at for overrides that do nothing
 LATE = 0.001  # s that a timer runs after its time, so that the time has come by any clock
--- a/elmglade/directory/overrides.py
+++ b/message_sender/directory/overrides.py
@@ -22,10 +22,10 @@
 from enum import Enum
 from typing import Any, TypeVar
 
-from elmglade import interface as face
-from elmglade.directory.eject import Ejector
-from elmglade.directory.ramp import Ramp
-from elmglade.interface import EndpointState, Listing
+from message_sender import interface as face
+from message_sender.directory.eject import Ejector
+from message_sender.directory.ramp import Ramp
+from message_sender.interface import EndpointState, Listing
 
 SECOND = 1_000_000
 MOST_SPAN = 7 * 24 * 3600 * SECOND
--- a/elmglade/directory/static.py
+++ b/message_sender/directory/static.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, replace
 
-from elmglade import interface as face
+from message_sender import interface as face
 
 Dial = tuple[str, int]
 
--- a/elmglade/directory/store.py
+++ b/message_sender/directory/store.py
@@ -11,8 +11,8 @@
 from pathlib import Path
 from typing import Any
 
-from elmglade.directory.overrides import Book, Override
-from elmglade.files import replace_json
+from message_sender.directory.overrides import Book, Override
+from message_sender.files import replace_json
 
 FILE, LOG, ASIDE = "overrides.json", "overrides.log", "overrides.damaged"
 LOG_MOST = 1_000_000  # bytes; then the log goes to .1, and the one before that goes
--- a/elmglade/emulator/arrivals.py
+++ b/message_sender/emulator/arrivals.py
@@ -12,8 +12,8 @@
 import numpy as np
 import numpy.typing as npt
 
-from elmglade.emulator.receiver import Luck
-from elmglade.emulator.scenario import Burst, Scenario
+from message_sender.emulator.receiver import Luck
+from message_sender.emulator.scenario import Burst, Scenario
 
 ATTEMPTS = 8  # of a message that have luck of their own; later ones begin again with the first's
 DRAWS = 5  # a call: service, trouble, whether a wait is told, way there, way back
--- a/elmglade/emulator/experiment.py
+++ b/message_sender/emulator/experiment.py
@@ -18,10 +18,10 @@
 
 import numpy as np
 
-from elmglade.emulator.play import play
-from elmglade.emulator.policies import POLICIES
-from elmglade.emulator.scenario import Scenario, changed
-from elmglade.tables import ConfigError
+from message_sender.emulator.play import play
+from message_sender.emulator.policies import OWN_POLICY, POLICIES
+from message_sender.emulator.scenario import Scenario, changed
+from message_sender.tables import ConfigError
 
 RESAMPLES = 4000
 LEVEL = 0.95
@@ -34,7 +34,7 @@
 
     scenario: Scenario
     seed: int
-    policy: str = "elmglade"
+    policy: str = OWN_POLICY
     changes: tuple[tuple[str, Any], ...] = ()
     name: str = ""  # of the scenario's file
 
--- a/elmglade/emulator/explore.py
+++ b/message_sender/emulator/explore.py
@@ -19,8 +19,8 @@
 from itertools import permutations
 from typing import NamedTuple
 
-from elmglade.budget import lease
-from elmglade.budget.lease import Kind, Member, Terms, Word
+from message_sender.budget import lease
+from message_sender.budget.lease import Kind, Member, Terms, Word
 
 SOME = 500
 
--- a/elmglade/emulator/fleet.py
+++ b/message_sender/emulator/fleet.py
@@ -19,26 +19,26 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
-from elmglade import interface as face
-from elmglade.core.engine import Config, Engine
-from elmglade.core.ports import Answer, End, State, TurnedAway
-from elmglade.directory.static import Place, StaticDirectory
-from elmglade.emulator.arrivals import Arrivals, Asked
-from elmglade.emulator.figures import Figures
-from elmglade.emulator.life import EPOCH, RAN, SECOND, Killed, told
-from elmglade.emulator.loop import VirtualLoop
-from elmglade.emulator.receiver import Receiver
-from elmglade.emulator.scenario import Incident, Scenario
-from elmglade.emulator.seal import sealed
-from elmglade.interface import EndpointState, Outcome
-from elmglade.lab import history as seen
-from elmglade.lab.history import History, Ran
-from elmglade.lab.referee import Breach, Kind, Referee, Rules
-from elmglade.message import HandedIn
-from elmglade.policy.dispatcher import Dispatcher
+from message_sender import interface as face
+from message_sender.core.engine import Config, Engine
+from message_sender.core.ports import Answer, End, State, TurnedAway
+from message_sender.directory.static import Place, StaticDirectory
+from message_sender.emulator.arrivals import Arrivals, Asked
+from message_sender.emulator.figures import Figures
+from message_sender.emulator.life import EPOCH, RAN, SECOND, Killed, told
+from message_sender.emulator.loop import VirtualLoop
+from message_sender.emulator.receiver import Receiver
+from message_sender.emulator.scenario import Incident, Scenario
+from message_sender.emulator.seal import sealed
+from message_sender.interface import EndpointState, Outcome
+from message_sender.lab import history as seen
+from message_sender.lab.history import History, Ran
+from message_sender.lab.referee import Breach, Kind, Referee, Rules
+from message_sender.message import HandedIn
+from message_sender.policy.dispatcher import Dispatcher
 
 if TYPE_CHECKING:
-    from elmglade.emulator.joined import Links
+    from message_sender.emulator.joined import Links
 
 Decide = Callable[[face.Settings, int], Any]
 AFTER = 1.5  # s after the last message's time, in which ends are still told
@@ -303,7 +303,7 @@
         self.build()
         self.links: Links | None = None
         if scenario.fleet.budget_span_s:
-            from elmglade.emulator import joined
+            from message_sender.emulator import joined
 
             span, loss = int(scenario.fleet.budget_span_s * SECOND), scenario.fleet.link_loss
             self.links = joined.Links(self.time, self.later, scenario.fleet.senders, span, loss, seed)
--- a/elmglade/emulator/hall.py
+++ b/message_sender/emulator/hall.py
@@ -5,9 +5,9 @@
 import random
 from collections.abc import Callable, Iterable
 
-from elmglade.fleet.node import Me, Node
-from elmglade.fleet.seal import Seal
-from elmglade.fleet.wire import Address
+from message_sender.fleet.node import Me, Node
+from message_sender.fleet.seal import Seal
+from message_sender.fleet.wire import Address
 
 TICK = 0.05  # s
 
--- a/elmglade/emulator/hunt.py
+++ b/message_sender/emulator/hunt.py
@@ -17,11 +17,11 @@
 
 import tomli_w
 
-from elmglade.emulator import scenario
-from elmglade.emulator.play import play
-from elmglade.emulator.receiver import Trouble
-from elmglade.lab.referee import Breach
-from elmglade.tables import ConfigError
+from message_sender.emulator import scenario
+from message_sender.emulator.play import play
+from message_sender.emulator.receiver import Trouble
+from message_sender.lab.referee import Breach
+from message_sender.tables import ConfigError
 
 TROUBLES = tuple(each.value for each in Trouble)
 #: Sizes that a trouble may have; its own meaning is in receiver.py.
--- a/elmglade/emulator/joined.py
+++ b/message_sender/emulator/joined.py
@@ -6,10 +6,10 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from elmglade.config import Shared
-from elmglade.core.engine import Engine
-from elmglade.fleet import wire
-from elmglade.http.budgets import Budgets
+from message_sender.config import Shared
+from message_sender.core.engine import Engine
+from message_sender.fleet import wire
+from message_sender.http.budgets import Budgets
 
 TICK = 0.05  # s
 WAY = (0.001, 0.008)  # s
--- a/elmglade/emulator/life.py
+++ b/message_sender/emulator/life.py
@@ -21,19 +21,19 @@
 from functools import partial
 from pathlib import Path
 
-from elmglade import interface as face
-from elmglade.core.engine import Config, Engine
-from elmglade.core.ports import Answer, End, TurnedAway
-from elmglade.directory.static import Place, StaticDirectory
-from elmglade.emulator.loop import VirtualLoop
-from elmglade.emulator.seal import sealed
-from elmglade.interface import Effect, Outcome
-from elmglade.journal.file import Journal
-from elmglade.lab import history as seen
-from elmglade.lab.history import History, Ran
-from elmglade.lab.referee import Breach, Kind, Referee, Rules
-from elmglade.lab.stream import Mood
-from elmglade.message import HandedIn
+from message_sender import interface as face
+from message_sender.core.engine import Config, Engine
+from message_sender.core.ports import Answer, End, TurnedAway
+from message_sender.directory.static import Place, StaticDirectory
+from message_sender.emulator.loop import VirtualLoop
+from message_sender.emulator.seal import sealed
+from message_sender.interface import Effect, Outcome
+from message_sender.journal.file import Journal
+from message_sender.lab import history as seen
+from message_sender.lab.history import History, Ran
+from message_sender.lab.referee import Breach, Kind, Referee, Rules
+from message_sender.lab.stream import Mood
+from message_sender.message import HandedIn
 
 SECOND = 1_000_000
 EPOCH = 1_700_000_000 * SECOND  # us; wall time at the beginning of every life
--- a/elmglade/emulator/loop.py
+++ b/message_sender/emulator/loop.py
@@ -11,7 +11,7 @@
 from collections.abc import Mapping
 from typing import Any
 
-from elmglade.emulator.net import Net
+from message_sender.emulator.net import Net
 
 NEVER = float("inf")
 LIVELOCK = 100_000  # passes of the loop within one instant: far above what any turn needs
--- a/elmglade/emulator/play.py
+++ b/message_sender/emulator/play.py
@@ -1,9 +1,9 @@
 """One run of a scenario, at the level that is asked for."""
 
-from elmglade.emulator import fleet, wire
-from elmglade.emulator.fleet import Decide, Outcomes
-from elmglade.emulator.scenario import Scenario
-from elmglade.policy.dispatcher import Dispatcher
+from message_sender.emulator import fleet, wire
+from message_sender.emulator.fleet import Decide, Outcomes
+from message_sender.emulator.scenario import Scenario
+from message_sender.policy.dispatcher import Dispatcher
 
 
 def play(
--- a/elmglade/emulator/policies.py
+++ b/message_sender/emulator/policies.py
@@ -1,8 +1,8 @@
 """Plain policies in place of the decision module, to compare it with on the same draws.
 
-They stand behind the same events and actions (elmglade/interface.py), journal and couriers. Each is what a
-client library commonly does, and no more: none keeps the order of keys, waits as it is told, warms what
-comes back or makes room by worth. What they break is the referee's to say.
+They stand behind the same events and actions (message_sender/interface.py), journal and couriers. Each is
+what a client library commonly does, and no more: none keeps the order of keys, waits as it is told, warms
+what comes back or makes room by worth. What they break is the referee's to say.
 
 - `none`: one call a message.
 - `fixed`: up to three calls, after waits that double, with half of each by chance ("equal jitter": Brooker,
@@ -21,9 +21,9 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from elmglade import interface as face
-from elmglade.interface import Effect, EndpointState, Listing, Outcome
-from elmglade.policy.dispatcher import Dispatcher
+from message_sender import interface as face
+from message_sender.interface import Effect, EndpointState, Listing, Outcome
+from message_sender.policy.dispatcher import Dispatcher
 
 FIRST_WAIT = 200_000  # us before the second call
 MOST_CALLS = 3
@@ -245,8 +245,11 @@
         return True
 
 
+#: The policy of this package; the name stands in stored results and on the command line.
+OWN_POLICY = "elmglade"
+
 POLICIES: dict[str, Callable[[face.Settings, int], Any]] = {
-    "elmglade": Dispatcher,
+    OWN_POLICY: Dispatcher,
     "none": Plain,
     "fixed": FixedRetries,
     "budget": RetryBudget,
--- a/elmglade/emulator/power.py
+++ b/message_sender/emulator/power.py
@@ -9,10 +9,10 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from elmglade.emulator.life import Killed, Life, Outcomes, Spec, quietly
-from elmglade.journal.durable import DurableJournal
-from elmglade.journal.file import Journal
-from elmglade.lab.forgetful import MemoryDisk, Platter
+from message_sender.emulator.life import Killed, Life, Outcomes, Spec, quietly
+from message_sender.journal.durable import DurableJournal
+from message_sender.journal.file import Journal
+from message_sender.lab.forgetful import MemoryDisk, Platter
 
 SMALL = Spec(seconds=1.0, rate=25.0, destinations=2, keys=2, trouble=0.3, drains=0, kills=0)
 
--- a/elmglade/emulator/ramp.py
+++ b/message_sender/emulator/ramp.py
@@ -11,9 +11,9 @@
 from typing import Any
 from unittest.mock import patch
 
-from elmglade.emulator.fleet import play
-from elmglade.emulator.receiver import Fate, Luck, Receiver
-from elmglade.emulator.scenario import Scenario, read
+from message_sender.emulator.fleet import play
+from message_sender.emulator.receiver import Fate, Luck, Receiver
+from message_sender.emulator.scenario import Scenario, read
 
 
 def bound(allowed: float) -> float:
--- a/elmglade/emulator/receiver.py
+++ b/message_sender/emulator/receiver.py
@@ -22,7 +22,7 @@
 from enum import Enum
 from statistics import NormalDist
 
-from elmglade.interface import Outcome
+from message_sender.interface import Outcome
 
 NEVER = math.inf
 NORMAL = NormalDist()
--- a/elmglade/emulator/report.py
+++ b/message_sender/emulator/report.py
@@ -10,9 +10,9 @@
 from markupsafe import Markup
 from matplotlib.figure import Figure
 
-from elmglade.emulator.figures import Second
-from elmglade.emulator.fleet import Outcomes
-from elmglade.emulator.scenario import Scenario
+from message_sender.emulator.figures import Second
+from message_sender.emulator.fleet import Outcomes
+from message_sender.emulator.scenario import Scenario
 
 mpl.rcParams["svg.hashsalt"] = "elmglade"  # the same run gives the same bytes
 mpl.rcParams["svg.fonttype"] = "none"
--- a/elmglade/emulator/returning.py
+++ b/message_sender/emulator/returning.py
@@ -3,10 +3,10 @@
 
 from dataclasses import dataclass, field
 
-from elmglade.emulator.hall import Hall
-from elmglade.fleet.members import State
-from elmglade.recovery.coordinator import decode, encode
-from elmglade.recovery.stages import Leave, Stage, Stages, spacing
+from message_sender.emulator.hall import Hall
+from message_sender.fleet.members import State
+from message_sender.recovery.coordinator import decode, encode
+from message_sender.recovery.stages import Leave, Stage, Stages, spacing
 
 NEVER = float("inf")
 TOOK = 0.02  # s of a call
--- a/elmglade/emulator/scenario.py
+++ b/message_sender/emulator/scenario.py
@@ -10,9 +10,9 @@
 
 from pydantic import Field, model_validator
 
-from elmglade import interface as face
-from elmglade.emulator.receiver import Limit, Phase, Service, Spread, Terms, Trouble
-from elmglade.tables import ConfigError, Fault, Share, Table, check, parse, within
+from message_sender import interface as face
+from message_sender.emulator.receiver import Limit, Phase, Service, Spread, Terms, Trouble
+from message_sender.tables import ConfigError, Fault, Share, Table, check, parse, within
 
 Seconds = Annotated[float, within(0, 2_592_000)]
 Positive = Annotated[float, within(1e-6, 2_592_000)]
--- a/elmglade/emulator/seal.py
+++ b/message_sender/emulator/seal.py
@@ -15,10 +15,10 @@
 from collections.abc import Callable, Iterator
 from typing import Any
 
-from elmglade.emulator.loop import EmulationError
+from message_sender.emulator.loop import EmulationError
 
-PACKAGE = "elmglade."
-OPEN_TO = ("elmglade.emulator.", "elmglade.lab.history")
+PACKAGE = "message_sender."
+OPEN_TO = ("message_sender.emulator.", "message_sender.lab.history")
 DOORS: tuple[tuple[Any, str], ...] = (
     *((time, name) for name in ("time", "time_ns", "monotonic", "monotonic_ns", "sleep", "perf_counter")),
     *((random, name) for name in ("random", "uniform", "choice", "randrange", "shuffle", "expovariate")),
--- a/elmglade/emulator/search.py
+++ b/message_sender/emulator/search.py
@@ -9,9 +9,9 @@
 from dataclasses import asdict, dataclass, field
 from pathlib import Path
 
-from elmglade.emulator.life import live
-from elmglade.emulator.shrink import Case, shrink, told
-from elmglade.lab.referee import Breach
+from message_sender.emulator.life import live
+from message_sender.emulator.shrink import Case, shrink, told
+from message_sender.lab.referee import Breach
 
 CHUNK = 20  # lives that a process is handed at once
 
--- a/elmglade/emulator/shared.py
+++ b/message_sender/emulator/shared.py
@@ -14,12 +14,12 @@
 from dataclasses import dataclass, field, replace
 from functools import partial
 
-from elmglade.budget.desk import Budget, Desk
-from elmglade.budget.spend import Spender
-from elmglade.emulator.hall import Hall
-from elmglade.fleet import wire
-from elmglade.fleet.node import Node
-from elmglade.lab.history import most_in
+from message_sender.budget.desk import Budget, Desk
+from message_sender.budget.spend import Spender
+from message_sender.emulator.hall import Hall
+from message_sender.fleet import wire
+from message_sender.fleet.node import Node
+from message_sender.lab.history import most_in
 
 STEP = 0.01  # s between two looks for work
 WAY = 0.009  # s that a call may take to the receiver
--- a/elmglade/emulator/shrink.py
+++ b/message_sender/emulator/shrink.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import Any
 
-from elmglade.emulator.life import Happening, Outcomes, live
+from message_sender.emulator.life import Happening, Outcomes, live
 
 
 @dataclass(frozen=True)
--- a/elmglade/emulator/wire.py
+++ b/message_sender/emulator/wire.py
@@ -19,24 +19,24 @@
 from pathlib import Path
 from typing import Any
 
-from elmglade import interface as face
-from elmglade.core.ports import Answer
-from elmglade.directory.static import Place
-from elmglade.emulator import fleet
-from elmglade.emulator.fleet import Decide, Outcomes, Teller, Try
-from elmglade.emulator.life import EPOCH, RAN, SECOND
-from elmglade.emulator.net import HOST, REFUSED, SILENT, Net
-from elmglade.emulator.receiver import Fate, Trouble
-from elmglade.emulator.scenario import Scenario
-from elmglade.emulator.seal import sealed
-from elmglade.http.client import HttpTransport
-from elmglade.http.daemon import HttpSender
-from elmglade.interface import Outcome
-from elmglade.lab import history as seen
-from elmglade.lab.history import Ran
-from elmglade.lab.http import HttpClient, read_head
-from elmglade.message import HandedIn
-from elmglade.policy.dispatcher import Dispatcher
+from message_sender import interface as face
+from message_sender.core.ports import Answer
+from message_sender.directory.static import Place
+from message_sender.emulator import fleet
+from message_sender.emulator.fleet import Decide, Outcomes, Teller, Try
+from message_sender.emulator.life import EPOCH, RAN, SECOND
+from message_sender.emulator.net import HOST, REFUSED, SILENT, Net
+from message_sender.emulator.receiver import Fate, Trouble
+from message_sender.emulator.scenario import Scenario
+from message_sender.emulator.seal import sealed
+from message_sender.http.client import HttpTransport
+from message_sender.http.daemon import HttpSender
+from message_sender.interface import Outcome
+from message_sender.lab import history as seen
+from message_sender.lab.history import Ran
+from message_sender.lab.http import HttpClient, read_head
+from message_sender.message import HandedIn
+from message_sender.policy.dispatcher import Dispatcher
 
 PORT = 80
 SOCKETS = 1024  # descriptors that a sender may have
--- a/elmglade/fleet/members.py
+++ b/message_sender/fleet/members.py
@@ -21,7 +21,7 @@
 from dataclasses import dataclass, field
 from enum import IntEnum
 
-from elmglade.fleet.wire import Address, Rumour
+from message_sender.fleet.wire import Address, Rumour
 
 PERIOD = 0.5  # s between two questions
 WAIT = 0.2  # s for an answer before others are asked, and again before it is a suspect
--- a/elmglade/fleet/node.py
+++ b/message_sender/fleet/node.py
@@ -19,11 +19,11 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from elmglade.fleet import wire
-from elmglade.fleet.members import Members, State
-from elmglade.fleet.seal import RefusedError, Seal
-from elmglade.fleet.session import PeerSession
-from elmglade.fleet.wire import Address, Envelope, Rumour
+from message_sender.fleet import wire
+from message_sender.fleet.members import Members, State
+from message_sender.fleet.seal import RefusedError, Seal
+from message_sender.fleet.session import PeerSession
+from message_sender.fleet.wire import Address, Envelope, Rumour
 
 GREETINGS = 20  # answers to strangers a second
 JOIN_EVERY = 0.3  # s between calls to the seeds while nobody is known
--- a/elmglade/fleet/udp.py
+++ b/message_sender/fleet/udp.py
@@ -8,10 +8,10 @@
 from pathlib import Path
 from typing import cast
 
-from elmglade.files import replace_json
-from elmglade.fleet.node import Me, Node
-from elmglade.fleet.seal import Seal, read_keys, reread_keys
-from elmglade.fleet.wire import Address
+from message_sender.files import replace_json
+from message_sender.fleet.node import Me, Node
+from message_sender.fleet.seal import Seal, read_keys, reread_keys
+from message_sender.fleet.wire import Address
 
 TICK = 0.05  # s
 EPOCH = "fleet.epoch"
--- a/elmglade/fleet/wire.py
+++ b/message_sender/fleet/wire.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from elmglade.fleet.seal import RefusedError
+from message_sender.fleet.seal import RefusedError
 
 Address = tuple[str, int]
 Count = Annotated[int, msgspec.Meta(ge=0, le=2**40)]
--- a/elmglade/grpc/channel.py
+++ b/message_sender/grpc/channel.py
@@ -7,18 +7,18 @@
 
 import grpc
 
-from elmglade import config as general
-from elmglade.config import General
-from elmglade.core.engine import Config as EngineConfig
-from elmglade.core.engine import Engine
-from elmglade.core.ports import End, State, TurnedAway
-from elmglade.directory.static import StaticDirectory
-from elmglade.grpc import retry
-from elmglade.grpc.courier import Factory, GrpcCourier, Options, insecure
-from elmglade.grpc.route import BadRouteError, Metadata, Router, from_metadata, message_from, pairs
-from elmglade.journal.answers import Answers
-from elmglade.journal.lock import Lock
-from elmglade.message import HandedIn
+from message_sender import config as general
+from message_sender.config import General
+from message_sender.core.engine import Config as EngineConfig
+from message_sender.core.engine import Engine
+from message_sender.core.ports import End, State, TurnedAway
+from message_sender.directory.static import StaticDirectory
+from message_sender.grpc import retry
+from message_sender.grpc.courier import Factory, GrpcCourier, Options, insecure
+from message_sender.grpc.route import BadRouteError, Metadata, Router, from_metadata, message_from, pairs
+from message_sender.journal.answers import Answers
+from message_sender.journal.lock import Lock
+from message_sender.message import HandedIn
 
 Serializer = Callable[[Any], bytes]
 Code = grpc.StatusCode
--- a/elmglade/grpc/courier.py
+++ b/message_sender/grpc/courier.py
@@ -6,13 +6,13 @@
 
 import grpc
 
-from elmglade.core.ports import Answer
-from elmglade.directory.static import Dial
-from elmglade.grpc.fates import fate
-from elmglade.grpc.retry import retry_after
-from elmglade.grpc.route import IDEMPOTENCY, PREFIX, unpaired
-from elmglade.interface import Outcome
-from elmglade.message import HandedIn
+from message_sender.core.ports import Answer
+from message_sender.directory.static import Dial
+from message_sender.grpc.fates import fate
+from message_sender.grpc.retry import retry_after
+from message_sender.grpc.route import IDEMPOTENCY, PREFIX, unpaired
+from message_sender.interface import Outcome
+from message_sender.message import HandedIn
 
 Options = Sequence[tuple[str, Any]]
 Factory = Callable[[str, Options], grpc.aio.Channel]
--- a/elmglade/grpc/fates.py
+++ b/message_sender/grpc/fates.py
@@ -16,8 +16,8 @@
 
 import grpc
 
-from elmglade.core.ports import Answer, told_wait
-from elmglade.interface import Outcome
+from message_sender.core.ports import Answer, told_wait
+from message_sender.interface import Outcome
 
 Code = grpc.StatusCode
 
--- a/elmglade/grpc/route.py
+++ b/message_sender/grpc/route.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from elmglade.interface import Effect, MessageClass
-from elmglade.message import HandedIn
+from message_sender.interface import Effect, MessageClass
+from message_sender.message import HandedIn
 
 PREFIX = "elmglade-"
 IDEMPOTENCY = "idempotency-key"
--- a/elmglade/handover/seat.py
+++ b/message_sender/handover/seat.py
@@ -23,10 +23,10 @@
 from pathlib import Path
 from typing import Any, Protocol
 
-from elmglade.core.lock import Lock, LockTakenError, holder
-from elmglade.directory.control import may_ask
-from elmglade.handover.link import Link, Packet, connect, listen
-from elmglade.handover.ownership import Ownership, Side
+from message_sender.core.lock import Lock, LockTakenError, holder
+from message_sender.directory.control import may_ask
+from message_sender.handover.link import Link, Packet, connect, listen
+from message_sender.handover.ownership import Ownership, Side
 
 PATIENCE = 2.5  # s for an owner to answer; operators expect the new process' yes within 6 s
 POLL = 0.02  # s between tries
--- a/elmglade/http/budgets.py
+++ b/message_sender/http/budgets.py
@@ -11,16 +11,16 @@
 from itertools import count, islice
 from typing import Any, NamedTuple, Protocol
 
-from elmglade import interface as face
-from elmglade.budget.desk import WARM, Budget, Desk
-from elmglade.budget.earned import Earned
-from elmglade.budget.spend import NEVER
-from elmglade.config import Shared
-from elmglade.core.engine import Engine
-from elmglade.fleet import wire
-from elmglade.http.client import BODY_PATIENCE, HttpTransport
-from elmglade.http.routes import told_rates
-from elmglade.message import HandedIn
+from message_sender import interface as face
+from message_sender.budget.desk import WARM, Budget, Desk
+from message_sender.budget.earned import Earned
+from message_sender.budget.spend import NEVER
+from message_sender.config import Shared
+from message_sender.core.engine import Engine
+from message_sender.fleet import wire
+from message_sender.http.client import BODY_PATIENCE, HttpTransport
+from message_sender.http.routes import told_rates
+from message_sender.message import HandedIn
 
 TURN = 0.1  # s between two looks at what the list tells, and at lines for the record
 AGAIN = 500_000  # us after which to come again where nobody can say when there is room
--- a/elmglade/http/client.py
+++ b/message_sender/http/client.py
@@ -7,14 +7,23 @@
 from collections.abc import Callable, Coroutine, Mapping
 from typing import Any
 
-from elmglade.core.peer import Cause, Reports, cause_of
-from elmglade.core.ports import Answer, told_wait
-from elmglade.core.witness import Seen, Witness
-from elmglade.http import usual
-from elmglade.http.codec import BODY_LIMIT, BROKEN, Address, Connection, InPartsError, Spoilt, decimal, header
-from elmglade.http.unread import Unread
-from elmglade.interface import NEVER_RAN, Outcome
-from elmglade.message import HandedIn
+from message_sender.core.peer import Cause, Reports, cause_of
+from message_sender.core.ports import Answer, told_wait
+from message_sender.core.witness import Seen, Witness
+from message_sender.http import usual
+from message_sender.http.codec import (
+    BODY_LIMIT,
+    BROKEN,
+    Address,
+    Connection,
+    InPartsError,
+    Spoilt,
+    decimal,
+    header,
+)
+from message_sender.http.unread import Unread
+from message_sender.interface import NEVER_RAN, Outcome
+from message_sender.message import HandedIn
 
 IDLE_SHARE = 0.8  # of the receiver's idle limit: a kept connection is dropped that much earlier
 BODY_PATIENCE = 0.5  # s for the rest of an answer whose head has come; the body means nothing
--- a/elmglade/http/codec.py
+++ b/message_sender/http/codec.py
@@ -9,8 +9,8 @@
 
 import h11
 
-from elmglade.core.witness import Seen
-from elmglade.http import usual
+from message_sender.core.witness import Seen
+from message_sender.http import usual
 
 HEADER_LIMIT = 16 * 1024
 BODY_LIMIT = 64 * 1024
--- a/elmglade/http/configuration.py
+++ b/message_sender/http/configuration.py
@@ -19,15 +19,15 @@
 from pathlib import Path
 from typing import Protocol
 
-from elmglade.config import ConfigError, General, Shared
-from elmglade.control import schema
-from elmglade.control.document import DeltaMismatchError, Document
-from elmglade.control.document_file import DamagedDocumentError, DocumentFile
-from elmglade.control.messages import Delta
-from elmglade.control.schema import Interpretation
-from elmglade.control.watch import RefusedConfigurationError
-from elmglade.directory.static import Place
-from elmglade.journal.disk import Disk
+from message_sender.config import ConfigError, General, Shared
+from message_sender.control import schema
+from message_sender.control.document import DeltaMismatchError, Document
+from message_sender.control.document_file import DamagedDocumentError, DocumentFile
+from message_sender.control.messages import Delta
+from message_sender.control.schema import Interpretation
+from message_sender.control.watch import RefusedConfigurationError
+from message_sender.directory.static import Place
+from message_sender.journal.disk import Disk
 
 IN_FORCE_FILE = "control.document"
 NEXT_START_FILE = "control.next"  # a version that waits for a start
--- a/elmglade/http/control.py
+++ b/message_sender/http/control.py
@@ -13,15 +13,15 @@
 from pathlib import Path
 from typing import Any, cast
 
-from elmglade.config import ControlPlane, General
-from elmglade.control.channel import BodyTooLargeError, Channel
-from elmglade.control.messages import WatchMessage
-from elmglade.control.schema import BUDGETS, ENDPOINTS, has_kind
-from elmglade.control.watch import ControlNodeAddress, Watch, WatchStatus
-from elmglade.files import replace_json
-from elmglade.fleet.seal import KeyFileError, Seal, read_keys, reread_keys
-from elmglade.http.configuration import Directory, SenderConfiguration, SharedBudgets
-from elmglade.journal.disk import Disk, Files
+from message_sender.config import ControlPlane, General
+from message_sender.control.channel import BodyTooLargeError, Channel
+from message_sender.control.messages import WatchMessage
+from message_sender.control.schema import BUDGETS, ENDPOINTS, has_kind
+from message_sender.control.watch import ControlNodeAddress, Watch, WatchStatus
+from message_sender.files import replace_json
+from message_sender.fleet.seal import KeyFileError, Seal, read_keys, reread_keys
+from message_sender.http.configuration import Directory, SenderConfiguration, SharedBudgets
+from message_sender.journal.disk import Disk, Files
 
 TICK_S = 0.1
 REFUSED_DATAGRAMS_INTERVAL_S = 10.0  # between two records of datagrams that were refused
--- a/elmglade/http/daemon.py
+++ b/message_sender/http/daemon.py
@@ -9,21 +9,21 @@
 from pathlib import Path
 from typing import Any, ClassVar
 
-from elmglade import interface as face
-from elmglade.core.engine import Clock, Engine, Handed
-from elmglade.core.engine import Config as EngineConfig
-from elmglade.core.peer import transport_in
-from elmglade.core.ports import Directory, State, Teller
-from elmglade.directory.maintenance import ROOM, Maintenance, Record
-from elmglade.handover.drain import GRACE, STOP, Drain, Phase
-from elmglade.handover.seat import Seat
-from elmglade.http.client import HttpTransport
-from elmglade.http.codec import Address
-from elmglade.http.orders import Orders
-from elmglade.http.platform import CALL, CALL_AT_HAND, Discovery, Listed
-from elmglade.http.server import ACCEPTS, Server
-from elmglade.http.succession import Succession, Told
-from elmglade.manage import listener as manage
+from message_sender import interface as face
+from message_sender.core.engine import Clock, Engine, Handed
+from message_sender.core.engine import Config as EngineConfig
+from message_sender.core.peer import transport_in
+from message_sender.core.ports import Directory, State, Teller
+from message_sender.directory.maintenance import ROOM, Maintenance, Record
+from message_sender.handover.drain import GRACE, STOP, Drain, Phase
+from message_sender.handover.seat import Seat
+from message_sender.http.client import HttpTransport
+from message_sender.http.codec import Address
+from message_sender.http.orders import Orders
+from message_sender.http.platform import CALL, CALL_AT_HAND, Discovery, Listed
+from message_sender.http.server import ACCEPTS, Server
+from message_sender.http.succession import Succession, Told
+from message_sender.manage import listener as manage
 
 LAST = 0.3  # s for the last answers as the process ends, STOP after SIGTERM; SIGKILL comes 3.7 s after it
 TIMER_SLACK = 0.001  # s: a timer must not run before the time that it was set for
--- a/elmglade/http/fleet.py
+++ b/message_sender/http/fleet.py
@@ -8,22 +8,22 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
-from elmglade import interface as face
-from elmglade.budget import told
-from elmglade.config import Fleet, Shared
-from elmglade.core.engine import Engine
-from elmglade.fleet.node import Me
-from elmglade.fleet.seal import KeyFileError
-from elmglade.fleet.udp import Link
-from elmglade.http.routes import told_rates
-from elmglade.interface import Outcome
-from elmglade.message import HandedIn
-from elmglade.recovery.coordinator import Coordinator
-from elmglade.recovery.ids import Known
-from elmglade.recovery.stages import ALONE, Stage
+from message_sender import interface as face
+from message_sender.budget import told
+from message_sender.config import Fleet, Shared
+from message_sender.core.engine import Engine
+from message_sender.fleet.node import Me
+from message_sender.fleet.seal import KeyFileError
+from message_sender.fleet.udp import Link
+from message_sender.http.routes import told_rates
+from message_sender.interface import Outcome
+from message_sender.message import HandedIn
+from message_sender.recovery.coordinator import Coordinator
+from message_sender.recovery.ids import Known
+from message_sender.recovery.stages import ALONE, Stage
 
 if TYPE_CHECKING:
-    from elmglade.http.budgets import Budgets
+    from message_sender.http.budgets import Budgets
 
 log = logging.getLogger(__name__)
 
@@ -97,7 +97,7 @@
         self.link.step = self.step
         self.budgets: Budgets | None = None
         if budgets or may_come:
-            from elmglade.http import budgets as shared
+            from message_sender.http import budgets as shared
 
             self.budgets = shared.Budgets(engine, self.link, budgets, config.size)
         self.asked: asyncio.Future[None] = self.link.loop.create_future()
--- a/elmglade/http/learned.py
+++ b/message_sender/http/learned.py
@@ -6,11 +6,11 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from elmglade import interface as face
-from elmglade.core.engine import Engine
-from elmglade.policy.inherit import BREAKER, fields
-from elmglade.recovery.begin import Beginning
-from elmglade.recovery.snapshot import MOST, Breakers, Known, Snapshots, believed
+from message_sender import interface as face
+from message_sender.core.engine import Engine
+from message_sender.policy.inherit import BREAKER, fields
+from message_sender.recovery.begin import Beginning
+from message_sender.recovery.snapshot import MOST, Breakers, Known, Snapshots, believed
 
 log = logging.getLogger(__name__)
 
--- a/elmglade/http/orders.py
+++ b/message_sender/http/orders.py
@@ -5,13 +5,13 @@
 import logging
 from typing import TYPE_CHECKING
 
-from elmglade import interface as face
-from elmglade.directory.maintenance import MOST_ID, MOST_OUT, Maintenance, Record
-from elmglade.manage.calls import Ask, Call, Reply
-from elmglade.manage.figures import Figures
+from message_sender import interface as face
+from message_sender.directory.maintenance import MOST_ID, MOST_OUT, Maintenance, Record
+from message_sender.manage.calls import Ask, Call, Reply
+from message_sender.manage.figures import Figures
 
 if TYPE_CHECKING:
-    from elmglade.http.owner import Owner
+    from message_sender.http.owner import Owner
 
 NOT_RECORDED = Reply(503, "it could not be put on record, and nothing has changed")
 
--- a/elmglade/http/owner.py
+++ b/message_sender/http/owner.py
@@ -3,12 +3,12 @@
 
 from typing import Protocol
 
-from elmglade.core.engine import Clock, Engine
-from elmglade.directory.maintenance import Maintenance
-from elmglade.handover.drain import Drain
-from elmglade.http.client import HttpTransport
-from elmglade.http.platform import Discovery
-from elmglade.http.server import Server
+from message_sender.core.engine import Clock, Engine
+from message_sender.directory.maintenance import Maintenance
+from message_sender.handover.drain import Drain
+from message_sender.http.client import HttpTransport
+from message_sender.http.platform import Discovery
+from message_sender.http.server import Server
 
 
 class Owner(Protocol):
--- a/elmglade/http/platform.py
+++ b/message_sender/http/platform.py
@@ -10,10 +10,10 @@
 
 import h11
 
-from elmglade import interface as face
-from elmglade.core.ports import End, State
-from elmglade.http.codec import BROKEN, Address, Connection, address_from
-from elmglade.http.objects import Objects
+from message_sender import interface as face
+from message_sender.core.ports import End, State
+from message_sender.http.codec import BROKEN, Address, Connection, address_from
+from message_sender.http.objects import Objects
 
 # What discovery has had for 6 s, and could be reached for, counts as told, whatever call failed before
 # (schedule.ListCalls). A watch may fall silent right behind a line: that takes SILENCE to see, and a call.
--- a/elmglade/http/routes.py
+++ b/message_sender/http/routes.py
@@ -1,6 +1,6 @@
 """What the list tells of the routes to a destination."""
 
-from elmglade.core.engine import Engine
+from message_sender.core.engine import Engine
 
 
 def told_rates(engine: Engine, number: int) -> dict[str, float]:
--- a/elmglade/http/serve.py
+++ b/message_sender/http/serve.py
@@ -11,29 +11,29 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any, TextIO
 
-from elmglade import interface as face
-from elmglade.config import ConfigError, General, load, read_endpoints
-from elmglade.core import explain, inventory
-from elmglade.core.engine import Clock, Engine
-from elmglade.core.engine import Config as EngineConfig
-from elmglade.core.ports import End
-from elmglade.core.witness import Witness
-from elmglade.directory.control import Command, Control
-from elmglade.directory.file import FileDirectory
-from elmglade.directory.overridden import OverriddenDirectory
-from elmglade.directory.overrides import Kind, OverrideError
-from elmglade.directory.static import Dial, StaticDirectory
-from elmglade.directory.store import Store
-from elmglade.http.daemon import HttpSender
-from elmglade.journal.disk import Disk
-from elmglade.journal.file import FILE, Journal
-from elmglade.journal.lock import Lock
+from message_sender import interface as face
+from message_sender.config import ConfigError, General, load, read_endpoints
+from message_sender.core import explain, inventory
+from message_sender.core.engine import Clock, Engine
+from message_sender.core.engine import Config as EngineConfig
+from message_sender.core.ports import End
+from message_sender.core.witness import Witness
+from message_sender.directory.control import Command, Control
+from message_sender.directory.file import FileDirectory
+from message_sender.directory.overridden import OverriddenDirectory
+from message_sender.directory.overrides import Kind, OverrideError
+from message_sender.directory.static import Dial, StaticDirectory
+from message_sender.directory.store import Store
+from message_sender.http.daemon import HttpSender
+from message_sender.journal.disk import Disk
+from message_sender.journal.file import FILE, Journal
+from message_sender.journal.lock import Lock
 
 if TYPE_CHECKING:
-    from elmglade.http.control import SenderControl
-    from elmglade.http.fleet import Membership
-    from elmglade.http.learned import Learned
-    from elmglade.recovery.begin import Beginning
+    from message_sender.http.control import SenderControl
+    from message_sender.http.fleet import Membership
+    from message_sender.http.learned import Learned
+    from message_sender.recovery.begin import Beginning
 
 log = logging.getLogger(__name__)
 
@@ -85,9 +85,9 @@
 def beginning(config: General, machine: Machine) -> "Beginning":
     """Imported only where it is asked for: it needs the extra `fleet`."""
     try:
-        from elmglade.recovery.begin import Beginning
+        from message_sender.recovery.begin import Beginning
     except ImportError as error:
-        raise OSError(f"{error}; pip install 'elmglade[fleet]'") from None
+        raise OSError(f"{error}; pip install 'message-sender[fleet]'") from None
     return Beginning(config.settings, config.durability.gather, machine.clock.now, machine.disk, machine.boot)
 
 
@@ -96,9 +96,9 @@
     if config.control is None:
         return None
     try:
-        from elmglade.http.control import SenderControl
+        from message_sender.http.control import SenderControl
     except ImportError as error:
-        raise OSError(f"{error}; pip install 'elmglade[fleet]'") from None
+        raise OSError(f"{error}; pip install 'message-sender[fleet]'") from None
     return SenderControl(config, state, disk)
 
 
@@ -152,12 +152,12 @@
         self.server.witness = self.courier.witness = witness
         self.learned: Learned | None = None
         if self.beginning:
-            from elmglade.http import learned
+            from message_sender.http import learned
 
             self.learned = learned.Learned(engine, self.beginning, state)
         self.membership: Membership | None = None
         if config.fleet:
-            from elmglade.http.fleet import join
+            from message_sender.http.fleet import join
 
             may_come = self.control_plane is not None
             self.membership = join(engine, config.fleet, state, self.set_ready, config.budgets, may_come)
--- a/elmglade/http/server.py
+++ b/message_sender/http/server.py
@@ -13,15 +13,15 @@
 
 import h11
 
-from elmglade.admission.backlog import Backlog
-from elmglade.core.peer import Cause, Reports, cause_of
-from elmglade.core.ports import End, TurnedAway, Why
-from elmglade.core.witness import Seen, Witness
-from elmglade.http import usual
-from elmglade.http.closing import Event, State, Step, decide, limit
-from elmglade.http.codec import BODY_LIMIT, HEADER_LIMIT, READ_SIZE, Address, close, decimal, header
-from elmglade.interface import Effect, MessageClass
-from elmglade.message import HandedIn
+from message_sender.admission.backlog import Backlog
+from message_sender.core.peer import Cause, Reports, cause_of
+from message_sender.core.ports import End, TurnedAway, Why
+from message_sender.core.witness import Seen, Witness
+from message_sender.http import usual
+from message_sender.http.closing import Event, State, Step, decide, limit
+from message_sender.http.codec import BODY_LIMIT, HEADER_LIMIT, READ_SIZE, Address, close, decimal, header
+from message_sender.interface import Effect, MessageClass
+from message_sender.message import HandedIn
 
 READY = "/health/ready"
 # A client that cannot be served is owed an error or a close within 3 s of connecting.
--- a/elmglade/http/succession.py
+++ b/message_sender/http/succession.py
@@ -11,16 +11,16 @@
 from dataclasses import asdict, dataclass
 from typing import TYPE_CHECKING, Any
 
-from elmglade import interface as face
-from elmglade.core.engine import Handed
-from elmglade.core.ports import Answer, End, State
-from elmglade.handover.link import Packet
-from elmglade.handover.seat import Seat
-from elmglade.http.platform import Listed
-from elmglade.http.server import Connection
+from message_sender import interface as face
+from message_sender.core.engine import Handed
+from message_sender.core.ports import Answer, End, State
+from message_sender.handover.link import Packet
+from message_sender.handover.seat import Seat
+from message_sender.http.platform import Listed
+from message_sender.http.server import Connection
 
 if TYPE_CHECKING:
-    from elmglade.http.owner import Owner
+    from message_sender.http.owner import Owner
 
 VERSION = 1  # of what is told
 #: s after it has handed over: a process whose SIGTERM does not come ends all the same.
--- a/elmglade/http/unread.py
+++ b/message_sender/http/unread.py
@@ -7,7 +7,7 @@
 
 import select
 
-from elmglade.http.codec import Connection
+from message_sender.http.codec import Connection
 
 
 class Unread:
--- a/elmglade/journal/contents.py
+++ b/message_sender/journal/contents.py
@@ -18,11 +18,11 @@
 from dataclasses import dataclass
 from typing import Any
 
-from elmglade.interface import Outcome
-from elmglade.journal import records
-from elmglade.journal.file import Attempt, Entry, Journal, lines_of
-from elmglade.journal.lines import Over, doubt_line, over_line, verdict_line, whole_record
-from elmglade.journal.tally import Comparison, Tally
+from message_sender.interface import Outcome
+from message_sender.journal import records
+from message_sender.journal.file import Attempt, Entry, Journal, lines_of
+from message_sender.journal.lines import Over, doubt_line, over_line, verdict_line, whole_record
+from message_sender.journal.tally import Comparison, Tally
 
 OVER = 4096  # messages that are over and still known by their ids
 NAMED = 30  # messages that are named in a line of the log
--- a/elmglade/journal/durable.py
+++ b/message_sender/journal/durable.py
@@ -29,13 +29,13 @@
 from functools import partial
 from pathlib import Path
 
-from elmglade.interface import Outcome
-from elmglade.journal import records
-from elmglade.journal.disk import Disk, Files
-from elmglade.journal.file import FILE, Attempt, attempt_line, end_line, outcome_line
-from elmglade.journal.lines import Over, over_text, verdict_line
-from elmglade.journal.rewriting import Anew, Rewriting
-from elmglade.journal.tally import proof_record
+from message_sender.interface import Outcome
+from message_sender.journal import records
+from message_sender.journal.disk import Disk, Files
+from message_sender.journal.file import FILE, Attempt, attempt_line, end_line, outcome_line
+from message_sender.journal.lines import Over, over_text, verdict_line
+from message_sender.journal.rewriting import Anew, Rewriting
+from message_sender.journal.tally import proof_record
 
 DAMAGED = "journal.damaged"
 LAZY = 0.05  # s after which what nobody waits for is synced all the same
--- a/elmglade/journal/file.py
+++ b/message_sender/journal/file.py
@@ -13,8 +13,8 @@
 from pathlib import Path
 from typing import Any
 
-from elmglade.interface import NEVER_RAN, Outcome
-from elmglade.message import HandedIn
+from message_sender.interface import NEVER_RAN, Outcome
+from message_sender.message import HandedIn
 
 FILE, COMPACTED = "journal", "journal.new"
 BLOCK = 512  # a file counts in whole blocks
--- a/elmglade/journal/inspected.py
+++ b/message_sender/journal/inspected.py
@@ -3,11 +3,11 @@
 import os
 from pathlib import Path
 
-from elmglade.journal.contents import Contents
-from elmglade.journal.disk import Files
-from elmglade.journal.file import FILE
-from elmglade.journal.rewriting import GUARD
-from elmglade.journal.tally import Tally
+from message_sender.journal.contents import Contents
+from message_sender.journal.disk import Files
+from message_sender.journal.file import FILE
+from message_sender.journal.rewriting import GUARD
+from message_sender.journal.tally import Tally
 
 
 class Inspected(Contents):
--- a/elmglade/journal/lines.py
+++ b/message_sender/journal/lines.py
@@ -2,9 +2,9 @@
 
 from dataclasses import dataclass
 
-from elmglade.journal import records
-from elmglade.journal.file import quoted
-from elmglade.journal.tally import Tally
+from message_sender.journal import records
+from message_sender.journal.file import quoted
+from message_sender.journal.tally import Tally
 
 
 @dataclass(frozen=True, slots=True)
--- a/elmglade/journal/rewriting.py
+++ b/message_sender/journal/rewriting.py
@@ -19,11 +19,11 @@
 from contextlib import suppress
 from dataclasses import dataclass, field
 
-from elmglade.journal.contents import Contents
-from elmglade.journal.disk import Disk
-from elmglade.journal.file import COMPACTED, FILE
-from elmglade.journal.lines import whole_record
-from elmglade.journal.tally import Tally
+from message_sender.journal.contents import Contents
+from message_sender.journal.disk import Disk
+from message_sender.journal.file import COMPACTED, FILE
+from message_sender.journal.lines import whole_record
+from message_sender.journal.tally import Tally
 
 GUARD = COMPACTED
 NEXT, BALLAST = "journal.next", "journal.room"
--- a/elmglade/journal/tally.py
+++ b/message_sender/journal/tally.py
@@ -21,8 +21,8 @@
 
 import google_crc32c
 
-from elmglade.journal import records
-from elmglade.journal.records import Hole, Record
+from message_sender.journal import records
+from message_sender.journal.records import Hole, Record
 
 PROOF_DAMAGE = (
     8  # bytes of a damaged proof that may differ for it to be known as one; other records differ in more
--- a/elmglade/lab/__init__.py
+++ b/message_sender/lab/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins on loopback and the referee, for tests, benchmarks and `elmglade demo`."""
+"""Stand-ins on loopback and the referee, for tests, benchmarks and `message-sender demo`."""
--- a/elmglade/lab/cluster.py
+++ b/message_sender/lab/cluster.py
@@ -24,12 +24,12 @@
 from pathlib import Path
 from typing import Any, ClassVar, Self
 
-from elmglade.directory.control import ask
-from elmglade.lab import forgetful
-from elmglade.lab.history import Ended, History, Restarted, Taken, most_in
-from elmglade.lab.http import HttpClient, HttpEndpoint
-from elmglade.lab.referee import Breach, Referee, Rules
-from elmglade.lab.script import Act, Does, Script
+from message_sender.directory.control import ask
+from message_sender.lab import forgetful
+from message_sender.lab.history import Ended, History, Restarted, Taken, most_in
+from message_sender.lab.http import HttpClient, HttpEndpoint
+from message_sender.lab.referee import Breach, Referee, Rules
+from message_sender.lab.script import Act, Does, Script
 
 PATIENCE = 30.0  # s that a step may take before the run is a failure
 HOST = "127.0.0.1"
@@ -234,7 +234,7 @@
     """Makes members (lab/member.py); several clusters may share one."""
 
     async def __aenter__(self) -> Self:
-        words = [sys.executable, "-m", "elmglade.lab.member"]
+        words = [sys.executable, "-m", "message_sender.lab.member"]
         pipe = asyncio.subprocess.PIPE
         self.process = await asyncio.create_subprocess_exec(*words, stdin=pipe, stdout=pipe)
         self.lock = asyncio.Lock()
--- a/elmglade/lab/control_cluster.py
+++ b/message_sender/lab/control_cluster.py
@@ -1,8 +1,8 @@
 """Control nodes and senders as processes on loopback, watchers in this process, and between all of them the
 relay of lab/cluster.py.
 
-A node's process is `python -m elmglade.control.process`, a sender's is `elmglade serve` with `[control]`. Its
-end by a signal is all that a kill does: its disk keeps what it wrote.
+A node's process is `python -m message_sender.control.process`, a sender's is `message-sender serve` with
+`[control]`. Its end by a signal is all that a kill does: its disk keeps what it wrote.
 """
 
 import asyncio
@@ -17,14 +17,14 @@
 from pathlib import Path
 from typing import Any, Self
 
-from elmglade.control import process as control_process
-from elmglade.control.channel import Channel
-from elmglade.control.configuration import load
-from elmglade.control.document import Document
-from elmglade.control.messages import Address, Delta, WatchMessage
-from elmglade.control.watch import ControlNodeAddress, Watch
-from elmglade.directory.control import ask
-from elmglade.lab.cluster import HOST, PATIENCE, Relay
+from message_sender.control import process as control_process
+from message_sender.control.channel import Channel
+from message_sender.control.configuration import load
+from message_sender.control.document import Document
+from message_sender.control.messages import Address, Delta, WatchMessage
+from message_sender.control.watch import ControlNodeAddress, Watch
+from message_sender.directory.control import ask
+from message_sender.lab.cluster import HOST, PATIENCE, Relay
 
 WATCH_TICK_S = 0.05
 ASK_AGAIN_S = 0.02  # between two questions over a control socket
@@ -89,7 +89,7 @@
     plan: NodePlan = field(kw_only=True)
 
     def command(self) -> tuple[str, ...]:
-        return "-m", "elmglade.control.process", str(self.config)
+        return "-m", "message_sender.control.process", str(self.config)
 
 
 @dataclass
@@ -99,7 +99,7 @@
     region: str = field(kw_only=True)
 
     def command(self) -> tuple[str, ...]:
-        return "-m", "elmglade", "serve", "--config", str(self.config), "--state", str(self.state)
+        return "-m", "message_sender", "serve", "--config", str(self.config), "--state", str(self.state)
 
 
 class RecordingApplier:
--- a/elmglade/lab/demo.py
+++ b/message_sender/lab/demo.py
@@ -1,4 +1,4 @@
-"""`elmglade demo`: one sender between stand-ins, through a calm stretch, an outage and a cold return."""
+"""`message-sender demo`: one sender between stand-ins, through a calm stretch, an outage and a return."""
 
 import asyncio
 import contextlib
@@ -14,15 +14,15 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from elmglade import config
-from elmglade.core.ports import End
-from elmglade.http.serve import LineTeller, PlainSender
-from elmglade.interface import Effect
-from elmglade.lab.history import Ended, History, Outage, Refused, Taken
-from elmglade.lab.http import HttpClient, HttpEndpoint
-from elmglade.lab.referee import Breach, Kind, Referee, Rules
-from elmglade.lab.running import running
-from elmglade.lab.script import Act, Does, Script
+from message_sender import config
+from message_sender.core.ports import End
+from message_sender.http.serve import LineTeller, PlainSender
+from message_sender.interface import Effect
+from message_sender.lab.history import Ended, History, Outage, Refused, Taken
+from message_sender.lab.http import HttpClient, HttpEndpoint
+from message_sender.lab.referee import Breach, Kind, Referee, Rules
+from message_sender.lab.running import running
+from message_sender.lab.script import Act, Does, Script
 
 CALM, OUTAGE, RETURN = 8.0, 7.0, 12.0  # s at the usual pace
 DEADLINE, WINDOW, QUIET = 6.0, 5.0, 0.1  # s
@@ -240,7 +240,7 @@
             from rich.table import Table
 
             def table(count: Count) -> Table:
-                made = Table(title="elmglade demo")
+                made = Table(title="message-sender demo")
                 for name, _ in row(count):
                     made.add_column(name, justify="right")
                 made.add_row(*(text for _, text in row(count)))
@@ -276,7 +276,7 @@
     pace: float = 1.0, rate: float = 40.0, seed: int = 1, *, plain: bool = False, given: Sequence[Given] = ()
 ) -> int:
     """Runs it; 0 if no rule was broken and something was delivered, else 1."""
-    logger = logging.getLogger("elmglade")
+    logger = logging.getLogger("message_sender")
     level = logger.level
     logger.setLevel(logging.ERROR)  # what the outage makes it say would run through the display
     try:
--- a/elmglade/lab/forgetful.py
+++ b/message_sender/lab/forgetful.py
@@ -18,7 +18,7 @@
 from pathlib import Path
 from typing import Any
 
-from elmglade.journal.disk import Files
+from message_sender.journal.disk import Files
 
 JOURNAL = "journal"  # the one file that counts, by its name
 SECTOR = 512  # bytes that a disk writes as one
--- a/elmglade/lab/grpc.py
+++ b/message_sender/lab/grpc.py
@@ -9,10 +9,10 @@
 
 import grpc
 
-from elmglade.grpc import retry
-from elmglade.grpc.route import PREFIX
-from elmglade.lab.history import History, Ran
-from elmglade.lab.script import Act, Does, Script
+from message_sender.grpc import retry
+from message_sender.grpc.route import PREFIX
+from message_sender.lab.history import History, Ran
+from message_sender.lab.script import Act, Does, Script
 
 
 class GrpcEndpoint(grpc.GenericRpcHandler):
--- a/elmglade/lab/http.py
+++ b/message_sender/lab/http.py
@@ -9,8 +9,8 @@
 import time
 from typing import Self
 
-from elmglade.lab.history import History, Ran
-from elmglade.lab.script import Act, Does, Script
+from message_sender.lab.history import History, Ran
+from message_sender.lab.script import Act, Does, Script
 
 Address = tuple[str, int]
 
--- a/elmglade/lab/member.py
+++ b/message_sender/lab/member.py
@@ -1,6 +1,6 @@
-"""`elmglade serve` as a process on a machine of a test's own: its disk forgets, its clock is wrong, its boot
-is told. A process that has all of the program imported makes one for each line that it reads, and says its
-id: most of the cost of a start is the import.
+"""`message-sender serve` as a process on a machine of a test's own: its disk forgets, its clock is wrong, its
+boot is told. A process that has all of the program imported makes one for each line that it reads, and says
+its id: most of the cost of a start is the import.
 
     {"start": {"config": ..., "state": ..., "answers": ..., "ops": ..., "boot": "1", "log": FIFO}}
     {"wait": PID}
@@ -14,12 +14,12 @@
 from pathlib import Path
 from typing import Any
 
-from elmglade.config import load
-from elmglade.core.engine import Clock
-from elmglade.http import fleet, learned  # noqa: F401  # imported before any member is made
-from elmglade.http.serve import Machine, serve
-from elmglade.journal import durable  # noqa: F401
-from elmglade.lab.forgetful import Recorded
+from message_sender.config import load
+from message_sender.core.engine import Clock
+from message_sender.http import fleet, learned  # noqa: F401  # imported before any member is made
+from message_sender.http.serve import Machine, serve
+from message_sender.journal import durable  # noqa: F401
+from message_sender.lab.forgetful import Recorded
 
 
 def machine(told: dict[str, Any]) -> Machine:
--- a/elmglade/lab/referee.py
+++ b/message_sender/lab/referee.py
@@ -25,8 +25,8 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from elmglade.interface import Effect
-from elmglade.lab.history import (
+from message_sender.interface import Effect
+from message_sender.lab.history import (
     Began,
     Drained,
     Ended,
--- a/elmglade/lab/running.py
+++ b/message_sender/lab/running.py
@@ -4,7 +4,7 @@
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
 
-from elmglade.http.serve import PlainSender
+from message_sender.http.serve import PlainSender
 
 
 @asynccontextmanager
--- a/elmglade/lab/stream.py
+++ b/message_sender/lab/stream.py
@@ -15,8 +15,8 @@
 from enum import Enum
 from typing import IO, Any
 
-from elmglade import interface as face
-from elmglade.interface import Effect, EndpointState, Listing, Outcome
+from message_sender import interface as face
+from message_sender.interface import Effect, EndpointState, Listing, Outcome
 
 MS, SECOND = 1_000, 1_000_000
 Handle = Callable[[int, list[face.Event]], list[face.Action]]
--- a/elmglade/manage/listener.py
+++ b/message_sender/manage/listener.py
@@ -18,8 +18,8 @@
 
 import h11
 
-from elmglade.core.peer import Cause, Reports, cause_of, describe
-from elmglade.manage.calls import Call, Reply, read
+from message_sender.core.peer import Cause, Reports, cause_of, describe
+from message_sender.manage.calls import Call, Reply, read
 
 MOST = 16
 PATIENCE = 2.0  # s
--- a/elmglade/pcap/capture.py
+++ b/message_sender/pcap/capture.py
@@ -7,10 +7,10 @@
 from collections.abc import Iterator, Sequence
 from typing import Any, BinaryIO, NamedTuple
 
-from elmglade.pcap.files import SECOND, Packet, read
-from elmglade.pcap.flows import Flow, Flows, Happened
-from elmglade.pcap.layers import Layers
-from elmglade.pcap.messages import Message, Pairs
+from message_sender.pcap.files import SECOND, Packet, read
+from message_sender.pcap.flows import Flow, Flows, Happened
+from message_sender.pcap.layers import Layers
+from message_sender.pcap.messages import Message, Pairs
 
 BACK = SECOND  # ns by which a clock has to go back to be worth a note
 MOST_NOTES = 1000  # kinds of notes that are counted
--- a/elmglade/pcap/compare.py
+++ b/message_sender/pcap/compare.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, field
 
-from elmglade.pcap.capture import Found
+from message_sender.pcap.capture import Found
 
 MOST_NAMED = 20  # differences that are told one by one
 
--- a/elmglade/pcap/flows.py
+++ b/message_sender/pcap/flows.py
@@ -9,8 +9,8 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from elmglade.pcap.layers import ACK, FIN, RST, SYN, End, Segment
-from elmglade.pcap.reassembly import TURN, Part, Stream
+from message_sender.pcap.layers import ACK, FIN, RST, SYN, End, Segment
+from message_sender.pcap.reassembly import TURN, Part, Stream
 
 IDLE = 3600 * 1_000_000_000  # ns
 MOST_OPEN = 20_000
--- a/elmglade/pcap/layers.py
+++ b/message_sender/pcap/layers.py
@@ -9,7 +9,7 @@
 from collections import OrderedDict
 from typing import NamedTuple
 
-from elmglade.pcap.files import Packet
+from message_sender.pcap.files import Packet
 
 NULL, ETHERNET, RAW_OLD, RAW, LOOP, SLL, IPV4, IPV6, SLL2 = 0, 1, 12, 101, 108, 113, 228, 229, 276
 VLANS = frozenset({0x8100, 0x88A8, 0x9100})
--- a/elmglade/pcap/messages.py
+++ b/message_sender/pcap/messages.py
@@ -13,8 +13,8 @@
 
 import h11
 
-from elmglade.http import usual
-from elmglade.pcap.reassembly import Gap, Part
+from message_sender.http import usual
+from message_sender.pcap.reassembly import Gap, Part
 
 HEAD_MOST = 64 * 1024  # bytes of a head, or of a chunk's
 BODY_MOST = 16 * 1024 * 1024  # bytes kept of a body
--- a/elmglade/pcap/replay.py
+++ b/message_sender/pcap/replay.py
@@ -13,7 +13,7 @@
 
 import h11
 
-from elmglade.pcap.capture import Found
+from message_sender.pcap.capture import Found
 
 MOST_OPEN = 256  # connections at once; a request for which there is none is counted and not sent
 PATIENCE = 30.0  # s for an answer
--- a/elmglade/pcap/scribe.py
+++ b/message_sender/pcap/scribe.py
@@ -1,8 +1,8 @@
-"""Writes a sender's traffic as capture files; a process of its own, `python -m elmglade.pcap.scribe`.
+"""Writes a sender's traffic as capture files; a process of its own, `python -m message_sender.pcap.scribe`.
 
-It hears records on its standard input (`HEAD` and data, elmglade/pcap/tap.py sends them) and ends with it.
-Values of the headers that are named are blanked before they reach the disk. Files rotate by size, and only
-so many are kept; each can be read alone. The sender pays for none of this, and what goes wrong here ends
+It hears records on its standard input (`HEAD` and data, message_sender/pcap/tap.py sends them) and ends with
+it. Values of the headers that are named are blanked before they reach the disk. Files rotate by size, and
+only so many are kept; each can be read alone. The sender pays for none of this, and what goes wrong here ends
 here.
 """
 
@@ -12,8 +12,8 @@
 from pathlib import Path
 from typing import BinaryIO
 
-from elmglade.pcap.files import Writer
-from elmglade.pcap.writer import Conversation, Place
+from message_sender.pcap.files import Writer
+from message_sender.pcap.writer import Conversation, Place
 
 #: Of a record: what, connection, side, ns since the epoch, bytes of data that follow.
 HEAD = struct.Struct("<BIBQI")
@@ -171,7 +171,7 @@
     try:
         Scribe(Path(folder), int(most), int(files), secrets).read(sys.stdin.buffer)
     except OSError as error:
-        print(f"elmglade: nothing more is captured: {error}", file=sys.stderr)
+        print(f"message-sender: nothing more is captured: {error}", file=sys.stderr)
         return 1
     return 0
 
--- a/elmglade/pcap/writer.py
+++ b/message_sender/pcap/writer.py
@@ -7,9 +7,9 @@
 import ipaddress
 import struct
 
-from elmglade.pcap.files import Writer
-from elmglade.pcap.layers import ACK, FIN, RST, SYN
-from elmglade.pcap.reassembly import TURN
+from message_sender.pcap.files import Writer
+from message_sender.pcap.layers import ACK, FIN, RST, SYN
+from message_sender.pcap.reassembly import TURN
 
 MSS = 1460  # bytes of data in a segment: an Ethernet's, for IPv4
 WINDOW = 65535
--- a/elmglade/policy/breaker.py
+++ b/message_sender/policy/breaker.py
@@ -21,8 +21,8 @@
 import random
 from dataclasses import dataclass
 
-from elmglade import interface as face
-from elmglade.interface import Effect, Outcome
+from message_sender import interface as face
+from message_sender.interface import Effect, Outcome
 
 FAILURE_THRESHOLD = 3  # failures in a row; a small destination would take too long to show the paper's five
 RESET_TIMEOUT = 2_000_000  # us from the last failure to the trial; the design page's figure
--- a/elmglade/policy/dispatcher.py
+++ b/message_sender/policy/dispatcher.py
@@ -1,4 +1,4 @@
-"""The delivery policy of one sender: from events to actions, whose types are in elmglade/interface.py.
+"""The delivery policy of one sender: from events to actions, whose types are in message_sender/interface.py.
 
 A circuit breaker per destination (per endpoint where these are separate routes, breaker.py) decides the usual
 case: failures in a row open it, messages are held, one trial call after the reset timeout closes it or
@@ -12,14 +12,14 @@
 from itertools import islice
 from math import ceil
 
-from elmglade import interface as face
-from elmglade.interface import Outcome
-from elmglade.policy.breaker import ANSWERED, NEVER, Breaker, Call, Endpoint, Message
-from elmglade.policy.endpoints import EndpointRegistry
-from elmglade.policy.inflight import InFlightCalls
-from elmglade.policy.inherit import believe
-from elmglade.policy.pending import KeyLine, PendingQueue
-from elmglade.policy.schedule import Destination, LoopState, Rank
+from message_sender import interface as face
+from message_sender.interface import Outcome
+from message_sender.policy.breaker import ANSWERED, NEVER, Breaker, Call, Endpoint, Message
+from message_sender.policy.endpoints import EndpointRegistry
+from message_sender.policy.inflight import InFlightCalls
+from message_sender.policy.inherit import believe
+from message_sender.policy.pending import KeyLine, PendingQueue
+from message_sender.policy.schedule import Destination, LoopState, Rank
 
 DESTINATION_SLOTS = 0.5  # share of the slots that calls to one destination may hold
 MAY_STILL_RUN = frozenset({Outcome.TIMEOUT, Outcome.RESET, Outcome.STALE, Outcome.SPOILT, Outcome.CANCELLED})
--- a/elmglade/policy/endpoints.py
+++ b/message_sender/policy/endpoints.py
@@ -9,9 +9,9 @@
 
 from collections import defaultdict
 
-from elmglade import interface as face
-from elmglade.policy.breaker import NEVER, Breaker, Endpoint
-from elmglade.policy.schedule import Destination, ListCalls, LoopState, TimerQueue
+from message_sender import interface as face
+from message_sender.policy.breaker import NEVER, Breaker, Endpoint
+from message_sender.policy.schedule import Destination, ListCalls, LoopState, TimerQueue
 
 IDLE_AGE = 60_000_000  # us after which what is unused and unlisted is forgotten: above any outage's length
 QUIET_AGE = 3_600_000_000  # us of silence after which a listed destination is not judged by old figures
--- a/elmglade/policy/inflight.py
+++ b/message_sender/policy/inflight.py
@@ -2,12 +2,12 @@
 
 from itertools import takewhile
 
-from elmglade import interface as face
-from elmglade.interface import Outcome
-from elmglade.policy.breaker import RESET_TIMEOUT, Call, Endpoint, Message
-from elmglade.policy.endpoints import EndpointRegistry
-from elmglade.policy.pending import PendingQueue
-from elmglade.policy.schedule import LoopState
+from message_sender import interface as face
+from message_sender.interface import Outcome
+from message_sender.policy.breaker import RESET_TIMEOUT, Call, Endpoint, Message
+from message_sender.policy.endpoints import EndpointRegistry
+from message_sender.policy.pending import PendingQueue
+from message_sender.policy.schedule import LoopState
 
 SCARCE_TIMES = 3  # idle times for which a crowd closes its connections after use where they are scarce
 GONE_TIMES = 4  # reset timeouts for which one that may be gone comes last; the list tells of it meanwhile
--- a/elmglade/policy/inherit.py
+++ b/message_sender/policy/inherit.py
@@ -6,10 +6,10 @@
 
 from collections.abc import Iterable, Mapping
 
-from elmglade import interface as face
-from elmglade.policy.breaker import Breaker, Endpoint
-from elmglade.policy.endpoints import EndpointRegistry
-from elmglade.policy.pending import PendingQueue
+from message_sender import interface as face
+from message_sender.policy.breaker import Breaker, Endpoint
+from message_sender.policy.endpoints import EndpointRegistry
+from message_sender.policy.pending import PendingQueue
 
 BREAKER = (
     "calls", "cold_since", "failures", "full_since", "gap", "gap_changed", "known", "last_sent",
--- a/elmglade/policy/pending.py
+++ b/message_sender/policy/pending.py
@@ -8,10 +8,10 @@
 from bisect import insort
 from collections import OrderedDict
 
-from elmglade import interface as face
-from elmglade.policy.breaker import NEVER, RESET_TIMEOUT, Message
-from elmglade.policy.endpoints import EndpointRegistry
-from elmglade.policy.schedule import Destination, LoopState, worth
+from message_sender import interface as face
+from message_sender.policy.breaker import NEVER, RESET_TIMEOUT, Message
+from message_sender.policy.endpoints import EndpointRegistry
+from message_sender.policy.schedule import Destination, LoopState, worth
 
 ROUNDING = 1e-9  # of a message: a share that is whole but for the last bits of a float is whole
 CALL_SHARE = 1 / 8  # of the aim: guessed time of a call and its way
--- a/elmglade/policy/schedule.py
+++ b/message_sender/policy/schedule.py
@@ -16,8 +16,8 @@
 from heapq import heapify, heappop, heappush
 from typing import Generic, NamedTuple, TypeVar
 
-from elmglade.interface import Action, MessageClass, Settings
-from elmglade.policy.breaker import GAP_SENDERS, NEVER, Breaker, Endpoint, Message, Pace
+from message_sender.interface import Action, MessageClass, Settings
+from message_sender.policy.breaker import GAP_SENDERS, NEVER, Breaker, Endpoint, Message, Pace
 
 PASSED_OVER = 0.9  # guessed chance that a message passed over now is still served one aim later
 AT_HAND_AGAIN = 50_000  # us until a list at hand is asked for again: well within the grace of a drain
--- a/elmglade/recovery/begin.py
+++ b/message_sender/recovery/begin.py
@@ -4,11 +4,11 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from elmglade.interface import Settings
-from elmglade.journal.disk import Disk, Files
-from elmglade.journal.durable import DurableJournal
-from elmglade.recovery import trust
-from elmglade.recovery.trust import Ended, Start
+from message_sender.interface import Settings
+from message_sender.journal.disk import Disk, Files
+from message_sender.journal.durable import DurableJournal
+from message_sender.recovery import trust
+from message_sender.recovery.trust import Ended, Start
 
 BOOT = Path("/proc/sys/kernel/random/boot_id")
 
--- a/elmglade/recovery/coordinator.py
+++ b/message_sender/recovery/coordinator.py
@@ -14,13 +14,13 @@
 
 import msgspec
 
-from elmglade import interface as face
-from elmglade.fleet.members import State
-from elmglade.fleet.node import Node, Said
-from elmglade.interface import Outcome
-from elmglade.recovery.ids import Inquiry, Known
-from elmglade.recovery.ids import answer as answer_about
-from elmglade.recovery.stages import Leave, Seen, Stage, Stages, Word, spacing
+from message_sender import interface as face
+from message_sender.fleet.members import State
+from message_sender.fleet.node import Node, Said
+from message_sender.interface import Outcome
+from message_sender.recovery.ids import Inquiry, Known
+from message_sender.recovery.ids import answer as answer_about
+from message_sender.recovery.stages import Leave, Seen, Stage, Stages, Word, spacing
 
 TURN = 0.1  # s between two looks at what may go
 HOLD = 400_000  # us that a destination is held for, renewed each turn
--- a/elmglade/recovery/snapshot.py
+++ b/message_sender/recovery/snapshot.py
@@ -13,10 +13,10 @@
 from pathlib import Path
 from typing import Any
 
-from elmglade import interface as face
-from elmglade.journal import records
-from elmglade.journal.disk import Disk
-from elmglade.recovery.trust import Belief, Start
+from message_sender import interface as face
+from message_sender.journal import records
+from message_sender.journal.disk import Disk
+from message_sender.recovery.trust import Belief, Start
 
 FILE, FRESH = "learned", "learned.new"
 MOST = 4096  # breakers
--- a/elmglade/recovery/trust.py
+++ b/message_sender/recovery/trust.py
@@ -20,8 +20,8 @@
 from dataclasses import dataclass, replace
 from enum import Enum
 
-from elmglade.journal.contents import Before
-from elmglade.journal.file import Entry
+from message_sender.journal.contents import Before
+from message_sender.journal.file import Entry
 
 SECOND = 1_000_000  # us
 NEVER = float("inf")
--- a/elmglade/resource_tables.py
+++ b/message_sender/resource_tables.py
@@ -11,9 +11,9 @@
 
 from pydantic import PlainValidator, model_validator
 
-from elmglade import interface as face
-from elmglade.directory.static import Dial, Place
-from elmglade.tables import Table, within
+from message_sender import interface as face
+from message_sender.directory.static import Dial, Place
+from message_sender.tables import Table, within
 
 MS = 1000  # us
 MOST = 1e12  # of any figure without a bound of its own
--- a/elmglade/settings.py
+++ b/message_sender/settings.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-from elmglade import interface as face
+from message_sender import interface as face
 
 EFFECTS = {"repeatable": face.Effect.SAFE, "by_key": face.Effect.KEYED, "once": face.Effect.UNSAFE}
 
--- a/elmglade/start.py
+++ b/message_sender/start.py
@@ -10,15 +10,15 @@
 from pathlib import Path
 from typing import Any
 
-from elmglade.core.peer import describe
-from elmglade.handover.seat import Seat, inherited
-from elmglade.http.codec import Address, address_from
-from elmglade.http.daemon import Config, Sender
-from elmglade.http.platform import Listed
-from elmglade.http.succession import read
-from elmglade.manage.calls import Call, Reply
-from elmglade.manage.listener import Listener
-from elmglade.settings import settings_from
+from message_sender.core.peer import describe
+from message_sender.handover.seat import Seat, inherited
+from message_sender.http.codec import Address, address_from
+from message_sender.http.daemon import Config, Sender
+from message_sender.http.platform import Listed
+from message_sender.http.succession import read
+from message_sender.manage.calls import Call, Reply
+from message_sender.manage.listener import Listener
+from message_sender.settings import settings_from
 
 MEGABYTE = 1_000_000
 
@@ -140,9 +140,9 @@
     try:
         return asyncio.run(serve())
     except BadConfig as error:
-        print(f"elmglade: configuration: {error}", file=sys.stderr)
+        print(f"message-sender: configuration: {error}", file=sys.stderr)
     except OSError as error:
-        print(f"elmglade: {error}", file=sys.stderr)  # the state folder or the address to listen on
+        print(f"message-sender: {error}", file=sys.stderr)  # the state folder or the address to listen on
     except Exception as error:
-        print(f"elmglade: a defect: {describe(error, 'start')}", file=sys.stderr)
+        print(f"message-sender: a defect: {describe(error, 'start')}", file=sys.stderr)
     return 1
--- a/tests/captures.py
+++ b/tests/captures.py
@@ -4,10 +4,10 @@
 import struct
 from collections.abc import Sequence
 
-from elmglade.pcap.capture import Capture, Found
-from elmglade.pcap.files import Packet, Writer
-from elmglade.pcap.files import read as read_file
-from elmglade.pcap.writer import Conversation
+from message_sender.pcap.capture import Capture, Found
+from message_sender.pcap.files import Packet, Writer
+from message_sender.pcap.files import read as read_file
+from message_sender.pcap.writer import Conversation
 
 T0 = 1_790_000_000_123_456_789  # ns
 MS = 1_000_000  # ns
--- a/tests/compatibility/samples.py
+++ b/tests/compatibility/samples.py
@@ -16,38 +16,38 @@
 import click
 import msgspec
 
-from elmglade import interface as face
-from elmglade.budget.desk import Budget, Desk
-from elmglade.budget.told import status as budget_status
-from elmglade.cli import elmglade as command_table
-from elmglade.control import messages as control
-from elmglade.control.channel import Channel, KnownStart
-from elmglade.control.document import Document
-from elmglade.control.document_file import DocumentFile
-from elmglade.control.folder import Identity, StateFolder
-from elmglade.control.log_file import LogFile, make_batch
-from elmglade.control.raft import HardState
-from elmglade.core import explain, inventory
-from elmglade.core.engine import Handed
-from elmglade.core.ports import End, State
-from elmglade.directory.maintenance import Record
-from elmglade.directory.overrides import Book, Kind
-from elmglade.directory.store import Store
-from elmglade.fleet import wire as fleet
-from elmglade.fleet.seal import Seal
-from elmglade.grpc.route import from_metadata, pairs
-from elmglade.http.codec import Connection
-from elmglade.http.platform import Discovery, Listed
-from elmglade.http.server import Server
-from elmglade.http.succession import Succession, engine_text
-from elmglade.interface import Outcome
-from elmglade.journal.answers import Answers
-from elmglade.journal.disk import Files
-from elmglade.journal.durable import DurableJournal
-from elmglade.journal.file import Attempt, Journal
-from elmglade.manage.figures import Figures
-from elmglade.message import HandedIn
-from elmglade.recovery import ids, snapshot
+from message_sender import interface as face
+from message_sender.budget.desk import Budget, Desk
+from message_sender.budget.told import status as budget_status
+from message_sender.cli import root_command as command_table
+from message_sender.control import messages as control
+from message_sender.control.channel import Channel, KnownStart
+from message_sender.control.document import Document
+from message_sender.control.document_file import DocumentFile
+from message_sender.control.folder import Identity, StateFolder
+from message_sender.control.log_file import LogFile, make_batch
+from message_sender.control.raft import HardState
+from message_sender.core import explain, inventory
+from message_sender.core.engine import Handed
+from message_sender.core.ports import End, State
+from message_sender.directory.maintenance import Record
+from message_sender.directory.overrides import Book, Kind
+from message_sender.directory.store import Store
+from message_sender.fleet import wire as fleet
+from message_sender.fleet.seal import Seal
+from message_sender.grpc.route import from_metadata, pairs
+from message_sender.http.codec import Connection
+from message_sender.http.platform import Discovery, Listed
+from message_sender.http.server import Server
+from message_sender.http.succession import Succession, engine_text
+from message_sender.interface import Outcome
+from message_sender.journal.answers import Answers
+from message_sender.journal.disk import Files
+from message_sender.journal.durable import DurableJournal
+from message_sender.journal.file import Attempt, Journal
+from message_sender.manage.figures import Figures
+from message_sender.message import HandedIn
+from message_sender.recovery import ids, snapshot
 
 from helpers import SAFE, KEYED, World, endpoint  # isort: skip
 
@@ -457,7 +457,7 @@
 
 def client_answers() -> Sample:
     """What clients hear on a socket, by the request that they sent."""
-    from elmglade.core.ports import TurnedAway, Why
+    from message_sender.core.ports import TurnedAway, Why
 
     def take(taken: HandedIn, caller: object) -> None:
         rejections = {
--- a/tests/compatibility/test_compatibility.py
+++ b/tests/compatibility/test_compatibility.py
@@ -9,21 +9,21 @@
 
 from compatibility import samples
 from compatibility.samples import KEY, LIMIT_BYTES, RECORDED, SAMPLES, Sample
-from elmglade.control import messages as control
-from elmglade.control.document_file import DocumentFile
-from elmglade.control.folder import StateFolder
-from elmglade.control.log_file import LogFile
-from elmglade.directory.maintenance import Record
-from elmglade.directory.store import Store
-from elmglade.fleet.seal import Seal
-from elmglade.fleet.wire import decode
-from elmglade.http.succession import engine_from, read
-from elmglade.journal.answers import Answers
-from elmglade.journal.contents import Contents
-from elmglade.journal.disk import Files
-from elmglade.journal.file import Journal
-from elmglade.journal.inspected import Inspected
-from elmglade.recovery import ids, snapshot
+from message_sender.control import messages as control
+from message_sender.control.document_file import DocumentFile
+from message_sender.control.folder import StateFolder
+from message_sender.control.log_file import LogFile
+from message_sender.directory.maintenance import Record
+from message_sender.directory.store import Store
+from message_sender.fleet.seal import Seal
+from message_sender.fleet.wire import decode
+from message_sender.http.succession import engine_from, read
+from message_sender.journal.answers import Answers
+from message_sender.journal.contents import Contents
+from message_sender.journal.disk import Files
+from message_sender.journal.file import Journal
+from message_sender.journal.inspected import Inspected
+from message_sender.recovery import ids, snapshot
 
 
 @pytest.mark.parametrize("make", SAMPLES, ids=lambda make: make.__name__)
--- a/tests/compatibility/test_decisions.py
+++ b/tests/compatibility/test_decisions.py
@@ -13,10 +13,11 @@
 
 import pytest
 
-from elmglade import Dispatcher
-from elmglade import interface as face
-from elmglade.cli.emulate import played, scenario_of
-from elmglade.lab import stream
+from message_sender import Dispatcher
+from message_sender import interface as face
+from message_sender.cli.emulate import played, scenario_of
+from message_sender.emulator.policies import OWN_POLICY
+from message_sender.lab import stream
 
 SCENARIOS = Path(__file__).parents[2] / "scenarios"
 DIGESTS = json.loads((Path(__file__).parent / "digests.json").read_text())
@@ -57,7 +58,7 @@
 def scenario_digest(name: str) -> str:
     """A digest of all figures of a scenario at its own seed."""
     scenario = scenario_of(SCENARIOS / f"{name}.toml", ())
-    outcomes = played(scenario, scenario.seed, "elmglade")
+    outcomes = played(scenario, scenario.seed, OWN_POLICY)
     return hashlib.sha256(json.dumps(outcomes.as_json(), sort_keys=True).encode()).hexdigest()
 
 
--- a/tests/conformance/host.py
+++ b/tests/conformance/host.py
@@ -5,7 +5,7 @@
 import sys
 from pathlib import Path
 
-from elmglade.grpc import open_channel
+from message_sender.grpc import open_channel
 
 CLASSES = {
     "keyed": {"effect": "keyed", "window_ms": 8000, "in_order": True},
--- a/tests/conformance/sides.py
+++ b/tests/conformance/sides.py
@@ -11,16 +11,16 @@
 
 import grpc
 
-from elmglade import config
-from elmglade.core.ports import End
-from elmglade.emulator.life import kinds
-from elmglade.grpc import Channel, open_channel
-from elmglade.http.serve import LineTeller, PlainSender
-from elmglade.lab.grpc import GrpcEndpoint
-from elmglade.lab.history import Ended, History, Refused, Restarted, Taken
-from elmglade.lab.http import HttpClient, HttpEndpoint
-from elmglade.lab.referee import Breach, Referee, Rules
-from elmglade.lab.script import Act, Script
+from message_sender import config
+from message_sender.core.ports import End
+from message_sender.emulator.life import kinds
+from message_sender.grpc import Channel, open_channel
+from message_sender.http.serve import LineTeller, PlainSender
+from message_sender.lab.grpc import GrpcEndpoint
+from message_sender.lab.history import Ended, History, Refused, Restarted, Taken
+from message_sender.lab.http import HttpClient, HttpEndpoint
+from message_sender.lab.referee import Breach, Referee, Rules
+from message_sender.lab.script import Act, Script
 
 PATIENCE = 15.0  # s; only a failing test waits so long
 DEADLINE, WINDOW, QUIET = 6.0, 4.0, 0.1  # s
--- a/tests/conformance/test_captured.py
+++ b/tests/conformance/test_captured.py
@@ -8,10 +8,10 @@
 
 from conformance.sides import PATIENCE, SIDES, DaemonSide, Message
 from conformance.test_generated import Plan, plan
-from elmglade.pcap.capture import Found, requests
-from elmglade.pcap.replay import HttpLine, Replay
-from elmglade.pcap.replay import plan as planned
-from elmglade.pcap.tap import Tap
+from message_sender.pcap.capture import Found, requests
+from message_sender.pcap.replay import HttpLine, Replay
+from message_sender.pcap.replay import plan as planned
+from message_sender.pcap.tap import Tap
 
 SEEDS = (3, 5, 8, 21)  # plans without a restart, of all kinds
 
--- a/tests/conformance/test_figures.py
+++ b/tests/conformance/test_figures.py
@@ -8,9 +8,9 @@
 from peers import Platform as Discovery
 from peers import Running, answer_notices, call, config_json, host, play
 
-from elmglade.lab.history import Began, Ended, History
-from elmglade.lab.http import HttpClient, HttpEndpoint
-from elmglade.lab.script import Act, Does, Script
+from message_sender.lab.history import Began, Ended, History
+from message_sender.lab.http import HttpClient, HttpEndpoint
+from message_sender.lab.script import Act, Does, Script
 
 MESSAGES = 30
 TIME_LEFT = 1.5  # s
--- a/tests/conformance/test_generated.py
+++ b/tests/conformance/test_generated.py
@@ -11,7 +11,7 @@
 from faults import until
 
 from conformance.sides import PATIENCE, SIDES, Message, Result, Side
-from elmglade.lab.script import Act, Does
+from message_sender.lab.script import Act, Does
 
 SEEDS = 240
 AT_ONCE = 20  # histories that run side by side in one loop, each with a sender of its own
--- a/tests/conformance/test_killed_daemon.py
+++ b/tests/conformance/test_killed_daemon.py
@@ -17,11 +17,11 @@
 import pytest
 
 from conformance.sides import PATIENCE
-from elmglade.interface import Effect
-from elmglade.lab.history import Ended, History, Restarted, Taken
-from elmglade.lab.http import HttpClient, HttpEndpoint
-from elmglade.lab.referee import Kind, Referee, Rules
-from elmglade.lab.script import Act, Does, Script
+from message_sender.interface import Effect
+from message_sender.lab.history import Ended, History, Restarted, Taken
+from message_sender.lab.http import HttpClient, HttpEndpoint
+from message_sender.lab.referee import Kind, Referee, Rules
+from message_sender.lab.script import Act, Does, Script
 
 ROOT = Path(__file__).parent.parent.parent
 CLASSES = {
@@ -57,7 +57,7 @@
         words = ["serve", "--config", str(self.file), "--state", str(self.folder / "state")]
         pipe = asyncio.subprocess.PIPE
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "elmglade", *words, cwd=ROOT, stdout=pipe, stderr=pipe
+            sys.executable, "-m", "message_sender", *words, cwd=ROOT, stdout=pipe, stderr=pipe
         )
         self.reader = asyncio.create_task(self.read(self.process.stdout))
         assert self.process.stderr is not None
--- a/tests/conformance/test_plugin.py
+++ b/tests/conformance/test_plugin.py
@@ -15,17 +15,17 @@
 import pytest
 
 from conformance.sides import METHOD, PATIENCE, PluginSide
-from elmglade.core.ports import Answer, State
-from elmglade.grpc import BadRouteError, open_channel
-from elmglade.grpc.courier import ENFORCED, OPTIONS, GrpcCourier
-from elmglade.grpc.fates import FINAL, MAY_BE_TURNED_AWAY, MAY_HAVE_RUN, fate
-from elmglade.grpc.retry import retry_after, trailers
-from elmglade.grpc.route import pairs, unpaired
-from elmglade.interface import NEVER_RAN, Outcome
-from elmglade.journal.lock import LockTakenError
-from elmglade.lab.grpc import GrpcEndpoint
-from elmglade.lab.history import Began, History, Over
-from elmglade.lab.script import Act, Does, Script
+from message_sender.core.ports import Answer, State
+from message_sender.grpc import BadRouteError, open_channel
+from message_sender.grpc.courier import ENFORCED, OPTIONS, GrpcCourier
+from message_sender.grpc.fates import FINAL, MAY_BE_TURNED_AWAY, MAY_HAVE_RUN, fate
+from message_sender.grpc.retry import retry_after, trailers
+from message_sender.grpc.route import pairs, unpaired
+from message_sender.interface import NEVER_RAN, Outcome
+from message_sender.journal.lock import LockTakenError
+from message_sender.lab.grpc import GrpcEndpoint
+from message_sender.lab.history import Began, History, Over
+from message_sender.lab.script import Act, Does, Script
 
 Code = grpc.StatusCode
 STALL, SERVE, RESET = Act(Does.STALL), Act(Does.SERVE), Act(Does.RESET)
--- a/tests/conformance/test_replaced.py
+++ b/tests/conformance/test_replaced.py
@@ -9,11 +9,11 @@
 from peers import answer_notices, config_json, host, play
 from successors import Platform, Process
 
-from elmglade.interface import Effect
-from elmglade.lab.history import Began, Ended, Event, History, Over, Ran, Restarted, Taken
-from elmglade.lab.http import HttpClient, HttpEndpoint
-from elmglade.lab.referee import Kind, Referee, Rules
-from elmglade.lab.script import Act, Does, Script
+from message_sender.interface import Effect
+from message_sender.lab.history import Began, Ended, Event, History, Over, Ran, Restarted, Taken
+from message_sender.lab.http import HttpClient, HttpEndpoint
+from message_sender.lab.referee import Kind, Referee, Rules
+from message_sender.lab.script import Act, Does, Script
 
 DEADLINE = 8.0  # s
 WINDOW = 5.0
--- a/tests/conformance/test_scenarios.py
+++ b/tests/conformance/test_scenarios.py
@@ -8,7 +8,7 @@
 import pytest
 
 from conformance.sides import PATIENCE, SIDES, Message, Side
-from elmglade.lab.script import Act, Does
+from message_sender.lab.script import Act, Does
 
 ERROR, RESET = Act(Does.ERROR), Act(Does.RESET)
 FULL, WAIT = Act(Does.FULL), Act(Does.FULL, 0.2)
--- a/tests/crowds.py
+++ b/tests/crowds.py
@@ -7,9 +7,9 @@
 
 from helpers import MS, SECOND, endpoint, settings
 
-from elmglade import Dispatcher
-from elmglade import interface as face
-from elmglade.interface import Outcome
+from message_sender import Dispatcher
+from message_sender import interface as face
+from message_sender.interface import Outcome
 
 TRIP = 25 * MS  # one way
 Due = tuple[int, int, int, face.Event]
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,7 +1,7 @@
 """Small hand-written worlds for the module's tests."""
 
-from elmglade import Dispatcher
-from elmglade import interface as face
+from message_sender import Dispatcher
+from message_sender import interface as face
 
 MS = 1_000
 SECOND = 1_000_000
--- a/tests/killed.py
+++ b/tests/killed.py
@@ -9,7 +9,7 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
-from elmglade.handover.link import Link, Packet
+from message_sender.handover.link import Link, Packet
 
 WHEN, _, STEP = sys.argv[1].partition(" ")
 send = Link.send
@@ -24,5 +24,5 @@
 
 
 Link.send = send_and_die  # type: ignore[method-assign]
-sys.argv = ["elmglade"]
-runpy.run_module("elmglade", run_name="__main__")
+sys.argv = ["message_sender"]
+runpy.run_module("message_sender", run_name="__main__")
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -10,11 +10,11 @@
 from faults import turn
 from helpers import ENV
 
-from elmglade.http.codec import Address
-from elmglade.http.daemon import Sender
-from elmglade.http.server import Server
-from elmglade.message import HandedIn
-from elmglade.start import config_from
+from message_sender.http.codec import Address
+from message_sender.http.daemon import Sender
+from message_sender.http.server import Server
+from message_sender.message import HandedIn
+from message_sender.start import config_from
 
 PATIENCE = 4.0  # s; only a failing test waits so long
 READY = b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"
--- a/tests/raft_model.py
+++ b/tests/raft_model.py
@@ -17,8 +17,8 @@
 from random import Random
 from typing import NamedTuple
 
-from elmglade.control.log import ReplicatedLog
-from elmglade.control.messages import (
+from message_sender.control.log import ReplicatedLog
+from message_sender.control.messages import (
     AppendReply,
     AppendRequest,
     LogEntry,
@@ -27,8 +27,8 @@
     VoteReply,
     VoteRequest,
 )
-from elmglade.control.progress import Progress
-from elmglade.control.replica import HardState, Ready, Replica, ReplicaInvariantError, Role
+from message_sender.control.progress import Progress
+from message_sender.control.replica import HardState, Ready, Replica, ReplicaInvariantError, Role
 
 NOW = 0.0  # time stands still
 NO_HARD_STATE = HardState()
--- a/tests/successors.py
+++ b/tests/successors.py
@@ -76,7 +76,7 @@
             "BALANCER_STATE": str(self.state),
             "BALANCER_SOCKET_FD": number or str(fd),
         }
-        words = [KILLED, killed] if killed else ["-m", "elmglade"]
+        words = [KILLED, killed] if killed else ["-m", "message_sender"]
         found = await asyncio.create_subprocess_exec(
             sys.executable, *words, cwd=ROOT, env=environment, pass_fds=(fd,), stderr=asyncio.subprocess.PIPE
         )
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -9,7 +9,7 @@
 import pytest
 from helpers import ENV
 
-from elmglade.adapter import Adapter, WireError
+from message_sender.adapter import Adapter, WireError
 
 ROOT = Path(__file__).parent.parent
 START = [
@@ -72,7 +72,7 @@
 def test_same_replies_whatever_the_hash_seed_and_the_process_ends_well() -> None:
     runs = [
         subprocess.run(
-            [sys.executable, "-m", "elmglade.adapter"],
+            [sys.executable, "-m", "message_sender.adapter"],
             input="\n".join(START) + "\n",
             capture_output=True,
             text=True,
@@ -86,6 +86,6 @@
 
 
 def test_malformed_input_ends_the_process_with_one_plain_line() -> None:
-    command = [sys.executable, "-m", "elmglade.adapter"]
+    command = [sys.executable, "-m", "message_sender.adapter"]
     done = subprocess.run(command, input="hello\n", capture_output=True, text=True, cwd=ROOT)
     assert done.returncode != 0 and done.stdout == "" and len(done.stderr.splitlines()) == 1
--- a/tests/test_arrows.py
+++ b/tests/test_arrows.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-ROOT = Path(__file__).parent.parent / "elmglade"
+ROOT = Path(__file__).parent.parent / "message_sender"
 #: What each part may import of the package, besides itself; the parts above are not in any of these.
 BASE = {"files", "interface", "message"}
 FLEET = {"budget", "journal", "recovery", "fleet"}  # of a sender of our own, imported where it is asked for
@@ -96,7 +96,7 @@
             names = [each.name for each in node.names]
         for name in names:
             top, _, rest = name.partition(".")
-            if top == "elmglade" and rest:
+            if top == "message_sender" and rest:
                 found.add(part_of(rest.split(".")))
     return found
 
@@ -111,14 +111,14 @@
     """The modules of the package that a file names in its imports, also those for types alone."""
     found = set()
     for node in ast.walk(ast.parse(file.read_text())):
-        if isinstance(node, ast.ImportFrom) and node.module and node.module.startswith("elmglade"):
+        if isinstance(node, ast.ImportFrom) and node.module and node.module.startswith("message_sender"):
             found |= {node.module, *(f"{node.module}.{each.name}" for each in node.names)}
     return found
 
 
 def test_no_module_is_in_a_circle_of_imports() -> None:
     files = {file.relative_to(ROOT).with_suffix("").parts: file for file in ROOT.rglob("*.py")}
-    names = {".".join(("elmglade", *parts)): file for parts, file in files.items()}
+    names = {".".join(("message_sender", *parts)): file for parts, file in files.items()}
     known = {name: (modules(file) & names.keys()) - {name} for name, file in names.items()}
     while free := {name for name, below in known.items() if not below & known.keys()}:
         known = {name: below for name, below in known.items() if name not in free}
@@ -138,8 +138,10 @@
 
 @pytest.mark.parametrize("module", ["__main__", "start", "http.daemon", "adapter"])
 def test_the_daemon_imports_no_extra_and_nothing_of_the_control_plane(module: str) -> None:
-    found = f"{EXTRAS} & set(sys.modules) | {{name for name in sys.modules if 'elmglade.control' in name}}"
-    code = f"import sys, elmglade.{module}; print(sorted({found}))"
+    found = (
+        f"{EXTRAS} & set(sys.modules) | {{name for name in sys.modules if 'message_sender.control' in name}}"
+    )
+    code = f"import sys, message_sender.{module}; print(sorted({found}))"
     words = [sys.executable, "-c", code]
     out = subprocess.run(words, cwd=ROOT.parent, capture_output=True, check=True, text=True)
     assert out.stdout.strip() == "[]"
--- a/tests/test_backlog.py
+++ b/tests/test_backlog.py
@@ -10,8 +10,8 @@
 from hypothesis import strategies as st
 from peers import Held, World, message, play, read_reply
 
-from elmglade.admission.backlog import LEAST, MOST, SOONEST, SPAN, Backlog
-from elmglade.http.server import ACCEPTS, ACCEPTS_FREE
+from message_sender.admission.backlog import LEAST, MOST, SOONEST, SPAN, Backlog
+from message_sender.http.server import ACCEPTS, ACCEPTS_FREE
 
 STEPS = st.lists(st.tuples(st.sampled_from(["came", "read", "pass"]), st.floats(0, 0.1)), max_size=300)
 
@@ -152,7 +152,7 @@
     async with World(state) as world:
         server = world.sender.server
         with pytest.MonkeyPatch.context() as patch:
-            patch.setattr("elmglade.admission.backlog.MOST", 1e9)
+            patch.setattr("message_sender.admission.backlog.MOST", 1e9)
             for most, status in ((server.backlog.many - 1, 202), (server.backlog.many, 503)):
                 while len(server.backlog.waiting) < most:
                     server.backlog.came(server.loop.time() - 1.5 * LEAST)
--- a/tests/test_breaker.py
+++ b/tests/test_breaker.py
@@ -5,9 +5,9 @@
 import pytest
 from helpers import MS, SECOND, World, ended, endpoint, sent
 
-from elmglade import interface as face
-from elmglade.interface import Outcome
-from elmglade.policy.breaker import FAILURE_THRESHOLD, RESET_TIMEOUT
+from message_sender import interface as face
+from message_sender.interface import Outcome
+from message_sender.policy.breaker import FAILURE_THRESHOLD, RESET_TIMEOUT
 
 
 def test_opens_at_the_threshold_and_holds() -> None:
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -10,9 +10,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from elmglade.budget import lease
-from elmglade.budget.lease import Kind, Member, Terms, Word
-from elmglade.emulator.explore import Limits, explore, quiet
+from message_sender.budget import lease
+from message_sender.budget.lease import Kind, Member, Terms, Word
+from message_sender.emulator.explore import Limits, explore, quiet
 
 TWO = Terms(whole=1, size=2, lease=1, term=2, margin=1)
 STATES = int(os.environ.get("BUDGET_STATES", "40000"))  # the rest on request
@@ -73,7 +73,7 @@
         ("is_rested", lambda member, terms: True, SPENT, Limits(words=1, restarts=1, lags=0)),
         ("longest", lambda terms: terms.lease + terms.margin, SPENT, Limits(words=1, restarts=0, lags=1)),
         (
-            "elmglade.emulator.explore.in_use",
+            "message_sender.emulator.explore.in_use",
             lambda world, number, terms: False,
             SPENT._replace(whole=2),
             Limits(words=1, restarts=0, lags=0),
@@ -85,7 +85,7 @@
             Limits(words=1, restarts=0),
         ),
         (
-            "elmglade.emulator.explore.told_terms",
+            "message_sender.emulator.explore.told_terms",
             lambda world, terms: terms,
             TWO._replace(whole=2),
             Limits(words=1, restarts=0, lags=0, falls=True),
@@ -114,7 +114,9 @@
     what: str, defect: Callable[..., Any], terms: Terms, limits: Limits, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     if what:
-        monkeypatch.setattr(what if what.startswith("elmglade.") else f"elmglade.budget.lease.{what}", defect)
+        monkeypatch.setattr(
+            what if what.startswith("message_sender.") else f"message_sender.budget.lease.{what}", defect
+        )
     found = explore(terms, limits)
     assert found.trace and found.trace[0] == "all have been up for long"
     print("\n".join(found.trace))
--- a/tests/test_budgeted.py
+++ b/tests/test_budgeted.py
@@ -14,10 +14,10 @@
 
 from click.testing import CliRunner
 
-from elmglade.cli import fleet as command
-from elmglade.directory.control import ask
-from elmglade.lab.cluster import Cluster, Fault, Hub, HubApart, Nursery
-from elmglade.lab.history import most_in
+from message_sender.cli import fleet as command
+from message_sender.directory.control import ask
+from message_sender.lab.cluster import Cluster, Fault, Hub, HubApart, Nursery
+from message_sender.lab.history import most_in
 
 SEEDS = int(os.environ.get("BUDGET_SEEDS", "20"))
 WHOLE, SPAN = 20, 0.5  # calls, s
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -12,12 +12,12 @@
 from faults import turn
 from peers import Peer, handed_in, play, soon
 
-from elmglade.core.ports import Answer
-from elmglade.http import client as module
-from elmglade.http import codec as http
-from elmglade.http.client import HttpTransport, answer_from
-from elmglade.http.codec import Address, Connection
-from elmglade.interface import NEVER_RAN, Outcome
+from message_sender.core.ports import Answer
+from message_sender.http import client as module
+from message_sender.http import codec as http
+from message_sender.http.client import HttpTransport, answer_from
+from message_sender.http.codec import Address, Connection
+from message_sender.interface import NEVER_RAN, Outcome
 
 ANSWERS = [
     ("200", (), Answer(Outcome.OK, finished=True)),
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -11,9 +11,9 @@
 from peers import READY, World, ask, message, play, read_reply, soon
 from test_server import serving
 
-from elmglade.handover.drain import GRACE
-from elmglade.http.closing import IDLE_LIMIT, LINGER, READ_LIMIT, Event, State, Step, decide, limit
-from elmglade.http.server import Server
+from message_sender.handover.drain import GRACE
+from message_sender.http.closing import IDLE_LIMIT, LINGER, READ_LIMIT, Event, State, Step, decide, limit
+from message_sender.http.server import Server
 
 
 @pytest.mark.parametrize(("state", "event", "busy"), list(product(State, Event, (False, True))))
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -12,12 +12,12 @@
 
 import pytest
 
-from elmglade.directory.control import ask
-from elmglade.interface import Effect
-from elmglade.lab.cluster import Cluster, Fault, Hub, Member, Nursery, faults
-from elmglade.lab.referee import Kind, Rules
-from elmglade.recovery import snapshot
-from elmglade.recovery.stages import TRIAL
+from message_sender.directory.control import ask
+from message_sender.interface import Effect
+from message_sender.lab.cluster import Cluster, Fault, Hub, Member, Nursery, faults
+from message_sender.lab.referee import Kind, Rules
+from message_sender.recovery import snapshot
+from message_sender.recovery.stages import TRIAL
 
 POWER = Path(__file__).parent.parent / "scenarios" / "power"
 RATE = 60  # calls a second that a hub takes
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from elmglade import interface as face
-from elmglade.cli import main
-from elmglade.config import ConfigError, load, read
+from message_sender import interface as face
+from message_sender.cli import main
+from message_sender.config import ConfigError, load, read
 
 GOOD: dict[str, Any] = {
     "name": "n",
@@ -213,8 +213,8 @@
 def test_a_demo_with_a_broken_rule_ends_with_1(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    from elmglade.lab import demo
-    from elmglade.lab.referee import Breach
+    from message_sender.lab import demo
+    from message_sender.lab.referee import Breach
 
     async def broken(self: object, show: object) -> list[Breach]:
         return [Breach("order", 1.0, "forged")]
--- a/tests/test_control_channel.py
+++ b/tests/test_control_channel.py
@@ -6,11 +6,11 @@
 
 import pytest
 
-from elmglade.control import channel as channel_module
-from elmglade.control.channel import BodyTooLargeError, Channel, KnownStart, Refusal
-from elmglade.control.messages import Address, Body, Hello, LogEntry, Poll, StatusRequest
-from elmglade.control.messages import AppendRequest as Append
-from elmglade.fleet.seal import MOST, Seal
+from message_sender.control import channel as channel_module
+from message_sender.control.channel import BodyTooLargeError, Channel, KnownStart, Refusal
+from message_sender.control.messages import Address, Body, Hello, LogEntry, Poll, StatusRequest
+from message_sender.control.messages import AppendRequest as Append
+from message_sender.fleet.seal import MOST, Seal
 
 KEY = bytes(range(32))
 ADDRESSES: Mapping[str, Address] = {f"c{number}": ("10.0.0.1", 7000 + number) for number in range(3)}
--- a/tests/test_control_chaos.py
+++ b/tests/test_control_chaos.py
@@ -27,10 +27,10 @@
 )
 from watching import BAD, RecordingApplier, copy_of
 
-from elmglade.control import fetch
-from elmglade.control.document import DeltaMismatchError, Document, Snapshot, SnapshotError
-from elmglade.control.fanout import Fanout
-from elmglade.control.messages import (
+from message_sender.control import fetch
+from message_sender.control.document import DeltaMismatchError, Document, Snapshot, SnapshotError
+from message_sender.control.fanout import Fanout
+from message_sender.control.messages import (
     Change,
     ChangeResult,
     Delta,
@@ -43,8 +43,8 @@
     VersionNotice,
     WatchMessage,
 )
-from elmglade.control.store import ConfigurationStore, encode_change
-from elmglade.control.watch import ControlNodeAddress, RefusedConfigurationError, Watch
+from message_sender.control.store import ConfigurationStore, encode_change
+from message_sender.control.watch import ControlNodeAddress, RefusedConfigurationError, Watch
 
 NODES = tuple(ControlNodeAddress(name, ("127.0.0.1", 1), "north") for name in ("c1", "c2"))
 SENDERS = ("s1", "s2")
--- a/tests/test_control_cli.py
+++ b/tests/test_control_cli.py
@@ -1,4 +1,4 @@
-"""`elmglade control`, against a stub of a control node's socket."""
+"""`message-sender control`, against a stub of a control node's socket."""
 
 import asyncio
 import contextlib
@@ -10,11 +10,11 @@
 
 import pytest
 
-from elmglade.cli import control as command
-from elmglade.cli import control_change, main
-from elmglade.cli.control_status import overview
-from elmglade.control import schema
-from elmglade.directory.control import AskedBadlyError, Control
+from message_sender.cli import control as command
+from message_sender.cli import control_change, main
+from message_sender.cli.control_status import overview
+from message_sender.control import schema
+from message_sender.directory.control import AskedBadlyError, Control
 
 FLEET = """
 [[endpoints]]
@@ -103,7 +103,7 @@
 
 @pytest.fixture
 def run(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> Callable[..., tuple[int, str]]:
-    """`elmglade control NAME STATE ...`: the exit code, and all that it wrote."""
+    """`message-sender control NAME STATE ...`: the exit code, and all that it wrote."""
 
     def run(name: str, *words: str) -> tuple[int, str]:
         code = main(["control", name, str(tmp_path), *words])
@@ -330,4 +330,4 @@
 def test_the_help_has_examples(capsys: pytest.CaptureFixture[str]) -> None:
     for name in ("serve", "init", "set", "get", "status"):
         assert main(["control", name, "--help"]) == 0
-        assert f"elmglade control {name} " in capsys.readouterr().out
+        assert f"message-sender control {name} " in capsys.readouterr().out
--- a/tests/test_control_configuration.py
+++ b/tests/test_control_configuration.py
@@ -5,13 +5,13 @@
 
 import pytest
 
-from elmglade.config import General, Shared, read
-from elmglade.control import schema
-from elmglade.control.document import Document
-from elmglade.control.messages import Delta, Resource
-from elmglade.control.watch import RefusedConfigurationError
-from elmglade.http.configuration import IN_FORCE_FILE, NEXT_START_FILE, SenderConfiguration
-from elmglade.journal.disk import Files
+from message_sender.config import General, Shared, read
+from message_sender.control import schema
+from message_sender.control.document import Document
+from message_sender.control.messages import Delta, Resource
+from message_sender.control.watch import RefusedConfigurationError
+from message_sender.http.configuration import IN_FORCE_FILE, NEXT_START_FILE, SenderConfiguration
+from message_sender.journal.disk import Files
 
 OWN: dict[str, Any] = {
     "name": "n1",
--- a/tests/test_control_fanout.py
+++ b/tests/test_control_fanout.py
@@ -4,8 +4,8 @@
 
 from watching import ChangedStore
 
-from elmglade.control.document import Document, encode_snapshot
-from elmglade.control.fanout import (
+from message_sender.control.document import Document, encode_snapshot
+from message_sender.control.fanout import (
     BURST_BYTES,
     DELTA_RESERVE_BYTES,
     RETRY_AFTER_LIMIT,
@@ -13,8 +13,8 @@
     ByteBudget,
     Fanout,
 )
-from elmglade.control.fetch import SNAPSHOT_WINDOW
-from elmglade.control.messages import (
+from message_sender.control.fetch import SNAPSHOT_WINDOW
+from message_sender.control.messages import (
     CHUNK_BYTES,
     Delta,
     Poll,
--- a/tests/test_control_fleet.py
+++ b/tests/test_control_fleet.py
@@ -21,8 +21,8 @@
 from pathlib import Path
 from typing import Any
 
-from elmglade.lab.cluster import PATIENCE
-from elmglade.lab.control_cluster import ControlCluster
+from message_sender.lab.cluster import PATIENCE
+from message_sender.lab.control_cluster import ControlCluster
 
 IN_FORCE_WITHIN_S = 4.0  # the operators' allowance
 OBSERVE_INTERVAL_S = 0.1
--- a/tests/test_control_link.py
+++ b/tests/test_control_link.py
@@ -14,20 +14,20 @@
 from peers import play
 from watching import ChangedStore
 
-from elmglade.config import load
-from elmglade.control import schema
-from elmglade.control.channel import Channel
-from elmglade.control.fanout import Fanout
-from elmglade.control.messages import Poll, SnapshotRequest, WatcherStatus
-from elmglade.core.ports import End, State
-from elmglade.fleet.seal import Seal
-from elmglade.http import control
-from elmglade.http.configuration import IN_FORCE_FILE
-from elmglade.http.serve import LineTeller, PlainSender
-from elmglade.lab.history import History
-from elmglade.lab.http import HttpClient, HttpEndpoint
-from elmglade.lab.running import running
-from elmglade.lab.script import Script
+from message_sender.config import load
+from message_sender.control import schema
+from message_sender.control.channel import Channel
+from message_sender.control.fanout import Fanout
+from message_sender.control.messages import Poll, SnapshotRequest, WatcherStatus
+from message_sender.core.ports import End, State
+from message_sender.fleet.seal import Seal
+from message_sender.http import control
+from message_sender.http.configuration import IN_FORCE_FILE
+from message_sender.http.serve import LineTeller, PlainSender
+from message_sender.lab.history import History
+from message_sender.lab.http import HttpClient, HttpEndpoint
+from message_sender.lab.running import running
+from message_sender.lab.script import Script
 
 PATIENCE_S = 10.0  # only a failing test waits so long
 KEY = bytes(32)
--- a/tests/test_control_live.py
+++ b/tests/test_control_live.py
@@ -15,11 +15,11 @@
 
 from peers import play
 
-from elmglade.cli import main
-from elmglade.directory.control import ask
-from elmglade.lab.history import History
-from elmglade.lab.http import HttpClient, HttpEndpoint
-from elmglade.lab.script import Act, Script
+from message_sender.cli import main
+from message_sender.directory.control import ask
+from message_sender.lab.history import History
+from message_sender.lab.http import HttpClient, HttpEndpoint
+from message_sender.lab.script import Act, Script
 
 PATIENCE_S = 20.0  # only a failing test waits so long
 HOST = "127.0.0.1"
@@ -51,7 +51,7 @@
     @classmethod
     async def start(cls, *words: str) -> "Process":
         pipe = asyncio.subprocess.PIPE
-        words = (sys.executable, "-m", "elmglade", *words)
+        words = (sys.executable, "-m", "message_sender", *words)
         return cls(await asyncio.create_subprocess_exec(*words, stderr=pipe, stdout=pipe))
 
     async def logged(self, form: str) -> re.Match[str]:
@@ -113,7 +113,7 @@
         return self.write("sender.toml", SENDER + self.listed())
 
     async def run(self, *words: str) -> tuple[int, str]:
-        """`elmglade control ...`: the exit code and what it wrote."""
+        """`message-sender control ...`: the exit code and what it wrote."""
 
         def run() -> tuple[int, str]:
             out = io.StringIO()
--- a/tests/test_control_log_file.py
+++ b/tests/test_control_log_file.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from elmglade.control.log_file import (
+from message_sender.control.log_file import (
     LOG_FILE,
     MAGIC,
     LoadedLog,
@@ -14,9 +14,9 @@
     make_batch,
     read_log,
 )
-from elmglade.control.messages import LogEntry
-from elmglade.control.raft import HardState
-from elmglade.lab.forgetful import MemoryDisk, Platter
+from message_sender.control.messages import LogEntry
+from message_sender.control.raft import HardState
+from message_sender.lab.forgetful import MemoryDisk, Platter
 
 FOLDER = Path("state")
 
--- a/tests/test_control_node.py
+++ b/tests/test_control_node.py
@@ -14,13 +14,13 @@
 
 import pytest
 
-from elmglade.control import messages
-from elmglade.control.channel import Channel, KnownStart
-from elmglade.control.configuration import NodeConfiguration
-from elmglade.control.document import Document
-from elmglade.control.folder import FolderError, Identity, StateFolder
-from elmglade.control.log_file import LogFile
-from elmglade.control.messages import (
+from message_sender.control import messages
+from message_sender.control.channel import Channel, KnownStart
+from message_sender.control.configuration import NodeConfiguration
+from message_sender.control.document import Document
+from message_sender.control.folder import FolderError, Identity, StateFolder
+from message_sender.control.log_file import LogFile
+from message_sender.control.messages import (
     Address,
     Change,
     ChangeResult,
@@ -30,17 +30,17 @@
     Resource,
     TimeoutNow,
 )
-from elmglade.control.node import ControlNode
-from elmglade.control.process import build_node
-from elmglade.control.raft import HardState, Role
-from elmglade.control.replica import ELECTION_TIMEOUT_LEAST_S, Replica
-from elmglade.control.requests import ChangeRequests
-from elmglade.control.store import ConfigurationStore
-from elmglade.control.udp import FolderNotes, NodeDriver
-from elmglade.control.watch import ControlNodeAddress, Watch
-from elmglade.emulator.loop import VirtualLoop
-from elmglade.fleet.seal import Seal
-from elmglade.lab.forgetful import MemoryDisk, Platter
+from message_sender.control.node import ControlNode
+from message_sender.control.process import build_node
+from message_sender.control.raft import HardState, Role
+from message_sender.control.replica import ELECTION_TIMEOUT_LEAST_S, Replica
+from message_sender.control.requests import ChangeRequests
+from message_sender.control.store import ConfigurationStore
+from message_sender.control.udp import FolderNotes, NodeDriver
+from message_sender.control.watch import ControlNodeAddress, Watch
+from message_sender.emulator.loop import VirtualLoop
+from message_sender.fleet.seal import Seal
+from message_sender.lab.forgetful import MemoryDisk, Platter
 
 KEY = bytes(32)
 VOTES = {"c1": 2, "c2": 1, "c3": 1, "c4": 1}
--- a/tests/test_control_raft_rules.py
+++ b/tests/test_control_raft_rules.py
@@ -5,9 +5,9 @@
 
 import pytest
 
-from elmglade.control import leadership
-from elmglade.control.log import ReplicatedLog
-from elmglade.control.messages import (
+from message_sender.control import leadership
+from message_sender.control.log import ReplicatedLog
+from message_sender.control.messages import (
     AppendReply,
     AppendRequest,
     LogEntry,
@@ -15,9 +15,9 @@
     VoteReply,
     VoteRequest,
 )
-from elmglade.control.progress import IN_FLIGHT_REQUESTS_LIMIT
-from elmglade.control.quorum import Quorum
-from elmglade.control.replica import (
+from message_sender.control.progress import IN_FLIGHT_REQUESTS_LIMIT
+from message_sender.control.quorum import Quorum
+from message_sender.control.replica import (
     ELECTION_TIMEOUT_LEAST_S,
     ELECTION_TIMEOUT_MOST_S,
     HEARTBEAT_INTERVAL_S,
--- a/tests/test_control_replica.py
+++ b/tests/test_control_replica.py
@@ -10,12 +10,12 @@
 from raft_model import Disk, Result, ViolationError, World, explore, one_entry_a_batch
 from raft_simulation import HEALED_LIMIT_S, simulate
 
-from elmglade.control.leadership import Leadership
-from elmglade.control.log import ReplicatedLog
-from elmglade.control.messages import LogEntry, VoteRequest
-from elmglade.control.progress import Progress
-from elmglade.control.quorum import Quorum
-from elmglade.control.replica import HardState, Replica
+from message_sender.control.leadership import Leadership
+from message_sender.control.log import ReplicatedLog
+from message_sender.control.messages import LogEntry, VoteRequest
+from message_sender.control.progress import Progress
+from message_sender.control.quorum import Quorum
+from message_sender.control.replica import HardState, Replica
 
 A, B = LogEntry(1, 1, b"a"), LogEntry(1, 2, b"b")
 #: Figure 8 of the paper: term 1's leader wrote an entry, then term 2's another one; each stands alone.
--- a/tests/test_control_schema.py
+++ b/tests/test_control_schema.py
@@ -7,9 +7,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from elmglade.config import read
-from elmglade.control import schema
-from elmglade.tables import ConfigError
+from message_sender.config import read
+from message_sender.control import schema
+from message_sender.tables import ConfigError
 
 TEXT = """
 [[endpoints]]
--- a/tests/test_control_sender.py
+++ b/tests/test_control_sender.py
@@ -14,18 +14,18 @@
 import pytest
 from peers import play
 
-from elmglade import interface as face
-from elmglade.config import Shared, load
-from elmglade.control import schema
-from elmglade.control.document import Document
-from elmglade.control.document_file import DocumentFile
-from elmglade.control.messages import Delta, Resource
-from elmglade.directory.control import ask
-from elmglade.emulator.joined import Links
-from elmglade.http.configuration import IN_FORCE_FILE
-from elmglade.http.serve import LineTeller, PlainSender, reread
-from elmglade.journal.disk import Files
-from elmglade.lab.running import running
+from message_sender import interface as face
+from message_sender.config import Shared, load
+from message_sender.control import schema
+from message_sender.control.document import Document
+from message_sender.control.document_file import DocumentFile
+from message_sender.control.messages import Delta, Resource
+from message_sender.directory.control import ask
+from message_sender.emulator.joined import Links
+from message_sender.http.configuration import IN_FORCE_FILE
+from message_sender.http.serve import LineTeller, PlainSender, reread
+from message_sender.journal.disk import Files
+from message_sender.lab.running import running
 
 ROOT = Path(__file__).parent.parent
 US = 1_000_000
@@ -74,9 +74,9 @@
 SERVED = """
 import asyncio, io, sys
 from pathlib import Path
-from elmglade.config import load
-from elmglade.http.serve import LineTeller, PlainSender, reread
-from elmglade.lab.running import running
+from message_sender.config import load
+from message_sender.http.serve import LineTeller, PlainSender, reread
+from message_sender.lab.running import running
 
 async def main(file, state):
     sender = PlainSender(load(file), state, LineTeller(io.StringIO()))
@@ -85,7 +85,7 @@
         assert sender.commands()["control"]({}) == {}
 
 asyncio.run(main(Path(sys.argv[1]), Path(sys.argv[2])))
-print(sorted(name for name in sys.modules if "control" in name and name.startswith("elmglade")))
+print(sorted(name for name in sys.modules if "control" in name and name.startswith("message_sender")))
 """
 
 
@@ -95,7 +95,7 @@
     state.mkdir()
     words = [sys.executable, "-c", SERVED, str(file), str(state)]
     out = subprocess.run(words, cwd=ROOT, capture_output=True, check=True, text=True)
-    assert out.stdout.strip() == "['elmglade.directory.control']"
+    assert out.stdout.strip() == "['message_sender.directory.control']"
     assert not [each.name for each in state.iterdir() if each.name.startswith("control.")]
 
 
--- a/tests/test_control_store.py
+++ b/tests/test_control_store.py
@@ -7,9 +7,16 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from elmglade.control.document import Document
-from elmglade.control.messages import CHANGE_BYTES_LIMIT, Change, ChangeResult, LogEntry, Outcome, Resource
-from elmglade.control.store import ChangeFormatError, ConfigurationStore, decode_change, encode_change
+from message_sender.control.document import Document
+from message_sender.control.messages import (
+    CHANGE_BYTES_LIMIT,
+    Change,
+    ChangeResult,
+    LogEntry,
+    Outcome,
+    Resource,
+)
+from message_sender.control.store import ChangeFormatError, ConfigurationStore, decode_change, encode_change
 
 
 def put(name: str, value: bytes = b"1") -> tuple[Resource, ...]:
--- a/tests/test_control_watch.py
+++ b/tests/test_control_watch.py
@@ -7,9 +7,9 @@
 import pytest
 from watching import BAD, ChangedStore, RecordingApplier, copy_of
 
-from elmglade.control.document import Document, SnapshotError, encode_snapshot
-from elmglade.control.fetch import SNAPSHOT_BYTES_LIMIT, SNAPSHOT_WINDOW, SnapshotFetch
-from elmglade.control.messages import (
+from message_sender.control.document import Document, SnapshotError, encode_snapshot
+from message_sender.control.fetch import SNAPSHOT_BYTES_LIMIT, SNAPSHOT_WINDOW, SnapshotFetch
+from message_sender.control.messages import (
     CHUNK_BYTES,
     REASON_LENGTH_LIMIT,
     Delta,
@@ -20,7 +20,7 @@
     VersionNotice,
     WatchMessage,
 )
-from elmglade.control.watch import ControlNodeAddress, Watch, order_nodes
+from message_sender.control.watch import ControlNodeAddress, Watch, order_nodes
 
 NODES = tuple(
     ControlNodeAddress(name, ("127.0.0.1", 1), region)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -20,9 +20,9 @@
 from peers import Request, Running, World, answer_notices, host, message, play, soon, tell
 from test_closing import Client
 
-from elmglade import interface as face
-from elmglade.handover.drain import GRACE
-from elmglade.http.codec import Address, Connection
+from message_sender import interface as face
+from message_sender.handover.drain import GRACE
+from message_sender.http.codec import Address, Connection
 
 NAME = "m1"
 HEAD, _, BODY = message(NAME, b"x" * 40).partition(b"\r\n\r\n")
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -5,12 +5,12 @@
 import pytest
 from helpers import ENV, MS, SECOND, World, ended, endpoint, sent, settings
 
-from elmglade import Dispatcher
-from elmglade import interface as face
-from elmglade.interface import Outcome
-from elmglade.policy.breaker import FAILURE_THRESHOLD, RESET_TIMEOUT
-from elmglade.policy.schedule import LIST_PAUSE, LIST_SPREAD, LIST_START, ListCalls
-from elmglade.settings import settings_from
+from message_sender import Dispatcher
+from message_sender import interface as face
+from message_sender.interface import Outcome
+from message_sender.policy.breaker import FAILURE_THRESHOLD, RESET_TIMEOUT
+from message_sender.policy.schedule import LIST_PAUSE, LIST_SPREAD, LIST_START, ListCalls
+from message_sender.settings import settings_from
 
 CROWD = 200
 
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -11,10 +11,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from elmglade import Dispatcher
-from elmglade import interface as face
-from elmglade.interface import NEVER_RAN, Effect, Outcome
-from elmglade.settings import settings_from
+from message_sender import Dispatcher
+from message_sender import interface as face
+from message_sender.interface import NEVER_RAN, Effect, Outcome
+from message_sender.settings import settings_from
 
 SITES = sorted((Path(__file__).parent.parent / "deploy" / "sites").glob("*.toml"))
 NAMES = st.text(st.characters(codec="utf-8", exclude_categories=("Cs", "Cc")), min_size=1, max_size=12)
--- a/tests/test_damage.py
+++ b/tests/test_damage.py
@@ -11,16 +11,16 @@
 from faults import until
 from peers import handed_in
 
-from elmglade.cli.journal import journal as command
-from elmglade.interface import Outcome
-from elmglade.journal import records
-from elmglade.journal.disk import Files
-from elmglade.journal.durable import DurableJournal
-from elmglade.journal.file import FILE, Attempt
-from elmglade.journal.inspected import Inspected
-from elmglade.journal.records import Kind
-from elmglade.journal.tally import Comparison
-from elmglade.lab.forgetful import MemoryDisk, Platter
+from message_sender.cli.journal import journal as command
+from message_sender.interface import Outcome
+from message_sender.journal import records
+from message_sender.journal.disk import Files
+from message_sender.journal.durable import DurableJournal
+from message_sender.journal.file import FILE, Attempt
+from message_sender.journal.inspected import Inspected
+from message_sender.journal.records import Kind
+from message_sender.journal.tally import Comparison
+from message_sender.lab.forgetful import MemoryDisk, Platter
 
 LIMIT = 3_000_000
 GROUP = 0.005  # s, as `sync = "group"` has it
--- a/tests/test_directories.py
+++ b/tests/test_directories.py
@@ -11,13 +11,13 @@
 from hypothesis import strategies as st
 from peers import play
 
-from elmglade.config import read, read_endpoints
-from elmglade.directory.belief import FEW, Belief, merged
-from elmglade.directory.control import ask
-from elmglade.directory.file import COPY, STALE, FileDirectory
-from elmglade.http.serve import LineTeller, PlainSender
-from elmglade.interface import EndpointsListed, Listing
-from elmglade.lab.running import running
+from message_sender.config import read, read_endpoints
+from message_sender.directory.belief import FEW, Belief, merged
+from message_sender.directory.control import ask
+from message_sender.directory.file import COPY, STALE, FileDirectory
+from message_sender.http.serve import LineTeller, PlainSender
+from message_sender.interface import EndpointsListed, Listing
+from message_sender.lab.running import running
 
 SECOND = 1_000_000
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -10,11 +10,11 @@
 import pytest
 from peers import Platform, host, list_line, play, soon, tell
 
-from elmglade import interface as face
-from elmglade.core.ports import End, State
-from elmglade.http import platform as module
-from elmglade.http.platform import Discovery, Listed
-from elmglade.interface import EndpointState, Listing
+from message_sender import interface as face
+from message_sender.core.ports import End, State
+from message_sender.http import platform as module
+from message_sender.http.platform import Discovery, Listed
+from message_sender.interface import EndpointState, Listing
 
 OLD, NEW = "127.0.0.1:1", "127.0.0.1:2"
 
--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -16,17 +16,17 @@
 from hypothesis import strategies as st
 from peers import handed_in
 
-from elmglade.cli.journal import journal as command
-from elmglade.interface import Outcome
-from elmglade.journal import records
-from elmglade.journal.contents import Before
-from elmglade.journal.disk import Files
-from elmglade.journal.durable import DurableJournal
-from elmglade.journal.file import COMPACTED, FILE, Attempt, Entry, Journal
-from elmglade.journal.inspected import Inspected
-from elmglade.journal.rewriting import BALLAST, Anew
-from elmglade.recovery import trust
-from elmglade.recovery.trust import SECOND, TABLE, Belief, Ended, Start
+from message_sender.cli.journal import journal as command
+from message_sender.interface import Outcome
+from message_sender.journal import records
+from message_sender.journal.contents import Before
+from message_sender.journal.disk import Files
+from message_sender.journal.durable import DurableJournal
+from message_sender.journal.file import COMPACTED, FILE, Attempt, Entry, Journal
+from message_sender.journal.inspected import Inspected
+from message_sender.journal.rewriting import BALLAST, Anew
+from message_sender.recovery import trust
+from message_sender.recovery.trust import SECOND, TABLE, Belief, Ended, Start
 
 LIMIT = 3_000_000
 
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -14,16 +14,16 @@
 
 import pytest
 
-from elmglade.cli import main
-from elmglade.core.engine import Engine
-from elmglade.emulator import life, search, shrink
-from elmglade.emulator.loop import LIVELOCK, DeadlockError, EmulationError, LivelockError, VirtualLoop
-from elmglade.emulator.seal import sealed
-from elmglade.journal.file import Journal
-from elmglade.policy.breaker import Breaker
-from elmglade.policy.dispatcher import Dispatcher
-from elmglade.policy.endpoints import EndpointRegistry
-from elmglade.policy.pending import PendingQueue
+from message_sender.cli import main
+from message_sender.core.engine import Engine
+from message_sender.emulator import life, search, shrink
+from message_sender.emulator.loop import LIVELOCK, DeadlockError, EmulationError, LivelockError, VirtualLoop
+from message_sender.emulator.seal import sealed
+from message_sender.journal.file import Journal
+from message_sender.policy.breaker import Breaker
+from message_sender.policy.dispatcher import Dispatcher
+from message_sender.policy.endpoints import EndpointRegistry
+from message_sender.policy.pending import PendingQueue
 
 LIVES = 60
 
@@ -39,7 +39,7 @@
 def test_a_seed_gives_the_same_bytes_in_any_process(hashes: str, tmp_path: Path) -> None:
     """Also under another seed of the hashes, on which the order of sets would show."""
     code = (
-        "from elmglade.emulator.life import live; import hashlib; "
+        "from message_sender.emulator.life import live; import hashlib; "
         "print(hashlib.sha256('\\n'.join(x for s in range(20) for x in live(s).trace).encode()).hexdigest())"
     )
     environment = os.environ | {"PYTHONHASHSEED": hashes}
@@ -90,7 +90,7 @@
 
 
 def no_record_of_the_message(self: Journal, message: Any) -> bool:  # noqa: ANN401
-    from elmglade.journal.file import Entry
+    from message_sender.journal.file import Entry
 
     self.entries[message.id] = Entry(message)
     return True
@@ -209,9 +209,9 @@
 )
 def test_what_the_package_reaches_for_fails_with_its_line(reach: str) -> None:
     code = compile(f"import os, random, socket, threading, time, uuid\n\n{reach}", "inner", "exec")
-    with sealed(), pytest.raises(EmulationError, match=r"elmglade.core.inner, line 3"):
-        exec(code, {"__name__": "elmglade.core.inner"})
-    exec(compile("import time\ntime.time()", "outer", "exec"), {"__name__": "elmglade.core.inner"})
+    with sealed(), pytest.raises(EmulationError, match=r"message_sender.core.inner, line 3"):
+        exec(code, {"__name__": "message_sender.core.inner"})
+    exec(compile("import time\ntime.time()", "outer", "exec"), {"__name__": "message_sender.core.inner"})
     thread = threading.Thread(target=lambda: None)
     with sealed():
         thread.start()  # who is not of the package goes through
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -14,11 +14,11 @@
 from faults import Faults, faulty, turn, until
 from peers import PATIENCE, Held, World, message, read_reply, soon
 
-from elmglade import interface as face
-from elmglade.core.ports import Answer
-from elmglade.http import client, platform, server
-from elmglade.http.codec import Connection
-from elmglade.interface import NEVER_RAN, Outcome
+from message_sender import interface as face
+from message_sender.core.ports import Answer
+from message_sender.http import client, platform, server
+from message_sender.http.codec import Connection
+from message_sender.interface import NEVER_RAN, Outcome
 
 NO_ROOM = (errno.ENOBUFS, errno.ENOMEM)
 NO_DESCRIPTOR = (errno.EMFILE, errno.ENFILE, *NO_ROOM)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -12,20 +12,20 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from elmglade.cli import main
-from elmglade.config import ConfigError
-from elmglade.core.engine import Engine
-from elmglade.emulator import experiment, fleet, scenario
-from elmglade.emulator.arrivals import Arrivals
-from elmglade.emulator.experiment import Job, Ran
-from elmglade.emulator.play import play
-from elmglade.emulator.policies import POLICIES
-from elmglade.emulator.receiver import Limit, Luck, Phase, Receiver, Service, Spread, Terms, Trouble
-from elmglade.interface import Outcome
-from elmglade.journal.file import Journal
-from elmglade.policy.breaker import Breaker
-from elmglade.policy.endpoints import QUIET_AGE
-from elmglade.policy.pending import PendingQueue
+from message_sender.cli import main
+from message_sender.config import ConfigError
+from message_sender.core.engine import Engine
+from message_sender.emulator import experiment, fleet, scenario
+from message_sender.emulator.arrivals import Arrivals
+from message_sender.emulator.experiment import Job, Ran
+from message_sender.emulator.play import play
+from message_sender.emulator.policies import OWN_POLICY, POLICIES
+from message_sender.emulator.receiver import Limit, Luck, Phase, Receiver, Service, Spread, Terms, Trouble
+from message_sender.interface import Outcome
+from message_sender.journal.file import Journal
+from message_sender.policy.breaker import Breaker
+from message_sender.policy.endpoints import QUIET_AGE
+from message_sender.policy.pending import PendingQueue
 
 ROOT = Path(__file__).parent.parent
 LIBRARY = sorted((ROOT / "scenarios").glob("*.toml"))
@@ -63,7 +63,7 @@
 
 def test_one_seed_gives_the_same_bytes_under_any_seed_of_hashes() -> None:
     code = (
-        "from elmglade.emulator import play, scenario; import hashlib, pathlib; "
+        "from message_sender.emulator import play, scenario; import hashlib, pathlib; "
         "told = scenario.load(pathlib.Path('scenarios/restart-in-outage.toml')); "
         "print(hashlib.sha256('\\n'.join(play.play(told, 3, traced=True).trace).encode()).hexdigest())"
     )
@@ -114,7 +114,7 @@
     assert rule in {each.rule for each in outcomes.breaches}
 
 
-@pytest.mark.parametrize("policy", [each for each in POLICIES if each != "elmglade"])
+@pytest.mark.parametrize("policy", [each for each in POLICIES if each != OWN_POLICY])
 def test_plain_policies_push_over_what_returns(policy: str) -> None:
     outcomes = play(scenario.load(ROOT / "scenarios" / "herd-on-return.toml"), decide=POLICIES[policy])
     assert outcomes.figures.falls and "cold" in {each.rule for each in outcomes.breaches}
@@ -380,11 +380,11 @@
 def test_a_command_whose_library_is_missing_says_what_to_install(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    monkeypatch.setitem(sys.modules, "elmglade.cli.emulate", None)
+    monkeypatch.setitem(sys.modules, "message_sender.cli.emulate", None)
     assert main(["emulate", "run", "x"]) == 1
-    assert "elmglade[cli,emulator]" in capsys.readouterr().err
-    monkeypatch.setattr("elmglade.cli.click", None)
-    assert main(["--help"]) == 1 and "elmglade[cli]" in capsys.readouterr().err
+    assert "message-sender[cli,emulator]" in capsys.readouterr().err
+    monkeypatch.setattr("message_sender.cli.click", None)
+    assert main(["--help"]) == 1 and "message-sender[cli]" in capsys.readouterr().err
 
 
 def test_a_deadlock_in_a_world_is_an_error_and_not_silence(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -16,16 +16,16 @@
 from peers import Platform as Discovery
 from successors import Platform, Process
 
-from elmglade import Dispatcher
-from elmglade import interface as face
-from elmglade.core.engine import Handed
-from elmglade.core.ports import End, State
-from elmglade.handover.link import connect
-from elmglade.handover.ownership import Ownership, Side
-from elmglade.handover.seat import inherited
-from elmglade.http.succession import engine_from, engine_text, read
-from elmglade.interface import Listing, Outcome
-from elmglade.policy.inherit import tell
+from message_sender import Dispatcher
+from message_sender import interface as face
+from message_sender.core.engine import Handed
+from message_sender.core.ports import End, State
+from message_sender.handover.link import connect
+from message_sender.handover.ownership import Ownership, Side
+from message_sender.handover.seat import inherited
+from message_sender.http.succession import engine_from, engine_text, read
+from message_sender.interface import Listing, Outcome
+from message_sender.policy.inherit import tell
 
 ORDER = {"semantics": "by_key", "dedup_window": 5_000_000, "key_scope": "zone", "serial_by_key": True}
 
--- a/tests/test_inventory.py
+++ b/tests/test_inventory.py
@@ -8,11 +8,11 @@
 from helpers import MS, SECOND, World, endpoint
 from peers import play
 
-from elmglade.cli import main
-from elmglade.core import inventory
-from elmglade.http.serve import LineTeller, PlainSender, tell_destinations
-from elmglade.interface import Outcome, WakeUp
-from elmglade.policy.endpoints import IDLE_AGE, QUIET_AGE
+from message_sender.cli import main
+from message_sender.core import inventory
+from message_sender.http.serve import LineTeller, PlainSender, tell_destinations
+from message_sender.interface import Outcome, WakeUp
+from message_sender.policy.endpoints import IDLE_AGE, QUIET_AGE
 
 
 def world_of_states() -> World:
@@ -80,7 +80,7 @@
 
 @play
 async def test_who_asks_gets_the_file_and_one_that_cannot_be_written_ends_nothing(state: Path) -> None:
-    from elmglade import config
+    from message_sender import config
 
     listed = {"id": "a", "destination": 1, "dial": "127.0.0.1:9"}
     classes = {"c": {"effect": "safe", "aim_ms": 1000, "deadline_ms": 2000}}
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -5,9 +5,9 @@
 import pytest
 from peers import handed_in
 
-from elmglade.interface import Outcome
-from elmglade.journal import file as module
-from elmglade.journal.file import Attempt, Journal
+from message_sender.interface import Outcome
+from message_sender.journal import file as module
+from message_sender.journal.file import Attempt, Journal
 
 LIMIT = 3_000_000
 
