--- a/tests/test_late.py
+++ b/tests/test_late.py
@@ -16,10 +16,10 @@
 from peers import Request, Running, World, config_json, handed_in, host, play, tell
 from test_storms import Late
 
-from elmglade import interface as face
-from elmglade.core.lateness import LEAST, SPAN, TOLD, Lateness
-from elmglade.core.ports import Answer, End, TurnedAway
-from elmglade.interface import Outcome, WakeUp
+from message_sender import interface as face
+from message_sender.core.lateness import LEAST, SPAN, TOLD, Lateness
+from message_sender.core.ports import Answer, End, TurnedAway
+from message_sender.interface import Outcome, WakeUp
 
 
 class Waiting:
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -6,7 +6,7 @@
 import pytest
 from helpers import SECOND, World, settings
 
-from elmglade import interface as face
+from message_sender import interface as face
 
 ROOT = Path(__file__).parent.parent
 
@@ -17,7 +17,7 @@
     lines = [line for name in policy for line in (ROOT / name).read_text().splitlines()]
     assert sum(1 for line in lines if line.strip()) <= 1200
     parts = ("dispatcher", "endpoints", "pending", "inflight", "breaker", "schedule", "inherit")
-    assert {f"elmglade/policy/{each}.py" for each in parts} <= set(policy)
+    assert {f"message_sender/policy/{each}.py" for each in parts} <= set(policy)
 
 
 @pytest.mark.parametrize("name", ["slots", "max_open", "max_attempts", "tick", "cold_from", "key_quiet"])
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -10,12 +10,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from elmglade.cli import fleet as command
-from elmglade.emulator.hall import Hall
-from elmglade.fleet import wire
-from elmglade.fleet.members import State
-from elmglade.fleet.node import Me, Node
-from elmglade.fleet.seal import MOST, KeyFileError, RefusedError, Seal, read_keys
+from message_sender.cli import fleet as command
+from message_sender.emulator.hall import Hall
+from message_sender.fleet import wire
+from message_sender.fleet.members import State
+from message_sender.fleet.node import Me, Node
+from message_sender.fleet.seal import MOST, KeyFileError, RefusedError, Seal, read_keys
 
 KEY, OTHER = bytes(32), bytes(range(32))
 
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -6,8 +6,8 @@
 import pytest
 from helpers import World, endpoint
 
-from elmglade import interface as face
-from elmglade.interface import EndpointState, Listing
+from message_sender import interface as face
+from message_sender.interface import EndpointState, Listing
 
 STATES = (EndpointState.READY, EndpointState.READY, EndpointState.DRAINING, EndpointState.GONE)
 
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -6,10 +6,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from elmglade import interface as face
-from elmglade.directory.maintenance import LATELY, Maintenance, Record
-from elmglade.handover.drain import GRACE, STOP, Drain, Phase
-from elmglade.interface import EndpointState, Listing
+from message_sender import interface as face
+from message_sender.directory.maintenance import LATELY, Maintenance, Record
+from message_sender.handover.drain import GRACE, STOP, Drain, Phase
+from message_sender.interface import EndpointState, Listing
 
 NAMES = ("a", "b", "c")
 STATES = st.sampled_from(list(EndpointState))
--- a/tests/test_manage.py
+++ b/tests/test_manage.py
@@ -28,12 +28,12 @@
     tell,
 )
 
-from elmglade.handover.drain import GRACE
-from elmglade.http.codec import Address
-from elmglade.manage.calls import Ask, Call, read
-from elmglade.manage.calls import Reply as Said
-from elmglade.manage.listener import HEAD_LIMIT, LINGER, MOST, PATIENCE, Listener
-from elmglade.start import BadConfig, config_from
+from message_sender.handover.drain import GRACE
+from message_sender.http.codec import Address
+from message_sender.manage.calls import Ask, Call, read
+from message_sender.manage.calls import Reply as Said
+from message_sender.manage.listener import HEAD_LIMIT, LINGER, MOST, PATIENCE, Listener
+from message_sender.start import BadConfig, config_from
 
 
 @asynccontextmanager
--- a/tests/test_overrides.py
+++ b/tests/test_overrides.py
@@ -20,26 +20,26 @@
 from hypothesis import strategies as st
 from peers import play, soon
 
-from elmglade import config
-from elmglade import interface as face
-from elmglade.cli import main
-from elmglade.directory import store as store_module
-from elmglade.directory.control import LINE_MOST, MOST, ask, may_ask
-from elmglade.directory.eject import Ejector, Terms
-from elmglade.directory.overridden import OverriddenDirectory
-from elmglade.directory.overrides import MOST_SPAN, Book, Kind, Overlay, Override, OverrideError
-from elmglade.directory.ramp import Ramp
-from elmglade.directory.static import StaticDirectory
-from elmglade.directory.store import ASIDE, LOG, Store
-from elmglade.directory.when import parse, show
-from elmglade.http.serve import LineTeller, PlainSender
-from elmglade.interface import EndpointState, Listing, Outcome
-from elmglade.lab.history import Began, Drained, History
-from elmglade.lab.http import HttpClient, HttpEndpoint
-from elmglade.lab.referee import Kind as RefereeKind
-from elmglade.lab.referee import Referee, Rules
-from elmglade.lab.running import running
-from elmglade.lab.script import Act, Does, Script
+from message_sender import config
+from message_sender import interface as face
+from message_sender.cli import main
+from message_sender.directory import store as store_module
+from message_sender.directory.control import LINE_MOST, MOST, ask, may_ask
+from message_sender.directory.eject import Ejector, Terms
+from message_sender.directory.overridden import OverriddenDirectory
+from message_sender.directory.overrides import MOST_SPAN, Book, Kind, Overlay, Override, OverrideError
+from message_sender.directory.ramp import Ramp
+from message_sender.directory.static import StaticDirectory
+from message_sender.directory.store import ASIDE, LOG, Store
+from message_sender.directory.when import parse, show
+from message_sender.http.serve import LineTeller, PlainSender
+from message_sender.interface import EndpointState, Listing, Outcome
+from message_sender.lab.history import Began, Drained, History
+from message_sender.lab.http import HttpClient, HttpEndpoint
+from message_sender.lab.referee import Kind as RefereeKind
+from message_sender.lab.referee import Referee, Rules
+from message_sender.lab.running import running
+from message_sender.lab.script import Act, Does, Script
 
 T0 = 1_790_000_000 * SECOND
 READY, DRAINING, GONE = EndpointState.READY, EndpointState.DRAINING, EndpointState.GONE
--- a/tests/test_pcap.py
+++ b/tests/test_pcap.py
@@ -10,12 +10,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from elmglade.pcap import files
-from elmglade.pcap.capture import Capture, as_json
-from elmglade.pcap.files import BadCapture, Packet, Writer
-from elmglade.pcap.flows import Flows
-from elmglade.pcap.layers import Layers
-from elmglade.pcap.writer import Conversation
+from message_sender.pcap import files
+from message_sender.pcap.capture import Capture, as_json
+from message_sender.pcap.files import BadCapture, Packet, Writer
+from message_sender.pcap.flows import Flows
+from message_sender.pcap.layers import Layers
+from message_sender.pcap.writer import Conversation
 
 logging.getLogger("scapy.runtime").setLevel(logging.ERROR)
 
--- a/tests/test_power.py
+++ b/tests/test_power.py
@@ -11,9 +11,9 @@
 
 import pytest
 
-from elmglade.emulator.power import Cuts, live
-from elmglade.journal.durable import DurableJournal
-from elmglade.journal.rewriting import Anew
+from message_sender.emulator.power import Cuts, live
+from message_sender.journal.durable import DurableJournal
+from message_sender.journal.rewriting import Anew
 
 #: Right before a sync the most is not durable: what rests on the order of operations is hit more often there.
 SHARP = Cuts(before="sync", apart=8)
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -16,7 +16,7 @@
 import pytest
 from peers import READY, Peer, Platform, ask, config_json, host, message, play, soon
 
-from elmglade import start as start_module
+from message_sender import start as start_module
 
 ROOT = Path(__file__).parent.parent
 
@@ -36,7 +36,7 @@
 
     environment = os.environ | {"BALANCER_CONFIG": str(config), "BALANCER_STATE": str(state)} | more
     return await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "elmglade", cwd=ROOT, env=environment, stderr=asyncio.subprocess.PIPE,
+        sys.executable, "-m", "message_sender", cwd=ROOT, env=environment, stderr=asyncio.subprocess.PIPE,
         preexec_fn=few,
     )  # fmt: skip
 
--- a/tests/test_quiet.py
+++ b/tests/test_quiet.py
@@ -13,13 +13,13 @@
 
 from peers import play
 
-from elmglade import config
-from elmglade.http.serve import LineTeller, PlainSender
-from elmglade.interface import Effect
-from elmglade.lab.history import Began, Ended, History, Taken
-from elmglade.lab.http import HttpClient, HttpEndpoint
-from elmglade.lab.referee import Kind, Referee, Rules
-from elmglade.lab.script import Act, Does, Script
+from message_sender import config
+from message_sender.http.serve import LineTeller, PlainSender
+from message_sender.interface import Effect
+from message_sender.lab.history import Began, Ended, History, Taken
+from message_sender.lab.http import HttpClient, HttpEndpoint
+from message_sender.lab.referee import Kind, Referee, Rules
+from message_sender.lab.script import Act, Does, Script
 
 MANY, LISTENERS, MESSAGES, CLIENTS = 10_000, 5, 1_200, 12
 DEADLINE = 8.0  # s
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -4,9 +4,9 @@
 import pytest
 from helpers import SECOND, World, endpoint, sent
 
-from elmglade import interface as face
-from elmglade.emulator.ramp import peaks, returning
-from elmglade.interface import Outcome
+from message_sender import interface as face
+from message_sender.emulator.ramp import peaks, returning
+from message_sender.interface import Outcome
 
 CROWD = 200
 HOW = ("shut", "silent", "hangs", "restarts")
--- a/tests/test_reassembly.py
+++ b/tests/test_reassembly.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from elmglade.pcap.reassembly import LATE, MOST_WAITING, TURN, Gap, Part, Piece, Stream
+from message_sender.pcap.reassembly import LATE, MOST_WAITING, TURN, Gap, Part, Piece, Stream
 
 LENGTH = 400
 
--- a/tests/test_referee.py
+++ b/tests/test_referee.py
@@ -2,9 +2,20 @@
 
 import pytest
 
-from elmglade.interface import Effect
-from elmglade.lab.history import Began, Drained, Ended, Event, Outage, Over, Ran, Refused, Restarted, Taken
-from elmglade.lab.referee import Kind, Referee, Rules
+from message_sender.interface import Effect
+from message_sender.lab.history import (
+    Began,
+    Drained,
+    Ended,
+    Event,
+    Outage,
+    Over,
+    Ran,
+    Refused,
+    Restarted,
+    Taken,
+)
+from message_sender.lab.referee import Kind, Referee, Rules
 
 RULES = Rules(
     {
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -13,17 +13,17 @@
 from hypothesis import strategies as st
 from peers import World, message, play, read_reply, soon
 
-from elmglade.cli import main
-from elmglade.cli.commands import given_in
-from elmglade.config import ConfigError, load
-from elmglade.emulator.loop import VirtualLoop
-from elmglade.lab.demo import Demo
-from elmglade.pcap import replay as module
-from elmglade.pcap.compare import compare
-from elmglade.pcap.replay import NewIds, Planned, Replay, plan
-from elmglade.pcap.scribe import ENDED, LOST, OPENED, PASSED, Blanker, Scribe
-from elmglade.pcap.scribe import main as scribe_main
-from elmglade.pcap.tap import Tap
+from message_sender.cli import main
+from message_sender.cli.commands import given_in
+from message_sender.config import ConfigError, load
+from message_sender.emulator.loop import VirtualLoop
+from message_sender.lab.demo import Demo
+from message_sender.pcap import replay as module
+from message_sender.pcap.compare import compare
+from message_sender.pcap.replay import NewIds, Planned, Replay, plan
+from message_sender.pcap.scribe import ENDED, LOST, OPENED, PASSED, Blanker, Scribe
+from message_sender.pcap.scribe import main as scribe_main
+from message_sender.pcap.tap import Tap
 
 IDS = {"X_Correlation_Id": "a1", "Idempotency_Key": "k1"}
 
@@ -174,11 +174,11 @@
 def test_a_scribe_that_falls_behind_costs_records_and_no_time(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("elmglade.pcap.tap.MOST_WAITING", 1000)
+    monkeypatch.setattr("message_sender.pcap.tap.MOST_WAITING", 1000)
 
     async def test() -> Tap:
         tap = Tap(tmp_path, 10**6)
-        monkeypatch.setattr("elmglade.pcap.tap.os.write", blocked)
+        monkeypatch.setattr("message_sender.pcap.tap.os.write", blocked)
         number = tap.opened(("127.0.0.1", 1), ("127.0.0.1", 2))
         for _ in range(3):
             tap.passed(number, 0, b"x" * 700)
@@ -217,7 +217,7 @@
 ) -> None:
     (tmp_path / "file").write_text("")
     assert scribe_main([str(tmp_path / "file"), "1000", "4"]) == 1
-    assert capsys.readouterr().err.startswith("elmglade: nothing more is captured: ")
+    assert capsys.readouterr().err.startswith("message-sender: nothing more is captured: ")
 
 
 @play
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -3,7 +3,7 @@
 import pytest
 from helpers import MS, SECOND, World, ended, endpoint, sent
 
-from elmglade import interface as face
+from message_sender import interface as face
 
 
 @pytest.mark.parametrize("fleet", [1, 4, 40])
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -3,10 +3,10 @@
 import pytest
 from helpers import MS, SECOND, World, ended, endpoint, sent
 
-from elmglade import interface as face
-from elmglade.interface import Outcome
-from elmglade.policy.breaker import COLD_PUSH
-from elmglade.policy.endpoints import IDLE_AGE
+from message_sender import interface as face
+from message_sender.interface import Outcome
+from message_sender.policy.breaker import COLD_PUSH
+from message_sender.policy.endpoints import IDLE_AGE
 
 
 def test_held_message_is_ended_before_its_time() -> None:
--- a/tests/test_schedule.py
+++ b/tests/test_schedule.py
@@ -13,16 +13,16 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from elmglade import interface as face
-from elmglade.interface import EndpointState, Listing, Outcome
-from elmglade.lab.stream import Recorder, Shape, StreamWorld, read
-from elmglade.policy import dispatcher, pending, schedule
-from elmglade.policy.breaker import NEVER, Call, Message
-from elmglade.policy.dispatcher import Dispatcher
-from elmglade.policy.endpoints import IDLE_AGE, QUIET_AGE
-from elmglade.policy.inflight import InFlightCalls
-from elmglade.policy.pending import PendingQueue
-from elmglade.policy.schedule import Destination, Group, TimerQueue, urgency
+from message_sender import interface as face
+from message_sender.interface import EndpointState, Listing, Outcome
+from message_sender.lab.stream import Recorder, Shape, StreamWorld, read
+from message_sender.policy import dispatcher, pending, schedule
+from message_sender.policy.breaker import NEVER, Call, Message
+from message_sender.policy.dispatcher import Dispatcher
+from message_sender.policy.endpoints import IDLE_AGE, QUIET_AGE
+from message_sender.policy.inflight import InFlightCalls
+from message_sender.policy.pending import PendingQueue
+from message_sender.policy.schedule import Destination, Group, TimerQueue, urgency
 
 
 class PlainPendingQueue(PendingQueue):
--- a/tests/test_sender.py
+++ b/tests/test_sender.py
@@ -9,13 +9,13 @@
 from faults import turn as loop_turn
 from peers import KEYED, PATIENCE, READY, Running, World, ask, host, message, play, read_reply, soon, tell
 
-from elmglade.handover.drain import GRACE
-from elmglade.http import server as module
-from elmglade.http.daemon import Descriptors, Sender
-from elmglade.http.server import ACCEPTS
-from elmglade.interface import Outcome, WakeAfter
-from elmglade.journal.file import Attempt, Journal
-from elmglade.start import config_from
+from message_sender.handover.drain import GRACE
+from message_sender.http import server as module
+from message_sender.http.daemon import Descriptors, Sender
+from message_sender.http.server import ACCEPTS
+from message_sender.interface import Outcome, WakeAfter
+from message_sender.journal.file import Attempt, Journal
+from message_sender.start import config_from
 
 GONE = {"X_Route_To": "dest=9"}  # no endpoint: held until its time is up
 SHORT = {"X_Time_Left": "0.1"}
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -10,10 +10,10 @@
 from faults import turn
 from peers import READY, Held, Reply, ask, message, play, read_reply, soon
 
-from elmglade import interface as face
-from elmglade.http.closing import IDLE_LIMIT, LINGER, READ_LIMIT
-from elmglade.http.server import LINGER_BYTES, ON_THE_WAY, Connection, Server
-from elmglade.message import HandedIn
+from message_sender import interface as face
+from message_sender.http.closing import IDLE_LIMIT, LINGER, READ_LIMIT
+from message_sender.http.server import LINGER_BYTES, ON_THE_WAY, Connection, Server
+from message_sender.message import HandedIn
 
 KEYED = face.MessageClass("c", 800_000, 8_000_000, 1.0, 0.1, face.Effect.KEYED, window=5_000_000)
 NOW = 1_000_000_000
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -14,19 +14,19 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from elmglade import interface as face
-from elmglade.budget import desk as desks
-from elmglade.budget import division, lease
-from elmglade.budget.desk import Budget, Desk
-from elmglade.budget.earned import Earned
-from elmglade.budget.lease import Kind
-from elmglade.budget.spend import NEVER, Spender
-from elmglade.cli.chart import Run
-from elmglade.config import Shared
-from elmglade.emulator.joined import Links
-from elmglade.emulator.shared import Fleet
-from elmglade.fleet.wire import Share
-from elmglade.http.client import HttpTransport, told_limit
+from message_sender import interface as face
+from message_sender.budget import desk as desks
+from message_sender.budget import division, lease
+from message_sender.budget.desk import Budget, Desk
+from message_sender.budget.earned import Earned
+from message_sender.budget.lease import Kind
+from message_sender.budget.spend import NEVER, Spender
+from message_sender.cli.chart import Run
+from message_sender.config import Shared
+from message_sender.emulator.joined import Links
+from message_sender.emulator.shared import Fleet
+from message_sender.fleet.wire import Share
+from message_sender.http.client import HttpTransport, told_limit
 
 SEEDS = int(os.environ.get("SHARED_SEEDS", "40"))
 US = 1_000_000
--- a/tests/test_stages.py
+++ b/tests/test_stages.py
@@ -4,10 +4,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from elmglade.emulator.hall import Hall
-from elmglade.emulator.returning import Destination, Return
-from elmglade.recovery import ids
-from elmglade.recovery.stages import ASK, FEEL, LONGEST, OWED, Seen, Stage, Stages, Word
+from message_sender.emulator.hall import Hall
+from message_sender.emulator.returning import Destination, Return
+from message_sender.recovery import ids
+from message_sender.recovery.stages import ASK, FEEL, LONGEST, OWED, Seen, Stage, Stages, Word
 
 SEEN = st.builds(
     Seen, st.booleans(), st.floats(0, 30), st.floats(0, 30), st.booleans(), st.just(0.0) | st.floats(0, 12)
--- a/tests/test_storms.py
+++ b/tests/test_storms.py
@@ -19,12 +19,12 @@
 from faults import turn, until
 from peers import READY, Held, World, handed_in, host, message, play, read_reply, soon, tell
 
-from elmglade.core.peer import REPORT_SPAN, REPORTS, Cause, Reports, cause_of, describe
-from elmglade.http.client import HttpTransport as Courier
-from elmglade.http.codec import Address
-from elmglade.http.daemon import log
-from elmglade.http.server import Connection
-from elmglade.interface import NEVER_RAN, Outcome, WakeUp
+from message_sender.core.peer import REPORT_SPAN, REPORTS, Cause, Reports, cause_of, describe
+from message_sender.http.client import HttpTransport as Courier
+from message_sender.http.codec import Address
+from message_sender.http.daemon import log
+from message_sender.http.server import Connection
+from message_sender.interface import NEVER_RAN, Outcome, WakeUp
 
 LATE = (0.05, 0.4, 2.1, 3.0)  # s that a turn takes
 
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -13,12 +13,12 @@
 from helpers import settings
 from peers import config_json, host
 
-from elmglade.emulator.loop import VirtualLoop
-from elmglade.emulator.net import HOST, REFUSED, SILENT, Net
-from elmglade.http import daemon
-from elmglade.http.daemon import Config, Sender
-from elmglade.policy.schedule import ListCalls
-from elmglade.start import config_from
+from message_sender.emulator.loop import VirtualLoop
+from message_sender.emulator.net import HOST, REFUSED, SILENT, Net
+from message_sender.http import daemon
+from message_sender.http.daemon import Config, Sender
+from message_sender.policy.schedule import ListCalls
+from message_sender.start import config_from
 
 TOLD = 6.0  # s
 AT_HAND = 0.5  # s, where lists are pushed: what the agent has counts at once, and a drain has its grace
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -15,13 +15,13 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from elmglade.cli import main
-from elmglade.emulator import hunt, scenario
-from elmglade.emulator.fleet import Outcomes
-from elmglade.emulator.loop import DeadlockError, VirtualLoop
-from elmglade.emulator.net import HOST, REFUSED, ROOM, SILENT, Net
-from elmglade.emulator.play import play
-from elmglade.policy.pending import PendingQueue
+from message_sender.cli import main
+from message_sender.emulator import hunt, scenario
+from message_sender.emulator.fleet import Outcomes
+from message_sender.emulator.loop import DeadlockError, VirtualLoop
+from message_sender.emulator.net import HOST, REFUSED, ROOM, SILENT, Net
+from message_sender.emulator.play import play
+from message_sender.policy.pending import PendingQueue
 
 ROOT = Path(__file__).parent.parent
 THERE = ("there", 80)
@@ -246,7 +246,7 @@
     played: dict[str, tuple[Outcomes, Outcomes]],
 ) -> None:
     code = (
-        "from elmglade.emulator import play, scenario; import pathlib; "
+        "from message_sender.emulator import play, scenario; import pathlib; "
         "told = scenario.load(pathlib.Path('scenarios/gray-failure.toml')); "
         "told = scenario.changed(told, {'seconds': 10.0, 'clients.rate': 40.0}); "
         "print('\\n'.join(play.play(told, traced=True, level='bytes').trace))"
--- a/tests/watching.py
+++ b/tests/watching.py
@@ -2,10 +2,10 @@
 
 from collections.abc import Mapping
 
-from elmglade.control.document import Document
-from elmglade.control.messages import Change, ChangeResult, Delta, LogEntry, Resource
-from elmglade.control.store import ConfigurationStore, encode_change
-from elmglade.control.watch import RefusedConfigurationError
+from message_sender.control.document import Document
+from message_sender.control.messages import Change, ChangeResult, Delta, LogEntry, Resource
+from message_sender.control.store import ConfigurationStore, encode_change
+from message_sender.control.watch import RefusedConfigurationError
 
 BAD = b"bad"  # a value that no sender puts in force
 
