--- a/.ci/known_red.py
+++ b/.ci/known_red.py
@@ -27,6 +27,7 @@
 
 
 def main(runner: list[str], path: Path) -> int:
+    """Runs each known test, then all others; the exit code says whether all are as they should be."""
     known, code = read(path), 0
     for test, cause, issue in known:
         print(f"known to be red: {test}\n  {cause}\n  {issue}", flush=True)
--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -16,7 +16,7 @@
 from collections.abc import Callable, Iterable
 from functools import partial
 
-from message_sender.budget.desk import Budget, Desk
+from message_sender.budget.manager import Budget, LeaseManager
 from message_sender.emulator.shared import Fleet
 
 US = 1_000_000
@@ -34,7 +34,7 @@
         each, rest = divmod(budget.whole, members)
         self.tokens = {f"n{number}": each + (number < rest) for number in range(members)}
         for number in range(members):
-            self.hall.later(self.chance.uniform(0, TAKES), partial(self.beg, number))
+            self.hall.later(self.rng.uniform(0, TAKES), partial(self.beg, number))
 
     def start(self, number: int, epoch: int | None = None) -> None:
         """What its life before spent counts: all of its tokens may have been."""
@@ -44,10 +44,10 @@
             self.spenders[name].times.append(self.clock(number))
 
     def beg(self, number: int) -> None:
-        name, other = f"n{number}", self.chance.choice(sorted(self.tokens))
+        name, other = f"n{number}", self.rng.choice(sorted(self.tokens))
         there = name in self.hall.nodes and other in self.hall.nodes and name != other
         apart = self.hall.sides and not any({name, other} <= side for side in self.hall.sides)
-        lost = self.chance.random() < 1 - (1 - self.hall.loss) ** 2
+        lost = self.rng.random() < 1 - (1 - self.hall.loss) ** 2
         if there and not apart and not lost and self.held[name] > self.tokens[name]:
             used = self.spenders[other].used(self.clock(int(other[1:])))
             needs = min(self.held[other] + used, self.budget.whole)
@@ -73,7 +73,7 @@
     """A tenth of the members come and go each minute."""
     count = len(fleet.rates)
     for turn in range(max(round(count * UNTIL / 600), 1)):
-        number, at = fleet.chance.randrange(count), fleet.chance.uniform(SINCE, UNTIL - 5)
+        number, at = fleet.rng.randrange(count), fleet.rng.uniform(SINCE, UNTIL - 5)
         fleet.hall.later(at, partial(fleet.end, number))
         fleet.hall.later(at + 3 + turn % 3, partial(fleet.start, number))
 
@@ -179,7 +179,7 @@
 def way() -> None:
     """A hold, a look, a reservation and the last check, beside a bare loop."""
     now = time.monotonic_ns
-    desk = Desk("a", 1, lambda: now() // 1000)
+    desk = LeaseManager("a", 1, lambda: now() // 1000)
     book = desk.open(Budget("hub", "calls", 1000, 1, 1000, lease=10_000), lambda: 9)
     count, until = 0, time.perf_counter() + 0.1
     while time.perf_counter() < until:
--- a/benchmarks/listing.py
+++ b/benchmarks/listing.py
@@ -17,7 +17,7 @@
 
 
 def world(face: Any, dispatcher: Any, size: int) -> Any:  # noqa: ANN401
-    safe = face.MessageClass("safe", 2_000_000, 20_000_000, 1.0, 0.3, face.Effect.SAFE)
+    safe = face.MessageClass("safe", 2_000_000, 20_000_000, 1.0, 0.3, face.Effect.IDEMPOTENT)
     settings = face.Settings((safe,), (("k", face.Kind()),), 20, 100, 6, "z", 5000)
     made = dispatcher(settings, 1)
     listed = tuple(entry(face, each) for each in range(size))
--- a/benchmarks/overrides.py
+++ b/benchmarks/overrides.py
@@ -14,58 +14,65 @@
 from collections import Counter
 from pathlib import Path
 
-from message_sender import Dispatcher, config
-from message_sender import interface as face
-from message_sender.directory.control import ask
-from message_sender.directory.overrides import Book, Kind, Overlay
-from message_sender.http.serve import LineTeller, PlainSender
-from message_sender.interface import EndpointState, Listing, Outcome
-from message_sender.lab.history import Began, History
-from message_sender.lab.http import HttpClient, HttpEndpoint
-from message_sender.lab.running import running
-from message_sender.lab.script import Script
+from message_sender import Dispatcher
+from message_sender.configuration import general
+from message_sender.control_socket import ask
+from message_sender.discovery.overrides import OverrideBook, OverrideKind, OverrideLayer
+from message_sender.policy.actions import Send
+from message_sender.policy.events import AttemptEnded, EndpointsUpdated, MessageAccepted
+from message_sender.policy.model import (
+    DestinationKind,
+    Effect,
+    Endpoint,
+    EndpointState,
+    ListingKind,
+    MessageClass,
+    Outcome,
+    Settings,
+)
+from message_sender.service.standalone import CompletionWriter, StandaloneSender
+from message_sender.testbed.history import AttemptStarted, History
+from message_sender.testbed.http import HttpClient, HttpEndpoint
+from message_sender.testbed.running import running
+from message_sender.testbed.script import Script
 
 SECOND = 1_000_000
-KIND = face.MessageClass("c", 4 * SECOND, 20 * SECOND, 1.0, 0.3, face.Effect.SAFE)
-SETTINGS = face.Settings((KIND,), (("plain", face.Kind()),), 64, 1000, 6, "z", 5000)
+KIND = MessageClass("c", 4 * SECOND, 20 * SECOND, 1.0, 0.3, Effect.IDEMPOTENT)
+SETTINGS = Settings((KIND,), (("plain", DestinationKind()),), 64, 1000, 6, "z", 5000)
 ROUNDS = 400
 
 
-def listed(count: int) -> tuple[face.Endpoint, ...]:
+def listed(count: int) -> tuple[Endpoint, ...]:
     """Two endpoints a destination."""
-    return tuple(
-        face.Endpoint(f"e{each}", each // 2, EndpointState.READY, "plain", "z") for each in range(count)
-    )
+    return tuple(Endpoint(f"e{each}", each // 2, EndpointState.READY, "plain", "z") for each in range(count))
 
 
-def overlay_of(count: int, overrides: int) -> Overlay:
-    book = Book()
+def overlay_of(count: int, overrides: int) -> OverrideLayer:
+    book = OverrideBook()
     for each in range(overrides):
-        kind = (Kind.OUT, Kind.WEIGHT, Kind.PIN)[each % 3]
+        kind = (OverrideKind.OUT, OverrideKind.WEIGHT, OverrideKind.PIN)[each % 3]
         name = f"e{each * (count // max(overrides, 1))}"
         more = {"weight": 3.0, "destination": each * (count // max(overrides, 1)) // 2}
         book.set(kind, name, "me", "bench", 0, 3600 * SECOND, 1, **more)  # type: ignore[arg-type]
-    overlay = Overlay(book)
-    overlay.hear(face.EndpointsListed(Listing.FULL, listed(count)))
+    overlay = OverrideLayer(book)
+    overlay.hear(EndpointsUpdated(ListingKind.FULL, listed(count)))
     overlay.turn(1)
     return overlay
 
 
-def change_cost(overlay: Overlay, count: int) -> float:
+def change_cost(overlay: OverrideLayer, count: int) -> float:
     """us of one change of one endpoint, the median."""
     costs = []
     for each in range(ROUNDS):
         state = EndpointState.DRAINING if each % 2 else EndpointState.READY
-        one = face.Endpoint(
-            f"e{(each // 2 * 37) % count}", (each // 2 * 37) % count // 2, state, "plain", "z"
-        )
+        one = Endpoint(f"e{(each // 2 * 37) % count}", (each // 2 * 37) % count // 2, state, "plain", "z")
         began = time.perf_counter()
-        overlay.hear(face.EndpointsListed(Listing.CHANGES, (one,)))
+        overlay.hear(EndpointsUpdated(ListingKind.CHANGES, (one,)))
         costs.append((time.perf_counter() - began) * 1e6)
     return statistics.median(costs)
 
 
-def choice_cost(told: face.EndpointsListed, count: int) -> float:
+def choice_cost(told: EndpointsUpdated, count: int) -> float:
     """us of a message taken, sent and answered, the median of blocks."""
     dispatcher = Dispatcher(SETTINGS, 1)
     now, costs = SECOND, []
@@ -75,10 +82,10 @@
         for each in range(200):
             now += 1000
             name = f"m{block}.{each}"
-            taken = face.MessageTaken(name, "c", (each * 31) % (count // 2), 20 * SECOND)
-            if any(isinstance(x, face.Send) for x in dispatcher.handle(now, [taken])):
+            taken = MessageAccepted(name, "c", (each * 31) % (count // 2), 20 * SECOND)
+            if any(isinstance(x, Send) for x in dispatcher.handle(now, [taken])):
                 now += 1000
-                dispatcher.handle(now, [face.AttemptEnded(name, 0, Outcome.OK, True)])
+                dispatcher.handle(now, [AttemptEnded(name, 0, Outcome.OK, True)])
         costs.append((time.perf_counter() - began) * 1e6 / 200)
     return statistics.median(costs)
 
@@ -87,15 +94,15 @@
     """By how many points the share of any endpoint is off at the most."""
     dispatcher, now, count = Dispatcher(SETTINGS, 1), SECOND, Counter[str]()
     found = [
-        face.Endpoint(f"e{n}", 1, EndpointState.READY, "plain", "z", weight=weight)
+        Endpoint(f"e{n}", 1, EndpointState.READY, "plain", "z", weight=weight)
         for n, weight in enumerate(weights)
     ]
-    dispatcher.handle(now, [face.EndpointsListed(Listing.FULL, tuple(found))])
+    dispatcher.handle(now, [EndpointsUpdated(ListingKind.FULL, tuple(found))])
     for each in range(most):
         now += 1000
-        actions = dispatcher.handle(now, [face.MessageTaken(f"m{each}", "c", 1, 20 * SECOND)])
-        count.update(x.endpoint for x in actions if isinstance(x, face.Send))
-        dispatcher.handle(now, [face.AttemptEnded(f"m{each}", 0, Outcome.OK, True)])
+        actions = dispatcher.handle(now, [MessageAccepted(f"m{each}", "c", 1, 20 * SECOND)])
+        count.update(x.endpoint for x in actions if isinstance(x, Send))
+        dispatcher.handle(now, [AttemptEnded(f"m{each}", 0, Outcome.OK, True)])
     total = sum(weights)
     return max(abs(count[f"e{n}"] / most - weight / total) * 100 for n, weight in enumerate(weights))
 
@@ -111,7 +118,7 @@
             ],
         }
         with tempfile.TemporaryDirectory() as folder:
-            sender = PlainSender(config.read(told), Path(folder), LineTeller(io.StringIO()))
+            sender = StandaloneSender(general.read(told), Path(folder), CompletionWriter(io.StringIO()))
             async with running(sender):
                 stop = False
 
@@ -137,7 +144,11 @@
                 await asyncio.sleep(0.3)
                 stop = True
                 await asyncio.gather(*flows)
-    late = [each.at - began for each in history.events if isinstance(each, Began) and each.endpoint == "e0"]
+    late = [
+        each.at - began
+        for each in history.events
+        if isinstance(each, AttemptStarted) and each.endpoint == "e0"
+    ]
     return max(late) * 1e3
 
 
@@ -154,11 +165,11 @@
     print(f"{count} endpoints, {told.overrides} overrides in force")
     print(f"  a change of the list: {change_cost(overlay, count):.1f} us")
     began = time.perf_counter()
-    overlay.book.set(Kind.OUT, "e5", "me", "bench", 1, SECOND, 1)
+    overlay.book.set(OverrideKind.OUT, "e5", "me", "bench", 1, SECOND, 1)
     overlay.turn(2)
     print(f"  an override set, in the overlay: {(time.perf_counter() - began) * 1e6:.0f} us")
-    plain = face.EndpointsListed(Listing.FULL, listed(count))
-    under = face.EndpointsListed(Listing.FULL, tuple(overlay.shown.values()))
+    plain = EndpointsUpdated(ListingKind.FULL, listed(count))
+    under = EndpointsUpdated(ListingKind.FULL, tuple(overlay.shown.values()))
     ratios = [choice_cost(under, count) / choice_cost(plain, count) for _ in range(5)]
     print(f"  a message's cost in the decision module, to that without: {statistics.median(ratios):.3f} "
           f"({min(ratios):.3f} to {max(ratios):.3f})")  # fmt: skip
--- a/benchmarks/pcap.py
+++ b/benchmarks/pcap.py
@@ -21,18 +21,18 @@
 
 import dpkt
 
-from message_sender import config
-from message_sender.http.serve import LineTeller, PlainSender
-from message_sender.lab.history import History
-from message_sender.lab.http import HttpClient, HttpEndpoint
-from message_sender.lab.running import running
-from message_sender.lab.script import Script
+from message_sender.configuration import general
 from message_sender.pcap.capture import Capture
 from message_sender.pcap.files import Writer, read
 from message_sender.pcap.flows import Flows
 from message_sender.pcap.layers import Layers
-from message_sender.pcap.tap import Tap
+from message_sender.pcap.traffic_tap import TrafficTap
 from message_sender.pcap.writer import Conversation
+from message_sender.service.standalone import CompletionWriter, StandaloneSender
+from message_sender.testbed.history import History
+from message_sender.testbed.http import HttpClient, HttpEndpoint
+from message_sender.testbed.running import running
+from message_sender.testbed.script import Script
 
 REQUEST = b"POST /c HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s"
 ANSWER = b"HTTP/1.1 202 \r\nContent-Length: 0\r\n\r\n"
@@ -146,7 +146,7 @@
     print(f"pcap info on {sent / 1e6:.0f} MB from a pipe: {peak:.1f} MB at the peak")
 
 
-async def deliver(folder: Path, tap: Tap | None) -> float:
+async def deliver(folder: Path, tap: TrafficTap | None) -> float:
     """CPU seconds of this process for MESSAGES taken on and delivered; stand-ins and clients included."""
     async with HttpEndpoint("e", Script(), History()) as endpoint:
         told = {
@@ -154,7 +154,7 @@
             "limits": {"slots": 200},
             "endpoints": [{"id": "e", "destination": 1, "dial": f"127.0.0.1:{endpoint.port}"}],
         }
-        sender = PlainSender(config.read(told), folder, LineTeller(io.StringIO()), tap)
+        sender = StandaloneSender(general.read(told), folder, CompletionWriter(io.StringIO()), tap)
         async with running(sender):
             address = sender.server.address()[:2]
             began = time.process_time()
@@ -179,7 +179,7 @@
 
 def one_delivery(capturing: bool) -> float:
     with tempfile.TemporaryDirectory() as folder:
-        tap = Tap(Path(folder) / "c", 16_000_000) if capturing else None
+        tap = TrafficTap(Path(folder) / "c", 16_000_000) if capturing else None
         state = Path(folder) / "s"
         state.mkdir()
         spent = asyncio.run(deliver(state, tap))
--- a/benchmarks/plugin.py
+++ b/benchmarks/plugin.py
@@ -28,10 +28,10 @@
 import grpc
 
 from message_sender.grpc import open_channel
-from message_sender.lab.grpc import GrpcEndpoint
-from message_sender.lab.history import Event, History
-from message_sender.lab.http import HttpClient, HttpEndpoint
-from message_sender.lab.script import Script
+from message_sender.testbed.grpc import GrpcEndpoint
+from message_sender.testbed.history import History, HistoryEvent
+from message_sender.testbed.http import HttpClient, HttpEndpoint
+from message_sender.testbed.script import Script
 
 ROOT = Path(__file__).resolve().parent.parent
 HOST_CORE, ENDPOINT_CORE = 0, 1
@@ -60,7 +60,7 @@
 class Unkept(History):
     """Nothing is judged here, so nothing is kept."""
 
-    def note(self, event: Event) -> None:
+    def note(self, event: HistoryEvent) -> None:
         pass
 
 
--- a/benchmarks/power.py
+++ b/benchmarks/power.py
@@ -22,10 +22,10 @@
 from pathlib import Path
 
 from message_sender.journal.durable import DurableJournal
-from message_sender.journal.file import Journal
-from message_sender.lab.cluster import Cluster, Hub
-from message_sender.lab.http import HttpClient
-from message_sender.message import HandedIn
+from message_sender.journal.process_journal import Journal
+from message_sender.message import Message
+from message_sender.testbed.cluster import Cluster, ReceiverStub
+from message_sender.testbed.http import HttpClient
 
 LIMIT = 200_000_000  # bytes
 HELD = 600  # messages that all senders hold as the power goes
@@ -45,8 +45,8 @@
 """
 
 
-def message(number: int) -> HandedIn:
-    return HandedIn(f"m{number}", "charge", 1, 10**16, "", f"k{number}", f"m{number}", False, b"x" * 300)
+def message(number: int) -> Message:
+    return Message(f"m{number}", "charge", 1, 10**16, "", f"k{number}", f"m{number}", False, b"x" * 300)
 
 
 def opened(folder: Path, sync: str) -> Journal:
@@ -68,10 +68,10 @@
     async def client() -> None:
         for number in numbers:
             began = time.perf_counter()
-            journal.taken(message(number))
+            journal.record_accepted(message(number))
             await durable()
             took.append(time.perf_counter() - began)
-            journal.ended(f"m{number}", "delivered")
+            journal.record_end(f"m{number}", "delivered")
             await asyncio.sleep(0)
 
     began, cpu = time.perf_counter(), time.process_time()
@@ -99,7 +99,7 @@
 async def returned(folder: Path, sync: str, link: bool, size: int = 5, budget: bool = False) -> str:
     """Seconds are from the moment at which the processes are started again."""
     cluster = Cluster(folder, size, 1, sync, link)
-    async with Hub("hub", cluster.history, 60) as hub:
+    async with ReceiverStub("hub", cluster.history, 60) as hub:
         hub.down = True
         cluster.more = CONFIG.format(size=size) + BUDGET * budget + hub.listed()
         async with cluster:
@@ -128,7 +128,7 @@
     """One sender as a process, clients that come again as soon as they have their 202, a hub that is down:
     what taking on costs through the whole sender."""
     cluster = Cluster(folder, 1, 1, sync, link=False)
-    async with Hub("hub", cluster.history, 60) as hub:
+    async with ReceiverStub("hub", cluster.history, 60) as hub:
         hub.down = True
         more = CONFIG.replace("max_open = 700", "max_open = 100000\nslots = 1")
         cluster.more = more.format(size=1) + hub.listed()
@@ -165,7 +165,7 @@
     loop, apart from those of a stretch before."""
     journal = DurableJournal(folder, LIMIT, 0.005)
     for number in range(count):
-        journal.taken(message(number))
+        journal.record_accepted(message(number))
     loop, numbers, gaps = asyncio.get_running_loop(), itertools.count(count), list[float]()
     compact, journal.compact = journal.compact, lambda: False  # type: ignore[method-assign]  # not by itself
 
@@ -180,8 +180,8 @@
             last = now
             while work < now:
                 each = message(next(numbers))
-                journal.taken(each)
-                journal.ended(each.id, "delivered")
+                journal.record_accepted(each)
+                journal.record_end(each.id, "delivered")
                 work += 0.002
         return loop.time() - began, max(gaps) * 1000, statistics.quantiles(gaps, n=1000)[-1] * 1000
 
--- a/benchmarks/scale/changes.py
+++ b/benchmarks/scale/changes.py
@@ -103,7 +103,7 @@
     """Changes as on a day, and a burst."""
     plane = HollowControlPlane(terms)
     plane.run(REST_FROM)
-    when = REST_UNTIL + plane.chance.uniform(0, CHANGE_EACH / 2)
+    when = REST_UNTIL + plane.rng.uniform(0, CHANGE_EACH / 2)
     while when < terms.seconds - plan.IN_FORCE_WITHIN_S:
         plane.at(when, plane.request_change)
         when += CHANGE_EACH
--- a/benchmarks/scale/control_plane.py
+++ b/benchmarks/scale/control_plane.py
@@ -124,10 +124,10 @@
         self.plane, self.name, self.zone = plane, name, zone
         self.started_at = plane.now
         self.reached_newest_at: float | None = None
-        chance = random.Random(f"{plane.terms.seed}-{name}-{epoch}")
+        rng = random.Random(f"{plane.terms.seed}-{name}-{epoch}")
         region = REGION_OF_ZONE[zone]
-        self.watch = Watch(name, plane.node_addresses, region, document, self, chance, plane.now)
-        self.channel = Channel(name, epoch, chance.getrandbits(62) + 1, plane.seal, plane.addresses)
+        self.watch = Watch(name, plane.node_addresses, region, document, self, rng, plane.now)
+        self.channel = Channel(name, epoch, rng.getrandbits(62) + 1, plane.seal, plane.addresses)
 
     def apply(self, document: Document, delta: Delta) -> None:
         self.plane.note_in_force(self, delta)
@@ -156,11 +156,11 @@
         self.plane, self.name, self.zone = plane, name, ZONE_OF_NODE[name]
         self.hard_state, self.log = hard_state, log  # on its disk
         self.epoch = epoch
-        chance = random.Random(f"{plane.terms.seed}-{name}-{epoch}")
-        self.replica = Replica(name, VOTES, hard_state, tuple(log), chance, plane.now)
+        rng = random.Random(f"{plane.terms.seed}-{name}-{epoch}")
+        self.replica = Replica(name, VOTES, hard_state, tuple(log), rng, plane.now)
         self.store = ConfigurationStore()
-        self.fanout = Fanout(self.store, chance, plane.now, self.authority_age_ms)
-        self.channel = Channel(name, epoch, chance.getrandbits(62) + 1, plane.seal, plane.addresses)
+        self.fanout = Fanout(self.store, rng, plane.now, self.authority_age_ms)
+        self.channel = Channel(name, epoch, rng.getrandbits(62) + 1, plane.seal, plane.addresses)
 
     def authority_age_ms(self) -> int:
         return int(self.replica.authority_age(self.plane.now) * 1000)
@@ -224,8 +224,8 @@
     def __init__(self, terms: Terms) -> None:
         self.terms = terms
         self.now = 0.0
-        self.chance = random.Random(terms.seed)
-        self.seal = Seal([KEY], self.chance.randbytes)
+        self.rng = random.Random(terms.seed)
+        self.seal = Seal([KEY], self.rng.randbytes)
         self.addresses = {name: ("10.0.0.1", 100 + at) for at, name in enumerate(ZONE_OF_NODE)}
         self.node_addresses = tuple(
             ControlNodeAddress(name, self.addresses[name], REGION_OF_ZONE[zone])
@@ -326,7 +326,7 @@
             size = len(datagram) + HEADER_BYTES
             self.traffic[source.name].count(self.now, size)
             target = self._ends.get(to)
-            if target is None or self.chance.random() < self.terms.loss:
+            if target is None or self.rng.random() < self.terms.loss:
                 continue
             self.after(self._delay(source, target), partial(self._deliver, target, datagram, address))
 
@@ -337,7 +337,7 @@
             delay = IN_REGION_S
         else:
             delay = BETWEEN_REGIONS_S
-        return delay * (1 + self.chance.uniform(0, DELAY_SPREAD))
+        return delay * (1 + self.rng.uniform(0, DELAY_SPREAD))
 
     def _deliver(self, target: End, datagram: bytes, source: Address) -> None:
         if target is not self.senders.get(target.name) and target is not self.nodes.get(target.name):
@@ -352,7 +352,7 @@
     def request_change(self) -> None:
         """An operator asks for a change, and asks again until it is confirmed."""
         number = len(self.requests)
-        value = self.chance.randbytes(CHANGE_BYTES // 2).hex().encode()
+        value = self.rng.randbytes(CHANGE_BYTES // 2).hex().encode()
         put = (Resource(f"endpoints/hub-{self.chance.randrange(RESOURCES):04}", value),)
         base = self.first_version + number
         change = Change(f"request-{number}", base, put, (), "operator")
@@ -402,10 +402,10 @@
 
 def first_entries() -> Iterable[LogEntry]:
     """The log that makes the document at the beginning."""
-    chance = random.Random(0)
+    rng = random.Random(0)
     for at in range(0, RESOURCES, RESOURCES_AN_ENTRY):
         put = tuple(
-            Resource(f"endpoints/hub-{number:04}", chance.randbytes(RESOURCE_BYTES // 2).hex().encode())
+            Resource(f"endpoints/hub-{number:04}", rng.randbytes(RESOURCE_BYTES // 2).hex().encode())
             for number in range(at, at + RESOURCES_AN_ENTRY)
         )
         base = at // RESOURCES_AN_ENTRY
--- a/benchmarks/scale/destinations.py
+++ b/benchmarks/scale/destinations.py
@@ -15,8 +15,10 @@
 from benchmarks.scale.memory import traced_memory
 from benchmarks.scale.quantity import quantity_of
 from benchmarks.scale.results import Allowance, Effort, Figure, Measured, Point, Quantity, Source
-from message_sender import interface as face
-from message_sender.http.platform import LINE_LIMIT, Listed
+from message_sender.http.discovery import LINE_LIMIT, EndpointList
+from message_sender.policy.actions import PolicyAction
+from message_sender.policy.events import EndpointsUpdated, PolicyEvent
+from message_sender.policy.model import EndpointState, ListingKind
 
 SLOTS, MAX_OPEN = 60, 1_000
 CALL_US = 5_000  # virtual, between a message and the answer to its call
@@ -47,7 +49,7 @@
         self.dispatcher = policy.make_dispatcher(SLOTS, MAX_OPEN)
         self.now_us = 0
 
-    def handle(self, *events: face.Event, after_us: int = 0) -> list[face.Action]:
+    def handle(self, *events: PolicyEvent, after_us: int = 0) -> list[PolicyAction]:
         self.now_us += after_us
         return self.dispatcher.handle(self.now_us, events)
 
@@ -69,10 +71,10 @@
     return json.dumps({"seq": 1, "whole": True, "hosts": hosts}, separators=(",", ":")).encode()
 
 
-def hear_text(world: World, text: bytes) -> Listed:
+def hear_text(world: World, text: bytes) -> EndpointList:
     """What the directory keeps; the decision module shares its endpoint records."""
-    listed = Listed(json.loads(text))
-    world.handle(face.EndpointsListed(face.Listing.FULL, listed.endpoints))
+    listed = EndpointList(json.loads(text))
+    world.handle(EndpointsUpdated(ListingKind.FULL, listed.endpoints))
     return listed
 
 
@@ -120,7 +122,7 @@
     """Median CPU microseconds to hear that one endpoint drains, or is ready again."""
     world = World()
     world.handle(policy.full_list(count))
-    states = (face.EndpointState.DRAINING, face.EndpointState.READY)
+    states = (EndpointState.DRAINING, EndpointState.READY)
 
     def change() -> None:
         for number in range(CHANGES):
--- a/benchmarks/scale/held.py
+++ b/benchmarks/scale/held.py
@@ -18,12 +18,12 @@
 from benchmarks.scale.memory import traced_memory
 from benchmarks.scale.quantity import quantity_of
 from benchmarks.scale.results import Allowance, Effort, Figure, Measured, Point, Quantity, Source
-from message_sender import interface as face
-from message_sender.interface import Outcome
-from message_sender.journal.disk import Files
+from message_sender.journal.disk import SystemDisk
 from message_sender.journal.durable import DurableJournal
-from message_sender.journal.file import FILE, Attempt
-from message_sender.message import HandedIn
+from message_sender.journal.process_journal import FILE, AttemptRecord
+from message_sender.message import Message
+from message_sender.policy.events import PolicyEvent
+from message_sender.policy.model import Outcome
 
 BODY_BYTES = 300
 DESTINATIONS = 100  # that the held messages are for
@@ -58,7 +58,7 @@
 }
 
 
-class CountingDisk(Files):
+class CountingDisk(SystemDisk):
     """The system's disk, without its syncs, that counts what is written."""
 
     written_bytes = 0
@@ -71,10 +71,10 @@
         """Nothing: bytes are counted, and the run shall not wait for the disk."""
 
 
-def message(number: int) -> HandedIn:
+def message(number: int) -> Message:
     name = f"m{number}"
     key = f"k{number}"
-    return HandedIn(
+    return Message(
         name, policy.MESSAGE_CLASS.name, number % DESTINATIONS, UNTIL_US, "", key, name, False, body()
     )
 
@@ -84,13 +84,13 @@
     return b"%0*d" % (BODY_BYTES, 0)
 
 
-def open_journal(folder: Path, disk: Files | None = None) -> DurableJournal:
+def open_journal(folder: Path, disk: SystemDisk | None = None) -> DurableJournal:
     return DurableJournal(folder, JOURNAL_LIMIT_BYTES, GATHER_S, disk)
 
 
 def fill(journal: DurableJournal, count: int) -> None:
     for number in range(count):
-        if not journal.taken(message(number)):
+        if not journal.record_accepted(message(number)):
             raise RuntimeError(f"the journal did not take message {number}")
 
 
@@ -150,7 +150,9 @@
     dispatcher.handle(0, [policy.full_list(DESTINATIONS)])
     gc.collect()
     began = time.process_time()
-    told: list[face.Event] = [policy.restored(f"m{number}", number % DESTINATIONS) for number in range(count)]
+    told: list[PolicyEvent] = [
+        policy.restored(f"m{number}", number % DESTINATIONS) for number in range(count)
+    ]
     dispatcher.handle(1, told)
     spent = time.process_time() - began
     if policy.held_count(dispatcher) != count:
@@ -166,7 +168,7 @@
     that come and go."""
     journal = open_journal(folder)
     fill(journal, count)
-    journal.ended(f"m{count - 1}", "delivered")  # something to be dropped
+    journal.record_end(f"m{count - 1}", "delivered")  # something to be dropped
     loop, numbers = asyncio.get_running_loop(), itertools.count(count)
     while journal.task or journal.timer:
         await asyncio.sleep(0.01)
@@ -189,10 +191,10 @@
 def come_and_go(journal: DurableJournal, number: int) -> None:
     """All records in the life of a message that is delivered at once."""
     each = message(number)
-    journal.taken(each)
-    journal.sent(each.id, 0, Attempt(UNTIL_US, ENDPOINT, ZONE))
-    journal.outcome(each.id, 0, Outcome.OK)
-    journal.ended(each.id, "delivered")
+    journal.record_accepted(each)
+    journal.record_attempt(each.id, 0, AttemptRecord(UNTIL_US, ENDPOINT, ZONE))
+    journal.record_outcome(each.id, 0, Outcome.OK)
+    journal.record_end(each.id, "delivered")
 
 
 async def written_per_message(count: int, folder: Path) -> float:
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -13,8 +13,8 @@
 from dataclasses import dataclass, field
 
 from message_sender.fleet import wire
-from message_sender.fleet.members import PERIOD, Member, State
-from message_sender.fleet.node import Me, Node
+from message_sender.fleet.members import PERIOD, Member, MemberState
+from message_sender.fleet.node import FleetNode, LocalMember
 from message_sender.fleet.seal import Seal
 from message_sender.fleet.session import PeerSession
 from message_sender.fleet.udp import TICK
@@ -27,13 +27,13 @@
 ROUND_SHARE = 1.1 / 2.1  # of the time, in which a member is within a round of announcements
 
 
-class CountingNode(Node):
+class CountingNode(FleetNode):
     """A Node that counts what it sends by kind of body."""
 
     kinds: Counter[str]
 
     def send(
-        self, address: Address, body: wire.Body, to: int = 0, news: tuple[wire.Rumour, ...] = ()
+        self, address: Address, body: wire.Body, to: int = 0, news: tuple[wire.MembershipUpdate, ...] = ()
     ) -> None:
         self.kinds[type(body).__name__] += 1
         super().send(address, body, to, news)
@@ -64,7 +64,7 @@
         self.announcement = b"x" * announcement_bytes
         self.now = 0.0
         self.traffic, self.kinds = Traffic(), Counter[str]()
-        self.chance = random.Random(f"hollow fleet {seed}")
+        self.rng = random.Random(f"hollow fleet {seed}")
         self.order = itertools.count()
         self.events: list[tuple[float, int, Callable[..., None], tuple[object, ...]]] = []
         self.nodes: dict[str, CountingNode] = {}
@@ -78,13 +78,13 @@
     def add(self, name: str, number: int) -> None:
         self.by_address[self.address(number)] = name
         self.nodes[name] = self.make_node(name, number, epoch=1)
-        self.call_at(self.chance.uniform(0, TICK), self.tick, name)
+        self.call_at(self.rng.uniform(0, TICK), self.tick, name)
 
     def make_node(self, name: str, number: int, epoch: int) -> CountingNode:
         seeds = tuple(self.address(each) for each in range(min(SEEDS, self.size)))
-        me = Me(name, self.address(number), seeds, self.size)
-        chance = random.Random(f"{self.seed} {name} {epoch}")
-        node = CountingNode(me, Seal([KEY]), epoch, chance.getrandbits(62) + 1, chance, self.now)
+        me = LocalMember(name, self.address(number), seeds, self.size)
+        rng = random.Random(f"{self.seed} {name} {epoch}")
+        node = CountingNode(me, Seal([KEY]), epoch, rng.getrandbits(62) + 1, rng, self.now)
         node.kinds = self.kinds
         return node
 
@@ -97,23 +97,23 @@
             for other in self.nodes.values():
                 if other is not node:
                     self.introduce(node, other)
-            node.members.next_at = self.now + self.chance.uniform(0, PERIOD)
+            node.members.next_at = self.now + self.rng.uniform(0, PERIOD)
             self.place_in_round(node)
 
-    def place_in_round(self, node: Node) -> None:
+    def place_in_round(self, node: FleetNode) -> None:
         """A round lasts 22 parts of a twentieth of the rest at most, then comes the rest (Node.tick)."""
-        if self.chance.random() < ROUND_SHARE:
+        if self.rng.random() < ROUND_SHARE:
             node.round = node.others()
-            self.chance.shuffle(node.round)
-            del node.round[: int(self.chance.random() * len(node.round))]
-            node.next_round = self.now + self.chance.uniform(0, node.rest() / 20)
+            self.rng.shuffle(node.round)
+            del node.round[: int(self.rng.random() * len(node.round))]
+            node.next_round = self.now + self.rng.uniform(0, node.rest() / 20)
         else:
-            node.next_round = self.now + self.chance.uniform(0, node.rest())
+            node.next_round = self.now + self.rng.uniform(0, node.rest())
 
-    def introduce(self, node: Node, other: Node) -> None:
+    def introduce(self, node: FleetNode, other: FleetNode) -> None:
         epoch = other.members.me.epoch
         name, address = other.me.name, other.me.address
-        node.members.others[name] = Member(name, address, epoch, 0, State.ALIVE, self.now)
+        node.members.others[name] = Member(name, address, epoch, 0, MemberState.ALIVE, self.now)
         node.peers[name] = PeerSession(epoch, other.session)
 
     def restart(self, name: str) -> None:
@@ -147,7 +147,7 @@
         for address, data in out:
             self.traffic.sent += 1
             self.traffic.sent_bytes += len(data)
-            if self.loss and self.chance.random() < self.loss:
+            if self.loss and self.rng.random() < self.loss:
                 continue
             if to := self.by_address.get(address):
                 self.call_at(self.now + NETWORK_DELAY_S, self.deliver, to, data)
--- a/benchmarks/scale/outage.py
+++ b/benchmarks/scale/outage.py
@@ -1,7 +1,7 @@
 """Calls that one sender makes to a destination that is down, counted on virtual time."""
 
 from benchmarks.scale import policy
-from message_sender import interface as face
+from message_sender.policy.events import PolicyEvent
 
 CONNECTION_REFUSED_AFTER_US = 1_000
 IDLE_US = 1_000_000  # between two looks where the module asks for none
@@ -14,7 +14,7 @@
     dispatcher.handle(0, [policy.full_list(1)])
     now_us, calls, taken = 0, 0, 0
     while now_us < seconds * policy.MICROSECONDS:
-        events: list[face.Event] = []
+        events: list[PolicyEvent] = []
         if not policy.held_count(dispatcher):
             taken += 1
             events.append(policy.taken(f"m{taken}", 0))
--- a/benchmarks/scale/policy.py
+++ b/benchmarks/scale/policy.py
@@ -3,63 +3,74 @@
 from collections.abc import Sequence
 
 from message_sender import Dispatcher
-from message_sender import interface as face
+from message_sender.policy.actions import PolicyAction, Send, WakeAfter
+from message_sender.policy.events import AttemptEnded, EndpointsUpdated, MessageAccepted, MessageRestored
+from message_sender.policy.model import (
+    DestinationKind,
+    Effect,
+    Endpoint,
+    EndpointState,
+    ListingKind,
+    MessageClass,
+    Outcome,
+    Settings,
+)
 
 MICROSECONDS = 1_000_000
 SEED = 1
 DEADLINE_US = 3_600 * MICROSECONDS
 ENDPOINTS_OF_ZONE = "z1"
-MESSAGE_CLASS = face.MessageClass("safe", 2 * MICROSECONDS, DEADLINE_US, 1.0, 0.3, face.Effect.SAFE)
+MESSAGE_CLASS = MessageClass("safe", 2 * MICROSECONDS, DEADLINE_US, 1.0, 0.3, Effect.IDEMPOTENT)
 
 
-def settings(slots: int, max_open: int, must_ask: bool = False, fleet_size: int = 1) -> face.Settings:
+def settings(slots: int, max_open: int, must_poll: bool = False, fleet_size: int = 1) -> Settings:
     """One class, one kind of destination with one endpoint each."""
-    return face.Settings(
+    return Settings(
         classes=(MESSAGE_CLASS,),
-        kinds=(("plain", face.Kind()),),
+        kinds=(("plain", DestinationKind()),),
         slots=slots,
         max_open=max_open,
         max_attempts=6,
         zone=ENDPOINTS_OF_ZONE,
         tick=5_000,
-        must_ask=must_ask,
+        must_poll=must_poll,
         fleet_size=fleet_size,
     )
 
 
-def make_dispatcher(slots: int, max_open: int, must_ask: bool = False, fleet_size: int = 1) -> Dispatcher:
-    """`must_ask`: the list of endpoints comes only when it is asked for."""
-    return Dispatcher(settings(slots, max_open, must_ask, fleet_size), SEED)
+def make_dispatcher(slots: int, max_open: int, must_poll: bool = False, fleet_size: int = 1) -> Dispatcher:
+    """`must_poll`: the list of endpoints comes only when it is asked for."""
+    return Dispatcher(settings(slots, max_open, must_poll, fleet_size), SEED)
 
 
-def endpoint(number: int, state: face.EndpointState = face.EndpointState.READY) -> face.Endpoint:
+def endpoint(number: int, state: EndpointState = EndpointState.READY) -> Endpoint:
     """The only endpoint of destination `number`."""
-    return face.Endpoint(f"e{number}", number, state, "plain", ENDPOINTS_OF_ZONE)
+    return Endpoint(f"e{number}", number, state, "plain", ENDPOINTS_OF_ZONE)
 
 
-def full_list(count: int) -> face.EndpointsListed:
-    return face.EndpointsListed(face.Listing.FULL, tuple(endpoint(number) for number in range(count)))
+def full_list(count: int) -> EndpointsUpdated:
+    return EndpointsUpdated(ListingKind.FULL, tuple(endpoint(number) for number in range(count)))
 
 
-def one_change(number: int, state: face.EndpointState) -> face.EndpointsListed:
-    return face.EndpointsListed(face.Listing.CHANGES, (endpoint(number, state),))
+def one_change(number: int, state: EndpointState) -> EndpointsUpdated:
+    return EndpointsUpdated(ListingKind.CHANGES, (endpoint(number, state),))
 
 
-def taken(name: str, destination: int) -> face.MessageTaken:
-    return face.MessageTaken(name, MESSAGE_CLASS.name, destination, DEADLINE_US)
+def taken(name: str, destination: int) -> MessageAccepted:
+    return MessageAccepted(name, MESSAGE_CLASS.name, destination, DEADLINE_US)
 
 
-def restored(name: str, destination: int) -> face.MessageRestored:
+def restored(name: str, destination: int) -> MessageRestored:
     """A message that an earlier process took on and never sent."""
-    return face.MessageRestored(taken(name, destination), 0, None, "")
+    return MessageRestored(taken(name, destination), 0, None, "")
 
 
-def sends(actions: Sequence[face.Action]) -> list[face.Send]:
-    return [action for action in actions if isinstance(action, face.Send)]
+def sends(actions: Sequence[PolicyAction]) -> list[Send]:
+    return [action for action in actions if isinstance(action, Send)]
 
 
-def delivered(send: face.Send) -> face.AttemptEnded:
-    return face.AttemptEnded(send.message, send.attempt, face.Outcome.OK, finished=True)
+def delivered(send: Send) -> AttemptEnded:
+    return AttemptEnded(send.message, send.attempt, Outcome.OK, finished=True)
 
 
 def held_count(dispatcher: Dispatcher) -> int:
@@ -67,12 +78,12 @@
     return len(dispatcher.messages)
 
 
-def refused(send: face.Send) -> face.AttemptEnded:
+def refused(send: Send) -> AttemptEnded:
     """Nobody listens there."""
-    return face.AttemptEnded(send.message, send.attempt, face.Outcome.CONNECT_FAILED)
+    return AttemptEnded(send.message, send.attempt, Outcome.CONNECT_FAILED)
 
 
-def wake_after_us(actions: Sequence[face.Action]) -> int | None:
+def wake_after_us(actions: Sequence[PolicyAction]) -> int | None:
     """When the module asks to be called again; None: as it asked before, or not at all."""
-    delays = [action.delay for action in actions if isinstance(action, face.WakeAfter)]
+    delays = [action.delay for action in actions if isinstance(action, WakeAfter)]
     return delays[-1] if delays else None
--- a/benchmarks/scale/real.py
+++ b/benchmarks/scale/real.py
@@ -10,7 +10,7 @@
 
 from message_sender.fleet import wire
 from message_sender.fleet.seal import Seal
-from message_sender.lab.cluster import Cluster, Relay
+from message_sender.testbed.cluster import Cluster, Relay
 
 WINDOW_S = 10.0
 ANNOUNCED_WITHIN_S = 20.0  # after the start: every member has announced itself
@@ -63,7 +63,7 @@
     """Bytes of the announcements among these datagrams."""
     seal = Seal([base64.b64decode(key)])
     bodies = [wire.decode(seal.open(data)).body for data in sample]
-    return [len(body.text) for body in bodies if isinstance(body, wire.Bulletin)]
+    return [len(body.text) for body in bodies if isinstance(body, wire.AnnouncementPart)]
 
 
 async def rest_of(size: int, folder: Path) -> RealRest:
--- a/benchmarks/scale/restarts.py
+++ b/benchmarks/scale/restarts.py
@@ -12,7 +12,9 @@
 from benchmarks.scale.hollow import HollowFleet, Traffic
 from benchmarks.scale.quantity import quantity_of
 from benchmarks.scale.results import Allowance, Effort, Figure, Measured, Point, Quantity, Source
-from message_sender import interface as face
+from message_sender.policy.actions import Subscribe
+from message_sender.policy.events import EndpointsUpdated
+from message_sender.policy.model import ListingKind
 
 ANNOUNCEMENT_BYTES = 200
 WINDOW_S = 10.0  # virtual
@@ -97,10 +99,10 @@
 
 def list_calls() -> int:
     """Calls for the list of destinations that a sender makes as it starts with the list that it knew."""
-    dispatcher = policy.make_dispatcher(slots=60, max_open=1_000, must_ask=True)
-    told = face.EndpointsListed(face.Listing.CACHED, policy.full_list(10).endpoints)
+    dispatcher = policy.make_dispatcher(slots=60, max_open=1_000, must_poll=True)
+    told = EndpointsUpdated(ListingKind.CACHED, policy.full_list(10).endpoints)
     actions = dispatcher.handle(0, [told])
-    return sum(isinstance(action, face.Subscribe) for action in actions)
+    return sum(isinstance(action, Subscribe) for action in actions)
 
 
 def run(effort: Effort) -> Measured:
--- a/benchmarks/streams.py
+++ b/benchmarks/streams.py
@@ -4,10 +4,10 @@
     python benchmarks/streams.py replay FOLDER [--root CHECKOUT]
     python benchmarks/streams.py cost [--root CHECKOUT]
 
-`record` plays a closed world (message_sender/lab/stream.py) with the module of CHECKOUT (this one without the
-option) and writes a file a seed. `replay` tells at which call of each file the module of CHECKOUT first says
-something else, and what. `cost` tells the CPU of one message, calm, with 100 destinations down and beside
-10,000 quiet ones.
+`record` plays a closed world (message_sender/testbed/event_stream.py) with the module of CHECKOUT (this one
+without the option) and writes a file a seed. `replay` tells at which call of each file the module of CHECKOUT
+first says something else, and what. `cost` tells the CPU of one message, calm, with 100 destinations down and
+beside 10,000 quiet ones.
 """
 
 import argparse
@@ -76,7 +76,7 @@
         actions: list[Any] = module.handle(now, events)
         if now >= skip * 1e6:
             spent += time.process_time_ns() - began
-            taken += sum(type(each).__name__ == "MessageTaken" for each in events)
+            taken += sum(type(each).__name__ in ("MessageAccepted", "MessageTaken") for each in events)
         return actions
 
     world.run(handle, lambda *_: None)
@@ -84,7 +84,7 @@
 
 
 def cost(stream: Any, dispatcher: Any) -> None:  # noqa: ANN401
-    small = {"slots": 64, "max_open": 4_500, "rates_told": False, "fleet_size": 1}
+    small = {"slots": 64, "max_open": 4_500, "announces_rates": False, "fleet_size": 1}
     calm = {"moody": 0, "lists": 0, "keys": 0, "rate": 200.0, "seconds": 24.0, "settings": small}
     shapes = {
         "calm, 20 destinations": stream.Shape(destinations=20, **calm),
--- a/message_sender/adapter.py
+++ b/message_sender/adapter.py
@@ -5,26 +5,45 @@
 from collections.abc import Callable
 from typing import IO, Any
 
-from message_sender import interface as face
+from message_sender.configuration.settings import settings_from
+from message_sender.policy.actions import (
+    CancelAttempt,
+    CloseIdle,
+    Fail,
+    LogLine,
+    PolicyAction,
+    Reject,
+    Send,
+    Subscribe,
+    WakeAfter,
+)
 from message_sender.policy.dispatcher import Dispatcher
-from message_sender.settings import settings_from
+from message_sender.policy.events import (
+    AttemptEnded,
+    EndpointsUpdated,
+    MessageAccepted,
+    MessageWithdrawn,
+    PolicyEvent,
+    WakeUp,
+)
+from message_sender.policy.model import Endpoint, EndpointState, ListingKind, Outcome, Settings
 
 OUTCOMES = {
-    "OK": face.Outcome.OK,
-    "INTERNAL": face.Outcome.ERROR,
-    "RESOURCE_EXHAUSTED": face.Outcome.FULL,
-    "DEADLINE_EXCEEDED": face.Outcome.TIMEOUT,
-    "UNAVAILABLE": face.Outcome.CONNECT_FAILED,
-    "ABORTED": face.Outcome.RESET,
-    "CANCELLED": face.Outcome.CANCELLED,
-    "TOO_LATE": face.Outcome.NOT_SENT,
+    "OK": Outcome.OK,
+    "INTERNAL": Outcome.ERROR,
+    "RESOURCE_EXHAUSTED": Outcome.FULL,
+    "DEADLINE_EXCEEDED": Outcome.TIMEOUT,
+    "UNAVAILABLE": Outcome.CONNECT_FAILED,
+    "ABORTED": Outcome.RESET,
+    "CANCELLED": Outcome.CANCELLED,
+    "TOO_LATE": Outcome.NOT_SENT,
 }
-STATES = {"1": face.EndpointState.READY, "2": face.EndpointState.DRAINING, "3": face.EndpointState.GONE}
+STATES = {"1": EndpointState.READY, "2": EndpointState.DRAINING, "3": EndpointState.GONE}
 LISTINGS = {
-    "0": face.Listing.CHANGES,
-    "1": face.Listing.CACHED,
-    "2": face.Listing.FULL,
-    "3": face.Listing.FAILED,
+    "0": ListingKind.CHANGES,
+    "1": ListingKind.CACHED,
+    "2": ListingKind.FULL,
+    "3": ListingKind.FAILED,
 }
 BITS = {"0": False, "1": True}
 TEXT_FIELDS = {"power_on": " env="}
@@ -81,7 +100,7 @@
             raise self.error(field, f"cannot be {value!r}") from None
 
 
-def read_settings(line: Line) -> face.Settings:
+def read_settings(line: Line) -> Settings:
     try:
         return settings_from(json.loads(line.text("env")))
     except KeyError as error:
@@ -90,23 +109,23 @@
         raise line.error("env", str(error)) from None
 
 
-def write_action(who: str, action: face.Action) -> str:
+def write_action(who: str, action: PolicyAction) -> str:
     match action:
-        case face.Send(message, endpoint, timeout):
+        case Send(message, endpoint, timeout):
             return f"place who={who} ref={message} give_up_after={timeout} receiver={endpoint}\n"
-        case face.Refuse(message, retry_after):
+        case Reject(message, retry_after):
             return f"shed who={who} ref={message} retry_after={retry_after}\n"
-        case face.Fail(message):
+        case Fail(message):
             return f"error who={who} ref={message}\n"
-        case face.CancelAttempt(message, attempt):
+        case CancelAttempt(message, attempt):
             return f"stop_attempt who={who} ref={message} go={attempt}\n"
-        case face.WakeAfter(delay):
+        case WakeAfter(delay):
             return f"set_alarm who={who} handle=0 delay={delay}\n"
-        case face.Subscribe():
+        case Subscribe():
             return f"listen who={who} on=1\n"
-        case face.CloseIdle(endpoint):
+        case CloseIdle(endpoint):
             return f"release who={who} receiver={endpoint}\n"
-        case face.Note(text):
+        case LogLine(text):
             return f"remark who={who} message={text}\n"
 
 
@@ -117,7 +136,7 @@
         self.source = source
         self.sink = sink
         self.senders: dict[str, Dispatcher] = {}
-        self.sheets: dict[int, tuple[face.Endpoint, ...]] = {}
+        self.sheets: dict[int, tuple[Endpoint, ...]] = {}
         self.number = 0
 
     def next_line(self) -> Line | None:
@@ -136,7 +155,7 @@
             self.batch(line.number_of("wall"), line.number_of("seq"))
 
     def batch(self, now: int, seq: int) -> None:
-        inbox: dict[str, list[face.Event]] = {}
+        inbox: dict[str, list[PolicyEvent]] = {}
         while True:
             line = self.next_line()
             if line is None:
@@ -173,14 +192,14 @@
         self.sink.write("".join(out) + f"end seq={seq}\n")
         self.sink.flush()
 
-    def read_sheet(self, count: int) -> tuple[face.Endpoint, ...]:
+    def read_sheet(self, count: int) -> tuple[Endpoint, ...]:
         entries = []
         for _ in range(count):
             line = self.next_line()
             if line is None or line.type != "receiver":
                 raise WireError(f"line {self.number}: sheet: elements: a receiver line is missing")
             entries.append(
-                face.Endpoint(
+                Endpoint(
                     id=line.text("receiver"),
                     destination=line.number_of("destination"),
                     state=line.one_of("state", STATES),
@@ -191,18 +210,18 @@
             )
         return tuple(entries)
 
-    def read_event(self, line: Line) -> face.Event | None:
+    def read_event(self, line: Line) -> PolicyEvent | None:
         match line.type:
             case "view":
                 listing = line.one_of("how", LISTINGS)
-                if listing is face.Listing.FAILED:
-                    return face.EndpointsListed(listing)
+                if listing is ListingKind.FAILED:
+                    return EndpointsUpdated(listing)
                 table = line.number_of("table")
                 if table not in self.sheets:
                     raise line.error("table", f"no sheet {table}")
-                return face.EndpointsListed(listing, self.sheets[table])
+                return EndpointsUpdated(listing, self.sheets[table])
             case "req":
-                return face.MessageTaken(
+                return MessageAccepted(
                     message=line.text("ref"),
                     message_class=line.text("service"),
                     destination=line.number_of("dest"),
@@ -213,8 +232,8 @@
                 )
             case "answer":
                 outcome = line.one_of("outcome", OUTCOMES)
-                wait_ms = line.number_of("note", "0") if outcome is face.Outcome.FULL else 0
-                return face.AttemptEnded(
+                wait_ms = line.number_of("note", "0") if outcome is Outcome.FULL else 0
+                return AttemptEnded(
                     message=line.text("ref"),
                     attempt=line.number_of("go"),
                     outcome=outcome,
@@ -222,10 +241,10 @@
                     wait=wait_ms * 1000,
                 )
             case "lapsed":
-                return face.MessageWithdrawn(line.text("ref"))
+                return MessageWithdrawn(line.text("ref"))
             case "reminder":
                 line.number_of("handle")
-                return face.WakeUp()
+                return WakeUp()
             case name if name in IGNORED:
                 return None
             case _:
--- a/message_sender/budget/spend.py
+++ b/message_sender/budget/enforcer.py
@@ -10,7 +10,7 @@
 NEVER = 10**18
 
 
-class Spender:
+class LimitEnforcer:
     def __init__(self, span: int | None) -> None:
         """`span`: us of a rate's; None: things are held."""
         self.span = span
--- a/message_sender/budget/lease.py
+++ b/message_sender/budget/lease.py
@@ -46,7 +46,7 @@
         return self.whole - self.size * self.floor
 
 
-class Kind(IntEnum):
+class LeaseMessageKind(IntEnum):
     ELECT = 0  # keep me
     PROMISE = 1
     ASK = 2
@@ -54,10 +54,10 @@
     BACK = 4
 
 
-class Word(NamedTuple):
+class LeaseMessage(NamedTuple):
     """`session` and `asked` are of whoever elects or asks: by these an answer is known."""
 
-    kind: Kind
+    kind: LeaseMessageKind
     by: int
     to: int
     session: int
@@ -65,7 +65,7 @@
     amount: int = 0
 
 
-class Given(NamedTuple):
+class Grant(NamedTuple):
     to: int
     session: int
     asked: int  # the holder's clock
@@ -84,13 +84,13 @@
     votes: tuple[int, ...] = ()
     keeps_until: int = LONG_AGO
     gives_from: int = LONG_AGO
-    given: tuple[Given, ...] = ()
+    given: tuple[Grant, ...] = ()
     held: int = 0
     held_until: int = LONG_AGO
     held_asked: int = LONG_AGO  # of these the latest; nothing asked for so early is believed any more
 
 
-Step = tuple[Member, tuple[Word, ...]]
+Step = tuple[Member, tuple[LeaseMessage, ...]]
 
 
 def started(name: int, session: int, clock: int = 0) -> Member:
@@ -139,7 +139,10 @@
         return member, ()
     member = promise(member, terms, member.name)._replace(elected_at=member.clock, votes=())
     others = (each for each in range(terms.size) if each != member.name)
-    words = tuple(Word(Kind.ELECT, member.name, each, member.session, member.clock) for each in others)
+    words = tuple(
+        LeaseMessage(LeaseMessageKind.ELECT, member.name, each, member.session, member.clock)
+        for each in others
+    )
     return count_vote(member, terms, member.name), words
 
 
@@ -160,10 +163,10 @@
     return member._replace(promised=to, promised_until=max(until, member.promised_until))
 
 
-def hear_elect(member: Member, terms: Terms, word: Word) -> Step:
+def hear_elect(member: Member, terms: Terms, word: LeaseMessage) -> Step:
     if not is_settled(member, terms) or member.promised not in (NOBODY, word.by):
         return member, ()
-    answer = Word(Kind.PROMISE, member.name, word.by, word.session, word.asked)
+    answer = LeaseMessage(LeaseMessageKind.PROMISE, member.name, word.by, word.session, word.asked)
     return promise(member, terms, word.by), (answer,)
 
 
@@ -187,7 +190,7 @@
 
 def ask(member: Member, terms: Terms, keeper: int, need: int) -> Step:
     """Asks for so much in all, in place of what it has."""
-    word = Word(Kind.ASK, member.name, keeper, member.session, member.clock, need)
+    word = LeaseMessage(LeaseMessageKind.ASK, member.name, keeper, member.session, member.clock, need)
     if keeper != member.name:
         return member, (word,)
     member, answers = hear_ask(member, terms, word)
@@ -202,28 +205,28 @@
     return sum(max(each.amount for each in member.given if each.to == name) for name in others)
 
 
-def hear_ask(member: Member, terms: Terms, word: Word) -> Step:
+def hear_ask(member: Member, terms: Terms, word: LeaseMessage) -> Step:
     if not keeps(member) or member.clock < member.gives_from:
         return member, ()
     amount = min(word.amount, terms.divisible() - out(member, word.by))
     if amount <= 0:
         return member, ()
     return record(member, terms, word, amount), (
-        Word(Kind.GRANT, member.name, word.by, word.session, word.asked, amount),
+        LeaseMessage(LeaseMessageKind.GRANT, member.name, word.by, word.session, word.asked, amount),
     )
 
 
-def record(member: Member, terms: Terms, word: Word, amount: int) -> Member:
-    fresh = Given(word.by, word.session, word.asked, amount, member.clock + longest(terms))
+def record(member: Member, terms: Terms, word: LeaseMessage, amount: int) -> Member:
+    fresh = Grant(word.by, word.session, word.asked, amount, member.clock + longest(terms))
     return member._replace(given=tuple(sorted({*member.given, fresh})))
 
 
-def is_mine(member: Member, word: Word) -> bool:
+def is_mine(member: Member, word: LeaseMessage) -> bool:
     """Whether it answers what this session asked."""
     return word.session == member.session
 
 
-def hear_grant(member: Member, terms: Terms, word: Word) -> Member:
+def hear_grant(member: Member, terms: Terms, word: LeaseMessage) -> Member:
     """Refuses one over the whole, an old one, and one whose time is up."""
     until = word.asked + terms.lease
     if not is_mine(member, word) or word.asked <= member.held_asked or word.amount > terms.divisible():
@@ -236,17 +239,17 @@
 def give_back(member: Member, terms: Terms, keeper: int) -> Step:
     """Spends none of it from now on, nor of anything it has asked for so far."""
     member = member._replace(held=0, held_until=LONG_AGO, held_asked=member.clock)
-    word = Word(Kind.BACK, member.name, keeper, member.session, member.clock)
+    word = LeaseMessage(LeaseMessageKind.BACK, member.name, keeper, member.session, member.clock)
     return member, (word,) if is_rested(member, terms) else ()
 
 
-def settle(member: Member, terms: Terms, keeper: int) -> tuple[Word, ...]:
+def settle(member: Member, terms: Terms, keeper: int) -> tuple[LeaseMessage, ...]:
     """Of all that it asked for before what it holds nothing is in use, which is the caller's to know."""
-    word = Word(Kind.BACK, member.name, keeper, member.session, member.held_asked - 1)
+    word = LeaseMessage(LeaseMessageKind.BACK, member.name, keeper, member.session, member.held_asked - 1)
     return (word,) if is_rested(member, terms) else ()
 
 
-def hear_back(member: Member, word: Word) -> Member:
+def hear_back(member: Member, word: LeaseMessage) -> Member:
     """What was asked for by then is over, of this session and, as it is gone, of those before."""
     kept = (
         each
@@ -256,18 +259,18 @@
     return member._replace(given=tuple(kept))
 
 
-def hear(member: Member, terms: Terms, word: Word) -> Step:
+def hear(member: Member, terms: Terms, word: LeaseMessage) -> Step:
     """Whatever comes, late, twice or in another order."""
     match word.kind:
-        case Kind.ELECT:
+        case LeaseMessageKind.ELECT:
             return hear_elect(member, terms, word)
-        case Kind.PROMISE:
+        case LeaseMessageKind.PROMISE:
             if is_mine(member, word) and word.asked == member.elected_at:
                 return count_vote(member, terms, word.by), ()
-        case Kind.ASK:
+        case LeaseMessageKind.ASK:
             return hear_ask(member, terms, word)
-        case Kind.GRANT:
+        case LeaseMessageKind.GRANT:
             return hear_grant(member, terms, word), ()
-        case Kind.BACK:
+        case LeaseMessageKind.BACK:
             return hear_back(member, word), ()
     return member, ()
--- a/message_sender/budget/desk.py
+++ b/message_sender/budget/manager.py
@@ -31,9 +31,9 @@
 from functools import cached_property
 
 from message_sender.budget import division, lease
-from message_sender.budget.lease import Kind, Member, Terms, Word
-from message_sender.budget.spend import NEVER, Spender
-from message_sender.fleet.wire import Share
+from message_sender.budget.enforcer import NEVER, LimitEnforcer
+from message_sender.budget.lease import LeaseMessage, LeaseMessageKind, Member, Terms
+from message_sender.fleet.wire import LeaseDatagram
 
 FAST = 1.0102  # by a clock that is 1% fast, how long a true time takes, with something over
 APART = 0.021  # what two clocks may differ by, 1% each
@@ -76,7 +76,7 @@
 
 
 @dataclass(slots=True)
-class Asker:
+class Requester:
     """What a keeper heard last of a member's need."""
 
     need: int
@@ -86,7 +86,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Figures:
+class ReportedTerms:
     """What another member has under the same name."""
 
     whole: int
@@ -101,12 +101,12 @@
 
 
 @dataclass
-class Book:
+class Ledger:
     """One budget."""
 
     budget: Budget
     member: Member
-    spender: Spender
+    spender: LimitEnforcer
     need: Callable[[], int]  # what is held for it, besides what is in use
     warm: Callable[[], int]  # thousandths of the whole that may be spent, by its own eyes
     numbers: dict[str, int]  # of names, to the machine
@@ -118,20 +118,20 @@
     free_since: int = -NEVER  # when somebody was promised last
     wanted: int = 0  # the need that falls slowly
     unsettled: bool = False  # what it had above its part may still be in use
-    askers: dict[str, Asker] = field(default_factory=dict)
-    figures: dict[str, Figures] = field(default_factory=dict)
+    askers: dict[str, Requester] = field(default_factory=dict)
+    figures: dict[str, ReportedTerms] = field(default_factory=dict)
     changes: list[Change] = field(default_factory=list)
     refused: dict[str, int] = field(default_factory=dict)
     was: tuple[int, str] = (0, "")  # part and keeper, as last noted
 
 
-class Desk:
+class LeaseManager:
     def __init__(self, name: str, session: int, clock: Callable[[], int]) -> None:
         """`clock`: us, one that goes on while the machine sleeps; `session`: above that of each start
         before of this name."""
         self.name, self.session, self.clock = name, session, clock
-        self.books: dict[str, Book] = {}
-        self.out: list[tuple[str, Share]] = []  # to whom
+        self.books: dict[str, Ledger] = {}
+        self.out: list[tuple[str, LeaseDatagram]] = []  # to whom
         self.grew: Callable[[str], None] = lambda budget: None
         self.began = self.born = clock()
 
@@ -141,10 +141,10 @@
         need: Callable[[], int],
         warm: Callable[[], int] = lambda: WARM,
         passing: bool = False,
-    ) -> Book:
-        spender = Spender(budget.counted if budget.span else None)
+    ) -> Ledger:
+        spender = LimitEnforcer(budget.counted if budget.span else None)
         numbers, now = {self.name: MINE}, self.clock()
-        book = Book(budget, self.fresh(), spender, need, warm, numbers, passing, now)
+        book = Ledger(budget, self.fresh(), spender, need, warm, numbers, passing, now)
         self.books[budget.name] = book
         return book
 
@@ -172,7 +172,7 @@
 
     # What may be spent.
 
-    def part(self, book: Book) -> int:
+    def part(self, book: Ledger) -> int:
         member = book.member._replace(clock=self.clock())  # what has run out is not spendable by its own time
         return min(lease.spendable(member, book.budget.terms), max(book.budget.whole, 0))
 
@@ -203,7 +203,7 @@
             self.settle(book)
             self.look(book)
 
-    def rests(self, book: Book) -> bool:
+    def rests(self, book: Ledger) -> bool:
         if not book.passing:
             return False
         now = self.clock()
@@ -220,13 +220,13 @@
             del self.books[name]
         return gone
 
-    def is_empty(self, book: Book) -> bool:
+    def is_empty(self, book: Ledger) -> bool:
         member, now = lease.at(book.member, self.clock()), self.clock()
         out = member.promised != lease.NOBODY or lease.keeps(member) or member.given or member.held
         asked = now < book.asked_at + book.budget.lease
         return not (out or asked or book.spender.used(now))
 
-    def elect(self, book: Book, others: list[str]) -> None:
+    def elect(self, book: Ledger, others: list[str]) -> None:
         budget, now = book.budget, self.clock()
         if book.member.promised != lease.NOBODY:
             book.free_since = now
@@ -243,17 +243,19 @@
         if words:
             book.elected_at = now
             for each in others:
-                self.say(book, each, Kind.ELECT, self.session, book.member.elected_at, int(keeping))
+                self.say(
+                    book, each, LeaseMessageKind.ELECT, self.session, book.member.elected_at, int(keeping)
+                )
 
-    def keeper(self, book: Book) -> str:
+    def keeper(self, book: Ledger) -> str:
         return next((name for name, number in book.numbers.items() if number == book.member.promised), "")
 
-    def wants(self, book: Book) -> int:
+    def wants(self, book: Ledger) -> int:
         now = self.clock()
         all_of_it = book.spender.used(now) + book.need() - book.budget.floor
         return max(min(all_of_it, book.budget.terms.divisible()), 0)
 
-    def ask(self, book: Book) -> None:
+    def ask(self, book: Ledger) -> None:
         now, keeper, fresh = self.clock(), self.keeper(book), self.wants(book)
         answered = book.member.held_asked >= book.asked_at
         due = now >= book.asked_at + (book.budget.lease // 4 if answered else RUSH)
@@ -264,14 +266,14 @@
             book.wanted, book.fell_at = book.wanted - max(book.wanted // 8, 1), now
         book.wanted, book.asked_at = max(fresh, book.wanted), now
         if keeper == self.name:
-            word = Word(Kind.ASK, MINE, MINE, self.session, now, book.wanted)
+            word = LeaseMessage(LeaseMessageKind.ASK, MINE, MINE, self.session, now, book.wanted)
             granted = self.answer(book, self.name, word, book.warm())
             if granted:
                 self.granted(book, granted)
         else:
-            self.say(book, keeper, Kind.ASK, self.session, now, book.wanted)
+            self.say(book, keeper, LeaseMessageKind.ASK, self.session, now, book.wanted)
 
-    def settle(self, book: Book) -> None:
+    def settle(self, book: Ledger) -> None:
         """Once what is in use is within its part, the rest is over."""
         keeper = self.keeper(book)
         if not book.unsettled or not keeper or book.spender.used(self.clock()) > self.part(book):
@@ -281,7 +283,7 @@
             if keeper == self.name:
                 book.member = lease.hear_back(book.member, word)
             else:
-                self.say(book, keeper, Kind.BACK, self.session, word.asked)
+                self.say(book, keeper, LeaseMessageKind.BACK, self.session, word.asked)
 
     def leave(self) -> None:
         """What is not in use is given back at once; the rest runs out."""
@@ -290,17 +292,19 @@
             terms, number = book.budget.terms, book.numbers.get(keeper, MINE)
             book.member, words = lease.give_back(book.member, terms, number)
             if words and keeper not in ("", self.name) and book.spender.used(self.clock()) <= self.part(book):
-                self.say(book, keeper, Kind.BACK, self.session, words[0].asked)
+                self.say(book, keeper, LeaseMessageKind.BACK, self.session, words[0].asked)
 
-    def say(self, book: Book, to: str, kind: Kind, session: int, asked: int, amount: int = 0) -> None:
+    def say(
+        self, book: Ledger, to: str, kind: LeaseMessageKind, session: int, asked: int, amount: int = 0
+    ) -> None:
         budget = book.budget
-        warm = book.warm() if kind is Kind.ASK else WARM
+        warm = book.warm() if kind is LeaseMessageKind.ASK else WARM
         figures = budget.whole, budget.floor, budget.size, budget.form, warm
-        self.out.append((to, Share(budget.name, kind, session, asked, amount, *figures)))
+        self.out.append((to, LeaseDatagram(budget.name, kind, session, asked, amount, *figures)))
 
     # What is heard.
 
-    def hear(self, by: str, said: Share) -> None:
+    def hear(self, by: str, said: LeaseDatagram) -> None:
         """Whatever comes. Of a budget that is not known here nothing is believed."""
         if (book := self.books.get(said.budget)) is None:
             return
@@ -310,30 +314,30 @@
         if said.size > book.budget.size:
             book.budget = replace(book.budget, size=said.size)
             self.note(book, f"up to {said.size} members, says {by}")
-        if said.kind == Kind.ELECT and said.size < book.budget.size:
+        if said.kind == LeaseMessageKind.ELECT and said.size < book.budget.size:
             self.refuse(book, f"{by} counts on {said.size} members alone")
             return
         number = book.numbers.setdefault(by, len(book.numbers))
-        book.figures[by] = Figures(said.whole, said.floor, self.clock())
-        kind = Kind(said.kind)
+        book.figures[by] = ReportedTerms(said.whole, said.floor, self.clock())
+        kind = LeaseMessageKind(said.kind)
         book.member = lease.at(book.member, self.clock())
-        word = Word(kind, number, MINE, said.session, said.asked, said.amount)
-        if kind is Kind.ASK:
+        word = LeaseMessage(kind, number, MINE, said.session, said.asked, said.amount)
+        if kind is LeaseMessageKind.ASK:
             if answer := self.answer(book, by, word, said.warm):
-                self.say(book, by, Kind.GRANT, said.session, said.asked, answer.amount)
-        elif kind is Kind.GRANT:
+                self.say(book, by, LeaseMessageKind.GRANT, said.session, said.asked, answer.amount)
+        elif kind is LeaseMessageKind.GRANT:
             self.granted(book, word)
-        elif kind is Kind.BACK:
+        elif kind is LeaseMessageKind.BACK:
             book.member = lease.hear_back(book.member, word)
         else:
             behind = said.amount or rank(said.budget, by) < rank(said.budget, self.name)
-            if kind is Kind.ELECT and behind:
+            if kind is LeaseMessageKind.ELECT and behind:
                 book.member = lease.abandon(book.member)
             book.member, answers = lease.hear(book.member, book.budget.terms, word)
             for each in answers:
                 self.say(book, by, each.kind, each.session, each.asked)
 
-    def granted(self, book: Book, word: Word) -> None:
+    def granted(self, book: Ledger, word: LeaseMessage) -> None:
         terms, before = book.budget.terms, self.part(book)
         if word.amount > terms.divisible() or word.amount < 0:
             why = "a grant of more than the whole" if word.amount > 0 else "a grant below nothing"
@@ -346,16 +350,16 @@
             self.grew(book.budget.name)
 
     @staticmethod
-    def refuse(book: Book, why: str) -> None:
+    def refuse(book: Ledger, why: str) -> None:
         book.refused[why] = book.refused.get(why, 0) + 1
 
-    def answer(self, book: Book, by: str, word: Word, warm: int) -> Word | None:
+    def answer(self, book: Ledger, by: str, word: LeaseMessage, warm: int) -> LeaseMessage | None:
         """The keeper's: a grant, which is on its list; of nothing it need not be."""
         now = self.clock()
         if word.amount < 0:
             return None
         before = book.askers[by].part if by in book.askers else 0
-        book.askers[by] = asker = Asker(min(word.amount, book.budget.whole), now, before, warm)
+        book.askers[by] = asker = Requester(min(word.amount, book.budget.whole), now, before, warm)
         book.askers = {
             name: each for name, each in book.askers.items() if now < each.at + 2 * book.budget.lease
         }
@@ -369,12 +373,12 @@
         part = division.calm(parts[by], asker.part, asker.need)
         if part <= 0:
             asker.part = 0
-            return Word(Kind.GRANT, MINE, word.by, word.session, word.asked, 0)
+            return LeaseMessage(LeaseMessageKind.GRANT, MINE, word.by, word.session, word.asked, 0)
         book.member, answers = lease.hear_ask(book.member, terms, word._replace(amount=part))
         asker.part = answers[0].amount if answers else 0
         return answers[0] if answers else None
 
-    def terms(self, book: Book) -> Terms:
+    def terms(self, book: Ledger) -> Terms:
         """The keeper's: the smallest whole and the largest floor that it has heard of."""
         since = self.clock() - 2 * book.budget.lease
         book.figures = {name: each for name, each in book.figures.items() if each.at > since}
@@ -384,7 +388,7 @@
 
     # For people.
 
-    def look(self, book: Book) -> None:
+    def look(self, book: Ledger) -> None:
         part, keeper = self.part(book), self.keeper(book)
         if (part, keeper) == book.was:
             return
@@ -395,7 +399,7 @@
         if part != before:
             self.note(book, f"from {before} to {part}, {book.wanted} needed")
 
-    def note(self, book: Book, text: str) -> None:
+    def note(self, book: Ledger, text: str) -> None:
         book.changes = [*book.changes[-31:], Change(self.clock(), text)]
 
 
--- a/message_sender/budget/earned.py
+++ b/message_sender/budget/retry_allowance.py
@@ -11,10 +11,10 @@
 
 from collections import deque
 
-from message_sender.budget.spend import NEVER
+from message_sender.budget.enforcer import NEVER
 
 
-class Earned:
+class RetryAllowance:
     def __init__(self, share: float, span: int, least: int, since: int) -> None:
         """`span`: us; `since`: when this life began."""
         self.share, self.span, self.least, self.rests_until = share, span, least, since + span
--- a/message_sender/budget/told.py
+++ b/message_sender/budget/status.py
@@ -1,18 +1,18 @@
 """A member's budgets for people: what it has of each and why, and what it gave out where it keeps one."""
 
 from message_sender.budget import lease
-from message_sender.budget.desk import Book, Desk
+from message_sender.budget.manager import LeaseManager, Ledger
 
 
 def seconds(us: int) -> float:
     return round(max(us, 0) / 1e6, 3)
 
 
-def status(desk: Desk) -> dict[str, object]:
+def status(desk: LeaseManager) -> dict[str, object]:
     return {name: about(desk, book) for name, book in sorted(desk.books.items())}
 
 
-def about(desk: Desk, book: Book) -> dict[str, object]:
+def about(desk: LeaseManager, book: Ledger) -> dict[str, object]:
     now, budget = desk.clock(), book.budget
     member, terms = lease.at(book.member, now), budget.terms
     keeps = lease.keeps(member)
@@ -30,7 +30,7 @@
     }  # fmt: skip
 
 
-def given(desk: Desk, book: Book, member: lease.Member) -> dict[str, object]:
+def given(desk: LeaseManager, book: Ledger, member: lease.Member) -> dict[str, object]:
     """What a keeper has on its list, by member."""
     names, now = {number: name for name, number in book.numbers.items()}, desk.clock()
     found: dict[str, object] = {}
--- a/message_sender/cli/basic.py
+++ b/message_sender/cli/basic.py
@@ -13,10 +13,10 @@
 
 import click
 
-from message_sender.config import ConfigError, General, load
+from message_sender.configuration.general import ConfigError, SenderConfig, load
 
 if TYPE_CHECKING:
-    from message_sender.pcap.tap import Tap
+    from message_sender.pcap.traffic_tap import TrafficTap
 
 FILE = click.Path(path_type=Path, dir_okay=False)
 FOLDER = click.Path(path_type=Path, file_okay=False)
@@ -63,7 +63,7 @@
     message-sender serve --config deploy/serve.toml --state /var/lib/message-sender --log json
     """
     from message_sender.cli.records import begin
-    from message_sender.http.serve import serve as run
+    from message_sender.service.standalone import serve as run
 
     begin("json" if form == "json" else "people")
     with complaints("configuration: "):
@@ -81,13 +81,13 @@
 
 
 @contextlib.contextmanager
-def capturing(config: General) -> Iterator["Tap"]:
+def capturing(config: SenderConfig) -> Iterator["TrafficTap"]:
     """Has the sender's traffic written as capture files while it is held."""
-    from message_sender.pcap.tap import Tap
+    from message_sender.pcap.traffic_tap import TrafficTap
 
     assert config.capture
     to = config.capture
-    tap = Tap(to.folder, to.most_bytes, to.files, to.blank)
+    tap = TrafficTap(to.folder, to.most_bytes, to.files, to.blank)
     try:
         yield tap
     finally:
@@ -142,16 +142,16 @@
 @click.pass_context
 def demo(ctx: click.Context, pace: float, rate: float, seed: int, capture: Path | None, plain: bool) -> None:
     """Stand-ins and one sender, through an outage and back."""
-    from message_sender.lab.demo import demo as run
+    from message_sender.testbed.demo import demo as run
 
     if capture is None:
         ctx.exit(run(pace, rate, seed, plain=plain))
     from message_sender.cli.commands import given_in
-    from message_sender.pcap.files import BadCapture
+    from message_sender.pcap.files import MalformedCaptureError
 
     try:
         given = given_in(capture)
-    except (OSError, BadCapture) as error:
+    except (OSError, MalformedCaptureError) as error:
         raise click.ClickException(f"{capture}: {error}") from None
     if not given:
         raise click.ClickException(f"{capture} holds no command that is whole")
--- a/message_sender/cli/commands.py
+++ b/message_sender/cli/commands.py
@@ -3,11 +3,11 @@
 import zlib
 from pathlib import Path
 
-from message_sender.lab.demo import Given
 from message_sender.pcap.capture import Found, requests
+from message_sender.testbed.demo import RecordedCommand
 
 
-def given_in(path: Path) -> list[Given]:
+def given_in(path: Path) -> list[RecordedCommand]:
     """What clients handed in: whole requests that name a class and a destination, the first one due at 0.
     Raises OSError and BadCapture."""
     with path.open("rb") as file:
@@ -16,7 +16,7 @@
     told = [(each, fields) for each, fields in told if "x-service-class" in fields and "x-route-to" in fields]
     told.sort(key=lambda each: each[0].message.at)
     return [
-        Given(
+        RecordedCommand(
             due=(each.message.at - told[0][0].message.at) / 1e9,
             destination=destination(fields["x-route-to"]),
             key=fields.get("x-session-key", ""),
--- a/message_sender/cli/control.py
+++ b/message_sender/cli/control.py
@@ -15,7 +15,13 @@
 
 from message_sender.cli import control_change as change
 from message_sender.cli.basic import FILE, complaints
-from message_sender.cli.control_change import ChangeAnswer, ChangeRequest, ControlNodeError, Outcome, Present
+from message_sender.cli.control_change import (
+    ChangeAnswer,
+    ChangeRequest,
+    CommandOutcome,
+    ControlNodeError,
+    Present,
+)
 from message_sender.cli.control_status import Overview, overview
 from message_sender.cli.fleet import EVERY, TIMES, again
 from message_sender.cli.override import JSON
@@ -128,7 +134,7 @@
     request = ChangeRequest(request_id or uuid.uuid4().hex, base, difference, author)
     answer = plain_answer(request, present, request_id is not None) or asked_change(folder, request, timeout)
     tell_change(request, answer, as_json)
-    ctx.exit(0 if answer.outcome in (Outcome.APPLIED, Outcome.UNCHANGED) else 1)
+    ctx.exit(0 if answer.outcome in (CommandOutcome.APPLIED, CommandOutcome.UNCHANGED) else 1)
 
 
 def difference_from(
@@ -146,11 +152,13 @@
     the control nodes know. A node that knows no leader may be cut off, and its version an old one: that it
     holds this already says nothing of the one in force."""
     if request.base_version != present.version:
-        return None if is_repeated else ChangeAnswer(Outcome.CONFLICT, present.version, attempts=0)
+        return None if is_repeated else ChangeAnswer(CommandOutcome.CONFLICT, present.version, attempts=0)
     if not any(request.difference):
         if not present.told["leader"]:
-            return ChangeAnswer(Outcome.UNAVAILABLE, present.version, attempts=0, reason=change.NO_LEADER)
-        return ChangeAnswer(Outcome.UNCHANGED, present.version, attempts=0)
+            return ChangeAnswer(
+                CommandOutcome.UNAVAILABLE, present.version, attempts=0, reason=change.NO_LEADER
+            )
+        return ChangeAnswer(CommandOutcome.UNCHANGED, present.version, attempts=0)
     return None
 
 
@@ -171,16 +179,16 @@
         return
     tries = f" after {answer.attempts} tries" if answer.attempts > 1 else ""
     match answer.outcome:
-        case Outcome.APPLIED:
+        case CommandOutcome.APPLIED:
             click.echo(f"version {answer.version}{tries}: {len(put)} put, {len(delete)} deleted")
-        case Outcome.UNCHANGED:
+        case CommandOutcome.UNCHANGED:
             click.echo(f"version {answer.version} holds this already: nothing was changed")
-        case Outcome.CONFLICT:
+        case CommandOutcome.CONFLICT:
             click.echo(EXPECTED_BASE.format(present=answer.version, expected=request.base_version))
-        case Outcome.INVALID:
+        case CommandOutcome.INVALID:
             click.echo("\n".join(answer.faults))
             click.echo(f"nothing was changed; version {answer.version} is in force")
-        case Outcome.UNAVAILABLE:
+        case CommandOutcome.UNAVAILABLE:
             click.echo(f"not known whether it was made{tries}: {answer.reason}")
             click.echo(f"ask again with --request-id {request.request_id}: it is made once")
 
--- a/message_sender/cli/control_change.py
+++ b/message_sender/cli/control_change.py
@@ -17,14 +17,14 @@
 from typing import Any
 
 from message_sender.control.schema import Difference, changes_between, encode_value
-from message_sender.directory.control import ask
+from message_sender.control_socket import ask
 
 RETRY_INTERVAL_S = 0.3
 ANSWER_PATIENCE_S = 10.0  # for one answer of a control node
 NO_LEADER = "no leader with a majority is known"
 
 
-class Outcome(StrEnum):
+class CommandOutcome(StrEnum):
     """What became of a change; the first four as a control node says it."""
 
     APPLIED = "applied"
@@ -72,7 +72,7 @@
 class ChangeAnswer:
     """The outcome, the version in force with it, and the faults of an invalid one."""
 
-    outcome: Outcome
+    outcome: CommandOutcome
     version: int
     faults: tuple[str, ...] = ()
     attempts: int = 1
@@ -119,7 +119,7 @@
         attempts += 1
         left = max(ends_at - time.monotonic(), RETRY_INTERVAL_S)
         answer = attempt(folder, request, min(left, ANSWER_PATIENCE_S), attempts)
-        if answer.outcome is not Outcome.UNAVAILABLE:
+        if answer.outcome is not CommandOutcome.UNAVAILABLE:
             return answer
         if time.monotonic() + RETRY_INTERVAL_S >= ends_at:
             return answer
@@ -132,11 +132,11 @@
         told = ask(folder, request.as_json(), patience)
     except (OSError, ValueError) as error:
         reason = f"no control node answers in {folder}: {error}"
-        return ChangeAnswer(Outcome.UNAVAILABLE, 0, (), attempts, reason)
+        return ChangeAnswer(CommandOutcome.UNAVAILABLE, 0, (), attempts, reason)
     if not told.get("ok"):
         raise ControlNodeError("\n".join(map(str, told.get("faults", ["refused"]))))
     value = told["value"]
     faults = tuple(map(str, value.get("faults", ())))
-    outcome = Outcome(value["outcome"])
-    reason = NO_LEADER if outcome is Outcome.UNAVAILABLE else ""
+    outcome = CommandOutcome(value["outcome"])
+    reason = NO_LEADER if outcome is CommandOutcome.UNAVAILABLE else ""
     return ChangeAnswer(outcome, value["version"], faults, attempts, reason)
--- a/message_sender/cli/emulate.py
+++ b/message_sender/cli/emulate.py
@@ -8,14 +8,14 @@
 import click
 
 from message_sender.cli.basic import FOLDER, complaints
+from message_sender.configuration.tables import ConfigError
 from message_sender.emulator import experiment
-from message_sender.emulator.experiment import Job, Ran
+from message_sender.emulator.experiment import Job, RunResult
 from message_sender.emulator.fleet import Outcomes
 from message_sender.emulator.loop import EmulationError
 from message_sender.emulator.play import play
 from message_sender.emulator.policies import OWN_POLICY, POLICIES
 from message_sender.emulator.scenario import Scenario, changed, load
-from message_sender.tables import ConfigError
 
 OUT = click.Path(path_type=Path, dir_okay=False)
 FILE = click.argument("file", type=click.Path(path_type=Path, dir_okay=False, exists=True))
@@ -27,7 +27,7 @@
 POLICY = click.option("--policy", type=click.Choice(list(POLICIES)), default=OWN_POLICY, show_default=True)
 LEVEL = click.option(
     "--level", type=click.Choice(["ports", "bytes"]), default="ports", show_default=True,
-    help="bytes: the real doors and couriers too, over sockets in memory.",
+    help="bytes: the real doors and transports too, over sockets in memory.",
 )  # fmt: skip
 PROCESSES = click.option("--processes", type=click.IntRange(1), default=1, show_default=True)
 SET = click.option("--set", "changes", multiple=True, metavar="PATH=VALUE", help="Another value of a field.")
@@ -169,7 +169,7 @@
     with complaints(), click.progressbar(
         length=len(jobs), label="runs", file=sys.stderr, hidden=not sys.stderr.isatty()
     ) as bar:  # fmt: skip
-        found: dict[str, list[Ran]] = {}
+        found: dict[str, list[RunResult]] = {}
         for ran in experiment.sweep(jobs, processes, out):
             told = json.loads(ran.key)
             found.setdefault(json.dumps(told["changes"], sort_keys=True), []).append(ran)
@@ -265,7 +265,7 @@
     \b
     message-sender emulate hunt --count 1000 --processes 8 --level bytes --keep found
     """
-    from message_sender.emulator import hunt as hunting
+    from message_sender.emulator import fuzzing as hunting
 
     broken = calls = kills = 0
     for prey in hunting.hunt(seed, count, processes, level):
--- a/message_sender/cli/journal.py
+++ b/message_sender/cli/journal.py
@@ -9,8 +9,8 @@
 import click
 
 from message_sender.cli.basic import FOLDER, complaints
-from message_sender.journal.file import FILE
-from message_sender.journal.inspected import Inspected
+from message_sender.journal.inspection import InspectedJournal
+from message_sender.journal.process_journal import FILE
 
 
 @click.group()
@@ -19,9 +19,9 @@
     logging.basicConfig(format="%(message)s", level=logging.WARNING)
 
 
-def inspected(folder: Path) -> Inspected:
+def inspected(folder: Path) -> InspectedJournal:
     with complaints():
-        return Inspected(folder)
+        return InspectedJournal(folder)
 
 
 def at(us: int) -> str:
--- a/message_sender/cli/override.py
+++ b/message_sender/cli/override.py
@@ -9,8 +9,8 @@
 
 import click
 
-from message_sender.directory.control import ask
-from message_sender.directory.when import parse, show
+from message_sender.control_socket import ask
+from message_sender.discovery.time_text import parse, show
 
 STATE = click.option(
     "--state", "folder", type=click.Path(path_type=Path), required=True, help="The sender's state folder."
@@ -24,7 +24,7 @@
     return time.time_ns() // 1000
 
 
-class When(click.ParamType[int]):
+class TimeParameter(click.ParamType[int]):
     """22:30, +45m or ISO."""
 
     name = "TIME"
@@ -70,8 +70,8 @@
 @override.command("set")
 @click.argument("kind", type=click.Choice(["out", "weight", "pin"]))
 @click.argument("endpoint")
-@click.option("--until", type=When(), required=True, help="22:30, +45m or ISO; at most 7 days on.")
-@click.option("--from", "begins", type=When(), help="Now, if not given.")
+@click.option("--until", type=TimeParameter(), required=True, help="22:30, +45m or ISO; at most 7 days on.")
+@click.option("--from", "begins", type=TimeParameter(), help="Now, if not given.")
 @click.option("--weight", type=float, default=1.0, help="With weight: its share against the others', to 100.")
 @click.option("--destination", type=int, default=-1, help="With pin: whose messages go to the endpoint.")
 @click.option("--tenant", default="", help="With pin: or those of a tenant ...")
@@ -116,7 +116,10 @@
 @override.command()
 @click.argument("name")
 @click.option(
-    "--until", type=When(), required=True, help="22:30, +45m or ISO; 7 days from its beginning at most."
+    "--until",
+    type=TimeParameter(),
+    required=True,
+    help="22:30, +45m or ISO; 7 days from its beginning at most.",
 )
 @WHO
 @click.option("--why", default="", help="The reason.")
--- a/message_sender/cli/pcap.py
+++ b/message_sender/cli/pcap.py
@@ -12,7 +12,7 @@
 
 from message_sender.pcap.capture import Capture, as_json, decimal, requests
 from message_sender.pcap.compare import compare
-from message_sender.pcap.files import BadCapture
+from message_sender.pcap.files import MalformedCaptureError
 from message_sender.pcap.replay import HttpLine, NewIds, Outcome, Replay, plan
 
 FILE = click.File("rb", lazy=False)
@@ -28,7 +28,7 @@
     """What cannot be read is one line and exit 1."""
     try:
         yield
-    except BadCapture as error:
+    except MalformedCaptureError as error:
         raise click.ClickException(f"no capture that can be read: {error}") from None
     except BrokenPipeError:
         sys.stderr.close()  # whoever read our output has enough
--- /dev/null
+++ b/message_sender/configuration/__init__.py
@@ -0,0 +1,1 @@
+"""General and deploy settings: their tables, validation and defaults."""
--- a/message_sender/config.py
+++ b/message_sender/configuration/general.py
@@ -11,10 +11,7 @@
 
 from pydantic import AfterValidator, Field, PlainValidator, model_validator
 
-from message_sender import interface as face
-from message_sender.directory.eject import Terms
-from message_sender.directory.static import Dial, Place
-from message_sender.resource_tables import (
+from message_sender.configuration.resources import (
     MOST,
     WHOLE,
     Address,
@@ -23,13 +20,16 @@
     EndpointTable,
     Figure,
     Positive,
-    Shared,
+    SharedBudget,
     Whole,
     budget_faults,
     node_list_faults,
     us,
 )
-from message_sender.tables import ConfigError, Fault, Share, Table, check, parse, within
+from message_sender.configuration.tables import ConfigError, ConfigFault, Share, Table, check, parse, within
+from message_sender.discovery.outlier import EjectionPolicy
+from message_sender.discovery.static import Dial, StaticEndpoint
+from message_sender.policy.model import DestinationKind, Effect, MessageClass, Settings
 
 DEFAULT_NAME = "elmglade"  # of a sender whose file has none; its peers know it by that
 HEADER_NAME = re.compile(r"[A-Za-z0-9!#$%&'*+.^_`|~-]{1,64}")
@@ -39,15 +39,15 @@
 
 __all__ = [
     "BudgetTable",
-    "CaptureTo",
+    "CaptureSettings",
     "ConfigError",
+    "ConfigFault",
     "ControlNode",
     "ControlPlane",
     "EndpointTable",
-    "Fault",
-    "General",
-    "Lists",
-    "Shared",
+    "ListFiles",
+    "SenderConfig",
+    "SharedBudget",
     "load",
     "read",
     "read_endpoints",
@@ -55,7 +55,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CaptureTo:
+class CaptureSettings:
     """Where the traffic is written as capture files, and how much of it is kept."""
 
     folder: Path
@@ -65,14 +65,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Lists:
+class ListFiles:
     """Files that name endpoints besides the configuration's own, the first one before the others."""
 
     files: tuple[Path, ...]
     share: float  # of a list that may vanish at once
     patience: int  # us for which more is doubted
     slow_start: int  # us over which the share of a new or returned endpoint grows; 0: not at all
-    eject: Terms | None  # when an endpoint that fails among others is left out; None: never
+    eject: EjectionPolicy | None  # when an endpoint that fails among others is left out; None: never
 
 
 @dataclass(frozen=True, slots=True)
@@ -84,7 +84,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fleet:
+class FleetConfig:
     """The link to the other senders."""
 
     listen: Dial
@@ -114,20 +114,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class General:
+class SenderConfig:
     name: str
     listen: Dial
     state: Path | None
     seed: int
     disk_bytes: int
     sockets: int
-    settings: face.Settings
-    places: tuple[Place, ...]
-    capture: CaptureTo | None = None
-    lists: "Lists | None" = None
+    settings: Settings
+    places: tuple[StaticEndpoint, ...]
+    capture: CaptureSettings | None = None
+    lists: "ListFiles | None" = None
     durability: Durability = Durability("none", None)
-    fleet: Fleet | None = None
-    budgets: tuple[Shared, ...] = ()
+    fleet: FleetConfig | None = None
+    budgets: tuple[SharedBudget, ...] = ()
     control: ControlPlane | None = None
 
 
@@ -175,10 +175,10 @@
             raise ValueError("\n".join(wrong))
         return self
 
-    def told(self, name: str) -> face.MessageClass:
-        return face.MessageClass(
+    def told(self, name: str) -> MessageClass:
+        return MessageClass(
             name, us(self.aim_ms), us(self.deadline_ms), self.worth, self.late_worth,
-            face.Effect(self.effect), us(self.window_ms), self.window_by_zone, self.in_order,
+            Effect(self.effect), us(self.window_ms), self.window_by_zone, self.in_order,
         )  # fmt: skip
 
 
@@ -211,8 +211,8 @@
     longest_s: Annotated[float, within(0.1, 86_400)] = 300.0
     share: Share = 0.5
 
-    def told(self) -> Terms:
-        return Terms(self.failures, int(self.base_s * 1e6), int(self.longest_s * 1e6), self.share)
+    def told(self) -> EjectionPolicy:
+        return EjectionPolicy(self.failures, int(self.base_s * 1e6), int(self.longest_s * 1e6), self.share)
 
 
 class DirectoryTable(Table):
@@ -222,8 +222,8 @@
     patience_s: Annotated[float, within(0, 86_400)] = 300.0
     eject: EjectTable | None = None
 
-    def told(self, folder: Path) -> Lists:
-        return Lists(
+    def told(self, folder: Path) -> ListFiles:
+        return ListFiles(
             tuple(folder / each for each in self.files), self.share, int(self.patience_s * 1e6),
             int(self.slow_start_s * 1e6), self.eject.told() if self.eject else None,
         )  # fmt: skip
@@ -235,8 +235,8 @@
     files: Annotated[int, within(1, 1000)] = 4
     blank: Annotated[tuple[str, ...], texts("header names", HEADER_NAME)] = BLANK
 
-    def told(self, folder: Path) -> CaptureTo:
-        return CaptureTo(folder / self.folder, int(self.most_mb * 1e6), self.files, self.blank)
+    def told(self, folder: Path) -> CaptureSettings:
+        return CaptureSettings(folder / self.folder, int(self.most_mb * 1e6), self.files, self.blank)
 
 
 class DurabilityTable(Table):
@@ -255,8 +255,8 @@
     seeds: tuple[Address, ...] = ()
     size: Annotated[int, within(1, 1000)] = 8
 
-    def told(self, folder: Path) -> Fleet:
-        return Fleet(
+    def told(self, folder: Path) -> FleetConfig:
+        return FleetConfig(
             self.listen, self.advertise or self.listen, self.seeds, folder / self.key_file, self.size
         )
 
@@ -320,11 +320,11 @@
             raise ValueError("\n".join(wrong))
         return self
 
-    def settings(self) -> face.Settings:
+    def settings(self) -> Settings:
         limits, rules = self.limits, self.rules
-        return face.Settings(
+        return Settings(
             classes=tuple(each.told(name) for name, each in self.classes.items()),
-            kinds=(("plain", face.Kind()), ("apart", face.Kind(apart=True))),
+            kinds=(("plain", DestinationKind()), ("apart", DestinationKind(apart=True))),
             slots=limits.slots,
             max_open=limits.max_open,
             max_attempts=limits.max_attempts,
@@ -333,28 +333,28 @@
             connect_timeout=us(limits.connect_timeout_ms),
             zone=self.zone,
             tick=us(rules.tick_ms),
-            key_quiet=us(rules.key_quiet_ms),
+            key_pause=us(rules.key_quiet_ms),
             drain_grace=us(rules.drain_grace_ms),
-            cold=us(rules.cold_ms),
-            cold_from=rules.cold_from,
+            slow_start=us(rules.cold_ms),
+            slow_start_from=rules.cold_from,
             fall_multiple=rules.fall_multiple,
-            over_share_worth=rules.over_share_worth,
-            rates_told=rules.rates_told,
+            over_quota_weight=rules.over_share_worth,
+            announces_rates=rules.rates_told,
             fleet_size=rules.fleet_size,
             tenants=tuple(self.tenants.items()),
-            must_ask=True,
-            ends_answered=True,
+            must_poll=True,
+            acknowledges_completions=True,
         )
 
 
-def read(told: Mapping[str, Any], folder: Path = Path()) -> General:
+def read(told: Mapping[str, Any], folder: Path = Path()) -> SenderConfig:
     """The configuration in `told`, paths in it relative to `folder`. Raises ConfigError with all faults."""
     table = check(GeneralTable, told)
     try:
         settings = table.settings()
     except ValueError as error:
-        raise ConfigError([Fault("rules", str(error))]) from None
-    return General(
+        raise ConfigError([ConfigFault("rules", str(error))]) from None
+    return SenderConfig(
         table.name,
         table.listen,
         folder / table.state if table.state else None,
@@ -372,12 +372,12 @@
     )
 
 
-def read_endpoints(path: Path) -> list[Place]:
+def read_endpoints(path: Path) -> list[StaticEndpoint]:
     """The endpoints in a TOML file that holds nothing else. Raises ConfigError, also where it is no TOML,
     and OSError."""
     return [each.told() for each in check(Endpoints, parse(path)).endpoints]
 
 
-def load(path: Path) -> General:
+def load(path: Path) -> SenderConfig:
     """The configuration in a TOML file. Raises ConfigError, also where the file is no TOML, and OSError."""
     return read(parse(path), path.parent)
--- a/message_sender/resource_tables.py
+++ b/message_sender/configuration/resources.py
@@ -11,9 +11,9 @@
 
 from pydantic import PlainValidator, model_validator
 
-from message_sender import interface as face
-from message_sender.directory.static import Dial, Place
-from message_sender.tables import Table, within
+from message_sender.configuration.tables import Table, within
+from message_sender.discovery.static import Dial, StaticEndpoint
+from message_sender.policy.model import Endpoint, EndpointState
 
 MS = 1000  # us
 MOST = 1e12  # of any figure without a bound of its own
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Shared:
+class SharedBudget:
     """A budget that all senders of the fleet spend from. Times in us."""
 
     name: str
@@ -117,9 +117,11 @@
             raise ValueError("id: must not be empty")
         return self
 
-    def told(self) -> Place:
-        state, kind = face.EndpointState(self.state), "apart" if self.own_limit else "plain"
-        return Place(face.Endpoint(self.id, self.destination, state, kind, self.zone, self.rate), self.dial)
+    def told(self) -> StaticEndpoint:
+        state, kind = EndpointState(self.state), "apart" if self.own_limit else "plain"
+        return StaticEndpoint(
+            Endpoint(self.id, self.destination, state, kind, self.zone, self.rate), self.dial
+        )
 
 
 class Endpoints(Table):
@@ -177,9 +179,9 @@
         (by,) = (by for by in BY if getattr(self, by) not in ("", None))
         return self.of, by, getattr(self, by)
 
-    def told(self) -> Shared:
+    def told(self) -> SharedBudget:
         _, by, value = self.place()
-        return Shared(
+        return SharedBudget(
             self.name, self.of, by, None if value == "each" else value,  # type: ignore[arg-type]
             self.whole if isinstance(self.whole, int) else None, self.share,
             None if self.per_ms is None else us(self.per_ms), self.floor, us(self.lease_ms),
--- a/message_sender/tables.py
+++ b/message_sender/configuration/tables.py
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fault:
+class ConfigFault:
     """What is wrong, and where: a path such as `classes.command.aim_ms`."""
 
     path: str
@@ -43,7 +43,7 @@
 class ConfigError(ValueError):
     """The file cannot be used; `faults` has all that is wrong with it."""
 
-    def __init__(self, faults: list[Fault]) -> None:
+    def __init__(self, faults: list[ConfigFault]) -> None:
         super().__init__("; ".join(map(str, faults)))
         self.faults = faults
 
@@ -98,16 +98,16 @@
     return f"{error['msg'][:1].lower()}{error['msg'][1:]}, not {value!r}"
 
 
-def faults_of(error: ValidationError) -> list[Fault]:
+def faults_of(error: ValidationError) -> list[ConfigFault]:
     found = []
     for each in error.errors():
         path = path_of(each["loc"])
         for line in words(each).split("\n"):
             own = OWN_PATH.fullmatch(line) if each["type"] == "value_error" else None
             if own:
-                found.append(Fault(f"{path}.{own[1]}" if path else own[1], own[2]))
+                found.append(ConfigFault(f"{path}.{own[1]}" if path else own[1], own[2]))
             else:
-                found.append(Fault(path or "file", line))
+                found.append(ConfigFault(path or "file", line))
     return found
 
 
@@ -131,4 +131,4 @@
     try:
         return tomllib.loads(path.read_text())
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
-        raise ConfigError([Fault(str(path), str(error))]) from None
+        raise ConfigError([ConfigFault(str(path), str(error))]) from None
--- a/message_sender/control/choice.py
+++ b/message_sender/control/choice.py
@@ -21,13 +21,13 @@
 class NodeChoice:
     """`names`: the control nodes in the order of preference."""
 
-    def __init__(self, names: Sequence[str], chance: random.Random, now: float) -> None:
+    def __init__(self, names: Sequence[str], rng: random.Random, now: float) -> None:
         if not names:
             raise ValueError("a watch needs a control node")
         self.names = tuple(names)
         self.changes = 0
         self.probed = ""  # the node that is being probed
-        self._chance = chance
+        self._chance = rng
         self._rank = 0
         self._probed_rank = -1
         self._behind_since: float | None = None
--- a/message_sender/control/configuration.py
+++ b/message_sender/control/configuration.py
@@ -6,11 +6,11 @@
 
 from pydantic import AfterValidator, model_validator
 
+from message_sender.configuration.resources import Address as AddressField
+from message_sender.configuration.resources import node_list_faults
+from message_sender.configuration.tables import Table, check, parse, within
 from message_sender.control.messages import NAME_LENGTH_LIMIT, Address
 from message_sender.control.watch import ControlNodeAddress
-from message_sender.resource_tables import Address as AddressField
-from message_sender.resource_tables import node_list_faults
-from message_sender.tables import Table, check, parse, within
 
 VOTES_LIMIT = 100
 
--- a/message_sender/control/fanout.py
+++ b/message_sender/control/fanout.py
@@ -114,7 +114,7 @@
     def __init__(
         self,
         store: ConfigurationStore,
-        chance: random.Random,
+        rng: random.Random,
         now: float,
         authority_age_ms: Callable[[], int],
         bytes_per_second: float = BYTES_PER_SECOND,
@@ -122,7 +122,7 @@
     ) -> None:
         self.store = store
         self.counts = FanoutCounts()
-        self._chance = chance
+        self._chance = rng
         self._authority_age_ms = authority_age_ms
         self._budget = ByteBudget(bytes_per_second, BURST_BYTES, now)
         self._sessions_limit = sessions_limit
--- a/message_sender/control/node.py
+++ b/message_sender/control/node.py
@@ -73,12 +73,12 @@
         replica: Replica,
         store: ConfigurationStore,
         validate: Validate,
-        chance: random.Random,
+        rng: random.Random,
         now: float,
         learner_reason: str = "",
     ) -> None:
         self.name, self.channel, self.replica, self.store = channel.name, channel, replica, store
-        self.fanout = Fanout(store, chance, now, self._authority_age_ms)
+        self.fanout = Fanout(store, rng, now, self._authority_age_ms)
         self.requests = ChangeRequests(replica, store, validate)
         self.learner_reason = learner_reason
         self.disk_fault = ""
--- a/message_sender/control/operators.py
+++ b/message_sender/control/operators.py
@@ -1,4 +1,4 @@
-"""What operators may ask of a control node over its socket: set, get, status (directory/control.py)."""
+"""What operators may ask of a control node over its socket: set, get, status (control_socket.py)."""
 
 import asyncio
 import json
@@ -7,12 +7,12 @@
 
 import msgspec
 
+from message_sender.configuration.tables import ConfigError
 from message_sender.control.messages import Change, ChangeResult, NodeStatus, Outcome, Resource
 from message_sender.control.node import ControlNode
 from message_sender.control.schema import read_values
 from message_sender.control.udp import NodeDriver
-from message_sender.directory.control import AskedBadlyError, Command
-from message_sender.tables import ConfigError
+from message_sender.control_socket import Command, InvalidRequestError
 
 
 class SetRequest(msgspec.Struct, frozen=True, kw_only=True):
@@ -44,14 +44,14 @@
         try:
             request = msgspec.convert(asked, SetRequest)
         except msgspec.ValidationError as error:
-            raise AskedBadlyError(str(error)) from None
+            raise InvalidRequestError(str(error)) from None
         try:
             put = read_values(request.put)
         except ConfigError as error:
             version = self.node.store.document.version
             return _answer(Outcome.INVALID, version, tuple(map(str, error.faults)))
         if request.base_version < 0:
-            raise AskedBadlyError("base_version: must be 0 or more")
+            raise InvalidRequestError("base_version: must be 0 or more")
         resources = tuple(Resource(name, value) for name, value in sorted(put.items()))
         change = Change(
             request.request_id, request.base_version, resources, tuple(request.delete), request.author
--- a/message_sender/control/process.py
+++ b/message_sender/control/process.py
@@ -13,6 +13,7 @@
 from datetime import UTC, datetime
 from pathlib import Path
 
+from message_sender.configuration.tables import ConfigError, ConfigFault
 from message_sender.control.channel import Channel
 from message_sender.control.configuration import NodeConfiguration, load
 from message_sender.control.folder import FolderError, Identity, StateFolder
@@ -24,11 +25,10 @@
 from message_sender.control.schema import Validator
 from message_sender.control.store import ConfigurationStore
 from message_sender.control.udp import FolderNotes, NodeDriver, UdpSocket
-from message_sender.directory.control import Control
+from message_sender.control_socket import ControlSocket
 from message_sender.fleet.seal import KeyFileError, Seal, read_keys, reread_keys
-from message_sender.journal.disk import Disk, Files
+from message_sender.journal.disk import Disk, SystemDisk
 from message_sender.journal.lock import Lock, LockTakenError
-from message_sender.tables import ConfigError, Fault
 
 SESSION_BITS = 62
 SEED_BITS = 64
@@ -43,7 +43,7 @@
     folder holds anything."""
     config = load(path)
     created = datetime.now(UTC).isoformat(timespec="seconds")
-    disk = Files()
+    disk = SystemDisk()
     try:
         StateFolder(config.state).initialise(Identity(config.cluster, config.name, created), disk)
     finally:
@@ -65,7 +65,7 @@
         lock = Lock(config.state)
     except LockTakenError:
         raise FolderError(f"another process uses {config.state}") from None
-    disk = disk or Files()
+    disk = disk or SystemDisk()
     try:
         seal = read_seal(config)
         return await NodeProcess(config, seal, disk).run()
@@ -79,11 +79,11 @@
     try:
         return Seal(read_keys(config.key_file))
     except KeyFileError as error:
-        raise ConfigError([Fault("key_file", str(error))]) from None
+        raise ConfigError([ConfigFault("key_file", str(error))]) from None
 
 
 def load_log(
-    folder: StateFolder, log_file: LogFile, config: NodeConfiguration, chance: random.Random, now: float
+    folder: StateFolder, log_file: LogFile, config: NodeConfiguration, rng: random.Random, now: float
 ) -> tuple[Replica, str]:
     """The replica as the disk has it, and why it is a learner. A learner is marked as one before a damaged
     log is replaced. Raises OSError."""
@@ -104,7 +104,7 @@
     elif loaded.torn_bytes:
         log.info("control: %d bytes of a write that was never whole are dropped", loaded.torn_bytes)
     replica = Replica(
-        config.name, config.votes, loaded.hard_state, loaded.entries, chance, now, is_voter=not reason
+        config.name, config.votes, loaded.hard_state, loaded.entries, rng, now, is_voter=not reason
     )  # fmt: skip
     return replica, reason
 
@@ -114,18 +114,18 @@
     seal: Seal,
     folder: StateFolder,
     log_file: LogFile,
-    chance: random.Random,
+    rng: random.Random,
     now: float,
 ) -> ControlNode:
     """A node as it starts: its epoch is raised, durably. Raises OSError."""
-    replica, reason = load_log(folder, log_file, config, chance, now)
+    replica, reason = load_log(folder, log_file, config, rng, now)
     if reason:
         log.warning("control: starts as a learner, which counts for no majority: %s", reason)
     epoch = folder.read_epoch() + 1
     folder.write_epoch(epoch)
     session = secrets.randbits(SESSION_BITS) + 1
     channel = Channel(config.name, epoch, session, seal, config.addresses(), folder.read_starts())
-    return ControlNode(channel, replica, ConfigurationStore(), Validator(), chance, now, reason)
+    return ControlNode(channel, replica, ConfigurationStore(), Validator(), rng, now, reason)
 
 
 class NodeProcess:
@@ -138,14 +138,14 @@
         self.stopped: asyncio.Future[int] = self.loop.create_future()
         folder = StateFolder(config.state)
         self.log_file = LogFile(config.state, disk)
-        chance = random.Random(secrets.randbits(SEED_BITS))
-        node = build_node(config, seal, folder, self.log_file, chance, self.loop.time())
+        rng = random.Random(secrets.randbits(SEED_BITS))
+        node = build_node(config, seal, folder, self.log_file, rng, self.loop.time())
         self.socket = UdpSocket()
         self.driver = NodeDriver(
             node, self.log_file, FolderNotes(folder, node), self.socket.send, self.failed
         )  # fmt: skip
         self.socket.on_datagram = self.driver.received
-        self.control = Control(config.state, OperatorCommands(self.driver).commands())
+        self.control = ControlSocket(config.state, OperatorCommands(self.driver).commands())
         self.ending: asyncio.Task[None] | None = None
 
     async def run(self) -> int:
--- a/message_sender/control/replica.py
+++ b/message_sender/control/replica.py
@@ -69,7 +69,7 @@
         votes: Mapping[str, int],
         hard_state: HardState,
         entries: Sequence[LogEntry],
-        chance: random.Random,
+        rng: random.Random,
         now: float,
         is_voter: bool = True,
     ) -> None:
@@ -94,7 +94,7 @@
         self._messages: deque[tuple[str, RaftMessage]] = deque(maxlen=WAITING_MESSAGES_LIMIT)
         self._granted: frozenset[str] = frozenset()
         self._leadership: Leadership | None = None  # while it is the leader
-        self._chance = chance
+        self._chance = rng
         self._started_at = now
         self._authority_at: float | None = None  # when it last knew a leader with a majority
         self._heartbeat_at = now
--- a/message_sender/control/schema.py
+++ b/message_sender/control/schema.py
@@ -20,15 +20,15 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from message_sender.directory.static import Dial, Place
-from message_sender.resource_tables import (
+from message_sender.configuration.resources import (
     BudgetTable,
     Endpoints,
     EndpointTable,
-    Shared,
+    SharedBudget,
     budget_faults,
 )
-from message_sender.tables import ConfigError, Fault, Table, check
+from message_sender.configuration.tables import ConfigError, ConfigFault, Table, check
+from message_sender.discovery.static import Dial, StaticEndpoint
 
 ENDPOINTS, BUDGETS = "endpoints", "budgets"
 VALUE_CACHE_SIZE = 4096  # tables of resources that are kept, least recently used first out
@@ -93,10 +93,11 @@
         text = source.read_text() if isinstance(source, Path) else source
         told = tomllib.loads(text)
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
-        raise ConfigError([Fault(where, str(error))]) from None
+        raise ConfigError([ConfigFault(where, str(error))]) from None
     table = check(ConfigurationTable, told)
     faults = [
-        Fault(f"budgets[{each.index}].{each.field}", each.text) for each in budget_faults(table.budgets, 1)
+        ConfigFault(f"budgets[{each.index}].{each.field}", each.text)
+        for each in budget_faults(table.budgets, 1)
     ]
     if faults:
         raise ConfigError(faults)
@@ -130,25 +131,27 @@
     kind_name, _, own_name = name.partition("/")
     if (kind := KINDS.get(kind_name)) is None:
         known = ", ".join(f"{each}/NAME" for each in KINDS)
-        raise ConfigError([Fault(name, f"must be one of {known}")])
+        raise ConfigError([ConfigFault(name, f"must be one of {known}")])
     try:
         told = json.loads(value)
     except (ValueError, RecursionError) as error:
-        raise ConfigError([Fault(name, f"no JSON: {error}")]) from None
+        raise ConfigError([ConfigFault(name, f"no JSON: {error}")]) from None
     if not isinstance(told, dict):
-        raise ConfigError([Fault(name, "must be a table")])
+        raise ConfigError([ConfigFault(name, "must be a table")])
     if kind.key in told:
-        raise ConfigError([Fault(f"{name}.{kind.key}", "is not known here: the resource's name tells it")])
+        raise ConfigError(
+            [ConfigFault(f"{name}.{kind.key}", "is not known here: the resource's name tells it")]
+        )
     try:
         return kind, check(kind.table, {kind.key: own_name, **told})
     except ConfigError as error:
-        faults = [Fault(name if x.path == "file" else f"{name}.{x.path}", x.text) for x in error.faults]
+        faults = [ConfigFault(name if x.path == "file" else f"{name}.{x.path}", x.text) for x in error.faults]
         raise ConfigError(faults) from None
 
 
 def faults_in(
     resources: Mapping[str, bytes], size: int = 1, known: Mapping[str, bytes] | None = None
-) -> Iterator[Fault]:
+) -> Iterator[ConfigFault]:
     """Every fault, those of single resources first; `size`: the most senders that share a budget; `known`:
     resources that are in order by themselves, which are not read again."""
     known, wrong = known or {}, set[str]()
@@ -183,14 +186,14 @@
 
 def read_values(values: Mapping[str, object]) -> dict[str, bytes]:
     """Resources from JSON values, in canonical form. Raises ConfigError with all faults."""
-    found, faults = dict[str, bytes](), list[Fault]()
+    found, faults = dict[str, bytes](), list[ConfigFault]()
     for name, value in values.items():
         try:
             kind, table = parsed(name, encode_value(value))
         except ConfigError as error:
             faults += error.faults
         except ValueError as error:
-            faults.append(Fault(name, str(error)))
+            faults.append(ConfigFault(name, str(error)))
         else:
             own_name, encoded = resource_of(kind, table)
             found[own_name] = encoded
@@ -207,12 +210,12 @@
     """The resources of a document as a sender uses them. A change costs what it touches, and a copy of the
     tables of names."""
 
-    places: dict[str, Place]
+    places: dict[str, StaticEndpoint]
     budgets: dict[str, BudgetTable]
 
     def changed(self, put: Mapping[str, bytes], delete: Iterable[str]) -> "Interpretation":
         """With these changes. Raises ConfigError with all faults of what is put."""
-        places, budgets, faults = dict(self.places), dict(self.budgets), list[Fault]()
+        places, budgets, faults = dict(self.places), dict(self.budgets), list[ConfigFault]()
         for name in delete:
             places.pop(name, None)
             budgets.pop(name, None)
@@ -230,19 +233,19 @@
             raise ConfigError(faults)
         return Interpretation(places, budgets)
 
-    def faults(self, size: int) -> list[Fault]:
+    def faults(self, size: int) -> list[ConfigFault]:
         """Those of budgets held against one another, and against a fleet of `size` senders."""
         tables = [self.budgets[name] for name in sorted(self.budgets)]
         return [
-            Fault(f"{BUDGETS}/{tables[each.index].name}.{each.field}", each.text)
+            ConfigFault(f"{BUDGETS}/{tables[each.index].name}.{each.field}", each.text)
             for each in budget_faults(tables, size)
         ]
 
-    def endpoints(self) -> tuple[Place, ...]:
+    def endpoints(self) -> tuple[StaticEndpoint, ...]:
         """In the order of their names."""
         return tuple(self.places[name] for name in sorted(self.places))
 
-    def shared_budgets(self) -> tuple[Shared, ...]:
+    def shared_budgets(self) -> tuple[SharedBudget, ...]:
         """In the order of their names."""
         return tuple(self.budgets[name].told() for name in sorted(self.budgets))
 
@@ -252,12 +255,12 @@
     return Interpretation({}, {}).changed(resources, ())
 
 
-def places(resources: Mapping[str, bytes]) -> tuple[Place, ...]:
+def places(resources: Mapping[str, bytes]) -> tuple[StaticEndpoint, ...]:
     """The endpoints, in the order of their names. Raises ConfigError."""
     return interpret(resources).endpoints()
 
 
-def budgets(resources: Mapping[str, bytes]) -> tuple[Shared, ...]:
+def budgets(resources: Mapping[str, bytes]) -> tuple[SharedBudget, ...]:
     """The shared budgets, in the order of their names. Raises ConfigError."""
     return interpret(resources).shared_budgets()
 
--- a/message_sender/control/watch.py
+++ b/message_sender/control/watch.py
@@ -137,20 +137,20 @@
         region: str,
         document: Document,
         applier: Applier,
-        chance: random.Random,
+        rng: random.Random,
         now: float,
     ) -> None:
         self.name = name
         self.document = document
         self.counts = WatchCounts()
-        self.choice = NodeChoice([node.name for node in order_nodes(name, nodes, region)], chance, now)
+        self.choice = NodeChoice([node.name for node in order_nodes(name, nodes, region)], rng, now)
         self._applier = applier
-        self._chance = chance
+        self._chance = rng
         self._out: list[tuple[str, WatchMessage]] = []
         self._ticked_at = now
         self._polled_at = now - REPEAT
         self._polled_version = document.version  # that the last poll told
-        self._poll_due = now + chance.uniform(0, FIRST_POLL_MOST)
+        self._poll_due = now + rng.uniform(0, FIRST_POLL_MOST)
         self._unanswered = 0
         self._refusal: Refusal | None = None
         self._fetch: SnapshotFetch | None = None
--- a/message_sender/directory/control.py
+++ b/message_sender/control_socket.py
@@ -27,7 +27,7 @@
 Command = Callable[[Mapping[str, Any]], Any]
 
 
-class AskedBadlyError(ValueError):
+class InvalidRequestError(ValueError):
     """What was asked cannot be done; `faults` says why."""
 
     def __init__(self, *faults: str) -> None:
@@ -35,7 +35,7 @@
         self.faults = list(faults)
 
 
-class Control:
+class ControlSocket:
     def __init__(self, folder: Path, commands: Mapping[str, Command]) -> None:
         self.path, self.commands = folder / FILE, commands
         self.open = 0
--- a/message_sender/core/lateness.py
+++ b/message_sender/core/event_loop_lag.py
@@ -19,7 +19,7 @@
 log = logging.getLogger(__name__)
 
 
-class Lateness:
+class EventLoopLag:
     """Counts samples in buckets that grow by a tenth: bounded, and its error is stated. A library's histogram
     would do the same; the platform's daemon imports none."""
 
--- a/message_sender/core/explain.py
+++ b/message_sender/core/explain.py
@@ -4,14 +4,14 @@
 from dataclasses import asdict, dataclass
 from typing import Any
 
-from message_sender import interface as face
 from message_sender.core.inventory import breaker_state
-from message_sender.policy.breaker import NEVER, Endpoint, Message
+from message_sender.policy.breaker import NEVER, PendingMessage, TrackedEndpoint
 from message_sender.policy.dispatcher import Dispatcher
+from message_sender.policy.events import MessageAccepted
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
+class EndpointView:
     """An endpoint that is listed as ready."""
 
     id: str
@@ -32,10 +32,10 @@
     return [asdict(each) for each in sorted(found, key=lambda each: (each.destination, each.id))]
 
 
-def seen(each: Endpoint, now: int) -> Seen:
+def seen(each: TrackedEndpoint, now: int) -> EndpointView:
     listed, breaker = each.listed, each.breaker
     ready = breaker.free_at(now) if breaker else now
-    return Seen(
+    return EndpointView(
         id=listed.id,
         destination=listed.destination,
         zone=listed.zone,
@@ -55,8 +55,8 @@
     if (at := dispatcher.destinations.get(destination)) is None:
         raise ValueError(f"destination {destination} is not listed")
     kind = dispatcher.settings.classes[0]
-    taken = face.MessageTaken("?", kind.name, destination, kind.deadline, key=key)
-    message = Message(taken, kind, now, 1.0)
+    taken = MessageAccepted("?", kind.name, destination, kind.deadline, key=key)
+    message = PendingMessage(taken, kind, now, 1.0)
     reasons = {each.listed.id: why_not(dispatcher, each, now) for each in at.endpoints}
     line = dispatcher.keys.get(key) if key else None
     free = [name for name, why in reasons.items() if not why]
@@ -72,7 +72,7 @@
     }
 
 
-def why_not(dispatcher: Dispatcher, each: Endpoint, now: int) -> str:
+def why_not(dispatcher: Dispatcher, each: TrackedEndpoint, now: int) -> str:
     """Empty: it may be called now."""
     if len(dispatcher.out) >= dispatcher.settings.slots:
         return f"all {dispatcher.settings.slots} slots are taken"
--- a/message_sender/core/inventory.py
+++ b/message_sender/core/inventory.py
@@ -1,7 +1,7 @@
 """What a sender keeps for each destination: its state, age and size. For people; nothing is decided by it.
 
-A file of it is one JSON object: `at` (Unix seconds), `destinations` (objects as `Kept`, in the order of their
-numbers). It is replaced in one step, so that who reads it never sees half of one.
+A file of it is one JSON object: `at` (Unix seconds), `destinations` (objects as `DestinationRecord`, in the
+order of their numbers). It is replaced in one step, so that who reads it never sees half of one.
 """
 
 import json
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Kept:
+class DestinationRecord:
     number: int
     state: str  # listed, asleep, or awake: closed, open, half-open, waits, warming
     endpoints: int
@@ -31,18 +31,18 @@
     bytes: int  # of the objects kept for it alone, by sys.getsizeof; texts and what is shared are not counted
 
 
-def inventory(dispatcher: Dispatcher, now: int) -> list[Kept]:
+def inventory(dispatcher: Dispatcher, now: int) -> list[DestinationRecord]:
     """`now` in us, on the module's clock."""
     return [kept(each, now) for _, each in sorted(dispatcher.destinations.items())]
 
 
-def kept(at: Destination, now: int) -> Kept:
+def kept(at: Destination, now: int) -> DestinationRecord:
     own = list((at.own or {}).values())
     used = max((each.last_sent for each in own), default=-NEVER)
     if used == -NEVER and at.silent_since is not None:
         used = at.silent_since
     gaps = [max(each.gap, each.cold_gap(now)) for each in own]
-    return Kept(
+    return DestinationRecord(
         number=at.number,
         state=state_of(at, now),
         endpoints=len(at.endpoints),
@@ -95,12 +95,12 @@
     return path
 
 
-def read(path: Path) -> tuple[float, list[Kept]]:
+def read(path: Path) -> tuple[float, list[DestinationRecord]]:
     """When it was written, and what it says; `path` is the file or its folder. Raises OSError where it cannot
     be read, and ValueError, in one line, where it is something else."""
     file = path / FILE if path.is_dir() else path
     try:
         told: dict[str, Any] = json.loads(file.read_text())
-        return float(told["at"]), [Kept(**each) for each in told["destinations"]]
+        return float(told["at"]), [DestinationRecord(**each) for each in told["destinations"]]
     except (KeyError, TypeError, AttributeError, ValueError) as error:
         raise ValueError(f"{file} is no file of destinations: {' '.join(str(error).split())}") from None
--- a/message_sender/core/peer.py
+++ b/message_sender/core/socket_errors.py
@@ -91,7 +91,7 @@
     return f"{doing}: {type(error).__name__}: {text}" + (f" (at {where})" if where else "")
 
 
-class Reports:
+class ErrorReports:
     """Lines on connections that ended, at most `REPORTS` in each `REPORT_SPAN`; those left out are counted
     and told with the first line of a later span."""
 
--- a/message_sender/core/witness.py
+++ b/message_sender/core/traffic_observer.py
@@ -9,7 +9,7 @@
 Place = tuple[str, int]  # address and port
 
 
-class Witness(Protocol):
+class TrafficObserver(Protocol):
     """Sides: 0 the client's, who opened the connection, and 1 the server's."""
 
     def opened(self, client: Place, server: Place) -> int:
@@ -22,12 +22,12 @@
         """That side ended it; nothing more passes. Told more than once, the first counts."""
 
 
-class Seen:
+class ObservedConnection:
     """One connection and its witness."""
 
     __slots__ = ("number", "witness")
 
-    def __init__(self, witness: Witness, client: object, server: object) -> None:
+    def __init__(self, witness: TrafficObserver, client: object, server: object) -> None:
         """The two ends as the socket tells them; what is no address of IP is not seen (number 0)."""
         self.witness = witness
         self.number = 0
--- a/message_sender/directory/file.py
+++ b/message_sender/discovery/file.py
@@ -1,8 +1,8 @@
 """A directory from files that others write: looked at now and then, taken whole or not at all.
 
-Each file is a list of its own, the first one before the others (message_sender/directory/belief.py). What was
-last believed is kept in the state folder, so that a start with no file that can be read has a list all the
-same.
+Each file is a list of its own, the first one before the others (message_sender/discovery/list_merging.py).
+What was last believed is kept in the state folder, so that a start with no file that can be read has a list
+all the same.
 """
 
 import asyncio
@@ -12,10 +12,11 @@
 from collections.abc import Callable, Iterable
 from pathlib import Path
 
-from message_sender import interface as face
-from message_sender.directory.belief import Belief, merged
-from message_sender.directory.static import Place, StaticDirectory
+from message_sender.discovery.list_merging import MergedList, merged
+from message_sender.discovery.static import StaticDirectory, StaticEndpoint
 from message_sender.files import replace_json
+from message_sender.policy.events import EndpointsUpdated
+from message_sender.policy.model import Endpoint, EndpointState, ListingKind
 
 LOOK = 1.0  # s between looks at the files
 COPY = "endpoints.json"  # the last good copy
@@ -23,7 +24,7 @@
 
 log = logging.getLogger(__name__)
 
-Read = Callable[[Path], Iterable[Place]]
+Read = Callable[[Path], Iterable[StaticEndpoint]]
 
 
 class FileDirectory(StaticDirectory):
@@ -31,13 +32,15 @@
 
     def __init__(
         self, paths: Iterable[Path], read: Read, folder: Path, now: Callable[[], int],
-        fixed: Iterable[Place] = (), share: float = 0.5, patience: int = 300 * 1_000_000,
+        fixed: Iterable[StaticEndpoint] = (), share: float = 0.5, patience: int = 300 * 1_000_000,
     ) -> None:  # fmt: skip
         """`fixed` goes before all files."""
         super().__init__(())
         self.fixed = {each.endpoint.id: each for each in fixed}
         self.paths, self.read, self.folder, self.now = tuple(paths), read, folder, now
-        self.beliefs: dict[Path, Belief[Place]] = {path: Belief(share, patience) for path in self.paths}
+        self.beliefs: dict[Path, MergedList[StaticEndpoint]] = {
+            path: MergedList(share, patience) for path in self.paths
+        }
         self.seen: dict[Path, tuple[int, int, int]] = {}  # of each file: inode, size, time of change
         self.wrong: dict[Path, str] = {}
         self.stale: set[Path] = set()
@@ -52,10 +55,10 @@
         self.tell_stale(now)
         return any(changed) and self.take(self.merged())
 
-    def merged(self) -> dict[str, Place]:
+    def merged(self) -> dict[str, StaticEndpoint]:
         return merged([self.fixed, *(each.believed for each in self.beliefs.values())])
 
-    def configure(self, places: Iterable[Place]) -> None:
+    def configure(self, places: Iterable[StaticEndpoint]) -> None:
         self.fixed = {each.endpoint.id: each for each in places}
         self.take(self.merged())
 
@@ -110,7 +113,7 @@
             for path, each in self.beliefs.items()
         ]
 
-    def take(self, places: dict[str, Place]) -> bool:
+    def take(self, places: dict[str, StaticEndpoint]) -> bool:
         """From now on these are there. True: that is news."""
         if places == self.places:
             return False
@@ -131,23 +134,21 @@
                 *x.dial,
             ]
             for x in self.places.values()
-            if x.endpoint.state is face.EndpointState.READY
+            if x.endpoint.state is EndpointState.READY
         ]
         try:
             replace_json(self.folder / COPY, told, sync=False)
         except OSError as error:
             log.error("the list is not kept for the next start: %s", error)
 
-    def last_good(self) -> dict[str, Place]:
+    def last_good(self) -> dict[str, StaticEndpoint]:
         try:
             rows = json.loads((self.folder / COPY).read_text())
             found = {}
             for name, destination, kind, zone, scale, host, port in rows:
-                state = face.EndpointState.READY
-                endpoint = face.Endpoint(
-                    str(name), int(destination), state, str(kind), str(zone), float(scale)
-                )
-                found[endpoint.id] = Place(endpoint, (str(host), int(port)))
+                state = EndpointState.READY
+                endpoint = Endpoint(str(name), int(destination), state, str(kind), str(zone), float(scale))
+                found[endpoint.id] = StaticEndpoint(endpoint, (str(host), int(port)))
         except FileNotFoundError:
             return {}
         except (OSError, ValueError, TypeError) as error:
@@ -159,7 +160,7 @@
     # The port.
 
     async def watch(self) -> None:
-        self.told(face.EndpointsListed(face.Listing.FULL, self.endpoints()))
+        self.told(EndpointsUpdated(ListingKind.FULL, self.endpoints()))
         while True:
             await asyncio.sleep(LOOK)
             self.look_at_files()
--- a/message_sender/directory/belief.py
+++ b/message_sender/discovery/list_merging.py
@@ -29,7 +29,7 @@
 
 
 @dataclass(slots=True)
-class Belief(Generic[Item]):
+class MergedList(Generic[Item]):
     """What is believed of one list. `share` may vanish at once; more is doubted for `patience` us."""
 
     share: float = 0.5
--- a/message_sender/directory/maintenance.py
+++ b/message_sender/discovery/maintenance.py
@@ -20,7 +20,8 @@
 from pathlib import Path
 
 from message_sender.files import replace_json
-from message_sender.interface import Endpoint, EndpointsListed, EndpointState, Listing
+from message_sender.policy.events import EndpointsUpdated
+from message_sender.policy.model import Endpoint, EndpointState, ListingKind
 
 LATELY = 1024  # ids that are known though they are listed no more
 MOST_OUT = 500  # receivers out at once: what the file may hold within ROOM
@@ -42,11 +43,11 @@
     def knows(self, name: str) -> bool:
         return name in self.listed or name in self.out or name in self.lately
 
-    def hear(self, news: EndpointsListed) -> EndpointsListed:
+    def hear(self, news: EndpointsUpdated) -> EndpointsUpdated:
         """The directory's news as the engine is to hear it. It costs what is named in it."""
-        if news.listing is Listing.FAILED:
+        if news.listing is ListingKind.FAILED:
             return news
-        if news.listing is not Listing.CHANGES:
+        if news.listing is not ListingKind.CHANGES:
             self.left(set(self.listed) - {each.id for each in news.endpoints})
         for each in news.endpoints:
             if each.state is EndpointState.GONE:
@@ -75,16 +76,16 @@
             return replace(endpoint, state=EndpointState.DRAINING)
         return endpoint
 
-    def take_out(self, name: str) -> EndpointsListed | None:
+    def take_out(self, name: str) -> EndpointsUpdated | None:
         """What follows for the engine, if anything does."""
         if name in self.out:
             return None
         self.out.add(name)
         self.back.discard(name)
         found = self.listed.get(name)
-        return EndpointsListed(Listing.CHANGES, (self.shown(found),)) if found else None
+        return EndpointsUpdated(ListingKind.CHANGES, (self.shown(found),)) if found else None
 
-    def put_back(self, name: str) -> EndpointsListed | None:
+    def put_back(self, name: str) -> EndpointsUpdated | None:
         if name not in self.out:
             return None
         self.out.discard(name)
@@ -92,10 +93,10 @@
         if found is None or found.state is not EndpointState.READY:
             self.back.add(name)
             return None
-        return EndpointsListed(Listing.CHANGES, (found,), returned=(name,))
+        return EndpointsUpdated(ListingKind.CHANGES, (found,), returned=(name,))
 
 
-class Record:
+class MaintenanceFile:
     """The operators' orders on disk: one file, replaced in one step, so that no kill tears it."""
 
     def __init__(self, folder: Path) -> None:
--- a/message_sender/directory/eject.py
+++ b/message_sender/discovery/outlier.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(slots=True)
-class Record:
+class FailureRecord:
     failures: int = 0  # in a row
     since: int = 0  # the first of these
     served: int = -1  # when a call was last served
@@ -24,27 +24,27 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
+class EjectionPolicy:
     failures: int = 5
     base: int = 30_000_000
     longest: int = 300_000_000
     share: float = 0.5
 
 
-class Ejector:
-    def __init__(self, terms: Terms) -> None:
+class OutlierDetector:
+    def __init__(self, terms: EjectionPolicy) -> None:
         self.terms = terms
-        self.records: dict[str, Record] = {}
+        self.records: dict[str, FailureRecord] = {}
         self.out: dict[str, int] = {}  # endpoint: until when
 
     def served(self, name: str, now: int) -> None:
-        record = self.records.setdefault(name, Record())
+        record = self.records.setdefault(name, FailureRecord())
         record.failures, record.served, record.times = 0, now, max(record.times - 1, 0)
 
     def failed(self, name: str, now: int, in_service: list[str], others_out: int) -> bool:
         """`in_service` are the endpoints of its destination that may be called, itself among them;
         `others_out` those that are out by ejection. True: it is out from now on."""
-        record = self.records.setdefault(name, Record())
+        record = self.records.setdefault(name, FailureRecord())
         if not record.failures:
             record.since = now
         record.failures += 1
--- a/message_sender/directory/overridden.py
+++ b/message_sender/discovery/overridden.py
@@ -5,12 +5,13 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from message_sender import interface as face
-from message_sender.directory.eject import Ejector, Terms
-from message_sender.directory.overrides import Kind, Overlay, Override
-from message_sender.directory.ramp import Ramp
-from message_sender.directory.store import Store
-from message_sender.directory.when import show
+from message_sender.discovery.outlier import EjectionPolicy, OutlierDetector
+from message_sender.discovery.override_store import OverrideStore
+from message_sender.discovery.overrides import Override, OverrideKind, OverrideLayer
+from message_sender.discovery.slow_start import SlowStart
+from message_sender.discovery.time_text import show
+from message_sender.policy.events import EndpointsUpdated
+from message_sender.policy.model import FAILURES, Outcome
 
 CHECK = 0.2  # s after news of the list until it is looked at for overrides that do nothing
 LATE = 0.001  # s that a timer runs after its time, so that the time has come by any clock
@@ -21,7 +22,7 @@
 class Source(Protocol):
     """The directory under the overrides; as the core's port of that name."""
 
-    def look(self) -> None: ...
+    def poll_unread(self) -> None: ...
 
     async def watch(self) -> None: ...
 
@@ -31,21 +32,23 @@
 
 
 class OverriddenDirectory:
-    """`source` tells its lists to `hear`; `told` is the engine's `list_told`, `now` its clock in us."""
+    """`source` gives its lists to `hear`; `told` is the engine's `endpoints_updated`; `now`: its clock, us."""
 
     def __init__(
         self,
         source: Source,
-        store: Store,
+        store: OverrideStore,
         now: Callable[[], int],
-        told: Callable[[face.EndpointsListed], None],
+        told: Callable[[EndpointsUpdated], None],
         slow_start: int = 0,
-        eject: Terms | None = None,
+        eject: EjectionPolicy | None = None,
     ) -> None:
         """`slow_start` in us: for so long the share of what is new or back grows; 0: not at all. `eject`:
         when outliers are left out; None: never."""
         self.source, self.store, self.now, self.told = source, store, now, told
-        self.overlay = Overlay(store.load(), Ramp(slow_start), Ejector(eject) if eject else None)
+        self.overlay = OverrideLayer(
+            store.load(), SlowStart(slow_start), OutlierDetector(eject) if eject else None
+        )
         self.book = self.overlay.book
         self.timer: asyncio.TimerHandle | None = None
         self.check: asyncio.TimerHandle | None = None
@@ -55,13 +58,13 @@
         self.empty: list[int] = []
         began = now()
         #: Endpoints whose time out of service ended while no sender ran.
-        self.returned = tuple(each.endpoint for each in self.expire(began) if each.kind is Kind.OUT)
+        self.returned = tuple(each.endpoint for each in self.expire(began) if each.kind is OverrideKind.OUT)
         self.overlay.turn(began)
 
     # The port.
 
-    def look(self) -> None:
-        self.source.look()
+    def poll_unread(self) -> None:
+        self.source.poll_unread()
 
     async def watch(self) -> None:
         await self.source.watch()
@@ -74,7 +77,7 @@
 
     # What changes.
 
-    def hear(self, listed: face.EndpointsListed) -> None:
+    def hear(self, listed: EndpointsUpdated) -> None:
         """The source has news. It costs what is named in it."""
         if self.next_at is not None and self.next_at <= self.now():
             self.turn()
@@ -84,11 +87,11 @@
         if self.book.overrides and not self.check:
             self.check = asyncio.get_running_loop().call_later(CHECK, self.checked)
 
-    def outcome(self, endpoint: str, outcome: face.Outcome) -> None:
+    def outcome(self, endpoint: str, outcome: Outcome) -> None:
         """A call has ended: what speaks against an endpoint's health may have it ejected."""
-        if outcome is not face.Outcome.OK and outcome not in face.FAILURES:
+        if outcome is not Outcome.OK and outcome not in FAILURES:
             return
-        if self.overlay.outcome(endpoint, outcome is face.Outcome.OK, self.now()):
+        if self.overlay.outcome(endpoint, outcome is Outcome.OK, self.now()):
             log.warning("%s is left out for a while: it fails where others serve", endpoint)
             self.turn()
 
@@ -97,7 +100,7 @@
         self.warn(self.now())
 
     def set(
-        self, kind: Kind, endpoint: str, who: str, why: str, begins: int, until: int,
+        self, kind: OverrideKind, endpoint: str, who: str, why: str, begins: int, until: int,
         weight: float = 1.0, destination: int = -1, tenant: str = "", key: str = "",
     ) -> Override:  # fmt: skip
         """Raises OverrideError, and OSError where it cannot be saved: then it is not in force."""
--- a/message_sender/directory/store.py
+++ b/message_sender/discovery/override_store.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import Any
 
-from message_sender.directory.overrides import Book, Override
+from message_sender.discovery.overrides import Override, OverrideBook
 from message_sender.files import replace_json
 
 FILE, LOG, ASIDE = "overrides.json", "overrides.log", "overrides.damaged"
@@ -20,20 +20,20 @@
 log = logging.getLogger(__name__)
 
 
-class Store:
+class OverrideStore:
     def __init__(self, folder: Path) -> None:
         self.folder = folder
 
-    def load(self) -> Book:
+    def load(self) -> OverrideBook:
         """The book as it was saved, those that have ended meanwhile too. Never raises for what it finds."""
         path = self.folder / FILE
         try:
             told = json.loads(path.read_text())
             if told["version"] != 1:
                 raise ValueError(f"version {told['version']!r} is not known")
-            return Book([Override.from_json(each) for each in told["overrides"]], int(told["last"]))
+            return OverrideBook([Override.from_json(each) for each in told["overrides"]], int(told["last"]))
         except FileNotFoundError:
-            return Book()
+            return OverrideBook()
         except (OSError, ValueError, KeyError, TypeError, AttributeError, RecursionError) as error:
             log.error("the overrides cannot be read, and none is in force: %s", error)
             try:
@@ -41,9 +41,9 @@
                 log.error("what was read is in %s", self.folder / ASIDE)
             except OSError as again:
                 log.error("nor can they be put aside: %s", again)
-            return Book()
+            return OverrideBook()
 
-    def save(self, book: Book) -> None:
+    def save(self, book: OverrideBook) -> None:
         """The book on disk, new or as it was, whatever ends the process meanwhile. Raises OSError."""
         found = [each.as_json() for each in book.overrides.values()]
         told = {"version": 1, "last": book.last, "overrides": found}
--- a/message_sender/directory/overrides.py
+++ b/message_sender/discovery/overrides.py
@@ -22,10 +22,10 @@
 from enum import Enum
 from typing import Any, TypeVar
 
-from message_sender import interface as face
-from message_sender.directory.eject import Ejector
-from message_sender.directory.ramp import Ramp
-from message_sender.interface import EndpointState, Listing
+from message_sender.discovery.outlier import OutlierDetector
+from message_sender.discovery.slow_start import SlowStart
+from message_sender.policy.events import EndpointsUpdated
+from message_sender.policy.model import Endpoint, EndpointState, ListingKind
 
 SECOND = 1_000_000
 MOST_SPAN = 7 * 24 * 3600 * SECOND
@@ -34,7 +34,7 @@
 MOST_TEXT = 200  # characters of who and of why
 
 
-class Kind(Enum):
+class OverrideKind(Enum):
     OUT = "out"
     WEIGHT = "weight"
     PIN = "pin"
@@ -51,7 +51,7 @@
 @dataclass(frozen=True, slots=True)
 class Override:
     name: str  # such as o17; no other one ever has it
-    kind: Kind
+    kind: OverrideKind
     endpoint: str
     who: str
     why: str
@@ -78,7 +78,7 @@
     @classmethod
     def from_json(cls, told: dict[str, Any]) -> "Override":
         """Raises ValueError, KeyError or TypeError for what is none."""
-        found = cls(**(told | {"kind": Kind(told["kind"])}))
+        found = cls(**(told | {"kind": OverrideKind(told["kind"])}))
         if faults := found.faults():
             raise OverrideError(faults)
         return found
@@ -101,9 +101,11 @@
                 f"weight must be above 0 and at most 100, not {self.weight!r}; to send nothing, set it out"
             )
         told = [self.destination != -1, self.tenant != "", self.key != ""]
-        if self.kind is Kind.PIN and (sum(told) != 1 or (told[0] and found == [] and self.destination < 0)):
+        if self.kind is OverrideKind.PIN and (
+            sum(told) != 1 or (told[0] and found == [] and self.destination < 0)
+        ):
             found.append("a pin needs a destination, a tenant or a key, one of them")
-        if self.kind is not Kind.PIN and any(told):
+        if self.kind is not OverrideKind.PIN and any(told):
             found.append("destination, tenant and key are of pins")
         if not all(isinstance(each, str) and len(each) <= MOST_TEXT for each in (self.tenant, self.key)):
             found.append(f"tenant and key must be texts of at most {MOST_TEXT} characters")
@@ -112,7 +114,7 @@
         return found
 
 
-class Book:
+class OverrideBook:
     """The overrides that have not ended."""
 
     def __init__(self, found: Iterable[Override] = (), last: int = 0) -> None:
@@ -121,7 +123,7 @@
         self.last = max([last, *(each.order for each in self.overrides.values())])
 
     def set(
-        self, kind: Kind, endpoint: str, who: str, why: str, begins: int, until: int, now: int,
+        self, kind: OverrideKind, endpoint: str, who: str, why: str, begins: int, until: int, now: int,
         weight: float = 1.0, destination: int = -1, tenant: str = "", key: str = "",
     ) -> Override:  # fmt: skip
         """A new one. Raises OverrideError."""
@@ -176,7 +178,7 @@
 
 
 @dataclass(slots=True)
-class InForce:
+class ActiveOverrides:
     """What counts at one moment."""
 
     out: dict[str, Override]
@@ -186,12 +188,12 @@
     keys: dict[str, Override]
 
     @classmethod
-    def of(cls, active: Iterable[Override]) -> "InForce":
+    def of(cls, active: Iterable[Override]) -> "ActiveOverrides":
         found = cls({}, {}, {}, {}, {})
         for each in active:  # in the order in which they were set: the last one stands
-            if each.kind is Kind.OUT:
+            if each.kind is OverrideKind.OUT:
                 found.out[each.endpoint] = each
-            elif each.kind is Kind.WEIGHT:
+            elif each.kind is OverrideKind.WEIGHT:
                 found.weights[each.endpoint] = each
             elif each.destination >= 0:
                 found.pins[each.destination] = each
@@ -202,26 +204,28 @@
         return found
 
 
-class Overlay:
+class OverrideLayer:
     """The list as the directory tells it, under the overrides in force. It tells on what changes."""
 
-    def __init__(self, book: Book, ramp: Ramp | None = None, ejector: Ejector | None = None) -> None:
-        self.book, self.ramp, self.ejector = book, ramp or Ramp(), ejector
+    def __init__(
+        self, book: OverrideBook, ramp: SlowStart | None = None, ejector: OutlierDetector | None = None
+    ) -> None:
+        self.book, self.ramp, self.ejector = book, ramp or SlowStart(), ejector
         self.now = 0  # as of the last look
         self.ejected: list[str] = []  # and not told on yet
-        self.listed: dict[str, face.Endpoint] = {}  # as the directory has it
+        self.listed: dict[str, Endpoint] = {}  # as the directory has it
         self.members: dict[int, dict[str, None]] = {}  # destination: names of its endpoints
-        self.shown: dict[str, face.Endpoint] = {}  # as it was told on
-        self.force = InForce.of(())
+        self.shown: dict[str, Endpoint] = {}  # as it was told on
+        self.force = ActiveOverrides.of(())
 
-    def hear(self, told: face.EndpointsListed, now: int = 0) -> face.EndpointsListed:
+    def hear(self, told: EndpointsUpdated, now: int = 0) -> EndpointsUpdated:
         """What to tell on in place of what the directory says, under the overrides in force as of the last
         `turn`. Costs what is named, and the destinations of pins that it touches."""
-        if told.listing is Listing.FAILED:
+        if told.listing is ListingKind.FAILED:
             return told
         self.now = max(self.now, now)
         fresh = self.fresh(told) if self.ramp.span else []
-        if told.listing is not Listing.CHANGES:
+        if told.listing is not ListingKind.CHANGES:
             self.forget()
         touched: set[int] = set()
         for each in told.endpoints:
@@ -234,7 +238,7 @@
         gone = {each.id: each for each in told.endpoints if each.id not in self.listed}
         return replace(told, endpoints=tuple(gone.get(name) or self.show(name) for name in named))
 
-    def fresh(self, told: face.EndpointsListed) -> list[str]:
+    def fresh(self, told: EndpointsUpdated) -> list[str]:
         """Ready ones of which no list had heard; of the first list of all, none."""
         if not self.listed:
             return []
@@ -244,7 +248,7 @@
         """A whole list comes: what is not in it is gone."""
         self.listed, self.members, self.shown = {}, {}, {}
 
-    def note(self, each: face.Endpoint) -> set[int]:
+    def note(self, each: Endpoint) -> set[int]:
         """The destinations that it concerns: one that it leaves may have been pinned to it."""
         before = self.listed.pop(each.id, None)
         if before:
@@ -258,11 +262,11 @@
                 self.ejector.forget(each.id)
         return {each.destination, before.destination if before else each.destination}
 
-    def show(self, name: str) -> face.Endpoint:
+    def show(self, name: str) -> Endpoint:
         self.shown[name] = found = self.effective(self.listed[name])
         return found
 
-    def effective(self, listed: face.Endpoint) -> face.Endpoint:
+    def effective(self, listed: Endpoint) -> Endpoint:
         """What is told of an endpoint under the overrides in force."""
         if listed.state is not EndpointState.READY:
             return listed
@@ -307,16 +311,16 @@
         to = self.listed.get(pin.endpoint)
         return to is not None and to.destination == pin.destination and self.in_service(to)
 
-    def in_service(self, listed: face.Endpoint) -> bool:
+    def in_service(self, listed: Endpoint) -> bool:
         """Whether it is ready, and neither out of service nor ejected. Pins and weights come after that."""
         ejected = self.ejector is not None and listed.id in self.ejector.out
         return listed.state is EndpointState.READY and listed.id not in self.force.out and not ejected
 
-    def turn(self, now: int) -> face.EndpointsListed | None:
+    def turn(self, now: int) -> EndpointsUpdated | None:
         """What to tell when overrides were set, have begun or have ended; None where nothing changes. What
         comes back into service is named as returned: it is to be warmed."""
         self.now = max(self.now, now)
-        before, self.force = self.force, InForce.of(self.book.active(now))
+        before, self.force = self.force, ActiveOverrides.of(self.book.active(now))
         changes, returned = [], []
         for name in self.concerned(before, now):
             was, shown = self.shown.get(name), self.effective(self.listed[name])
@@ -328,9 +332,9 @@
             changes.append(self.show(name))
         if not changes:
             return None
-        return face.EndpointsListed(Listing.CHANGES, tuple(changes), tuple(returned))
+        return EndpointsUpdated(ListingKind.CHANGES, tuple(changes), tuple(returned))
 
-    def concerned(self, before: InForce, now: int) -> list[str]:
+    def concerned(self, before: ActiveOverrides, now: int) -> list[str]:
         """Listed endpoints of which something else may have to be told than before."""
         named = dict.fromkeys([*self.ramp.turn(now), *self.ejected])
         named |= dict.fromkeys(self.ejector.turn(now) if self.ejector else ())
@@ -359,12 +363,12 @@
             return f"its endpoint is one of destination {listed.destination}"
         if listed.state is not EndpointState.READY:
             return "its endpoint drains"
-        if each.kind is not Kind.OUT and each.endpoint in self.force.out:
+        if each.kind is not OverrideKind.OUT and each.endpoint in self.force.out:
             return f"its endpoint is out of service by {self.force.out[each.endpoint].name}"
-        others: dict[Kind, Override | None] = {
-            Kind.OUT: self.force.out.get(each.endpoint),
-            Kind.WEIGHT: self.force.weights.get(each.endpoint),
-            Kind.PIN: self.force.pins.get(each.destination)
+        others: dict[OverrideKind, Override | None] = {
+            OverrideKind.OUT: self.force.out.get(each.endpoint),
+            OverrideKind.WEIGHT: self.force.weights.get(each.endpoint),
+            OverrideKind.PIN: self.force.pins.get(each.destination)
             or self.force.tenants.get(each.tenant)
             or self.force.keys.get(each.key),
         }
--- a/message_sender/directory/ramp.py
+++ b/message_sender/discovery/slow_start.py
@@ -8,7 +8,7 @@
 STEPS = 8
 
 
-class Ramp:
+class SlowStart:
     def __init__(self, span: int = 0) -> None:
         """`span` in us; 0: there is no slow start."""
         self.span = span
--- a/message_sender/directory/static.py
+++ b/message_sender/discovery/static.py
@@ -4,58 +4,59 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, replace
 
-from message_sender import interface as face
+from message_sender.policy.events import EndpointsUpdated
+from message_sender.policy.model import Endpoint, EndpointState, ListingKind
 
 Dial = tuple[str, int]
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class StaticEndpoint:
     """An endpoint and where it is called."""
 
-    endpoint: face.Endpoint
+    endpoint: Endpoint
     dial: Dial
 
 
 class StaticDirectory:
-    """Implements the port `Directory` of the core. `told` is the engine's `list_told`."""
+    """Implements the port `Directory` of the core. `told` is the engine's `endpoints_updated`."""
 
-    def __init__(self, places: Iterable[Place]) -> None:
+    def __init__(self, places: Iterable[StaticEndpoint]) -> None:
         self.places = {each.endpoint.id: each for each in places}
         self.destinations = {each.endpoint.destination for each in self.places.values()}
-        self.told: Callable[[face.EndpointsListed], None] = lambda listed: None
+        self.told: Callable[[EndpointsUpdated], None] = lambda listed: None
 
-    def endpoints(self) -> tuple[face.Endpoint, ...]:
+    def endpoints(self) -> tuple[Endpoint, ...]:
         return tuple(each.endpoint for each in self.places.values())
 
     def dials(self) -> dict[str, Dial]:
         return {name: each.dial for name, each in self.places.items()}
 
-    def replace(self, places: Iterable[Place]) -> None:
+    def replace(self, places: Iterable[StaticEndpoint]) -> None:
         """The whole list anew. What is not in it is gone from now on: no new attempt goes there."""
         self.places = {each.endpoint.id: each for each in places}
         self.destinations |= {each.endpoint.destination for each in self.places.values()}
-        self.told(face.EndpointsListed(face.Listing.FULL, self.endpoints()))
+        self.told(EndpointsUpdated(ListingKind.FULL, self.endpoints()))
 
-    def configure(self, places: Iterable[Place]) -> None:
+    def configure(self, places: Iterable[StaticEndpoint]) -> None:
         """The configuration names these from now on."""
         self.replace(places)
 
     def drain(self, name: str) -> None:
         """An endpoint wants nothing new. Raises KeyError for one that is not listed."""
         place = self.places[name]
-        endpoint = replace(place.endpoint, state=face.EndpointState.DRAINING)
-        self.places[name] = Place(endpoint, place.dial)
-        self.told(face.EndpointsListed(face.Listing.CHANGES, (endpoint,)))
+        endpoint = replace(place.endpoint, state=EndpointState.DRAINING)
+        self.places[name] = StaticEndpoint(endpoint, place.dial)
+        self.told(EndpointsUpdated(ListingKind.CHANGES, (endpoint,)))
 
     # The port.
 
-    def look(self) -> None:
+    def poll_unread(self) -> None:
         """Nothing lies unread here."""
 
     async def watch(self) -> None:
         """Whoever changes the list tells it; there is nothing to wait for."""
-        self.told(face.EndpointsListed(face.Listing.FULL, self.endpoints()))
+        self.told(EndpointsUpdated(ListingKind.FULL, self.endpoints()))
         await asyncio.get_running_loop().create_future()
 
     def knows(self, destination: int) -> bool:
--- a/message_sender/emulator/arrivals.py
+++ b/message_sender/emulator/arrivals.py
@@ -12,7 +12,7 @@
 import numpy as np
 import numpy.typing as npt
 
-from message_sender.emulator.receiver import Luck
+from message_sender.emulator.receiver import ReceiverRandom
 from message_sender.emulator.scenario import Burst, Scenario
 
 ATTEMPTS = 8  # of a message that have luck of their own; later ones begin again with the first's
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
+class ClientMessage:
     """One message, as its client means it."""
 
     number: int
@@ -31,9 +31,9 @@
     key: str
     draws: npt.NDArray[np.float64]
 
-    def luck(self, attempt: int) -> Luck:
+    def luck(self, attempt: int) -> ReceiverRandom:
         at = attempt % ATTEMPTS * DRAWS
-        return Luck(*map(float, self.draws[at : at + 3]))
+        return ReceiverRandom(*map(float, self.draws[at : at + 3]))
 
     def ways(self, attempt: int) -> tuple[float, float]:
         """Draws for the way there and back, each from 0 to 1."""
@@ -69,7 +69,7 @@
         self.popular = popularity(scenario)
         self.destination_of = Choice(self.popular)
 
-    def __iter__(self) -> Iterator[Asked]:
+    def __iter__(self) -> Iterator[ClientMessage]:
         """In the order of their times."""
         clients = self.scenario.clients
         streams = [self.stream(self.seeds[0], clients.rate, 0.0, self.scenario.seconds, None)]
@@ -78,7 +78,7 @@
                 until = min(burst.until, self.scenario.seconds)
                 streams.append(self.stream(seed, rate, burst.at, until, burst))
         for number, (at, made) in enumerate(heapq.merge(*streams, key=lambda each: each[0])):
-            yield Asked(number, at, *made)
+            yield ClientMessage(number, at, *made)
 
     def rate_of(self, burst: Burst) -> float:
         """What of the usual rate a burst is about."""
@@ -93,9 +93,9 @@
         self, seed: np.random.SeedSequence, rate: float, begins: float, ends: float, burst: Burst | None
     ) -> Iterator[tuple[float, tuple[str, str, int, str, npt.NDArray[np.float64]]]]:
         """A Poisson stream: the times between two are exponential."""
-        chance, at = np.random.Generator(np.random.PCG64(seed)), begins
-        while (at := at + float(chance.exponential(1 / rate))) < ends:
-            draws = chance.random(5 + ATTEMPTS * DRAWS)
+        rng, at = np.random.Generator(np.random.PCG64(seed)), begins
+        while (at := at + float(rng.exponential(1 / rate))) < ends:
+            draws = rng.random(5 + ATTEMPTS * DRAWS)
             if burst or not self.thinned(at, draws):
                 yield at, self.made(draws, burst)
 
--- a/message_sender/emulator/experiment.py
+++ b/message_sender/emulator/experiment.py
@@ -18,10 +18,10 @@
 
 import numpy as np
 
+from message_sender.configuration.tables import ConfigError
 from message_sender.emulator.play import play
 from message_sender.emulator.policies import OWN_POLICY, POLICIES
 from message_sender.emulator.scenario import Scenario, changed
-from message_sender.tables import ConfigError
 
 RESAMPLES = 4000
 LEVEL = 0.95
@@ -44,7 +44,7 @@
 
 
 @dataclass
-class Ran:
+class RunResult:
     key: str
     measures: dict[str, float] = field(default_factory=dict)
     breaches: list[str] = field(default_factory=list)  # their rules
@@ -54,17 +54,17 @@
         return json.dumps(vars(self), sort_keys=True)
 
 
-def run(job: Job) -> Ran:
+def run(job: Job) -> RunResult:
     """Never raises: a run that fails is a result like any other."""
     try:
         scenario = changed(job.scenario, dict(job.changes)) if job.changes else job.scenario
         outcomes = play(scenario, job.seed, POLICIES[job.policy])
     except Exception as error:
-        return Ran(job.key(), error=f"{type(error).__name__}: {error}")
-    return Ran(job.key(), outcomes.figures.measures(), [each.rule for each in outcomes.breaches])
+        return RunResult(job.key(), error=f"{type(error).__name__}: {error}")
+    return RunResult(job.key(), outcomes.figures.measures(), [each.rule for each in outcomes.breaches])
 
 
-def run_all(jobs: Sequence[Job], processes: int) -> Iterator[Ran]:
+def run_all(jobs: Sequence[Job], processes: int) -> Iterator[RunResult]:
     """As they end. A process that dies takes its runs with it: they are tried again, in new processes, and
     told as failed after `TRIES`."""
     if processes == 1:
@@ -84,23 +84,23 @@
                 continue
         break
     for key in left:
-        yield Ran(key, error="its process died")
+        yield RunResult(key, error="its process died")
 
 
-def kept(file: Path) -> dict[str, Ran]:
+def kept(file: Path) -> dict[str, RunResult]:
     """What an earlier sweep left in a file. A line that was cut off by its end is run again."""
-    found: dict[str, Ran] = {}
+    found: dict[str, RunResult] = {}
     if file.exists():
         for line in file.read_text().splitlines():
             try:
-                ran = Ran(**json.loads(line))
+                ran = RunResult(**json.loads(line))
             except (ValueError, TypeError):
                 continue
             found[ran.key] = ran
     return found
 
 
-def sweep(jobs: Sequence[Job], processes: int, file: Path | None) -> Iterator[Ran]:
+def sweep(jobs: Sequence[Job], processes: int, file: Path | None) -> Iterator[RunResult]:
     """All of them, those first that the file already holds. Raises OSError."""
     done = kept(file) if file else {}
     yield from (done[job.key()] for job in jobs if job.key() in done)
@@ -128,10 +128,10 @@
 ) -> list[tuple[tuple[str, Any], ...]]:
     """`points` of them: each range is cut into as many parts, and each part is met once. Where both ends are
     whole numbers, so are the values."""
-    chance = np.random.default_rng(seed)
+    rng = np.random.default_rng(seed)
     columns = []
     for low, high in ranges.values():
-        parts = (chance.permutation(points) + chance.random(points)) / points
+        parts = (rng.permutation(points) + rng.random(points)) / points
         values = low + (high - low) * parts
         whole = float(low).is_integer() and float(high).is_integer() and high - low >= points
         columns.append([round(x) if whole else round(float(x), 6) for x in values])
@@ -200,7 +200,7 @@
     return rows
 
 
-def row(name: str, variant: str, own: Sequence[Ran], other: Sequence[Ran]) -> Compared:
+def row(name: str, variant: str, own: Sequence[RunResult], other: Sequence[RunResult]) -> Compared:
     good = [
         (mine, theirs) for mine, theirs in zip(own, other, strict=True) if not (mine.error or theirs.error)
     ]
--- a/message_sender/emulator/explore.py
+++ b/message_sender/emulator/explore.py
@@ -20,7 +20,7 @@
 from typing import NamedTuple
 
 from message_sender.budget import lease
-from message_sender.budget.lease import Kind, Member, Terms, Word
+from message_sender.budget.lease import LeaseMessage, LeaseMessageKind, Member, Terms
 
 SOME = 500
 
@@ -29,7 +29,7 @@
     """Each member's clock stands at 0: all of its times are from there."""
 
     members: tuple[Member, ...]
-    words: frozenset[Word] = frozenset()  # that are out; one that was heard may come again
+    words: frozenset[LeaseMessage] = frozenset()  # that are out; one that was heard may come again
     lagged: frozenset[int] = frozenset()  # whose clock has fallen behind
     restarts: int = 0
     #: The most that each might spend before the last tick, and since, and behind them the same of lives that
@@ -188,7 +188,9 @@
     )
 
 
-def changed(world: World, number: int, member: Member, out: tuple[Word, ...], limits: Limits) -> World | None:
+def changed(
+    world: World, number: int, member: Member, out: tuple[LeaseMessage, ...], limits: Limits
+) -> World | None:
     words = world.words | {*out}
     if len(words) > limits.words:
         return None
@@ -196,9 +198,9 @@
     return world._replace(members=members, words=words)
 
 
-def owner(word: Word) -> int:
+def owner(word: LeaseMessage) -> int:
     """By whose clock it was asked."""
-    return word.to if word.kind in (Kind.PROMISE, Kind.GRANT) else word.by
+    return word.to if word.kind in (LeaseMessageKind.PROMISE, LeaseMessageKind.GRANT) else word.by
 
 
 def nexts(world: World, terms: Terms, limits: Limits) -> Iterator[tuple[str, World]]:
@@ -258,7 +260,7 @@
             yield f"{number} {what}", found
 
 
-def told(word: Word) -> str:
+def told(word: LeaseMessage) -> str:
     amount = f" of {word.amount}" if word.amount else ""
     return f"{word.kind.name.lower()}{amount} from {word.by} to {word.to}, asked at {word.asked},"
 
@@ -318,7 +320,7 @@
     return lease.spendable(members[wants], terms)
 
 
-def deliver(members: list[Member], terms: Terms, words: list[Word]) -> None:
+def deliver(members: list[Member], terms: Terms, words: list[LeaseMessage]) -> None:
     while words:
         word = words.pop(0)
         members[word.to], out = lease.hear(members[word.to], terms, word)
--- a/message_sender/emulator/fleet.py
+++ b/message_sender/emulator/fleet.py
@@ -19,28 +19,27 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
-from message_sender import interface as face
-from message_sender.core.engine import Config, Engine
-from message_sender.core.ports import Answer, End, State, TurnedAway
-from message_sender.directory.static import Place, StaticDirectory
-from message_sender.emulator.arrivals import Arrivals, Asked
+from message_sender.core.engine import Engine, EngineConfig
+from message_sender.core.ports import AttemptResult, Completion, CompletionState, Rejected
+from message_sender.discovery.static import StaticDirectory, StaticEndpoint
+from message_sender.emulator.arrivals import Arrivals, ClientMessage
 from message_sender.emulator.figures import Figures
-from message_sender.emulator.life import EPOCH, RAN, SECOND, Killed, told
+from message_sender.emulator.isolation import sealed
 from message_sender.emulator.loop import VirtualLoop
 from message_sender.emulator.receiver import Receiver
 from message_sender.emulator.scenario import Incident, Scenario
-from message_sender.emulator.seal import sealed
-from message_sender.interface import EndpointState, Outcome
-from message_sender.lab import history as seen
-from message_sender.lab.history import History, Ran
-from message_sender.lab.referee import Breach, Kind, Referee, Rules
-from message_sender.message import HandedIn
+from message_sender.emulator.simulated_run import EPOCH, RAN, SECOND, ProcessKilled, told
+from message_sender.message import Message
 from message_sender.policy.dispatcher import Dispatcher
+from message_sender.policy.model import Effect, Endpoint, EndpointState, Outcome, Settings
+from message_sender.testbed import history as seen
+from message_sender.testbed.history import EffectApplied, History
+from message_sender.testbed.history_checker import ClassRule, HistoryChecker, Rules, Violation
 
 if TYPE_CHECKING:
-    from message_sender.emulator.joined import Links
+    from message_sender.emulator.shared_links import LinkHub
 
-Decide = Callable[[face.Settings, int], Any]
+Decide = Callable[[Settings, int], Any]
 AFTER = 1.5  # s after the last message's time, in which ends are still told
 SAMPLE = 1.0  # s between two looks at what senders hold
 NOTICE = 0.004  # s until an end that nobody waits for has been heard
@@ -52,7 +51,7 @@
 @dataclass
 class Outcomes:
     figures: Figures
-    breaches: list[Breach]
+    breaches: list[Violation]
     trace: list[str] = field(default_factory=list)  # JSON lines
     owed: list[str] = field(default_factory=list)  # messages without an end, and who holds them
 
@@ -61,7 +60,7 @@
         return self.figures.as_json() | {"breaches": broken, "owed": self.owed}
 
 
-class KilledSender(Killed):
+class SenderKilled(ProcessKilled):
     """SIGKILL of one process, in the middle of what it does."""
 
     def __init__(self, sender: "Sender") -> None:
@@ -69,22 +68,22 @@
         self.sender = sender
 
 
-class Try:
+class ClientAttempt:
     """One hand-in of a message by its client: the engine's caller."""
 
-    def __init__(self, world: "World", asked: Asked, number: int, sender: "Sender") -> None:
+    def __init__(self, world: "World", asked: ClientMessage, number: int, sender: "Sender") -> None:
         self.world, self.asked, self.number, self.sender = world, asked, number, sender
         self.name = f"m{asked.number}" + (f".{number}" if number else "")
         self.heard = self.left = False
 
-    def gone(self) -> bool:
+    def is_gone(self) -> bool:
         return self.left
 
-    def taken(self) -> bool:
+    def accepted(self) -> bool:
         world, kind = self.world, self.world.scenario.classes[self.asked.message_class]
         until = self.asked.at + kind.deadline_s
         world.history.note(
-            seen.Taken(
+            seen.MessageAdmitted(
                 world.time(),
                 self.name,
                 self.asked.message_class,
@@ -97,13 +96,13 @@
         world.later(world.way(0.5), self.hear, True, 0)
         return False
 
-    def turned_away(self, told: TurnedAway) -> None:
-        self.world.history.note(seen.Refused(self.world.time(), self.name))
+    def rejected(self, told: Rejected) -> None:
+        self.world.history.note(seen.MessageRejected(self.world.time(), self.name))
         self.world.later(self.world.way(0.5), self.hear, False, told.retry_after)
 
-    def given_up(self) -> None: ...
+    def withdrawn(self) -> None: ...
 
-    def ended(self, end: End) -> None: ...
+    def completed(self, end: Completion) -> None: ...
 
     def hear(self, taken: bool, retry_after: int) -> None:
         """The client has its answer."""
@@ -123,47 +122,47 @@
             self.world.come_again(self.asked, self.number, 0.0)
 
 
-class Courier:
+class ModelTransport:
     """Calls to modelled destinations."""
 
-    late_reader = False
+    reads_late = False
 
     def __init__(self, sender: "Sender") -> None:
         self.sender, self.world = sender, sender.world
 
     async def call(
-        self, endpoint: str, message: HandedIn, timeout: float, may_go: Callable[[], bool]
-    ) -> Answer:
+        self, endpoint: str, message: Message, timeout: float, may_go: Callable[[], bool]
+    ) -> AttemptResult:
         answer = await self.called(endpoint, message, timeout, may_go)
         self.world.count_call(self.sender.name, endpoint, answer.outcome)
         return answer
 
     async def called(
-        self, endpoint: str, message: HandedIn, timeout: float, may_go: Callable[[], bool]
-    ) -> Answer:
+        self, endpoint: str, message: Message, timeout: float, may_go: Callable[[], bool]
+    ) -> AttemptResult:
         world, sender = self.world, self.sender
         loop = asyncio.get_running_loop()
         deadline = loop.time() + timeout
         place = world.places.get(endpoint)
         if place is None:
-            return Answer(Outcome.NOT_SENT)
+            return AttemptResult(Outcome.NOT_SENT)
         if not world.remembers(message):  # long after its time: no such call is due any more
-            return Answer(Outcome.ERROR)
+            return AttemptResult(Outcome.ERROR)
         asked, attempt = world.attempt_of(message)
         there, back = (world.way(draw, sender.zone, place.endpoint.zone) for draw in asked.ways(attempt))
         await asyncio.sleep(min(there, timeout))
         receiver = world.receiver_of(place.endpoint)
         trouble = receiver.trouble(loop.time(), sender.name, place.endpoint.zone)
         if trouble is None and loop.time() >= deadline:
-            return Answer(Outcome.CONNECT_FAILED)
+            return AttemptResult(Outcome.CONNECT_FAILED)
         if not may_go():
-            return Answer(Outcome.NOT_SENT)
+            return AttemptResult(Outcome.NOT_SENT)
         fate = receiver.call(loop.time(), sender.name, asked.luck(attempt), place.endpoint.zone)
         if not fate.connected:
             if fate.after is None:
                 patience = sender.engine.settings.connect_timeout / SECOND
                 await asyncio.sleep(max(min(patience, deadline - loop.time()), 0.0))
-            return Answer(Outcome.CONNECT_FAILED)
+            return AttemptResult(Outcome.CONNECT_FAILED)
         call = world.history.began(message.id, endpoint, sender.name)
         try:
             async with asyncio.timeout_at(deadline):
@@ -173,31 +172,31 @@
         except (TimeoutError, asyncio.CancelledError) as error:
             # What is given up may run on over there.
             if call not in world.over:
-                world.arrived(fate.ran, asked, call, Ran.MAYBE, 0.0)
+                world.arrived(fate.ran, asked, call, EffectApplied.MAYBE, 0.0)
             if isinstance(error, TimeoutError):
-                return Answer(Outcome.TIMEOUT)
+                return AttemptResult(Outcome.TIMEOUT)
             raise
         wait = int(fate.wait * SECOND)
         if wait:
-            sender.engine.wait_told(endpoint, wait)
-        return Answer(fate.outcome, finished=fate.outcome is Outcome.OK, wait=wait)
+            sender.engine.retry_after_received(endpoint, wait)
+        return AttemptResult(fate.outcome, finished=fate.outcome is Outcome.OK, wait=wait)
 
-    def look(self) -> None: ...
+    def poll_unread(self) -> None: ...
     def close_idle(self, endpoint: str) -> None: ...
-    def tidy(self) -> None: ...
-    def list_changed(self) -> None: ...
+    def close_expired(self) -> None: ...
+    def endpoints_changed(self) -> None: ...
     def close(self) -> None: ...
 
 
-class Teller:
+class ModelCompletionListener:
     """Hears ends that nobody waits for, and says so a little later."""
 
     def __init__(self, sender: "Sender") -> None:
         self.sender = sender
 
-    def tell(self, message: str, end: End) -> bool:
+    def notify(self, message: str, end: Completion) -> bool:
         self.sender.world.ended(self.sender, message, end)
-        if end.state is State.DELIVERED:
+        if end.state is CompletionState.DELIVERED:
             return False
         self.sender.world.later(NOTICE, self.sender.end_heard, self.sender.lives, message)
         return True
@@ -230,7 +229,9 @@
         self.wall = self.next_wall
         known = self.directory.endpoints()
         disk = int(self.world.scenario.fleet.disk_mb * 1e6)
-        config = Config(self.name, self.state, self.world.seed * 64 + self.number, disk, self.settings, known)
+        config = EngineConfig(
+            self.name, self.state, self.world.seed * 64 + self.number, disk, self.settings, known
+        )
         self.engine = Engine(config, self.clock, self.world.decide)
         self.alive, self.lives = True, self.lives + 1
         append = self.engine.journal.append
@@ -238,12 +239,12 @@
         def counted(record: bytes, *more: bool, **named: bool) -> bool:
             self.writes += 1
             if self.writes == self.kill_at_write:
-                raise KilledSender(self)
+                raise SenderKilled(self)
             return append(record, *more, **named)
 
         self.engine.journal.append = counted  # type: ignore[method-assign]
         self.directory = StaticDirectory(self.directory.places.values())
-        self.directory.told = self.engine.list_told
+        self.directory.told = self.engine.endpoints_updated
         self.plug()
         if self.world.links:
             self.world.links.join(self.name, self.engine, self.lives)
@@ -251,7 +252,7 @@
         self.world.tell_list(self)  # what it missed
 
     def plug(self) -> None:
-        self.engine.plug(Courier(self), self.directory, Teller(self))
+        self.engine.plug(ModelTransport(self), self.directory, ModelCompletionListener(self))
 
     def bury(self) -> None:
         """What a killed process leaves: descriptors close, nothing of it runs any more."""
@@ -265,21 +266,21 @@
         if engine.wake:
             engine.wake.cancel()
 
-    def hear(self, places: dict[str, Place], life: int) -> None:
+    def hear(self, places: dict[str, StaticEndpoint], life: int) -> None:
         """The list of endpoints, as it was when it was told."""
         if not (self.alive and life == self.lives):
             return
         ready = {name for name, each in places.items() if each.endpoint.state is EndpointState.READY}
         for name, each in self.directory.places.items():
             if each.endpoint.state is EndpointState.READY and name not in ready:
-                self.world.history.note(seen.Drained(self.world.time(), name, self.name))
+                self.world.history.note(seen.EndpointDrained(self.world.time(), name, self.name))
         for name in [x for x in places if x in ready and x not in self.directory.places]:
-            self.world.history.note(seen.Listed(self.world.time(), name, self.name))
+            self.world.history.note(seen.EndpointRestored(self.world.time(), name, self.name))
         self.directory.replace(places.values())
 
     def end_heard(self, life: int, message: str) -> None:
         if self.alive and life == self.lives:
-            self.engine.end_answered(message)
+            self.engine.completion_acknowledged(message)
 
 
 class World:
@@ -289,9 +290,9 @@
         self.scenario, self.seed, self.decide, self.traced = scenario, seed, decide, traced
         self.loop = VirtualLoop()
         self.history, self.figures = History(self.time), Figures()
-        self.places: dict[str, Place] = {}
+        self.places: dict[str, StaticEndpoint] = {}
         self.receivers: dict[str, Receiver] = {}
-        self.asked: dict[int, Asked] = {}  # of which somebody may still hear
+        self.asked: dict[int, ClientMessage] = {}  # of which somebody may still hear
         self.error: BaseException | None = None  # a defect of the world or of a sender
         self.answered: set[int] = set()
         self.tried: Counter[str] = Counter()  # attempts at each hand-in, of all senders
@@ -301,12 +302,12 @@
         self.troubles: list[tuple[int, str, float]] = []  # destination, sender and time of each failure heard
         self.emptied_until, self.spare = 0.0, 0
         self.build()
-        self.links: Links | None = None
+        self.links: LinkHub | None = None
         if scenario.fleet.budget_span_s:
-            from message_sender.emulator import joined
+            from message_sender.emulator import shared_links
 
             span, loss = int(scenario.fleet.budget_span_s * SECOND), scenario.fleet.link_loss
-            self.links = joined.Links(self.time, self.later, scenario.fleet.senders, span, loss, seed)
+            self.links = shared_links.LinkHub(self.time, self.later, scenario.fleet.senders, span, loss, seed)
         self.senders = [self.sender(number, folder) for number in range(scenario.fleet.senders)]
         longest = max(each.deadline_s for each in scenario.classes.values())
         self.until = scenario.seconds + longest + AFTER
@@ -330,8 +331,8 @@
                     zone = group.zones[each % len(group.zones)]
                     name = f"e{number}-{each}"
                     rate = min(terms.capacity(), 1e6)
-                    listed = face.Endpoint(name, number, EndpointState.READY, kind, zone, rate)
-                    self.places[name] = Place(listed, ("0.0.0.0", 9))
+                    listed = Endpoint(name, number, EndpointState.READY, kind, zone, rate)
+                    self.places[name] = StaticEndpoint(listed, ("0.0.0.0", 9))
                     key = self.receiver_key(listed)
                     if key not in self.receivers:
                         self.receivers[key] = Receiver(terms, self.phases(number, end))
@@ -343,10 +344,10 @@
         ]
         return [phase for each in told for phase in each.phases(end)]
 
-    def receiver_key(self, listed: face.Endpoint) -> str:
+    def receiver_key(self, listed: Endpoint) -> str:
         return listed.id if listed.kind == "apart" else str(listed.destination)
 
-    def receiver_of(self, listed: face.Endpoint) -> Receiver:
+    def receiver_of(self, listed: Endpoint) -> Receiver:
         return self.receivers[self.receiver_key(listed)]
 
     def way(self, draw: float, here: str = "", there: str = "") -> float:
@@ -365,7 +366,7 @@
         if asked is not None:
             self.loop.call_at(asked.at, self.ask, asked)
 
-    def ask(self, asked: Asked) -> None:
+    def ask(self, asked: ClientMessage) -> None:
         kind = self.scenario.classes[asked.message_class]
         self.asked[asked.number] = asked
         self.figures.offered += 1
@@ -376,32 +377,32 @@
         self.later(kind.deadline_s + AFTER, self.forget, asked.number)
         self.next_asked()
 
-    def hand_in(self, asked: Asked, number: int) -> None:
+    def hand_in(self, asked: ClientMessage, number: int) -> None:
         self.figures.tries += 1
         sender = self.front(asked, number)
         if sender is None:
             self.come_again(asked, number, 0.0)
             return
-        self.send(Try(self, asked, number, sender))
+        self.send(ClientAttempt(self, asked, number, sender))
 
-    def send(self, one: Try) -> None:
+    def send(self, one: ClientAttempt) -> None:
         """A client's request is on its way."""
         asked, number, sender = one.asked, one.number, one.sender
         kind = self.scenario.classes[asked.message_class]
         until = EPOCH + int((asked.at + kind.deadline_s) * SECOND)
-        message = HandedIn(
+        message = Message(
             one.name, asked.message_class, asked.destination, until, asked.tenant, asked.key,
             f"m{asked.number}", number > 0, b"body",
         )  # fmt: skip
         self.later(self.way(asked.ways(number)[0]), self.arrive, sender, sender.lives, message, one)
         self.later(self.scenario.clients.patience_s, one.lose_patience)
 
-    def arrive(self, sender: Sender, life: int, message: HandedIn, one: Try) -> None:
+    def arrive(self, sender: Sender, life: int, message: Message, one: ClientAttempt) -> None:
         if sender.alive and sender.lives == life and not one.left:
             # The sender reckons with its own wall clock.
             sender.engine.take(replace(message, until=message.until + round(sender.wall * SECOND)), one)
 
-    def front(self, asked: Asked, number: int) -> Sender | None:
+    def front(self, asked: ClientMessage, number: int) -> Sender | None:
         """Who is handed it. A key has its own sender, also while that one is down: what it holds of the key
         comes first when it is back, and no other sender knows of that."""
         alive = [each for each in self.senders if each.alive]
@@ -412,7 +413,7 @@
             return None
         return alive[(asked.number + number) % len(alive)]
 
-    def come_again(self, asked: Asked, number: int, wait: float) -> None:
+    def come_again(self, asked: ClientMessage, number: int, wait: float) -> None:
         clients = self.scenario.clients
         if number >= clients.retries:
             return
@@ -428,10 +429,10 @@
         self.answered.discard(number)
         self.delivered.discard(number)
 
-    def remembers(self, message: HandedIn) -> bool:
+    def remembers(self, message: Message) -> bool:
         return int(message.id[1:].partition(".")[0]) in self.asked
 
-    def attempt_of(self, message: HandedIn) -> tuple[Asked, int]:
+    def attempt_of(self, message: Message) -> tuple[ClientMessage, int]:
         """The message it stands for, and which attempt at it this is, of any of its tries."""
         number, _, again = message.id[1:].partition(".")
         asked = self.asked[int(number)]
@@ -440,7 +441,7 @@
 
     # What is seen.
 
-    def arrived(self, ran: bool, asked: Asked, call: int, how: Ran, wait: float) -> None:
+    def arrived(self, ran: bool, asked: ClientMessage, call: int, how: EffectApplied, wait: float) -> None:
         """A call is over at its endpoint, or was before where it had been given up."""
         if call not in self.over:
             self.over.add(call)
@@ -448,14 +449,14 @@
         if ran:
             self.has_effect(asked)
 
-    def has_effect(self, asked: Asked) -> None:
+    def has_effect(self, asked: ClientMessage) -> None:
         if asked.number in self.delivered or asked.number not in self.asked:
             self.figures.twice += 1
             return
         self.delivered.add(asked.number)
         self.earn(asked)
 
-    def earn(self, asked: Asked) -> None:
+    def earn(self, asked: ClientMessage) -> None:
         kind = self.scenario.classes[asked.message_class]
         took = self.time() - asked.at
         late = max(took - kind.aim_s, 0.0) / max(kind.deadline_s - kind.aim_s, 1e-9)
@@ -483,7 +484,7 @@
         counts = self.figures.destinations.setdefault(at, type(self.figures.calls)())
         counts[outcome.value] += 1
 
-    def ended(self, sender: Sender, name: str, end: End) -> None:
+    def ended(self, sender: Sender, name: str, end: Completion) -> None:
         """The same end told again by a later life is the same answer (docs/design/emulator.md)."""
         now = end.state.value, sender.name, sender.lives
         before, self.ends[name] = self.ends.get(name), now
@@ -491,7 +492,7 @@
             self.figures.told_again += 1
             return
         self.figures.ends[now[0]] += 1
-        self.history.note(seen.Ended(self.time(), name, now[0]))
+        self.history.note(seen.MessageCompleted(self.time(), name, now[0]))
 
     def sample(self) -> None:
         second = self.figures.second(max(self.time() - SAMPLE / 2, 0.0))
@@ -504,7 +505,7 @@
 
     # The list of endpoints, and what else happens.
 
-    def truth(self) -> dict[str, Place]:
+    def truth(self) -> dict[str, StaticEndpoint]:
         return {} if self.time() < self.emptied_until else dict(self.places)
 
     def tell_list(self, sender: Sender) -> None:
@@ -556,24 +557,24 @@
     def dead(self, sender: Sender, down_for: float) -> None:
         sender.bury()
         self.figures.kills += 1
-        self.history.note(seen.Restarted(self.time(), sender.name, self.time() + down_for))
+        self.history.note(seen.SenderRestarted(self.time(), sender.name, self.time() + down_for))
         self.later(down_for, sender.start)
 
     def drain(self, incident: Incident) -> None:
         leaving = [x for x in self.places.values() if x.endpoint.destination == incident.destination]
         for each in leaving:
             listed = replace(each.endpoint, state=EndpointState.DRAINING)
-            self.places[listed.id] = Place(listed, each.dial)
+            self.places[listed.id] = StaticEndpoint(listed, each.dial)
         self.list_changed()
         self.later(incident.for_s, self.stand_in, [each.endpoint for each in leaving])
 
-    def stand_in(self, gone: list[face.Endpoint]) -> None:
+    def stand_in(self, gone: list[Endpoint]) -> None:
         """New endpoints in place of those that have gone; what they stand on starts warm."""
         for each in gone:
             self.places.pop(each.id, None)
             self.spare += 1
             fresh = replace(each, id=f"{each.id}r{self.spare}", state=EndpointState.READY)
-            self.places[fresh.id] = Place(fresh, ("0.0.0.0", 9))
+            self.places[fresh.id] = StaticEndpoint(fresh, ("0.0.0.0", 9))
             if self.receiver_key(each) in self.receivers and each.kind == "apart":
                 self.receivers[fresh.id] = Receiver(self.receivers[each.id].terms)
         self.list_changed()
@@ -589,7 +590,7 @@
             while not done.done() and not self.error:
                 try:
                     self.loop.run_until_complete(done)
-                except KilledSender as killed:
+                except SenderKilled as killed:
                     self.dead(killed.sender, killed.sender.down_for)
                 except RuntimeError:
                     if not self.error:  # else it was stopped for that
@@ -605,7 +606,7 @@
 
     def failed(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
         error = context.get("exception")
-        if error is not None and not isinstance(error, Killed):
+        if error is not None and not isinstance(error, ProcessKilled):
             self.error = error
             loop.stop()
 
@@ -634,7 +635,7 @@
             if each.alive
             for name, entry in each.engine.journal.entries.items()
         ]
-        breaches = Referee(self.rules()).judge([*self.outages(), *self.history.events])
+        breaches = HistoryChecker(self.rules()).judge([*self.outages(), *self.history.events])
         breaches += self.pushed_over()
         trace = (
             [json.dumps(told(each), sort_keys=True) for each in self.history.events] if self.traced else []
@@ -643,7 +644,7 @@
 
     def rules(self) -> Rules:
         kinds = {
-            name: Kind(face.Effect(each.effect), each.window_s, False, each.in_order)
+            name: ClassRule(Effect(each.effect), each.window_s, False, each.in_order)
             for name, each in self.scenario.classes.items()
         }
         # Where routes are apart, a wait binds one route alone.
@@ -651,7 +652,7 @@
         zones: dict[str, str] = {}
         apart = 0
         for event in self.history.events:
-            if isinstance(event, seen.Began) and event.endpoint not in place_of:
+            if isinstance(event, seen.AttemptStarted) and event.endpoint not in place_of:
                 number = int(event.endpoint[1:].partition("-")[0])
                 kind = self.group_of(number).apart
                 apart += kind
@@ -678,7 +679,7 @@
             number -= group.count
         raise IndexError(number)
 
-    def pushed_over(self) -> Iterator[Breach]:
+    def pushed_over(self) -> Iterator[Violation]:
         """Falls of which two thirds came from senders that had seen the outage before it: a call that meets
         one that has fallen never comes whole, so that no count of calls would show it."""
         outages = list(self.outages())
@@ -688,7 +689,7 @@
                 knew = max(before, key=lambda each: each.until).seen_by if before else frozenset()
                 blamed = sum(each in knew for each in fall.pushed_by)
                 if 3 * blamed >= 2 * len(fall.pushed_by):
-                    yield Breach("cold", fall.at, f"destination {key} was pushed over by {blamed} calls")
+                    yield Violation("cold", fall.at, f"destination {key} was pushed over by {blamed} calls")
 
     def outages(self) -> Iterator[seen.Outage]:
         """Each with the senders that saw a call fail in it: the others cannot be blamed."""
--- a/message_sender/emulator/hunt.py
+++ b/message_sender/emulator/fuzzing.py
@@ -17,11 +17,11 @@
 
 import tomli_w
 
+from message_sender.configuration.tables import ConfigError
 from message_sender.emulator import scenario
 from message_sender.emulator.play import play
 from message_sender.emulator.receiver import Trouble
-from message_sender.lab.referee import Breach
-from message_sender.tables import ConfigError
+from message_sender.testbed.history_checker import Violation
 
 TROUBLES = tuple(each.value for each in Trouble)
 #: Sizes that a trouble may have; its own meaning is in receiver.py.
@@ -34,25 +34,25 @@
 
 def draw(seed: int) -> Told:
     """A scenario of ten seconds, decided by its seed alone."""
-    chance = random.Random(seed)
-    count, senders = chance.randint(2, 6), chance.randint(1, 3)
+    rng = random.Random(seed)
+    count, senders = rng.randint(2, 6), rng.randint(1, 3)
     group = {
         "count": count,
-        "endpoints": chance.randint(1, 2),
+        "endpoints": rng.randint(1, 2),
         "zones": ["a", "b"],
-        "apart": chance.random() < 0.2,
-        "workers": chance.randint(2, 4),
+        "apart": rng.random() < 0.2,
+        "workers": rng.randint(2, 4),
         "fallen_s": 5.0,
         "cold_s": 5.0,
     }
-    if chance.random() < 0.4:
-        group["limit"] = {"rate": round(chance.uniform(8, 30), 1), "span_s": chance.choice((0.0, 1.0))}
+    if rng.random() < 0.4:
+        group["limit"] = {"rate": round(rng.uniform(8, 30), 1), "span_s": rng.choice((0.0, 1.0))}
     return {
         "title": f"Drawn from {seed}",
         "about": "Drawn at random.",
         "seconds": 10.0,
         "seed": seed,
-        "clients": {"rate": round(chance.uniform(15, 50), 1), "keys": chance.randint(1, 6)},
+        "clients": {"rate": round(rng.uniform(15, 50), 1), "keys": rng.randint(1, 6)},
         "classes": {
             "safe": {},
             "keyed": {"effect": "keyed", "window_s": 3.0},
@@ -60,64 +60,64 @@
             "ordered": {"effect": "keyed", "window_s": 3.0, "in_order": True},
             "ordered-unsafe": {"effect": "unsafe", "in_order": True},
         },
-        "fleet": {"senders": senders, "zones": ["a", "b"], "slots": chance.randint(8, 40)},
+        "fleet": {"senders": senders, "zones": ["a", "b"], "slots": rng.randint(8, 40)},
         "destinations": [group],
-        "troubles": [drawn_trouble(chance, count, senders) for _ in range(chance.randint(0, 4))],
-        "incidents": [drawn_incident(chance, count, senders) for _ in range(chance.randint(0, 4))],
+        "troubles": [drawn_trouble(rng, count, senders) for _ in range(rng.randint(0, 4))],
+        "incidents": [drawn_incident(rng, count, senders) for _ in range(rng.randint(0, 4))],
     }
 
 
-def drawn_trouble(chance: random.Random, count: int, senders: int) -> Told:
-    what, at = chance.choice(TROUBLES), chance.uniform(0, 8)
-    told: Told = {"at": round(at, 3), "until": round(at + chance.uniform(0.1, 4), 3), "what": what}
-    told["size"] = round(chance.uniform(*SIZES.get(what, SHARES)), 3)
-    told["destinations"] = sorted(chance.sample(range(count), chance.randint(1, count)))
-    if chance.random() < 0.2:
-        told["seen_by"] = [chance.randrange(senders)]
-    elif chance.random() < 0.2:
-        told["zone"] = chance.choice("ab")
+def drawn_trouble(rng: random.Random, count: int, senders: int) -> Told:
+    what, at = rng.choice(TROUBLES), rng.uniform(0, 8)
+    told: Told = {"at": round(at, 3), "until": round(at + rng.uniform(0.1, 4), 3), "what": what}
+    told["size"] = round(rng.uniform(*SIZES.get(what, SHARES)), 3)
+    told["destinations"] = sorted(rng.sample(range(count), rng.randint(1, count)))
+    if rng.random() < 0.2:
+        told["seen_by"] = [rng.randrange(senders)]
+    elif rng.random() < 0.2:
+        told["zone"] = rng.choice("ab")
     return told
 
 
-def drawn_incident(chance: random.Random, count: int, senders: int) -> Told:
+def drawn_incident(rng: random.Random, count: int, senders: int) -> Told:
     """A disk that takes nothing is not among them: with a kill it loses outcomes, which is the journal's own
     direction (docs/ROADMAP.md)."""
-    what = chance.choice(("kill", "kill", "kill", "drain", "drain", "empty", "deaf", "pause"))
-    told: Told = {"at": round(chance.uniform(0.5, 9.5), 3), "what": what}
-    told["for_s"] = round(chance.uniform(0.05, 0.3) if what == "pause" else chance.uniform(0.3, 2.5), 3)
+    what = rng.choice(("kill", "kill", "kill", "drain", "drain", "empty", "deaf", "pause"))
+    told: Told = {"at": round(rng.uniform(0.5, 9.5), 3), "what": what}
+    told["for_s"] = round(rng.uniform(0.05, 0.3) if what == "pause" else rng.uniform(0.3, 2.5), 3)
     if what == "drain":
-        told["destination"] = chance.randrange(count)
+        told["destination"] = rng.randrange(count)
     elif what not in ("pause", "empty"):
-        told["sender"] = chance.randrange(senders)
-    if what == "kill" and chance.random() < 0.6:
-        told["write"] = chance.randint(1, 60)
+        told["sender"] = rng.randrange(senders)
+    if what == "kill" and rng.random() < 0.6:
+        told["write"] = rng.randint(1, 60)
     return told
 
 
 @dataclass
-class Prey:
+class FuzzResult:
     """What came of one drawn scenario."""
 
     seed: int
     told: Told
-    breaches: list[Breach] = field(default_factory=list)
+    breaches: list[Violation] = field(default_factory=list)
     error: str = ""
     calls: int = 0
     kills: int = 0
 
 
-def one(seed: int, level: str) -> Prey:
+def one(seed: int, level: str) -> FuzzResult:
     """Never raises: a run that fails is a finding like any other."""
     told = draw(seed)
     try:
         outcomes = play(scenario.read(told), level=level)
     except Exception as error:
-        return Prey(seed, told, error=f"{type(error).__name__}: {error}")
+        return FuzzResult(seed, told, error=f"{type(error).__name__}: {error}")
     figures = outcomes.figures
-    return Prey(seed, told, outcomes.breaches, "", sum(figures.calls.values()), figures.kills)
+    return FuzzResult(seed, told, outcomes.breaches, "", sum(figures.calls.values()), figures.kills)
 
 
-def hunt(first: int, count: int, processes: int, level: str) -> Iterator[Prey]:
+def hunt(first: int, count: int, processes: int, level: str) -> Iterator[FuzzResult]:
     """In the order of their seeds."""
     seeds = range(first, first + count)
     if processes == 1:
@@ -176,7 +176,7 @@
     return told
 
 
-def keep(folder: Path, prey: Prey, level: str) -> Path:
+def keep(folder: Path, prey: FuzzResult, level: str) -> Path:
     """Cuts it down and writes it as a scenario file; its path. Raises OSError."""
     rule = prey.breaches[0].rule
     told = cut(prey.told, rule, level) | {"about": f"The rule {rule!r} breaks at the level of {level}."}
--- a/message_sender/emulator/seal.py
+++ b/message_sender/emulator/isolation.py
@@ -18,7 +18,7 @@
 from message_sender.emulator.loop import EmulationError
 
 PACKAGE = "message_sender."
-OPEN_TO = ("message_sender.emulator.", "message_sender.lab.history")
+OPEN_TO = ("message_sender.emulator.", "message_sender.testbed.history")
 DOORS: tuple[tuple[Any, str], ...] = (
     *((time, name) for name in ("time", "time_ns", "monotonic", "monotonic_ns", "sleep", "perf_counter")),
     *((random, name) for name in ("random", "uniform", "choice", "randrange", "shuffle", "expovariate")),
@@ -60,7 +60,7 @@
 @contextlib.contextmanager
 def sealed(clock: Callable[[], float] | None = None) -> Iterator[None]:
     """Not for two at once in one process. With a `clock` (s), who of the package asks for the time hears that
-    one's: doors and couriers as they are ask the system."""
+    one's: doors and transports as they are ask the system."""
     real = [(owner, name, getattr(owner, name)) for owner, name in DOORS]
     try:
         for owner, name, call in real:
