--- a/message_sender/emulator/hall.py
+++ b/message_sender/emulator/member_network.py
@@ -5,14 +5,14 @@
 import random
 from collections.abc import Callable, Iterable
 
-from message_sender.fleet.node import Me, Node
+from message_sender.fleet.node import FleetNode, LocalMember
 from message_sender.fleet.seal import Seal
 from message_sender.fleet.wire import Address
 
 TICK = 0.05  # s
 
 
-class PlainSeal(Seal):
+class UnsealedDatagrams(Seal):
     """No cipher: many more draws in the same time. What it opens is what was sealed."""
 
     def __init__(self) -> None: ...
@@ -24,16 +24,16 @@
         return datagram
 
 
-class Hall:
+class MemberNetwork:
     """`ends` by name; whoever is not in it is not there. `step` is called after each end's tick."""
 
     def __init__(self, size: int, seed: int, loss: float = 0.0, delay: float = 0.002) -> None:
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.size, self.loss, self.delay, self.double = size, loss, delay, 0.0
         self.now = 0.0
         self.count = itertools.count()
         self.heap: list[tuple[float, int, Callable[[], None]]] = []
-        self.nodes: dict[str, Node] = {}
+        self.nodes: dict[str, FleetNode] = {}
         self.epochs: dict[str, int] = {}
         self.names: dict[Address, str] = {}
         self.sides: tuple[frozenset[str], ...] = ()
@@ -47,24 +47,24 @@
     def later(self, delay: float, act: Callable[[], None]) -> None:
         heapq.heappush(self.heap, (self.now + delay, next(self.count), act))
 
-    def start(self, number: int, epoch: int | None = None) -> Node:
+    def start(self, number: int, epoch: int | None = None) -> FleetNode:
         """A start of this member; `epoch`: what its disk tells."""
         name, address = f"n{number}", self.address(number)
         self.names[address] = name
         epoch = self.epochs.get(name, 0) + 1 if epoch is None else epoch
         self.epochs[name] = epoch
-        me = Me(name, address, (self.address(0), self.address(1)), self.size)
-        session = self.chance.randrange(1, 2**62)
-        node = Node(me, PlainSeal(), epoch, session, random.Random(self.chance.random()), self.now)
+        me = LocalMember(name, address, (self.address(0), self.address(1)), self.size)
+        session = self.rng.randrange(1, 2**62)
+        node = FleetNode(me, UnsealedDatagrams(), epoch, session, random.Random(self.rng.random()), self.now)
         self.nodes[name] = node
-        self.later(self.chance.uniform(0, TICK), lambda: self.tick(name, node))
+        self.later(self.rng.uniform(0, TICK), lambda: self.tick(name, node))
         return node
 
     def end(self, name: str) -> None:
         self.nodes.pop(name, None)
         self.frozen.pop(name, None)
 
-    def tick(self, name: str, node: Node) -> None:
+    def tick(self, name: str, node: FleetNode) -> None:
         if self.nodes.get(name) is not node:
             return
         if name not in self.frozen:
@@ -83,10 +83,10 @@
         self.sent += 1
         to = self.names.get(address, "")
         apart = self.sides and not any({by, to} <= side for side in self.sides)
-        if apart or self.chance.random() < self.loss:
+        if apart or self.rng.random() < self.loss:
             return
-        for _ in range(1 + (self.chance.random() < self.double)):
-            self.later(self.chance.uniform(0.0002, self.delay), lambda: self.arrive(to, data))
+        for _ in range(1 + (self.rng.random() < self.double)):
+            self.later(self.rng.uniform(0.0002, self.delay), lambda: self.arrive(to, data))
 
     def arrive(self, to: str, data: bytes) -> None:
         if to in self.frozen:
--- a/message_sender/emulator/net.py
+++ b/message_sender/emulator/net.py
@@ -1,8 +1,8 @@
 """A network in memory under unchanged code: sockets, what is ready on them, and what goes wrong between them.
 
 While `Net.installed()` is held, `socket.socket`, `select.epoll` and `select.poll` are this network's.
-asyncio, the doors, couriers and stand-ins above them are the real ones and cannot tell. Who opens a socket is
-its *host*: the context variable `HOST`, which tasks and callbacks inherit.
+asyncio, the doors, transports and stand-ins above them are the real ones and cannot tell. Who opens a socket
+is its *host*: the context variable `HOST`, which tasks and callbacks inherit.
 
 - A connection is two ends with a buffer each. What is written arrives after the way's latency, in order;
   more than `ROOM` bytes unread or under way, and a write would block. Writes take at most `segment` bytes at
--- a/message_sender/emulator/policies.py
+++ b/message_sender/emulator/policies.py
@@ -1,6 +1,6 @@
 """Plain policies in place of the decision module, to compare it with on the same draws.
 
-They stand behind the same events and actions (message_sender/interface.py), journal and couriers. Each is
+They stand behind the same events and actions (message_sender/interface.py), journal and transports. Each is
 what a client library commonly does, and no more: none keeps the order of keys, waits as it is told, warms
 what comes back or makes room by worth. What they break is the referee's to say.
 
@@ -21,21 +21,39 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from message_sender import interface as face
-from message_sender.interface import Effect, EndpointState, Listing, Outcome
+from message_sender.policy.actions import Fail, PolicyAction, Reject, Send, Subscribe, WakeAfter
 from message_sender.policy.dispatcher import Dispatcher
+from message_sender.policy.events import (
+    AttemptEnded,
+    EndpointsUpdated,
+    MessageAccepted,
+    MessageRestored,
+    MessageWithdrawn,
+    PolicyEvent,
+)
+from message_sender.policy.model import (
+    Effect,
+    Endpoint,
+    EndpointState,
+    ListingKind,
+    MessageClass,
+    Outcome,
+    Settings,
+)
 
 FIRST_WAIT = 200_000  # us before the second call
 MOST_CALLS = 3
 BUDGET_SHARE, BUDGET_LEAST = 0.2, 10.0
 OPENS_AT, OPEN_FOR = 5, 2_000_000  # failures in a row; us
-LEFT_RUNNING = frozenset({Outcome.TIMEOUT, Outcome.RESET, Outcome.SPOILT, Outcome.CANCELLED, Outcome.ERROR})
+LEFT_RUNNING = frozenset(
+    {Outcome.TIMEOUT, Outcome.RESET, Outcome.MALFORMED, Outcome.CANCELLED, Outcome.ERROR}
+)
 
 
 @dataclass
 class Held:
-    taken: face.MessageTaken
-    kind: face.MessageClass
+    taken: MessageAccepted
+    kind: MessageClass
     until: int
     calls: int = 0
     out: bool = False
@@ -47,7 +65,7 @@
 class Known:
     """An endpoint, in the words in which the engine asks for one."""
 
-    listed: face.Endpoint
+    listed: Endpoint
     out: int = 0
 
 
@@ -55,28 +73,28 @@
 class Plain:
     """One call a message, to the endpoint with the fewest out."""
 
-    settings: face.Settings
+    settings: Settings
     seed: int
     messages: dict[str, Held] = field(default_factory=dict)
     endpoints: dict[str, Known] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        self.chance = random.Random(self.seed)
+        self.rng = random.Random(self.seed)
         self.classes = {each.name: each for each in self.settings.classes}
         self.of: dict[int, list[Known]] = defaultdict(list)
         self.calls: dict[tuple[str, int], str] = {}
         self.due: list[tuple[int, int, str, bool]] = []  # a heap: when, whom, and whether it ends then
         self.count = itertools.count()
         self.subscribed, self.wake_at = False, 0
-        self.now, self.actions = 0, []  # type: int, list[face.Action]
+        self.now, self.actions = 0, []  # type: int, list[PolicyAction]
 
     # What the engine asks for.
 
-    def handle(self, now_us: int, events: Iterable[face.Event]) -> list[face.Action]:
+    def handle(self, now_us: int, events: Iterable[PolicyEvent]) -> list[PolicyAction]:
         self.now, self.actions = now_us, []
         if not self.subscribed:
             self.subscribed = True
-            self.actions.append(face.Subscribe())
+            self.actions.append(Subscribe())
         for event in events:
             self.hear(event)
         while self.due and self.due[0][0] <= now_us:
@@ -84,33 +102,33 @@
             self.is_due(name, ends)
         if self.due and (self.due[0][0] < self.wake_at or self.wake_at <= now_us):
             self.wake_at = self.due[0][0]
-            self.actions.append(face.WakeAfter(self.wake_at - now_us))
+            self.actions.append(WakeAfter(self.wake_at - now_us))
         return self.actions
 
-    def come_again(self) -> int:
+    def suggest_retry_after(self) -> int:
         return min(1_000_000, self.settings.max_retry_after)
 
-    def wait_told(self, endpoint: str, until: int) -> None: ...
+    def retry_after_received(self, endpoint: str, until: int) -> None: ...
 
     def may_still_go(self, endpoint: str, now: int, message: str = "") -> bool:
         return endpoint in self.endpoints
 
     # Events.
 
-    def hear(self, event: face.Event) -> None:
+    def hear(self, event: PolicyEvent) -> None:
         match event:
-            case face.MessageTaken():
+            case MessageAccepted():
                 self.take(event, 0, False)
-            case face.MessageRestored(taken, attempts, risky):
+            case MessageRestored(taken, attempts, risky):
                 self.take(taken, attempts, risky is not None)
-            case face.AttemptEnded():
+            case AttemptEnded():
                 self.attempt_ended(event)
-            case face.EndpointsListed():
+            case EndpointsUpdated():
                 self.list_endpoints(event)
-            case face.MessageWithdrawn(message):
+            case MessageWithdrawn(message):
                 self.messages.pop(message, None)
 
-    def take(self, taken: face.MessageTaken, calls: int, ran: bool) -> None:
+    def take(self, taken: MessageAccepted, calls: int, ran: bool) -> None:
         kind = self.classes[taken.message_class]
         held = Held(taken, kind, self.now + taken.time_left, calls, ran=ran)
         self.messages[taken.message] = held
@@ -120,11 +138,11 @@
         else:
             self.go(held)
 
-    def list_endpoints(self, event: face.EndpointsListed) -> None:
-        if event.listing is Listing.FAILED:
+    def list_endpoints(self, event: EndpointsUpdated) -> None:
+        if event.listing is ListingKind.FAILED:
             self.subscribed = False
             return
-        if event.listing is not Listing.CHANGES:
+        if event.listing is not ListingKind.CHANGES:
             self.endpoints = {}
         for each in event.endpoints:
             if each.state is EndpointState.READY:
@@ -135,7 +153,7 @@
         for known in self.endpoints.values():
             self.of[known.listed.destination].append(known)
 
-    def attempt_ended(self, event: face.AttemptEnded) -> None:
+    def attempt_ended(self, event: AttemptEnded) -> None:
         endpoint = self.calls.pop((event.message, event.attempt), "")
         if known := self.endpoints.get(endpoint):
             known.out -= 1
@@ -176,13 +194,13 @@
         best.out += 1
         self.calls[held.taken.message, held.calls] = best.listed.id
         left = max(held.until - self.now - self.settings.tick, self.settings.tick)
-        self.actions.append(face.Send(held.taken.message, best.listed.id, left, held.calls))
+        self.actions.append(Send(held.taken.message, best.listed.id, left, held.calls))
         held.calls, held.out = held.calls + 1, True
 
     def end(self, held: Held) -> None:
         name = held.taken.message
         harmless = not held.ran or held.kind.effect is not Effect.UNSAFE
-        self.actions.append(face.Refuse(name, self.come_again()) if harmless else face.Fail(name))
+        self.actions.append(Reject(name, self.suggest_retry_after()) if harmless else Fail(name))
         held.over = True
         if not held.out:
             del self.messages[name]
@@ -202,7 +220,7 @@
         if held.calls >= min(MOST_CALLS, self.settings.max_attempts):
             return None
         most: int = FIRST_WAIT * 2 ** (held.calls - 1)
-        return most // 2 + self.chance.randrange(most // 2)
+        return most // 2 + self.rng.randrange(most // 2)
 
 
 class RetryBudget(FixedRetries):
@@ -248,7 +266,7 @@
 #: The policy of this package; the name stands in stored results and on the command line.
 OWN_POLICY = "elmglade"
 
-POLICIES: dict[str, Callable[[face.Settings, int], Any]] = {
+POLICIES: dict[str, Callable[[Settings, int], Any]] = {
     OWN_POLICY: Dispatcher,
     "none": Plain,
     "fixed": FixedRetries,
--- a/message_sender/emulator/power.py
+++ b/message_sender/emulator/power.py
@@ -1,20 +1,20 @@
 """Lives of a sender whose machine loses its power, again and again, between any two operations on its disk.
 
 The engine, the module and the journal that survives the machine are the real ones; the disk forgets what a
-seed says of all that was not synced (lab/forgetful.py). A life goes on over its cuts with the same clients
-and destinations, and is judged as any other.
+seed says of all that was not synced (testbed/simulated_disk.py). A life goes on over its cuts with the same
+clients and destinations, and is judged as any other.
 """
 
 import random
 from dataclasses import dataclass
 from pathlib import Path
 
-from message_sender.emulator.life import Killed, Life, Outcomes, Spec, quietly
+from message_sender.emulator.simulated_run import Outcomes, ProcessKilled, RunSpec, SimulatedRun, quietly
 from message_sender.journal.durable import DurableJournal
-from message_sender.journal.file import Journal
-from message_sender.lab.forgetful import MemoryDisk, Platter
+from message_sender.journal.process_journal import Journal
+from message_sender.testbed.simulated_disk import MemoryDisk, SimulatedDisk
 
-SMALL = Spec(seconds=1.0, rate=25.0, destinations=2, keys=2, trouble=0.3, drains=0, kills=0)
+SMALL = RunSpec(seconds=1.0, rate=25.0, destinations=2, keys=2, trouble=0.3, drains=0, kills=0)
 
 
 @dataclass(frozen=True)
@@ -28,11 +28,11 @@
     journal: type[DurableJournal] = DurableJournal
 
 
-class PowerLife(Life):
-    def __init__(self, seed: int, spec: Spec, state: Path, cuts: Cuts) -> None:
+class PowerLife(SimulatedRun):
+    def __init__(self, seed: int, spec: RunSpec, state: Path, cuts: Cuts) -> None:
         super().__init__(seed, spec, state)
         self.cuts, self.power = cuts, random.Random(f"power {seed}")
-        self.platter = Platter()
+        self.platter = SimulatedDisk()
         self.left, self.next = cuts.most, 0
         self.draw_next()
 
@@ -44,7 +44,7 @@
         if self.next and self.cuts.before in ("", what):
             self.next -= 1
             if not self.next:
-                raise Killed
+                raise ProcessKilled
 
     def open_journal(self, folder: Path, limit: int) -> Journal:
         disk = MemoryDisk(self.platter, self.before)
@@ -55,7 +55,7 @@
         if super().lived():
             return True
         self.left -= 1
-        self.platter = Platter(self.platter.cut(self.power))
+        self.platter = SimulatedDisk(self.platter.cut(self.power))
         self.draw_next()
         return False
 
@@ -64,7 +64,7 @@
             super().bury()
 
 
-def live(seed: int, cuts: Cuts | None = None, spec: Spec = SMALL) -> Outcomes:
+def live(seed: int, cuts: Cuts | None = None, spec: RunSpec = SMALL) -> Outcomes:
     """One life, from its seed."""
     with quietly() as folder:
         return PowerLife(seed, spec, folder, cuts or Cuts()).run()
--- a/message_sender/emulator/ramp.py
+++ b/message_sender/emulator/ramp.py
@@ -12,7 +12,7 @@
 from unittest.mock import patch
 
 from message_sender.emulator.fleet import play
-from message_sender.emulator.receiver import Fate, Luck, Receiver
+from message_sender.emulator.receiver import Fate, Receiver, ReceiverRandom
 from message_sender.emulator.scenario import Scenario, read
 
 
@@ -49,7 +49,7 @@
     """Patches under which receivers tell the ramp of their calls, and never fall."""
     real = Receiver.call
 
-    def call(self: Receiver, now: float, sender: str, luck: Luck, zone: str = "") -> Fate:
+    def call(self: Receiver, now: float, sender: str, luck: ReceiverRandom, zone: str = "") -> Fate:
         self.count(now, sender)
         ramp.met(self, now, sender)
         return real(self, now, sender, luck, zone)
--- a/message_sender/emulator/receiver.py
+++ b/message_sender/emulator/receiver.py
@@ -22,7 +22,7 @@
 from enum import Enum
 from statistics import NormalDist
 
-from message_sender.interface import Outcome
+from message_sender.policy.model import Outcome
 
 NEVER = math.inf
 NORMAL = NormalDist()
@@ -138,7 +138,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Luck:
+class ReceiverRandom:
     """A call's own draws, each from 0 to 1: the same for the same call whatever a sender did before."""
 
     service: float
@@ -189,7 +189,7 @@
             return 1.0
         return self.terms.cold_from + (1 - self.terms.cold_from) * max(since, 0.0) / self.terms.cold_s
 
-    def call(self, now: float, sender: str, luck: Luck, zone: str = "") -> Fate:
+    def call(self, now: float, sender: str, luck: ReceiverRandom, zone: str = "") -> Fate:
         """A call's last byte has come, or its connection was asked for, at `now`; times do not go back.
         `zone` is that of the endpoint which it came to."""
         phase = self.trouble(now, sender, zone)
@@ -233,7 +233,7 @@
         """Calls that it may get in `push_s`, as warm as it is."""
         return self.terms.push * self.terms.capacity() * self.warmth(now) * self.terms.push_s
 
-    def over_limit(self, now: float, phase: Phase | None, luck: Luck) -> Fate | None:
+    def over_limit(self, now: float, phase: Phase | None, luck: ReceiverRandom) -> Fate | None:
         limit = self.terms.limit
         if limit is None:
             return None
@@ -269,7 +269,7 @@
             self.tokens = max(self.tokens - 1, -limit.burst)
         return (1 - self.tokens) / rate
 
-    def serve(self, now: float, phase: Phase | None, luck: Luck) -> Fate:
+    def serve(self, now: float, phase: Phase | None, luck: ReceiverRandom) -> Fate:
         while self.begins and self.begins[0] <= now:
             self.begins.popleft()
         if len(self.begins) >= self.terms.queue and self.busy[0] > now:
@@ -283,7 +283,7 @@
         self.served += 1
         after = begins + took - now
         if phase and phase.what is Trouble.SPOILT and luck.trouble < phase.size:
-            return Fate(Outcome.SPOILT, after, ran=True)
+            return Fate(Outcome.MALFORMED, after, ran=True)
         if phase and phase.what is Trouble.RESETS and luck.trouble < phase.size:
             return Fate(Outcome.RESET, after, ran=True)
         return Fate(Outcome.OK, after, ran=True)
--- a/message_sender/emulator/returning.py
+++ b/message_sender/emulator/returning.py
@@ -3,10 +3,10 @@
 
 from dataclasses import dataclass, field
 
-from message_sender.emulator.hall import Hall
-from message_sender.fleet.members import State
+from message_sender.emulator.member_network import MemberNetwork
+from message_sender.fleet.members import MemberState
 from message_sender.recovery.coordinator import decode, encode
-from message_sender.recovery.stages import Leave, Stage, Stages, spacing
+from message_sender.recovery.stages import CallPermission, Stage, Stages, spacing
 
 NEVER = float("inf")
 TOOK = 0.02  # s of a call
@@ -55,7 +55,7 @@
 class Return:
     """`owed`: messages that each member holds for each destination."""
 
-    def __init__(self, hall: Hall, destinations: list[Destination], owed: int) -> None:
+    def __init__(self, hall: MemberNetwork, destinations: list[Destination], owed: int) -> None:
         self.hall, self.destinations, self.owed = hall, destinations, owed
         self.members: dict[str, Returning] = {}
         hall.step = self.step
@@ -81,7 +81,7 @@
             return
         member.looked = now
         node, stages = self.hall.nodes[name], member.stages
-        gone = {each.name for each in node.members.others.values() if each.state >= State.DEAD}
+        gone = {each.name for each in node.members.others.values() if each.state >= MemberState.DEAD}
         stages.gone(gone & stages.words.keys())
         held = {number: count for number, count in member.owed.items() if count}
         before = None
@@ -115,7 +115,7 @@
         elif due < now + TURN:
             self.hall.later(due - now, lambda: self.consider(name, number))
 
-    def due(self, member: Returning, number: int, leave: Leave) -> float:
+    def due(self, member: Returning, number: int, leave: CallPermission) -> float:
         """When its next call may go: as the gap shrinks while the destination warms up, before it would by
         the gap of now."""
         now, there = self.hall.now, self.destinations[number]
@@ -127,7 +127,7 @@
             due = max(last + gap, freed + leave.phase * gap, now)
         return due
 
-    def call(self, name: str, number: int, leave: Leave) -> None:
+    def call(self, name: str, number: int, leave: CallPermission) -> None:
         now, member, there = self.hall.now, self.members[name], self.destinations[number]
         member.last[number] = now
         member.out.add(number)
--- a/message_sender/emulator/search.py
+++ b/message_sender/emulator/search.py
@@ -9,9 +9,9 @@
 from dataclasses import asdict, dataclass, field
 from pathlib import Path
 
-from message_sender.emulator.life import live
 from message_sender.emulator.shrink import Case, shrink, told
-from message_sender.lab.referee import Breach
+from message_sender.emulator.simulated_run import live
+from message_sender.testbed.history_checker import Violation
 
 CHUNK = 20  # lives that a process is handed at once
 
@@ -21,7 +21,7 @@
     """One life, as far as the search needs it."""
 
     seed: int
-    breaches: list[Breach] = field(default_factory=list)
+    breaches: list[Violation] = field(default_factory=list)
     error: str = ""  # the life did not come to its end
     ends: dict[str, int] = field(default_factory=dict)
     calls: int = 0
--- a/message_sender/emulator/shared.py
+++ b/message_sender/emulator/shared.py
@@ -1,5 +1,5 @@
-"""A fleet that spends one budget, on virtual time: the desks of all members (budget/desk.py) on the link's
-own ends (emulator/hall.py), clocks that run apart, and a ledger that knows everything.
+"""A fleet that spends one budget, on virtual time: the desks of all members (budget/manager.py) on the link's
+own ends (emulator/member_network.py), clocks that run apart, and a ledger that knows everything.
 
 Each member has work that comes by a rate of its own; it spends as soon as it may. The ledger notes each call
 at the receiver, at true time, and the parts of all at each of its looks. `how` tells by what a member spends:
@@ -14,12 +14,12 @@
 from dataclasses import dataclass, field, replace
 from functools import partial
 
-from message_sender.budget.desk import Budget, Desk
-from message_sender.budget.spend import Spender
-from message_sender.emulator.hall import Hall
+from message_sender.budget.enforcer import LimitEnforcer
+from message_sender.budget.manager import Budget, LeaseManager
+from message_sender.emulator.member_network import MemberNetwork
 from message_sender.fleet import wire
-from message_sender.fleet.node import Node
-from message_sender.lab.history import most_in
+from message_sender.fleet.node import FleetNode
+from message_sender.testbed.history import most_in
 
 STEP = 0.01  # s between two looks for work
 WAY = 0.009  # s that a call may take to the receiver
@@ -68,17 +68,17 @@
         delay: float = 0.002,
     ) -> None:
         """`works`: calls a second that come at each; `guess`: the members that each believes in."""
-        self.hall = Hall(max(budget.size, members), seed, loss, delay)
+        self.hall = MemberNetwork(max(budget.size, members), seed, loss, delay)
         self.budget, self.how, self.guess = budget, how, guess or members
         self.whole = budget.whole  # the receiver's
-        self.chance = random.Random(f"shared {seed}")
+        self.rng = random.Random(f"shared {seed}")
         self.works = dict(enumerate(works))
-        self.desks: dict[str, Desk] = {}
-        self.rates = {number: self.chance.uniform(0.99, 1.01) for number in range(members)}
-        self.offsets = {number: self.chance.randrange(10**12) for number in range(members)}
+        self.desks: dict[str, LeaseManager] = {}
+        self.rates = {number: self.rng.uniform(0.99, 1.01) for number in range(members)}
+        self.offsets = {number: self.rng.randrange(10**12) for number in range(members)}
         self.held: dict[str, float] = {}
         self.read: dict[int, int] = {}
-        self.spenders: dict[str, Spender] = {}
+        self.spenders: dict[str, LimitEnforcer] = {}
         self.ledger = Ledger((budget.span or US) / US)
         self.counter: deque[float] = deque()
         self.hall.step = self.step
@@ -87,12 +87,12 @@
 
     def draw(self, until: float) -> None:
         """Faults at random times before `until`, s; each ends by then."""
-        chance, count = self.chance, len(self.rates)
-        for _ in range(chance.randint(2, 5)):
-            at, lasts = chance.uniform(0, until), chance.uniform(0.1, until / 3)
-            number = chance.randrange(count)
+        rng, count = self.rng, len(self.rates)
+        for _ in range(rng.randint(2, 5)):
+            at, lasts = rng.uniform(0, until), rng.uniform(0.1, until / 3)
+            number = rng.randrange(count)
             name = f"n{number}"
-            match chance.choice(["dies", "loses its disk", "stands still", "split", "loss", "all start"]):
+            match rng.choice(["dies", "loses its disk", "stands still", "split", "loss", "all start"]):
                 case "dies":
                     self.hall.later(at, partial(self.end, number))
                     self.hall.later(min(at + lasts, until), partial(self.begin_again, number))
@@ -102,14 +102,14 @@
                     self.hall.later(at, partial(self.stand_still, name, min(lasts, until - at)))
                 case "split":
                     names = [f"n{each}" for each in range(count)]
-                    chance.shuffle(names)
-                    cut = chance.randrange(1, count)
+                    rng.shuffle(names)
+                    cut = rng.randrange(1, count)
                     self.hall.later(at, partial(self.hall.split, names[:cut], names[cut:]))
                 case "loss":
-                    self.hall.later(at, partial(self.trouble, chance.uniform(0, 0.5), lasts))
+                    self.hall.later(at, partial(self.trouble, rng.uniform(0, 0.5), lasts))
                 case "all start":
                     for each in range(count):
-                        self.hall.later(at, partial(self.begin_again, each, chance.choice([None, 1])))
+                        self.hall.later(at, partial(self.begin_again, each, rng.choice([None, 1])))
         self.hall.later(until, self.heal)
 
     def begin_again(self, number: int, epoch: int | None = None) -> None:
@@ -135,23 +135,23 @@
 
     def start(self, number: int, epoch: int | None = None) -> None:
         node = self.hall.start(number, epoch)
-        desk = self.desks[node.me.name] = Desk(
+        desk = self.desks[node.me.name] = LeaseManager(
             node.me.name, node.members.me.epoch, lambda: self.clock(number)
         )
         name = node.me.name
         desk.open(self.budget, lambda: int(self.held[name]))
         self.held.setdefault(name, 0.0)
-        self.spenders[name] = Spender(self.budget.counted)
+        self.spenders[name] = LimitEnforcer(self.budget.counted)
         node.on_share = lambda by, share: self.hear(name, desk, by, share)
         node.epoch_raised = lambda epoch: desk.start_anew(epoch)
-        self.hall.later(self.chance.uniform(0, STEP), lambda: self.work(number, node))
+        self.hall.later(self.rng.uniform(0, STEP), lambda: self.work(number, node))
 
     def end(self, number: int) -> None:
         """It dies; its work goes elsewhere, or waits."""
         self.hall.end(f"n{number}")
         self.desks.pop(f"n{number}", None)
 
-    def hear(self, name: str, desk: Desk, by: str, share: wire.Share) -> None:
+    def hear(self, name: str, desk: LeaseManager, by: str, share: wire.LeaseDatagram) -> None:
         if self.desks.get(name) is desk:
             desk.hear(by, share)
             self.post(name)
@@ -175,14 +175,14 @@
         there = (desk.part(desk.books[self.budget.name]) for desk in self.desks.values())
         self.ledger.most_parts = max(self.ledger.most_parts, sum(there))
 
-    def work(self, number: int, node: Node) -> None:
+    def work(self, number: int, node: FleetNode) -> None:
         name = node.me.name
         if self.hall.nodes.get(name) is not node:
             return
         self.held[name] = min(self.held[name] + self.works[number] * STEP, 1e6)
         while name not in self.hall.frozen and self.held[name] >= 1 and self.may_spend(number, name):
             self.held[name] -= 1
-            way = self.chance.uniform(0, WAY)
+            way = self.rng.uniform(0, WAY)
             self.hall.later(way, lambda: self.ledger.arrives(self.hall.now, name, self.whole))
         self.hall.later(STEP, lambda: self.work(number, node))
 
--- a/message_sender/emulator/shrink.py
+++ b/message_sender/emulator/shrink.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import Any
 
-from message_sender.emulator.life import Happening, Outcomes, live
+from message_sender.emulator.simulated_run import Outcomes, ScheduledFault, live
 
 
 @dataclass(frozen=True)
@@ -74,5 +74,5 @@
     return [frozenset(numbers[at : at + size]) for at in reversed(range(0, len(numbers), size))]
 
 
-def told(happenings: list[Happening]) -> list[str]:
+def told(happenings: list[ScheduledFault]) -> list[str]:
     return [f"{each.at:8.3f} s  {each.text}" for each in sorted(happenings, key=lambda each: each.at)]
--- a/message_sender/emulator/life.py
+++ b/message_sender/emulator/simulated_run.py
@@ -21,19 +21,28 @@
 from functools import partial
 from pathlib import Path
 
-from message_sender import interface as face
-from message_sender.core.engine import Config, Engine
-from message_sender.core.ports import Answer, End, TurnedAway
-from message_sender.directory.static import Place, StaticDirectory
+from message_sender.core.engine import Engine, EngineConfig
+from message_sender.core.ports import AttemptResult, Completion, Rejected
+from message_sender.discovery.static import StaticDirectory, StaticEndpoint
+from message_sender.emulator.isolation import sealed
 from message_sender.emulator.loop import VirtualLoop
-from message_sender.emulator.seal import sealed
-from message_sender.interface import Effect, Outcome
-from message_sender.journal.file import Journal
-from message_sender.lab import history as seen
-from message_sender.lab.history import History, Ran
-from message_sender.lab.referee import Breach, Kind, Referee, Rules
-from message_sender.lab.stream import Mood
-from message_sender.message import HandedIn
+from message_sender.journal.process_journal import Journal
+from message_sender.message import Message
+from message_sender.policy.events import EndpointsUpdated
+from message_sender.policy.model import (
+    DestinationKind,
+    Effect,
+    Endpoint,
+    EndpointState,
+    ListingKind,
+    MessageClass,
+    Outcome,
+    Settings,
+)
+from message_sender.testbed import history as seen
+from message_sender.testbed.event_stream import DestinationBehavior
+from message_sender.testbed.history import EffectApplied, History
+from message_sender.testbed.history_checker import ClassRule, HistoryChecker, Rules, Violation
 
 SECOND = 1_000_000
 EPOCH = 1_700_000_000 * SECOND  # us; wall time at the beginning of every life
@@ -42,32 +51,52 @@
 SLOWLY = 0.15  # share of connections and answers that take up to SLOW longer: a drain or a wait may cross
 SLOW = 0.4  # s
 CAPACITY = 10.0  # calls a second that a warm destination takes; above what is offered to one on the average
-OUTAGES = frozenset({Mood.SHUT, Mood.SILENT, Mood.REFUSES, Mood.ERRS})
+OUTAGES = frozenset(
+    {
+        DestinationBehavior.SHUT,
+        DestinationBehavior.SILENT,
+        DestinationBehavior.REFUSES,
+        DestinationBehavior.ERRS,
+    }
+)
 SHORTEST = 0.5  # s; what is over sooner is no outage that a sender could tell from a stray failure
 DISK = 2_000_000  # bytes
 
 
-def kinds(window: float) -> dict[str, Kind]:
+def kinds(window: float) -> dict[str, ClassRule]:
     """Every sort of message that the rules tell apart; `window` in s."""
     return {
-        "safe": Kind(),
-        "keyed": Kind(Effect.KEYED, window),
-        "zoned": Kind(Effect.KEYED, window, by_zone=True),
-        "unsafe": Kind(Effect.UNSAFE),
-        "ordered": Kind(Effect.KEYED, window, in_order=True),
-        "ordered-unsafe": Kind(Effect.UNSAFE, in_order=True),
+        "safe": ClassRule(),
+        "keyed": ClassRule(Effect.KEYED, window),
+        "zoned": ClassRule(Effect.KEYED, window, by_zone=True),
+        "unsafe": ClassRule(Effect.UNSAFE),
+        "ordered": ClassRule(Effect.KEYED, window, in_order=True),
+        "ordered-unsafe": ClassRule(Effect.UNSAFE, in_order=True),
     }
 
 
 KINDS = kinds(WINDOW)
 
 
-class Killed(SystemExit):
+#: Names of events in traces, where they differ from those of their types.
+TRACE_NAMES: dict[type, str] = {
+    seen.AttemptFinished: "Over",
+    seen.AttemptStarted: "Began",
+    seen.EndpointDrained: "Drained",
+    seen.EndpointRestored: "Listed",
+    seen.MessageAdmitted: "Taken",
+    seen.MessageCompleted: "Ended",
+    seen.MessageRejected: "Refused",
+    seen.SenderRestarted: "Restarted",
+}
+
+
+class ProcessKilled(SystemExit):
     """SIGKILL: the loop ends here and now. Only SystemExit is let through by tasks and handles."""
 
 
 @dataclass(frozen=True)
-class Spec:
+class RunSpec:
     """A life's size. Everything else is drawn from the seed."""
 
     seconds: float = 2.0  # in which messages come
@@ -83,78 +112,79 @@
 class Outcomes:
     """What came of a life."""
 
-    breaches: list[Breach]
+    breaches: list[Violation]
     trace: list[str]  # JSON lines
     ends: dict[str, int] = field(default_factory=dict)
     calls: int = 0
     kills: int = 0
     told_again: int = 0  # ends that a later process told once more
-    happenings: list["Happening"] = field(default_factory=list)  # what the seed decided and was kept
+    happenings: list["ScheduledFault"] = field(default_factory=list)  # what the seed decided and was kept
 
 
-def settings() -> face.Settings:
+def settings() -> Settings:
     classes = tuple(
-        face.MessageClass(
+        MessageClass(
             name, 2 * SECOND, int(DEADLINE * SECOND), 1.0, 0.3, kind.effect, int(kind.window * SECOND),
             kind.by_zone, kind.in_order,
         )
         for name, kind in KINDS.items()
     )  # fmt: skip
-    return face.Settings(
-        classes=classes, kinds=(("plain", face.Kind()), ("apart", face.Kind(apart=True))), slots=12,
-        max_open=200, max_attempts=6, zone="x", tick=5_000, max_retry_after=SECOND, cold=int(COLD * SECOND),
-        key_quiet=int(QUIET * SECOND), drain_grace=SECOND // 2, ends_answered=True,
+    return Settings(
+        classes=classes, kinds=(("plain", DestinationKind()), ("apart", DestinationKind(apart=True))),
+        slots=12, max_open=200, max_attempts=6, zone="x", tick=5_000, max_retry_after=SECOND,
+        slow_start=int(COLD * SECOND), key_pause=int(QUIET * SECOND), drain_grace=SECOND // 2,
+        acknowledges_completions=True,
     )  # fmt: skip
 
 
 class Caller:
     """Who handed a message in: hears that it is taken on, and its end as long as the process lives."""
 
-    def __init__(self, life: "Life", message: HandedIn) -> None:
+    def __init__(self, life: "SimulatedRun", message: Message) -> None:
         self.life, self.message = life, message
 
-    def gone(self) -> bool:
+    def is_gone(self) -> bool:
         return False
 
-    def taken(self) -> bool:
+    def accepted(self) -> bool:
         told = self.message
         until = (told.until - EPOCH) / SECOND
         now = self.life.time()
         self.life.history.note(
-            seen.Taken(now, told.id, told.message_class, told.destination, until, told.key)
+            seen.MessageAdmitted(now, told.id, told.message_class, told.destination, until, told.key)
         )
         return True
 
-    def turned_away(self, told: TurnedAway) -> None:
-        self.life.history.note(seen.Refused(self.life.time(), self.message.id))
+    def rejected(self, told: Rejected) -> None:
+        self.life.history.note(seen.MessageRejected(self.life.time(), self.message.id))
 
-    def given_up(self) -> None:
+    def withdrawn(self) -> None:
         raise AssertionError("it is never gone")
 
-    def ended(self, end: End) -> None:
+    def completed(self, end: Completion) -> None:
         self.life.ended(self.message.id, end)
 
 
-class Courier:
+class ModelTransport:
     """Calls to modelled endpoints: a way there, a mood, a way back."""
 
-    late_reader = False
+    reads_late = False
 
-    def __init__(self, life: "Life") -> None:
+    def __init__(self, life: "SimulatedRun") -> None:
         self.life = life
 
     async def call(
-        self, endpoint: str, message: HandedIn, timeout: float, may_go: Callable[[], bool]
-    ) -> Answer:
+        self, endpoint: str, message: Message, timeout: float, may_go: Callable[[], bool]
+    ) -> AttemptResult:
         life, loop = self.life, asyncio.get_running_loop()
         deadline = loop.time() + timeout
         await asyncio.sleep(min(life.way(), timeout))
         mood = life.mood(endpoint)
-        if mood is Mood.SHUT or loop.time() >= deadline:
+        if mood is DestinationBehavior.SHUT or loop.time() >= deadline:
             life.saw_trouble(endpoint)
-            return Answer(Outcome.CONNECT_FAILED)
+            return AttemptResult(Outcome.CONNECT_FAILED)
         if not may_go():
-            return Answer(Outcome.NOT_SENT)
+            return AttemptResult(Outcome.NOT_SENT)
         call = life.history.began(message.id, endpoint)
         took, outcome, wait = life.fate(mood)
         if outcome is not Outcome.OK:
@@ -163,46 +193,49 @@
             async with asyncio.timeout_at(deadline):
                 await asyncio.sleep(took)
         except TimeoutError:
-            life.history.over(call, Ran.MAYBE)
-            return Answer(Outcome.TIMEOUT)
+            life.history.over(call, EffectApplied.MAYBE)
+            return AttemptResult(Outcome.TIMEOUT)
         except asyncio.CancelledError:
-            life.history.over(call, Ran.MAYBE)
+            life.history.over(call, EffectApplied.MAYBE)
             raise
         life.history.over(call, RAN[outcome], wait)
-        await asyncio.sleep(life.chance.uniform(*WAY))
+        await asyncio.sleep(life.rng.uniform(*WAY))
         told = int(wait * SECOND)
         if told:
-            life.engine.wait_told(endpoint, told)
+            life.engine.retry_after_received(endpoint, told)
             # The head is here, the rest comes, or its time is up.
             await asyncio.sleep(min(life.way(), max(deadline - loop.time(), 0.0)))
-        return Answer(outcome, finished=outcome is Outcome.OK, wait=told)
+        return AttemptResult(outcome, finished=outcome is Outcome.OK, wait=told)
 
-    def look(self) -> None:
+    def poll_unread(self) -> None:
         """What has come is heard at once."""
 
     def close_idle(self, endpoint: str) -> None: ...
-    def tidy(self) -> None: ...
-    def list_changed(self) -> None: ...
+    def close_expired(self) -> None: ...
+    def endpoints_changed(self) -> None: ...
     def close(self) -> None: ...
 
 
 RAN = {
-    Outcome.OK: Ran.YES, Outcome.ERROR: Ran.YES, Outcome.SPOILT: Ran.YES, Outcome.RESET: Ran.MAYBE,
-    Outcome.FULL: Ran.NEVER,
-}  # fmt: skip
+    Outcome.OK: EffectApplied.YES,
+    Outcome.ERROR: EffectApplied.YES,
+    Outcome.MALFORMED: EffectApplied.YES,
+    Outcome.RESET: EffectApplied.MAYBE,
+    Outcome.FULL: EffectApplied.NEVER,
+}
 
 
-class Teller:
+class ModelCompletionListener:
     """Hears ends that nobody waits for, and says so a little later."""
 
-    def __init__(self, life: "Life") -> None:
+    def __init__(self, life: "SimulatedRun") -> None:
         self.life = life
 
-    def tell(self, message: str, end: End) -> bool:
+    def notify(self, message: str, end: Completion) -> bool:
         self.life.ended(message, end)
         if end.state.value == "delivered":
             return False
-        self.life.loop.call_later(0.004, self.life.engine.end_answered, message)
+        self.life.loop.call_later(0.004, self.life.engine.completion_acknowledged, message)
         return True
 
     async def run(self) -> None:
@@ -210,26 +243,28 @@
 
 
 @dataclass(frozen=True)
-class Happening:
+class ScheduledFault:
     """One thing that a seed decides. `number` is its own, the same in every run of that seed."""
 
     number: int
     at: float
     text: str
-    act: Callable[["Life"], None] | None = None  # none: a mood, or a kill before some write to the disk
+    act: Callable[["SimulatedRun"], None] | None = (
+        None  # none: a mood, or a kill before some write to the disk
+    )
 
 
-class Life:
+class SimulatedRun:
     """`without` names happenings that are left out, by their numbers."""
 
-    def __init__(self, seed: int, spec: Spec, state: Path, without: frozenset[int] = frozenset()) -> None:
+    def __init__(self, seed: int, spec: RunSpec, state: Path, without: frozenset[int] = frozenset()) -> None:
         self.seed, self.spec, self.state, self.without = seed, spec, state, without
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.loop, self.drawn = VirtualLoop(), 0
         self.history = History(self.time)
         self.places = [place for number in range(spec.destinations) for place in places_of(number)]
         self.destinations = {each.endpoint.id: each.endpoint.destination for each in self.places}
-        self.happenings: list[Happening] = []
+        self.happenings: list[ScheduledFault] = []
         self.moods = {number: self.drawn_moods(number) for number in range(spec.destinations)}
         self.draw_plan()
         self.ends: dict[str, tuple[str, int]] = {}  # of each message: its state, and which process told it
@@ -245,55 +280,55 @@
 
     # What the seed decides.
 
-    def happens(self, at: float, text: str, act: Callable[["Life"], None] | None = None) -> bool:
+    def happens(self, at: float, text: str, act: Callable[["SimulatedRun"], None] | None = None) -> bool:
         """Numbers what the seed decides; False if it is left out."""
         self.drawn += 1
         if self.drawn in self.without:
             return False
-        self.happenings.append(Happening(self.drawn, at, text, act))
+        self.happenings.append(ScheduledFault(self.drawn, at, text, act))
         return True
 
-    def drawn_moods(self, number: int) -> list[tuple[float, float, Mood]]:
+    def drawn_moods(self, number: int) -> list[tuple[float, float, DestinationBehavior]]:
         """When, until when, and which trouble."""
         found, at = [], 0.0
-        while self.chance.random() < self.spec.trouble and at < self.spec.seconds + 2:
-            at += self.chance.uniform(0, 1.5)
-            until = at + self.chance.uniform(0.1, 3.0)
-            mood = self.chance.choice(list(Mood)[1:])
+        while self.rng.random() < self.spec.trouble and at < self.spec.seconds + 2:
+            at += self.rng.uniform(0, 1.5)
+            until = at + self.rng.uniform(0.1, 3.0)
+            mood = self.rng.choice(list(DestinationBehavior)[1:])
             if self.happens(at, f"destination {number}: {mood.value} until {until:.3f}"):
                 found.append((at, until, mood))
             at = until
         return found
 
     def draw_plan(self) -> None:
-        spec, chance, at = self.spec, self.chance, 0.0
+        spec, rng, at = self.spec, self.rng, 0.0
         for number in range(int(spec.seconds * spec.rate)):
-            at += chance.expovariate(spec.rate)
+            at += rng.expovariate(spec.rate)
             message = self.drawn_message(number, at)
             key = f" of key {message.key}" if message.key else ""
             left = (message.until - EPOCH) / SECOND - at
             text = f"{message.id}, {message.message_class}{key}, for {message.destination}, {left:.3f} s left"
-            self.happens(at, text, partial(Life.hand_in, message=message))
+            self.happens(at, text, partial(SimulatedRun.hand_in, message=message))
         for _ in range(spec.drains):
-            place = chance.choice(self.places)
+            place = rng.choice(self.places)
             text = f"{place.endpoint.id} drains"
-            self.happens(chance.uniform(0, spec.seconds), text, partial(Life.drain, place=place))
-        for _ in range(spec.kills if chance.random() < 0.5 else 0):
-            self.happens(chance.uniform(0, spec.seconds + 3), "a kill", Life.kill)
-
-    def drawn_message(self, number: int, at: float) -> HandedIn:
-        chance, kind = self.chance, self.chance.choice(list(KINDS))
-        left = chance.choice((DEADLINE, chance.uniform(0.05, DEADLINE)))
-        key = f"k{chance.randrange(self.spec.keys)}" if KINDS[kind].in_order else ""
+            self.happens(rng.uniform(0, spec.seconds), text, partial(SimulatedRun.drain, place=place))
+        for _ in range(spec.kills if rng.random() < 0.5 else 0):
+            self.happens(rng.uniform(0, spec.seconds + 3), "a kill", SimulatedRun.kill)
+
+    def drawn_message(self, number: int, at: float) -> Message:
+        rng, kind = self.rng, self.rng.choice(list(KINDS))
+        left = rng.choice((DEADLINE, rng.uniform(0.05, DEADLINE)))
+        key = f"k{rng.randrange(self.spec.keys)}" if KINDS[kind].in_order else ""
         until = EPOCH + int((at + left) * SECOND)
-        place = chance.randrange(self.spec.destinations)
-        return HandedIn(f"m{number}", kind, place, until, "", key, "i", False, b"body")
+        place = rng.randrange(self.spec.destinations)
+        return Message(f"m{number}", kind, place, until, "", key, "i", False, b"body")
 
     def drawn_kill(self) -> int:
         """Just before which write to the disk the process is killed; 0: none."""
-        if not self.spec.kills or self.chance.random() < 0.5:
+        if not self.spec.kills or self.rng.random() < 0.5:
             return 0
-        write = self.chance.randrange(1, int(4 * self.spec.seconds * self.spec.rate))
+        write = self.rng.randrange(1, int(4 * self.spec.seconds * self.spec.rate))
         return write if self.happens(0.0, f"a kill before write {write} to the disk") else 0
 
     def saw_trouble(self, endpoint: str) -> None:
@@ -311,28 +346,28 @@
         ]
 
     def way(self) -> float:
-        slow = SLOW if self.chance.random() < SLOWLY else 0.0
-        return self.chance.uniform(*WAY) + self.chance.uniform(0, slow)
+        slow = SLOW if self.rng.random() < SLOWLY else 0.0
+        return self.rng.uniform(*WAY) + self.rng.uniform(0, slow)
 
-    def mood(self, endpoint: str) -> Mood:
+    def mood(self, endpoint: str) -> DestinationBehavior:
         moods, now = self.moods[self.destinations[endpoint]], self.time()
-        return next((mood for at, until, mood in moods if at <= now < until), Mood.SERVES)
+        return next((mood for at, until, mood in moods if at <= now < until), DestinationBehavior.SERVES)
 
-    def fate(self, mood: Mood) -> tuple[float, Outcome, float]:
+    def fate(self, mood: DestinationBehavior) -> tuple[float, Outcome, float]:
         """How long a call takes, how it ends, and the wait that it tells, in s."""
-        chance = self.chance
-        took = chance.uniform(0.01, 0.15)
-        if mood is Mood.REFUSES:
-            return 0.005, Outcome.FULL, chance.choice((0.0, 0.15, 0.6))
-        if mood is Mood.ERRS:
-            return took, chance.choice((Outcome.ERROR, Outcome.RESET, Outcome.SPOILT, Outcome.OK)), 0.0
-        if mood is Mood.SILENT:
+        rng = self.rng
+        took = rng.uniform(0.01, 0.15)
+        if mood is DestinationBehavior.REFUSES:
+            return 0.005, Outcome.FULL, rng.choice((0.0, 0.15, 0.6))
+        if mood is DestinationBehavior.ERRS:
+            return took, rng.choice((Outcome.ERROR, Outcome.RESET, Outcome.MALFORMED, Outcome.OK)), 0.0
+        if mood is DestinationBehavior.SILENT:
             return 60.0, Outcome.RESET, 0.0
-        return took * (12 if mood is Mood.SLOW else 1), Outcome.OK, 0.0
+        return took * (12 if mood is DestinationBehavior.SLOW else 1), Outcome.OK, 0.0
 
     # What happens.
 
-    def ended(self, name: str, end: End) -> None:
+    def ended(self, name: str, end: Completion) -> None:
         """The same end told again by a later process is the same answer: the one before may have been killed
         between telling it and its record."""
         state, before = end.state.value, self.ends.get(name)
@@ -340,17 +375,17 @@
         if before and before[0] == state and before[1] < self.spans:
             self.told_again += 1
             return
-        self.history.note(seen.Ended(self.time(), name, state))
+        self.history.note(seen.MessageCompleted(self.time(), name, state))
 
-    def hand_in(self, message: HandedIn) -> None:
+    def hand_in(self, message: Message) -> None:
         self.engine.take(message, Caller(self, message))
 
-    def drain(self, place: Place) -> None:
+    def drain(self, place: StaticEndpoint) -> None:
         self.directory.drain(place.endpoint.id)
-        self.history.note(seen.Drained(self.time(), place.endpoint.id))
+        self.history.note(seen.EndpointDrained(self.time(), place.endpoint.id))
 
     def kill(self) -> None:
-        raise Killed
+        raise ProcessKilled
 
     def clock(self) -> int:
         return EPOCH + round(self.time() * SECOND)
@@ -361,22 +396,22 @@
     def start(self) -> None:
         """A process begins, on whatever is in the folder."""
         known = tuple(each.endpoint for each in self.places)
-        config = Config("n", self.state, self.seed, DISK, settings(), known)
+        config = EngineConfig("n", self.state, self.seed, DISK, settings(), known)
         self.engine = Engine(config, self.clock, open_journal=self.open_journal)
         append = self.engine.journal.append
 
         def counted(record: bytes, *more: bool, **named: bool) -> bool:
             self.writes += 1
             if self.writes == self.kill_at_write:
-                raise Killed
+                raise ProcessKilled
             return append(record, *more, **named)
 
         self.engine.journal.append = counted  # type: ignore[method-assign]
         self.directory = getattr(self, "directory", None) or StaticDirectory(self.places)
-        self.directory.told = self.engine.list_told
-        self.engine.plug(Courier(self), self.directory, Teller(self))
+        self.directory.told = self.engine.endpoints_updated
+        self.engine.plug(ModelTransport(self), self.directory, ModelCompletionListener(self))
         self.engine.start()
-        self.engine.list_told(face.EndpointsListed(face.Listing.FULL, self.directory.endpoints()))
+        self.engine.endpoints_updated(EndpointsUpdated(ListingKind.FULL, self.directory.endpoints()))
 
     async def live(self) -> None:
         self.start()
@@ -395,7 +430,7 @@
     def run(self) -> Outcomes:
         try:
             while not self.lived():
-                self.history.note(seen.Restarted(self.time()))
+                self.history.note(seen.SenderRestarted(self.time()))
         finally:
             self.bury()
         return self.judged()
@@ -404,7 +439,7 @@
         """To the end, or to a kill; then a new loop goes on at the same instant."""
         try:
             self.loop.run_until_complete(self.live())
-        except Killed:
+        except ProcessKilled:
             self.bury()
             self.loop, self.spans = VirtualLoop(self.time()), self.spans + 1
             return False
@@ -430,22 +465,24 @@
             },
             quiet=QUIET,
         )
-        breaches = Referee(rules).judge(self.history.events)
+        breaches = HistoryChecker(rules).judge(self.history.events)
         capacity = dict.fromkeys(self.moods, CAPACITY)
         cold = Rules(KINDS, destinations=self.destinations, capacity=capacity, cold=COLD, cold_from=0.2)
-        judged = Referee(cold).judge([*self.outages(), *self.history.events])
+        judged = HistoryChecker(cold).judge([*self.outages(), *self.history.events])
         breaches += [each for each in judged if each.rule == "cold"]
         ends: dict[str, int] = {}
         for each in self.history.events:
-            if isinstance(each, seen.Ended):
+            if isinstance(each, seen.MessageCompleted):
                 ends[each.state] = ends.get(each.state, 0) + 1
         trace = [json.dumps(told(each), sort_keys=True) for each in self.history.events]
         counts = self.history.calls, self.spans, self.told_again
         return Outcomes(breaches, trace, ends, *counts, self.happenings)
 
 
-def told(event: seen.Event) -> dict[str, object]:
-    return {"event": type(event).__name__} | {name: plain(value) for name, value in asdict(event).items()}
+def told(event: seen.HistoryEvent) -> dict[str, object]:
+    return {"event": TRACE_NAMES.get(type(event), type(event).__name__)} | {
+        name: plain(value) for name, value in asdict(event).items()
+    }
 
 
 def plain(value: object) -> object:
@@ -454,21 +491,21 @@
     return round(value, 6) if isinstance(value, float) else value
 
 
-def places_of(number: int) -> list[Place]:
+def places_of(number: int) -> list[StaticEndpoint]:
     kind = "apart" if number % 3 == 2 else "plain"
     return [
-        Place(
-            face.Endpoint(f"e{number}-{each}", number, face.EndpointState.READY, kind, "xy"[each % 2]),
+        StaticEndpoint(
+            Endpoint(f"e{number}-{each}", number, EndpointState.READY, kind, "xy"[each % 2]),
             ("0.0.0.0", 9),
         )
         for each in range(1 + number % 2)
     ]
 
 
-def live(seed: int, spec: Spec | None = None, without: frozenset[int] = frozenset()) -> Outcomes:
+def live(seed: int, spec: RunSpec | None = None, without: frozenset[int] = frozenset()) -> Outcomes:
     """One life, from its seed. Raises EmulationError where the engine reaches out of it."""
     with quietly() as folder:
-        return Life(seed, spec or Spec(), folder, without).run()
+        return SimulatedRun(seed, spec or RunSpec(), folder, without).run()
 
 
 @contextlib.contextmanager
--- a/message_sender/emulator/wire.py
+++ b/message_sender/emulator/wire.py
@@ -1,6 +1,6 @@
-"""A fleet over sockets in memory: the unchanged doors and couriers too, between real bytes.
+"""A fleet over sockets in memory: the unchanged doors and transports too, between real bytes.
 
-What `fleet.py` models at the ports is here what it is in service: the HTTP door and courier of the daemon,
+What `fleet.py` models at the ports is here what it is in service: the HTTP door and transport of the daemon,
 on the network of `net.py`. Clients and destinations speak HTTP/1.1 by the lab's own reader. The same
 scenarios, draws, referee and figures.
 """
@@ -19,24 +19,23 @@
 from pathlib import Path
 from typing import Any
 
-from message_sender import interface as face
-from message_sender.core.ports import Answer
-from message_sender.directory.static import Place
+from message_sender.core.ports import AttemptResult
+from message_sender.discovery.static import StaticEndpoint
 from message_sender.emulator import fleet
-from message_sender.emulator.fleet import Decide, Outcomes, Teller, Try
-from message_sender.emulator.life import EPOCH, RAN, SECOND
+from message_sender.emulator.fleet import ClientAttempt, Decide, ModelCompletionListener, Outcomes
+from message_sender.emulator.isolation import sealed
 from message_sender.emulator.net import HOST, REFUSED, SILENT, Net
 from message_sender.emulator.receiver import Fate, Trouble
 from message_sender.emulator.scenario import Scenario
-from message_sender.emulator.seal import sealed
+from message_sender.emulator.simulated_run import EPOCH, RAN, SECOND
 from message_sender.http.client import HttpTransport
-from message_sender.http.daemon import HttpSender
-from message_sender.interface import Outcome
-from message_sender.lab import history as seen
-from message_sender.lab.history import Ran
-from message_sender.lab.http import HttpClient, read_head
-from message_sender.message import HandedIn
+from message_sender.message import Message
 from message_sender.policy.dispatcher import Dispatcher
+from message_sender.policy.model import Endpoint, Outcome
+from message_sender.service.daemon import HttpSender
+from message_sender.testbed import history as seen
+from message_sender.testbed.history import EffectApplied
+from message_sender.testbed.http import HttpClient, read_head
 
 PORT = 80
 SOCKETS = 1024  # descriptors that a sender may have
@@ -54,7 +53,7 @@
             return f"HTTP/1.1 429 No\r\nContent-Length: 0\r\nRetry-After: {fate.wait:.3f}\r\n\r\n".encode()
         case Outcome.FULL:
             return b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"
-        case Outcome.SPOILT:
+        case Outcome.MALFORMED:
             return NOISE
         case Outcome.ERROR:
             return b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
@@ -62,15 +61,15 @@
             return b""
 
 
-class Courier:
+class WireTransport:
     """The daemon's own, and a word to the world when a call is over for its sender."""
 
     def __init__(self, sender: "Sender", real: HttpTransport) -> None:
         self.sender, self.real = sender, real
 
     async def call(
-        self, endpoint: str, message: HandedIn, timeout: float, may_go: Callable[[], bool]
-    ) -> Answer:
+        self, endpoint: str, message: Message, timeout: float, may_go: Callable[[], bool]
+    ) -> AttemptResult:
         try:
             return await self.real.call(endpoint, message, timeout, may_go)
         finally:
@@ -81,12 +80,12 @@
 
 
 class Http(HttpSender):
-    """The daemon's door and courier round an engine of this world."""
+    """The daemon's door and transport round an engine of this world."""
 
     def __init__(self, sender: "Sender") -> None:
         self.sender = sender
         super().__init__(sender.engine, (sender.name, PORT), SOCKETS)
-        self.courier = Courier(sender, self.courier)  # type: ignore[assignment]
+        self.transport = WireTransport(sender, self.transport)  # type: ignore[assignment]
 
     def dials(self) -> dict[str, tuple[str, int]]:
         return self.sender.directory.dials()
@@ -99,22 +98,22 @@
         self.http.server.ready = True
 
     def plug(self) -> None:
-        taken = self.engine.journal.taken
+        taken = self.engine.journal.record_accepted
 
-        def noted(message: HandedIn) -> bool:
+        def noted(message: Message) -> bool:
             written = taken(message)
             if written:
                 self.world.note_taken(message, self)
             return written
 
-        self.engine.journal.taken = noted  # type: ignore[method-assign]
+        self.engine.journal.record_accepted = noted  # type: ignore[method-assign]
         self.engine.outcome_of = partial(self.world.count_call, self.name)
         self.http = Http(self)
-        self.http.plug(self.directory, Teller(self))
+        self.http.plug(self.directory, ModelCompletionListener(self))
 
     def bury(self) -> None:
         super().bury()
-        self.http.courier.unread.close()
+        self.http.transport.unread.close()
         self.world.net.kill(self.name)
 
     def hear(self, places: Any, life: int) -> None:  # noqa: ANN401
@@ -138,11 +137,11 @@
         self, scenario: Scenario, seed: int, folder: Path, decide: Decide = Dispatcher, traced: bool = False
     ) -> None:
         super().__init__(scenario, seed, folder, decide, traced)
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.net = Net(self.time, self.way_of, SEGMENT)
         self.loop.virtual.net = self.net
         self.tasks: set[asyncio.Task[None]] = set()
-        self.gone: dict[str, Place] = {}  # endpoints that drained: calls may still be there
+        self.gone: dict[str, StaticEndpoint] = {}  # endpoints that drained: calls may still be there
         self.out: dict[tuple[str, str], int] = {}  # calls that senders wait for
         self.clients: dict[str, list[tuple[float, HttpClient]]] = defaultdict(list)
         self.zone_of = {each.name: each.zone for each in self.senders}
@@ -160,12 +159,12 @@
         place = self.places.get(address[0])
         here = self.zone_of.get(host, "")
         if place is None:
-            return self.way(self.chance.random())
+            return self.way(self.rng.random())
         zone = place.endpoint.zone
         phase = self.receiver_of(place.endpoint).trouble(now, host, zone)
         if phase and phase.what in (Trouble.SHUT, Trouble.SILENT):
             return REFUSED if phase.what is Trouble.SHUT else SILENT
-        return self.way(self.chance.random(), here, zone)
+        return self.way(self.rng.random(), here, zone)
 
     # Destinations.
 
@@ -197,7 +196,7 @@
         finally:
             HOST.reset(token)
 
-    def stand_in(self, gone: list[face.Endpoint]) -> None:
+    def stand_in(self, gone: list[Endpoint]) -> None:
         before = set(self.places)
         super().stand_in(gone)
         for name in set(self.places) - before:
@@ -227,7 +226,7 @@
         """Whether the connection may be used again."""
         place = self.places.get(name) or self.gone[name]
         zone = place.endpoint.zone
-        handed = HandedIn(message, "", 0, 0, "", "", "", False, b"")
+        handed = Message(message, "", 0, 0, "", "", "", False, b"")
         if not self.remembers(handed):
             return False
         asked, attempt = self.attempt_of(handed)
@@ -245,7 +244,7 @@
         if early and fate.after is None:
             self.given_up(message, name)
             return False
-        how = RAN[fate.outcome] if fate.connected and not early else Ran.MAYBE
+        how = RAN[fate.outcome] if fate.connected and not early else EffectApplied.MAYBE
         self.arrived(fate.ran, asked, call, how, 0.0 if early else fate.wait)
         if early:
             return False
@@ -259,19 +258,19 @@
         call = self.out.pop((message, endpoint), 0)
         if call and call not in self.over:
             self.over.add(call)
-            self.history.over(call, Ran.MAYBE)
+            self.history.over(call, EffectApplied.MAYBE)
 
     # Clients.
 
-    def note_taken(self, message: HandedIn, sender: fleet.Sender) -> None:
+    def note_taken(self, message: Message, sender: fleet.Sender) -> None:
         until = (message.until - EPOCH) / SECOND - sender.wall
         told = message.id, message.message_class, message.destination, until, message.key
-        self.history.note(seen.Taken(self.time(), *told, sender.name))
+        self.history.note(seen.MessageAdmitted(self.time(), *told, sender.name))
 
-    def send(self, one: Try) -> None:
+    def send(self, one: ClientAttempt) -> None:
         self.spawn(self.ask_by_http(one))
 
-    async def ask_by_http(self, one: Try) -> None:
+    async def ask_by_http(self, one: ClientAttempt) -> None:
         asked, sender = one.asked, one.sender
         kind = self.scenario.classes[asked.message_class]
         fields = {
@@ -295,7 +294,7 @@
         if status not in (202, 404, 429, 503):  # 404: its sender has not heard of that destination yet
             raise AssertionError(f"{one.name}: an answer of {status}")
         if status != 202:
-            self.history.note(seen.Refused(self.time(), one.name))
+            self.history.note(seen.MessageRejected(self.time(), one.name))
         one.hear(status == 202, int(float(told.get("retry-after", 0)) * SECOND))
         self.clients[sender.name].append((self.time(), client))
 
--- a/message_sender/fleet/members.py
+++ b/message_sender/fleet/members.py
@@ -21,7 +21,7 @@
 from dataclasses import dataclass, field
 from enum import IntEnum
 
-from message_sender.fleet.wire import Address, Rumour
+from message_sender.fleet.wire import Address, MembershipUpdate
 
 PERIOD = 0.5  # s between two questions
 WAIT = 0.2  # s for an answer before others are asked, and again before it is a suspect
@@ -37,7 +37,7 @@
 CARRIED = 8  # rumours in a datagram
 
 
-class State(IntEnum):
+class MemberState(IntEnum):
     ALIVE = 0
     SUSPECT = 1
     DEAD = 2
@@ -50,19 +50,19 @@
     address: Address
     epoch: int
     incarnation: int
-    state: State
+    state: MemberState
     since: float  # s: of its state
     accusers: set[str] = field(default_factory=set)
 
-    def rumour(self) -> Rumour:
-        return Rumour(self.name, self.address, self.epoch, self.incarnation, int(self.state))
+    def rumour(self) -> MembershipUpdate:
+        return MembershipUpdate(self.name, self.address, self.epoch, self.incarnation, int(self.state))
 
     def rank(self) -> tuple[int, int, int]:
         return self.epoch, self.incarnation, int(self.state)
 
 
 @dataclass(slots=True)
-class Question:
+class PendingProbe:
     """One that is out."""
 
     about: str
@@ -70,22 +70,22 @@
     helped: bool = False
 
 
-class Members:
-    def __init__(self, name: str, address: Address, epoch: int, chance: random.Random) -> None:
-        self.me = Member(name, address, epoch, 0, State.ALIVE, 0.0)
-        self.chance = chance
+class MemberList:
+    def __init__(self, name: str, address: Address, epoch: int, rng: random.Random) -> None:
+        self.me = Member(name, address, epoch, 0, MemberState.ALIVE, 0.0)
+        self.rng = rng
         self.others: dict[str, Member] = {}
         self.health = 1
         self.round: list[str] = []  # who is still to be asked in this one
-        self.out: dict[int, Question] = {}
+        self.out: dict[int, PendingProbe] = {}
         self.number = 0
         self.next_at = 0.0
         self.telling: dict[str, int] = {}  # by name: how often its rumour was told
-        self.changed: list[tuple[str, State, str]] = []  # who, what now, and on whose word; for the log
+        self.changed: list[tuple[str, MemberState, str]] = []  # who, what now, and on whose word; for the log
 
     def alive(self) -> list[str]:
         """Those to be reckoned with, this one too, in order of names. A suspect is there until it is not."""
-        there = [each.name for each in self.others.values() if each.state <= State.SUSPECT]
+        there = [each.name for each in self.others.values() if each.state <= MemberState.SUSPECT]
         return sorted([*there, self.me.name])
 
     def scale(self) -> float:
@@ -93,28 +93,30 @@
 
     # What is heard.
 
-    def hear(self, told: Rumour, by: str, now: float) -> None:
+    def hear(self, told: MembershipUpdate, by: str, now: float) -> None:
         if told.name == self.me.name:
             self.hear_of_me(told)
             return
         known = self.others.get(told.name)
         if known is None:
-            if told.state in (State.DEAD, State.LEFT):
+            if told.state in (MemberState.DEAD, MemberState.LEFT):
                 return
-            known = Member(told.name, told.address, told.epoch, told.incarnation, State(told.state), now)
+            known = Member(
+                told.name, told.address, told.epoch, told.incarnation, MemberState(told.state), now
+            )
             self.others[told.name] = known
-            self.round.insert(self.chance.randrange(len(self.round) + 1), told.name)
+            self.round.insert(self.rng.randrange(len(self.round) + 1), told.name)
             self.spread(known, by)
         elif (told.epoch, told.incarnation, told.state) > known.rank():
             known.address, known.epoch, known.incarnation = told.address, told.epoch, told.incarnation
-            self.turn(known, State(told.state), by, now)
-        elif told.state == State.SUSPECT and known.state is State.SUSPECT:
+            self.turn(known, MemberState(told.state), by, now)
+        elif told.state == MemberState.SUSPECT and known.state is MemberState.SUSPECT:
             known.accusers.add(by)
 
-    def hear_of_me(self, told: Rumour) -> None:
+    def hear_of_me(self, told: MembershipUpdate) -> None:
         """Whoever takes this one for gone is told better."""
         if (
-            told.state != State.ALIVE
+            told.state != MemberState.ALIVE
             and told.epoch == self.me.epoch
             and told.incarnation >= self.me.incarnation
         ):
@@ -127,17 +129,17 @@
         for number in [number for number, each in self.out.items() if each.about == name]:
             self.acked(number)
         known = self.others.get(name)
-        if known and known.epoch == epoch and known.state is State.ALIVE:
+        if known and known.epoch == epoch and known.state is MemberState.ALIVE:
             known.address = address
             return
         incarnation = known.incarnation + 1 if known and known.epoch == epoch else 0
-        self.hear(Rumour(name, address, epoch, incarnation, State.ALIVE), name, now)
+        self.hear(MembershipUpdate(name, address, epoch, incarnation, MemberState.ALIVE), name, now)
 
     def left(self, name: str, now: float) -> None:
         if known := self.others.get(name):
-            self.turn(known, State.LEFT, name, now)
+            self.turn(known, MemberState.LEFT, name, now)
 
-    def turn(self, member: Member, state: State, by: str, now: float) -> None:
+    def turn(self, member: Member, state: MemberState, by: str, now: float) -> None:
         if member.state is not state:
             member.since, member.accusers = now, {by}
             self.changed.append((member.name, state, by))
@@ -169,7 +171,7 @@
                 del self.out[number]
                 self.worse()
                 self.accuse(question.about, now)
-                if (known := self.others.get(question.about)) and known.state is State.SUSPECT:
+                if (known := self.others.get(question.about)) and known.state is MemberState.SUSPECT:
                     asked.append(self.question(question.about, now))
         if now >= self.next_at:
             self.next_at = now + PERIOD * self.health
@@ -180,28 +182,28 @@
 
     def question(self, about: str, now: float) -> tuple[str, int, str]:
         self.number += 1
-        self.out[self.number] = Question(about, now)
+        self.out[self.number] = PendingProbe(about, now)
         return about, self.number, ""
 
     def helpers(self, about: str) -> list[str]:
-        found = [x.name for x in self.others.values() if x.state is State.ALIVE and x.name != about]
-        return self.chance.sample(found, min(HELPERS, len(found)))
+        found = [x.name for x in self.others.values() if x.state is MemberState.ALIVE and x.name != about]
+        return self.rng.sample(found, min(HELPERS, len(found)))
 
     def next_one(self) -> str | None:
         while True:
             if not self.round:
-                self.round = [x.name for x in self.others.values() if x.state <= State.SUSPECT]
-                self.chance.shuffle(self.round)
+                self.round = [x.name for x in self.others.values() if x.state <= MemberState.SUSPECT]
+                self.rng.shuffle(self.round)
                 if not self.round:
                     return None
             name = self.round.pop()
-            if name in self.others and self.others[name].state <= State.SUSPECT:
+            if name in self.others and self.others[name].state <= MemberState.SUSPECT:
                 return name
 
     def accuse(self, name: str, now: float) -> None:
         known = self.others.get(name)
-        if known and known.state is State.ALIVE:
-            self.turn(known, State.SUSPECT, self.me.name, now)
+        if known and known.state is MemberState.ALIVE:
+            self.turn(known, MemberState.SUSPECT, self.me.name, now)
 
     def patience(self, member: Member) -> float:
         """s for which a suspect may still speak up."""
@@ -211,18 +213,18 @@
 
     def bury(self, now: float) -> None:
         for member in list(self.others.values()):
-            if member.state is State.SUSPECT and now - member.since >= self.patience(member):
-                self.turn(member, State.DEAD, self.me.name, now)
-            elif member.state >= State.DEAD and now - member.since >= KEPT:
+            if member.state is MemberState.SUSPECT and now - member.since >= self.patience(member):
+                self.turn(member, MemberState.DEAD, self.me.name, now)
+            elif member.state >= MemberState.DEAD and now - member.since >= KEPT:
                 del self.others[member.name]
                 self.telling.pop(member.name, None)
 
-    def news(self, to: str = "") -> tuple[Rumour, ...]:
+    def news(self, to: str = "") -> tuple[MembershipUpdate, ...]:
         """What goes with the next datagram: what was told least often; to a suspect also that it is one."""
         most = TOLD * math.ceil(math.log2(len(self.others) + 2))
         names = sorted(self.telling, key=lambda name: (self.telling[name], name))[:CARRIED]
         found = []
-        if (suspect := self.others.get(to)) and suspect.state is State.SUSPECT:
+        if (suspect := self.others.get(to)) and suspect.state is MemberState.SUSPECT:
             found.append(suspect.rumour())
         for name in names:
             self.telling[name] += 1
--- a/message_sender/fleet/node.py
+++ b/message_sender/fleet/node.py
@@ -20,10 +20,10 @@
 from dataclasses import dataclass, field
 
 from message_sender.fleet import wire
-from message_sender.fleet.members import Members, State
+from message_sender.fleet.members import MemberList, MemberState
 from message_sender.fleet.seal import RefusedError, Seal
 from message_sender.fleet.session import PeerSession
-from message_sender.fleet.wire import Address, Envelope, Rumour
+from message_sender.fleet.wire import Address, Envelope, MembershipUpdate
 
 GREETINGS = 20  # answers to strangers a second
 JOIN_EVERY = 0.3  # s between calls to the seeds while nobody is known
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Me:
+class LocalMember:
     name: str
     address: Address  # where others call this one
     seeds: tuple[Address, ...] = ()
@@ -45,7 +45,7 @@
 
 
 @dataclass(slots=True)
-class Said:
+class Announcement:
     """The newest bulletin of a member."""
 
     epoch: int
@@ -55,22 +55,22 @@
 
 
 @dataclass
-class Counted:
+class LinkCounters:
     sent: int = 0
     heard: int = 0
     refused: dict[str, int] = field(default_factory=dict)  # why, and how often
 
 
-class Node:
+class FleetNode:
     def __init__(
-        self, me: Me, seal: Seal, epoch: int, session: int, chance: random.Random, now: float
+        self, me: LocalMember, seal: Seal, epoch: int, session: int, rng: random.Random, now: float
     ) -> None:
         """`session`: drawn at random, above 0. `epoch`: above that of each start before, as far as known."""
-        self.me, self.seal, self.session, self.chance = me, seal, session, chance
-        self.members = Members(me.name, me.address, epoch, chance)
+        self.me, self.seal, self.session, self.rng = me, seal, session, rng
+        self.members = MemberList(me.name, me.address, epoch, rng)
         self.outbox: list[tuple[Address, bytes]] = []
         self.peers: dict[str, PeerSession] = {}
-        self.bulletins: dict[str, Said] = {}
+        self.bulletins: dict[str, Announcement] = {}
         self.parts: dict[str, tuple[int, int, dict[int, bytes]]] = {}
         self.number, self.version, self.text = 0, 0, b""
         self.next_join = self.next_round = now
@@ -79,18 +79,20 @@
         self.errand_number = 0
         self.errands: dict[int, tuple[str, int]] = {}  # asked for others: who asked, and their number
         self.unsaid: dict[str, list[wire.Body]] = {}  # to members whose session is not known yet
-        self.counted = Counted()
+        self.counted = LinkCounters()
         self.behind = False  # others know a later start of this name than its disk does
         self.namesake = ""  # the address of another one that uses this name
         self.epoch_raised: Callable[[int], None] = lambda epoch: None  # to be put on the disk
         self.on_ask: Callable[[str, bytes], bytes | None] = lambda name, text: None
         self.on_answer: Callable[[str, int, bytes], None] = lambda name, number, text: None
-        self.on_share: Callable[[str, wire.Share], None] = lambda name, share: None
-        self.on_bulletin: Callable[[str, Said], None] = lambda name, said: None
+        self.on_share: Callable[[str, wire.LeaseDatagram], None] = lambda name, share: None
+        self.on_bulletin: Callable[[str, Announcement], None] = lambda name, said: None
 
     # Sending.
 
-    def send(self, address: Address, body: wire.Body, to: int = 0, news: tuple[Rumour, ...] = ()) -> None:
+    def send(
+        self, address: Address, body: wire.Body, to: int = 0, news: tuple[MembershipUpdate, ...] = ()
+    ) -> None:
         self.number += 1
         epoch = self.members.me.epoch
         told = Envelope(self.me.name, self.me.address, epoch, self.session, to, self.number, body, news)
@@ -130,12 +132,12 @@
             return
         pieces = [self.text[at : at + TEXT] for at in range(0, len(self.text), TEXT)] or [b""]
         for part, piece in enumerate(pieces[:PARTS]):
-            self.send_to(name, wire.Bulletin(self.version, part, len(pieces), piece))
+            self.send_to(name, wire.AnnouncementPart(self.version, part, len(pieces), piece))
 
     def ask(self, number: int, names: Iterable[str], text: bytes) -> None:
         """Puts a question to these members, under a number that answers come with."""
         for name in names:
-            self.send_to(name, wire.Ask(number, text))
+            self.send_to(name, wire.Query(number, text))
 
     def leave(self) -> None:
         for name in self.others():
@@ -150,7 +152,7 @@
         if now >= self.next_round:
             if not self.round:
                 self.round = self.others()
-                self.chance.shuffle(self.round)
+                self.rng.shuffle(self.round)
             share = max(len(self.others()) // 20, 1)  # a part at a time, evenly over the round
             for name in self.round[:share]:
                 self.tell(name)
@@ -158,14 +160,14 @@
             self.next_round = now + (self.rest() / 20 if self.round else self.rest())
 
     def join(self, now: float) -> None:
-        there = {each.address for each in self.members.others.values() if each.state <= State.SUSPECT}
+        there = {each.address for each in self.members.others.values() if each.state <= MemberState.SUSPECT}
         for seed in self.me.seeds:
             if seed != self.me.address and seed not in there:
                 self.send(seed, wire.Hello())
-        dead = [each for each in self.members.others.values() if each.state is State.DEAD]
+        dead = [each for each in self.members.others.values() if each.state is MemberState.DEAD]
         if dead:  # a split may have healed
-            self.send(self.chance.choice(dead).address, wire.Hello())
-        self.next_join = now + (REJOIN_EVERY if there else JOIN_EVERY) * self.chance.uniform(0.8, 1.2)
+            self.send(self.rng.choice(dead).address, wire.Hello())
+        self.next_join = now + (REJOIN_EVERY if there else JOIN_EVERY) * self.rng.uniform(0.8, 1.2)
 
     # Hearing.
 
@@ -206,7 +208,7 @@
             if told.epoch <= peer.epoch:
                 self.greet(told, now)
                 raise RefusedError(f"{told.name}: a start before the latest, or another one of its name")
-            elsewhere = member and member.state is State.ALIVE and told.address != member.address
+            elsewhere = member and member.state is MemberState.ALIVE and told.address != member.address
             if elsewhere and now - peer.heard < 2.0:
                 self.greet(told, now)
                 raise RefusedError(f"{told.name}: two members use this name")
@@ -263,15 +265,15 @@
             case wire.Ack(number):
                 asker, its = self.errands.pop(-number, ("", 0))
                 self.send_to(asker, wire.Ack(its))
-            case wire.Bulletin():
+            case wire.AnnouncementPart():
                 self.hear_bulletin(told.name, told.epoch, told.body, now)
-            case wire.Ask(number, text):
+            case wire.Query(number, text):
                 answer = self.on_ask(told.name, text)
                 if answer is not None:
-                    self.send_to(told.name, wire.Answer(number, answer))
-            case wire.Answer(number, text):
+                    self.send_to(told.name, wire.QueryReply(number, answer))
+            case wire.QueryReply(number, text):
                 self.on_answer(told.name, number, text)
-            case wire.Share():
+            case wire.LeaseDatagram():
                 self.on_share(told.name, told.body)
             case wire.Leave():
                 self.members.left(told.name, now)
@@ -287,7 +289,9 @@
     def welcome(self, name: str) -> None:
         """Both know the other one's session now: it hears of everybody, and this one's own word."""
         known = [
-            x.rumour() for x in self.members.others.values() if x.state is State.ALIVE and x.name != name
+            x.rumour()
+            for x in self.members.others.values()
+            if x.state is MemberState.ALIVE and x.name != name
         ]
         peer, member = self.peers[name], self.members.others[name]
         for at in range(0, max(len(known), 1), 16):
@@ -296,7 +300,7 @@
             self.send_to(name, body)
         self.tell(name)
 
-    def hear_bulletin(self, name: str, epoch: int, told: wire.Bulletin, now: float) -> None:
+    def hear_bulletin(self, name: str, epoch: int, told: wire.AnnouncementPart, now: float) -> None:
         known = self.bulletins.get(name)
         if known and (known.epoch, known.version) >= (epoch, told.version):
             if (known.epoch, known.version) == (epoch, told.version):
@@ -313,5 +317,5 @@
             return
         del self.parts[name]
         text = b"".join(pieces[part] for part in range(told.parts))
-        self.bulletins[name] = said = Said(epoch, told.version, text, now)
+        self.bulletins[name] = said = Announcement(epoch, told.version, text, now)
         self.on_bulletin(name, said)
--- a/message_sender/fleet/udp.py
+++ b/message_sender/fleet/udp.py
@@ -9,7 +9,7 @@
 from typing import cast
 
 from message_sender.files import replace_json
-from message_sender.fleet.node import Me, Node
+from message_sender.fleet.node import FleetNode, LocalMember
 from message_sender.fleet.seal import Seal, read_keys, reread_keys
 from message_sender.fleet.wire import Address
 
@@ -20,18 +20,18 @@
 log = logging.getLogger(__name__)
 
 
-class Link(asyncio.DatagramProtocol):
+class FleetLink(asyncio.DatagramProtocol):
     """Several times a second `step` is called with the node's time."""
 
-    def __init__(self, me: Me, listen: Address, key_file: Path, state: Path) -> None:
+    def __init__(self, me: LocalMember, listen: Address, key_file: Path, state: Path) -> None:
         """Raises KeyFileError where there is no key to seal with, OSError where the epoch cannot be kept."""
         self.listen, self.key_file, self.state = listen, key_file, state
         self.loop = asyncio.get_running_loop()
         self.seal = Seal(read_keys(key_file))
         epoch = self.read_epoch() + 1
         self.write_epoch(epoch)
-        session, chance = secrets.randbits(62) + 1, random.Random(secrets.randbits(64))
-        self.node = Node(me, self.seal, epoch, session, chance, self.loop.time())
+        session, rng = secrets.randbits(62) + 1, random.Random(secrets.randbits(64))
+        self.node = FleetNode(me, self.seal, epoch, session, rng, self.loop.time())
         self.node.epoch_raised = self.write_epoch
         self.step: Callable[[float], None] = lambda now: None
         self.transport: asyncio.DatagramTransport | None = None
--- a/message_sender/fleet/wire.py
+++ b/message_sender/fleet/wire.py
@@ -15,7 +15,7 @@
 Count = Annotated[int, msgspec.Meta(ge=0, le=2**40)]
 
 
-class Rumour(msgspec.Struct, array_like=True, frozen=True):
+class MembershipUpdate(msgspec.Struct, array_like=True, frozen=True):
     """What is known of a member; the higher (epoch, incarnation) is newer, and of equals the worse state."""
 
     name: str
@@ -43,7 +43,7 @@
     number: int
 
 
-class Bulletin(msgspec.Struct, array_like=True, frozen=True, tag=4):
+class AnnouncementPart(msgspec.Struct, array_like=True, frozen=True, tag=4):
     """What a member says of itself to everybody; the newest version counts."""
 
     version: int
@@ -52,12 +52,12 @@
     text: bytes
 
 
-class Ask(msgspec.Struct, array_like=True, frozen=True, tag=5):
+class Query(msgspec.Struct, array_like=True, frozen=True, tag=5):
     number: int
     text: bytes
 
 
-class Answer(msgspec.Struct, array_like=True, frozen=True, tag=6):
+class QueryReply(msgspec.Struct, array_like=True, frozen=True, tag=6):
     number: int
     text: bytes
 
@@ -66,8 +66,8 @@
     """This one ends as it was told to."""
 
 
-class Share(msgspec.Struct, array_like=True, frozen=True, tag=8):
-    """A word about a budget (budget/desk.py)."""
+class LeaseDatagram(msgspec.Struct, array_like=True, frozen=True, tag=8):
+    """A word about a budget (budget/manager.py)."""
 
     budget: str
     kind: Annotated[int, msgspec.Meta(ge=0, le=4)]
@@ -81,7 +81,7 @@
     warm: Annotated[int, msgspec.Meta(ge=0, le=1000)]
 
 
-Body = Hello | Ping | Ack | Bulletin | Ask | Answer | Leave | Share
+Body = Hello | Ping | Ack | AnnouncementPart | Query | QueryReply | Leave | LeaseDatagram
 
 
 class Envelope(msgspec.Struct, array_like=True, frozen=True):
@@ -92,7 +92,7 @@
     to: int
     number: int  # of the datagrams of this session, from 1
     body: Body
-    news: tuple[Rumour, ...] = ()
+    news: tuple[MembershipUpdate, ...] = ()
 
 
 ENCODER, DECODER = msgspec.msgpack.Encoder(), msgspec.msgpack.Decoder(Envelope)
--- a/message_sender/grpc/channel.py
+++ b/message_sender/grpc/channel.py
@@ -7,18 +7,17 @@
 
 import grpc
 
-from message_sender import config as general
-from message_sender.config import General
-from message_sender.core.engine import Config as EngineConfig
-from message_sender.core.engine import Engine
-from message_sender.core.ports import End, State, TurnedAway
-from message_sender.directory.static import StaticDirectory
+from message_sender.configuration import general
+from message_sender.configuration.general import SenderConfig
+from message_sender.core.engine import Engine, EngineConfig
+from message_sender.core.ports import Completion, CompletionState, Rejected
+from message_sender.discovery.static import StaticDirectory
 from message_sender.grpc import retry
-from message_sender.grpc.courier import Factory, GrpcCourier, Options, insecure
 from message_sender.grpc.route import BadRouteError, Metadata, Router, from_metadata, message_from, pairs
-from message_sender.journal.answers import Answers
+from message_sender.grpc.transport import Factory, GrpcTransport, Options, insecure
+from message_sender.journal.answer_store import AnswerStore
 from message_sender.journal.lock import Lock
-from message_sender.message import HandedIn
+from message_sender.message import Message
 
 Serializer = Callable[[Any], bytes]
 Code = grpc.StatusCode
@@ -42,7 +41,7 @@
 class Call(grpc.aio.UnaryUnaryCall):
     """One call of the host's: what it awaits, and the engine's caller of its message."""
 
-    def __init__(self, channel: "Channel", message: HandedIn, read: Serializer | None) -> None:
+    def __init__(self, channel: "Channel", message: Message, read: Serializer | None) -> None:
         self._channel, self._message, self._read = channel, message, read
         self._result: asyncio.Future[Any] = channel.engine.loop.create_future()
         self._result.add_done_callback(lambda future: future.cancelled() or future.exception())
@@ -51,28 +50,28 @@
 
     # The engine's side.
 
-    def gone(self) -> bool:
+    def is_gone(self) -> bool:
         return self._result.done()
 
-    def taken(self) -> bool:
+    def accepted(self) -> bool:
         return True
 
-    def turned_away(self, told: TurnedAway) -> None:
+    def rejected(self, told: Rejected) -> None:
         self._fail(refusal(f"turned away: {told.why.value}", told.retry_after))
 
-    def given_up(self) -> None:
+    def withdrawn(self) -> None:
         """The host cancelled before it was taken on."""
 
-    def ended(self, end: End) -> None:
+    def completed(self, end: Completion) -> None:
         match end.state:
-            case State.DELIVERED if not end.status:
+            case CompletionState.DELIVERED if not end.status:
                 self._succeed(end.reply)
-            case State.DELIVERED:
+            case CompletionState.DELIVERED:
                 name, _, text = end.status.partition(" ")
                 self._fail(error(Code[name], text))
-            case State.REFUSED:
+            case CompletionState.REFUSED:
                 self._fail(refusal("refused", end.retry_after))
-            case State.WITHDRAWN:
+            case CompletionState.WITHDRAWN:
                 self._fail(error(Code.CANCELLED, "the endpoint wants it no more"))
             case _:
                 late = self._message.until - self._channel.engine.now() <= self._channel.tick
@@ -194,7 +193,7 @@
 
     def __init__(
         self,
-        told: General,
+        told: SenderConfig,
         state: Path,
         directory: StaticDirectory,
         route: Router,
@@ -204,7 +203,7 @@
     ) -> None:
         self.lock = Lock(state)
         try:
-            self.answers = Answers(state, kept)
+            self.answers = AnswerStore(state, kept)
             self.engine = Engine(
                 EngineConfig(
                     told.name, state, told.seed, told.disk_bytes, told.settings, directory.endpoints()
@@ -217,17 +216,19 @@
         self.classes = {each.name: each for each in told.settings.classes}
         self.tick = 2 * told.settings.tick
         timeout = told.settings.connect_timeout / 1e6
-        self.courier = GrpcCourier(timeout, directory.dials, self.engine.wait_told, options, factory)
-        directory.told = self.engine.list_told
-        self.engine.plug(self.courier, directory, self)
+        self.transport = GrpcTransport(
+            timeout, directory.dials, self.engine.retry_after_received, options, factory
+        )
+        directory.told = self.engine.endpoints_updated
+        self.engine.plug(self.transport, directory, self)
         self.waiting: set[Call] = set()
         self.closed = False
         self.engine.stopped.add_done_callback(self._stopped)
         self.engine.start()
 
-    # The engine's teller: what nobody waits for is kept until it is collected.
+    # The engine's completion_listener: what nobody waits for is kept until it is collected.
 
-    def tell(self, message: str, end: End) -> bool:
+    def notify(self, message: str, end: Completion) -> bool:
         self.answers.keep(message, end.state.value, end.retry_after, end.reply, end.status)
         return False
 
@@ -251,16 +252,18 @@
         self.waiting.add(call)
         call._result.add_done_callback(lambda _: self.waiting.discard(call))
         if end := self.collect(message.id):
-            call.ended(end)  # its message ended in an earlier life of the host
+            call.completed(end)  # its message ended in an earlier life of the host
         else:
             self.engine.take(message, call)
         return call
 
-    def collect(self, name: str) -> End | None:
+    def collect(self, name: str) -> Completion | None:
         """The final answer of a message that nobody waited for, once; None where there is none."""
         self.check()
         if kept := self.answers.collect(name):
-            return End(State(kept["state"]), kept["retry_after"], kept["reply"], kept["status"])
+            return Completion(
+                CompletionState(kept["state"]), kept["retry_after"], kept["reply"], kept["status"]
+            )
         return None
 
     def pending(self) -> list[str]:
@@ -305,7 +308,7 @@
             self._release()
             self.engine.stop(0)
             await asyncio.sleep(0)  # the callers hear
-        await self.courier.closed()
+        await self.transport.closed()
 
     async def __aenter__(self) -> "Channel":
         return self
@@ -355,7 +358,7 @@
 
 
 async def open_channel(
-    told: General | Mapping[str, Any] | Path,
+    told: SenderConfig | Mapping[str, Any] | Path,
     state: Path | str | None = None,
     *,
     directory: StaticDirectory | None = None,
@@ -374,11 +377,11 @@
     """
     if isinstance(told, Path):
         told = general.load(told)
-    elif not isinstance(told, General):
+    elif not isinstance(told, SenderConfig):
         told = general.read(told)
     folder = Path(state) if state is not None else told.state
     if folder is None:
-        raise general.ConfigError([general.Fault("state", "is missing: no folder is named")])
+        raise general.ConfigError([general.ConfigFault("state", "is missing: no folder is named")])
     folder.mkdir(parents=True, exist_ok=True)
     places = directory or StaticDirectory(told.places)
     return Channel(told, folder, places, route, options, factory, kept)
--- a/message_sender/grpc/route.py
+++ b/message_sender/grpc/route.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from message_sender.interface import Effect, MessageClass
-from message_sender.message import HandedIn
+from message_sender.message import Message
+from message_sender.policy.model import Effect, MessageClass
 
 PREFIX = "elmglade-"
 IDEMPOTENCY = "idempotency-key"
@@ -79,7 +79,7 @@
     extras: tuple[tuple[str, str], ...],
     now: int,
     timeout: float | None,
-) -> HandedIn:
+) -> Message:
     """The message of a call; `now` in us. Raises BadRouteError."""
     name = route.message_class or (next(iter(classes)) if len(classes) == 1 else "")
     if name not in classes:
@@ -88,7 +88,7 @@
     if kind.effect is Effect.KEYED and not route.idempotency_key:
         raise BadRouteError(f"class {name} needs an idempotency key")
     left = kind.deadline if timeout is None else min(int(timeout * 1e6), kind.deadline)
-    return HandedIn(
+    return Message(
         id=route.id,
         message_class=name,
         destination=route.destination,
--- a/message_sender/grpc/fates.py
+++ b/message_sender/grpc/status_mapping.py
@@ -16,8 +16,8 @@
 
 import grpc
 
-from message_sender.core.ports import Answer, told_wait
-from message_sender.interface import Outcome
+from message_sender.core.ports import AttemptResult, clamped_wait
+from message_sender.policy.model import Outcome
 
 Code = grpc.StatusCode
 
@@ -49,13 +49,15 @@
 }
 
 
-def fate(code: grpc.StatusCode, retry_after: float | None, reply: bytes = b"", details: str = "") -> Answer:
+def fate(
+    code: grpc.StatusCode, retry_after: float | None, reply: bytes = b"", details: str = ""
+) -> AttemptResult:
     """The fate of an attempt that was handed to an open connection and ended with `code`. `retry_after` is
     the endpoint's RetryInfo in seconds, None where it sent none."""
     if code is Code.OK:
-        return Answer(Outcome.OK, finished=True, reply=reply)
+        return AttemptResult(Outcome.OK, finished=True, reply=reply)
     if code in MAY_BE_TURNED_AWAY and retry_after is not None:
-        return Answer(Outcome.FULL, wait=told_wait(retry_after))
+        return AttemptResult(Outcome.FULL, wait=clamped_wait(retry_after))
     if code in FINAL:
-        return Answer(Outcome.OK, finished=True, status=f"{code.name} {details}".strip())
-    return Answer(MAY_HAVE_RUN[code])
+        return AttemptResult(Outcome.OK, finished=True, status=f"{code.name} {details}".strip())
+    return AttemptResult(MAY_HAVE_RUN[code])
--- a/message_sender/grpc/courier.py
+++ b/message_sender/grpc/transport.py
@@ -6,13 +6,13 @@
 
 import grpc
 
-from message_sender.core.ports import Answer
-from message_sender.directory.static import Dial
-from message_sender.grpc.fates import fate
+from message_sender.core.ports import AttemptResult
+from message_sender.discovery.static import Dial
 from message_sender.grpc.retry import retry_after
 from message_sender.grpc.route import IDEMPOTENCY, PREFIX, unpaired
-from message_sender.interface import Outcome
-from message_sender.message import HandedIn
+from message_sender.grpc.status_mapping import fate
+from message_sender.message import Message
+from message_sender.policy.model import Outcome
 
 Options = Sequence[tuple[str, Any]]
 Factory = Callable[[str, Options], grpc.aio.Channel]
@@ -35,23 +35,27 @@
     return grpc.aio.insecure_channel(target, options=options)
 
 
-class GrpcCourier:
+class GrpcTransport:
     """`dials` is the directory's: an endpoint that is no longer in it, or at another address, keeps
     nothing."""
 
-    late_reader = True  # the library reads in threads of its own and tells the loop
+    reads_late = True  # the library reads in threads of its own and tells the loop
 
     def __init__(
         self,
         connect_timeout: float,
         dials: Callable[[], Mapping[str, Dial]],
-        wait_told: Callable[[str, int], None],
+        retry_after_received: Callable[[str, int], None],
         options: Options = (),
         factory: Factory = insecure,
     ) -> None:
         """`connect_timeout` in seconds. `options` are the host's for every channel; those that would let the
         library act by itself are passed over. `factory` makes a channel, with TLS for instance."""
-        self.connect_timeout, self.dials, self.wait_told = connect_timeout, dials, wait_told
+        self.connect_timeout, self.dials, self.retry_after_received = (
+            connect_timeout,
+            dials,
+            retry_after_received,
+        )
         self.options = (*(each for each in options if each[0] not in ENFORCED), *OPTIONS)
         self.factory = factory
         self.channels: dict[str, tuple[Dial, grpc.aio.Channel]] = {}
@@ -60,22 +64,22 @@
         self.closing: set[asyncio.Task[None]] = set()
 
     async def call(
-        self, endpoint: str, message: HandedIn, timeout: float, may_go: Callable[[], bool]
-    ) -> Answer:
+        self, endpoint: str, message: Message, timeout: float, may_go: Callable[[], bool]
+    ) -> AttemptResult:
         """One attempt. Before its connection is up it has never run; from then on only an answer says."""
         loop = asyncio.get_running_loop()
         deadline = loop.time() + timeout
         if (dial := self.dials().get(endpoint)) is None:
-            return Answer(Outcome.NOT_SENT)  # gone since the module chose it
+            return AttemptResult(Outcome.NOT_SENT)  # gone since the module chose it
         self.busy[endpoint] = self.busy.get(endpoint, 0) + 1
         try:
             channel = self.channel(endpoint, dial)
             up = channel.get_state(try_to_connect=True) is grpc.ChannelConnectivity.READY
             if not up and not await self.up(channel, min(self.connect_timeout, timeout)):
                 self.drop(endpoint, channel)
-                return Answer(Outcome.CONNECT_FAILED)
+                return AttemptResult(Outcome.CONNECT_FAILED)
             if not may_go():
-                return Answer(Outcome.NOT_SENT)
+                return AttemptResult(Outcome.NOT_SENT)
             return await self.attempt(channel, endpoint, message, max(deadline - loop.time(), 0.001))
         finally:
             self.busy[endpoint] -= 1
@@ -100,8 +104,8 @@
             return False
 
     async def attempt(
-        self, channel: grpc.aio.Channel, endpoint: str, message: HandedIn, timeout: float
-    ) -> Answer:
+        self, channel: grpc.aio.Channel, endpoint: str, message: Message, timeout: float
+    ) -> AttemptResult:
         method, metadata = unpaired(message.extras)
         metadata += [(PREFIX + "id", message.id)]
         if message.idempotency_key:
@@ -117,7 +121,7 @@
         else:
             answer = fate(grpc.StatusCode.OK, None, reply=reply)
         if answer.wait:
-            self.wait_told(endpoint, answer.wait)
+            self.retry_after_received(endpoint, answer.wait)
         return answer
 
     def method(self, endpoint: str, channel: grpc.aio.Channel, name: str) -> Any:  # noqa: ANN401
@@ -156,18 +160,18 @@
     async def end(self, channel: grpc.aio.Channel) -> None:
         await channel.close(grace=None)
 
-    def look(self) -> None:
-        """The library has no way to ask what it has read; see `late_reader`."""
+    def poll_unread(self) -> None:
+        """The library has no way to ask what it has read; see `reads_late`."""
 
     def close_idle(self, endpoint: str) -> None:
         known = self.channels.get(endpoint)
         if known and not self.busy.get(endpoint):
             self.drop(endpoint, known[1])
 
-    def tidy(self) -> None:
+    def close_expired(self) -> None:
         """The library closes what stands idle by itself."""
 
-    def list_changed(self) -> None:
+    def endpoints_changed(self) -> None:
         """One that has gone or moved closes; a call that is out there keeps its channel until it ends."""
         dials = self.dials()
         for name, (dial, channel) in list(self.channels.items()):
--- a/message_sender/handover/drain.py
+++ b/message_sender/handover/drain.py
@@ -21,7 +21,7 @@
 STOP = 3.3  # s after SIGTERM: the process ends, well before SIGKILL may come at 3.7 s
 
 
-class Phase(Enum):
+class DrainPhase(Enum):
     SERVING = "serving"
     LEAVING = "leaving"
     AWAY = "away"
@@ -45,11 +45,11 @@
         if self.stopped_at is None:
             self.stopped_at = now
 
-    def phase(self, now: float) -> Phase:
+    def phase(self, now: float) -> DrainPhase:
         orders = [each for each in (self.ordered_at, self.stopped_at) if each is not None]
         if not orders:
-            return Phase.SERVING
-        return Phase.LEAVING if now < min(orders) + GRACE else Phase.AWAY
+            return DrainPhase.SERVING
+        return DrainPhase.LEAVING if now < min(orders) + GRACE else DrainPhase.AWAY
 
     def listens(self, now: float) -> bool:
         return self.stopped_at is None or now < self.stopped_at + GRACE
--- a/message_sender/handover/link.py
+++ b/message_sender/handover/link.py
@@ -65,7 +65,7 @@
     return sock
 
 
-class Link:
+class HandoverLink:
     """`heard` is given each packet and its descriptors, to close or to keep; `ended` hears the end once."""
 
     def __init__(
--- a/message_sender/handover/ownership.py
+++ b/message_sender/handover/ownership.py
@@ -18,7 +18,7 @@
 from enum import Enum
 
 
-class Side(Enum):
+class OwnershipState(Enum):
     OWNER = "owner"
     OFFERED = "offered"
     GONE = "gone"
@@ -27,25 +27,25 @@
 
 class Ownership:
     def __init__(self) -> None:
-        self.side = Side.OWNER
+        self.side = OwnershipState.OWNER
 
     def asked(self) -> bool:
         """Somebody wants to follow; whether it is told everything now."""
-        if self.side is not Side.OWNER:
+        if self.side is not OwnershipState.OWNER:
             return False
-        self.side = Side.OFFERED
+        self.side = OwnershipState.OFFERED
         return True
 
     def owned(self) -> bool:
         """It has the lock; whether everything is to be let go now."""
-        if self.side is not Side.OFFERED:
+        if self.side is not OwnershipState.OFFERED:
             return False
-        self.side = Side.GONE
+        self.side = OwnershipState.GONE
         return True
 
     def lost(self, locked: bool) -> bool:
         """It is no more; `locked`: this one has the lock again. Whether all is to go on as it was."""
-        if self.side is not Side.OFFERED:
+        if self.side is not OwnershipState.OFFERED:
             return False
-        self.side = Side.OWNER if locked else Side.ENDED
+        self.side = OwnershipState.OWNER if locked else OwnershipState.ENDED
         return locked
--- a/message_sender/handover/seat.py
+++ b/message_sender/handover/takeover.py
@@ -23,10 +23,10 @@
 from pathlib import Path
 from typing import Any, Protocol
 
+from message_sender.control_socket import may_ask
 from message_sender.core.lock import Lock, LockTakenError, holder
-from message_sender.directory.control import may_ask
-from message_sender.handover.link import Link, Packet, connect, listen
-from message_sender.handover.ownership import Ownership, Side
+from message_sender.handover.link import HandoverLink, Packet, connect, listen
+from message_sender.handover.ownership import Ownership, OwnershipState
 
 PATIENCE = 2.5  # s for an owner to answer; operators expect the new process' yes within 6 s
 POLL = 0.02  # s between tries
@@ -56,22 +56,22 @@
 class Owner(Protocol):
     """What the seat asks of the sender that has it. None of it may raise."""
 
-    def tell_on(self) -> str:
+    def export_state(self) -> str:
         """Freezes, and says what the one that follows has to know."""
 
-    def take_back(self) -> None:
-        """Goes on as before `tell_on`."""
+    def resume(self) -> None:
+        """Goes on as before `export_state`."""
 
-    def let_go(self) -> None:
+    def release(self) -> None:
         """Another process owns it all."""
 
-    def heard(self, told: Packet) -> None:
+    def message_received(self, told: Packet) -> None:
         """What the one that follows says later."""
 
-    def abandoned(self) -> None:
+    def successor_lost(self) -> None:
         """The one that has followed is no more: calls that are out end now, with this process."""
 
-    def end(self) -> None:
+    def superseded(self) -> None:
         """Somebody else owns it all, and nobody knows who: the process ends."""
 
 
@@ -88,7 +88,7 @@
         self.news = asyncio.Event()
         self.hear: Callable[[Packet, list[int]], None] | None = None
         self.gone: Callable[[], None] = lambda: None
-        self.link = Link(sock, self.heard, self.link_ended)
+        self.link = HandoverLink(sock, self.heard, self.link_ended)
 
     def heard(self, told: Packet, descriptors: list[int]) -> None:
         if self.hear:
@@ -148,7 +148,7 @@
             self.process = -1
 
 
-class Seat:
+class OwnershipHandover:
     def __init__(self, folder: Path) -> None:
         self.folder = folder
         self.loop = asyncio.get_running_loop()
@@ -156,7 +156,7 @@
         self.before: Predecessor | None = None
         self.ownership = Ownership()
         self.listener: socket.socket | None = None
-        self.link: Link | None = None  # to the one that follows
+        self.link: HandoverLink | None = None  # to the one that follows
         self.owner: Owner | None = None
 
     def locked(self) -> bool:
@@ -232,10 +232,10 @@
             sock = self.listener.accept()[0]
         except OSError:
             return
-        if self.link or self.ownership.side is not Side.OWNER or not may_ask(sock):
+        if self.link or self.ownership.side is not OwnershipState.OWNER or not may_ask(sock):
             sock.close()
             return
-        self.link = Link(sock, self.heard, self.lost)
+        self.link = HandoverLink(sock, self.heard, self.lost)
 
     def heard(self, told: Packet, descriptors: list[int]) -> None:
         assert self.owner is not None and self.link is not None
@@ -245,7 +245,7 @@
             case "take over" if self.ownership.asked():
                 log.info("handing over")
                 link = self.link
-                link.send_text("state", self.owner.tell_on())
+                link.send_text("state", self.owner.export_state())
                 if link.over:
                     return  # it was lost meanwhile, and all goes on here
                 if self.lock:
@@ -255,18 +255,18 @@
             case "owned" if self.ownership.owned():
                 log.info("handed over")
                 self.close_listener()
-                self.owner.let_go()
+                self.owner.release()
             case _:
-                self.owner.heard(told)
+                self.owner.message_received(told)
 
     def lost(self) -> None:
         """The one that was to follow, or has followed, is no more."""
         self.link = None
         assert self.owner is not None
-        if self.ownership.side is Side.GONE:
+        if self.ownership.side is OwnershipState.GONE:
             # Guards the next one, which starts from the journal, from calls out that it cannot know.
-            self.owner.abandoned()
-        if self.ownership.side is not Side.OFFERED:
+            self.owner.successor_lost()
+        if self.ownership.side is not OwnershipState.OFFERED:
             return
         try:
             back = self.ownership.lost(self.locked())
@@ -274,9 +274,9 @@
             back = self.ownership.lost(False)
         if back:
             log.warning("the process that was to follow is gone: going on")
-            self.owner.take_back()
+            self.owner.resume()
         else:
-            self.owner.end()
+            self.owner.superseded()
 
     def close_listener(self) -> None:
         if self.listener:
--- a/message_sender/http/client.py
+++ b/message_sender/http/client.py
@@ -7,23 +7,23 @@
 from collections.abc import Callable, Coroutine, Mapping
 from typing import Any
 
-from message_sender.core.peer import Cause, Reports, cause_of
-from message_sender.core.ports import Answer, told_wait
-from message_sender.core.witness import Seen, Witness
-from message_sender.http import usual
+from message_sender.core.ports import AttemptResult, clamped_wait
+from message_sender.core.socket_errors import Cause, ErrorReports, cause_of
+from message_sender.core.traffic_observer import ObservedConnection, TrafficObserver
+from message_sender.http import fast_path
 from message_sender.http.codec import (
     BODY_LIMIT,
     BROKEN,
     Address,
-    Connection,
-    InPartsError,
-    Spoilt,
+    ClientConnection,
+    IncompleteHeadError,
+    MalformedMessageError,
     decimal,
     header,
 )
-from message_sender.http.unread import Unread
-from message_sender.interface import NEVER_RAN, Outcome
-from message_sender.message import HandedIn
+from message_sender.http.unread_sockets import UnreadSockets
+from message_sender.message import Message
+from message_sender.policy.model import NEVER_RAN, Outcome
 
 IDLE_SHARE = 0.8  # of the receiver's idle limit: a kept connection is dropped that much earlier
 BODY_PATIENCE = 0.5  # s for the rest of an answer whose head has come; the body means nothing
@@ -32,31 +32,31 @@
 SHORTAGE_PAUSE = 0.05  # s until the next try to open a connection where no descriptor or port was left
 
 
-def answer_from(response: usual.Head) -> Answer:
+def answer_from(response: fast_path.ResponseHead) -> AttemptResult:
     """The protocol's table. A status that it does not name may have run."""
     match response.status_code:
         case 200:
-            return Answer(Outcome.OK, finished=True)
+            return AttemptResult(Outcome.OK, finished=True)
         case 429:
             told = decimal(header(response.headers, b"retry-after") or "") or 0.0
-            return Answer(Outcome.FULL, wait=told_wait(told))
+            return AttemptResult(Outcome.FULL, wait=clamped_wait(told))
         case 503 if header(response.headers, b"x-egress-full") == "1":
-            return Answer(Outcome.NOT_SENT)
+            return AttemptResult(Outcome.NOT_SENT)
         case 503:
-            return Answer(Outcome.FULL)
+            return AttemptResult(Outcome.FULL)
         case 504:
-            return Answer(Outcome.NOT_SENT)
+            return AttemptResult(Outcome.NOT_SENT)
         case 410:
-            return Answer(Outcome.NOT_SENT, finished=True)
+            return AttemptResult(Outcome.NOT_SENT, finished=True)
         case _:
-            return Answer(Outcome.ERROR)
+            return AttemptResult(Outcome.ERROR)
 
 
 def nothing() -> None:
     """What is to be done where nobody counts connections."""
 
 
-def told_limit(response: usual.Head) -> tuple[int, int] | None:
+def told_limit(response: fast_path.ResponseHead) -> tuple[int, int] | None:
     """Calls, and the us in which they are taken, as the draft on RateLimit header fields has them, of the
     first policy that says both: `RateLimit-Policy: "burst";q=100;w=10`, or `100;w=10` in its older form."""
     for policy in (header(response.headers, b"ratelimit-policy") or "").split(","):
@@ -70,7 +70,7 @@
     """`dials` is discovery's: an endpoint that is no longer in it, or at another address, keeps nothing.
     `most` bounds the connections open at once; to open one more, the one idle for longest is closed."""
 
-    late_reader = False  # it looks
+    reads_late = False  # it looks
 
     def __init__(
         self,
@@ -78,24 +78,24 @@
         connect_timeout: float,
         most: int,
         dials: Callable[[], Mapping[str, Address]],
-        wait_told: Callable[[str, int], None] = lambda endpoint, wait: None,
+        retry_after_received: Callable[[str, int], None] = lambda endpoint, wait: None,
     ) -> None:
         self.idle_limit = conn_idle * IDLE_SHARE
         self.connect_timeout, self.most, self.dials = connect_timeout, most, dials
-        self.wait_told = wait_told
+        self.retry_after_received = retry_after_received
         self.sent: Callable[[], None] = lambda: None  # a message's last byte is written
         # By endpoint, not by address: a new receiver may stand where another one has gone.
-        self.pool: dict[str, list[Connection]] = {}
-        self.idle: dict[Connection, str] = {}  # the same, the one idle for longest first
-        self.open: set[Connection] = set()
-        self.out: dict[Connection, str] = {}  # whose answer is waited for, and the endpoint
-        self.unread = Unread()
+        self.pool: dict[str, list[ClientConnection]] = {}
+        self.idle: dict[ClientConnection, str] = {}  # the same, the one idle for longest first
+        self.open: set[ClientConnection] = set()
+        self.out: dict[ClientConnection, str] = {}  # whose answer is waited for, and the endpoint
+        self.unread = UnreadSockets()
         self.connecting = 0
         self.unsent: set[asyncio.Task[Any]] = set()  # calls whose first byte has not gone
         self.closing = False  # no call begins any more
         self.draining: set[asyncio.Task[None]] = set()
-        self.reports = Reports()
-        self.witness: Witness | None = None  # of connections that are opened from now on
+        self.reports = ErrorReports()
+        self.witness: TrafficObserver | None = None  # of connections that are opened from now on
         #: Of budgets that a fleet shares. Asked as a connection to an endpoint is about to open for a
         #: message: what to call once it is closed, or None: it may not.
         self.opens: Callable[[str, str], Callable[[], None] | None] = lambda endpoint, name: nothing
@@ -105,13 +105,13 @@
         self.limit_told: Callable[[str, int, int], None] | None = None
 
     async def call(
-        self, endpoint: str, message: HandedIn, timeout: float, may_go: Callable[[], bool]
-    ) -> Answer:
+        self, endpoint: str, message: Message, timeout: float, may_go: Callable[[], bool]
+    ) -> AttemptResult:
         """One call, with a fate known for sure: broken before its last byte is written it never ran."""
         loop = asyncio.get_running_loop()
         deadline = loop.time() + timeout
-        connection: Connection | None = None
-        kept_one: Connection | None = None
+        connection: ClientConnection | None = None
+        kept_one: ClientConnection | None = None
         written = kept = given_up = False
         wait = 0  # a told one binds, whatever becomes of the rest of its answer
         task = asyncio.current_task()
@@ -120,15 +120,15 @@
         try:
             async with asyncio.timeout_at(deadline):
                 if (address := self.dials().get(endpoint)) is None:
-                    return Answer(Outcome.NOT_SENT)  # gone since the module chose it
+                    return AttemptResult(Outcome.NOT_SENT)  # gone since the module chose it
                 connection = kept_one = self.take_idle(endpoint)
                 if connection is None:
                     if (closed := self.opens(endpoint, message.id)) is None:
-                        return Answer(Outcome.NOT_SENT)
+                        return AttemptResult(Outcome.NOT_SENT)
                     connection = await self.open_counted(address, closed)
                 if self.closing or not may_go():
                     kept = self.keep(endpoint, connection)
-                    return Answer(Outcome.NOT_SENT)
+                    return AttemptResult(Outcome.NOT_SENT)
                 headers = {
                     "X-Correlation-Id": message.id,
                     "Idempotency-Key": message.idempotency_key,
@@ -145,11 +145,11 @@
                     raise TimeoutError  # the loop was late: whether this still was a delivery is not known
                 answer = answer_from(response)
                 if wait := answer.wait:
-                    self.wait_told(endpoint, wait)
+                    self.retry_after_received(endpoint, wait)
                 if self.limit_told and (limit := told_limit(response)):
                     self.limit_told(endpoint, *limit)
                 if int(header(response.headers, b"content-length") or 0) > BODY_LIMIT:
-                    raise Spoilt(response.status_code, "the answer is too long")
+                    raise MalformedMessageError(response.status_code, "the answer is too long")
                 if answer.outcome in NEVER_RAN:
                     # A spoilt answer has run, whatever it says: only a whole one proves that it has not.
                     async with asyncio.timeout(BODY_PATIENCE):
@@ -160,7 +160,7 @@
             return answer
         except asyncio.CancelledError:
             if self.closing and task in self.unsent:
-                return Answer(Outcome.NOT_SENT)
+                return AttemptResult(Outcome.NOT_SENT)
             if connection and (lying := self.lying(endpoint, connection)):
                 return lying
             given_up = written
@@ -169,21 +169,21 @@
             given_up = written
             lying = self.lying(endpoint, connection) if connection else None
             wait = lying.wait if lying else wait
-            return Answer(Outcome.TIMEOUT if written else Outcome.CONNECT_FAILED, wait=wait)
-        except Spoilt as error:
+            return AttemptResult(Outcome.TIMEOUT if written else Outcome.CONNECT_FAILED, wait=wait)
+        except MalformedMessageError as error:
             # It may have run; a first line of 200 is true all the same.
             if error.status == 200:
-                if isinstance(error, InPartsError) and connection:
+                if isinstance(error, IncompleteHeadError) and connection:
                     kept = self.read_rest(endpoint, connection, connection.skip_answer())
-                return Answer(Outcome.OK, finished=True)
-            return Answer(Outcome.SPOILT, wait=wait)
+                return AttemptResult(Outcome.OK, finished=True)
+            return AttemptResult(Outcome.MALFORMED, wait=wait)
         except BROKEN:
             if kept_one:  # it had been given up over there, unseen here, and so may have been the others
                 self.close_idle(endpoint)
-                return Answer(Outcome.STALE if written else Outcome.NOT_SENT, wait=wait)
+                return AttemptResult(Outcome.STALE if written else Outcome.NOT_SENT, wait=wait)
             if written or not connection:
-                return Answer(Outcome.RESET if written else Outcome.CONNECT_FAILED, wait=wait)
-            return self.ahead(endpoint, connection) or Answer(Outcome.CONNECT_FAILED)
+                return AttemptResult(Outcome.RESET if written else Outcome.CONNECT_FAILED, wait=wait)
+            return self.ahead(endpoint, connection) or AttemptResult(Outcome.CONNECT_FAILED)
         finally:
             self.unsent.discard(task)
             if connection:
@@ -204,7 +204,7 @@
         for connection in list(self.idle):
             self.close_one(connection)
 
-    def look(self) -> None:
+    def poll_unread(self) -> None:
         """What lies unread in the sockets of calls out binds now: a wait that an answer tells, and the end of
         a kept connection. Guards calls that are about to go from a loop that comes late to hear of it."""
         for connection in self.unread.ready():
@@ -213,16 +213,16 @@
             elif (endpoint := self.out.get(connection)) and connection.look():
                 self.heard(endpoint, connection)
 
-    def heard(self, endpoint: str, connection: Connection) -> Answer | None:
+    def heard(self, endpoint: str, connection: ClientConnection) -> AttemptResult | None:
         """The answer, as far as its head says it; none where no head has come that can be read."""
-        if not isinstance(response := connection.head(), usual.Head):
+        if not isinstance(response := connection.head(), fast_path.ResponseHead):
             return None
         answer = answer_from(response)
         if answer.wait:
-            self.wait_told(endpoint, answer.wait)
+            self.retry_after_received(endpoint, answer.wait)
         return answer
 
-    def lying(self, endpoint: str, connection: Connection) -> Answer | None:
+    def lying(self, endpoint: str, connection: ClientConnection) -> AttemptResult | None:
         """The answer of a call that is being given up, where it has come and nobody has read it yet. What
         says that it never ran is believed only whole, as ever."""
         if connection not in self.out:
@@ -236,14 +236,14 @@
                 return None
         return answer
 
-    def ahead(self, endpoint: str, connection: Connection) -> Answer | None:
+    def ahead(self, endpoint: str, connection: ClientConnection) -> AttemptResult | None:
         """What turned a call away before its last byte was written, and then broke it: its wait binds."""
         with contextlib.suppress(OSError):
             connection.read_some()
         answer = self.heard(endpoint, connection)
         return answer if answer and answer.outcome is Outcome.FULL else None
 
-    async def open_counted(self, address: Address, closed: Callable[[], None]) -> Connection:
+    async def open_counted(self, address: Address, closed: Callable[[], None]) -> ClientConnection:
         """`closed` is called once it is, also where it never opened."""
         try:
             connection = await self.connect(address)
@@ -253,7 +253,7 @@
         connection.closed, connection.opened_at = closed, asyncio.get_running_loop().time()
         return connection
 
-    async def connect(self, address: Address) -> Connection:
+    async def connect(self, address: Address) -> ClientConnection:
         if len(self.open) + self.connecting >= self.most and self.idle:
             self.close_one(next(iter(self.idle)))
         self.connecting += 1
@@ -264,7 +264,7 @@
             self.connecting -= 1
         connection.quick = True
         if self.witness:
-            connection.seen = Seen(self.witness, connection.sock.getsockname(), address)
+            connection.seen = ObservedConnection(self.witness, connection.sock.getsockname(), address)
         try:
             self.unread.add(connection)
         except OSError:
@@ -273,12 +273,12 @@
         self.open.add(connection)
         return connection
 
-    async def open_one(self, address: Address) -> Connection:
+    async def open_one(self, address: Address) -> ClientConnection:
         """Guards destinations from the blame for a shortage of our own descriptors, ports or memory: it
         passes, and the connection that has stood idle for longest makes room."""
         while True:
             try:
-                return await Connection.open(address)
+                return await ClientConnection.open(address)
             except OSError as error:
                 if cause_of(error) is not Cause.SHORTAGE:
                     raise
@@ -287,13 +287,13 @@
                 self.close_one(next(iter(self.idle)))
             await asyncio.sleep(SHORTAGE_PAUSE)
 
-    def drop(self, connection: Connection) -> None:
+    def drop(self, connection: ClientConnection) -> None:
         self.open.discard(connection)
         self.unread.discard(connection)
         connection.close()
         connection.closed()
 
-    def finish(self, endpoint: str, connection: Connection) -> bool:
+    def finish(self, endpoint: str, connection: ClientConnection) -> bool:
         """Keeps the connection once the answer is here to its end; the outcome need not wait for that."""
         try:
             if connection.whole():
@@ -302,14 +302,16 @@
             return False
         return self.read_rest(endpoint, connection, connection.skip_body())
 
-    def read_rest(self, endpoint: str, connection: Connection, rest: Coroutine[Any, Any, None]) -> bool:
+    def read_rest(self, endpoint: str, connection: ClientConnection, rest: Coroutine[Any, Any, None]) -> bool:
         """In a task of its own; whatever becomes of it, the connection is in its hands."""
         task = asyncio.get_running_loop().create_task(self.drain(endpoint, connection, rest))
         self.draining.add(task)
         task.add_done_callback(self.draining.discard)
         return True
 
-    async def drain(self, endpoint: str, connection: Connection, rest: Coroutine[Any, Any, None]) -> None:
+    async def drain(
+        self, endpoint: str, connection: ClientConnection, rest: Coroutine[Any, Any, None]
+    ) -> None:
         kept = False
         try:
             async with asyncio.timeout(BODY_PATIENCE):
@@ -323,7 +325,7 @@
 
     # The pool.
 
-    def take_idle(self, endpoint: str) -> Connection | None:
+    def take_idle(self, endpoint: str) -> ClientConnection | None:
         """The connection used last. Guards against one that the receiver closes as the request goes."""
         while kept := self.pool.get(endpoint):
             connection = kept[-1]
@@ -333,13 +335,13 @@
             self.drop(connection)
         return None
 
-    def leave_pool(self, connection: Connection) -> None:
+    def leave_pool(self, connection: ClientConnection) -> None:
         endpoint = self.idle.pop(connection)
         self.pool[endpoint].remove(connection)
         if not self.pool[endpoint]:
             del self.pool[endpoint]
 
-    def keep(self, endpoint: str, connection: Connection) -> bool:
+    def keep(self, endpoint: str, connection: ClientConnection) -> bool:
         now = asyncio.get_running_loop().time()
         retired = now - connection.opened_at >= self.retires(endpoint)
         if retired or self.dials().get(endpoint) != connection.address:
@@ -349,22 +351,22 @@
         self.idle[connection] = endpoint
         return True
 
-    def too_old(self, connection: Connection) -> bool:
+    def too_old(self, connection: ClientConnection) -> bool:
         now = asyncio.get_running_loop().time()
         return now - connection.idle_since >= self.idle_limit or now >= connection.retires_at
 
-    def tidy(self) -> None:
+    def close_expired(self) -> None:
         """Called now and then, so that what nobody uses holds no descriptor."""
         for connection in [each for each in self.idle if self.too_old(each) or each.ended()]:
             self.close_one(connection)
 
-    def list_changed(self) -> None:
+    def endpoints_changed(self) -> None:
         """After each line of discovery: what is kept for an endpoint closes with it."""
         for connection, endpoint in list(self.idle.items()):
             if self.dials().get(endpoint) != connection.address:
                 self.close_one(connection)
 
-    def close_one(self, connection: Connection) -> None:
+    def close_one(self, connection: ClientConnection) -> None:
         self.leave_pool(connection)
         self.drop(connection)
 
--- a/message_sender/http/closing.py
+++ b/message_sender/http/connection_state.py
@@ -36,7 +36,7 @@
 LINGER = 0.5  # for the other side to read a last answer
 
 
-class State(Enum):
+class ConnectionState(Enum):
     SILENT = "silent"
     READING = "reading"
     TAKEN = "taken"
@@ -44,42 +44,42 @@
     LINGERING = "lingering"
 
 
-class Event(Enum):
+class ConnectionEvent(Enum):
     DUE = "its time is over"
     ROOM = "its descriptor is wanted"
     LAST = "the process ends"
     GONE = "it has broken"
 
 
-class Step(Enum):
+class ConnectionAction(Enum):
     STAY = "stay"
     REFUSE = "answer that it is not read to its end, and shut"
     SHUT = "shut"
     CLOSE = "close"
 
 
-def limit(state: State, away: bool) -> float:
+def limit(state: ConnectionState, away: bool) -> float:
     """How long it may be in this state. `away`: what stands idle is sent away too."""
     match state:
-        case State.SILENT:
+        case ConnectionState.SILENT:
             return LINGER if away else READ_LIMIT
-        case State.READING:
+        case ConnectionState.READING:
             return READ_LIMIT
-        case State.RESTING:
+        case ConnectionState.RESTING:
             return 0.0 if away else IDLE_LIMIT
-        case State.LINGERING:
+        case ConnectionState.LINGERING:
             return LINGER
     return math.inf
 
 
-def decide(state: State, event: Event, busy: bool) -> Step:
+def decide(state: ConnectionState, event: ConnectionEvent, busy: bool) -> ConnectionAction:
     """`busy`: bytes lie unread, or wait to be written."""
-    if event is Event.GONE:
-        return Step.CLOSE
-    if state is State.LINGERING:
-        return Step.STAY if event is Event.LAST else Step.CLOSE
-    if state is State.READING and event is not Event.ROOM:
-        return Step.REFUSE
-    if state in (State.TAKEN, State.READING) or busy:
-        return Step.STAY
-    return Step.CLOSE if event is Event.ROOM else Step.SHUT
+    if event is ConnectionEvent.GONE:
+        return ConnectionAction.CLOSE
+    if state is ConnectionState.LINGERING:
+        return ConnectionAction.STAY if event is ConnectionEvent.LAST else ConnectionAction.CLOSE
+    if state is ConnectionState.READING and event is not ConnectionEvent.ROOM:
+        return ConnectionAction.REFUSE
+    if state in (ConnectionState.TAKEN, ConnectionState.READING) or busy:
+        return ConnectionAction.STAY
+    return ConnectionAction.CLOSE if event is ConnectionEvent.ROOM else ConnectionAction.SHUT
--- a/message_sender/http/platform.py
+++ b/message_sender/http/discovery.py
@@ -10,10 +10,11 @@
 
 import h11
 
-from message_sender import interface as face
-from message_sender.core.ports import End, State
-from message_sender.http.codec import BROKEN, Address, Connection, address_from
-from message_sender.http.objects import Objects
+from message_sender.core.ports import Completion, CompletionState
+from message_sender.http.codec import BROKEN, Address, ClientConnection, address_from
+from message_sender.http.json_stream import JsonStream
+from message_sender.policy.events import EndpointsUpdated
+from message_sender.policy.model import Endpoint, EndpointState, ListingKind
 
 # What discovery has had for 6 s, and could be reached for, counts as told, whatever call failed before
 # (schedule.ListCalls). A watch may fall silent right behind a line: that takes SILENCE to see, and a call.
@@ -29,13 +30,13 @@
 MOVE_PAUSE = (
     0.2  # s between tries to hear a new address's list: what it tells counts as told 4 s after SIGHUP
 )
-STATES = {State.REFUSED: "returned", State.FAILED: "failed"}
+STATES = {CompletionState.REFUSED: "returned", CompletionState.FAILED: "failed"}
 UNREADABLE = (ValueError, KeyError, TypeError, AttributeError, ArithmeticError, RecursionError)
 
 log = logging.getLogger(__name__)
 
 
-async def expect_ok(connection: Connection) -> None:
+async def expect_ok(connection: ClientConnection) -> None:
     if (status := (await connection.response()).status_code) != 200:
         raise ConnectionError(f"discovery answered {status}")
 
@@ -47,17 +48,17 @@
     return told
 
 
-class Listed:
+class EndpointList:
     """One line of discovery: a version and the endpoints in it."""
 
     def __init__(self, told: dict[str, Any]) -> None:
         self.seq, self.whole = int(told["seq"]), bool(told["whole"])
         self.dials: dict[str, Address] = {each["host"]: address_from(each["dial"]) for each in told["hosts"]}
         self.endpoints = tuple(
-            face.Endpoint(
+            Endpoint(
                 id=text(each["host"]),
                 destination=int(each["block"]),
-                state=face.EndpointState(each["health"]),
+                state=EndpointState(each["health"]),
                 kind=text(each.get("class", "")),
                 zone=text(each.get("site", "")),
                 scale=float(each.get("share", 1)),
@@ -70,8 +71,8 @@
     def __init__(
         self,
         address: Address,
-        known: Listed,
-        listed: Callable[[face.EndpointsListed], None],
+        known: EndpointList,
+        listed: Callable[[EndpointsUpdated], None],
         answered: Callable[[str], None],
         call: float = CALL,
     ) -> None:
@@ -83,8 +84,8 @@
         self.dials = dict(known.dials)
         self.destinations = {each.destination for each in known.endpoints}  # all that a list ever named
         self.heard = False  # whether a line has come in this process
-        self.line: Connection | None = None  # the watch that is up
-        self.objects = Objects(LINE_LIMIT)  # of it
+        self.line: ClientConnection | None = None  # the watch that is up
+        self.objects = JsonStream(LINE_LIMIT)  # of it
         self.line_due = 0.0  # s, the loop's: its next line comes before, or it is dead
         self.trouble: Exception | None = None  # what a look at it met
         self.notices: dict[str, str] = {}
@@ -111,7 +112,7 @@
             if self.seq is not None:
                 break
             await asyncio.sleep(MOVE_PAUSE)
-        self.listed(face.EndpointsListed(face.Listing.FAILED))
+        self.listed(EndpointsUpdated(ListingKind.FAILED))
 
     async def watch_once(self, address: Address) -> None:
         """Returns once another address has told its list; any other end raises."""
@@ -119,15 +120,15 @@
             whole = await self.ask(address, "/registry/instances")
             if address != self.address:
                 return
-            self.read(Listed(json.loads(whole)))
+            self.read(EndpointList(json.loads(whole)))
         async with self.calling(address, f"/registry/instances?watch=1&after={self.seq}") as connection:
             await self.read_lines(connection, address)
 
     @asynccontextmanager
-    async def calling(self, address: Address, target: str) -> AsyncIterator[Connection]:
+    async def calling(self, address: Address, target: str) -> AsyncIterator[ClientConnection]:
         """A call that was answered with 200, within its time from here on; what follows is the caller's."""
         async with asyncio.timeout(self.call):
-            connection = await Connection.open(address)
+            connection = await ClientConnection.open(address)
             try:
                 await connection.send("GET", target, {})
                 await expect_ok(connection)
@@ -149,8 +150,8 @@
                     raise ValueError("the list is too long")
         return bytes(body)
 
-    async def read_lines(self, connection: Connection, address: Address) -> None:
-        self.line, self.objects, self.trouble = connection, Objects(LINE_LIMIT), None
+    async def read_lines(self, connection: ClientConnection, address: Address) -> None:
+        self.line, self.objects, self.trouble = connection, JsonStream(LINE_LIMIT), None
         self.line_came()
         try:
             while not self.replaced(address):
@@ -167,7 +168,7 @@
         """Whether another address has told its list."""
         return address != self.address and self.seq is not None
 
-    def look(self) -> None:
+    def poll_unread(self) -> None:
         """Reads what the watch has told and the loop has not come to hear yet."""
         if (connection := self.line) and connection.look():
             try:
@@ -178,7 +179,7 @@
     def line_came(self) -> None:
         self.line_due = asyncio.get_running_loop().time() + SILENCE
 
-    def read_ready(self, connection: Connection, address: Address) -> None:
+    def read_ready(self, connection: ClientConnection, address: Address) -> None:
         """The lines that have come whole."""
         while (event := connection.read_event()) is not None:
             if isinstance(event, h11.EndOfMessage):
@@ -188,22 +189,22 @@
                     return
                 self.line_came()
                 if told is not None:
-                    self.read(Listed(told), address)
+                    self.read(EndpointList(told), address)
 
-    def read(self, told: Listed, address: Address | None = None) -> None:
+    def read(self, told: EndpointList, address: Address | None = None) -> None:
         """One line, whole or not at all: what cannot be read has raised before anything is changed."""
         if told.whole:
             self.dials = {}
         self.dials.update(told.dials)  # in place: a change costs what it names, however long the list is
         for each in told.endpoints:
-            if each.state is face.EndpointState.GONE:
+            if each.state is EndpointState.GONE:
                 self.dials.pop(each.id, None)
         self.destinations |= {each.destination for each in told.endpoints}
         if address in (None, self.address):  # else it is a line of the address before
             self.seq = told.seq
         self.heard = True
-        listing = face.Listing.FULL if told.whole else face.Listing.CHANGES
-        self.listed(face.EndpointsListed(listing, told.endpoints))
+        listing = ListingKind.FULL if told.whole else ListingKind.CHANGES
+        self.listed(EndpointsUpdated(listing, told.endpoints))
 
     def knows(self, destination: int) -> bool:
         """Whether there ever was such a destination; one whose endpoints are all gone may come back."""
@@ -212,7 +213,7 @@
     def remember(self, destination: int) -> None:
         self.destinations.add(destination)
 
-    def tell(self, message: str, end: End) -> bool:
+    def notify(self, message: str, end: Completion) -> bool:
         """The end of a message; told again and again until it is answered. A delivery is no news here."""
         if end.state not in STATES:
             return False
@@ -234,7 +235,7 @@
                     if connection and (connection.address != self.address or connection.ended()):
                         connection.close()
                         connection = None
-                    connection = connection or await Connection.open(self.address)
+                    connection = connection or await ClientConnection.open(self.address)
                     status = await self.post(connection, "\n".join(sent.values()) + "\n")
                 if not connection.next_cycle():
                     connection.close()
@@ -264,7 +265,7 @@
             tries += 1
             await asyncio.sleep(NOTICE_PAUSE)
 
-    async def post(self, connection: Connection, body: str) -> int:
+    async def post(self, connection: ClientConnection, body: str) -> int:
         data = body.encode()
         await connection.send("POST", "/v1/notices", {"Content-Length": str(len(data))}, data)
         status = (await connection.response()).status_code
--- a/message_sender/http/usual.py
+++ b/message_sender/http/fast_path.py
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Request:
+class FastRequest:
     """As h11's event of the same name; names of fields are in small letters."""
 
     target: bytes
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Head:
+class ResponseHead:
     """Of an answer."""
 
     status_code: int
@@ -70,16 +70,16 @@
     return data[end:]
 
 
-def request(data: bytes, most: int) -> Request | None:
+def request(data: bytes, most: int) -> FastRequest | None:
     """The one request that `data` is, with a body of at most `most` bytes."""
     if not (match := REQUEST.match(data, 0, HEAD_MOST)) or not (read := fields_of(match[2])):
         return None
     headers, framing = read
     body = body_of(data, match.end(), framing, most)
-    return None if body is None or b"host" not in framing else Request(match[1], headers, body)
+    return None if body is None or b"host" not in framing else FastRequest(match[1], headers, body)
 
 
-def answer(data: bytes, most: int) -> Head | None:
+def answer(data: bytes, most: int) -> ResponseHead | None:
     """The head of the one answer that `data` is."""
     if not (match := ANSWER.match(data, 0, HEAD_MOST)) or not (read := fields_of(match[2])):
         return None
@@ -87,7 +87,7 @@
     status = int(match[1])
     if status in BODILESS or body_of(data, match.end(), framing, most) is None:
         return None
-    return Head(status, headers)
+    return ResponseHead(status, headers)
 
 
 def request_text(target: str, fields: list[tuple[bytes, bytes]], body: bytes) -> bytes | None:
--- a/message_sender/http/objects.py
+++ b/message_sender/http/json_stream.py
@@ -17,7 +17,7 @@
 BLANK = b" \t\r\n"
 
 
-class Objects:
+class JsonStream:
     def __init__(self, limit: int) -> None:
         self.limit = limit  # bytes
         self.rest = b""  # of a line that has begun
--- a/message_sender/http/server.py
+++ b/message_sender/http/server.py
@@ -14,14 +14,20 @@
 import h11
 
 from message_sender.admission.backlog import Backlog
-from message_sender.core.peer import Cause, Reports, cause_of
-from message_sender.core.ports import End, TurnedAway, Why
-from message_sender.core.witness import Seen, Witness
-from message_sender.http import usual
-from message_sender.http.closing import Event, State, Step, decide, limit
+from message_sender.core.ports import Completion, Rejected, RejectReason
+from message_sender.core.socket_errors import Cause, ErrorReports, cause_of
+from message_sender.core.traffic_observer import ObservedConnection, TrafficObserver
+from message_sender.http import fast_path
 from message_sender.http.codec import BODY_LIMIT, HEADER_LIMIT, READ_SIZE, Address, close, decimal, header
-from message_sender.interface import Effect, MessageClass
-from message_sender.message import HandedIn
+from message_sender.http.connection_state import (
+    ConnectionAction,
+    ConnectionEvent,
+    ConnectionState,
+    decide,
+    limit,
+)
+from message_sender.message import Message
+from message_sender.policy.model import Effect, MessageClass
 
 READY = "/health/ready"
 # A client that cannot be served is owed an error or a close within 3 s of connecting.
@@ -41,15 +47,15 @@
 log = logging.getLogger(__name__)
 
 
-class BadRequest(Exception):  # noqa: N818
+class BadRequestError(Exception):
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
         self.status = status
 
 
 def read_message(
-    request: h11.Request | usual.Request, body: bytes, began: int, classes: dict[str, MessageClass]
-) -> HandedIn:
+    request: h11.Request | fast_path.FastRequest, body: bytes, began: int, classes: dict[str, MessageClass]
+) -> Message:
     """`began` is when the request's first bytes were read: the client's time left runs from its sending."""
 
     fields = dict(reversed(request.headers))  # the first of each name
@@ -59,22 +65,22 @@
 
     def needed(name: str) -> str:
         if not (value := field(name)):
-            raise BadRequest(400, f"{name} is missing")
+            raise BadRequestError(400, f"{name} is missing")
         return value
 
     name = needed("X-Service-Class")
     first = request.target.decode("latin-1").lstrip("/").partition("?")[0].partition("/")[0]
     if name not in classes or first != name:
-        raise BadRequest(404, f"no class {name!r} at this path")
+        raise BadRequestError(404, f"no class {name!r} at this path")
     kind = classes[name]
     route = dict(part.strip().partition("=")[::2] for part in needed("X-Route-To").split(","))
     dest = route.get("dest", "")
     if not (dest.isascii() and dest.isdecimal() and len(dest) < 19):
-        raise BadRequest(400, f"X-Route-To holds no dest: {route}")
+        raise BadRequestError(400, f"X-Route-To holds no dest: {route}")
     if (told := decimal(needed("X-Time-Left"))) is None:
-        raise BadRequest(400, f"X-Time-Left cannot be {field('X-Time-Left')!r}")
+        raise BadRequestError(400, f"X-Time-Left cannot be {field('X-Time-Left')!r}")
     left = max(min(int(told * 1e6), kind.deadline) - ON_THE_WAY, 0)
-    return HandedIn(
+    return Message(
         id=needed("X-Correlation-Id"),
         message_class=name,
         destination=int(dest),
@@ -89,10 +95,10 @@
     )
 
 
-class SeenTransport:
+class ObservedTransport:
     """A transport that tells a witness what is written. Everything else is the transport's own."""
 
-    def __init__(self, transport: asyncio.Transport, seen: Seen) -> None:
+    def __init__(self, transport: asyncio.Transport, seen: ObservedConnection) -> None:
         self.transport, self.seen = transport, seen
 
     def write(self, data: bytes) -> None:
@@ -107,7 +113,7 @@
         return getattr(self.transport, name)
 
 
-class Connection(asyncio.BufferedProtocol):
+class ServerConnection(asyncio.BufferedProtocol):
     """One client's connection: one request at a time."""
 
     transport: asyncio.Transport = None  # type: ignore[assignment]  # until it is up
@@ -117,7 +123,7 @@
         self.codec = h11.Connection(h11.SERVER, max_incomplete_event_size=HEADER_LIMIT)
         self.began: int | None = None  # us, wall clock: when the request at hand began to come
         self.since = server.loop.time()  # s: when the wait at hand began: for its request, or for it to leave
-        self.request: h11.Request | usual.Request | None = None
+        self.request: h11.Request | fast_path.FastRequest | None = None
         self.pending = b""  # what may be a usual request, of which the codec has not heard
         self.raw = bytearray()  # what the codec has heard of a request that is not answered yet
         self.stashed = b""  # read while nothing is taken in, and told to nobody
@@ -126,15 +132,15 @@
         self.answering = self.discarding = False
         self.proven = self.queued = False  # has asked for what could be given; waits to be read on
         self.handed_in = False  # ever
-        self.seen: Seen | None = None
+        self.seen: ObservedConnection | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         if self.server.witness:
             ends = transport.get_extra_info("peername"), transport.get_extra_info("sockname")
-            self.seen = Seen(self.server.witness, *ends)
-            self.transport = cast(asyncio.Transport, SeenTransport(transport, self.seen))
+            self.seen = ObservedConnection(self.server.witness, *ends)
+            self.transport = cast(asyncio.Transport, ObservedTransport(transport, self.seen))
         if self not in self.server.connections:
             transport.abort()  # closed to make room before it was up
         elif self.server.frozen:
@@ -162,7 +168,7 @@
     def broke(self, error: Exception, doing: str) -> None:
         """Whatever a call on this client's socket raised ends this connection and touches nobody else."""
         self.server.reports.tell(error, doing)
-        self.meets(Event.GONE)
+        self.meets(ConnectionEvent.GONE)
 
     def connection_lost(self, error: Exception | None) -> None:
         if self.seen:
@@ -223,14 +229,14 @@
 
     def take_usual(self) -> bool:
         """A usual request that lies there whole is at hand; whatever else lies there is the codec's."""
-        if self.pending and (found := usual.request(self.pending, BODY_LIMIT)):
+        if self.pending and (found := fast_path.request(self.pending, BODY_LIMIT)):
             self.request, self.body, self.pending = found, bytearray(found.body), b""
             self.answering = True
             return True
         self.tell_codec()
         return False
 
-    def turn_away_unread(self, request: usual.Request) -> None:
+    def turn_away_unread(self, request: fast_path.FastRequest) -> None:
         """The codec has not seen this request, and the connection stands as it did before."""
         self.handed_in = self.proven = True
         self.since = self.server.loop.time()
@@ -264,11 +270,11 @@
                 elif isinstance(event, h11.Data):
                     self.body += event.data
                     if len(self.body) > BODY_LIMIT:
-                        raise BadRequest(413, "the body is too long")
+                        raise BadRequestError(413, "the body is too long")
                 elif isinstance(event, h11.EndOfMessage):
                     self.answering = True
                     self.act()
-        except BadRequest as error:
+        except BadRequestError as error:
             self.refuse(error.status, str(error))
         except h11.RemoteProtocolError as error:
             self.refuse(error.error_status_hint, str(error))
@@ -278,13 +284,13 @@
     def check_head(self, request: h11.Request) -> None:
         # The codec bounds only a head that is still coming, not one that came at once.
         if len(request.target) + sum(len(k) + len(v) for k, v in request.headers) > HEADER_LIMIT:
-            raise BadRequest(431, "the head is too long")
+            raise BadRequestError(431, "the head is too long")
         length = header(request.headers, b"content-length")
         # Two lengths may hide a second request in the body: nothing behind such a head is believed.
         if length and header(request.headers, b"transfer-encoding"):
-            raise BadRequest(400, "both Content-Length and Transfer-Encoding")
+            raise BadRequestError(400, "both Content-Length and Transfer-Encoding")
         if length and int(length) > BODY_LIMIT:
-            raise BadRequest(413, "the body is too long")
+            raise BadRequestError(413, "the body is too long")
 
     def act(self) -> None:
         assert self.request is not None and self.began is not None
@@ -295,8 +301,8 @@
             try:
                 message = read_message(self.request, bytes(self.body), self.began, self.server.classes)
                 if not self.server.named(message.destination):
-                    raise BadRequest(404, f"no destination {message.destination}")
-            except BadRequest as error:
+                    raise BadRequestError(404, f"no destination {message.destination}")
+            except BadRequestError as error:
                 self.answer(error.status, text=str(error))
             else:
                 self.handed_in = True
@@ -314,7 +320,7 @@
             headers.append(("Retry-After", f"{retry_after / 1e6:.3f}"))
         if close:
             headers.append(("Connection", "close"))
-        if isinstance(self.request, usual.Request):
+        if isinstance(self.request, fast_path.FastRequest):
             lines = "".join(f"{name}: {value}\r\n" for name, value in headers)
             self.transport.write(f"HTTP/1.1 {status} \r\n{lines}\r\n".encode() + body)
             return
@@ -337,7 +343,7 @@
         if self.transport.is_closing():
             return
         self.respond(status, retry_after, text, close=self.server.stopping)
-        quick = isinstance(self.request, usual.Request)
+        quick = isinstance(self.request, fast_path.FastRequest)
         if self.server.stopping if quick else self.must_leave():
             self.leave()
             return
@@ -382,30 +388,31 @@
             self.transport.write_eof()  # raises where the answer has just met a client that had closed
             self.transport.resume_reading()
 
-    def state(self) -> State:
+    def state(self) -> ConnectionState:
         if self.discarding:
-            return State.LINGERING
+            return ConnectionState.LINGERING
         if self.answering:
-            return State.TAKEN
+            return ConnectionState.TAKEN
         if self.began is not None or self.stashed:
-            return State.READING
-        return State.SILENT if self in self.server.silent else State.RESTING
+            return ConnectionState.READING
+        return ConnectionState.SILENT if self in self.server.silent else ConnectionState.RESTING
 
-    def meets(self, event: Event) -> bool:
-        """What becomes of it now, as the one machine for that decides (http/closing.py); whether it ended."""
+    def meets(self, event: ConnectionEvent) -> bool:
+        """What becomes of it now, as the one machine for that decides (http/connection_state.py); whether it
+        ended."""
         step = decide(self.state(), event, self.is_busy())
         try:
-            if step is Step.REFUSE:
-                late = event is Event.DUE
+            if step is ConnectionAction.REFUSE:
+                late = event is ConnectionEvent.DUE
                 self.refuse(408 if late else 503, "the request did not come in time" if late else "")
-            elif step is Step.SHUT and self.transport:
+            elif step is ConnectionAction.SHUT and self.transport:
                 self.leave()
         except Exception as error:
             self.server.reports.tell(error, "ending a connection")
-            step = Step.CLOSE
-        if step is Step.CLOSE:
+            step = ConnectionAction.CLOSE
+        if step is ConnectionAction.CLOSE:
             self.close()
-        return step is Step.CLOSE
+        return step is ConnectionAction.CLOSE
 
     def has_unread(self, events: int = select.POLLIN) -> bool:
         poll = select.poll()
@@ -414,21 +421,21 @@
 
     # As a caller of the engine's: it hears that its message is taken on, and the platform hears the end.
 
-    def taken(self) -> bool:
+    def accepted(self) -> bool:
         self.answer(202)
         return False
 
-    def turned_away(self, told: TurnedAway) -> None:
-        text = "this id is another message's" if told.why is Why.OTHER_ID else ""
-        self.answer(429 if told.why is Why.REFUSED else 503, told.retry_after, text)
+    def rejected(self, told: Rejected) -> None:
+        text = "this id is another message's" if told.why is RejectReason.OTHER_ID else ""
+        self.answer(429 if told.why is RejectReason.REFUSED else 503, told.retry_after, text)
 
-    def given_up(self) -> None:
+    def withdrawn(self) -> None:
         self.transport.close()
 
-    def ended(self, end: End) -> None:
+    def completed(self, end: Completion) -> None:
         """It never waits: `taken` says so."""
 
-    def gone(self) -> bool:
+    def is_gone(self) -> bool:
         """Whether the client has closed already, though the loop has not come to read that. Never raises; one
         that cannot be asked is answered like any other."""
         try:
@@ -453,7 +460,7 @@
     def expire(self) -> None:
         """Guards the descriptors from clients that never finish, or never come back."""
         if self.server.loop.time() - self.since > limit(self.state(), self.server.away):
-            self.meets(Event.DUE)
+            self.meets(ConnectionEvent.DUE)
 
 
 class Server:
@@ -463,7 +470,7 @@
     def __init__(
         self,
         classes: dict[str, MessageClass],
-        take: Callable[[HandedIn, Connection], None],
+        take: Callable[[Message, ServerConnection], None],
         now: Callable[[], int],
         most: int,
         lingering: int = 16,
@@ -479,21 +486,24 @@
         self.loop = asyncio.get_running_loop()
         self.empty = asyncio.Event()  # set as the last connection goes
         self.buffer = bytearray(READ_SIZE)  # one for all: what came is copied before another one reads
-        self.connections: set[Connection] = set()
+        self.connections: set[ServerConnection] = set()
         # Of these, each in the order in which it came to be so:
-        self.silent: dict[Connection, None] = {}  # never spoke
-        self.strangers: dict[Connection, None] = {}  # between requests, and never handed a message in
-        self.idle: dict[Connection, None] = {}  # between requests
-        self.leaving: dict[Connection, None] = {}  # have had their last answer
-        self.to_read: tuple[deque[Connection], deque[Connection]] = (deque(), deque())  # proven first
+        self.silent: dict[ServerConnection, None] = {}  # never spoke
+        self.strangers: dict[ServerConnection, None] = {}  # between requests, and never handed a message in
+        self.idle: dict[ServerConnection, None] = {}  # between requests
+        self.leaving: dict[ServerConnection, None] = {}  # have had their last answer
+        self.to_read: tuple[deque[ServerConnection], deque[ServerConnection]] = (
+            deque(),
+            deque(),
+        )  # proven first
         self.backlog = Backlog(self.loop.time(), max(int(most * WAITING_SHARE), 1))
         self.ready = self.stopping = False
         self.frozen = False  # nothing is read or taken in for now
         self.away = False  # what stands idle is closed too
         self.refused_unread: Callable[[str], None] = lambda message_class: None
         self.accepted = 0  # ever
-        self.reports = Reports()
-        self.witness: Witness | None = None  # of connections that come from now on
+        self.reports = ErrorReports()
+        self.witness: TrafficObserver | None = None  # of connections that come from now on
         self.listener: socket.socket | None = None
         self.place: Address | None = None  # where it listens, with the port that the system gave
 
@@ -508,7 +518,7 @@
         assert self.place is not None
         return self.place
 
-    def read_on(self, connection: Connection) -> None:
+    def read_on(self, connection: ServerConnection) -> None:
         if not connection.queued:
             connection.queued = True
             if not any(self.to_read):
@@ -534,18 +544,18 @@
         if proven or others:
             self.loop.call_soon(self.read_some)
 
-    def read_first(self, line: deque[Connection]) -> None:
+    def read_first(self, line: deque[ServerConnection]) -> None:
         connection = line.popleft()
         connection.queued = False
         self.backlog.taken_up(self.loop.time())
         connection.advance()
 
-    def turns_away(self, data: memoryview) -> usual.Request | None:
+    def turns_away(self, data: memoryview) -> fast_path.FastRequest | None:
         """What has come, where it is a whole request that is refused unread, as the backlog decides. One that
         is taken on already hears so: a refusal would say that it may be handed in elsewhere."""
         if not (self.ready and self.backlog.refuses(self.loop.time())):
             return None
-        found = usual.request(bytes(data), BODY_LIMIT)
+        found = fast_path.request(bytes(data), BODY_LIMIT)
         name = header(found.headers, b"x-correlation-id") if found else None
         return found if name and not self.known(name) else None
 
@@ -589,12 +599,12 @@
         if len(self.connections) >= self.most + self.lingering:
             close(sock)
             return
-        self.hold(Connection(self, sock))
+        self.hold(ServerConnection(self, sock))
 
     def adopt(self, sock: socket.socket, read: bytes, began: int | None, handed_in: bool) -> None:
         """A connection that another process has served: what that one has read of a request, and when (us)
         that began to come."""
-        connection = Connection(self, sock)
+        connection = ServerConnection(self, sock)
         connection.stashed, connection.began = read, began if read else None
         connection.handed_in = handed_in
         self.hold(connection)
@@ -603,7 +613,7 @@
         if handed_in and not read:
             self.idle[connection] = None
 
-    def hold(self, connection: Connection) -> None:
+    def hold(self, connection: ServerConnection) -> None:
         sock = connection.sock
         try:
             sock.setblocking(False)
@@ -631,7 +641,7 @@
             log.error("no connection can be taken yet: %s", error)
             self.loop.call_later(ACCEPT_PAUSE, self.accept_again)
 
-    def taken_in(self, task: asyncio.Task[Any], connection: Connection) -> None:
+    def taken_in(self, task: asyncio.Task[Any], connection: ServerConnection) -> None:
         if task.cancelled() or task.exception():
             self.forget(connection)
             if connection.transport:
@@ -643,10 +653,10 @@
         """Guards usual clients from crowds that only connect, or only ask whether the sender is ready. One
         whose request has come but is not read yet serves somebody, and so may one that says nothing yet."""
         for connection in self.spare():
-            if connection.meets(Event.ROOM):
+            if connection.meets(ConnectionEvent.ROOM):
                 return
 
-    def spare(self) -> Iterator[Connection]:
+    def spare(self) -> Iterator[ServerConnection]:
         """Those that serve nobody now, the ones missed least first, and of each kind the oldest."""
         now = self.loop.time()
         yield from self.leaving
@@ -658,7 +668,7 @@
         yield from self.idle
         yield from self.silent
 
-    def forget(self, connection: Connection) -> None:
+    def forget(self, connection: ServerConnection) -> None:
         self.connections.discard(connection)
         if not self.connections:
             self.empty.set()
@@ -692,7 +702,7 @@
                 connection.transport.resume_reading()
                 connection.unstash()
 
-    def let_go(self, pass_on: Callable[[Connection, bytes, Callable[[], None]], None]) -> None:
+    def let_go(self, pass_on: Callable[[ServerConnection, bytes, Callable[[], None]], None]) -> None:
         """Of a frozen one: another process takes the listener and the connections, each with what has been
         read of a request; this one's hold on it ends with the call that `pass_on` is given. Those whose last
         answer is still under way end here."""
@@ -738,7 +748,7 @@
         self.send_away()
         self.close()
         for connection in list(self.connections):
-            connection.meets(Event.LAST)
+            connection.meets(ConnectionEvent.LAST)
         self.empty.clear()
         if self.connections:
             with contextlib.suppress(TimeoutError):
--- a/message_sender/http/unread.py
+++ b/message_sender/http/unread_sockets.py
@@ -7,30 +7,30 @@
 
 import select
 
-from message_sender.http.codec import Connection
+from message_sender.http.codec import ClientConnection
 
 
-class Unread:
+class UnreadSockets:
     """Connections are added once they are up, and taken out before their sockets close."""
 
     def __init__(self) -> None:
         """Raises OSError where no descriptor is left."""
         self.epoll = select.epoll()
-        self.watched: dict[int, Connection] = {}
+        self.watched: dict[int, ClientConnection] = {}
 
-    def add(self, connection: Connection) -> None:
+    def add(self, connection: ClientConnection) -> None:
         """Raises OSError where the system takes no more of them (EPERM, ENOSPC, ENOMEM of epoll_ctl(2))."""
         number = connection.sock.fileno()
         self.epoll.register(number, select.EPOLLIN)
         self.watched[number] = connection
 
-    def discard(self, connection: Connection) -> None:
+    def discard(self, connection: ClientConnection) -> None:
         number = connection.sock.fileno()
         if number >= 0 and number in self.watched:
             del self.watched[number]
             self.epoll.unregister(number)
 
-    def ready(self) -> list[Connection]:
+    def ready(self) -> list[ClientConnection]:
         """Those with unread bytes, an end or an error. Never waits."""
         if not self.watched:
             return []
--- a/message_sender/journal/answers.py
+++ b/message_sender/journal/answer_store.py
@@ -17,7 +17,7 @@
 log = logging.getLogger(__name__)
 
 
-class Answers:
+class AnswerStore:
     def __init__(self, folder: Path, most: int = 4096) -> None:
         """Opens the file and reads it. Raises OSError where it cannot; a torn or damaged line is dropped."""
         self.folder, self.most, self.lost = folder, most, 0
--- a/message_sender/journal/tally.py
+++ b/message_sender/journal/checkpoints.py
@@ -130,7 +130,7 @@
         if len(content) < len(expected) or sum(a != b for a, b in pairs) > PROOF_DAMAGE:
             return False
         rest, proven = content[len(expected) :], hole.at + len(expected) < self.durable
-        return not rest or records.kind_of(rest, proven) is records.Kind.NEVER_WRITTEN
+        return not rest or records.kind_of(rest, proven) is records.HoleKind.NEVER_WRITTEN
 
     def seen_before(self, at: int) -> Tally:
         return self.seen[bisect_left(self.starts, at)]
--- a/message_sender/journal/rewriting.py
+++ b/message_sender/journal/compaction.py
@@ -19,11 +19,11 @@
 from contextlib import suppress
 from dataclasses import dataclass, field
 
-from message_sender.journal.contents import Contents
+from message_sender.journal.checkpoints import Tally
+from message_sender.journal.contents import JournalContents
 from message_sender.journal.disk import Disk
-from message_sender.journal.file import COMPACTED, FILE
-from message_sender.journal.lines import whole_record
-from message_sender.journal.tally import Tally
+from message_sender.journal.payloads import whole_record
+from message_sender.journal.process_journal import COMPACTED, FILE
 
 GUARD = COMPACTED
 NEXT, BALLAST = "journal.next", "journal.room"
@@ -34,7 +34,7 @@
 
 
 @dataclass(slots=True)
-class Anew:
+class ReplacementFile:
     """A file that takes the journal's place."""
 
     file: int
@@ -48,13 +48,13 @@
     tally: Tally = field(default_factory=Tally)  # of its records
 
 
-class Rewriting(Contents):
+class CompactingJournal(JournalContents):
     """Contents with a file on a disk, and a second one while it is written anew."""
 
     step_size = STEP
     disk: Disk
     gather: float | None
-    anew: Anew | None
+    anew: ReplacementFile | None
     task: asyncio.Task[None] | None
     mark: int  # bytes of the file that are durable
     tally: Tally | None  # of the file's records; None: it goes on with records that were not counted
@@ -63,7 +63,7 @@
         """A sync begins after so many seconds at the latest."""
         raise NotImplementedError
 
-    def write_anew(self, anew: Anew, data: bytes) -> bool:
+    def write_anew(self, anew: ReplacementFile, data: bytes) -> bool:
         try:
             self.disk.write(anew.file, data)
         except OSError as error:
@@ -75,7 +75,7 @@
         anew.size += len(data)
         return True
 
-    def add_to_anew(self, anew: Anew, record: bytes) -> bool:
+    def add_to_anew(self, anew: ReplacementFile, record: bytes) -> bool:
         """A record that came meanwhile."""
         if anew.whole:
             return self.write_anew(anew, record)
@@ -90,14 +90,14 @@
         log.warning("journal: the disk is full: the room kept for ends is used from now on")
         return True
 
-    def name_anew(self, anew: Anew) -> None:
+    def name_anew(self, anew: ReplacementFile) -> None:
         """Away from the loop. From the first sync on, all that anybody heard of is in either file."""
         self.disk.sync(anew.file)
         anew.named = True
         self.disk.replace(self.folder / NEXT, self.folder / FILE)
         self.disk.sync_folder(self.folder)
 
-    def take_place(self, anew: Anew, durable: int) -> None:
+    def take_place(self, anew: ReplacementFile, durable: int) -> None:
         """`durable`: bytes of it that are."""
         self.disk.close(self.file)
         self.file, self.size, self.anew = anew.file, anew.size, None
@@ -112,15 +112,15 @@
             anew.whole = self.write_anew(anew, self.snapshot(anew.tally))
         return self.anew is not None
 
-    def open_anew(self) -> Anew | None:
+    def open_anew(self) -> ReplacementFile | None:
         try:
-            self.anew = Anew(self.disk.open(self.folder / NEXT, fresh=True))
+            self.anew = ReplacementFile(self.disk.open(self.folder / NEXT, fresh=True))
         except OSError as error:
             log.error("journal: not written anew: %s", error)
             self.anew = None
         return self.anew
 
-    def step(self, anew: Anew, parts: Iterator[bytes]) -> None:
+    def step(self, anew: ReplacementFile, parts: Iterator[bytes]) -> None:
         """Writes some more of it."""
         if self.anew is not anew or self.file < 0:
             return  # it was given up meanwhile
--- a/message_sender/journal/contents.py
+++ b/message_sender/journal/contents.py
@@ -18,11 +18,11 @@
 from dataclasses import dataclass
 from typing import Any
 
-from message_sender.interface import Outcome
 from message_sender.journal import records
-from message_sender.journal.file import Attempt, Entry, Journal, lines_of
-from message_sender.journal.lines import Over, doubt_line, over_line, verdict_line, whole_record
-from message_sender.journal.tally import Comparison, Tally
+from message_sender.journal.checkpoints import Comparison, Tally
+from message_sender.journal.payloads import FinishedMessage, doubt_line, over_line, verdict_line, whole_record
+from message_sender.journal.process_journal import AttemptRecord, Journal, JournalEntry, lines_of
+from message_sender.policy.model import Outcome
 
 OVER = 4096  # messages that are over and still known by their ids
 NAMED = 30  # messages that are named in a line of the log
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Before:
+class PreviousRun:
     """What the file tells of the life before."""
 
     boot: str  # the machine's, "" where none is told
@@ -41,16 +41,16 @@
     dropped: int = 0  # bytes at the end that were never durable
 
 
-class Contents(Journal):
+class JournalContents(Journal):
     """State and its records; where and when they are written is its subclasses' part."""
 
     def begin_contents(self) -> None:
         """Begins with nothing."""
-        self.over_ids: dict[str, Over] = {}  # the oldest first
+        self.over_ids: dict[str, FinishedMessage] = {}  # the oldest first
         self.marks: list[dict[str, Any]] = []
         self.lost: dict[str, None] = {}  # ids of messages whose `taken` cannot be read, as far as known
         self.last = 0
-        self.before = Before("", False, 0)
+        self.before = PreviousRun("", False, 0)
         self.reading = records.read(b"")
 
     # What a file tells.
@@ -62,7 +62,7 @@
                 self.apply(json.loads(line), len(line) + 1)
             except (ValueError, KeyError, TypeError, AttributeError) as error:
                 log.warning("journal: a record of the old form is dropped: %s", error)
-        self.before = Before("", False, self.last)
+        self.before = PreviousRun("", False, self.last)
         log.info("journal: %d messages carried over from the old form", len(self.entries))
 
     def replay_checked(self, data: bytes) -> None:
@@ -81,7 +81,7 @@
         nothing: dict[str, Any] = {}
         began = next((each for each in reversed(self.marks) if "began" in each), nothing)
         clean = bool(self.marks) and "closed" in self.marks[-1]
-        self.before = Before(str(began.get("began", "")), clean, self.last, found.holes, found.tail)
+        self.before = PreviousRun(str(began.get("began", "")), clean, self.last, found.holes, found.tail)
         self.marks = []
 
     def replay_record(self, record: records.Record) -> None:
@@ -118,7 +118,7 @@
                 entry.verdict = str(record["verdict"]), int(record["after"])
                 self.grow(record["of"], size)
         elif "over" in record:
-            self.know_over(record["over"], Over(record["at"], record["state"], record["key"]))
+            self.know_over(record["over"], FinishedMessage(record["at"], record["state"], record["key"]))
         elif "doubt" in record:
             if entry := self.entries.get(record["doubt"]):
                 entry.doubtful = True
@@ -130,17 +130,17 @@
             self.apply_outcome(record, size)
         elif "journal" not in record:
             if "end" in record and "state" in record:
-                self.know_over(record["end"], Over(record["at"], record["state"], record["key"]))
+                self.know_over(record["end"], FinishedMessage(record["at"], record["state"], record["key"]))
             super().apply(record, size)
 
     def apply_outcome(self, record: dict[str, Any], size: int) -> None:
         """Also of an attempt whose `sent` cannot be read: when it began is not known then."""
         attempts = self.entries[record["of"]].attempts
-        attempt = attempts.setdefault(int(record["number"]), Attempt(0, "", ""))
+        attempt = attempts.setdefault(int(record["number"]), AttemptRecord(0, "", ""))
         attempt.outcome = Outcome(record["outcome"])
         self.grow(record["of"], size)
 
-    def know_over(self, name: str, over: Over) -> None:
+    def know_over(self, name: str, over: FinishedMessage) -> None:
         self.lost.pop(name, None)
         self.over_ids[name] = over
         if len(self.over_ids) > OVER:
@@ -159,7 +159,7 @@
                 del left[name]
                 yield self.told_of(name, self.entries[name], tally)
 
-    def told_of(self, name: str, entry: Entry, tally: Tally) -> bytes:
+    def told_of(self, name: str, entry: JournalEntry, tally: Tally) -> bytes:
         lines = list(lines_of(entry))
         if entry.doubtful:
             lines.append(doubt_line(name))
@@ -177,7 +177,7 @@
         body = b"".join(self.told(dict.fromkeys(self.entries), tally))
         return whole_record(len(body), tally) + body
 
-    def resting(self, quiet: int) -> set[str]:
+    def resting_keys(self, quiet: int) -> set[str]:
         """Keys of messages that had ended so shortly before, in us, that they may rest still. How long the
         power was away is not asked: the machine's clock may have lost that."""
         over = {each.key for each in self.over_ids.values() if each.at >= self.last - quiet}
--- a/message_sender/journal/disk.py
+++ b/message_sender/journal/disk.py
@@ -43,7 +43,7 @@
         """Waits for a job that is under way. None is run after it."""
 
 
-class Files:
+class SystemDisk:
     """The operating system's."""
 
     def __init__(self) -> None:
--- a/message_sender/journal/durable.py
+++ b/message_sender/journal/durable.py
@@ -29,13 +29,13 @@
 from functools import partial
 from pathlib import Path
 
-from message_sender.interface import Outcome
 from message_sender.journal import records
-from message_sender.journal.disk import Disk, Files
-from message_sender.journal.file import FILE, Attempt, attempt_line, end_line, outcome_line
-from message_sender.journal.lines import Over, over_text, verdict_line
-from message_sender.journal.rewriting import Anew, Rewriting
-from message_sender.journal.tally import proof_record
+from message_sender.journal.checkpoints import proof_record
+from message_sender.journal.compaction import CompactingJournal, ReplacementFile
+from message_sender.journal.disk import Disk, SystemDisk
+from message_sender.journal.payloads import FinishedMessage, over_text, verdict_line
+from message_sender.journal.process_journal import FILE, AttemptRecord, attempt_line, end_line, outcome_line
+from message_sender.policy.model import Outcome
 
 DAMAGED = "journal.damaged"
 LAZY = 0.05  # s after which what nobody waits for is synced all the same
@@ -44,7 +44,7 @@
 log = logging.getLogger(__name__)
 
 
-class DurableJournal(Rewriting):
+class DurableJournal(CompactingJournal):
     durable = True
 
     def __init__(
@@ -60,7 +60,7 @@
         """`gather`: s between the beginnings of two syncs, None: nothing is ever synced; `boot` names the
         machine's run, `now` tells the wall clock in us. `trust` changes what was read to what is believed of
         it, before that is put on record. Raises OSError where the folder cannot be used."""
-        self.disk, self.gather, self.boot, self.now = disk or Files(), gather, boot, now
+        self.disk, self.gather, self.boot, self.now = disk or SystemDisk(), gather, boot, now
         self.trust = trust
         self.begin_contents()
         self.begin_syncs()
@@ -137,7 +137,7 @@
         self.size += len(framed)
         return True
 
-    def sent(self, name: str, number: int, attempt: Attempt) -> bool:
+    def record_attempt(self, name: str, number: int, attempt: AttemptRecord) -> bool:
         self.last = max(self.last, attempt.at)
         record = attempt_line(name, number, attempt)
         if not self.append(record, of=name, decisive=True):
@@ -146,7 +146,7 @@
         self.grow(name, len(record) + records.WIDTH)
         return True
 
-    def outcome(self, name: str, number: int, outcome: Outcome) -> None:
+    def record_outcome(self, name: str, number: int, outcome: Outcome) -> None:
         entry = self.entries[name]
         if attempt := entry.attempts.get(number):
             attempt.outcome = outcome
@@ -154,17 +154,17 @@
             if self.append(record, last=True, of=name):
                 self.grow(name, len(record) + records.WIDTH)
 
-    def verdict(self, name: str, state: str, retry_after: int) -> None:
+    def record_completion(self, name: str, state: str, retry_after: int) -> None:
         if entry := self.entries.get(name):
             entry.verdict = state, retry_after
             record = verdict_line(name, state, retry_after)
             if self.append(record, last=True, of=name, decisive=True):
                 self.grow(name, len(record) + records.WIDTH)
 
-    def ended(self, name: str, state: str = "") -> None:
+    def record_end(self, name: str, state: str = "") -> None:
         entry = self.entries.pop(name)
         self.live -= entry.size
-        over = Over(self.now(), state, entry.message.key)
+        over = FinishedMessage(self.now(), state, entry.message.key)
         self.know_over(name, over)
         if self.anew:
             self.anew.left.pop(name, None)  # its turn need not come: its end tells all
@@ -240,7 +240,7 @@
         if not self.over(self.size + len(proof)):
             self.proof_waits = self.write(proof, last=False)
 
-    def sync_failed(self, anew: Anew | None, error: OSError) -> None:
+    def sync_failed(self, anew: ReplacementFile | None, error: OSError) -> None:
         """The same pages are not synced again: what is written anew from memory is another file."""
         log.error("journal: a sync failed: %s", error)
         if anew and anew.named:
--- a/message_sender/journal/inspected.py
+++ b/message_sender/journal/inspection.py
@@ -3,14 +3,14 @@
 import os
 from pathlib import Path
 
-from message_sender.journal.contents import Contents
-from message_sender.journal.disk import Files
-from message_sender.journal.file import FILE
-from message_sender.journal.rewriting import GUARD
-from message_sender.journal.tally import Tally
+from message_sender.journal.checkpoints import Tally
+from message_sender.journal.compaction import GUARD
+from message_sender.journal.contents import JournalContents
+from message_sender.journal.disk import SystemDisk
+from message_sender.journal.process_journal import FILE
 
 
-class Inspected(Contents):
+class InspectedJournal(JournalContents):
     """Nothing in the folder changes, and it may be in use."""
 
     def __init__(self, folder: Path) -> None:
@@ -33,4 +33,4 @@
             file.write(self.snapshot(Tally()))
             file.flush()
             os.fsync(file.fileno())
-        Files().sync_folder(folder)
+        SystemDisk().sync_folder(folder)
--- a/message_sender/journal/lines.py
+++ b/message_sender/journal/payloads.py
@@ -3,12 +3,12 @@
 from dataclasses import dataclass
 
 from message_sender.journal import records
-from message_sender.journal.file import quoted
-from message_sender.journal.tally import Tally
+from message_sender.journal.checkpoints import Tally
+from message_sender.journal.process_journal import quoted
 
 
 @dataclass(frozen=True, slots=True)
-class Over:
+class FinishedMessage:
     """What is kept of a message that has ended."""
 
     at: int  # us, wall clock
@@ -20,11 +20,11 @@
     return f'{{"verdict":{quoted(state)},"of":{quoted(name)},"after":{retry_after}}}\n'.encode()
 
 
-def over_line(name: str, over: Over) -> bytes:
+def over_line(name: str, over: FinishedMessage) -> bytes:
     return f'{{"over":{quoted(name)}'.encode() + over_text(over) + b"\n"
 
 
-def over_text(over: Over) -> bytes:
+def over_text(over: FinishedMessage) -> bytes:
     """The rest of a record."""
     return f',"at":{over.at},"state":{quoted(over.state)},"key":{quoted(over.key)}}}'.encode()
 
