--- a/message_sender/journal/file.py
+++ b/message_sender/journal/process_journal.py
@@ -13,13 +13,13 @@
 from pathlib import Path
 from typing import Any
 
-from message_sender.interface import NEVER_RAN, Outcome
-from message_sender.message import HandedIn
+from message_sender.message import Message
+from message_sender.policy.model import NEVER_RAN, Outcome
 
 FILE, COMPACTED = "journal", "journal.new"
 BLOCK = 512  # a file counts in whole blocks
 #: Fields of a message that are texts and whole numbers.
-TOLD = tuple(each.name for each in fields(HandedIn) if each.name not in ("again", "body", "extras"))
+TOLD = tuple(each.name for each in fields(Message) if each.name not in ("again", "body", "extras"))
 ENCODER = json.JSONEncoder(separators=(",", ":"), check_circular=False)
 quoted = json.encoder.encode_basestring_ascii  # a text as JSON; the encoder itself costs five times as much
 SPARE = 8  # one part in so many is kept free of new messages, for the attempts and ends of those held
@@ -28,7 +28,7 @@
 
 
 @dataclass(slots=True)
-class Attempt:
+class AttemptRecord:
     at: int  # us, wall clock
     endpoint: str
     zone: str
@@ -39,9 +39,9 @@
 
 
 @dataclass(slots=True)
-class Entry:
-    message: HandedIn
-    attempts: dict[int, Attempt] = field(default_factory=dict)
+class JournalEntry:
+    message: Message
+    attempts: dict[int, AttemptRecord] = field(default_factory=dict)
     size: int = 0  # bytes of its records
     #: A record that may have been its own cannot be read: an attempt that nobody knows of may have run.
     doubtful: bool = False
@@ -50,17 +50,17 @@
     def delivered(self) -> bool:
         return any(each.outcome is Outcome.OK for each in self.attempts.values())
 
-    def first_risk(self, but: int = -1) -> Attempt | None:
+    def first_risk(self, but: int = -1) -> AttemptRecord | None:
         """The first attempt that may have run; `but`: the one that is still out, whose end will be told."""
         if self.doubtful:
             return UNKNOWN
         return next((each for at, each in self.attempts.items() if at != but and each.may_have_run()), None)
 
 
-UNKNOWN = Attempt(0, "", "")  # one that may have run, long ago
+UNKNOWN = AttemptRecord(0, "", "")  # one that may have run, long ago
 
 
-def taken_line(message: HandedIn) -> bytes:
+def taken_line(message: Message) -> bytes:
     values = [(name, getattr(message, name)) for name in TOLD]
     told = ",".join([f'"{k}":{v if isinstance(v, int) else quoted(v)}' for k, v in values])
     again = "true" if message.again else "false"
@@ -70,7 +70,7 @@
     return f'{{"taken":{{{told},"again":{again},"body":"{body}"{extras}}}}}\n'.encode()
 
 
-def attempt_line(message: str, number: int, attempt: Attempt) -> bytes:
+def attempt_line(message: str, number: int, attempt: AttemptRecord) -> bytes:
     where = f'"endpoint":{quoted(attempt.endpoint)},"zone":{quoted(attempt.zone)}'
     return f'{{"sent":{quoted(message)},"number":{number},"at":{attempt.at},{where}}}\n'.encode()
 
@@ -83,7 +83,7 @@
     return f'{{"end":{quoted(message)}}}\n'.encode()
 
 
-def lines_of(entry: Entry) -> Iterator[bytes]:
+def lines_of(entry: JournalEntry) -> Iterator[bytes]:
     yield taken_line(entry.message)
     for number, attempt in entry.attempts.items():
         yield attempt_line(entry.message.id, number, attempt)
@@ -98,7 +98,7 @@
     def __init__(self, folder: Path, limit: int) -> None:
         """Opens the file and replays it. `entries` then holds what is still owed, in the order taken."""
         self.folder, self.limit, self.spare = folder, limit, limit // SPARE
-        self.entries: dict[str, Entry] = {}
+        self.entries: dict[str, JournalEntry] = {}
         self.size = self.live = 0  # bytes of the file, and of the records of what is still owed
         self.file = self.open()
         self.replay()
@@ -139,11 +139,11 @@
     def apply(self, record: dict[str, Any], size: int) -> None:
         if told := record.get("taken"):
             extras = tuple((str(name), str(text)) for name, text in told.get("extras", ()))
-            message = HandedIn(**told | {"body": base64.b64decode(told["body"]), "extras": extras})
-            self.entries[message.id] = Entry(message)
+            message = Message(**told | {"body": base64.b64decode(told["body"]), "extras": extras})
+            self.entries[message.id] = JournalEntry(message)
             self.grow(message.id, size)
         elif name := record.get("sent"):
-            attempt = Attempt(record["at"], record["endpoint"], record["zone"])
+            attempt = AttemptRecord(record["at"], record["endpoint"], record["zone"])
             self.entries[name].attempts[record["number"]] = attempt
             self.grow(name, size)
         elif "outcome" in record:
@@ -160,15 +160,15 @@
 
     # Append. Each answers whether the record is written; if not, what it stands for must not happen.
 
-    def taken(self, message: HandedIn) -> bool:
+    def record_accepted(self, message: Message) -> bool:
         record = taken_line(message)
         if not self.fits(len(record)) or not self.append(record):
             return False
-        self.entries[message.id] = Entry(message)
+        self.entries[message.id] = JournalEntry(message)
         self.grow(message.id, len(record))
         return True
 
-    def sent(self, name: str, number: int, attempt: Attempt) -> bool:
+    def record_attempt(self, name: str, number: int, attempt: AttemptRecord) -> bool:
         record = attempt_line(name, number, attempt)
         if not self.append(record):
             return False
@@ -176,7 +176,7 @@
         self.grow(name, len(record))
         return True
 
-    def outcome(self, name: str, number: int, outcome: Outcome) -> None:
+    def record_outcome(self, name: str, number: int, outcome: Outcome) -> None:
         """Lost, it reads as a reset after a restart: more careful than needed, never less."""
         record = outcome_line(name, number, outcome)
         if attempt := self.entries[name].attempts.get(number):
@@ -184,10 +184,10 @@
         if attempt and self.append(record):
             self.grow(name, len(record))
 
-    def verdict(self, name: str, state: str, retry_after: int) -> None:
+    def record_completion(self, name: str, state: str, retry_after: int) -> None:
         """The end of a message is decided, and told next. What only has to survive the process needs none."""
 
-    def resting(self, quiet: int) -> set[str]:
+    def resting_keys(self, quiet: int) -> set[str]:
         """Keys that may rest still, of messages that are over. What only survives the process knows none."""
         return set()
 
@@ -196,7 +196,7 @@
         not be made so, and what it stands for must not happen."""
         then(True)
 
-    def ended(self, name: str, state: str = "") -> None:
+    def record_end(self, name: str, state: str = "") -> None:
         """Lost, the message is tried or told once more after a restart, which does no harm."""
         self.live -= self.entries.pop(name).size
         self.append(end_line(name))
--- a/message_sender/journal/records.py
+++ b/message_sender/journal/records.py
@@ -32,7 +32,7 @@
 ZEROS = bytes(8)  # so many zero bytes in a row are no flipped bit
 
 
-class Kind(Enum):
+class HoleKind(Enum):
     """Whether the bytes of a hole were durable; the texts are for people."""
 
     DURABLE = "were durable"
@@ -54,7 +54,7 @@
 
     at: int
     size: int
-    kind: Kind = Kind.DURABLE
+    kind: HoleKind = HoleKind.DURABLE
 
 
 @dataclass(frozen=True, slots=True)
@@ -112,8 +112,8 @@
     holes = [Hole(begin, end - begin, kind_of(data[begin:end], begin < durable)) for begin, end in gaps]
     return Reading(
         tuple(found),
-        tuple(each for each in holes if each.kind is not Kind.NEVER_WRITTEN),
-        tuple(each for each in holes if each.kind is Kind.NEVER_WRITTEN),
+        tuple(each for each in holes if each.kind is not HoleKind.NEVER_WRITTEN),
+        tuple(each for each in holes if each.kind is HoleKind.NEVER_WRITTEN),
         tail,
     )
 
@@ -127,12 +127,12 @@
     return None
 
 
-def kind_of(content: bytes, proven: bool) -> Kind:
+def kind_of(content: bytes, proven: bool) -> HoleKind:
     """`proven`: the file is proven durable beyond the first of these bytes."""
     if proven:
-        return Kind.DURABLE
+        return HoleKind.DURABLE
     lost = ZEROS in content or content.endswith(b"\0")
-    return Kind.NEVER_WRITTEN if lost else Kind.UNPROVEN
+    return HoleKind.NEVER_WRITTEN if lost else HoleKind.UNPROVEN
 
 
 def durable_after(record: Record) -> int:
--- a/message_sender/manage/calls.py
+++ b/message_sender/management/calls.py
@@ -5,7 +5,7 @@
 from urllib.parse import unquote
 
 
-class Ask(Enum):
+class Operation(Enum):
     TAKES_CLIENTS = "is it taking clients"
     FIGURES = "the figures"
     TAKE_OUT = "take a receiver out"
@@ -15,13 +15,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Call:
-    ask: Ask
+class ManagementCall:
+    ask: Operation
     receiver: str = ""
 
 
 @dataclass(frozen=True, slots=True)
-class Reply:
+class ManagementReply:
     """`status` 2xx is yes, 4xx and 5xx no. What is said is for people, but for the figures."""
 
     status: int
@@ -29,21 +29,21 @@
 
 
 PATHS = {
-    ("healthcheck",): ("GET", Ask.TAKES_CLIENTS),
-    ("stats",): ("GET", Ask.FIGURES),
-    ("healthcheck", "fail"): ("POST", Ask.SEND_AWAY),
-    ("healthcheck", "ok"): ("POST", Ask.COME_BACK),
+    ("healthcheck",): ("GET", Operation.TAKES_CLIENTS),
+    ("stats",): ("GET", Operation.FIGURES),
+    ("healthcheck", "fail"): ("POST", Operation.SEND_AWAY),
+    ("healthcheck", "ok"): ("POST", Operation.COME_BACK),
 }
-OF_RECEIVERS = {"maint": Ask.TAKE_OUT, "ready": Ask.PUT_BACK}
+OF_RECEIVERS = {"maint": Operation.TAKE_OUT, "ready": Operation.PUT_BACK}
 
 
-def read(method: str, target: str) -> Call | Reply:
+def read(method: str, target: str) -> ManagementCall | ManagementReply:
     """The call, or the reply that refuses what is none."""
     parts = target.partition("?")[0].removeprefix("/").split("/")
     if len(parts) == 3 and parts[0] == "receivers" and parts[1] and parts[2] in OF_RECEIVERS:
-        wanted, call = "POST", Call(OF_RECEIVERS[parts[2]], unquote(parts[1]))
+        wanted, call = "POST", ManagementCall(OF_RECEIVERS[parts[2]], unquote(parts[1]))
     elif found := PATHS.get(tuple(parts)):
-        wanted, call = found[0], Call(found[1])
+        wanted, call = found[0], ManagementCall(found[1])
     else:
-        return Reply(404, "there is no such call")
-    return call if method == wanted else Reply(405, f"this call is made with {wanted}")
+        return ManagementReply(404, "there is no such call")
+    return call if method == wanted else ManagementReply(405, f"this call is made with {wanted}")
--- a/message_sender/manage/figures.py
+++ b/message_sender/management/metrics.py
@@ -7,7 +7,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Figures:
+class Metrics:
     transactions: Mapping[str, Mapping[str, int]]  # by class and kind of end, since the process began
     sends: int  # messages written whole to receivers, since the process began
     current: int  # messages taken and not ended
--- a/message_sender/manage/listener.py
+++ b/message_sender/management/server.py
@@ -18,8 +18,8 @@
 
 import h11
 
-from message_sender.core.peer import Cause, Reports, cause_of, describe
-from message_sender.manage.calls import Call, Reply, read
+from message_sender.core.socket_errors import Cause, ErrorReports, cause_of, describe
+from message_sender.management.calls import ManagementCall, ManagementReply, read
 
 MOST = 16
 PATIENCE = 2.0  # s
@@ -34,7 +34,7 @@
 log = logging.getLogger(__name__)
 
 
-class Caller:
+class ManagementConnection:
     """One connection: its socket, how far its call has come, and until when it may stand."""
 
     def __init__(self, sock: socket.socket, until: float) -> None:
@@ -44,7 +44,7 @@
         self.dropped = 0  # bytes of the body
         self.answered = False
 
-    def asked(self) -> Call | Reply | None:
+    def asked(self) -> ManagementCall | ManagementReply | None:
         """The call that has come whole, or the reply that refuses it; None: more has to come."""
         try:
             while (event := self.codec.next_event()) is not h11.NEED_DATA:
@@ -53,17 +53,17 @@
                 elif isinstance(event, h11.Data):
                     self.dropped += len(event.data)
                     if self.dropped > BODY_LIMIT:
-                        return Reply(413, "the body is too long")
+                        return ManagementReply(413, "the body is too long")
                 elif isinstance(event, h11.EndOfMessage):
                     assert self.request is not None
                     return read(self.request.method.decode(), self.request.target.decode("latin-1"))
                 else:
-                    return Reply(400, "the call is not whole")
+                    return ManagementReply(400, "the call is not whole")
         except h11.RemoteProtocolError as error:
-            return Reply(error.error_status_hint, str(error))
+            return ManagementReply(error.error_status_hint, str(error))
         return None
 
-    def reply_text(self, reply: Reply) -> bytes:
+    def reply_text(self, reply: ManagementReply) -> bytes:
         """As bytes; the codec is left as it is where it cannot write any more."""
         body = reply.text.encode() + b"\n" if reply.text else b""
         headers = [
@@ -77,15 +77,15 @@
         return data
 
 
-class Listener:
+class ManagementServer:
     """`act` answers a call, at once."""
 
-    def __init__(self, act: Callable[[Call], Reply]) -> None:
+    def __init__(self, act: Callable[[ManagementCall], ManagementReply]) -> None:
         self.act = act
         self.loop = asyncio.get_running_loop()
         self.listener: socket.socket | None = None
-        self.callers: dict[Caller, None] = {}  # the oldest first
-        self.reports = Reports()
+        self.callers: dict[ManagementConnection, None] = {}  # the oldest first
+        self.reports = ErrorReports()
         self.timer: asyncio.TimerHandle | None = None
 
     def listen(self, host: str, port: int) -> None:
@@ -139,7 +139,7 @@
     def take_in(self, sock: socket.socket) -> None:
         if len(self.callers) >= MOST:
             self.end(next((each for each in self.callers if not each.answered), next(iter(self.callers))))
-        caller = Caller(sock, self.loop.time() + PATIENCE)
+        caller = ManagementConnection(sock, self.loop.time() + PATIENCE)
         self.callers[caller] = None
         try:
             sock.setblocking(False)
@@ -150,7 +150,7 @@
             return
         self.came(caller)
 
-    def came(self, caller: Caller) -> None:
+    def came(self, caller: ManagementConnection) -> None:
         try:
             data = caller.sock.recv(HEAD_LIMIT)
         except (BlockingIOError, InterruptedError):
@@ -166,16 +166,16 @@
         if (asked := caller.asked()) is not None:
             self.answer(caller, self.reply_to(asked))
 
-    def reply_to(self, asked: Call | Reply) -> Reply:
-        if isinstance(asked, Reply):
+    def reply_to(self, asked: ManagementCall | ManagementReply) -> ManagementReply:
+        if isinstance(asked, ManagementReply):
             return asked
         try:
             return self.act(asked)
         except Exception as error:
             log.error("an operator's call failed: %s", describe(error, asked.ask.value))
-            return Reply(500, "it failed; the log says why")
+            return ManagementReply(500, "it failed; the log says why")
 
-    def answer(self, caller: Caller, reply: Reply) -> None:
+    def answer(self, caller: ManagementConnection, reply: ManagementReply) -> None:
         caller.answered, caller.until = True, self.loop.time() + LINGER
         try:
             data = caller.reply_text(reply)
@@ -185,11 +185,11 @@
         except (OSError, h11.LocalProtocolError) as error:
             self.broke(caller, error)
 
-    def broke(self, caller: Caller, error: Exception) -> None:
+    def broke(self, caller: ManagementConnection, error: Exception) -> None:
         self.reports.tell(error, "an operator's call")
         self.end(caller)
 
-    def end(self, caller: Caller) -> None:
+    def end(self, caller: ManagementConnection) -> None:
         if caller in self.callers:
             del self.callers[caller]
             self.loop.remove_reader(caller.sock)
@@ -202,5 +202,5 @@
             if caller.answered:
                 self.end(caller)
             else:
-                self.answer(caller, Reply(408, "the call did not come in time"))
+                self.answer(caller, ManagementReply(408, "the call did not come in time"))
         self.timer = self.loop.call_later(SWEEP, self.sweep)
--- a/message_sender/message.py
+++ b/message_sender/message.py
@@ -4,7 +4,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HandedIn:
+class Message:
     id: str
     message_class: str
     destination: int
@@ -14,5 +14,5 @@
     idempotency_key: str
     again: bool
     body: bytes
-    #: What its protocol carries besides, unchanged from door to courier: pairs of name and text.
+    #: What its protocol carries besides, unchanged from door to transport: pairs of name and text.
     extras: tuple[tuple[str, str], ...] = ()
--- a/message_sender/pcap/capture.py
+++ b/message_sender/pcap/capture.py
@@ -10,7 +10,7 @@
 from message_sender.pcap.files import SECOND, Packet, read
 from message_sender.pcap.flows import Flow, Flows, Happened
 from message_sender.pcap.layers import Layers
-from message_sender.pcap.messages import Message, Pairs
+from message_sender.pcap.messages import HttpMessage, Pairs
 
 BACK = SECOND  # ns by which a clock has to go back to be worth a note
 MOST_NOTES = 1000  # kinds of notes that are counted
@@ -20,7 +20,7 @@
     """A message and the connection that it went over."""
 
     flow: Flow
-    message: Message
+    message: HttpMessage
 
 
 class Capture:
--- a/message_sender/pcap/scribe.py
+++ b/message_sender/pcap/capture_writer.py
@@ -1,9 +1,10 @@
-"""Writes a sender's traffic as capture files; a process of its own, `python -m message_sender.pcap.scribe`.
+"""Writes a sender's traffic as capture files; a process of its own, `python -m
+message_sender.pcap.capture_writer`.
 
-It hears records on its standard input (`HEAD` and data, message_sender/pcap/tap.py sends them) and ends with
-it. Values of the headers that are named are blanked before they reach the disk. Files rotate by size, and
-only so many are kept; each can be read alone. The sender pays for none of this, and what goes wrong here ends
-here.
+It hears records on its standard input (`HEAD` and data, message_sender/pcap/traffic_tap.py sends them) and
+ends with it. Values of the headers that are named are blanked before they reach the disk. Files rotate by
+size, and only so many are kept; each can be read alone. The sender pays for none of this, and what goes wrong
+here ends here.
 """
 
 import struct
@@ -73,7 +74,7 @@
     return b"x" * len(shown) + value[len(shown) :]
 
 
-class Scribe:
+class CaptureWriter:
     """What it is told, as files."""
 
     def __init__(self, folder: Path, most_bytes: int, files: int = 4, secrets: Iterable[str] = ()) -> None:
@@ -169,7 +170,7 @@
     """FOLDER, bytes of a file, files, names of headers. 1 where the disk fails."""
     folder, most, files, *secrets = words
     try:
-        Scribe(Path(folder), int(most), int(files), secrets).read(sys.stdin.buffer)
+        CaptureWriter(Path(folder), int(most), int(files), secrets).read(sys.stdin.buffer)
     except OSError as error:
         print(f"message-sender: nothing more is captured: {error}", file=sys.stderr)
         return 1
--- a/message_sender/pcap/files.py
+++ b/message_sender/pcap/files.py
@@ -4,8 +4,8 @@
 forward, so that standard input and a file that still grows will do. Memory is one packet and one buffer: a
 length that a file claims is believed only up to `MOST`.
 
-What cannot be read at all raises `BadCapture`. What breaks off or lies later on ends the reading with a note:
-in neither format is there a mark from which reading could be taken up again.
+What cannot be read at all raises `MalformedCaptureError`. What breaks off or lies later on ends the reading
+with a note: in neither format is there a mark from which reading could be taken up again.
 """
 
 import struct
@@ -30,7 +30,7 @@
 Notes = Callable[[str], None]
 
 
-class BadCapture(Exception):  # noqa: N818
+class MalformedCaptureError(Exception):
     """This is no capture, or one of which nothing can be read. The text says why, in one line."""
 
 
@@ -70,13 +70,15 @@
         return read_pcap(source, *MAGIC[magic], notes)
     if magic == SECTION.to_bytes(4, "little"):  # the same in both byte orders
         return read_pcapng(source, notes)
-    raise BadCapture(f"it begins with {magic.hex()}, which no capture does" if magic else "the file is empty")
+    raise MalformedCaptureError(
+        f"it begins with {magic.hex()}, which no capture does" if magic else "the file is empty"
+    )
 
 
 def read_pcap(source: Source, order: str, unit: int, notes: Notes) -> Iterator[Packet]:
     head = source.take(20)
     if len(head) < 20:
-        raise BadCapture("it ends within its first header")
+        raise MalformedCaptureError("it ends within its first header")
     link = struct.unpack(order + "HHiIII", head)[5] & 0xFFFF  # above: the length of a frame check sequence
     return pcap_records(source, struct.Struct(order + "IIII"), link, unit, notes)
 
--- a/message_sender/pcap/messages.py
+++ b/message_sender/pcap/messages.py
@@ -13,7 +13,7 @@
 
 import h11
 
-from message_sender.http import usual
+from message_sender.http import fast_path
 from message_sender.pcap.reassembly import Gap, Part
 
 HEAD_MOST = 64 * 1024  # bytes of a head, or of a chunk's
@@ -27,7 +27,7 @@
 
 
 @dataclass(slots=True)
-class Message:
+class HttpMessage:
     """A request, or an answer. Times are ns since the epoch."""
 
     at: int  # of the segment with its first byte
@@ -52,14 +52,14 @@
     def __init__(
         self,
         side: int,
-        out: Callable[[Message], None],
+        out: Callable[[HttpMessage], None],
         method: Method = lambda: None,
-        headed: Callable[[Message], None] = lambda message: None,
+        headed: Callable[[HttpMessage], None] = lambda message: None,
     ) -> None:
         """`method` gives the method of the request that the next answer is for; None: it is not known.
         `headed` hears of a message whose head has been read."""
         self.side, self.out, self.method, self.headed = side, out, method, headed
-        self.message: Message | None = None
+        self.message: HttpMessage | None = None
         self.body = bytearray()
         self.codec: h11.Connection | None = None
         self.rest = b""  # bytes behind the message that was just done
@@ -115,14 +115,14 @@
     def take_usual(self, at: int, data: bytes) -> bool:
         """A plain message that is whole in one segment, read without the state machine. What these patterns
         take, h11 takes and reads alike (tests/test_usual.py)."""
-        pattern = usual.ANSWER if self.side else usual.REQUEST
-        match = pattern.match(data, 0, usual.HEAD_MOST)
-        if not match or not (read := usual.fields_of(match[2])):
+        pattern = fast_path.ANSWER if self.side else fast_path.REQUEST
+        match = pattern.match(data, 0, fast_path.HEAD_MOST)
+        if not match or not (read := fast_path.fields_of(match[2])):
             return False
-        body = usual.body_of(data, match.end(), read[1], BODY_MOST)
+        body = fast_path.body_of(data, match.end(), read[1], BODY_MOST)
         if body is None or (self.side == 0 and b"host" not in read[1]):
             return False
-        if self.side and (int(match[1]) in usual.BODILESS or self.method() in ("HEAD", "CONNECT")):
+        if self.side and (int(match[1]) in fast_path.BODILESS or self.method() in ("HEAD", "CONNECT")):
             return False
         message = self.begun(at)
         if self.side:
@@ -136,9 +136,9 @@
         self.out(message)
         return True
 
-    def begun(self, at: int) -> Message:
+    def begun(self, at: int) -> HttpMessage:
         notes, self.pending = self.pending, []
-        return Message(at, notes=notes)
+        return HttpMessage(at, notes=notes)
 
     def events(self, at: int) -> None:
         while self.codec is not None and not self.switched:
@@ -253,7 +253,7 @@
 class Pairs:
     """Both directions of one connection: its requests, and its answers with the request of each."""
 
-    def __init__(self, out: Callable[[Message], None]) -> None:
+    def __init__(self, out: Callable[[HttpMessage], None]) -> None:
         self.out = out
         self.waiting: deque[tuple[int, str]] = deque()  # requests without an answer: number and method
         self.requests = self.answers = 0
@@ -262,13 +262,13 @@
     def method(self) -> str | None:
         return self.waiting[0][1] if self.waiting else None
 
-    def request(self, message: Message) -> None:
+    def request(self, message: HttpMessage) -> None:
         """Its answer may come before its last byte, or before what was lost of it is given up."""
         message.number = self.requests
         self.requests += 1
         self.waiting.append((message.number, message.method))
 
-    def answer(self, message: Message) -> None:
+    def answer(self, message: HttpMessage) -> None:
         message.number = self.answers
         self.answers += 1
         if self.waiting:
--- a/message_sender/pcap/tap.py
+++ b/message_sender/pcap/traffic_tap.py
@@ -1,9 +1,9 @@
 """What a running sender receives and sends, told to a scribe: a witness of its connections.
 
 The sender's turn appends a record to a list; once a pass of the loop the list goes down a pipe to a process
-of its own (message_sender/pcap/scribe.py), as far as the pipe takes it at once. Where the scribe falls behind
-by more than `MOST_WAITING`, records are lost and counted, never time; what is lost of a connection is told,
-so that its file has a gap there and not a seam.
+of its own (message_sender/pcap/capture_writer.py), as far as the pipe takes it at once. Where the scribe
+falls behind by more than `MOST_WAITING`, records are lost and counted, never time; what is lost of a
+connection is told, so that its file has a gap there and not a seam.
 """
 
 import asyncio
@@ -15,7 +15,7 @@
 from collections.abc import Iterable
 from pathlib import Path
 
-from message_sender.pcap.scribe import ENDED, HEAD, LOST, OPENED, PASSED, RESET
+from message_sender.pcap.capture_writer import ENDED, HEAD, LOST, OPENED, PASSED, RESET
 from message_sender.pcap.writer import Place
 
 MOST_WAITING = 4_000_000  # bytes that wait for the pipe
@@ -25,13 +25,20 @@
 log = logging.getLogger(__name__)
 
 
-class Tap:
-    """A witness (message_sender/core/witness.py). Its methods are called on the loop and never wait."""
+class TrafficTap:
+    """A `TrafficObserver`. Its methods are called on the loop and never wait."""
 
     def __init__(self, folder: Path, most_bytes: int, files: int = 4, secrets: Iterable[str] = ()) -> None:
         """At most `files` files of `most_bytes` each stand in the folder. Raises OSError where no process can
         be started."""
-        words = [sys.executable, "-m", "message_sender.pcap.scribe", str(folder), str(most_bytes), str(files)]
+        words = [
+            sys.executable,
+            "-m",
+            "message_sender.pcap.capture_writer",
+            str(folder),
+            str(most_bytes),
+            str(files),
+        ]
         # In a session of its own: a signal for the sender's group is not for it; it ends with its pipe.
         self.scribe = subprocess.Popen([*words, *secrets], stdin=subprocess.PIPE, start_new_session=True)
         assert self.scribe.stdin
--- a/message_sender/policy/breaker.py
+++ b/message_sender/policy/breaker.py
@@ -21,8 +21,8 @@
 import random
 from dataclasses import dataclass
 
-from message_sender import interface as face
-from message_sender.interface import Effect, Outcome
+from message_sender.policy.events import MessageAccepted
+from message_sender.policy.model import Effect, Endpoint, MessageClass, Outcome, Settings
 
 FAILURE_THRESHOLD = 3  # failures in a row; a small destination would take too long to show the paper's five
 RESET_TIMEOUT = 2_000_000  # us from the last failure to the trial; the design page's figure
@@ -43,17 +43,17 @@
 OVERDUE_SPREADS = 4  # mean deviations above the usual time from which a call is overdue; TCP's time-out rule
 PACED = 2  # times the warm-up for which calls go at its pace, faster and faster
 COLD_PUSH = 0.75  # of fall_multiple: a returning destination is paced at that times its warm share
-ANSWERED = frozenset({Outcome.ERROR, Outcome.SPOILT})
+ANSWERED = frozenset({Outcome.ERROR, Outcome.MALFORMED})
 STRAY = ANSWERED | {Outcome.RESET, Outcome.CONNECT_FAILED}  # one is commonly its connection's alone
 #: Of a failure: an error is an answer, also a spoilt one; the paper allows a threshold for each kind.
 ERROR_WEIGHT = 1 / 3
 NEVER = math.inf
 
 
-class Endpoint:
+class TrackedEndpoint:
     __slots__ = ("bad_until", "breaker", "last_sent", "listed", "out", "refused_at", "scarce_until", "turns")
 
-    def __init__(self, listed: face.Endpoint) -> None:
+    def __init__(self, listed: Endpoint) -> None:
         self.listed, self.out = listed, 0
         self.bad_until, self.last_sent = 0.0, -NEVER
         self.refused_at, self.scarce_until = -NEVER, -NEVER  # a connect was refused; others need ours
@@ -61,10 +61,10 @@
         self.breaker: Breaker | None = None  # while its destination is asleep
 
 
-class Message:
-    def __init__(self, taken: face.MessageTaken, kind: face.MessageClass, now: int, share: float) -> None:
+class PendingMessage:
+    def __init__(self, taken: MessageAccepted, kind: MessageClass, now: int, share: float) -> None:
         self.id, self.kind, self.destination = taken.message, kind, taken.destination
-        self.key, self.pinned = taken.key if kind.in_order else "", taken.pinned
+        self.key, self.pinned = taken.key if kind.is_ordered else "", taken.pinned
         self.until, self.born, self.came = now + taken.time_left, now + taken.time_left - kind.deadline, now
         self.share = share  # 1, or what is left of its worth over its tenant's share
         self.attempts, self.out, self.ended, self.restored = 0, False, False, False
@@ -74,31 +74,31 @@
         self.queued = False  # among those of its destination that may go next
 
 
-class Call:
+class ActiveCall:
     """One call at a destination; several messages share it where they travel as a batch."""
 
-    def __init__(self, breaker: "Breaker", endpoint: Endpoint, now: int, number: int) -> None:
+    def __init__(self, breaker: "Breaker", endpoint: TrackedEndpoint, now: int, number: int) -> None:
         self.breaker, self.endpoint, self.sent, self.number = breaker, endpoint, now, number
-        self.messages: dict[str, Message] = {}
+        self.messages: dict[str, PendingMessage] = {}
         self.settled = self.overdue = self.called_off = False  # settled: its result has been counted
 
     def risks(self) -> bool:
-        return any(each.kind.effect is not Effect.SAFE for each in self.messages.values())
+        return any(each.kind.effect is not Effect.IDEMPOTENT for each in self.messages.values())
 
 
 @dataclass(frozen=True, slots=True)
 class Pace:
     """What is the same for all breakers of a sender."""
 
-    settings: face.Settings
-    chance: random.Random
+    settings: Settings
+    rng: random.Random
     crowd: float  # as many times more senders share a limit than the gap reckons with
     least_aim: int
 
     @classmethod
-    def of(cls, settings: face.Settings, chance: random.Random) -> "Pace":
+    def of(cls, settings: Settings, rng: random.Random) -> "Pace":
         crowd = max(settings.fleet_size / GAP_SENDERS, 1)
-        return cls(settings, chance, crowd, min(each.aim for each in settings.classes))
+        return cls(settings, rng, crowd, min(each.latency_objective for each in settings.classes))
 
 
 class Breaker:
@@ -112,7 +112,7 @@
 
     def __init__(self, pace: Pace, destination: int) -> None:
         self.pace, self.destination = pace, destination
-        self.failures, self.trial_at, self.trial = 0.0, -NEVER, None  # type: float, float, Call | None
+        self.failures, self.trial_at, self.trial = 0.0, -NEVER, None  # type: float, float, ActiveCall | None
         self.most_gap = RESET_TIMEOUT * pace.crowd
         self.step, self.gap, self.gap_changed = GAP_STEP * pace.crowd, 0.0, -NEVER
         self.out, self.last_sent, self.wait_until = 0, -NEVER, 0
@@ -122,8 +122,8 @@
         self.calls, self.span, self.last_served = 0.1, RESET_TIMEOUT / 20 * pace.crowd, NEVER
         self.full_since = NEVER  # the first refusal since a call was served
         self.told_gap = NEVER  # between own calls at this sender's part of the rate that the list tells
-        self.fresh: dict[Call, None] = {}  # out and not overdue, oldest first
-        self.stuck: dict[Call, None] = {}  # out and overdue
+        self.fresh: dict[ActiveCall, None] = {}  # out and not overdue, oldest first
+        self.stuck: dict[ActiveCall, None] = {}  # out and overdue
 
     def told_rate(self, rate: float) -> None:
         """Scale both bounds of the gap to the announced rate, in calls a second: no long gaps at a busy
@@ -158,7 +158,7 @@
         timeout: float = RESET_TIMEOUT
         if self.trial and self.pace.crowd > 1:
             self.cold_since = now
-            timeout = max(timeout, self.cold_gap(now) * self.pace.chance.uniform(0.5, 1.5))
+            timeout = max(timeout, self.cold_gap(now) * self.pace.rng.uniform(0.5, 1.5))
         self.trial, self.trial_at = None, now + timeout
 
     def cold_gap(self, now: int) -> float:
@@ -166,9 +166,9 @@
         its part of the told one, times the share that is warm. The share grows on beyond the whole: guards
         one that has just become warm from all that is held for it, at once, by each of its senders."""
         settings = self.pace.settings
-        if (warm := (now - self.cold_since) / settings.cold) >= PACED:
+        if (warm := (now - self.cold_since) / settings.slow_start) >= PACED:
             return 0.0
-        share = settings.cold_from + (1 - settings.cold_from) * max(warm, 0.0)
+        share = settings.slow_start_from + (1 - settings.slow_start_from) * max(warm, 0.0)
         push = settings.fall_multiple * COLD_PUSH * share
         return min(min(self.span / self.calls, self.told_gap) / push, 2 * self.most_gap)
 
@@ -188,9 +188,9 @@
         self.sick += (1 - self.sick) * MEMORY
         self.doubt(now, max(FAILURE_THRESHOLD / self.pace.crowd, 2 if outcome in STRAY else 1))
         if self.pace.crowd > 1 and self.cold_since == now:  # not back together
-            self.last_sent += self.cold_gap(now) * self.pace.chance.uniform(-0.5, 0.5)
+            self.last_sent += self.cold_gap(now) * self.pace.rng.uniform(-0.5, 0.5)
 
-    def refused(self, now: int, call: Call, wait: int = 0) -> None:
+    def refused(self, now: int, call: ActiveCall, wait: int = 0) -> None:
         """`wait`: the one that it told, 0 for none."""
         if call is self.trial:
             self.restart(now)
@@ -202,7 +202,7 @@
             self.gap, self.gap_changed = min(max(2 * self.gap, self.first_gap()), most), now
             self.doubt(now, max(FAILURE_THRESHOLD / self.pace.crowd, 2) if shut else NEVER)
             # Told alike, back apart.
-            late = self.pace.chance.uniform(0, 2 * self.gap) * (1 - 1 / self.pace.crowd)
+            late = self.pace.rng.uniform(0, 2 * self.gap) * (1 - 1 / self.pace.crowd)
             self.wait_until = max(self.wait_until, now) + math.ceil(late)
 
     def first_gap(self) -> float:
@@ -217,7 +217,7 @@
         if self.unserved >= run or self.sick >= SICK_SHARE:
             self.cold_since = now
 
-    def served(self, now: int, call: Call) -> None:
+    def served(self, now: int, call: ActiveCall) -> None:
         took = now - call.sent
         self.served_sent = max(self.served_sent, call.sent)
         self.known += 1
@@ -226,7 +226,7 @@
         self.took += (took - self.took) * weight
         passed = now - self.last_served
         if self.unserved == 0 and self.cold_gap(now) == 0 and passed >= 0:
-            fade = math.exp(-passed / self.pace.settings.cold)
+            fade = math.exp(-passed / self.pace.settings.slow_start)
             self.calls, self.span = self.calls * fade + 1, self.span * fade + passed
         self.narrow(now, passed if passed >= 0 else NEVER)
         if self.failures and self.pace.crowd > 1:  # it came back between the two
--- a/message_sender/policy/dispatcher.py
+++ b/message_sender/policy/dispatcher.py
@@ -12,23 +12,44 @@
 from itertools import islice
 from math import ceil
 
-from message_sender import interface as face
-from message_sender.interface import Outcome
-from message_sender.policy.breaker import ANSWERED, NEVER, Breaker, Call, Endpoint, Message
+from message_sender.policy.actions import PolicyAction, Send, Subscribe, WakeAfter
+from message_sender.policy.breaker import (
+    ANSWERED,
+    NEVER,
+    ActiveCall,
+    Breaker,
+    PendingMessage,
+    TrackedEndpoint,
+)
 from message_sender.policy.endpoints import EndpointRegistry
+from message_sender.policy.events import (
+    AttemptEnded,
+    CallInFlight,
+    EndAcknowledged,
+    EndpointsUpdated,
+    InheritedState,
+    MessageAccepted,
+    MessageRestored,
+    MessageWithdrawn,
+    PolicyEvent,
+    Stopping,
+)
 from message_sender.policy.inflight import InFlightCalls
-from message_sender.policy.inherit import believe
-from message_sender.policy.pending import KeyLine, PendingQueue
+from message_sender.policy.model import FAILURES, NEVER_RAN, Endpoint, EndpointState, Outcome, Settings
+from message_sender.policy.pending import KeyQueue, PendingQueue
 from message_sender.policy.schedule import Destination, LoopState, Rank
+from message_sender.policy.state_transfer import believe
 
 DESTINATION_SLOTS = 0.5  # share of the slots that calls to one destination may hold
-MAY_STILL_RUN = frozenset({Outcome.TIMEOUT, Outcome.RESET, Outcome.STALE, Outcome.SPOILT, Outcome.CANCELLED})
+MAY_STILL_RUN = frozenset(
+    {Outcome.TIMEOUT, Outcome.RESET, Outcome.STALE, Outcome.MALFORMED, Outcome.CANCELLED}
+)
 REFUSALS_KEPT = 2  # of messages still owed, from which a destination is doubtful after a restart
 LOOKS = 256  # destinations looked at in an iteration; where more wait for a slot, the next begins with those
 
 
 class Dispatcher:
-    def __init__(self, settings: face.Settings, seed: int) -> None:
+    def __init__(self, settings: Settings, seed: int) -> None:
         """`seed` is of the random generator, which only spreads calls over time."""
         self.settings, self.loop = settings, LoopState(settings, random.Random(seed))
         self.registry = EndpointRegistry(self.loop)
@@ -36,12 +57,16 @@
         self.inflight = InFlightCalls(self.loop, self.registry, self.pending)
         self.fees = dict(settings.zone_fees)
         self.batches = any(kind.batch > 1 for _, kind in settings.kinds)
-        self.wake_at, self.stops_at, self.come_again = NEVER, NEVER, self.pending.come_again
+        self.wake_at, self.stops_at, self.suggest_retry_after = NEVER, NEVER, self.pending.suggest_retry_after
         self.endpoints, self.destinations = self.registry.endpoints, self.registry.destinations
         self.messages, self.keys, self.classes = pending.messages, pending.keys, pending.classes
-        self.calls, self.out, self.wait_told = self.inflight.calls, self.inflight.out, self.inflight.wait_told
+        self.calls, self.out, self.retry_after_received = (
+            self.inflight.calls,
+            self.inflight.out,
+            self.inflight.retry_after_received,
+        )
 
-    def handle(self, now_us: int, events: Iterable[face.Event]) -> list[face.Action]:
+    def handle(self, now_us: int, events: Iterable[PolicyEvent]) -> list[PolicyAction]:
         """Process the events at that time, in us, and return the actions that follow. Raises ValueError for a
         clock that went back, a class that is not in the settings and a message that was taken before."""
         if now_us < self.loop.now:
@@ -59,26 +84,26 @@
         self.set_wake()
         return self.loop.actions
 
-    def hear(self, event: face.Event) -> None:
+    def hear(self, event: PolicyEvent) -> None:
         match event:
-            case face.MessageTaken():
+            case MessageAccepted():
                 self.pending.take(event)
-            case face.MessageRestored():
+            case MessageRestored():
                 self.restore(event)
-            case face.Inherited():
+            case InheritedState():
                 self.inherit(event)
-            case face.AttemptEnded():
+            case AttemptEnded():
                 self.attempt_ended(event)
-            case face.EndpointsListed():
+            case EndpointsUpdated():
                 self.registry.list_endpoints(event)
-            case face.MessageWithdrawn(message) if message in self.messages:
+            case MessageWithdrawn(message) if message in self.messages:
                 self.pending.finish(self.messages[message])
-            case face.EndAnswered(message) if message in self.pending.unanswered:
+            case EndAcknowledged(message) if message in self.pending.unanswered:
                 self.pending.finish(self.pending.unanswered.pop(message))
-            case face.Stopping(left):
+            case Stopping(left):
                 self.stops_at = self.loop.now + left
 
-    def restore(self, kept: face.MessageRestored) -> None:
+    def restore(self, kept: MessageRestored) -> None:
         """Restore a message. A call in flight as its process ended may have run or run yet: its key rests."""
         self.pending.take(kept.taken, kept.share)
         message = self.messages[kept.taken.message]
@@ -101,7 +126,7 @@
             breaker = endpoint.breaker if (endpoint := self.endpoints.get(name)) else None
             # Guards a destination that came back meanwhile, cold. What is called off was far overdue. In a
             # crowd one failure that is no answer is enough: no call that was served speaks against it here.
-            if breaker and (outcome in face.FAILURES or outcome is Outcome.CANCELLED):
+            if breaker and (outcome in FAILURES or outcome is Outcome.CANCELLED):
                 breaker.failed(int(self.loop.now), outcome)
                 breaker.trial_at = self.loop.now
                 if self.loop.pace.crowd > 1 and outcome not in ANSWERED:
@@ -109,12 +134,14 @@
             elif breaker and outcome is Outcome.FULL:
                 breaker.doubt(int(self.loop.now), REFUSALS_KEPT)
 
-    def resume(self, message: Message, out: face.CallOut) -> None:
+    def resume(self, message: PendingMessage, out: CallInFlight) -> None:
         """Adopt a call of the process before: it holds its message, key and trial until it ends."""
         at, number = self.registry.arouse(message.destination), message.destination
-        gone = face.Endpoint(out.endpoint, number, face.EndpointState.GONE, "", out.zone)
-        endpoint = self.endpoints.get(out.endpoint) or Endpoint(gone)
-        call = Call(self.registry.breaker_of(at, endpoint.listed), endpoint, out.sent, next(self.loop.count))
+        gone = Endpoint(out.endpoint, number, EndpointState.GONE, "", out.zone)
+        endpoint = self.endpoints.get(out.endpoint) or TrackedEndpoint(gone)
+        call = ActiveCall(
+            self.registry.breaker_of(at, endpoint.listed), endpoint, out.sent, next(self.loop.count)
+        )
         self.inflight.begin(call, message, message.attempts - 1)
         if out.trial:
             call.breaker.trial = call
@@ -123,7 +150,7 @@
             del call.breaker.fresh[call]
             call.breaker.stuck[call] = self.inflight.stuck[call] = None
 
-    def inherit(self, told: face.Inherited) -> None:
+    def inherit(self, told: InheritedState) -> None:
         for number, route, values in told.breakers:
             own = self.registry.arouse(number).own
             assert own is not None
@@ -134,7 +161,7 @@
             if name in self.endpoints:
                 believe(self.endpoints[name], values)
         for key, until in told.keys:
-            self.keys.setdefault(key, KeyLine()).quiet_until = until
+            self.keys.setdefault(key, KeyQueue()).quiet_until = until
             heapq.heappush(self.pending.quiet, (until, key))
         quotas = self.pending.quotas
         self.pending.credit |= {tenant: (left, at) for tenant, left, at in told.credit if tenant in quotas}
@@ -142,7 +169,7 @@
             if (found := self.destinations.get(number)) and found.own is None:
                 found.silent_since = since
 
-    def attempt_ended(self, ended: face.AttemptEnded) -> None:
+    def attempt_ended(self, ended: AttemptEnded) -> None:
         if (call := self.calls.pop((ended.message, ended.attempt), None)) is None:
             return
         message = call.messages.pop(ended.message)
@@ -150,7 +177,7 @@
         self.inflight.settle(call, ended)
         if ended.outcome in MAY_STILL_RUN:
             self.pending.rest(message.key)
-        if ended.outcome not in face.NEVER_RAN and message.risky_since is None:
+        if ended.outcome not in NEVER_RAN and message.risky_since is None:
             message.risky_since, message.risky_zone = call.sent, call.endpoint.listed.zone
         if message.ended or ended.finished:
             self.pending.finish(message)
@@ -186,9 +213,9 @@
         self.inflight.close_scarce()
 
     def send_best(self, found: list[Destination]) -> None:
-        heap: list[tuple[Rank, Message, Destination]] = []
-        aside: list[Message] = []  # may go to one zone or endpoint alone, which takes nothing now
-        batches: dict[str, Call] = {}
+        heap: list[tuple[Rank, PendingMessage, Destination]] = []
+        aside: list[PendingMessage] = []  # may go to one zone or endpoint alone, which takes nothing now
+        batches: dict[str, ActiveCall] = {}
         for at in found:
             self.push_best(heap, at)
         while heap:
@@ -211,16 +238,16 @@
                 break
             self.push_best(heap, at)
         for message in aside:
-            self.destinations[message.destination].queue(message, self.settings.halves)
+            self.destinations[message.destination].queue(message, self.settings.halves_late_weight)
 
-    def spares_others(self, message: Message, at: Destination, aside: list[Message]) -> bool:
+    def spares_others(self, message: PendingMessage, at: Destination, aside: list[PendingMessage]) -> bool:
         """Whether the budget holds back this repeat alone: a first attempt may still be sent."""
         if (leave := self.registry.leave) is None or not message.attempts or len(aside) >= LOOKS:
             return False
         now, ways = int(self.loop.now), [x for x in at.endpoints if x.breaker and self.may_call(x.breaker)]
         return any(leave.free_at(x.listed, now, bool(x.breaker and x.breaker.is_open())) <= now for x in ways)
 
-    def push_best(self, heap: list[tuple[Rank, Message, Destination]], at: Destination) -> None:
+    def push_best(self, heap: list[tuple[Rank, PendingMessage, Destination]], at: Destination) -> None:
         if best := at.best(int(self.loop.now)):
             heapq.heappush(heap, (*best, at))
 
@@ -232,15 +259,15 @@
             return False
         return sent is None or self.pending.may_repeat_at(now, sent, sent.risky_since)
 
-    def choose(self, message: Message, batches: dict[str, Call]) -> Endpoint | None:
-        options: list[tuple[tuple[float, ...], int, Endpoint]] = []
+    def choose(self, message: PendingMessage, batches: dict[str, ActiveCall]) -> TrackedEndpoint | None:
+        options: list[tuple[tuple[float, ...], int, TrackedEndpoint]] = []
         weighted = self.destinations[message.destination].weighted
         pinned, leave = self.holds_pin(message), self.registry.leave
         for endpoint in self.destinations[message.destination].endpoints:
             listed = endpoint.listed
             if pinned and listed.id != message.pinned:
                 continue
-            if message.kind.window_by_zone and message.risky_zone not in ("", listed.zone):
+            if message.kind.is_window_zonal and message.risky_zone not in ("", listed.zone):
                 continue  # rule: no effect twice; only that zone drops the repeat
             assert endpoint.breaker is not None
             joins = self.may_join(batches.get(listed.id), listed)
@@ -252,7 +279,7 @@
             options.append((self.rank(endpoint, joins, weighted), len(options), endpoint))
         return min(options)[-1] if options else None
 
-    def rank(self, endpoint: Endpoint, joins: bool, weighted: bool) -> tuple[float, ...]:
+    def rank(self, endpoint: TrackedEndpoint, joins: bool, weighted: bool) -> tuple[float, ...]:
         """The sort key of an endpoint, lowest first. In a large fleet separate routes go by rate times idle
         time and not by fee: all senders at the cheapest route would exceed its limit."""
         listed, apart = endpoint.listed, self.registry.kinds[endpoint.listed.kind].apart
@@ -262,14 +289,14 @@
         fee, away = self.fees.get(listed.zone, 0.0) if apart else 0.0, listed.zone != self.settings.zone
         return bad, fee, not joins, load, away, endpoint.last_sent
 
-    def holds_pin(self, message: Message) -> bool:
+    def holds_pin(self, message: PendingMessage) -> bool:
         """Whether the pin applies: its endpoint is listed, and the rule on repeats allows it."""
         known = self.endpoints.get(message.pinned) if message.pinned else None
         if known is None or known.listed.destination != message.destination:
             return False
-        return not message.kind.window_by_zone or message.risky_zone in ("", known.listed.zone)
+        return not message.kind.is_window_zonal or message.risky_zone in ("", known.listed.zone)
 
-    def may_join(self, call: Call | None, listed: face.Endpoint) -> bool:
+    def may_join(self, call: ActiveCall | None, listed: Endpoint) -> bool:
         most = self.registry.kinds[listed.kind].batch
         return call is not None and call.breaker.trial is not call and len(call.messages) < most
 
@@ -280,11 +307,13 @@
             return False
         return breaker.out < max(2, slots * DESTINATION_SLOTS)
 
-    def send(self, message: Message, endpoint: Endpoint, batches: dict[str, Call]) -> None:
+    def send(
+        self, message: PendingMessage, endpoint: TrackedEndpoint, batches: dict[str, ActiveCall]
+    ) -> None:
         call, breaker = batches.get(name := endpoint.listed.id), endpoint.breaker
         assert breaker is not None
         if call is None or not self.may_join(call, endpoint.listed):
-            call = batches[name] = Call(breaker, endpoint, int(self.loop.now), next(self.loop.count))
+            call = batches[name] = ActiveCall(breaker, endpoint, int(self.loop.now), next(self.loop.count))
             if leave := self.registry.leave:
                 leave.reserve(endpoint.listed, message.id, breaker.is_open(), message.attempts > 0)
             endpoint.turns += 1 / endpoint.listed.weight
@@ -293,12 +322,12 @@
                 breaker.trial = call
         self.inflight.begin(call, message, message.attempts)
         left = message.until - int(self.loop.now)
-        self.loop.actions.append(face.Send(message.id, name, left, message.attempts))
+        self.loop.actions.append(Send(message.id, name, left, message.attempts))
         message.attempts += 1
 
     def set_wake(self) -> None:
         if self.registry.list_calls.is_due(self.loop.now):
-            self.loop.actions.append(face.Subscribe())
+            self.loop.actions.append(Subscribe())
         self.registry.set_overdue()
         due = [self.registry.list_calls.at, self.registry.overdue.next(), self.registry.freed.next()]
         due += [each[0] - self.settings.tick for each in self.pending.deadlines[:1]]
@@ -306,4 +335,4 @@
         at = min((each for each in due if each > self.loop.now), default=NEVER)
         if at < self.wake_at or self.wake_at <= self.loop.now < at < NEVER:
             self.wake_at = at
-            self.loop.actions.append(face.WakeAfter(max(ceil(at - self.loop.now), self.settings.tick)))
+            self.loop.actions.append(WakeAfter(max(ceil(at - self.loop.now), self.settings.tick)))
--- a/message_sender/policy/endpoints.py
+++ b/message_sender/policy/endpoints.py
@@ -9,9 +9,11 @@
 
 from collections import defaultdict
 
-from message_sender import interface as face
-from message_sender.policy.breaker import NEVER, Breaker, Endpoint
-from message_sender.policy.schedule import Destination, ListCalls, LoopState, TimerQueue
+from message_sender.policy.breaker import NEVER, Breaker, TrackedEndpoint
+from message_sender.policy.events import EndpointsUpdated
+from message_sender.policy.limits import SharedLimits
+from message_sender.policy.model import DestinationKind, Endpoint, EndpointState, ListingKind
+from message_sender.policy.schedule import Destination, ListPolling, LoopState, TimerQueue
 
 IDLE_AGE = 60_000_000  # us after which what is unused and unlisted is forgotten: above any outage's length
 QUIET_AGE = 3_600_000_000  # us of silence after which a listed destination is not judged by old figures
@@ -20,15 +22,15 @@
 class EndpointRegistry:
     def __init__(self, loop: LoopState) -> None:
         self.loop, self.settings = loop, loop.settings
-        self.kinds = defaultdict(face.Kind, loop.settings.kinds)
-        self.endpoints: dict[str, Endpoint] = {}
+        self.kinds = defaultdict(DestinationKind, loop.settings.kinds)
+        self.endpoints: dict[str, TrackedEndpoint] = {}
         self.destinations: dict[int, Destination] = {}
         self.open: dict[int, None] = {}
         self.freed, self.ages = TimerQueue[int](), TimerQueue[int]()
         self.overdue = TimerQueue[Breaker]()
         self.changed: dict[Breaker, None] = {}
-        self.list_calls = ListCalls(loop.settings, loop.random)
-        self.leave: face.Leave | None = None  # of a budget that a fleet shares
+        self.list_calls = ListPolling(loop.settings, loop.random)
+        self.leave: SharedLimits | None = None  # of a budget that a fleet shares
 
     def arouse(self, number: int) -> Destination:
         """Return a destination, awake. One that was idle for long is warmed up like one that was down."""
@@ -45,16 +47,16 @@
     def all_breakers(self) -> list[Breaker]:
         return [each for at in self.destinations.values() for each in (at.own or {}).values()]
 
-    def list_endpoints(self, listed: face.EndpointsListed) -> None:
+    def list_endpoints(self, listed: EndpointsUpdated) -> None:
         """Apply a list. Rule: drains count once they are announced, so only ready endpoints are kept here."""
-        if listed.listing is face.Listing.FAILED:
+        if listed.listing is ListingKind.FAILED:
             self.list_calls.failed(self.loop.now)
             return
-        if listed.listing is face.Listing.CACHED:
+        if listed.listing is ListingKind.CACHED:
             self.list_calls.start(self.loop.now)
         known = self.endpoints
         touched: dict[int, None] = {}  # destinations, in the order in which they were named
-        if listed.listing is not face.Listing.CHANGES:
+        if listed.listing is not ListingKind.CHANGES:
             known = self.endpoints.copy()
             self.endpoints.clear()
             for each in known.values():
@@ -67,13 +69,13 @@
             self.relist(self.destinations[destination])
         self.warm(frozenset(listed.returned))
 
-    def list_one(self, told: face.Endpoint, known: dict[str, Endpoint], touched: dict[int, None]) -> None:
-        endpoint = known.get(told.id) or self.endpoints.get(told.id) or Endpoint(told)
+    def list_one(self, told: Endpoint, known: dict[str, TrackedEndpoint], touched: dict[int, None]) -> None:
+        endpoint = known.get(told.id) or self.endpoints.get(told.id) or TrackedEndpoint(told)
         if endpoint.listed.destination != told.destination and told.id in self.endpoints:
             self.unlist(endpoint)
             touched[endpoint.listed.destination] = None
         endpoint.listed = told
-        if told.state is not face.EndpointState.READY:
+        if told.state is not EndpointState.READY:
             if told.id in self.endpoints:
                 self.unlist(endpoint)
                 touched[told.destination] = None
@@ -85,7 +87,7 @@
                 self.destinations[told.destination] = Destination(told.destination)
             self.destinations[told.destination].endpoints.append(endpoint)
 
-    def unlist(self, endpoint: Endpoint) -> None:
+    def unlist(self, endpoint: TrackedEndpoint) -> None:
         del self.endpoints[endpoint.listed.id]
         self.destinations[endpoint.listed.destination].endpoints.remove(endpoint)
         endpoint.breaker = None
@@ -114,12 +116,12 @@
     def set_breakers(self, at: Destination) -> None:
         for endpoint in at.endpoints:
             endpoint.breaker = breaker = self.breaker_of(at, endpoint.listed)
-            if self.settings.rates_told and endpoint.listed.scale > 0:
+            if self.settings.announces_rates and endpoint.listed.scale > 0:
                 breaker.told_rate(endpoint.listed.scale)
         at.breakers = tuple(dict.fromkeys(each.breaker for each in at.endpoints if each.breaker))
         self.open[at.number] = None
 
-    def breaker_of(self, at: Destination, listed: face.Endpoint) -> Breaker:
+    def breaker_of(self, at: Destination, listed: Endpoint) -> Breaker:
         assert at.own is not None
         key = listed.id if self.kinds[listed.kind].apart else ""
         if key not in at.own:
--- a/message_sender/policy/inflight.py
+++ b/message_sender/policy/inflight.py
@@ -2,10 +2,11 @@
 
 from itertools import takewhile
 
-from message_sender import interface as face
-from message_sender.interface import Outcome
-from message_sender.policy.breaker import RESET_TIMEOUT, Call, Endpoint, Message
+from message_sender.policy.actions import CancelAttempt, CloseIdle
+from message_sender.policy.breaker import RESET_TIMEOUT, ActiveCall, PendingMessage, TrackedEndpoint
 from message_sender.policy.endpoints import EndpointRegistry
+from message_sender.policy.events import AttemptEnded
+from message_sender.policy.model import FAILURES, Outcome
 from message_sender.policy.pending import PendingQueue
 from message_sender.policy.schedule import LoopState
 
@@ -17,12 +18,12 @@
 class InFlightCalls:
     def __init__(self, loop: LoopState, registry: EndpointRegistry, pending: PendingQueue) -> None:
         self.loop, self.settings, self.registry, self.pending = loop, loop.settings, registry, pending
-        self.calls: dict[tuple[str, int], Call] = {}
-        self.idle: dict[str, Endpoint] = {}  # with a call just ended
-        self.out: dict[Call, None] = {}  # distinct calls, oldest first
-        self.stuck: dict[Call, None] = {}  # of these, the overdue ones
+        self.calls: dict[tuple[str, int], ActiveCall] = {}
+        self.idle: dict[str, TrackedEndpoint] = {}  # with a call just ended
+        self.out: dict[ActiveCall, None] = {}  # distinct calls, oldest first
+        self.stuck: dict[ActiveCall, None] = {}  # of these, the overdue ones
 
-    def begin(self, call: Call, message: Message, attempt: int) -> None:
+    def begin(self, call: ActiveCall, message: PendingMessage, attempt: int) -> None:
         """From now on the message is out with this call."""
         if call not in self.out:
             self.out[call] = call.breaker.fresh[call] = None
@@ -34,7 +35,7 @@
         message.out = True
         self.registry.destinations[message.destination].release(message)
 
-    def settle(self, call: Call, ended: face.AttemptEnded) -> None:
+    def settle(self, call: ActiveCall, ended: AttemptEnded) -> None:
         """The first result of a call speaks for all its messages."""
         breaker, endpoint, now = call.breaker, call.endpoint, int(self.loop.now)
         self.registry.touch(breaker)
@@ -67,15 +68,15 @@
         elif call is breaker.trial:
             breaker.trial = None
 
-    def speaks(self, call: Call, outcome: Outcome) -> bool:
+    def speaks(self, call: ActiveCall, outcome: Outcome) -> bool:
         """Whether this result counts against the destination, and has not before. A timeout that is not
         overdue came from a message with little time left, and does not. In a large fleet, whose members see
         few calls, each counts: a returning destination is not to be overloaded."""
-        if outcome not in face.FAILURES or call.overdue:
+        if outcome not in FAILURES or call.overdue:
             return False
         return outcome is not Outcome.TIMEOUT or call is call.breaker.trial or self.loop.pace.crowd > 1
 
-    def is_alone(self, call: Call) -> bool:
+    def is_alone(self, call: ActiveCall) -> bool:
         """Whether a refused connect counts against its endpoint alone, as another one is not known to be bad:
         a large fleet, whose list may be old, must not hold back what that one would accept."""
         if self.loop.pace.crowd <= 1 or call is call.breaker.trial:
@@ -89,7 +90,7 @@
         the oldest far overdue one is cancelled, harmless ones first; this may lose a heavy message. Where
         later calls were served the call or its connection counts as lost, and what may be repeated is."""
         changed, now = self.registry.set_overdue(), self.loop.now
-        late: list[Call] = []
+        late: list[ActiveCall] = []
         for breaker in self.registry.overdue.due(now):
             self.registry.touch(breaker)
             patience = breaker.patience()
@@ -107,9 +108,9 @@
             if not call.called_off and self.is_hopeless(call, short):
                 call.called_off, short = True, False
                 for each in call.messages.values():
-                    self.loop.actions.append(face.CancelAttempt(each.id, each.attempts - 1))
+                    self.loop.actions.append(CancelAttempt(each.id, each.attempts - 1))
 
-    def is_overdue(self, call: Call) -> None:
+    def is_overdue(self, call: ActiveCall) -> None:
         self.loop.looks += 1
         call.overdue = True
         del call.breaker.fresh[call]
@@ -118,14 +119,14 @@
         call.endpoint.bad_until = self.loop.now + RESET_TIMEOUT
         self.registry.touch(call.breaker)
 
-    def is_hopeless(self, call: Call, short: bool) -> bool:
+    def is_hopeless(self, call: ActiveCall, short: bool) -> bool:
         """Whether an overdue call is cancelled."""
         lost = self.loop.now - call.sent > 1.5 * call.breaker.patience()
         alone = call.breaker.served_sent > call.sent and self.may_repeat(call)
         harmless = not call.risks() and call.breaker.is_open()
         return alone or harmless or (short and lost)
 
-    def may_repeat(self, call: Call) -> bool:
+    def may_repeat(self, call: ActiveCall) -> bool:
         """Whether all its messages may go once more, though this call may have run."""
         return all(
             each.attempts < self.settings.max_attempts
@@ -133,7 +134,7 @@
             for each in call.messages.values()
         )
 
-    def wait_told(self, endpoint: str, until: int) -> None:
+    def retry_after_received(self, endpoint: str, until: int) -> None:
         """Rule: waits are kept. This one applies to calls that go before the next loop iteration too."""
         told = {call.breaker for call in self.out if call.endpoint.listed.id == endpoint}
         if known := self.registry.endpoints.get(endpoint):  # else it drains or has gone: that one waits on
@@ -147,4 +148,4 @@
         """In a large fleet, close idle connections to endpoints that accept no more of them."""
         idle, self.idle = self.idle if self.loop.pace.crowd > 1 else {}, {}
         scarce = [name for name, each in idle.items() if not each.out and self.loop.now < each.scarce_until]
-        self.loop.actions += map(face.CloseIdle, scarce)
+        self.loop.actions += map(CloseIdle, scarce)
--- a/message_sender/policy/pending.py
+++ b/message_sender/policy/pending.py
@@ -8,9 +8,11 @@
 from bisect import insort
 from collections import OrderedDict
 
-from message_sender import interface as face
-from message_sender.policy.breaker import NEVER, RESET_TIMEOUT, Message
+from message_sender.policy.actions import Fail, Reject
+from message_sender.policy.breaker import NEVER, RESET_TIMEOUT, PendingMessage
 from message_sender.policy.endpoints import EndpointRegistry
+from message_sender.policy.events import MessageAccepted
+from message_sender.policy.model import Effect
 from message_sender.policy.schedule import Destination, LoopState, worth
 
 ROUNDING = 1e-9  # of a message: a share that is whole but for the last bits of a float is whole
@@ -19,13 +21,13 @@
 PROSPECT_AGE = 25  # us for each message held that their order, once made, serves: a bound on what it costs
 
 
-class KeyLine:
+class KeyQueue:
     """Rule: messages of one key go one at a time, as taken, and pause after an attempt of unknown result."""
 
     def __init__(self) -> None:
-        self.queue, self.quiet_until = OrderedDict(), 0  # type: OrderedDict[str, Message], int
+        self.queue, self.quiet_until = OrderedDict(), 0  # type: OrderedDict[str, PendingMessage], int
 
-    def head(self) -> Message:
+    def head(self) -> PendingMessage:
         return next(iter(self.queue.values()))
 
 
@@ -35,26 +37,26 @@
         self.classes = {each.name: each for each in settings.classes}
         self.quotas = {name: rate / settings.fleet_size for name, rate in settings.tenants if rate > 0}
         self.credit = {name: (rate, 0) for name, rate in self.quotas.items()}  # left, and when
-        self.messages: dict[str, Message] = {}
-        self.unanswered: dict[str, Message] = {}  # ended, but not over yet
-        self.keys: dict[str, KeyLine] = {}
-        self.deadlines: list[tuple[float, int, Message]] = []  # a heap: when a message may have to end
+        self.messages: dict[str, PendingMessage] = {}
+        self.unanswered: dict[str, PendingMessage] = {}  # ended, but not over yet
+        self.keys: dict[str, KeyQueue] = {}
+        self.deadlines: list[tuple[float, int, PendingMessage]] = []  # a heap: when a message may have to end
         self.quiet: list[tuple[int, str]] = []  # a heap: when a key has rested
-        self.examined: list[Message] = []
-        self.room: list[tuple[float, int, Message]] = []  # what makes room, the least promising first
+        self.examined: list[PendingMessage] = []
+        self.room: list[tuple[float, int, PendingMessage]] = []  # what makes room, the least promising first
         self.room_until = -NEVER  # when that order is too old
 
-    def take(self, taken: face.MessageTaken, share: float | None = None) -> None:
+    def take(self, taken: MessageAccepted, share: float | None = None) -> None:
         if taken.message_class not in self.classes:
             raise ValueError(f"unknown class {taken.message_class}")
         if taken.message in self.messages:
             raise ValueError(f"message {taken.message} was taken before")
         share = self.within_share(taken.tenant) if share is None else share
-        message = Message(taken, self.classes[taken.message_class], int(self.loop.now), share)
+        message = PendingMessage(taken, self.classes[taken.message_class], int(self.loop.now), share)
         self.messages[message.id] = message
         heapq.heappush(self.deadlines, (message.until, next(self.loop.count), message))
         if message.key:
-            self.keys.setdefault(message.key, KeyLine()).queue[message.id] = message
+            self.keys.setdefault(message.key, KeyQueue()).queue[message.id] = message
         self.hold(message)
 
     def within_share(self, tenant: str) -> float:
@@ -64,9 +66,9 @@
         left = min(left + rate * (self.loop.now - since) / 1e6, max(rate, 1.0))
         within = left >= 1 - ROUNDING
         self.credit[tenant] = left - within, int(self.loop.now)
-        return 1.0 if within else self.settings.over_share_worth
+        return 1.0 if within else self.settings.over_quota_weight
 
-    def hold(self, message: Message) -> None:
+    def hold(self, message: PendingMessage) -> None:
         at = self.registry.arouse(message.destination)
         message.number = next(self.loop.count)
         at.hold(message)
@@ -77,48 +79,53 @@
 
     def rest(self, key: str) -> None:
         if line := self.keys.get(key):
-            line.quiet_until = int(self.loop.now) + self.settings.key_quiet
+            line.quiet_until = int(self.loop.now) + self.settings.key_pause
             heapq.heappush(self.quiet, (line.quiet_until, key))
 
-    def watch_window(self, message: Message) -> None:
+    def watch_window(self, message: PendingMessage) -> None:
         """A held message that may be repeated only for a while is looked at again when that is over."""
-        if message.risky_since is not None and message.kind.effect is face.Effect.KEYED:
+        if message.risky_since is not None and message.kind.effect is Effect.KEYED:
             last = self.repeat_until(message, message.risky_since) + self.settings.tick
             heapq.heappush(self.deadlines, (last, next(self.loop.count), message))
 
-    def repeat_until(self, message: Message, sent: int) -> float:
+    def repeat_until(self, message: PendingMessage, sent: int) -> float:
         """Until when a repeat may go; `sent` is when an attempt went that may have run."""
         since = sent if message.risky_since is None else message.risky_since
-        return since + message.kind.window - 2 * self.settings.tick - message.kind.aim * CALL_SHARE
+        return (
+            since
+            + message.kind.idempotency_window
+            - 2 * self.settings.tick
+            - message.kind.latency_objective * CALL_SHARE
+        )
 
-    def may_repeat_at(self, now: float, message: Message, sent: int | None) -> bool:
+    def may_repeat_at(self, now: float, message: PendingMessage, sent: int | None) -> bool:
         """Rule: no effect twice. `sent` is when an attempt went that may have run; None: none has."""
-        if sent is None or message.kind.effect is face.Effect.SAFE:
+        if sent is None or message.kind.effect is Effect.IDEMPOTENT:
             return True
-        return message.kind.effect is face.Effect.KEYED and now < self.repeat_until(message, sent)
+        return message.kind.effect is Effect.KEYED and now < self.repeat_until(message, sent)
 
-    def may_send_again(self, message: Message) -> bool:
+    def may_send_again(self, message: PendingMessage) -> bool:
         """Rule: no effect twice."""
         left = message.attempts < self.settings.max_attempts
         return left and self.may_repeat_at(self.loop.now, message, message.risky_since)
 
-    def may_refuse(self, message: Message) -> bool:
+    def may_refuse(self, message: PendingMessage) -> bool:
         """Rule: no effect twice; a refusal tells the client that trying again is harmless."""
-        if message.risky_since is None or message.kind.effect is face.Effect.SAFE:
+        if message.risky_since is None or message.kind.effect is Effect.IDEMPOTENT:
             return True
-        return message.kind.effect is face.Effect.KEYED and not message.kind.window_by_zone
+        return message.kind.effect is Effect.KEYED and not message.kind.is_window_zonal
 
-    def end(self, message: Message) -> None:
-        refusal = face.Refuse(message.id, self.come_again())
-        self.loop.actions.append(refusal if self.may_refuse(message) else face.Fail(message.id))
-        if self.settings.ends_answered:
+    def end(self, message: PendingMessage) -> None:
+        refusal = Reject(message.id, self.suggest_retry_after())
+        self.loop.actions.append(refusal if self.may_refuse(message) else Fail(message.id))
+        if self.settings.acknowledges_completions:
             self.unanswered[message.id] = message
         self.finish(message)
 
-    def come_again(self) -> int:
+    def suggest_retry_after(self) -> int:
         return min(RESET_TIMEOUT, self.settings.max_retry_after)
 
-    def finish(self, message: Message) -> None:
+    def finish(self, message: PendingMessage) -> None:
         if not message.ended:
             message.ended = True
             del self.messages[message.id]
@@ -143,13 +150,13 @@
             if over and not message.ended and not message.out:
                 self.end(message)
 
-    def in_turn(self, message: Message) -> bool:
+    def in_turn(self, message: PendingMessage) -> bool:
         """Rule: order per key. A message's own further attempts need no rest."""
         line = self.keys.get(message.key)
         rested = not line or message.attempts > 0 or self.loop.now >= line.quiet_until
         return not line or (line.head() is message and rested)
 
-    def is_held(self, message: Message) -> bool:
+    def is_held(self, message: PendingMessage) -> bool:
         return not (message.ended or message.out)
 
     def find_in_turn(self) -> None:
@@ -165,19 +172,25 @@
         for message in self.examined:
             self.loop.looks += 1
             if self.is_held(message) and not message.queued and self.in_turn(message):
-                self.registry.destinations[message.destination].queue(message, self.settings.halves)
+                self.registry.destinations[message.destination].queue(
+                    message, self.settings.halves_late_weight
+                )
                 self.registry.open[message.destination] = None
         self.examined = []
 
-    def prospect(self, message: Message, at: Destination, turns: int) -> tuple[float, int, Message]:
+    def prospect(
+        self, message: PendingMessage, at: Destination, turns: int
+    ) -> tuple[float, int, PendingMessage]:
         """Worth when it is likely to be sent, behind `turns` others of its key; of equal ones the first held
         goes. Protects new messages from a queue that is full of what cannot go soon."""
         kind = message.kind
-        then = max(at.ready_at(int(self.loop.now)), self.loop.now) + kind.aim * (0.5 + turns * CALL_SHARE)
-        value = worth(kind, message.share, then - message.born, self.settings.halves)
+        then = max(at.ready_at(int(self.loop.now)), self.loop.now) + kind.latency_objective * (
+            0.5 + turns * CALL_SHARE
+        )
+        value = worth(kind, message.share, then - message.born, self.settings.halves_late_weight)
         return value, message.number, message
 
-    def may_return(self, message: Message) -> bool:
+    def may_return(self, message: PendingMessage) -> bool:
         """Whether it may be ended for room: late; or, unless a start found it, told to wait too long, in its
         first iteration (not taken on yet), or in a small fleet, whose members can tell whose turn comes."""
         waited, life = self.loop.now - message.came, message.until - message.came
@@ -197,7 +210,7 @@
                 self.end(message)
                 excess -= 1
 
-    def order_room(self) -> list[tuple[float, int, Message]]:
+    def order_room(self) -> list[tuple[float, int, PendingMessage]]:
         places: dict[str, int] = {}
         for line in self.keys.values():
             places |= {name: place for place, name in enumerate(line.queue)}
--- a/message_sender/policy/schedule.py
+++ b/message_sender/policy/schedule.py
@@ -2,7 +2,7 @@
 
 - `TimerQueue`: items with one time each; what is due comes out, and nothing else is looked at.
 - `Destination`: its endpoints, its breakers while it is awake, and what is held for it.
-- `ListCalls`: when the list of endpoints is asked for.
+- `ListPolling`: when the list of endpoints is asked for.
 - `Group`: messages of one destination, class and share that may go next, by age. All of them lose worth by
   one curve, which rises and falls between a few known ages (`cuts`): the most urgent one stands at an end
   of such a stretch, whatever the number of messages.
@@ -16,8 +16,9 @@
 from heapq import heapify, heappop, heappush
 from typing import Generic, NamedTuple, TypeVar
 
-from message_sender.interface import Action, MessageClass, Settings
-from message_sender.policy.breaker import GAP_SENDERS, NEVER, Breaker, Endpoint, Message, Pace
+from message_sender.policy.actions import PolicyAction
+from message_sender.policy.breaker import GAP_SENDERS, NEVER, Breaker, Pace, PendingMessage, TrackedEndpoint
+from message_sender.policy.model import MessageClass, Settings
 
 PASSED_OVER = 0.9  # guessed chance that a message passed over now is still served one aim later
 AT_HAND_AGAIN = 50_000  # us until a list at hand is asked for again: well within the grace of a drain
@@ -33,11 +34,11 @@
 class LoopState:
     """What the parts of the policy share: the time of the iteration, random numbers, the actions so far."""
 
-    def __init__(self, settings: Settings, chance: random.Random) -> None:
-        self.settings, self.random, self.pace = settings, chance, Pace.of(settings, chance)
+    def __init__(self, settings: Settings, rng: random.Random) -> None:
+        self.settings, self.random, self.pace = settings, rng, Pace.of(settings, rng)
         self.now, self.count = -NEVER, itertools.count()
         self.looks = 0  # items looked at, ever: what an iteration costs is counted by it
-        self.actions: list[Action] = []
+        self.actions: list[PolicyAction] = []
 
 
 class TimerQueue(Generic[Item]):
@@ -73,25 +74,27 @@
             yield item
 
 
-class ListCalls:
+class ListPolling:
     """When the list is asked for next. Rule: what discovery has had for 6 s, and could be reached for, counts
     as told, whatever call failed. It takes calls of all senders in turn, one from each in 2 to 8 s, and turns
     away what has waited for 2 s; one given up sooner is worked on in vain. So a call that had to wait is made
     again at once, one that failed at once after a pause, and not by all at one time."""
 
-    def __init__(self, settings: Settings, chance: random.Random) -> None:
-        self.settings, self.chance, self.pause = settings, chance, min(LIST_PAUSE, settings.ask_within)
-        self.at: float = -NEVER if settings.must_ask else NEVER
+    def __init__(self, settings: Settings, rng: random.Random) -> None:
+        self.settings, self.rng, self.pause = settings, rng, min(LIST_PAUSE, settings.poll_interval_limit)
+        self.at: float = -NEVER if settings.must_poll else NEVER
         self.begun: float = -NEVER  # the newest call, or watch
 
     def start(self, now: float) -> None:
         """The process has just started, as all others may have."""
-        if self.at < NEVER and self.settings.fleet_size > GAP_SENDERS and not self.settings.list_at_hand:
-            self.at = now + self.chance.uniform(0, LIST_START)
+        if self.at < NEVER and self.settings.fleet_size > GAP_SENDERS and not self.settings.has_local_list:
+            self.at = now + self.rng.uniform(0, LIST_START)
 
     def failed(self, now: float) -> None:
-        spread, pause = self.chance.uniform(0, LIST_SPREAD), self.chance.uniform(0.5, 1) * self.pause
-        self.at = now + AT_HAND_AGAIN if self.settings.list_at_hand else max(now + spread, self.begun + pause)
+        spread, pause = self.rng.uniform(0, LIST_SPREAD), self.rng.uniform(0.5, 1) * self.pause
+        self.at = (
+            now + AT_HAND_AGAIN if self.settings.has_local_list else max(now + spread, self.begun + pause)
+        )
 
     def is_due(self, now: float) -> bool:
         """Whether to ask now; asked once for each time."""
@@ -105,24 +108,26 @@
     """What a message is worth at that age, in us since its full deadline began to run."""
     if age >= kind.deadline:
         return 0.0
-    late = max(age - kind.aim, 0)
-    even = 1 - (1 - kind.late_worth) * late / max(kind.deadline - kind.aim, 1)
-    left = max(0.5 ** (late / kind.aim), kind.late_worth) if halves else even
-    return kind.worth * share * left
+    late = max(age - kind.latency_objective, 0)
+    even = 1 - (1 - kind.late_priority_weight) * late / max(kind.deadline - kind.latency_objective, 1)
+    left = max(0.5 ** (late / kind.latency_objective), kind.late_priority_weight) if halves else even
+    return kind.priority_weight * share * left
 
 
 def urgency(kind: MessageClass, share: float, age: float, halves: bool) -> float:
     """What is lost by passing a message over now."""
-    return worth(kind, share, age, halves) - PASSED_OVER * worth(kind, share, age + kind.aim, halves)
+    return worth(kind, share, age, halves) - PASSED_OVER * worth(
+        kind, share, age + kind.latency_objective, halves
+    )
 
 
 def cuts(kind: MessageClass, halves: bool) -> tuple[float, ...]:
     """The ages between which `urgency` only rises, only falls or stays. Worth begins to fall at the aim and
     ends at the deadline, halving worth stops at its least; one aim ahead the same holds."""
-    ends = [float(kind.aim), float(kind.deadline)]
-    if halves and 0 < kind.late_worth < 1:
-        ends.append(kind.aim * (1 - math.log2(kind.late_worth)))
-    return tuple(sorted({cut for each in ends for cut in (each, each - kind.aim) if cut >= 0}))
+    ends = [float(kind.latency_objective), float(kind.deadline)]
+    if halves and 0 < kind.late_priority_weight < 1:
+        ends.append(kind.latency_objective * (1 - math.log2(kind.late_priority_weight)))
+    return tuple(sorted({cut for each in ends for cut in (each, each - kind.latency_objective) if cut >= 0}))
 
 
 class Rank(NamedTuple):
@@ -138,21 +143,21 @@
 
     def __init__(self, kind: MessageClass, share: float, halves: bool) -> None:
         self.curve, self.cuts = (kind, share, halves), cuts(kind, halves)
-        self.line: list[tuple[int, int, Message]] = []  # born and number, the oldest first
+        self.line: list[tuple[int, int, PendingMessage]] = []  # born and number, the oldest first
 
-    def add(self, message: Message) -> None:
+    def add(self, message: PendingMessage) -> None:
         insort(self.line, (message.born, message.number, message))
 
-    def remove(self, message: Message) -> None:
+    def remove(self, message: PendingMessage) -> None:
         del self.line[bisect_left(self.line, (message.born, message.number))]
 
-    def best(self, now: int) -> tuple[Rank, Message]:
+    def best(self, now: int) -> tuple[Rank, PendingMessage]:
         """The message that goes first. There is one at least."""
         if len(self.line) <= FEW:
             return min(self.ranked(now, range(len(self.line))))
         return min(self.ranked(now, self.ends(now)))
 
-    def ranked(self, now: int, places: "range | set[int]") -> Iterator[tuple[Rank, Message]]:
+    def ranked(self, now: int, places: "range | set[int]") -> Iterator[tuple[Rank, PendingMessage]]:
         kind, share, halves = self.curve
         for place in places:
             born, number, message = self.line[place]
@@ -178,26 +183,26 @@
 
     def __init__(self, number: int) -> None:
         self.number = number
-        self.endpoints: list[Endpoint] = []
+        self.endpoints: list[TrackedEndpoint] = []
         #: By route where its endpoints are apart, else one under "". None while asleep.
         self.own: dict[str, Breaker] | None = None
         self.breakers: tuple[Breaker, ...] = ()  # of the endpoints that are listed
-        self.held: dict[str, Message] | None = None  # none as long as nothing is
+        self.held: dict[str, PendingMessage] | None = None  # none as long as nothing is
         self.groups: dict[tuple[str, float], Group] | None = None
         self.weighted = False  # some of its endpoints are to get more calls than others
         self.silent_since: float | None = None  # the last call before it fell asleep
 
-    def hold(self, message: Message) -> None:
+    def hold(self, message: PendingMessage) -> None:
         self.held = self.held or {}
         self.held[message.id] = message
 
-    def release(self, message: Message) -> None:
+    def release(self, message: PendingMessage) -> None:
         """Stop holding a message, if it was held."""
         self.leave(message)
         if self.held and self.held.pop(message.id, None) and not self.held:
             self.held = None
 
-    def queue(self, message: Message, halves: bool) -> None:
+    def queue(self, message: PendingMessage, halves: bool) -> None:
         """Add a message to those that may go next."""
         if self.groups is None:
             self.groups = {}
@@ -207,7 +212,7 @@
         self.groups[name].add(message)
         message.queued = True
 
-    def leave(self, message: Message) -> None:
+    def leave(self, message: PendingMessage) -> None:
         """Remove a message from those that may go next, if it is one."""
         if not message.queued:
             return
@@ -220,7 +225,7 @@
         if not self.groups:
             self.groups = None
 
-    def best(self, now: int) -> tuple[Rank, Message] | None:
+    def best(self, now: int) -> tuple[Rank, PendingMessage] | None:
         return min((each.best(now) for each in self.groups.values()), default=None) if self.groups else None
 
     def ready_at(self, now: int) -> float:
--- a/message_sender/policy/inherit.py
+++ b/message_sender/policy/state_transfer.py
@@ -6,9 +6,9 @@
 
 from collections.abc import Iterable, Mapping
 
-from message_sender import interface as face
-from message_sender.policy.breaker import Breaker, Endpoint
+from message_sender.policy.breaker import Breaker, TrackedEndpoint
 from message_sender.policy.endpoints import EndpointRegistry
+from message_sender.policy.events import InheritedState
 from message_sender.policy.pending import PendingQueue
 
 BREAKER = (
@@ -22,18 +22,18 @@
     return {name: getattr(of, name) for name in names}
 
 
-def believe(of: Breaker | Endpoint, told: Mapping[str, float]) -> None:
+def believe(of: Breaker | TrackedEndpoint, told: Mapping[str, float]) -> None:
     """Set the fields that are told and known here."""
     for name in BREAKER if isinstance(of, Breaker) else ENDPOINT:
         if name in told:
             setattr(of, name, told[name])
 
 
-def tell(registry: EndpointRegistry, pending: PendingQueue) -> face.Inherited:
+def tell(registry: EndpointRegistry, pending: PendingQueue) -> InheritedState:
     """Collect the state for the process that follows."""
     found, now = list(registry.destinations.values()), pending.loop.now
     own = [(at.number, route, each) for at in found for route, each in (at.own or {}).items()]
-    return face.Inherited(
+    return InheritedState(
         breakers=tuple((number, route, fields(each, BREAKER)) for number, route, each in own),
         endpoints=tuple((name, fields(each, ENDPOINT)) for name, each in registry.endpoints.items()),
         keys=tuple((key, line.quiet_until) for key, line in pending.keys.items() if line.quiet_until > now),
--- a/message_sender/recovery/coordinator.py
+++ b/message_sender/recovery/coordinator.py
@@ -2,8 +2,9 @@
 allows binds.
 
 The decision module is not changed. What a destination may be given reaches it by the same words as what a
-process before it tells (`Inherited`): a wait where nothing may go, an open breaker whose trial is due where
-one call may, a pace where a share may. `may_call` is asked once more at the last moment before a first byte.
+process before it tells (`InheritedState`): a wait where nothing may go, an open breaker whose trial is due
+where one call may, a pace where a share may. `may_call` is asked once more at the last moment before a first
+byte.
 """
 
 import logging
@@ -14,13 +15,20 @@
 
 import msgspec
 
-from message_sender import interface as face
-from message_sender.fleet.members import State
-from message_sender.fleet.node import Node, Said
-from message_sender.interface import Outcome
-from message_sender.recovery.ids import Inquiry, Known
-from message_sender.recovery.ids import answer as answer_about
-from message_sender.recovery.stages import Leave, Seen, Stage, Stages, Word, spacing
+from message_sender.fleet.members import MemberState
+from message_sender.fleet.node import Announcement, FleetNode
+from message_sender.policy.events import InheritedState
+from message_sender.policy.model import FAILURES, Outcome, Settings
+from message_sender.recovery.id_inquiry import IdState, Inquiry
+from message_sender.recovery.id_inquiry import answer as answer_about
+from message_sender.recovery.stages import (
+    CallPermission,
+    DestinationEvidence,
+    Stage,
+    StageAnnouncement,
+    Stages,
+    spacing,
+)
 
 TURN = 0.1  # s between two looks at what may go
 HOLD = 400_000  # us that a destination is held for, renewed each turn
@@ -31,7 +39,7 @@
 log = logging.getLogger(__name__)
 
 
-class Saying(msgspec.Struct, array_like=True):
+class StageDatagram(msgspec.Struct, array_like=True):
     """A word on the wire."""
 
     stage: int
@@ -41,30 +49,32 @@
     away: dict[str, float] = {}
 
 
-def encode(word: Word) -> bytes:
+def encode(word: StageAnnouncement) -> bytes:
     seen = {
         number: (x.up, round(x.age, 3), round(x.since, 3), x.cold, round(x.wait, 3))
         for number, x in word.seen.items()
     }
     trials = {number: round(each, 3) for number, each in word.trials.items()}
-    return msgspec.msgpack.encode(Saying(int(word.stage), dict(word.owed), seen, trials, dict(word.away)))
+    return msgspec.msgpack.encode(
+        StageDatagram(int(word.stage), dict(word.owed), seen, trials, dict(word.away))
+    )
 
 
-def decode(text: bytes) -> Word | None:
+def decode(text: bytes) -> StageAnnouncement | None:
     try:
-        told = msgspec.msgpack.decode(text, type=Saying)
-        seen = {number: Seen(*each) for number, each in told.seen.items()}
+        told = msgspec.msgpack.decode(text, type=StageDatagram)
+        seen = {number: DestinationEvidence(*each) for number, each in told.seen.items()}
         figures = [x for each in told.seen.values() for x in (each[1], each[2], each[4])]
         if not all(
             math.isfinite(x) and x >= 0 for x in [*figures, *told.trials.values(), *told.away.values()]
         ):
             return None
-        return Word(Stage(told.stage), told.owed, seen, told.trials, told.away)
+        return StageAnnouncement(Stage(told.stage), told.owed, seen, told.trials, told.away)
     except (msgspec.DecodeError, msgspec.ValidationError, ValueError):
         return None
 
 
-class Sender(Protocol):
+class EnginePort(Protocol):
     """What is needed of the engine; a test stands in for it."""
 
     def now(self) -> int:
@@ -73,7 +83,7 @@
     def owed(self) -> dict[int, int]:
         """Held messages by destination."""
 
-    def inherit(self, told: face.Inherited) -> None: ...
+    def inherit(self, told: InheritedState) -> None: ...
 
     def routes(self, number: int) -> list[tuple[str, float, float]]:
         """Route, rate a second (0: not told), own part in us."""
@@ -84,7 +94,7 @@
     def ids(self) -> list[str]:
         """Of messages held at the start."""
 
-    def known(self, name: str) -> Known | None:
+    def known(self, name: str) -> IdState | None:
         """What is known of an id."""
 
     def doubt(self, name: str) -> None:
@@ -99,7 +109,7 @@
 
 class Coordinator:
     def __init__(
-        self, node: Node, sender: Sender, settings: face.Settings, clock: Callable[[], float]
+        self, node: FleetNode, sender: EnginePort, settings: Settings, clock: Callable[[], float]
     ) -> None:
         now = clock()
         self.node, self.sender, self.settings, self.clock = node, sender, settings, clock
@@ -116,7 +126,7 @@
 
     # The link's side.
 
-    def hear(self, name: str, said: Said) -> None:
+    def hear(self, name: str, said: Announcement) -> None:
         word = decode(said.text)
         if word is None:
             log.warning("fleet: what %s says of itself cannot be read", name)
@@ -134,7 +144,7 @@
             log.warning("stage: %s is known to %s: %s; here it may have run", each, name, known.name.lower())
             self.sender.doubt(each)
 
-    def borrow(self, name: str, word: Word) -> None:
+    def borrow(self, name: str, word: StageAnnouncement) -> None:
         """What others keep out of service may be out for a reason that this one's disk has lost."""
         own = self.sender.away()
         for endpoint, left in word.away.items():
@@ -154,7 +164,7 @@
         if now < self.next_turn:
             return
         self.next_turn = now + TURN
-        gone = {each.name for each in self.node.members.others.values() if each.state >= State.DEAD}
+        gone = {each.name for each in self.node.members.others.values() if each.state >= MemberState.DEAD}
         self.stages.gone(gone & self.stages.words.keys())
         before = self.stages.stage
         self.stages.tick(self.sender.owed(), now)
@@ -183,14 +193,14 @@
             return
         told = [each for number in self.stages.owed for each in self.told(number, now)]
         if told:
-            self.sender.inherit(face.Inherited(breakers=tuple(told)))
+            self.sender.inherit(InheritedState(breakers=tuple(told)))
 
     def comes(self, number: int) -> None:
         """A message for a destination is about to be held: what binds there, binds before it can go."""
         if number not in self.stages.owed:
             self.stages.owed[number] = 1
             if told := list(self.told(number, self.clock())):
-                self.sender.inherit(face.Inherited(breakers=tuple(told)))
+                self.sender.inherit(InheritedState(breakers=tuple(told)))
 
     def told(self, number: int, now: float) -> Iterable[tuple[int, str, dict[str, float]]]:
         """What the module hears of a destination's breakers."""
@@ -210,7 +220,7 @@
             elif kind == "free":
                 yield number, route, self.pace(leave, rate, part, at, self.freed[number])
 
-    def pace(self, leave: Leave, rate: float, part: float, at: int, freed: int) -> dict[str, float]:
+    def pace(self, leave: CallPermission, rate: float, part: float, at: int, freed: int) -> dict[str, float]:
         """The module's own warm-up serves as the pace: a cold destination's gap is its usual one over a part
         that is known. Where no rate is told, or this one is open, the module's own pace holds from here
         on."""
@@ -221,10 +231,10 @@
             return free | {"cold_since": cold, "calls": 0.1, "span": 1e5 * max(settings.fleet_size / 4, 1)}
         warm = 1.0
         if leave.warm is not None:
-            share = min(leave.warm * US / settings.cold, 1.0)
-            warm = settings.cold_from + (1 - settings.cold_from) * share
+            share = min(leave.warm * US / settings.slow_start, 1.0)
+            warm = settings.slow_start_from + (1 - settings.slow_start_from) * share
         gap = US / (rate * warm * leave.share)
-        push = settings.fall_multiple * 0.75 * settings.cold_from
+        push = settings.fall_multiple * 0.75 * settings.slow_start_from
         return free | {
             "cold_since": at,
             "wait_until": max(at, int(freed + leave.phase * gap)),
@@ -248,7 +258,7 @@
         was_trial = destination in self.stages.trials
         if outcome in (Outcome.OK, Outcome.FULL):
             up = True
-        elif outcome in face.FAILURES and (was_trial or self.sender.is_open(destination)):
+        elif outcome in FAILURES and (was_trial or self.sender.is_open(destination)):
             up = False
         else:
             self.stages.trials.pop(destination, None)
@@ -315,7 +325,7 @@
         }  # fmt: skip
 
 
-def ranks(settings: face.Settings) -> dict[str, int]:
+def ranks(settings: Settings) -> dict[str, int]:
     """Classes by their worth, the most valuable one 0."""
-    worths = sorted({each.worth for each in settings.classes}, reverse=True)
-    return {each.name: worths.index(each.worth) for each in settings.classes}
+    worths = sorted({each.priority_weight for each in settings.classes}, reverse=True)
+    return {each.name: worths.index(each.priority_weight) for each in settings.classes}
--- a/message_sender/recovery/ids.py
+++ b/message_sender/recovery/id_inquiry.py
@@ -23,7 +23,7 @@
 ROOM = 800  # bytes of ids in a question
 
 
-class Known(IntEnum):
+class IdState(IntEnum):
     TAKEN = 0
     OUT = 1
     ENDED = 2
@@ -43,7 +43,7 @@
     return [msgspec.msgpack.encode(each) for each in pieces if each]
 
 
-def answer(question: bytes, known: Callable[[str], Known | None]) -> bytes | None:
+def answer(question: bytes, known: Callable[[str], IdState | None]) -> bytes | None:
     """None for what is no question."""
     try:
         ids = msgspec.msgpack.decode(question, type=list[str])
@@ -61,7 +61,7 @@
         self.texts = questions(sorted(self.ids))
         self.left: dict[str, set[int]] = {}  # by member: its pieces that are not answered
         self.asked: dict[str, float] = {}  # s
-        self.elsewhere: dict[str, tuple[str, Known]] = {}  # ids that are known: by whom, and how far
+        self.elsewhere: dict[str, tuple[str, IdState]] = {}  # ids that are known: by whom, and how far
 
     def due(self, names: Iterable[str], now: float) -> list[tuple[str, int, bytes]]:
         """Whom to ask what, now."""
@@ -73,13 +73,13 @@
                 found += [(name, piece, self.texts[piece]) for piece in sorted(left)]
         return found
 
-    def answered(self, name: str, piece: int, text: bytes) -> Mapping[str, Known]:
+    def answered(self, name: str, piece: int, text: bytes) -> Mapping[str, IdState]:
         """Ids of ours that it knows, and were not known to be. Nothing is believed of who was not asked."""
         if piece not in self.left.get(name, ()):
             return {}
         try:
             told = msgspec.msgpack.decode(text, type=dict[str, int])
-            found = {each: Known(state) for each, state in told.items() if each in self.ids}
+            found = {each: IdState(state) for each, state in told.items() if each in self.ids}
         except (msgspec.DecodeError, msgspec.ValidationError, ValueError):
             return {}
         self.left[name].discard(piece)
--- a/message_sender/recovery/snapshot.py
+++ b/message_sender/recovery/learned_snapshot.py
@@ -13,10 +13,10 @@
 from pathlib import Path
 from typing import Any
 
-from message_sender import interface as face
 from message_sender.journal import records
 from message_sender.journal.disk import Disk
-from message_sender.recovery.trust import Belief, Start
+from message_sender.policy.events import InheritedState
+from message_sender.recovery.trust import Confidence, StartConditions
 
 FILE, FRESH = "learned", "learned.new"
 MOST = 4096  # breakers
@@ -63,7 +63,7 @@
         return None
 
 
-def believed(at: int, breakers: Breakers, start: Start, now: int) -> face.Inherited:
+def believed(at: int, breakers: Breakers, start: StartConditions, now: int) -> InheritedState:
     """What of it is believed at `now`, on a clock that goes on from the latest time on record. Times are
     moved to that clock where nobody knows how much time has passed: what was to last is to last from now
     on."""
@@ -74,18 +74,18 @@
         kept: dict[str, float] = {}
         for kind, names in FIELDS.items():
             belief = start.belief(kind, age)
-            if belief is Belief.DROPPED:
+            if belief is Confidence.DROPPED:
                 continue
             for name in names:
-                if name in values and (belief is Belief.BELIEVED or name in MORE):
+                if name in values and (belief is Confidence.BELIEVED or name in MORE):
                     kept[name] = values[name] + (shift if name in TIMES else 0)
         if "failures" in kept and "trial_at" not in kept:
             kept["trial_at"] = now
         found.append((number, route, kept))
-    return face.Inherited(breakers=tuple(found))
+    return InheritedState(breakers=tuple(found))
 
 
-class Snapshots:
+class LearnedSnapshots:
     """Asked a few times a second by `tick`, from the loop."""
 
     def __init__(
--- a/message_sender/recovery/stages.py
+++ b/message_sender/recovery/stages.py
@@ -55,7 +55,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
+class DestinationEvidence:
     """What one member knows of a destination. Ages in s."""
 
     up: bool
@@ -66,18 +66,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Word:
+class StageAnnouncement:
     """What a member says of itself."""
 
     stage: Stage = Stage.ASKING
     owed: Mapping[int, int] = field(default_factory=dict)  # held messages by destination
-    seen: Mapping[int, Seen] = field(default_factory=dict)
+    seen: Mapping[int, DestinationEvidence] = field(default_factory=dict)
     trials: Mapping[int, float] = field(default_factory=dict)  # its trials that are out, and for how long
     away: Mapping[str, float] = field(default_factory=dict)  # endpoints kept out of service, s left
 
 
 @dataclass(frozen=True, slots=True)
-class Leave:
+class CallPermission:
     """What this member may do at a destination now."""
 
     calls: bool  # at all
@@ -88,7 +88,7 @@
     wait: float = 0.0
 
 
-HELD = Leave(False)
+HELD = CallPermission(False)
 
 
 class Stages:
@@ -97,9 +97,9 @@
         self.stage, self.since, self.why = Stage.ASKING, now, "started"
         self.began = now
         self.first_heard: float | None = None
-        self.words: dict[str, Word] = {}  # of the others, with ages as of `at`
+        self.words: dict[str, StageAnnouncement] = {}  # of the others, with ages as of `at`
         self.at: dict[str, float] = {}
-        self.seen: dict[int, tuple[Seen, float]] = {}  # with own eyes, and when
+        self.seen: dict[int, tuple[DestinationEvidence, float]] = {}  # with own eyes, and when
         self.trials: dict[int, float] = {}  # own, out: since when
         self.tried: dict[int, float] = {}  # when the fleet's last trial was known to be over
         self.owed: dict[int, int] = {}
@@ -109,7 +109,7 @@
 
     # What is heard.
 
-    def heard(self, name: str, word: Word, now: float) -> None:
+    def heard(self, name: str, word: StageAnnouncement, now: float) -> None:
         if self.first_heard is None:
             self.first_heard = now
         self.words[name], self.at[name] = word, now
@@ -128,21 +128,24 @@
         if up:
             cold = was_trial if before is None else down_before or before.cold
             since = 0.0 if down_before or before is None else before.since
-            self.seen[destination] = Seen(True, 0.0, since, cold, wait), now
+            self.seen[destination] = DestinationEvidence(True, 0.0, since, cold, wait), now
         elif was_trial or before is None or not before.up or now - self.tried.get(destination, -1e9) > AGAIN:
-            self.seen[destination] = Seen(False, 0.0, 0.0, True, wait), now
+            self.seen[destination] = DestinationEvidence(False, 0.0, 0.0, True, wait), now
         if was_trial:
             self.tried[destination] = now
 
     def asked_to_wait(self, destination: int, wait: float, now: float) -> None:
-        known, at = self.seen.get(destination, (Seen(True, 0.0), now))
-        self.seen[destination] = Seen(known.up, 0.0, known.since + now - at, known.cold, wait), now
+        known, at = self.seen.get(destination, (DestinationEvidence(True, 0.0), now))
+        self.seen[destination] = (
+            DestinationEvidence(known.up, 0.0, known.since + now - at, known.cold, wait),
+            now,
+        )
 
     def waited_before(self, destination: int, wait: float, now: float) -> None:
         """A wait that was told in the life before; it says nothing of the destination's state."""
-        self.seen[destination] = Seen(True, LONG_AGO, wait=wait), now
+        self.seen[destination] = DestinationEvidence(True, LONG_AGO, wait=wait), now
 
-    def believed(self, destination: int, now: float) -> Seen | None:
+    def believed(self, destination: int, now: float) -> DestinationEvidence | None:
         """The youngest evidence of anybody; of two that are as young the more careful; the longest wait of
         all."""
         found = [
@@ -161,7 +164,7 @@
             key=lambda x: (x[1].up, x[0] + x[1].since, x[0] + x[1].age),
         )
         wait = max(each.wait - by for by, each in found)
-        return Seen(best.up, best.age + by, best.since + by, best.cold, max(wait, 0.0))
+        return DestinationEvidence(best.up, best.age + by, best.since + by, best.cold, max(wait, 0.0))
 
     # What follows.
 
@@ -215,7 +218,7 @@
             return Stage.FEELING, "nobody answered" if not self.words else told
         return None
 
-    def is_fresh(self, seen: Seen) -> bool:
+    def is_fresh(self, seen: DestinationEvidence) -> bool:
         return seen.age <= FRESH
 
     def is_up(self, destination: int, now: float) -> bool:
@@ -254,21 +257,21 @@
         order = self.candidates(destination)
         return self.me in order and now >= last + order.index(self.me) * TRIAL
 
-    def leave(self, destination: int, now: float) -> Leave:
+    def leave(self, destination: int, now: float) -> CallPermission:
         """Asked before each turn and again at the last moment before a first byte."""
         if self.stage <= Stage.ASKING:
             return HELD
         seen = self.believed(destination, now)
         wait = seen.wait if seen else 0.0
         if wait > 0:
-            return Leave(False, wait=wait)
+            return CallPermission(False, wait=wait)
         if seen and seen.up and (self.is_fresh(seen) or self.stage is Stage.OPEN):
             warm = seen.since if seen.cold else None
             share, phase = self.share(destination)
-            return Leave(True, share=share, phase=phase, warm=warm)
+            return CallPermission(True, share=share, phase=phase, warm=warm)
         if seen is None and self.stage >= Stage.OPENING:
-            return Leave(True)
-        return Leave(True, trial=True) if self.holds_trial(destination, now) else HELD
+            return CallPermission(True)
+        return CallPermission(True, trial=True) if self.holds_trial(destination, now) else HELD
 
     def share(self, destination: int) -> tuple[float, float]:
         """Of the destination's rate, by the most that each has held for it, while it holds any; whoever holds
@@ -304,11 +307,11 @@
             return 1.0 if any(each.get(destination) for each in everybody) else 0.0
         return 0.5
 
-    def word(self, now: float) -> Word:
+    def word(self, now: float) -> StageAnnouncement:
         """What this one says of itself."""
         seen = {number: aged(each, now - at) for number, (each, at) in self.seen.items()}
         trials = {number: now - at for number, at in self.trials.items()}
-        return Word(self.stage, self.owed, seen, trials)
+        return StageAnnouncement(self.stage, self.owed, seen, trials)
 
 
 def spacing(others: int) -> float:
@@ -317,7 +320,7 @@
     return max(others / WORDS, 0.1)
 
 
-def aged(seen: Seen, by: float) -> Seen:
+def aged(seen: DestinationEvidence, by: float) -> DestinationEvidence:
     """`by`: s. Whoever looked at its clock before the evidence came makes it no younger by that."""
     by = max(by, 0.0)
-    return Seen(seen.up, seen.age + by, seen.since + by, seen.cold, max(seen.wait - by, 0.0))
+    return DestinationEvidence(seen.up, seen.age + by, seen.since + by, seen.cold, max(seen.wait - by, 0.0))
--- a/message_sender/recovery/begin.py
+++ b/message_sender/recovery/startup.py
@@ -4,11 +4,11 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from message_sender.interface import Settings
-from message_sender.journal.disk import Disk, Files
+from message_sender.journal.disk import Disk, SystemDisk
 from message_sender.journal.durable import DurableJournal
+from message_sender.policy.model import Settings
 from message_sender.recovery import trust
-from message_sender.recovery.trust import Ended, Start
+from message_sender.recovery.trust import PreviousEnd, StartConditions
 
 BOOT = Path("/proc/sys/kernel/random/boot_id")
 
@@ -23,7 +23,7 @@
         return ""
 
 
-class Beginning:
+class RecoveryStart:
     """One start of a sender: its journal, and what came before."""
 
     def __init__(
@@ -37,9 +37,9 @@
         """`gather`: s between two syncs, None: nothing is synced; `clock`: the wall clock in us, which
         `behind` is added to from the opening on."""
         self.settings, self.gather, self.clock = settings, gather, clock
-        self.disk = disk or Files()
+        self.disk = disk or SystemDisk()
         self.boot = boot_id() if boot is None else boot
-        self.start = Start(Ended.FIRST)
+        self.start = StartConditions(PreviousEnd.FIRST)
 
     def now(self) -> int:
         """The wall clock, or what goes on from the latest time on record where that is later: it never stands
@@ -48,7 +48,7 @@
 
     def is_latest(self) -> bool:
         """Whether its disk tells all that the life before knew."""
-        return self.start.ended in (Ended.CLEAN, Ended.PROCESS)
+        return self.start.ended in (PreviousEnd.CLEAN, PreviousEnd.PROCESS)
 
     def open(self, folder: Path, limit: int) -> DurableJournal:
         return DurableJournal(folder, limit, self.gather, self.disk, self.boot, self.now, self.trust)
@@ -57,7 +57,7 @@
         self.start = trust.judge(journal.before, self.boot, self.clock())
         deadlines = {each.name: each.deadline for each in self.settings.classes}
         trust.owed(journal.entries, self.start, self.now(), deadlines)
-        if self.start.ended is not Ended.FIRST:
+        if self.start.ended is not PreviousEnd.FIRST:
             log.info(
                 "the life before: %s; %d messages are owed, %d of them doubtful; %s",
                 self.start.ended.value,
--- a/message_sender/recovery/trust.py
+++ b/message_sender/recovery/trust.py
@@ -20,14 +20,14 @@
 from dataclasses import dataclass, replace
 from enum import Enum
 
-from message_sender.journal.contents import Before
-from message_sender.journal.file import Entry
+from message_sender.journal.contents import PreviousRun
+from message_sender.journal.process_journal import JournalEntry
 
 SECOND = 1_000_000  # us
 NEVER = float("inf")
 
 
-class Ended(Enum):
+class PreviousEnd(Enum):
     """How the life before ended."""
 
     FIRST = "there was none"
@@ -36,70 +36,78 @@
     POWER = "the power went"
 
 
-class Belief(Enum):
+class Confidence(Enum):
     BELIEVED = "believed"
     CAREFUL = "believed where it is the more careful"
     DROPPED = "dropped"
 
 
 @dataclass(frozen=True, slots=True)
-class Row:
+class TrustRule:
     """Of one kind of knowledge: where it stands, and until which age it is believed, and then believed as
     the more careful of two; us. NEVER: for ever."""
 
     stands: str
     believed: float
     careful: float
-    after_power: Belief = Belief.CAREFUL  # at the best, once nobody knows how much time has passed
+    after_power: Confidence = Confidence.CAREFUL  # at the best, once nobody knows how much time has passed
 
 
 TABLE = {
-    "owed messages and their attempts": Row("journal", NEVER, NEVER, Belief.BELIEVED),
-    "ids that are over": Row("journal", NEVER, NEVER, Belief.BELIEVED),
-    "key rests": Row("journal", NEVER, NEVER),
-    "told waits": Row("snapshot", NEVER, NEVER),
-    "breakers": Row("snapshot", 10 * SECOND, 60 * SECOND),
-    "gaps": Row("snapshot", 10 * SECOND, 60 * SECOND),
-    "warm-ups": Row("snapshot", 10 * SECOND, 3600 * SECOND),
-    "usual rates": Row("snapshot", 3600 * SECOND, 24 * 3600 * SECOND, Belief.BELIEVED),
-    "endpoints out of service": Row("overrides", NEVER, NEVER, Belief.BELIEVED),
-    "the list": Row("configuration", NEVER, NEVER, Belief.BELIEVED),
-    "grants": Row("nowhere", 0, 0, Belief.DROPPED),
+    "owed messages and their attempts": TrustRule("journal", NEVER, NEVER, Confidence.BELIEVED),
+    "ids that are over": TrustRule("journal", NEVER, NEVER, Confidence.BELIEVED),
+    "key rests": TrustRule("journal", NEVER, NEVER),
+    "told waits": TrustRule("snapshot", NEVER, NEVER),
+    "breakers": TrustRule("snapshot", 10 * SECOND, 60 * SECOND),
+    "gaps": TrustRule("snapshot", 10 * SECOND, 60 * SECOND),
+    "warm-ups": TrustRule("snapshot", 10 * SECOND, 3600 * SECOND),
+    "usual rates": TrustRule("snapshot", 3600 * SECOND, 24 * 3600 * SECOND, Confidence.BELIEVED),
+    "endpoints out of service": TrustRule("overrides", NEVER, NEVER, Confidence.BELIEVED),
+    "the list": TrustRule("configuration", NEVER, NEVER, Confidence.BELIEVED),
+    "grants": TrustRule("nowhere", 0, 0, Confidence.DROPPED),
 }
 
 
 @dataclass(frozen=True, slots=True)
-class Start:
+class StartConditions:
     """How a life begins: what came before, and what its clock is worth."""
 
-    ended: Ended
+    ended: PreviousEnd
     behind: int = 0  # us that the wall clock stands before the latest time on record
     passed: int | None = 0  # us since that time; None: nobody knows
 
-    def belief(self, kind: str, age: int = 0) -> Belief:
+    def belief(self, kind: str, age: int = 0) -> Confidence:
         """`age`: us, of what was known, at the end of the life before."""
         row = TABLE[kind]
-        if self.passed is None and row.after_power is Belief.DROPPED:
-            return Belief.DROPPED
+        if self.passed is None and row.after_power is Confidence.DROPPED:
+            return Confidence.DROPPED
         since = age + (self.passed or 0)
         if since > row.careful:
-            return Belief.DROPPED
+            return Confidence.DROPPED
         if since > row.believed:
-            return Belief.CAREFUL
-        return row.after_power if self.passed is None else Belief.BELIEVED
+            return Confidence.CAREFUL
+        return row.after_power if self.passed is None else Confidence.BELIEVED
 
 
-def judge(before: Before, boot: str, now: int) -> Start:
+def judge(before: PreviousRun, boot: str, now: int) -> StartConditions:
     """`boot` names the machine's run, `now` is its wall clock in us."""
     if not before.last:
-        return Start(Ended.FIRST)
+        return StartConditions(PreviousEnd.FIRST)
     behind = max(before.last - now, 0)
-    ended = Ended.CLEAN if before.clean else Ended.PROCESS if before.boot == boot else Ended.POWER
-    unknown = ended is Ended.POWER or behind > 0
-    return Start(ended, behind, None if unknown else now - before.last)
-
-
-def owed(entries: dict[str, Entry], start: Start, now: int, deadlines: Mapping[str, int]) -> None:
+    ended = (
+        PreviousEnd.CLEAN
+        if before.clean
+        else PreviousEnd.PROCESS
+        if before.boot == boot
+        else PreviousEnd.POWER
+    )
+    unknown = ended is PreviousEnd.POWER or behind > 0
+    return StartConditions(ended, behind, None if unknown else now - before.last)
+
+
+def owed(
+    entries: dict[str, JournalEntry], start: StartConditions, now: int, deadlines: Mapping[str, int]
+) -> None:
     """Changes what is owed to what is believed of it. `now` is the clock that goes on from the latest time on
     record; `deadlines`: by class, us."""
     for entry in entries.values():
--- a/message_sender/http/budgets.py
+++ b/message_sender/service/budgets.py
@@ -1,5 +1,5 @@
-"""Joins the budgets that a fleet shares (budget/desk.py) to one sender: its engine, its decision module and
-its link. Imported only where the configuration has a budget."""
+"""Joins the budgets that a fleet shares (budget/manager.py) to one sender: its engine, its decision module
+and its link. Imported only where the configuration has a budget."""
 
 import logging
 import math
@@ -11,16 +11,17 @@
 from itertools import count, islice
 from typing import Any, NamedTuple, Protocol
 
-from message_sender import interface as face
-from message_sender.budget.desk import WARM, Budget, Desk
-from message_sender.budget.earned import Earned
-from message_sender.budget.spend import NEVER
-from message_sender.config import Shared
+from message_sender.budget.enforcer import NEVER
+from message_sender.budget.manager import WARM, Budget, LeaseManager
+from message_sender.budget.retry_allowance import RetryAllowance
+from message_sender.configuration.resources import SharedBudget
 from message_sender.core.engine import Engine
 from message_sender.fleet import wire
 from message_sender.http.client import BODY_PATIENCE, HttpTransport
-from message_sender.http.routes import told_rates
-from message_sender.message import HandedIn
+from message_sender.message import Message
+from message_sender.policy.events import WakeUp
+from message_sender.policy.model import Endpoint
+from message_sender.service.routes import told_rates
 
 TURN = 0.1  # s between two looks at what the list tells, and at lines for the record
 AGAIN = 500_000  # us after which to come again where nobody can say when there is room
@@ -29,7 +30,7 @@
 WAYS = frozenset({"connections", "handshakes"})  # what is spent as a connection opens
 PLAIN = frozenset({"calls", "in_flight"})  # what any call spends
 
-#: What a file calls the fields of `Shared` that have another name there.
+#: What a file calls the fields of `SharedBudget` that have another name there.
 FILE_NAMES = {
     "by": "what it is bound to",
     "value": "which one it is bound to",
@@ -47,10 +48,10 @@
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1000
 
 
-class Node(Protocol):
+class FleetNodePort(Protocol):
     """What is needed of the link's end (fleet/node.py)."""
 
-    on_share: Callable[[str, wire.Share], None]
+    on_share: Callable[[str, wire.LeaseDatagram], None]
     epoch_raised: Callable[[int], None]
 
     @property
@@ -58,14 +59,14 @@
 
     def others(self) -> list[str]: ...
 
-    def send_to(self, name: str, body: wire.Share) -> None: ...
+    def send_to(self, name: str, body: wire.LeaseDatagram) -> None: ...
 
 
-class Way(Protocol):
+class FleetLinkPort(Protocol):
     """What is needed of a link (fleet/udp.py)."""
 
     @property
-    def node(self) -> Node: ...
+    def node(self) -> FleetNodePort: ...
 
     def flush(self) -> None: ...
 
@@ -73,10 +74,10 @@
 Value = int | str | None
 
 
-class Bound(NamedTuple):
+class EndpointBudgets(NamedTuple):
     """The budgets that calls to an endpoint may be in, by name."""
 
-    listed: face.Endpoint
+    listed: Endpoint
     plain: list[str]  # any call, with its first byte
     trials: list[str]
     repeats: list[str]
@@ -84,7 +85,7 @@
 
 
 @dataclass(slots=True)
-class Going:
+class CallReservation:
     """A message's call, from its choice to its end."""
 
     endpoint: str
@@ -94,40 +95,44 @@
     claims: bool = False  # it is to go on a connection that is kept
 
 
-def changed_figures(known: Shared, told: Shared) -> list[str]:
+def changed_figures(known: SharedBudget, told: SharedBudget) -> list[str]:
     """What differs besides the whole, as a file names it."""
-    names = [each.name for each in fields(Shared) if each.name != "whole"]
+    names = [each.name for each in fields(SharedBudget) if each.name != "whole"]
     return [FILE_NAMES.get(each, each) for each in names if getattr(known, each) != getattr(told, each)]
 
 
-class Budgets:
-    """The module's `Leave`, the doors' for tenants, the courier's for connections."""
+class SharedBudgets:
+    """The module's `Leave`, the doors' for tenants, the transport's for connections."""
 
     def __init__(
         self,
         engine: Engine,
-        link: Way,
-        told: tuple[Shared, ...],
+        link: FleetLinkPort,
+        told: tuple[SharedBudget, ...],
         size: int,
         clock: Callable[[], int] = boottime,
     ) -> None:
         self.engine, self.link, self.size, self.clock = engine, link, size, clock
-        self.told: dict[str, Shared] = {}
+        self.told: dict[str, SharedBudget] = {}
         me = link.node.members.me
-        self.desk = Desk(me.name, me.epoch, clock)
+        self.desk = LeaseManager(me.name, me.epoch, clock)
         self.desk.grew = self.grew
-        self.opened: dict[str, tuple[Shared, Value]] = {}  # by name; what it is bound to
-        self.earned: dict[str, Earned] = {}  # by name, those of repeats that are a share of first attempts
+        self.opened: dict[str, tuple[SharedBudget, Value]] = {}  # by name; what it is bound to
+        self.earned: dict[
+            str, RetryAllowance
+        ] = {}  # by name, those of repeats that are a share of first attempts
         self.by: dict[tuple[str, Value], list[str]] = {}  # what is bound to whom
-        self.each: dict[str, list[Shared]] = defaultdict(list)  # those of each, by what they are bound to
-        self.known: dict[str, Bound] = {}  # by endpoint
+        self.each: dict[str, list[SharedBudget]] = defaultdict(
+            list
+        )  # those of each, by what they are bound to
+        self.known: dict[str, EndpointBudgets] = {}  # by endpoint
         self.turned: dict[str, deque[int]] = {}  # by tenant's budget: when one was turned away, us
-        self.out: dict[str, Going] = {}  # by message
+        self.out: dict[str, CallReservation] = {}  # by message
         self.claims: Counter[str] = Counter()  # by endpoint: calls that are to go on kept connections
         self.denied: dict[int, int] = {}  # by destination: when a call that waits for its budget may go, us
         self.failing: dict[int, int] = {}  # by destination: when its last call was known to have failed, us
         self.limits: dict[int, tuple[int, int]] = {}  # by destination: what an answer told, calls in us
-        self.courier: HttpTransport | None = None
+        self.transport: HttpTransport | None = None
         self.numbers = count()
         self.next_turn = 0.0
         self.noted: dict[str, float] = {}
@@ -141,16 +146,16 @@
         engine = self.engine
         engine.dispatcher.registry.leave = self
         engine.spends, engine.spent, engine.call_limit = self.spends, self.spent, self.call_limit
-        if not isinstance(courier := engine.courier, HttpTransport):
+        if not isinstance(transport := engine.transport, HttpTransport):
             return
         if any(each.of in WAYS for each in self.told.values()):
-            self.courier, courier.opens, courier.retires = courier, self.opens, self.retires
+            self.transport, transport.opens, transport.retires = transport, self.opens, self.retires
         if any(each.of == "calls" and each.whole is None for each in self.told.values()):
-            courier.limit_told = self.limit_told
+            transport.limit_told = self.limit_told
 
     # Which there are.
 
-    def open(self, told: Shared, value: Value) -> None:
+    def open(self, told: SharedBudget, value: Value) -> None:
         name = f"{told.name}/{value}" if told.is_each() else told.name
         if name in self.opened:
             return
@@ -159,7 +164,7 @@
         self.by.setdefault((told.by, value), []).append(name)
         if told.share is not None:
             # One at least: where all that is held has gone before, nothing else would find out what is up.
-            self.earned[name] = Earned(told.share, told.span or 0, max(told.floor, 1), self.desk.born)
+            self.earned[name] = RetryAllowance(told.share, told.span or 0, max(told.floor, 1), self.desk.born)
             return
         self.desk.open(
             self.budget(told, name, value),
@@ -168,7 +173,7 @@
             passing=told.is_each(),
         )
 
-    def configure(self, told: tuple[Shared, ...], size: int) -> None:
+    def configure(self, told: tuple[SharedBudget, ...], size: int) -> None:
         """The configuration read anew: a whole changes at once, a larger size too, and what is new is opened.
         A figure that others reckon with, and what is gone, waits for the next start: a floor that rose before
         its keeper knew would be above the whole."""
@@ -191,9 +196,9 @@
                 self.desk.change(self.budget(now, name, value))
         for name in self.told.keys() - {each.name for each in told}:
             log.warning("budget %s: it is gone from the configuration: it binds until the next start", name)
-        self.bind()  # what is new may be the first that asks the courier
+        self.bind()  # what is new may be the first that asks the transport
 
-    def waits_for_start(self, told: tuple[Shared, ...]) -> list[str]:
+    def waits_for_start(self, told: tuple[SharedBudget, ...]) -> list[str]:
         """What `configure` would leave as it is until the next start: a text for each budget."""
         found = []
         for each in told:
@@ -204,7 +209,7 @@
             found.append(f"budgets/{name}: it cannot be taken away before the next start")
         return found
 
-    def add(self, told: Shared) -> None:
+    def add(self, told: SharedBudget) -> None:
         self.told[told.name] = told
         if told.is_each():
             self.each[told.by].append(told)
@@ -222,7 +227,7 @@
                 del self.by[told.by, value]
             log.info("budget %s: nobody has needed any of it; it is forgotten", name)
 
-    def budget(self, told: Shared, name: str, value: Value) -> Budget:
+    def budget(self, told: SharedBudget, name: str, value: Value) -> Budget:
         whole = told.whole
         if whole is None:
             whole = self.told_whole(int(value or 0), told.span or 0)
@@ -239,7 +244,7 @@
             return listed
         calls, within = self.limits[number]
         whole = min(calls * span // within, calls)
-        return min(whole, listed) if self.engine.settings.rates_told else whole
+        return min(whole, listed) if self.engine.settings.announces_rates else whole
 
     def numbers_of(self, by: str, value: Value) -> Iterable[int]:
         """The destinations that it is about; an endpoint's is where it is listed now."""
@@ -250,7 +255,7 @@
             return (there[str(value)].listed.destination,) if value in there else ()
         return {each.listed.destination for each in there.values() if each.listed.zone == value}
 
-    def need(self, told: Shared, name: str, value: Value) -> int:
+    def need(self, told: SharedBudget, name: str, value: Value) -> int:
         """What is held for it, or was turned away of late."""
         if told.of == "tenant":
             turned, since = self.turned.get(name, deque()), self.clock() - told.lease
@@ -272,17 +277,17 @@
         opened = any(each.is_open() for each in at.breakers)
         return opened and any(self.engine.allows(each.listed.id) for each in at.endpoints)
 
-    def warm(self, told: Shared, value: Value) -> int:
+    def warm(self, told: SharedBudget, value: Value) -> int:
         """Thousandths: what a destination that is out, or returning, takes of its rate. One failed call
-        counts: of a crowd each sees few, and the middle one of all is believed (budget/desk.py)."""
+        counts: of a crowd each sees few, and the middle one of all is believed (budget/manager.py)."""
         at = self.engine.dispatcher.destinations.get(value) if isinstance(value, int) else None
         if told.of != "calls" or told.by != "destination" or at is None or not at.breakers:
             return WARM
         now, settings = self.engine.now(), self.engine.settings
         if any(each.is_open() or each.failures >= 1 for each in at.breakers):
             self.failing[at.number] = now
-        since = (now - self.failing.get(at.number, -math.inf)) / settings.cold
-        return int(WARM * (settings.cold_from + (1 - settings.cold_from) * min(since, 1.0)))
+        since = (now - self.failing.get(at.number, -math.inf)) / settings.slow_start
+        return int(WARM * (settings.slow_start_from + (1 - settings.slow_start_from) * min(since, 1.0)))
 
     def bound(self, by: str, value: Value) -> list[str]:
         """Those of each are opened as they are needed."""
@@ -290,7 +295,7 @@
             self.open(told, value)
         return self.by.get((by, value), [])
 
-    def of(self, listed: face.Endpoint) -> Bound:
+    def of(self, listed: Endpoint) -> EndpointBudgets:
         """What binds calls there; kept until a budget is opened or forgotten, or it is listed otherwise."""
         known = self.known.get(listed.id)
         if known is None or known.listed is not listed:
@@ -299,19 +304,21 @@
             for name in [name for by, value in places for name in self.bound(by, value)]:
                 of = self.opened[name][0].of
                 kinds["plain" if of in PLAIN else "ways" if of in WAYS else of].append(name)
-            known = self.known[listed.id] = Bound(
+            known = self.known[listed.id] = EndpointBudgets(
                 listed, kinds["plain"], kinds["trials"], kinds["repeats"], kinds["ways"]
             )
         return known
 
-    def counted(self, listed: face.Endpoint, trial: bool, again: bool) -> list[str]:
+    def counted(self, listed: Endpoint, trial: bool, again: bool) -> list[str]:
         """Of budgets that such a call is in with its first byte."""
         found = self.of(listed)
         return found.plain + (found.trials if trial else []) + (found.repeats if again else [])
 
     def must_open(self, endpoint: str) -> bool:
         """Whether the next call there needs a new connection."""
-        return self.courier is not None and self.claims[endpoint] >= len(self.courier.pool.get(endpoint, ()))
+        return self.transport is not None and self.claims[endpoint] >= len(
+            self.transport.pool.get(endpoint, ())
+        )
 
     # The module's side.
 
@@ -321,7 +328,7 @@
     def spender(self, name: str) -> Any:  # noqa: ANN401
         return self.earned.get(name) or self.desk.books[name].spender
 
-    def free_at(self, listed: face.Endpoint, now: int, trial: bool = False, again: bool = False) -> float:
+    def free_at(self, listed: Endpoint, now: int, trial: bool = False, again: bool = False) -> float:
         names = self.counted(listed, trial, again)
         if self.must_open(listed.id):
             names += self.of(listed).ways
@@ -339,11 +346,11 @@
         told, _ = self.opened[name]
         return told.of not in PLAIN or told.by != "destination"
 
-    def reserve(self, listed: face.Endpoint, message: str, trial: bool = False, again: bool = False) -> None:
-        self.out[message] = going = Going(listed.id, self.counted(listed, trial, again), again)
+    def reserve(self, listed: Endpoint, message: str, trial: bool = False, again: bool = False) -> None:
+        self.out[message] = going = CallReservation(listed.id, self.counted(listed, trial, again), again)
         if self.must_open(listed.id):
             going.ways = self.of(listed).ways
-        elif self.courier:
+        elif self.transport:
             going.claims = True
             self.claims[listed.id] += 1
         for name in going.names + going.ways:
@@ -356,14 +363,16 @@
     def look_again(self, numbers: Iterable[int]) -> None:
         for number in numbers:
             self.engine.dispatcher.registry.leave_grew(number)
-            self.engine.post(face.WakeUp())
+            self.engine.post(WakeUp())
 
     # The engine's side.
 
     def spends(self, endpoint: str, message: str) -> bool:
         if (known := self.engine.dispatcher.endpoints.get(endpoint)) is None:
             return False
-        going = self.out.get(message) or Going(endpoint, self.counted(known.listed, False, False), False)
+        going = self.out.get(message) or CallReservation(
+            endpoint, self.counted(known.listed, False, False), False
+        )
         now = self.clock()
         earned = [self.earned[name] for name in going.names if name in self.earned]
         shared = [name for name in going.names if name not in self.earned]
@@ -379,7 +388,7 @@
         self.out[message] = going
         return True
 
-    def unclaim(self, going: Going) -> None:
+    def unclaim(self, going: CallReservation) -> None:
         if going.claims:
             going.claims = False
             self.claims[going.endpoint] -= 1
@@ -406,7 +415,7 @@
         holds = (each.hold / (2 if each.of == "connections" else 1) for each in books if each.span is None)
         return min(holds, default=math.inf)
 
-    def admits(self, message: HandedIn) -> int:
+    def admits(self, message: Message) -> int:
         """us after which a tenant's message may come again; 0: it is within its share."""
         known = message.tenant in dict(self.engine.settings.tenants)  # a client may make up any other name
         names = self.bound("tenant", message.tenant) if known else self.by.get(("tenant", message.tenant), [])
@@ -419,7 +428,7 @@
             return AGAIN if at >= NEVER else max(at - now, 1000)
         return 0
 
-    # The courier's side.
+    # The transport's side.
 
     def opens(self, endpoint: str, message: str) -> Callable[[], None] | None:
         """Asked as a connection is about to open; what is to be called once it is closed, or None: it may
@@ -453,13 +462,13 @@
         for name, book in list(self.desk.books.items()):
             told, _ = self.opened[name]
             excess = book.spender.used(self.clock()) - self.desk.part(book)
-            if told.of != "connections" or excess <= 0 or not self.courier:
+            if told.of != "connections" or excess <= 0 or not self.transport:
                 continue
             there = self.engine.dispatcher.endpoints
-            kept = [(each, there[at].listed) for each, at in self.courier.idle.items() if at in there]
+            kept = [(each, there[at].listed) for each, at in self.transport.idle.items() if at in there]
             bound = [connection for connection, listed in kept if name in self.of(listed).ways]
             for connection in bound[:excess]:
-                self.courier.close_one(connection)
+                self.transport.close_one(connection)
 
     def limit_told(self, endpoint: str, calls: int, within: int) -> None:
         """An answer told a limit: so many calls in so many us."""
@@ -470,7 +479,7 @@
 
     # The link's side.
 
-    def hear(self, by: str, share: wire.Share) -> None:
+    def hear(self, by: str, share: wire.LeaseDatagram) -> None:
         head, _, text = share.budget.partition("/")
         if (told := self.told.get(head)) and told.is_each():
             value = self.value_of(told, text)
@@ -479,7 +488,7 @@
         self.desk.hear(by, share)
         self.post()
 
-    def value_of(self, told: Shared, text: str) -> Value:
+    def value_of(self, told: SharedBudget, text: str) -> Value:
         """What a name is about; None: it is not known here, and nothing is kept of it."""
         if told.by == "destination":
             return int(text) if text.isdecimal() and text.isascii() else None
--- a/message_sender/http/configuration.py
+++ b/message_sender/service/control_configuration.py
@@ -19,14 +19,15 @@
 from pathlib import Path
 from typing import Protocol
 
-from message_sender.config import ConfigError, General, Shared
+from message_sender.configuration.general import ConfigError, SenderConfig
+from message_sender.configuration.resources import SharedBudget
 from message_sender.control import schema
 from message_sender.control.document import DeltaMismatchError, Document
 from message_sender.control.document_file import DamagedDocumentError, DocumentFile
 from message_sender.control.messages import Delta
 from message_sender.control.schema import Interpretation
 from message_sender.control.watch import RefusedConfigurationError
-from message_sender.directory.static import Place
+from message_sender.discovery.static import StaticEndpoint
 from message_sender.journal.disk import Disk
 
 IN_FORCE_FILE = "control.document"
@@ -35,21 +36,21 @@
 log = logging.getLogger(__name__)
 
 
-class Directory(Protocol):
+class ConfigurableEndpoints(Protocol):
     """What is needed of the sender's list of endpoints."""
 
-    def configure(self, places: Sequence[Place]) -> None: ...
+    def configure(self, places: Sequence[StaticEndpoint]) -> None: ...
 
 
-class SharedBudgets(Protocol):
+class ConfigurableBudgets(Protocol):
     """What is needed of the sender's end of the fleet."""
 
-    def configure(self, budgets: tuple[Shared, ...], size: int) -> None: ...
+    def configure(self, budgets: tuple[SharedBudget, ...], size: int) -> None: ...
 
-    def waits_for_start(self, budgets: tuple[Shared, ...]) -> list[str]: ...
+    def waits_for_start(self, budgets: tuple[SharedBudget, ...]) -> list[str]: ...
 
 
-def overlaid(config: General, interpretation: Interpretation) -> General:
+def overlaid(config: SenderConfig, interpretation: Interpretation) -> SenderConfig:
     """The sender's own configuration with the document's resources over it."""
     return replace(
         config,
@@ -58,7 +59,7 @@
     )
 
 
-def faults_here(config: General, interpretation: Interpretation) -> list[str]:
+def faults_here(config: SenderConfig, interpretation: Interpretation) -> list[str]:
     """Why this sender could not have these in force, whether it begins with them or not."""
     found = [str(each) for each in interpretation.faults(config.fleet.size if config.fleet else 1)]
     if config.fleet is None:
@@ -70,27 +71,27 @@
 class SenderConfiguration:
     """Implements the control plane's `Applier` for one sender."""
 
-    def __init__(self, config: General, state: Path, disk: Disk) -> None:
+    def __init__(self, config: SenderConfig, state: Path, disk: Disk) -> None:
         """`config`: the sender's own file."""
         self.file = config
         self.in_force_file = DocumentFile(state / IN_FORCE_FILE, disk)
         self.next_start_file = DocumentFile(state / NEXT_START_FILE, disk)
         self.next_start_version = 0  # 0: nothing waits for a start
         self.newest_version = 0  # the newest that was in force here, as far as the disk knows
-        self.directory: Directory | None = None
-        self.budgets: SharedBudgets | None = None
+        self.directory: ConfigurableEndpoints | None = None
+        self.budgets: ConfigurableBudgets | None = None
         self.interpretation = Interpretation({}, {})  # of the document
         self.document = self.begin()
 
-    def bind(self, directory: Directory, budgets: SharedBudgets | None) -> None:
+    def bind(self, directory: ConfigurableEndpoints, budgets: ConfigurableBudgets | None) -> None:
         """From here on versions are put in force there. `budgets`: None where the sender has no fleet."""
         self.directory, self.budgets = directory, budgets
 
-    def in_force(self) -> General:
+    def in_force(self) -> SenderConfig:
         """The sender's own configuration with what the control plane holds over it."""
         return overlaid(self.file, self.interpretation)
 
-    def reread(self, config: General) -> General:
+    def reread(self, config: SenderConfig) -> SenderConfig:
         """The sender's own file was read anew: what is to be in force now."""
         self.file = config
         return self.in_force()
@@ -198,7 +199,7 @@
         except ConfigError as error:
             raise RefusedConfigurationError("; ".join(map(str, error.faults))) from None
 
-    def waits_for_start(self, before: General, after: General) -> list[str]:
+    def waits_for_start(self, before: SenderConfig, after: SenderConfig) -> list[str]:
         """What would have to change and can't while the sender runs."""
         if before.budgets == after.budgets:
             return []
@@ -206,7 +207,7 @@
             return ["budgets: the link to the fleet could not be made at this start"]
         return self.budgets.waits_for_start(after.budgets)
 
-    def put_in_force(self, before: General, after: General) -> None:
+    def put_in_force(self, before: SenderConfig, after: SenderConfig) -> None:
         """Tells the sender's parts what has changed."""
         assert self.directory
         if before.places != after.places:
--- a/message_sender/http/control.py
+++ b/message_sender/service/control_link.py
@@ -13,15 +13,19 @@
 from pathlib import Path
 from typing import Any, cast
 
-from message_sender.config import ControlPlane, General
+from message_sender.configuration.general import ControlPlane, SenderConfig
 from message_sender.control.channel import BodyTooLargeError, Channel
 from message_sender.control.messages import WatchMessage
 from message_sender.control.schema import BUDGETS, ENDPOINTS, has_kind
 from message_sender.control.watch import ControlNodeAddress, Watch, WatchStatus
 from message_sender.files import replace_json
 from message_sender.fleet.seal import KeyFileError, Seal, read_keys, reread_keys
-from message_sender.http.configuration import Directory, SenderConfiguration, SharedBudgets
-from message_sender.journal.disk import Disk, Files
+from message_sender.journal.disk import Disk, SystemDisk
+from message_sender.service.control_configuration import (
+    ConfigurableBudgets,
+    ConfigurableEndpoints,
+    SenderConfiguration,
+)
 
 TICK_S = 0.1
 REFUSED_DATAGRAMS_INTERVAL_S = 10.0  # between two records of datagrams that were refused
@@ -55,13 +59,13 @@
         self.seal = Seal(read_keys(config.key_file))
         epoch = read_epoch(state) + 1
         write_epoch(state, epoch)
-        session, chance = secrets.randbits(SESSION_BITS) + 1, random.Random(secrets.randbits(64))
+        session, rng = secrets.randbits(SESSION_BITS) + 1, random.Random(secrets.randbits(64))
         addresses = {each.name: each.address for each in config.nodes}
         self.channel = Channel(name, epoch, session, self.seal, addresses)
         self.channel.on_behind = self.epoch_is_behind
         nodes = [ControlNodeAddress(each.name, each.address, each.region) for each in config.nodes]
         self.watch = Watch(
-            name, nodes, config.region, applier.document, applier, chance, self.loop.time()
+            name, nodes, config.region, applier.document, applier, rng, self.loop.time()
         )  # fmt: skip
         self.transport: asyncio.DatagramTransport | None = None
         self.task: asyncio.Task[None] | None = None
@@ -164,18 +168,18 @@
 class SenderControl:
     """The control plane as a sender has it: what is in force, and the link, where it could be made."""
 
-    def __init__(self, config: General, state: Path, disk: Disk | None = None) -> None:
+    def __init__(self, config: SenderConfig, state: Path, disk: Disk | None = None) -> None:
         assert config.control
         self.name, self.state, self.plane = config.name, state, config.control
-        self.configuration = SenderConfiguration(config, state, disk or Files())
+        self.configuration = SenderConfiguration(config, state, disk or SystemDisk())
         self.link: ControlLink | None = None
         self.fault = ""  # why there is no link
         self.retries: asyncio.Task[None] | None = None
 
     async def start(
         self,
-        directory: Directory,
-        budgets: SharedBudgets | None,
+        directory: ConfigurableEndpoints,
+        budgets: ConfigurableBudgets | None,
         task_ended: Callable[[asyncio.Task[None]], None],
     ) -> None:
         """Versions are put in force from here on. `task_ended`: told of a defect. Never raises for a link
@@ -208,7 +212,7 @@
             await self.make_link(task_ended)
         log.info("control: the link is made")
 
-    def reread(self, config: General) -> General:
+    def reread(self, config: SenderConfig) -> SenderConfig:
         """SIGHUP: the sender's own file as it is now; what is to be in force."""
         if self.link:
             self.link.reread_keys()
--- a/message_sender/http/daemon.py
+++ b/message_sender/service/daemon.py
@@ -1,4 +1,4 @@
-"""The sender as the platform runs it: the engine behind an HTTP door, an HTTP courier and the platform's
+"""The sender as the platform runs it: the engine behind an HTTP door, an HTTP transport and the platform's
 watch and notices; signals, and how the descriptors are shared out."""
 
 import asyncio
@@ -9,21 +9,21 @@
 from pathlib import Path
 from typing import Any, ClassVar
 
-from message_sender import interface as face
-from message_sender.core.engine import Clock, Engine, Handed
-from message_sender.core.engine import Config as EngineConfig
-from message_sender.core.peer import transport_in
-from message_sender.core.ports import Directory, State, Teller
-from message_sender.directory.maintenance import ROOM, Maintenance, Record
-from message_sender.handover.drain import GRACE, STOP, Drain, Phase
-from message_sender.handover.seat import Seat
+from message_sender.core.engine import Clock, Engine, EngineConfig, HandoverState
+from message_sender.core.ports import CompletionListener, CompletionState, Directory
+from message_sender.core.socket_errors import transport_in
+from message_sender.discovery.maintenance import ROOM, Maintenance, MaintenanceFile
+from message_sender.handover.drain import GRACE, STOP, Drain, DrainPhase
+from message_sender.handover.takeover import OwnershipHandover
 from message_sender.http.client import HttpTransport
 from message_sender.http.codec import Address
-from message_sender.http.orders import Orders
-from message_sender.http.platform import CALL, CALL_AT_HAND, Discovery, Listed
+from message_sender.http.discovery import CALL, CALL_AT_HAND, Discovery, EndpointList
 from message_sender.http.server import ACCEPTS, Server
-from message_sender.http.succession import Succession, Told
-from message_sender.manage import listener as manage
+from message_sender.management import server as manage
+from message_sender.policy.events import EndpointsUpdated, Stopping
+from message_sender.policy.model import ListingKind, Settings
+from message_sender.service.operator_commands import OperatorCommands
+from message_sender.service.process_handover import PredecessorState, ProcessHandover
 
 LAST = 0.3  # s for the last answers as the process ends, STOP after SIGTERM; SIGKILL comes 3.7 s after it
 TIMER_SLACK = 0.001  # s: a timer must not run before the time that it was set for
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Config:
+class DaemonConfig:
     name: str
     listen: Address
     discovery: Address
@@ -40,13 +40,13 @@
     seed: int
     disk_bytes: int
     sockets: int
-    known: Listed
-    settings: face.Settings
+    known: EndpointList
+    settings: Settings
     management: Address | None = None  # where operators call
 
 
 @dataclass(frozen=True, slots=True)
-class Descriptors:
+class DescriptorBudget:
     """How the descriptors that the configuration allows are shared out: all that opens one counts here."""
 
     # The standard streams, the loop's three, the listener, the journal and its copy, the configuration, the
@@ -59,7 +59,7 @@
     calls: int  # with the connections that are kept for the next ones
 
     @classmethod
-    def of(cls, sockets: int, slots: int) -> "Descriptors":
+    def of(cls, sockets: int, slots: int) -> "DescriptorBudget":
         """Clients get half; they may need a third. Calls get the rest, all slots in any case."""
         lingering = sockets // 16
         calls = max(sockets - cls.OWN - sockets // 2, slots + 4)
@@ -67,8 +67,8 @@
 
 
 class HttpSender:
-    """An engine with an HTTP door and an HTTP courier. Its directory and teller are given by who builds
-    it."""
+    """An engine with an HTTP door and an HTTP transport. Its directory and completion_listener are given by
+    who builds it."""
 
     inherited: socket.socket | None = None  # the listening socket, where somebody else holds it
 
@@ -76,36 +76,36 @@
         self.engine, self.listen = engine, listen
         self.drain = Drain()
         settings = engine.settings
-        share = Descriptors.of(sockets, settings.slots)
+        share = DescriptorBudget.of(sockets, settings.slots)
         classes = {each.name: each for each in settings.classes}
         self.server = Server(
             classes, engine.take, engine.now, share.clients, share.lingering, self.is_named,
             engine.is_known, settings.max_retry_after,
         )  # fmt: skip
-        self.courier = HttpTransport(
+        self.transport = HttpTransport(
             settings.conn_idle / 1e6,
             settings.connect_timeout / 1e6,
             share.calls,
             self.dials,
-            engine.wait_told,
+            engine.retry_after_received,
         )
-        self.courier.sent = engine.counts.sent
-        self.server.refused_unread = lambda name: engine.counts.ended(name, State.REFUSED)
-        engine.chores += [self.server.expire, self.stop_if_done]
+        self.transport.sent = engine.counts.sent
+        self.server.refused_unread = lambda name: engine.counts.ended(name, CompletionState.REFUSED)
+        engine.periodic_tasks += [self.server.expire, self.stop_if_done]
         engine.attempt_ended = self.stop_if_done
 
     def dials(self) -> dict[str, Address]:
         raise NotImplementedError
 
-    def handed(self) -> Handed | None:
+    def handed(self) -> HandoverState | None:
         """What a process that still runs has handed over."""
         return None
 
     def is_named(self, destination: int) -> bool:
         return self.engine.directory.knows(destination)
 
-    def plug(self, directory: Directory, teller: Teller) -> None:
-        self.engine.plug(self.courier, directory, teller)
+    def plug(self, directory: Directory, completion_listener: CompletionListener) -> None:
+        self.engine.plug(self.transport, directory, completion_listener)
 
     async def start(self) -> None:
         """Takes over what the journal holds; only then do clients hear that the sender is ready."""
@@ -126,7 +126,7 @@
             if self.drain.ends_at() is None or self.engine.defect:
                 self.server.close()
             else:
-                self.engine.post(face.Stopping(0))  # what has come is answered, and nothing new goes
+                self.engine.post(Stopping(0))  # what has come is answered, and nothing new goes
                 await self.server.finish(LAST)
         finally:
             self.engine.close()
@@ -141,7 +141,7 @@
             return
         log.info("%s: stopping", self.engine.config.name)
         self.drain.stop(loop.time())
-        self.engine.post(face.Stopping(int(STOP * 1e6)))
+        self.engine.post(Stopping(int(STOP * 1e6)))
         self.send_away()
         loop.call_later(STOP, self.engine.stop, 0)
         self.stop_if_done()
@@ -152,7 +152,7 @@
 
     def grace_over(self) -> None:
         now = asyncio.get_running_loop().time()
-        if self.drain.phase(now) is Phase.AWAY:
+        if self.drain.phase(now) is DrainPhase.AWAY:
             self.server.grace_over()
         if not self.drain.listens(now):
             self.server.close()
@@ -181,28 +181,28 @@
         self.engine.fail(str(context.get("message")), error)
 
 
-class Sender(HttpSender):
+class PlatformSender(HttpSender):
     """The same on the platform."""
 
     def __init__(
         self,
-        config: Config,
-        seat: Seat | None = None,
-        told: Told | None = None,
+        config: DaemonConfig,
+        seat: OwnershipHandover | None = None,
+        told: PredecessorState | None = None,
         inherited: socket.socket | None = None,
-        desk: manage.Listener | None = None,
+        desk: manage.ManagementServer | None = None,
     ) -> None:
         """With a seat it is handed on to the next process; `told` is what the one before told. `inherited`:
         the listening socket that the platform holds; `desk`: where operators call, if it is open already.
         Raises OSError where the state folder cannot be used."""
         self.config, self.told, self.inherited = config, told, inherited
-        record = Record(config.state)
+        record = MaintenanceFile(config.state)
         out, away = record.load()
         self.maintenance = Maintenance(out, told.back if told else ())
-        self.orders = Orders(self, record, away)
+        self.orders = OperatorCommands(self, record, away)
         self.clock = Clock(told.clock if told else None)
         known = told.known if told else config.known
-        listed = self.maintenance.hear(face.EndpointsListed(face.Listing.CACHED, known.endpoints))
+        listed = self.maintenance.hear(EndpointsUpdated(ListingKind.CACHED, known.endpoints))
         room, sockets = (ROOM, manage.DESCRIPTORS) if config.management else (0, 0)
         engine = Engine(
             EngineConfig(
@@ -211,17 +211,17 @@
             ),
             self.clock.now,
         )  # fmt: skip
-        call = CALL_AT_HAND if config.settings.list_at_hand else CALL
-        self.discovery = Discovery(config.discovery, known, self.listed, engine.end_answered, call)
+        call = CALL_AT_HAND if config.settings.has_local_list else CALL
+        self.discovery = Discovery(config.discovery, known, self.listed, engine.completion_acknowledged, call)
         if told:
             self.discovery.seq = told.seq
             self.discovery.destinations |= {*told.destinations}
         super().__init__(engine, config.listen, config.sockets - sockets)
         self.plug(self.discovery, self.discovery)
-        self.desk = desk or (manage.Listener(self.orders.asked) if config.management else None)
+        self.desk = desk or (manage.ManagementServer(self.orders.asked) if config.management else None)
         if self.desk:
             self.desk.act = self.orders.asked
-        self.succession = Succession(self, seat) if seat else None
+        self.succession = ProcessHandover(self, seat) if seat else None
 
     async def start(self) -> None:
         if self.desk and self.config.management and not self.desk.listener:
@@ -234,7 +234,7 @@
         if self.succession:
             self.succession.begin()
 
-    def handed(self) -> Handed | None:
+    def handed(self) -> HandoverState | None:
         return self.told.engine if self.told else None
 
     async def run(self) -> int:
@@ -246,13 +246,13 @@
             if self.succession:
                 self.succession.seat.close()
 
-    def listed(self, news: face.EndpointsListed) -> None:
-        self.engine.list_told(self.maintenance.hear(news))
+    def listed(self, news: EndpointsUpdated) -> None:
+        self.engine.endpoints_updated(self.maintenance.hear(news))
 
     def dials(self) -> dict[str, Address]:
         return self.discovery.dials
 
-    def reconfigure(self, config: Config) -> None:
+    def reconfigure(self, config: DaemonConfig) -> None:
         """SIGHUP. Discovery may have moved; anything else that has changed waits for the next start."""
         if config.discovery != self.discovery.address:
             log.info("%s: discovery is at %s:%d from now on", self.config.name, *config.discovery)
--- a/message_sender/http/learned.py
+++ b/message_sender/service/learned_state.py
@@ -6,23 +6,23 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from message_sender import interface as face
 from message_sender.core.engine import Engine
-from message_sender.policy.inherit import BREAKER, fields
-from message_sender.recovery.begin import Beginning
-from message_sender.recovery.snapshot import MOST, Breakers, Known, Snapshots, believed
+from message_sender.policy.events import InheritedState
+from message_sender.policy.state_transfer import BREAKER, fields
+from message_sender.recovery.learned_snapshot import MOST, Breakers, Known, LearnedSnapshots, believed
+from message_sender.recovery.startup import RecoveryStart
 
 log = logging.getLogger(__name__)
 
 
-class Learned:
-    def __init__(self, engine: Engine, beginning: Beginning, state: Path) -> None:
+class LearnedState:
+    def __init__(self, engine: Engine, beginning: RecoveryStart, state: Path) -> None:
         self.engine, self.beginning = engine, beginning
         sync = beginning.gather is not None
-        self.snapshots = Snapshots(state, beginning.disk, self.known, told, engine.now, sync)
-        self.inherited = face.Inherited()
-        engine.chores.append(self.chore)
-        engine.wait_heard.append(self.wait_heard)
+        self.snapshots = LearnedSnapshots(state, beginning.disk, self.known, told, engine.now, sync)
+        self.inherited = InheritedState()
+        engine.periodic_tasks.append(self.chore)
+        engine.retry_after_listeners.append(self.wait_heard)
         engine.beginnings.append(self.begin)
 
     def known(self) -> list[Known]:
--- a/message_sender/http/fleet.py
+++ b/message_sender/service/membership.py
@@ -8,27 +8,28 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
-from message_sender import interface as face
-from message_sender.budget import told
-from message_sender.config import Fleet, Shared
+from message_sender.budget.status import status as budget_status
+from message_sender.configuration.general import FleetConfig
+from message_sender.configuration.resources import SharedBudget
 from message_sender.core.engine import Engine
-from message_sender.fleet.node import Me
+from message_sender.fleet.node import LocalMember
 from message_sender.fleet.seal import KeyFileError
-from message_sender.fleet.udp import Link
-from message_sender.http.routes import told_rates
-from message_sender.interface import Outcome
-from message_sender.message import HandedIn
+from message_sender.fleet.udp import FleetLink
+from message_sender.message import Message
+from message_sender.policy.events import InheritedState
+from message_sender.policy.model import Outcome
 from message_sender.recovery.coordinator import Coordinator
-from message_sender.recovery.ids import Known
+from message_sender.recovery.id_inquiry import IdState
 from message_sender.recovery.stages import ALONE, Stage
+from message_sender.service.routes import told_rates
 
 if TYPE_CHECKING:
-    from message_sender.http.budgets import Budgets
+    from message_sender.service.budgets import SharedBudgets
 
 log = logging.getLogger(__name__)
 
 
-class View:
+class EngineView:
     """What the coordinator needs of an engine."""
 
     def __init__(self, engine: Engine) -> None:
@@ -46,7 +47,7 @@
             return dict(Counter(each.message.destination for each in self.engine.journal.entries.values()))
         return dict(Counter(each.destination for each in self.engine.dispatcher.messages.values()))
 
-    def inherit(self, told: face.Inherited) -> None:
+    def inherit(self, told: InheritedState) -> None:
         self.engine.post(told)
 
     def routes(self, number: int) -> list[tuple[str, float, float]]:
@@ -54,18 +55,18 @@
         return [
             (route, rate, 1e6 * settings.fleet_size / rate if rate else 0.0)
             for route, told in told_rates(self.engine, number).items()
-            for rate in [told if settings.rates_told else 0.0]
+            for rate in [told if settings.announces_rates else 0.0]
         ]
 
     def ids(self) -> list[str]:
         return [name for name, each in self.engine.journal.entries.items() if not each.verdict]
 
-    def known(self, name: str) -> Known | None:
+    def known(self, name: str) -> IdState | None:
         journal = self.engine.journal
         if entry := journal.entries.get(name):
-            return Known.OUT if entry.attempts else Known.TAKEN
+            return IdState.OUT if entry.attempts else IdState.TAKEN
         over = name in self.engine.ended or name in getattr(journal, "over_ids", ())
-        return Known.ENDED if over else None
+        return IdState.ENDED if over else None
 
     def doubt(self, name: str) -> None:
         if entry := self.engine.journal.entries.get(name):
@@ -82,24 +83,24 @@
     def __init__(
         self,
         engine: Engine,
-        config: Fleet,
+        config: FleetConfig,
         state: Path,
         ready: Callable[[bool], None],
-        budgets: tuple[Shared, ...] = (),
+        budgets: tuple[SharedBudget, ...] = (),
         may_come: bool = False,
     ) -> None:
         """`may_come`: the first budget may come while the sender runs."""
         self.engine, self.ready = engine, ready
-        me = Me(engine.config.name, config.advertise, config.seeds, config.size)
-        self.link = Link(me, config.listen, config.key_file, state)
-        self.view = View(engine)
+        me = LocalMember(engine.config.name, config.advertise, config.seeds, config.size)
+        self.link = FleetLink(me, config.listen, config.key_file, state)
+        self.view = EngineView(engine)
         self.coordinator = Coordinator(self.link.node, self.view, engine.settings, self.link.loop.time)
         self.link.step = self.step
-        self.budgets: Budgets | None = None
+        self.budgets: SharedBudgets | None = None
         if budgets or may_come:
-            from message_sender.http import budgets as shared
+            from message_sender.service import budgets as shared
 
-            self.budgets = shared.Budgets(engine, self.link, budgets, config.size)
+            self.budgets = shared.SharedBudgets(engine, self.link, budgets, config.size)
         self.asked: asyncio.Future[None] = self.link.loop.create_future()
         self.coordinator.changed = self.stage_changed
         self.heard_before = engine.outcome_of
@@ -115,7 +116,7 @@
         self.link.task.add_done_callback(engine.task_ended)  # a defect ends more than the link
         engine.allows, engine.call_begins = self.allows, self.call_begins
         engine.outcome_of = self.outcome
-        engine.wait_heard.append(self.wait_heard)
+        engine.retry_after_listeners.append(self.wait_heard)
         engine.beginnings.append(lambda: self.coordinator.bind(self.link.loop.time()))
         engine.admits = self.admits
         if self.budgets:
@@ -146,18 +147,18 @@
         if self.budgets:
             self.budgets.step(now)
 
-    def configure(self, budgets: tuple[Shared, ...], size: int) -> None:
+    def configure(self, budgets: tuple[SharedBudget, ...], size: int) -> None:
         """The configuration was read anew."""
         if self.budgets:
             self.budgets.configure(budgets, size)
 
-    def waits_for_start(self, budgets: tuple[Shared, ...]) -> list[str]:
+    def waits_for_start(self, budgets: tuple[SharedBudget, ...]) -> list[str]:
         """What could not be put in force at once, a text for each budget."""
         assert self.budgets
         return self.budgets.waits_for_start(budgets)
 
     def told_budgets(self) -> dict[str, object]:
-        return told.status(self.budgets.desk) if self.budgets else {}
+        return budget_status(self.budgets.desk) if self.budgets else {}
 
     def destination(self, endpoint: str) -> int | None:
         known = self.engine.dispatcher.endpoints.get(endpoint)
@@ -180,7 +181,7 @@
         if (number := self.destination(endpoint)) is not None:
             self.coordinator.asked_to_wait(number, wait)
 
-    def admits(self, message: HandedIn) -> int:
+    def admits(self, message: Message) -> int:
         if after := self.coordinator.admits(message.destination, message.message_class):
             return after
         if self.budgets and (after := self.budgets.admits(message)):
@@ -200,10 +201,10 @@
 
 def join(
     engine: Engine,
-    config: Fleet,
+    config: FleetConfig,
     state: Path,
     ready: Callable[[bool], None],
-    budgets: tuple[Shared, ...] = (),
+    budgets: tuple[SharedBudget, ...] = (),
     may_come: bool = False,
 ) -> Membership | None:
     """None where the link cannot be made: the record says why."""
--- a/message_sender/http/owner.py
+++ b/message_sender/service/owner.py
@@ -1,22 +1,22 @@
 """What the operators' orders and the hand-over need of a sender on the platform: no more than this, so that
-neither has to know how one is built (http/daemon.py, which builds both)."""
+neither has to know how one is built (service/daemon.py, which builds both)."""
 
 from typing import Protocol
 
 from message_sender.core.engine import Clock, Engine
-from message_sender.directory.maintenance import Maintenance
+from message_sender.discovery.maintenance import Maintenance
 from message_sender.handover.drain import Drain
 from message_sender.http.client import HttpTransport
-from message_sender.http.platform import Discovery
+from message_sender.http.discovery import Discovery
 from message_sender.http.server import Server
 
 
-class Owner(Protocol):
+class JournalOwner(Protocol):
     """The process that owns journal, messages and decisions."""
 
     engine: Engine
     server: Server
-    courier: HttpTransport
+    transport: HttpTransport
     drain: Drain
     clock: Clock
     discovery: Discovery
--- a/message_sender/http/serve.py
+++ b/message_sender/service/standalone.py
@@ -11,41 +11,43 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any, TextIO
 
-from message_sender import interface as face
-from message_sender.config import ConfigError, General, load, read_endpoints
+from message_sender.configuration.general import ConfigError, SenderConfig, load, read_endpoints
+from message_sender.control_socket import Command, ControlSocket
 from message_sender.core import explain, inventory
-from message_sender.core.engine import Clock, Engine
-from message_sender.core.engine import Config as EngineConfig
-from message_sender.core.ports import End
-from message_sender.core.witness import Witness
-from message_sender.directory.control import Command, Control
-from message_sender.directory.file import FileDirectory
-from message_sender.directory.overridden import OverriddenDirectory
-from message_sender.directory.overrides import Kind, OverrideError
-from message_sender.directory.static import Dial, StaticDirectory
-from message_sender.directory.store import Store
-from message_sender.http.daemon import HttpSender
+from message_sender.core.engine import Clock, Engine, EngineConfig
+from message_sender.core.ports import Completion
+from message_sender.core.traffic_observer import TrafficObserver
+from message_sender.discovery.file import FileDirectory
+from message_sender.discovery.overridden import OverriddenDirectory
+from message_sender.discovery.override_store import OverrideStore
+from message_sender.discovery.overrides import OverrideError, OverrideKind
+from message_sender.discovery.static import Dial, StaticDirectory
 from message_sender.journal.disk import Disk
-from message_sender.journal.file import FILE, Journal
 from message_sender.journal.lock import Lock
+from message_sender.journal.process_journal import FILE, Journal
+from message_sender.policy.events import EndpointsUpdated
+from message_sender.policy.model import EndpointState, ListingKind
+from message_sender.service.daemon import HttpSender
 
 if TYPE_CHECKING:
-    from message_sender.http.control import SenderControl
-    from message_sender.http.fleet import Membership
-    from message_sender.http.learned import Learned
-    from message_sender.recovery.begin import Beginning
+    from message_sender.recovery.startup import RecoveryStart
+    from message_sender.service.control_link import SenderControl
+    from message_sender.service.learned_state import LearnedState
+    from message_sender.service.membership import Membership
 
 log = logging.getLogger(__name__)
 
 
-class LineTeller:
+class CompletionWriter:
     """Writes each final answer as one JSON object a line: `id`, `state` (delivered, refused, failed,
     withdrawn), `at` (Unix seconds) and, with a refusal that says so, `retry_after_ms`."""
 
-    def __init__(self, out: TextIO, heard: Callable[[str, End], None] = lambda name, end: None) -> None:
+    def __init__(
+        self, out: TextIO, heard: Callable[[str, Completion], None] = lambda name, end: None
+    ) -> None:
         self.out, self.heard = out, heard
 
-    def tell(self, message: str, end: End) -> bool:
+    def notify(self, message: str, end: Completion) -> bool:
         told: dict[str, object] = {"id": message, "state": end.state.value, "at": round(time.time(), 3)}
         if end.retry_after:
             told["retry_after_ms"] = -(-end.retry_after // 1000)
@@ -57,7 +59,7 @@
         await asyncio.get_running_loop().create_future()
 
 
-def directory_of(config: General, state: Path, now: Callable[[], int]) -> StaticDirectory:
+def directory_of(config: SenderConfig, state: Path, now: Callable[[], int]) -> StaticDirectory:
     """The configuration's own list, or that and the files which it names."""
     if (lists := config.lists) is None or not lists.files:
         return StaticDirectory(config.places)
@@ -65,7 +67,7 @@
 
 
 @dataclass
-class Machine:
+class HostMachine:
     """What a sender stands on; a test gives it another one."""
 
     clock: Clock = field(default_factory=Clock)
@@ -82,21 +84,23 @@
         return False
 
 
-def beginning(config: General, machine: Machine) -> "Beginning":
+def beginning(config: SenderConfig, machine: HostMachine) -> "RecoveryStart":
     """Imported only where it is asked for: it needs the extra `fleet`."""
     try:
-        from message_sender.recovery.begin import Beginning
+        from message_sender.recovery.startup import RecoveryStart
     except ImportError as error:
         raise OSError(f"{error}; pip install 'message-sender[fleet]'") from None
-    return Beginning(config.settings, config.durability.gather, machine.clock.now, machine.disk, machine.boot)
+    return RecoveryStart(
+        config.settings, config.durability.gather, machine.clock.now, machine.disk, machine.boot
+    )
 
 
-def control_plane(config: General, state: Path, disk: Disk | None) -> "SenderControl | None":
+def control_plane(config: SenderConfig, state: Path, disk: Disk | None) -> "SenderControl | None":
     """Imported only where it is asked for: it needs the extra `fleet`."""
     if config.control is None:
         return None
     try:
-        from message_sender.http.control import SenderControl
+        from message_sender.service.control_link import SenderControl
     except ImportError as error:
         raise OSError(f"{error}; pip install 'message-sender[fleet]'") from None
     return SenderControl(config, state, disk)
@@ -106,22 +110,22 @@
 MOST_AWAY = 6 * 86_400.0  # s
 
 
-class PlainSender(HttpSender):
+class StandaloneSender(HttpSender):
     """An HTTP sender over a static directory."""
 
     def __init__(
         self,
-        config: General,
+        config: SenderConfig,
         state: Path,
-        teller: LineTeller,
-        witness: Witness | None = None,
-        machine: "Machine | None" = None,
+        completion_listener: CompletionWriter,
+        witness: TrafficObserver | None = None,
+        machine: "HostMachine | None" = None,
     ) -> None:
         """Raises LockTakenError where another sender uses the state folder, OSError where it is no use."""
         self.lock = Lock(state)
-        machine = machine or Machine()
+        machine = machine or HostMachine()
         clock, open_journal = machine.clock.now, Journal
-        self.beginning: Beginning | None = None
+        self.beginning: RecoveryStart | None = None
         if config.durability.sync != "none" or is_checked(state):
             self.beginning = beginning(config, machine)
             clock, open_journal = self.beginning.now, self.beginning.open  # type: ignore[assignment]
@@ -131,9 +135,9 @@
         self.directory = directory_of(config, state, clock)
         more = (config.lists.slow_start, config.lists.eject) if config.lists else (0, None)
         self.overrides = over = OverriddenDirectory(
-            self.directory, Store(state), clock, lambda listed: None, *more
+            self.directory, OverrideStore(state), clock, lambda listed: None, *more
         )
-        whole = face.EndpointsListed(face.Listing.FULL, self.directory.endpoints())
+        whole = EndpointsUpdated(ListingKind.FULL, self.directory.endpoints())
         listed = over.overlay.hear(whole, clock())
         engine = Engine(
             EngineConfig(
@@ -143,21 +147,21 @@
             clock,
             open_journal=open_journal,
         )  # fmt: skip
-        over.told, self.directory.told = engine.list_told, over.hear
+        over.told, self.directory.told = engine.endpoints_updated, over.hear
         engine.outcome_of = over.outcome
         engine.pin_of = lambda message: over.overlay.pin_of(message.tenant, message.key)
-        self.control = Control(state, self.commands())
+        self.control = ControlSocket(state, self.commands())
         super().__init__(engine, config.listen, config.sockets)
-        self.plug(self.overrides, teller)
-        self.server.witness = self.courier.witness = witness
-        self.learned: Learned | None = None
+        self.plug(self.overrides, completion_listener)
+        self.server.witness = self.transport.witness = witness
+        self.learned: LearnedState | None = None
         if self.beginning:
-            from message_sender.http import learned
+            from message_sender.service import learned_state
 
-            self.learned = learned.Learned(engine, self.beginning, state)
+            self.learned = learned_state.LearnedState(engine, self.beginning, state)
         self.membership: Membership | None = None
         if config.fleet:
-            from message_sender.http.fleet import join
+            from message_sender.service.membership import join
 
             may_come = self.control_plane is not None
             self.membership = join(engine, config.fleet, state, self.set_ready, config.budgets, may_come)
@@ -171,7 +175,7 @@
         """Endpoints that are out of service here, by an override or as the list drains them, s left."""
         now, overlay = self.engine.now(), self.overrides.overlay
         listed = overlay.listed.values()
-        found = {each.id: DRAINS for each in listed if each.state is face.EndpointState.DRAINING}
+        found = {each.id: DRAINS for each in listed if each.state is EndpointState.DRAINING}
         return found | {name: max(x.until - now, 0) / 1e6 for name, x in overlay.force.out.items()}
 
     def keep_away(self, endpoint: str, left: float, by: str) -> None:
@@ -182,7 +186,7 @@
         now = self.engine.now()
         until = now + int(min(left, MOST_AWAY) * 1e6)
         try:
-            self.overrides.set(Kind.OUT, endpoint, by, "it keeps it out of service", now, until)
+            self.overrides.set(OverrideKind.OUT, endpoint, by, "it keeps it out of service", now, until)
         except (OverrideError, OSError) as error:
             log.warning("fleet: %s keeps %s out of service, which is not done here: %s", by, endpoint, error)
 
@@ -244,7 +248,7 @@
 
     def set_override(self, asked: Mapping[str, Any]) -> dict[str, Any]:
         new = self.overrides.set(
-            Kind(asked["kind"]), asked["endpoint"], asked["who"], asked["why"], asked["begins"],
+            OverrideKind(asked["kind"]), asked["endpoint"], asked["who"], asked["why"], asked["begins"],
             asked["until"], asked.get("weight", 1.0), asked.get("destination", -1),
             asked.get("tenant", ""), asked.get("key", ""),
         )  # fmt: skip
@@ -271,7 +275,7 @@
         return sorted(found, key=lambda each: (each["destination"], each["id"]))
 
 
-def reread(sender: PlainSender, path: Path) -> None:
+def reread(sender: StandaloneSender, path: Path) -> None:
     """SIGHUP: the list of endpoints is read anew, and the keys of the link, each whole or not at all, and the
     wholes of shared budgets; the rest waits for the next start."""
     if sender.membership:
@@ -288,7 +292,7 @@
         log.error("the new configuration is not used: %s", error)
 
 
-def tell_destinations(sender: PlainSender) -> None:
+def tell_destinations(sender: StandaloneSender) -> None:
     """SIGUSR1: what is kept for each destination, as a file in the state folder."""
     engine = sender.engine
     try:
@@ -300,13 +304,13 @@
 
 async def serve(
     path: Path,
-    config: General,
+    config: SenderConfig,
     state: Path,
     out: TextIO,
-    witness: Witness | None = None,
-    machine: Machine | None = None,
+    witness: TrafficObserver | None = None,
+    machine: HostMachine | None = None,
 ) -> int:
-    sender = PlainSender(config, state, LineTeller(out), witness, machine)
+    sender = StandaloneSender(config, state, CompletionWriter(out), witness, machine)
     loop = asyncio.get_running_loop()
     loop.add_signal_handler(signal.SIGHUP, reread, sender, path)
     loop.add_signal_handler(signal.SIGUSR1, tell_destinations, sender)
--- a/message_sender/start.py
+++ b/message_sender/start.py
@@ -10,22 +10,22 @@
 from pathlib import Path
 from typing import Any
 
-from message_sender.core.peer import describe
-from message_sender.handover.seat import Seat, inherited
+from message_sender.configuration.settings import settings_from
+from message_sender.core.socket_errors import describe
+from message_sender.handover.takeover import OwnershipHandover, inherited
 from message_sender.http.codec import Address, address_from
-from message_sender.http.daemon import Config, Sender
-from message_sender.http.platform import Listed
-from message_sender.http.succession import read
-from message_sender.manage.calls import Call, Reply
-from message_sender.manage.listener import Listener
-from message_sender.settings import settings_from
+from message_sender.http.discovery import EndpointList
+from message_sender.management.calls import ManagementCall, ManagementReply
+from message_sender.management.server import ManagementServer
+from message_sender.service.daemon import DaemonConfig, PlatformSender
+from message_sender.service.process_handover import read
 
 MEGABYTE = 1_000_000
 
 log = logging.getLogger(__name__)
 
 
-class BadConfig(Exception):  # noqa: N818
+class StartupConfigError(Exception):
     """The configuration cannot be used; the text says why, in one line."""
 
 
@@ -38,10 +38,10 @@
         raise ValueError(f"management: {error}") from None
 
 
-def config_from(told: dict[str, Any], state: Path) -> Config:
+def config_from(told: dict[str, Any], state: Path) -> DaemonConfig:
     try:
         limits = told["limits"]
-        return Config(
+        return DaemonConfig(
             name=told["name"],
             listen=address_from(told["listen"]),
             discovery=address_from(told["discovery"]),
@@ -49,31 +49,31 @@
             seed=int(told["seed"], 16),
             disk_bytes=int(limits["disk_mb"] * MEGABYTE),
             sockets=int(limits["sockets"]),
-            known=Listed(told["known"]),
+            known=EndpointList(told["known"]),
             settings=settings_from(told["settings"], on_sockets=True),
             management=management_from(told),
         )
     except KeyError as error:
-        raise BadConfig(f"{error.args[0]} is missing or unknown") from None
+        raise StartupConfigError(f"{error.args[0]} is missing or unknown") from None
     except (ValueError, TypeError, AttributeError, ArithmeticError) as error:
-        raise BadConfig(" ".join(str(error).split())) from None
+        raise StartupConfigError(" ".join(str(error).split())) from None
 
 
-def read_config() -> Config:
+def read_config() -> DaemonConfig:
     try:
         text = Path(os.environ["BALANCER_CONFIG"]).read_text()
         return config_from(json.loads(text), Path(os.environ["BALANCER_STATE"]))
     except KeyError as error:
-        raise BadConfig(f"${error.args[0]} is not set") from None
+        raise StartupConfigError(f"${error.args[0]} is not set") from None
     except (OSError, ValueError, RecursionError) as error:
-        raise BadConfig(" ".join(str(error).split())) from None
+        raise StartupConfigError(" ".join(str(error).split())) from None
 
 
-def reread(sender: Sender) -> None:
+def reread(sender: PlatformSender) -> None:
     """SIGHUP: the configuration has been replaced. A bad one changes nothing."""
     try:
         sender.reconfigure(read_config())
-    except BadConfig as error:
+    except StartupConfigError as error:
         log.error("the new configuration is not used: %s", error)
 
 
@@ -88,28 +88,28 @@
         return None
 
 
-def not_yet(call: Call) -> Reply:
-    return Reply(503, "not yet: this process does not take clients")
+def not_yet(call: ManagementCall) -> ManagementReply:
+    return ManagementReply(503, "not yet: this process does not take clients")
 
 
-async def build(config: Config) -> Sender:
+async def build(config: DaemonConfig) -> PlatformSender:
     """A sender that owns its state folder: taken over from a process that still runs, where there is one. The
     operators' address is bound first: a start that fails must leave that process serving."""
     desk = None
     if config.management:
-        desk = Listener(not_yet)
+        desk = ManagementServer(not_yet)
         desk.listen(*config.management)
     if not (listener := inherited_listener()):
-        return Sender(config, desk=desk)
-    seat = Seat(config.state)
-    return Sender(config, seat, await seat.take(read), listener, desk)
+        return PlatformSender(config, desk=desk)
+    seat = OwnershipHandover(config.state)
+    return PlatformSender(config, seat, await seat.take(read), listener, desk)
 
 
 class Reload:
     """SIGHUP, from before the configuration is read: one that comes before the sender serves is kept."""
 
     def __init__(self) -> None:
-        self.sender: Sender | None = None
+        self.sender: PlatformSender | None = None
         self.owed = False
         asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, self.hear)
 
@@ -119,7 +119,7 @@
         else:
             self.owed = True
 
-    def begin(self, sender: Sender) -> None:
+    def begin(self, sender: PlatformSender) -> None:
         self.sender = sender
         if self.owed:
             self.hear()
@@ -139,7 +139,7 @@
     )
     try:
         return asyncio.run(serve())
-    except BadConfig as error:
+    except StartupConfigError as error:
         print(f"message-sender: configuration: {error}", file=sys.stderr)
     except OSError as error:
         print(f"message-sender: {error}", file=sys.stderr)  # the state folder or the address to listen on
--- a/message_sender/lab/cluster.py
+++ b/message_sender/testbed/cluster.py
@@ -1,9 +1,9 @@
 """A proving ground: N real processes of the sender on loopback, and faults between them.
 
-Each process has a disk that forgets (lab/forgetful.py), a clock and a boot of its own (lab/member.py); all
-that they say to one another goes through a relay, which loses, delays, doubles and splits as it is told.
-Faults are data (`Fault`), drawn from a seed or read from a file; the referee judges the whole fleet by what
-the receivers and clients saw.
+Each process has a disk that forgets (testbed/simulated_disk.py), a clock and a boot of its own
+(testbed/member.py); all that they say to one another goes through a relay, which loses, delays, doubles and
+splits as it is told. Faults are data (`Fault`), drawn from a seed or read from a file; the referee judges the
+whole fleet by what the receivers and clients saw.
 """
 
 import asyncio
@@ -24,12 +24,18 @@
 from pathlib import Path
 from typing import Any, ClassVar, Self
 
-from message_sender.directory.control import ask
-from message_sender.lab import forgetful
-from message_sender.lab.history import Ended, History, Restarted, Taken, most_in
-from message_sender.lab.http import HttpClient, HttpEndpoint
-from message_sender.lab.referee import Breach, Referee, Rules
-from message_sender.lab.script import Act, Does, Script
+from message_sender.control_socket import ask
+from message_sender.testbed import simulated_disk
+from message_sender.testbed.history import (
+    History,
+    MessageAdmitted,
+    MessageCompleted,
+    SenderRestarted,
+    most_in,
+)
+from message_sender.testbed.history_checker import HistoryChecker, Rules, Violation
+from message_sender.testbed.http import HttpClient, HttpEndpoint
+from message_sender.testbed.script import EndpointBehavior, Script, ScriptedAnswer
 
 PATIENCE = 30.0  # s that a step may take before the run is a failure
 HOST = "127.0.0.1"
@@ -61,7 +67,7 @@
     promised: ClassVar[set[int]] = set()  # to members, who bind them as they start
 
     def __init__(self, seed: int = 0) -> None:
-        self.chance = random.Random(f"relay {seed}")
+        self.rng = random.Random(f"relay {seed}")
         self.loss = self.delay = self.double = 0.0  # shares, and s
         self.sides: tuple[frozenset[str], ...] = ()  # whom a split keeps together; none: everybody
         self.deaf: set[tuple[str, str]] = set()  # pairs (from, to) that one way only does not work for
@@ -76,7 +82,7 @@
         loop = asyncio.get_running_loop()
         while True:
             transport, _ = await loop.create_datagram_endpoint(
-                lambda: Public(self, name), local_addr=(HOST, 0)
+                lambda: RelayPort(self, name), local_addr=(HOST, 0)
             )
             public = int(transport.get_extra_info("sockname")[1])
             if public not in self.promised:
@@ -98,10 +104,10 @@
     def received(self, to: str, data: bytes, source: int) -> None:
         by = self.names.get(source, "")
         apart = self.sides and not any({by, to} <= side for side in self.sides)
-        if apart or (by, to) in self.deaf or self.chance.random() < self.loss:
+        if apart or (by, to) in self.deaf or self.rng.random() < self.loss:
             return
-        for _ in range(1 + (self.chance.random() < self.double)):
-            later = self.chance.uniform(0, self.delay)
+        for _ in range(1 + (self.rng.random() < self.double)):
+            later = self.rng.uniform(0, self.delay)
             if later:
                 loop = asyncio.get_running_loop()
                 self.timers.add(loop.call_later(later, self.forward, to, data, by))
@@ -128,7 +134,7 @@
             each.close()
 
 
-class Public(asyncio.DatagramProtocol):
+class RelayPort(asyncio.DatagramProtocol):
     def __init__(self, relay: Relay, name: str) -> None:
         self.relay, self.name = relay, name
 
@@ -136,7 +142,7 @@
         self.relay.received(self.name, data, addr[1])
 
 
-class Hub(HttpEndpoint):
+class ReceiverStub(HttpEndpoint):
     """A receiver that may be down, and that turns away what comes above its limit, by the second."""
 
     def __init__(self, name: str, history: History, rate: float) -> None:
@@ -150,22 +156,22 @@
         self.seen: set[str] = set()
         self.again: list[float] = []  # when a message came that had come before
 
-    def rule(self, message: str) -> Act | None:
+    def rule(self, message: str) -> ScriptedAnswer | None:
         now = time.monotonic()
         self.calls.append(now)
         if message in self.seen:
             self.again.append(now)
         self.seen.add(message)
         if self.fails:
-            return Act(Does.ERROR, self.fails)
+            return ScriptedAnswer(EndpointBehavior.ERROR, self.fails)
         if self.wait:
-            return Act(Does.FULL, self.wait)
+            return ScriptedAnswer(EndpointBehavior.FULL, self.wait)
         lately = sum(1 for each in self.calls[-int(self.rate * 2 + 10) :] if each > now - 1.0)
         if lately > self.rate:
             self.refused += 1
-            return Act(Does.FULL)
+            return ScriptedAnswer(EndpointBehavior.FULL)
         self.ran[message].append(now)
-        return Act(Does.SERVE, self.takes) if self.takes else None
+        return ScriptedAnswer(EndpointBehavior.SERVE, self.takes) if self.takes else None
 
     def most_in(self, span: float) -> int:
         """The most calls in any such span, s."""
@@ -183,7 +189,7 @@
         return "\n".join(["[[endpoints]]", *(f"{key} = {json.dumps(value)}" for key, value in told.items())])
 
 
-class HubApart(Hub):
+class ThreadedReceiverStub(ReceiverStub):
     """On a thread and a loop of its own: what else this process does makes no call late."""
 
     def there(self, work: Coroutine[Any, Any, Any]) -> asyncio.Future[Any]:
@@ -230,11 +236,11 @@
         return self.pid is not None and self.reader is not None and not self.reader.done()
 
 
-class Nursery:
-    """Makes members (lab/member.py); several clusters may share one."""
+class MemberFactory:
+    """Makes members (testbed/member.py); several clusters may share one."""
 
     async def __aenter__(self) -> Self:
-        words = [sys.executable, "-m", "message_sender.lab.member"]
+        words = [sys.executable, "-m", "message_sender.testbed.member"]
         pipe = asyncio.subprocess.PIPE
         self.process = await asyncio.create_subprocess_exec(*words, stdin=pipe, stdout=pipe)
         self.lock = asyncio.Lock()
@@ -261,17 +267,17 @@
         sync: str = "group",
         link: bool = True,
         more: str = "",
-        nursery: Nursery | None = None,
+        nursery: MemberFactory | None = None,
     ) -> None:
         """`more`: what else stands in each member's configuration, its classes and endpoints above all."""
         self.sync, self.link, self.more = sync, link, more
-        self.chance, self.relay = random.Random(f"cluster {seed}"), Relay(seed)
+        self.rng, self.relay = random.Random(f"cluster {seed}"), Relay(seed)
         self.history = History()
         self.members = {f"n{number}": Member(f"n{number}", folder / f"n{number}") for number in range(size)}
         self.key = base64.b64encode(random.Random(f"key {seed}").randbytes(32)).decode()
         self.accepted: dict[str, str] = {}  # by message: who answered 202
         self.clients: dict[str, HttpClient] = {}
-        self.nursery, self.own_nursery = nursery or Nursery(), nursery is None
+        self.nursery, self.own_nursery = nursery or MemberFactory(), nursery is None
 
     async def __aenter__(self) -> Self:
         if self.own_nursery:
@@ -356,7 +362,7 @@
             member.port = await listening
         await self.ask(member.name, {"do": "fleet"})
         if member.ended is not None:
-            self.history.note(Restarted(member.ended, member.name, self.history.clock()))
+            self.history.note(SenderRestarted(member.ended, member.name, self.history.clock()))
             member.ended = None
         self.clients.pop(member.name, None)
 
@@ -386,8 +392,8 @@
         """The power goes: what was not synced is lost or not, as the seed says, or in this share."""
         await self.kill(*names)
         for each in self.some(names):
-            seed = self.chance.randrange(2**32)
-            each.durable = forgetful.cut(each.state, each.folder / "ops", each.durable, seed, keeps)
+            seed = self.rng.randrange(2**32)
+            each.durable = simulated_disk.cut(each.state, each.folder / "ops", each.durable, seed, keeps)
             each.boots += 1
 
     async def stop(self, *names: str) -> None:
@@ -448,7 +454,7 @@
                 continue
             if status == 202:
                 self.accepted[name] = each.name
-                self.history.note(Taken(now, name, kind, destination, now + left, key, each.name))
+                self.history.note(MessageAdmitted(now, name, kind, destination, now + left, key, each.name))
                 return each.name
         return None
 
@@ -462,14 +468,14 @@
                 found.setdefault((each.name, told["id"], told["state"]), told | {"by": each.name})
         return list(found.values())
 
-    def judged(self, rules: Rules) -> list[Breach]:
+    def judged(self, rules: Rules) -> list[Violation]:
         """Every rule over the whole fleet. The final answer is that of the sender that answered 202: another
         one that had the message on its disk without having said so ends it too, and nobody waits for that."""
         offset = self.history.clock() - time.time()
         for each in self.ends():
             if self.accepted.get(each["id"]) == each["by"]:
-                self.history.note(Ended(each["at"] + offset, each["id"], each["state"]))
-        return Referee(rules).judge(self.history.events)
+                self.history.note(MessageCompleted(each["at"] + offset, each["id"], each["state"]))
+        return HistoryChecker(rules).judge(self.history.events)
 
     async def ask(self, name: str, request: dict[str, Any]) -> Any:  # noqa: ANN401
         """A member's answer over its control socket, which opens a moment after its door."""
--- a/message_sender/lab/control_cluster.py
+++ b/message_sender/testbed/control_cluster.py
@@ -1,5 +1,5 @@
 """Control nodes and senders as processes on loopback, watchers in this process, and between all of them the
-relay of lab/cluster.py.
+relay of testbed/cluster.py.
 
 A node's process is `python -m message_sender.control.process`, a sender's is `message-sender serve` with
 `[control]`. Its end by a signal is all that a kill does: its disk keeps what it wrote.
@@ -23,8 +23,8 @@
 from message_sender.control.document import Document
 from message_sender.control.messages import Address, Delta, WatchMessage
 from message_sender.control.watch import ControlNodeAddress, Watch
-from message_sender.directory.control import ask
-from message_sender.lab.cluster import HOST, PATIENCE, Relay
+from message_sender.control_socket import ask
+from message_sender.testbed.cluster import HOST, PATIENCE, Relay
 
 WATCH_TICK_S = 0.05
 ASK_AGAIN_S = 0.02  # between two questions over a control socket
@@ -117,13 +117,13 @@
 
     def __init__(self, name: str, region: str, nodes: Sequence[ControlNodeAddress], config: Path) -> None:
         """`config`: of any control node, whose key it has."""
-        chance = random.Random(name)
+        rng = random.Random(name)
         self.loop = asyncio.get_running_loop()
         self.name, self.region, self.applier = name, region, RecordingApplier()
         addresses = {each.name: each.address for each in nodes}
         seal = control_process.read_seal(load(config))
-        self.channel = Channel(name, 1, chance.getrandbits(60) + 1, seal, addresses)
-        self.watch = Watch(name, nodes, region, Document(), self.applier, chance, self.loop.time())
+        self.channel = Channel(name, 1, rng.getrandbits(60) + 1, seal, addresses)
+        self.watch = Watch(name, nodes, region, Document(), self.applier, rng, self.loop.time())
         self.changed = asyncio.Condition()
         self.transport: asyncio.DatagramTransport | None = None
         self.tasks: set[asyncio.Task[None]] = set()
