--- a/message_sender/lab/demo.py
+++ b/message_sender/testbed/demo.py
@@ -14,15 +14,15 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from message_sender import config
-from message_sender.core.ports import End
-from message_sender.http.serve import LineTeller, PlainSender
-from message_sender.interface import Effect
-from message_sender.lab.history import Ended, History, Outage, Refused, Taken
-from message_sender.lab.http import HttpClient, HttpEndpoint
-from message_sender.lab.referee import Breach, Kind, Referee, Rules
-from message_sender.lab.running import running
-from message_sender.lab.script import Act, Does, Script
+from message_sender.configuration import general
+from message_sender.core.ports import Completion
+from message_sender.policy.model import Effect
+from message_sender.service.standalone import CompletionWriter, StandaloneSender
+from message_sender.testbed.history import History, MessageAdmitted, MessageCompleted, MessageRejected, Outage
+from message_sender.testbed.history_checker import ClassRule, HistoryChecker, Rules, Violation
+from message_sender.testbed.http import HttpClient, HttpEndpoint
+from message_sender.testbed.running import running
+from message_sender.testbed.script import EndpointBehavior, Script, ScriptedAnswer
 
 CALM, OUTAGE, RETURN = 8.0, 7.0, 12.0  # s at the usual pace
 DEADLINE, WINDOW, QUIET = 6.0, 5.0, 0.1  # s
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Given:
+class RecordedCommand:
     """A command from outside: when it is due, in s since the first one, and where it goes."""
 
     due: float
@@ -43,7 +43,7 @@
 
 
 @dataclass(slots=True)
-class Count:
+class DemoCounters:
     """What the demo shows."""
 
     phase: str = "calm"
@@ -62,27 +62,27 @@
 
 
 class Demo:
-    def __init__(self, pace: float, rate: float, seed: int, given: Sequence[Given] = ()) -> None:
+    def __init__(self, pace: float, rate: float, seed: int, given: Sequence[RecordedCommand] = ()) -> None:
         """`given`: commands to hand in, in place of clients of the demo's own."""
         self.given = given
         self.pace, self.rate, self.random = pace, rate, random.Random(seed)
-        self.history, self.count = History(), Count()
+        self.history, self.count = History(), DemoCounters()
         self.handed_in: dict[str, float] = {}
         self.down = False
 
-    def rule(self, message: str) -> Act | None:
+    def rule(self, message: str) -> ScriptedAnswer | None:
         if self.random.random() < 0.02:
-            return Act(Does.ERROR)
+            return ScriptedAnswer(EndpointBehavior.ERROR)
         return None
 
-    def told(self, endpoints: list[HttpEndpoint]) -> config.General:
+    def told(self, endpoints: list[HttpEndpoint]) -> general.SenderConfig:
         listed = [
             {"id": each.name, "destination": number // 2, "dial": f"127.0.0.1:{each.port}", "zone": "z"}
             for number, each in enumerate(endpoints)
         ]
         command = {"effect": "keyed", "aim_ms": 4000, "deadline_ms": int(DEADLINE * 1000)}
         command |= {"window_ms": int(WINDOW * 1000), "in_order": True}
-        return config.read(
+        return general.read(
             {
                 "name": "demo",
                 "classes": {"command": command},
@@ -91,9 +91,9 @@
             }
         )
 
-    def heard(self, name: str, end: End) -> None:
+    def heard(self, name: str, end: Completion) -> None:
         now = time.monotonic()
-        self.history.note(Ended(now, name, end.state.value))
+        self.history.note(MessageCompleted(now, name, end.state.value))
         self.count.ends[end.state.value] += 1
         if end.state.value == "delivered":
             self.count.latencies.append(now - self.handed_in[name])
@@ -125,7 +125,7 @@
         await asyncio.gather(*lines.values())
 
     async def hand_in_one(
-        self, address: tuple[str, int], number: int, given: Given, key: str,
+        self, address: tuple[str, int], number: int, given: RecordedCommand, key: str,
         before: asyncio.Task[None] | None,
     ) -> None:  # fmt: skip
         if before:
@@ -150,11 +150,11 @@
         self.handed_in[name] = now = time.monotonic()
         status, _ = await client.post("/command", fields, body)
         if status == 202:
-            taken = Taken(now, name, "command", destination, now + DEADLINE, f"{key}.{destination}")
+            taken = MessageAdmitted(now, name, "command", destination, now + DEADLINE, f"{key}.{destination}")
             self.history.note(taken)
         else:
             self.count.turned_away += 1
-            self.history.note(Refused(time.monotonic(), name))
+            self.history.note(MessageRejected(time.monotonic(), name))
 
     async def phases(self, endpoints: list[HttpEndpoint]) -> None:
         struck = endpoints[2 * STRUCK : 2 * STRUCK + 2]
@@ -171,25 +171,30 @@
         await asyncio.sleep(RETURN * self.pace)
         self.count.phase = "settling"
 
-    async def run(self, show: Callable[[Count], None]) -> list[Breach]:
+    async def run(self, show: Callable[[DemoCounters], None]) -> list[Violation]:
         async with contextlib.AsyncExitStack() as stack:
-            scripts = [Script(rule=self.rule, usual=Act(Does.SERVE, 0.01)) for _ in range(2 * DESTINATIONS)]
+            scripts = [
+                Script(rule=self.rule, usual=ScriptedAnswer(EndpointBehavior.SERVE, 0.01))
+                for _ in range(2 * DESTINATIONS)
+            ]
             endpoints = [
                 await stack.enter_async_context(HttpEndpoint(f"e{number}", script, self.history))
                 for number, script in enumerate(scripts)
             ]
             folder = stack.enter_context(tempfile.TemporaryDirectory())
-            sender = PlainSender(self.told(endpoints), Path(folder), LineTeller(io.StringIO(), self.heard))
+            sender = StandaloneSender(
+                self.told(endpoints), Path(folder), CompletionWriter(io.StringIO(), self.heard)
+            )
             async with running(sender):
                 await self.play(sender, endpoints, scripts, show)
-        return Referee(self.rules()).judge(self.history.events)
+        return HistoryChecker(self.rules()).judge(self.history.events)
 
     async def play(
         self,
-        sender: PlainSender,
+        sender: StandaloneSender,
         endpoints: list[HttpEndpoint],
         scripts: list[Script],
-        show: Callable[[Count], None],
+        show: Callable[[DemoCounters], None],
     ) -> None:
         until = time.monotonic() + (CALM + OUTAGE + RETURN) * self.pace
         address = sender.server.address()[:2]
@@ -211,7 +216,7 @@
     def rules(self) -> Rules:
         names = [f"e{number}" for number in range(2 * DESTINATIONS)]
         return Rules(
-            kinds={"command": Kind(Effect.KEYED, WINDOW, in_order=True)},
+            kinds={"command": ClassRule(Effect.KEYED, WINDOW, in_order=True)},
             destinations={name: number // 2 for number, name in enumerate(names)},
             capacity=dict.fromkeys(range(DESTINATIONS), CAPACITY),
             quiet=QUIET,
@@ -219,7 +224,7 @@
         )
 
 
-def row(count: Count) -> list[tuple[str, str]]:
+def row(count: DemoCounters) -> list[tuple[str, str]]:
     return [
         ("phase", count.phase),
         ("sent", str(count.sent)),
@@ -232,26 +237,26 @@
 
 
 @contextlib.contextmanager
-def display(plain: bool) -> Iterator[Callable[[Count], None]]:
+def display(plain: bool) -> Iterator[Callable[[DemoCounters], None]]:
     """Something that shows a count: a live table where there is a terminal and the library, else lines."""
     if not plain and sys.stdout.isatty():
         with contextlib.suppress(ImportError):
             from rich.live import Live
             from rich.table import Table
 
-            def table(count: Count) -> Table:
+            def table(count: DemoCounters) -> Table:
                 made = Table(title="message-sender demo")
                 for name, _ in row(count):
                     made.add_column(name, justify="right")
                 made.add_row(*(text for _, text in row(count)))
                 return made
 
-            with Live(table(Count()), refresh_per_second=4) as live:
+            with Live(table(DemoCounters()), refresh_per_second=4) as live:
                 yield lambda count: live.update(table(count))
             return
     last = [0.0]
 
-    def line(count: Count) -> None:
+    def line(count: DemoCounters) -> None:
         if time.monotonic() - last[0] >= 1.0:
             last[0] = time.monotonic()
             print("  ".join(f"{name} {text}" for name, text in row(count)), flush=True)
@@ -259,7 +264,7 @@
     yield line
 
 
-def report(count: Count, breaches: list[Breach]) -> None:
+def report(count: DemoCounters, breaches: list[Violation]) -> None:
     print(f"\n{'sent':12}{count.sent:>8}")
     for name in ("delivered", "refused", "failed"):
         print(f"{name:12}{count.ends[name]:>8}")
@@ -273,7 +278,12 @@
 
 
 def demo(
-    pace: float = 1.0, rate: float = 40.0, seed: int = 1, *, plain: bool = False, given: Sequence[Given] = ()
+    pace: float = 1.0,
+    rate: float = 40.0,
+    seed: int = 1,
+    *,
+    plain: bool = False,
+    given: Sequence[RecordedCommand] = (),
 ) -> int:
     """Runs it; 0 if no rule was broken and something was delivered, else 1."""
     logger = logging.getLogger("message_sender")
--- a/message_sender/lab/grpc.py
+++ b/message_sender/testbed/grpc.py
@@ -11,8 +11,8 @@
 
 from message_sender.grpc import retry
 from message_sender.grpc.route import PREFIX
-from message_sender.lab.history import History, Ran
-from message_sender.lab.script import Act, Does, Script
+from message_sender.testbed.history import EffectApplied, History
+from message_sender.testbed.script import EndpointBehavior, Script, ScriptedAnswer
 
 
 class GrpcEndpoint(grpc.GenericRpcHandler):
@@ -57,25 +57,27 @@
         try:
             return await self.play(act, call, request, context)
         except asyncio.CancelledError:
-            self.history.over(call, Ran.MAYBE)
+            self.history.over(call, EffectApplied.MAYBE)
             raise
 
-    async def play(self, act: Act, call: int, request: bytes, context: grpc.aio.ServicerContext) -> bytes:
+    async def play(
+        self, act: ScriptedAnswer, call: int, request: bytes, context: grpc.aio.ServicerContext
+    ) -> bytes:
         match act.does:
-            case Does.SERVE:
+            case EndpointBehavior.SERVE:
                 if act.seconds:
                     await asyncio.sleep(act.seconds)
-                self.history.over(call, Ran.YES)
+                self.history.over(call, EffectApplied.YES)
                 return request
-            case Does.FULL:
-                self.history.over(call, Ran.NEVER, act.seconds)
+            case EndpointBehavior.FULL:
+                self.history.over(call, EffectApplied.NEVER, act.seconds)
                 trailers = retry.trailers(grpc.StatusCode.UNAVAILABLE, "full", act.seconds)
                 await context.abort(grpc.StatusCode.UNAVAILABLE, "full", trailers)
-            case Does.ERROR:
-                self.history.over(call, Ran.YES)
+            case EndpointBehavior.ERROR:
+                self.history.over(call, EffectApplied.YES)
                 await context.abort(grpc.StatusCode.INTERNAL, "error")
-            case Does.RESET:
-                self.history.over(call, Ran.MAYBE)
+            case EndpointBehavior.RESET:
+                self.history.over(call, EffectApplied.MAYBE)
                 await context.abort(grpc.StatusCode.UNAVAILABLE, "broken off")
             case _:
                 await asyncio.get_running_loop().create_future()
--- a/message_sender/lab/history.py
+++ b/message_sender/testbed/history.py
@@ -9,7 +9,7 @@
 from enum import Enum
 
 
-class Ran(Enum):
+class EffectApplied(Enum):
     """What the endpoint knows of a call's effect."""
 
     YES = "yes"
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Taken:
+class MessageAdmitted:
     """The sender has said that it takes a message on."""
 
     at: float
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Refused:
+class MessageRejected:
     """The sender has turned a message away; nothing of it may run."""
 
     at: float
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Began:
+class AttemptStarted:
     """A call's last byte has come to an endpoint."""
 
     at: float
@@ -50,17 +50,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Over:
+class AttemptFinished:
     """A call has been answered, or its connection has ended."""
 
     at: float
     call: int
-    ran: Ran
+    ran: EffectApplied
     wait: float = 0.0  # s that the answer told
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
+class MessageCompleted:
     """The final answer of a message has been heard: `delivered`, `refused`, `failed` or `withdrawn`."""
 
     at: float
@@ -69,7 +69,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Drained:
+class EndpointDrained:
     """The sender has been told that an endpoint drains or is gone."""
 
     at: float
@@ -78,7 +78,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Listed:
+class EndpointRestored:
     """The sender has been told that an endpoint, which drained or was gone, is there again."""
 
     at: float
@@ -99,7 +99,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Restarted:
+class SenderRestarted:
     """A sender has come up again; calls of its own that were out before have no known fate."""
 
     at: float
@@ -107,7 +107,17 @@
     back: float = 0.0  # when it was up again, where it was down for a while
 
 
-Event = Taken | Refused | Began | Over | Ended | Drained | Listed | Outage | Restarted
+HistoryEvent = (
+    MessageAdmitted
+    | MessageRejected
+    | AttemptStarted
+    | AttemptFinished
+    | MessageCompleted
+    | EndpointDrained
+    | EndpointRestored
+    | Outage
+    | SenderRestarted
+)
 
 
 @dataclass(slots=True)
@@ -115,20 +125,20 @@
     """Notes events as they come."""
 
     clock: Callable[[], float] = time.monotonic
-    events: list[Event] = field(default_factory=list)
+    events: list[HistoryEvent] = field(default_factory=list)
     calls: int = 0
 
-    def note(self, event: Event) -> None:
+    def note(self, event: HistoryEvent) -> None:
         self.events.append(event)
 
     def began(self, message: str, endpoint: str, sender: str = "") -> int:
         """A call has come whole; its number."""
         self.calls += 1
-        self.note(Began(self.clock(), message, endpoint, self.calls, sender))
+        self.note(AttemptStarted(self.clock(), message, endpoint, self.calls, sender))
         return self.calls
 
-    def over(self, call: int, ran: Ran, wait: float = 0.0) -> None:
-        self.note(Over(self.clock(), call, ran, wait))
+    def over(self, call: int, ran: EffectApplied, wait: float = 0.0) -> None:
+        self.note(AttemptFinished(self.clock(), call, ran, wait))
 
 
 def most_in(times: Iterable[float], span: float) -> int:
--- a/message_sender/lab/referee.py
+++ b/message_sender/testbed/history_checker.py
@@ -25,27 +25,27 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from message_sender.interface import Effect
-from message_sender.lab.history import (
-    Began,
-    Drained,
-    Ended,
-    Event,
-    Listed,
+from message_sender.policy.model import Effect
+from message_sender.testbed.history import (
+    AttemptFinished,
+    AttemptStarted,
+    EffectApplied,
+    EndpointDrained,
+    EndpointRestored,
+    HistoryEvent,
+    MessageAdmitted,
+    MessageCompleted,
+    MessageRejected,
     Outage,
-    Over,
-    Ran,
-    Refused,
-    Restarted,
-    Taken,
+    SenderRestarted,
 )
 
 NEVER = float("inf")
 
 
 @dataclass(frozen=True, slots=True)
-class Kind:
-    effect: Effect = Effect.SAFE
+class ClassRule:
+    effect: Effect = Effect.IDEMPOTENT
     window: float = 0.0  # s
     by_zone: bool = False
     in_order: bool = False
@@ -55,7 +55,7 @@
 class Rules:
     """Figures in seconds. Each tolerance is what a loopback socket and a busy machine add to a rule."""
 
-    kinds: dict[str, Kind]
+    kinds: dict[str, ClassRule]
     zones: dict[str, str] = field(default_factory=dict)  # endpoint -> zone
     destinations: dict[str, int] = field(default_factory=dict)  # endpoint -> destination
     capacity: dict[int, float] = field(default_factory=dict)  # destination -> calls a second when warm
@@ -71,16 +71,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Breach:
+class Violation:
     rule: str
     at: float
     text: str
 
 
 @dataclass(slots=True)
-class Call:
-    began: Began
-    over: Over | None = None
+class ObservedCall:
+    began: AttemptStarted
+    over: AttemptFinished | None = None
     cut: float | None = None  # a restart came while it was out
 
     def end(self) -> float:
@@ -90,25 +90,25 @@
         return self.cut if self.cut is not None else float("inf")
 
     def may_have_run(self) -> bool:
-        return self.over is None or self.over.ran is not Ran.NEVER
+        return self.over is None or self.over.ran is not EffectApplied.NEVER
 
 
-class Referee:
+class HistoryChecker:
     def __init__(self, rules: Rules) -> None:
         self.rules = rules
-        self.breaches: list[Breach] = []
-        self.taken: dict[str, Taken] = {}
-        self.ends: dict[str, list[Ended]] = defaultdict(list)
-        self.refused: dict[str, Refused] = {}
-        self.calls: dict[int, Call] = {}
-        self.of: dict[str, list[Call]] = defaultdict(list)
+        self.breaches: list[Violation] = []
+        self.taken: dict[str, MessageAdmitted] = {}
+        self.ends: dict[str, list[MessageCompleted]] = defaultdict(list)
+        self.refused: dict[str, MessageRejected] = {}
+        self.calls: dict[int, ObservedCall] = {}
+        self.of: dict[str, list[ObservedCall]] = defaultdict(list)
         self.drains: dict[tuple[str, str], float] = {}  # endpoint, and who was told
         self.past_drains: dict[tuple[str, str], list[tuple[float, float]]] = defaultdict(list)
         self.outages: list[Outage] = []
         self.restarts: dict[str, list[float]] = defaultdict(list)  # of each sender
         self.downs: dict[str, list[tuple[float, float]]] = defaultdict(list)
 
-    def judge(self, events: Iterable[Event], until: float | None = None) -> list[Breach]:
+    def judge(self, events: Iterable[HistoryEvent], until: float | None = None) -> list[Violation]:
         """All breaches, in the order of the rules. `until` is when the history ends, its last event's time
         otherwise: a message whose time is not up by then owes nothing yet."""
         last = 0.0
@@ -125,27 +125,27 @@
         self.waits()
         return self.breaches
 
-    def read(self, event: Event) -> None:
+    def read(self, event: HistoryEvent) -> None:
         match event:
-            case Taken():
+            case MessageAdmitted():
                 self.taken.setdefault(event.message, event)
-            case Refused():
+            case MessageRejected():
                 self.refused[event.message] = event
-            case Began():
-                call = self.calls[event.call] = Call(event)
+            case AttemptStarted():
+                call = self.calls[event.call] = ObservedCall(event)
                 self.of[event.message].append(call)
-            case Over():
+            case AttemptFinished():
                 self.calls[event.call].over = event
-            case Ended():
+            case MessageCompleted():
                 self.ends[event.message].append(event)
-            case Drained():
+            case EndpointDrained():
                 self.drains.setdefault((event.endpoint, event.sender), event.at)
-            case Listed():
+            case EndpointRestored():
                 if (told := self.drains.pop((event.endpoint, event.sender), None)) is not None:
                     self.past_drains[event.endpoint, event.sender].append((told, event.at))
             case Outage():
                 self.outages.append(event)
-            case Restarted():
+            case SenderRestarted():
                 self.restarts[event.sender].append(event.at)
                 self.downs[event.sender].append((event.at, event.back))
                 for each in self.calls.values():
@@ -153,7 +153,7 @@
                         each.cut = event.at
 
     def breach(self, rule: str, at: float, text: str) -> None:
-        self.breaches.append(Breach(rule, at, text))
+        self.breaches.append(Violation(rule, at, text))
 
     def one_end(self, last: float) -> None:
         for name, taken in self.taken.items():
@@ -171,20 +171,20 @@
             if name not in self.taken and self.of.get(name):
                 self.breach("one end", self.refused[name].at, f"{name} was turned away, and called for")
 
-    def due(self, taken: Taken) -> float:
+    def due(self, taken: MessageAdmitted) -> float:
         """When its end is due: a sender that is down as its time is up tells it as it comes back."""
         until = taken.until
         for at, back in sorted(self.downs[taken.sender]):
             until = back if at <= until < back else until
         return until
 
-    def kind_of(self, name: str) -> Kind:
+    def kind_of(self, name: str) -> ClassRule:
         taken = self.taken.get(name)
-        return self.rules.kinds.get(taken.kind, Kind()) if taken else Kind()
+        return self.rules.kinds.get(taken.kind, ClassRule()) if taken else ClassRule()
 
-    def no_effect_twice(self, name: str, calls: list[Call]) -> None:
+    def no_effect_twice(self, name: str, calls: list[ObservedCall]) -> None:
         kind = self.kind_of(name)
-        if kind.effect is Effect.SAFE:
+        if kind.effect is Effect.IDEMPOTENT:
             return
         risk = next((each for each in calls if each.may_have_run()), None)
         if risk is None:
@@ -201,10 +201,10 @@
             if end.state == "refused" and (kind.effect is Effect.UNSAFE or kind.by_zone):
                 self.breach("no effect twice", end.at, f"{name} was refused and may have run")
 
-    def zone(self, call: Call) -> str:
+    def zone(self, call: ObservedCall) -> str:
         return self.rules.zones.get(call.began.endpoint, "")
 
-    def one_at_a_time(self, name: str, calls: list[Call]) -> None:
+    def one_at_a_time(self, name: str, calls: list[ObservedCall]) -> None:
         for before, after in itertools.pairwise(calls):
             if after.began.at < before.end() and before.cut is None:
                 self.breach("one at a time", after.began.at, f"two calls for {name} were out at once")
@@ -231,7 +231,9 @@
                 text = f"destination {outage.destination} got {push[1]} calls at once"
                 self.breach("cold", push[0], text)
 
-    def push_of(self, after: list[Began], outage: Outage, capacity: float) -> tuple[float, int] | None:
+    def push_of(
+        self, after: list[AttemptStarted], outage: Outage, capacity: float
+    ) -> tuple[float, int] | None:
         """The first span in which more went there than it could take, and how much. Where two thirds of that
         did not come from senders that knew of the outage, nobody is to blame."""
         times = [each.at for each in after]
@@ -258,7 +260,7 @@
             for before, after in itertools.pairwise(calls):
                 self.in_turn(key, place, before, after)
 
-    def in_turn(self, key: str, place: dict[str, int], before: Call, after: Call) -> None:
+    def in_turn(self, key: str, place: dict[str, int], before: ObservedCall, after: ObservedCall) -> None:
         first, second = before.began.message, after.began.message
         at = after.began.at
         if first == second:
@@ -267,7 +269,7 @@
             self.breach("order", at, f"{second} of key {key} went after {first}, which was taken later")
         if at < before.end() - self.rules.slack and before.cut is None:
             self.breach("order", at, f"{second} of key {key} went while {first} was out")
-        unanswered = before.over is None or before.over.ran is Ran.MAYBE
+        unanswered = before.over is None or before.over.ran is EffectApplied.MAYBE
         if unanswered and at < before.end() + self.rules.quiet - self.rules.slack:
             self.breach("order", at, f"{second} of key {key} went before the key had rested")
 
--- a/message_sender/lab/http.py
+++ b/message_sender/testbed/http.py
@@ -9,8 +9,8 @@
 import time
 from typing import Self
 
-from message_sender.lab.history import History, Ran
-from message_sender.lab.script import Act, Does, Script
+from message_sender.testbed.history import EffectApplied, History
+from message_sender.testbed.script import EndpointBehavior, Script, ScriptedAnswer
 
 Address = tuple[str, int]
 
@@ -83,38 +83,40 @@
         name = fields["x-correlation-id"]
         call = self.history.began(name, self.name)
         act = self.script.next(name)
-        if act.does in (Does.STALL, Does.RESET):
+        if act.does in (EndpointBehavior.STALL, EndpointBehavior.RESET):
             await self.break_after(act, reader, writer)
-            self.history.over(call, Ran.MAYBE)
+            self.history.over(call, EffectApplied.MAYBE)
             raise ConnectionResetError
-        if act.does in (Does.SERVE, Does.ERROR) and act.seconds:
+        if act.does in (EndpointBehavior.SERVE, EndpointBehavior.ERROR) and act.seconds:
             await asyncio.sleep(act.seconds)
         status, more, ran = answer_for(act)
         if writer.transport.is_closing():
-            self.history.over(call, Ran.MAYBE)
+            self.history.over(call, EffectApplied.MAYBE)
             raise ConnectionResetError
-        self.history.over(call, ran, act.seconds if act.does is Does.FULL else 0.0)
-        self.served += act.does is Does.SERVE
+        self.history.over(call, ran, act.seconds if act.does is EndpointBehavior.FULL else 0.0)
+        self.served += act.does is EndpointBehavior.SERVE
         writer.write(f"HTTP/1.1 {status} It\r\nContent-Length: 0\r\n{more}{self.more}\r\n".encode())
 
-    async def break_after(self, act: Act, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if act.does is Does.STALL:
+    async def break_after(
+        self, act: ScriptedAnswer, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
+        if act.does is EndpointBehavior.STALL:
             with contextlib.suppress(ConnectionError):
                 await reader.read(1)  # until the sender gives it up
         writer.transport.abort()
 
 
-def answer_for(act: Act) -> tuple[int, str, Ran]:
+def answer_for(act: ScriptedAnswer) -> tuple[int, str, EffectApplied]:
     """The protocol's answer to an act: status, further fields, and whether the call has run."""
     match act.does:
-        case Does.SERVE:
-            return 200, "", Ran.YES
-        case Does.FULL if act.seconds:
-            return 429, f"Retry-After: {act.seconds:.3f}\r\n", Ran.NEVER
-        case Does.FULL:
-            return 503, "", Ran.NEVER
+        case EndpointBehavior.SERVE:
+            return 200, "", EffectApplied.YES
+        case EndpointBehavior.FULL if act.seconds:
+            return 429, f"Retry-After: {act.seconds:.3f}\r\n", EffectApplied.NEVER
+        case EndpointBehavior.FULL:
+            return 503, "", EffectApplied.NEVER
         case _:
-            return 500, "", Ran.YES
+            return 500, "", EffectApplied.YES
 
 
 class HttpClient:
--- a/message_sender/lab/member.py
+++ b/message_sender/testbed/member.py
@@ -14,19 +14,19 @@
 from pathlib import Path
 from typing import Any
 
-from message_sender.config import load
+from message_sender.configuration.general import load
 from message_sender.core.engine import Clock
-from message_sender.http import fleet, learned  # noqa: F401  # imported before any member is made
-from message_sender.http.serve import Machine, serve
 from message_sender.journal import durable  # noqa: F401
-from message_sender.lab.forgetful import Recorded
+from message_sender.service import learned_state, membership  # noqa: F401  # imported before any member is made
+from message_sender.service.standalone import HostMachine, serve
+from message_sender.testbed.simulated_disk import RecordingDisk
 
 
-def machine(told: dict[str, Any]) -> Machine:
+def machine(told: dict[str, Any]) -> HostMachine:
     clock = Clock()
     clock.base += int(told.get("clock", 0) * 1e9)  # s that its wall clock is ahead
-    disk = Recorded(Path(told["ops"]), told.get("fault", ""), told.get("slow", 0.0))
-    return Machine(clock, disk, told["boot"])
+    disk = RecordingDisk(Path(told["ops"]), told.get("fault", ""), told.get("slow", 0.0))
+    return HostMachine(clock, disk, told["boot"])
 
 
 def main(told: dict[str, Any]) -> int:
--- a/message_sender/lab/running.py
+++ b/message_sender/testbed/running.py
@@ -4,11 +4,11 @@
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
 
-from message_sender.http.serve import PlainSender
+from message_sender.service.standalone import StandaloneSender
 
 
 @asynccontextmanager
-async def running(sender: PlainSender) -> AsyncIterator[PlainSender]:
+async def running(sender: StandaloneSender) -> AsyncIterator[StandaloneSender]:
     """Started, and stopped at the end whatever happens meanwhile."""
     await sender.start()
     task = asyncio.create_task(sender.run())
--- a/message_sender/lab/script.py
+++ b/message_sender/testbed/script.py
@@ -7,7 +7,7 @@
 from enum import Enum
 
 
-class Does(Enum):
+class EndpointBehavior(Enum):
     SERVE = "serve"
     ERROR = "error"  # an answer that says it may have run
     FULL = "full"  # turned away, with a wait if `seconds` is set
@@ -16,12 +16,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Act:
-    does: Does
+class ScriptedAnswer:
+    does: EndpointBehavior
     seconds: float = 0.0  # FULL: the wait that it tells; SERVE, ERROR: how long it takes
 
 
-SERVE = Act(Does.SERVE)
+SERVE = ScriptedAnswer(EndpointBehavior.SERVE)
 
 
 class Script:
@@ -31,14 +31,14 @@
 
     def __init__(
         self,
-        acts: Mapping[str, Sequence[Act]] | None = None,
-        rule: Callable[[str], Act | None] = lambda message: None,
-        usual: Act = SERVE,
+        acts: Mapping[str, Sequence[ScriptedAnswer]] | None = None,
+        rule: Callable[[str], ScriptedAnswer | None] = lambda message: None,
+        usual: ScriptedAnswer = SERVE,
     ) -> None:
         self.acts, self.rule, self.usual = dict(acts or {}), rule, usual
         self.seen: Counter[str] = Counter()  # calls that came, by message
 
-    def next(self, message: str) -> Act:
+    def next(self, message: str) -> ScriptedAnswer:
         """The act for the call that has just come whole."""
         number = self.seen[message]
         self.seen[message] += 1
--- a/message_sender/lab/forgetful.py
+++ b/message_sender/testbed/simulated_disk.py
@@ -1,11 +1,11 @@
 """A disk that forgets: after a cut of the power it holds what was synced, and what a seed says of the rest.
 
-`Platter` is the model, pure and in memory. Content and names are apart: a file's content is durable as of
-its last sync, a folder's names as of its last sync. Of what came after, a cut keeps any subset, in whole,
+`SimulatedDisk` is the model, pure and in memory. Content and names are apart: a file's content is durable as
+of its last sync, a folder's names as of its last sync. Of what came after, a cut keeps any subset, in whole,
 torn at 512 bytes or as zeros: content without its name and a name without its content too. `MemoryDisk` is a
-file layer on a platter, for simulated time. `Recorded` is one for a real process: it works on real files and
-notes each operation in a file outside its folder, from which `cut` makes, once the process is killed, what a
-power loss leaves.
+file layer on a platter, for simulated time. `RecordingDisk` is one for a real process: it works on real files
+and notes each operation in a file outside its folder, from which `cut` makes, once the process is killed,
+what a power loss leaves.
 """
 
 import asyncio
@@ -18,7 +18,7 @@
 from pathlib import Path
 from typing import Any
 
-from message_sender.journal.disk import Files
+from message_sender.journal.disk import SystemDisk
 
 JOURNAL = "journal"  # the one file that counts, by its name
 SECTOR = 512  # bytes that a disk writes as one
@@ -41,31 +41,31 @@
     def sync(self) -> None:
         self.stable, self.pending = bytes(self.now), []
 
-    def survives(self, chance: random.Random, keeps: float) -> bytes:
+    def survives(self, rng: random.Random, keeps: float) -> bytes:
         left = bytearray(self.stable)
         for at, data in self.pending:
-            if chance.random() >= keeps:
+            if rng.random() >= keeps:
                 continue
             if data is None:
                 del left[at:]
                 continue
-            fate = chance.random()
+            fate = rng.random()
             if fate < 0.15:
                 data = bytes(len(data))  # the length is on the disk, the content is not
             elif fate < 0.35:
-                data = torn(data, at, chance)
+                data = torn(data, at, rng)
             left += bytes(max(at + len(data) - len(left), 0))
             left[at : at + len(data)] = data
         return bytes(left)
 
 
-def torn(data: bytes, at: int, chance: random.Random) -> bytes:
+def torn(data: bytes, at: int, rng: random.Random) -> bytes:
     """A part of it, up to a boundary between sectors; a write within one sector is whole."""
     edges = [edge - at for edge in range((at // SECTOR + 1) * SECTOR, at + len(data), SECTOR)]
-    return data[: chance.choice([0, *edges])] if edges else data
+    return data[: rng.choice([0, *edges])] if edges else data
 
 
-class Platter:
+class SimulatedDisk:
     def __init__(self, left: dict[str, bytes] | None = None) -> None:
         """`left`: the files on it, by name, all durable."""
         self.contents: dict[int, Content] = {}
@@ -99,15 +99,15 @@
     def sync_folder(self) -> None:
         self.names, self.pending = dict(self.now), []
 
-    def cut(self, chance: random.Random, keeps: float | None = None) -> dict[str, bytes]:
+    def cut(self, rng: random.Random, keeps: float | None = None) -> dict[str, bytes]:
         """What a power loss leaves, by name: some cuts keep all that was written, some nothing that was not
         synced, most of them a part; `keeps`: this share."""
-        keeps = chance.choice((0.0, 0.3, 0.7, 1.0)) if keeps is None else keeps
+        keeps = rng.choice((0.0, 0.3, 0.7, 1.0)) if keeps is None else keeps
         names = dict(self.names)
         for change in self.pending:
-            if chance.random() < keeps:
+            if rng.random() < keeps:
                 apply(names, change)
-        survivors = {number: each.survives(chance, keeps) for number, each in self.contents.items()}
+        survivors = {number: each.survives(rng, keeps) for number, each in self.contents.items()}
         return {name: survivors[number] for name, number in names.items()}
 
 
@@ -123,7 +123,7 @@
     """A file layer on a platter. `before` is called before each operation and may raise: a cut of the power
     between any two of them. `run` does a job within the loop's time, `takes` seconds later."""
 
-    def __init__(self, platter: Platter, before: Callable[[str], None] = lambda what: None) -> None:
+    def __init__(self, platter: SimulatedDisk, before: Callable[[str], None] = lambda what: None) -> None:
         self.platter, self.before = platter, before
         self.takes: Callable[[], float] = lambda: 0.002
         self.files: dict[int, int] = {}  # by descriptor
@@ -173,7 +173,7 @@
     def finish(self) -> None: ...
 
 
-class Recorded(Files):
+class RecordingDisk(SystemDisk):
     """The real files of a process, each operation noted first. `ops` lies outside the folder."""
 
     def __init__(self, ops: Path, fault: str = "", slow: float = 0.0) -> None:
@@ -236,9 +236,9 @@
         yield told, body
 
 
-def played(ops: Path, before: dict[str, bytes]) -> Platter:
+def played(ops: Path, before: dict[str, bytes]) -> SimulatedDisk:
     """The platter after these operations; `before`: what was durable when the first of them came."""
-    platter, files = Platter(before), dict[tuple[int, int], int]()
+    platter, files = SimulatedDisk(before), dict[tuple[int, int], int]()
     for told, data in noted(ops):
         file = files.get((told["by"], told.get("file", 0)), -1)
         match told["do"]:
--- a/tests/compatibility/samples.py
+++ b/tests/compatibility/samples.py
@@ -16,9 +16,8 @@
 import click
 import msgspec
 
-from message_sender import interface as face
-from message_sender.budget.desk import Budget, Desk
-from message_sender.budget.told import status as budget_status
+from message_sender.budget.manager import Budget, LeaseManager
+from message_sender.budget.status import status as budget_status
 from message_sender.cli import root_command as command_table
 from message_sender.control import messages as control
 from message_sender.control.channel import Channel, KnownStart
@@ -28,26 +27,27 @@
 from message_sender.control.log_file import LogFile, make_batch
 from message_sender.control.raft import HardState
 from message_sender.core import explain, inventory
-from message_sender.core.engine import Handed
-from message_sender.core.ports import End, State
-from message_sender.directory.maintenance import Record
-from message_sender.directory.overrides import Book, Kind
-from message_sender.directory.store import Store
+from message_sender.core.engine import HandoverState
+from message_sender.core.ports import Completion, CompletionState
+from message_sender.discovery.maintenance import MaintenanceFile
+from message_sender.discovery.override_store import OverrideStore
+from message_sender.discovery.overrides import OverrideBook, OverrideKind
 from message_sender.fleet import wire as fleet
 from message_sender.fleet.seal import Seal
 from message_sender.grpc.route import from_metadata, pairs
-from message_sender.http.codec import Connection
-from message_sender.http.platform import Discovery, Listed
+from message_sender.http.codec import ClientConnection
+from message_sender.http.discovery import Discovery, EndpointList
 from message_sender.http.server import Server
-from message_sender.http.succession import Succession, engine_text
-from message_sender.interface import Outcome
-from message_sender.journal.answers import Answers
-from message_sender.journal.disk import Files
+from message_sender.journal.answer_store import AnswerStore
+from message_sender.journal.disk import SystemDisk
 from message_sender.journal.durable import DurableJournal
-from message_sender.journal.file import Attempt, Journal
-from message_sender.manage.figures import Figures
-from message_sender.message import HandedIn
-from message_sender.recovery import ids, snapshot
+from message_sender.journal.process_journal import AttemptRecord, Journal
+from message_sender.management.metrics import Metrics
+from message_sender.message import Message
+from message_sender.policy.events import CallInFlight, InheritedState
+from message_sender.policy.model import Outcome
+from message_sender.recovery import id_inquiry, learned_snapshot
+from message_sender.service.process_handover import ProcessHandover, engine_text
 
 from helpers import SAFE, KEYED, World, endpoint  # isort: skip
 
@@ -68,30 +68,30 @@
         return {each: path.read_bytes() for each, path in found.items() if each != "lock"}
 
 
-def message(name: str, **changes: object) -> HandedIn:
+def message(name: str, **changes: object) -> Message:
     """A message with every field set."""
     values: dict[str, object] = {
         "message_class": "keyed", "destination": 3, "until": 1_700_000_000_000_000, "tenant": "t\u00e9",
         "key": "k 1", "idempotency_key": f"key of {name}", "again": False, "body": bytes(range(0, 256, 5)),
     }  # fmt: skip
-    return HandedIn(id=name, **(values | changes))  # type: ignore[arg-type]
+    return Message(id=name, **(values | changes))  # type: ignore[arg-type]
 
 
 def fill(journal: Journal) -> None:
     """Messages in every state that a journal holds."""
-    journal.taken(message("m1"))
-    journal.taken(message("m2", again=True, key="", tenant="", extras=EXTRAS))
-    journal.taken(message("m3", body=b"", destination=2**40))
-    journal.sent("m1", 0, Attempt(1_600_000_000_000_001, "hub-1", "z1"))
-    journal.outcome("m1", 0, Outcome.FULL)
-    journal.sent("m1", 1, Attempt(1_600_000_000_000_002, "hub-2", ""))
-    journal.sent("m3", 0, Attempt(1_600_000_000_000_003, "hub-\u00fc", "z2"))
-    journal.outcome("m3", 0, Outcome.SPOILT)
-    journal.taken(message("m4"))
-    journal.verdict("m2", State.REFUSED.value, 1_500_000)
-    journal.sent("m4", 0, Attempt(1_600_000_000_000_004, "hub-1", "z1"))
-    journal.outcome("m4", 0, Outcome.OK)
-    journal.ended("m4", State.DELIVERED.value)
+    journal.record_accepted(message("m1"))
+    journal.record_accepted(message("m2", again=True, key="", tenant="", extras=EXTRAS))
+    journal.record_accepted(message("m3", body=b"", destination=2**40))
+    journal.record_attempt("m1", 0, AttemptRecord(1_600_000_000_000_001, "hub-1", "z1"))
+    journal.record_outcome("m1", 0, Outcome.FULL)
+    journal.record_attempt("m1", 1, AttemptRecord(1_600_000_000_000_002, "hub-2", ""))
+    journal.record_attempt("m3", 0, AttemptRecord(1_600_000_000_000_003, "hub-\u00fc", "z2"))
+    journal.record_outcome("m3", 0, Outcome.MALFORMED)
+    journal.record_accepted(message("m4"))
+    journal.record_completion("m2", CompletionState.REFUSED.value, 1_500_000)
+    journal.record_attempt("m4", 0, AttemptRecord(1_600_000_000_000_004, "hub-1", "z1"))
+    journal.record_outcome("m4", 0, Outcome.OK)
+    journal.record_end("m4", CompletionState.DELIVERED.value)
 
 
 def platform_journal() -> Sample:
@@ -133,7 +133,7 @@
             synced = asyncio.get_running_loop().create_future()
             journal.when_durable(synced.set_result)
             assert await synced
-            journal.taken(message("m5"))
+            journal.record_accepted(message("m5"))
             journal.close()
 
         asyncio.run(write())
@@ -157,10 +157,10 @@
     """Final answers that a host has not collected."""
 
     def make(folder: Path) -> None:
-        kept = Answers(folder, 3)
-        kept.keep("m1", State.DELIVERED.value, 0, b"\0reply", "")
-        kept.keep("m2", State.REFUSED.value, 1_500_000, b"", "FULL")
-        kept.keep("m3", State.FAILED.value, 0, b"", "")
+        kept = AnswerStore(folder, 3)
+        kept.keep("m1", CompletionState.DELIVERED.value, 0, b"\0reply", "")
+        kept.keep("m2", CompletionState.REFUSED.value, 1_500_000, b"", "FULL")
+        kept.keep("m3", CompletionState.FAILED.value, 0, b"", "")
         kept.collect("m1")
         kept.close()
 
@@ -176,21 +176,23 @@
 
 def learned() -> Sample:
     """What a sender has learned of its destinations."""
-    return {"learned": snapshot.encode(1_600_000_000_000_000, ((3, "hub-1", BREAKER_VALUES), (4, "", {})))}
+    return {
+        "learned": learned_snapshot.encode(1_600_000_000_000_000, ((3, "hub-1", BREAKER_VALUES), (4, "", {})))
+    }
 
 
 def overrides() -> Sample:
     """Overrides of each kind, and the log of who set them."""
 
     def make(folder: Path) -> None:
-        book, store, second = Book(), Store(folder), 1_000_000
+        book, store, second = OverrideBook(), OverrideStore(folder), 1_000_000
         span = (1_000 * second, 2_000 * second, 1_500 * second)
         made = [
-            book.set(Kind.OUT, "hub-1", "ann", "disk \u00e9", *span),
-            book.set(Kind.WEIGHT, "hub-2", "bob", "slow", *span, weight=0.25),
-            book.set(Kind.PIN, "hub-3", "cas", "trial", *span, destination=7),
-            book.set(Kind.PIN, "hub-3", "cas", "trial", *span, tenant="t1"),
-            book.set(Kind.PIN, "hub-3", "cas", "trial", *span, key="k1"),
+            book.set(OverrideKind.OUT, "hub-1", "ann", "disk \u00e9", *span),
+            book.set(OverrideKind.WEIGHT, "hub-2", "bob", "slow", *span, weight=0.25),
+            book.set(OverrideKind.PIN, "hub-3", "cas", "trial", *span, destination=7),
+            book.set(OverrideKind.PIN, "hub-3", "cas", "trial", *span, tenant="t1"),
+            book.set(OverrideKind.PIN, "hub-3", "cas", "trial", *span, key="k1"),
         ]
         store.save(book)
         for each in made:
@@ -202,7 +204,7 @@
 
 def maintenance() -> Sample:
     """The operators' orders."""
-    return in_folder(lambda folder: Record(folder).save({"hub-2", "hub-1"}, True))
+    return in_folder(lambda folder: MaintenanceFile(folder).save({"hub-2", "hub-1"}, True))
 
 
 def document() -> Document:
@@ -215,7 +217,7 @@
     """A control node's folder: identity, epoch, starts, mark of a learner, log and hard state."""
 
     def make(folder: Path) -> None:
-        disk, path = Files(), folder / "node"
+        disk, path = SystemDisk(), folder / "node"
         state = StateFolder(path)
         state.initialise(Identity("fleet", "node-1", "2026-12-01T00:00:00Z"), disk)
         state.write_epoch(3)
@@ -239,7 +241,7 @@
     """What a sender keeps of the control plane: the version in force and the one for its next start."""
 
     def make(folder: Path) -> None:
-        disk = Files()
+        disk = SystemDisk()
         DocumentFile(folder / "control.document", disk).store(document())
         DocumentFile(folder / "control.next", disk).store(Document(8))
         disk.finish()
@@ -247,19 +249,22 @@
     return in_folder(make)
 
 
-def handed_state() -> Handed:
+def handed_state() -> HandoverState:
     """What an engine hands over, with every field set."""
-    inherited = face.Inherited(
+    inherited = InheritedState(
         breakers=((3, "hub-1", BREAKER_VALUES | {"last_served": -1.0}),),
         endpoints=(("hub-1", {"bad_until": 1.0, "last_sent": 2.0, "refused_at": 3.0, "scarce_until": 4.0}),),
         keys=(("k1", 5),),
         credit=(("t1", 6.5, 7),),
         silent=((9, 8.0),),
     )
-    return Handed(
+    return HandoverState(
         inherited=inherited,
-        calls={"m1": (1, face.CallOut("hub-1", "z1", 11, True, True)), "m2": (0, face.CallOut("h", "", 12))},
-        ending={"m3": End(State.REFUSED, 1_500_000), "m4": End(State.FAILED)},
+        calls={"m1": (1, CallInFlight("hub-1", "z1", 11, True, True)), "m2": (0, CallInFlight("h", "", 12))},
+        ending={
+            "m3": Completion(CompletionState.REFUSED, 1_500_000),
+            "m4": Completion(CompletionState.FAILED),
+        },
         shares={"m1": 0.5},
         ended=("m5", "m6"),
     )
@@ -273,8 +278,8 @@
         {"host": "hub-2", "dial": "10.0.0.2:80", "site": "", "class": "", "block": 4, "health": "draining",
          "share": 1.0},
     ]  # fmt: skip
-    listed = Listed({"seq": 41, "whole": True, "hosts": hosts})
-    engine = SimpleNamespace(told_on=handed_state)
+    listed = EndpointList({"seq": 41, "whole": True, "hosts": hosts})
+    engine = SimpleNamespace(export_state=handed_state)
     discovery = SimpleNamespace(seq=41, dials=listed.dials, destinations={4, 3, 9})
     maintenance = SimpleNamespace(
         listed={each.id: each for each in listed.endpoints}, back={"hub-9", "hub-2"}
@@ -283,7 +288,7 @@
         engine=engine, discovery=discovery, maintenance=maintenance, clock=SimpleNamespace(base=123_456_789),
         drain=SimpleNamespace(ordered_at=12.5),
     )  # fmt: skip
-    steps = Succession(sender, None)  # type: ignore[arg-type]
+    steps = ProcessHandover(sender, None)  # type: ignore[arg-type]
     text = json.dumps(steps.state())
     return {"packet.json": text.encode(), "engine.json": json.dumps(engine_text(handed_state())).encode()}
 
@@ -295,13 +300,13 @@
         "hello": fleet.Hello(3, True),
         "ping": fleet.Ping(4, "s2"),
         "ack": fleet.Ack(5),
-        "bulletin": fleet.Bulletin(6, 1, 2, b"text"),
-        "ask": fleet.Ask(7, b"question"),
-        "answer": fleet.Answer(8, b"answer"),
+        "bulletin": fleet.AnnouncementPart(6, 1, 2, b"text"),
+        "ask": fleet.Query(7, b"question"),
+        "answer": fleet.QueryReply(8, b"answer"),
         "leave": fleet.Leave(),
-        "share": fleet.Share("b1", 2, 3, 4, 5, 6, 7, 8, 9, 1000),
+        "share": fleet.LeaseDatagram("b1", 2, 3, 4, 5, 6, 7, 8, 9, 1000),
     }
-    news = (fleet.Rumour("s3", ("10.0.0.3", 7000), 5, 6, 1),)
+    news = (fleet.MembershipUpdate("s3", ("10.0.0.3", 7000), 5, 6, 1),)
     return {
         name: seal.seal(fleet.encode(fleet.Envelope("s1", ("10.0.0.1", 7000), 2, 9, 8, 7, body, news)))
         for name, body in bodies.items()
@@ -361,23 +366,23 @@
 
 def questions() -> Sample:
     """What a sender asks the others of ids that it owes, and their answer."""
-    known = {"m1": ids.Known.OUT, "m2": ids.Known.ENDED}
-    asked = ids.questions(["m1", "m2", "m3", "x" * 600, "y" * 600])
-    reply = ids.answer(asked[0], known.get)
+    known = {"m1": id_inquiry.IdState.OUT, "m2": id_inquiry.IdState.ENDED}
+    asked = id_inquiry.questions(["m1", "m2", "m3", "x" * 600, "y" * 600])
+    reply = id_inquiry.answer(asked[0], known.get)
     assert reply is not None
     return {f"question-{number}": each for number, each in enumerate(asked)} | {"answer": reply}
 
 
 def notices() -> Sample:
     """Lines that tell the platform how messages ended."""
-    listed = Listed({"seq": 1, "whole": True, "hosts": []})
+    listed = EndpointList({"seq": 1, "whole": True, "hosts": []})
 
     async def make() -> dict[str, str]:
         discovery = Discovery(("127.0.0.1", 1), listed, lambda event: None, lambda name: None)
-        assert discovery.tell("m1", End(State.REFUSED, 1_500_001))
-        assert discovery.tell("m2 \u00e9", End(State.FAILED))
-        assert discovery.tell("m3", End(State.REFUSED))
-        assert not discovery.tell("m4", End(State.DELIVERED))
+        assert discovery.notify("m1", Completion(CompletionState.REFUSED, 1_500_001))
+        assert discovery.notify("m2 \u00e9", Completion(CompletionState.FAILED))
+        assert discovery.notify("m3", Completion(CompletionState.REFUSED))
+        assert not discovery.notify("m4", Completion(CompletionState.DELIVERED))
         return discovery.notices
 
     return {"notices": "\n".join(asyncio.run(make()).values()).encode()}
@@ -408,7 +413,7 @@
 
     async def make(quick: bool, method: str, target: str, headers: dict[str, str], body: bytes) -> bytes:
         heard = Heard()
-        connection = Connection(heard, ("10.0.0.1", 80))  # type: ignore[arg-type]
+        connection = ClientConnection(heard, ("10.0.0.1", 80))  # type: ignore[arg-type]
         connection.quick = quick
         await connection.send(method, target, headers, body)
         return heard.data
@@ -457,18 +462,18 @@
 
 def client_answers() -> Sample:
     """What clients hear on a socket, by the request that they sent."""
-    from message_sender.core.ports import TurnedAway, Why
+    from message_sender.core.ports import Rejected, RejectReason
 
-    def take(taken: HandedIn, caller: object) -> None:
+    def take(taken: Message, caller: object) -> None:
         rejections = {
-            "refused": TurnedAway(Why.REFUSED, 1_250_000),
-            "no-room": TurnedAway(Why.NO_ROOM, 0),
-            "other-id": TurnedAway(Why.OTHER_ID, 500_000),
+            "refused": Rejected(RejectReason.REFUSED, 1_250_000),
+            "no-room": Rejected(RejectReason.NO_ROOM, 0),
+            "other-id": Rejected(RejectReason.OTHER_ID, 500_000),
         }
         if taken.id in rejections:
-            caller.turned_away(rejections[taken.id])  # type: ignore[attr-defined]
+            caller.rejected(rejections[taken.id])  # type: ignore[attr-defined]
         else:
-            caller.taken()  # type: ignore[attr-defined]
+            caller.accepted()  # type: ignore[attr-defined]
 
     async def ask(server: Server, data: bytes) -> bytes:
         reader, writer = await asyncio.open_connection(*server.address())
@@ -496,7 +501,7 @@
 def figures() -> Sample:
     """The figures of the management API."""
     ends = {"safe": {"answered": 3, "deferred": 2, "errored": 1}, "keyed": dict.fromkeys(("answered",), 0)}
-    return {"figures": Figures(ends, 12, 5, 40, 2).text().encode()}
+    return {"figures": Metrics(ends, 12, 5, 40, 2).text().encode()}
 
 
 def people_json() -> Sample:
@@ -517,7 +522,7 @@
 def budget_json() -> Sample:
     """A budget as `fleet budgets` shows it."""
     clock = itertools.count(5_000_000, 1_000_000)
-    desk = Desk("s1", 3, lambda: next(clock))
+    desk = LeaseManager("s1", 3, lambda: next(clock))
     desk.open(Budget("b1", "calls", 10, 2, 1_000_000), lambda: 3)
     for _ in range(4):
         desk.tick(["s2"])
--- a/tests/compatibility/test_compatibility.py
+++ b/tests/compatibility/test_compatibility.py
@@ -13,17 +13,17 @@
 from message_sender.control.document_file import DocumentFile
 from message_sender.control.folder import StateFolder
 from message_sender.control.log_file import LogFile
-from message_sender.directory.maintenance import Record
-from message_sender.directory.store import Store
+from message_sender.discovery.maintenance import MaintenanceFile
+from message_sender.discovery.override_store import OverrideStore
 from message_sender.fleet.seal import Seal
 from message_sender.fleet.wire import decode
-from message_sender.http.succession import engine_from, read
-from message_sender.journal.answers import Answers
-from message_sender.journal.contents import Contents
-from message_sender.journal.disk import Files
-from message_sender.journal.file import Journal
-from message_sender.journal.inspected import Inspected
-from message_sender.recovery import ids, snapshot
+from message_sender.journal.answer_store import AnswerStore
+from message_sender.journal.contents import JournalContents
+from message_sender.journal.disk import SystemDisk
+from message_sender.journal.inspection import InspectedJournal
+from message_sender.journal.process_journal import Journal
+from message_sender.recovery import id_inquiry, learned_snapshot
+from message_sender.service.process_handover import engine_from, read
 
 
 @pytest.mark.parametrize("make", SAMPLES, ids=lambda make: make.__name__)
@@ -39,7 +39,7 @@
     return Path(shutil.copytree(RECORDED / name, folder / name))
 
 
-def check_owed(journal: Journal | Contents) -> None:
+def check_owed(journal: Journal | JournalContents) -> None:
     """The messages that samples.fill leaves."""
     assert list(journal.entries) == ["m1", "m2", "m3"]
     first, second, third = journal.entries.values()
@@ -51,7 +51,7 @@
     }
     assert told[0] == (1_600_000_000_000_001, "hub-1", "z1", samples.Outcome.FULL)
     assert told[1] == (1_600_000_000_000_002, "hub-2", "", None)
-    assert third.attempts[0].outcome is samples.Outcome.SPOILT
+    assert third.attempts[0].outcome is samples.Outcome.MALFORMED
 
 
 @pytest.mark.parametrize("name", ["platform_journal", "compacted_journal"])
@@ -61,7 +61,7 @@
 
 def test_the_durable_journal_is_replayed(tmp_path: Path) -> None:
     folder = copied("durable_journal", tmp_path)
-    found = Inspected(folder)
+    found = InspectedJournal(folder)
     assert list(found.entries) == ["m1", "m2", "m3", "m5"]
     assert found.before.clean and found.before.boot == "boot 1" and not found.before.damage
     assert found.entries["m2"].verdict == ("refused", 1_500_000)
@@ -79,7 +79,7 @@
 
 
 def test_answers_are_collected_from_the_recorded_file(tmp_path: Path) -> None:
-    kept = Answers(copied("answers", tmp_path), 3)
+    kept = AnswerStore(copied("answers", tmp_path), 3)
     assert kept.collect("m1") is None
     found = kept.collect("m2")
     assert found is not None and (found["state"], found["retry_after"], found["status"]) == (
@@ -92,23 +92,23 @@
 
 def test_what_was_learned_reads() -> None:
     values = {name: value for name, value in samples.BREAKER_VALUES.items() if name != "last_served"}
-    found = snapshot.decode((RECORDED / "learned" / "learned").read_bytes())
+    found = learned_snapshot.decode((RECORDED / "learned" / "learned").read_bytes())
     assert found == (1_600_000_000_000_000, ((3, "hub-1", values), (4, "", {})))
 
 
 def test_overrides_and_orders_read(tmp_path: Path) -> None:
-    store = Store(copied("overrides", tmp_path))
+    store = OverrideStore(copied("overrides", tmp_path))
     book = store.load()
     assert list(book.overrides) == ["o1", "o2", "o3", "o4", "o5"] and book.last == 5
     before = (tmp_path / "overrides" / "overrides.json").read_bytes()
     store.save(book)
     assert (tmp_path / "overrides" / "overrides.json").read_bytes() == before
-    assert Record(copied("maintenance", tmp_path)).load() == (["hub-1", "hub-2"], True)
+    assert MaintenanceFile(copied("maintenance", tmp_path)).load() == (["hub-1", "hub-2"], True)
 
 
 def test_a_control_nodes_folder_reads(tmp_path: Path) -> None:
     path = copied("control_folder", tmp_path) / "node"
-    folder, disk = StateFolder(path), Files()
+    folder, disk = StateFolder(path), SystemDisk()
     identity = folder.identity()
     assert identity is not None and (identity.cluster, identity.name) == ("fleet", "node-1")
     assert folder.read_epoch() == 3 and folder.learner_reason() == "its disk is old"
@@ -124,7 +124,7 @@
 
 
 def test_a_senders_control_documents_read(tmp_path: Path) -> None:
-    folder, disk = copied("control_documents", tmp_path), Files()
+    folder, disk = copied("control_documents", tmp_path), SystemDisk()
     found = DocumentFile(folder / "control.document", disk).load()
     expected = samples.document()
     assert found is not None
@@ -173,8 +173,8 @@
 
 def test_questions_of_ids_are_answered_alike() -> None:
     recorded = samples.recorded(samples.questions)
-    known = {"m1": ids.Known.OUT, "m2": ids.Known.ENDED}
-    assert ids.answer(recorded["question-0"], known.get) == recorded["answer"]
+    known = {"m1": id_inquiry.IdState.OUT, "m2": id_inquiry.IdState.ENDED}
+    assert id_inquiry.answer(recorded["question-0"], known.get) == recorded["answer"]
 
 
 def test_a_sample_is_the_same_each_time() -> None:
--- a/tests/compatibility/test_decisions.py
+++ b/tests/compatibility/test_decisions.py
@@ -14,10 +14,21 @@
 import pytest
 
 from message_sender import Dispatcher
-from message_sender import interface as face
 from message_sender.cli.emulate import played, scenario_of
 from message_sender.emulator.policies import OWN_POLICY
-from message_sender.lab import stream
+from message_sender.policy.actions import (
+    CancelAttempt,
+    CloseIdle,
+    Fail,
+    LogLine,
+    PolicyAction,
+    Reject,
+    Send,
+    Subscribe,
+    WakeAfter,
+)
+from message_sender.policy.events import PolicyEvent
+from message_sender.testbed import event_stream
 
 SCENARIOS = Path(__file__).parents[2] / "scenarios"
 DIGESTS = json.loads((Path(__file__).parent / "digests.json").read_text())
@@ -25,8 +36,8 @@
 RATES = (30, 60, 120)  # messages a second, in turn
 #: Each action has the number of its place.
 ACTIONS = (
-    face.Send, face.Refuse, face.Fail, face.CancelAttempt, face.WakeAfter, face.Subscribe, face.CloseIdle,
-    face.Note,
+    Send, Reject, Fail, CancelAttempt, WakeAfter, Subscribe, CloseIdle,
+    LogLine,
 )  # fmt: skip
 
 
@@ -41,11 +52,11 @@
 
 def stream_digest(seed: int) -> tuple[int, str]:
     """How many calls the decision module had, and a digest of all that it said."""
-    world = stream.StreamWorld(stream.Shape(rate=RATES[seed % len(RATES)]), seed)
+    world = event_stream.StreamWorld(event_stream.StreamShape(rate=RATES[seed % len(RATES)]), seed)
     dispatcher = Dispatcher(world.settings, seed)
     found, calls = hashlib.sha256(), 0
 
-    def heard(now: int, events: list[face.Event], actions: list[face.Action]) -> None:
+    def heard(now: int, events: list[PolicyEvent], actions: list[PolicyAction]) -> None:
         nonlocal calls
         calls += 1
         told = [[ACTIONS.index(type(each)), values(each)] for each in actions]
--- a/tests/conformance/sides.py
+++ b/tests/conformance/sides.py
@@ -11,16 +11,22 @@
 
 import grpc
 
-from message_sender import config
-from message_sender.core.ports import End
-from message_sender.emulator.life import kinds
+from message_sender.configuration import general
+from message_sender.core.ports import Completion
+from message_sender.emulator.simulated_run import kinds
 from message_sender.grpc import Channel, open_channel
-from message_sender.http.serve import LineTeller, PlainSender
-from message_sender.lab.grpc import GrpcEndpoint
-from message_sender.lab.history import Ended, History, Refused, Restarted, Taken
-from message_sender.lab.http import HttpClient, HttpEndpoint
-from message_sender.lab.referee import Breach, Referee, Rules
-from message_sender.lab.script import Act, Script
+from message_sender.service.standalone import CompletionWriter, StandaloneSender
+from message_sender.testbed.grpc import GrpcEndpoint
+from message_sender.testbed.history import (
+    History,
+    MessageAdmitted,
+    MessageCompleted,
+    MessageRejected,
+    SenderRestarted,
+)
+from message_sender.testbed.history_checker import HistoryChecker, Rules, Violation
+from message_sender.testbed.http import HttpClient, HttpEndpoint
+from message_sender.testbed.script import Script, ScriptedAnswer
 
 PATIENCE = 15.0  # s; only a failing test waits so long
 DEADLINE, WINDOW, QUIET = 6.0, 4.0, 0.1  # s
@@ -60,7 +66,7 @@
 class Side:
     """One sender between scripted endpoints, its callers, and a history for the referee."""
 
-    def __init__(self, state: Path, acts: Mapping[str, Sequence[Act]], **limits: object) -> None:
+    def __init__(self, state: Path, acts: Mapping[str, Sequence[ScriptedAnswer]], **limits: object) -> None:
         self.state, self.script, self.history = state, Script(acts), History()
         self.limits = limits
         self.ends: dict[str, str] = {}
@@ -70,7 +76,7 @@
         self.keys: dict[str, str] = {}
         self.restarts = 0
 
-    def told(self) -> config.General:
+    def told(self) -> general.SenderConfig:
         common = {"aim_ms": 2000, "deadline_ms": DEADLINE * 1000}
         listed = [
             {"id": name, "destination": destination, "zone": zone}
@@ -79,7 +85,7 @@
         ]
         # A destination whose one endpoint drains: what is for it is held to its end.
         listed.append({"id": "d", "destination": 9, "dial": "127.0.0.1:9", "state": "draining"})
-        return config.read(
+        return general.read(
             {
                 "name": "n",
                 "zone": "x",
@@ -118,26 +124,26 @@
         after this would begin attempts that the next life has to count, sent or not."""
         self.engine().over = True
         await self.close()
-        self.history.note(Restarted(self.history.clock()))
+        self.history.note(SenderRestarted(self.history.clock()))
         self.restarts += 1
         await self.open()
 
-    def note(self, message: Message) -> Taken:
+    def note(self, message: Message) -> MessageAdmitted:
         now = self.history.clock()
         until = now + message.time_left
-        taken = Taken(now, message.id, message.kind, message.destination, until, message.key)
+        taken = MessageAdmitted(now, message.id, message.kind, message.destination, until, message.key)
         self.history.note(taken)
         self.keys[message.id] = message.key
         return taken
 
-    def turned_away(self, taken: Taken) -> None:
+    def turned_away(self, taken: MessageAdmitted) -> None:
         self.history.events.remove(taken)
-        self.history.note(Refused(self.history.clock(), taken.message))
+        self.history.note(MessageRejected(self.history.clock(), taken.message))
         self.end(taken.message, "turned away", note=False)
 
     def end(self, name: str, state: str, note: bool = True) -> None:
         if note:
-            self.history.note(Ended(self.history.clock(), name, state))
+            self.history.note(MessageCompleted(self.history.clock(), name, state))
         self.ends[name] = state if name not in self.ends else f"{self.ends[name]} and {state}"
         self.news.set()
 
@@ -157,24 +163,26 @@
         raise NotImplementedError
 
     def result(self) -> Result:
-        attempts = Counter(each.message for each in self.history.events if type(each).__name__ == "Began")
+        attempts = Counter(
+            each.message for each in self.history.events if type(each).__name__ == "AttemptStarted"
+        )
         order: dict[str, list[str]] = {}
         for each in self.history.events:
             name = getattr(each, "message", "")
-            if type(each).__name__ == "Began" and self.keys.get(name):
+            if type(each).__name__ == "AttemptStarted" and self.keys.get(name):
                 line = order.setdefault(self.keys[name], [])
                 if name not in line:
                     line.append(name)
         return Result(dict(sorted(self.ends.items())), dict(sorted(attempts.items())), order)
 
-    def judge(self) -> list[Breach]:
+    def judge(self) -> list[Violation]:
         rules = Rules(
             KINDS,
             zones={name: zone for name, (_, zone) in ENDPOINTS.items()},
             destinations={name: destination for name, (destination, _) in ENDPOINTS.items()},
             quiet=QUIET,
         )
-        return Referee(rules).judge(self.history.events)
+        return HistoryChecker(rules).judge(self.history.events)
 
 
 class DaemonSide(Side):
@@ -182,8 +190,10 @@
         return HttpEndpoint(name, self.script, self.history)
 
     async def open(self) -> None:
-        teller = LineTeller(io.StringIO(), lambda name, end: self.end(name, end.state.value))
-        self.sender = PlainSender(self.told(), self.state, teller)
+        completion_listener = CompletionWriter(
+            io.StringIO(), lambda name, end: self.end(name, end.state.value)
+        )
+        self.sender = StandaloneSender(self.told(), self.state, completion_listener)
         await self.sender.start()
         self.running = asyncio.create_task(self.sender.run())
         self.client = HttpClient(self.sender.server.address()[:2])
@@ -223,16 +233,16 @@
         self.channel = await open_channel(self.told(), self.state)
         self.calls: dict[str, Any] = {}
         self.tasks: list[asyncio.Task[None]] = []
-        tell = self.channel.tell
+        tell = self.channel.notify
 
-        def told(name: str, end: End) -> bool:
+        def told(name: str, end: Completion) -> bool:
             kept = tell(name, end)
             collected = self.channel.collect(name)
             assert collected == end and self.channel.collect(name) is None
             self.end(name, end.state.value)
             return kept
 
-        self.channel.tell = told  # type: ignore[method-assign]
+        self.channel.notify = told  # type: ignore[method-assign]
         for name in self.keys:  # what ended while the channel was opened
             if name not in self.ends and (end := self.channel.collect(name)):
                 self.end(name, end.state.value)
@@ -260,7 +270,7 @@
             while message.id in self.channel.engine.arrived:
                 await asyncio.sleep(0)
 
-    async def wait(self, name: str, taken: Taken, call: Any) -> None:  # noqa: ANN401
+    async def wait(self, name: str, taken: MessageAdmitted, call: Any) -> None:  # noqa: ANN401
         done = asyncio.Event()
         call.add_done_callback(lambda _: done.set())
         await done.wait()
--- a/tests/conformance/test_captured.py
+++ b/tests/conformance/test_captured.py
@@ -11,7 +11,7 @@
 from message_sender.pcap.capture import Found, requests
 from message_sender.pcap.replay import HttpLine, Replay
 from message_sender.pcap.replay import plan as planned
-from message_sender.pcap.tap import Tap
+from message_sender.pcap.traffic_tap import TrafficTap
 
 SEEDS = (3, 5, 8, 21)  # plans without a restart, of all kinds
 
@@ -19,8 +19,8 @@
 async def recorded(made: Plan, folder: Path) -> list[Found]:
     """What clients sent to a daemon that writes its traffic, as its capture has it."""
     async with DaemonSide(folder / "recorded", made.acts) as side:
-        tap = Tap(folder / "captures", 10**7)
-        side.sender.server.witness = side.sender.courier.witness = tap
+        tap = TrafficTap(folder / "captures", 10**7)
+        side.sender.server.witness = side.sender.transport.witness = tap
         for message in made.messages:
             await side.hand_in(message)
         await side.all_ended(*(each.id for each in made.messages))
--- a/tests/conformance/test_generated.py
+++ b/tests/conformance/test_generated.py
@@ -11,7 +11,7 @@
 from faults import until
 
 from conformance.sides import PATIENCE, SIDES, Message, Result, Side
-from message_sender.lab.script import Act, Does
+from message_sender.testbed.script import EndpointBehavior, ScriptedAnswer
 
 SEEDS = 240
 AT_ONCE = 20  # histories that run side by side in one loop, each with a sender of its own
@@ -21,7 +21,7 @@
 @dataclass(frozen=True)
 class Plan:
     messages: list[Message]
-    acts: dict[str, list[Act]]
+    acts: dict[str, list[ScriptedAnswer]]
     restart_after: int | None  # as the so-manieth message is handed in
 
 
@@ -29,24 +29,26 @@
     """At most two attempts at a destination are not served, so that none is ever doubtful (three in a row
     are): from there on its warm-up decides by the clock, in which two runs differ, and that is another
     test's."""
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     messages, acts = [], {}
     bad = {1: 2, 2: 2}
-    for number in range(chance.randint(3, 7)):
-        kind, destination = chance.choice(KINDS), chance.choice((1, 2))
-        key = f"k{chance.randrange(2)}-{destination}" if kind.startswith("ordered") else ""
+    for number in range(rng.randint(3, 7)):
+        kind, destination = rng.choice(KINDS), rng.choice((1, 2))
+        key = f"k{rng.randrange(2)}-{destination}" if kind.startswith("ordered") else ""
         name = f"m{number}"
         messages.append(Message(name, kind, destination, key))
-        acts[name] = [bad_act(chance) for _ in range(min(chance.randint(0, 2), bad[destination]))]
+        acts[name] = [bad_act(rng) for _ in range(min(rng.randint(0, 2), bad[destination]))]
         bad[destination] -= len(acts[name])
-        acts[name].append(Act(Does.SERVE, chance.choice((0.0, 0.0, 0.02))))
-    restart = chance.randrange(len(messages)) if chance.random() < 0.25 else None
+        acts[name].append(ScriptedAnswer(EndpointBehavior.SERVE, rng.choice((0.0, 0.0, 0.02))))
+    restart = rng.randrange(len(messages)) if rng.random() < 0.25 else None
     return Plan(messages, acts, restart)
 
 
-def bad_act(chance: random.Random) -> Act:
-    does = chance.choice((Does.ERROR, Does.FULL, Does.FULL, Does.RESET))
-    return Act(does, chance.choice((0.0, 0.03)) if does is Does.FULL else 0.0)
+def bad_act(rng: random.Random) -> ScriptedAnswer:
+    does = rng.choice(
+        (EndpointBehavior.ERROR, EndpointBehavior.FULL, EndpointBehavior.FULL, EndpointBehavior.RESET)
+    )
+    return ScriptedAnswer(does, rng.choice((0.0, 0.03)) if does is EndpointBehavior.FULL else 0.0)
 
 
 async def idle(side: Side) -> None:
@@ -103,6 +105,11 @@
 def test_the_plans_hold_what_they_are_for() -> None:
     made = [plan(seed) for seed in range(SEEDS)]
     does = {act.does for each in made for acts in each.acts.values() for act in acts}
-    assert does == {Does.SERVE, Does.ERROR, Does.FULL, Does.RESET}
+    assert does == {
+        EndpointBehavior.SERVE,
+        EndpointBehavior.ERROR,
+        EndpointBehavior.FULL,
+        EndpointBehavior.RESET,
+    }
     assert {message.kind for each in made for message in each.messages} == set(KINDS)
     assert sum(each.restart_after is not None for each in made) > 30
--- a/tests/conformance/test_killed_daemon.py
+++ b/tests/conformance/test_killed_daemon.py
@@ -17,11 +17,11 @@
 import pytest
 
 from conformance.sides import PATIENCE
-from message_sender.interface import Effect
-from message_sender.lab.history import Ended, History, Restarted, Taken
-from message_sender.lab.http import HttpClient, HttpEndpoint
-from message_sender.lab.referee import Kind, Referee, Rules
-from message_sender.lab.script import Act, Does, Script
+from message_sender.policy.model import Effect
+from message_sender.testbed.history import History, MessageAdmitted, MessageCompleted, SenderRestarted
+from message_sender.testbed.history_checker import ClassRule, HistoryChecker, Rules
+from message_sender.testbed.http import HttpClient, HttpEndpoint
+from message_sender.testbed.script import EndpointBehavior, Script, ScriptedAnswer
 
 ROOT = Path(__file__).parent.parent.parent
 CLASSES = {
@@ -30,9 +30,9 @@
     "safe": {"effect": "safe"},
 }
 KINDS = {
-    "keyed": Kind(Effect.KEYED, 6.0, in_order=True),
-    "unsafe": Kind(Effect.UNSAFE, in_order=True),
-    "safe": Kind(),
+    "keyed": ClassRule(Effect.KEYED, 6.0, in_order=True),
+    "unsafe": ClassRule(Effect.UNSAFE, in_order=True),
+    "safe": ClassRule(),
 }
 DEADLINE = 8.0
 
@@ -102,16 +102,18 @@
     now = history.clock()
     status, _ = await client.post(f"/{kind}", fields, b"x")
     assert status == 202
-    history.note(Taken(now, name, kind, 2, now + DEADLINE, key))
+    history.note(MessageAdmitted(now, name, kind, 2, now + DEADLINE, key))
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_sigkill_in_the_middle_of_a_history(seed: int, tmp_path: Path) -> None:
     async def test() -> None:
-        chance, history = random.Random(seed), History()
+        rng, history = random.Random(seed), History()
         called = asyncio.Event()
-        acts = {"m3": [Act(Does.ERROR), Act(Does.SERVE)]}
-        script = Script(acts, lambda message: called.set(), usual=Act(Does.SERVE, 0.02))
+        acts = {"m3": [ScriptedAnswer(EndpointBehavior.ERROR), ScriptedAnswer(EndpointBehavior.SERVE)]}
+        script = Script(
+            acts, lambda message: called.set(), usual=ScriptedAnswer(EndpointBehavior.SERVE, 0.02)
+        )
         names = []
         async with HttpEndpoint("c", script, history) as endpoint:
             daemon = Daemon(tmp_path, endpoint.port)
@@ -119,15 +121,15 @@
                 client, before = await daemon.start(), sum(script.seen.values())
                 for _ in range(6):
                     names.append(f"m{len(names)}")
-                    kind = chance.choice(list(CLASSES))
-                    key = f"{kind}{chance.randrange(2)}" if kind != "safe" else ""
+                    kind = rng.choice(list(CLASSES))
+                    key = f"{kind}{rng.randrange(2)}" if kind != "safe" else ""
                     await hand_in(client, history, names[-1], kind, key)
                 client.close()
                 if life < 2:
-                    goal = before + chance.randrange(1, 5)
+                    goal = before + rng.randrange(1, 5)
                     await until(called, partial(has_come, script, goal))
                     await daemon.end(signal.SIGKILL)
-                    history.note(Restarted(history.clock()))
+                    history.note(SenderRestarted(history.clock()))
             await until(daemon.told, lambda: len({each["id"] for each in daemon.ends}) >= len(names))
             await daemon.end(signal.SIGTERM)
         assert daemon.process.returncode == 0
@@ -136,7 +138,7 @@
         assert Counter(each["id"] for each in ends) == Counter(names), "one final answer for each"
         offset = history.clock() - time.time()
         for each in ends:
-            history.note(Ended(each["at"] + offset, each["id"], each["state"]))
-        assert Referee(Rules(KINDS, destinations={"c": 2})).judge(history.events) == []
+            history.note(MessageCompleted(each["at"] + offset, each["id"], each["state"]))
+        assert HistoryChecker(Rules(KINDS, destinations={"c": 2})).judge(history.events) == []
 
     asyncio.run(asyncio.wait_for(test(), 3 * PATIENCE))
--- a/tests/conformance/test_plugin.py
+++ b/tests/conformance/test_plugin.py
@@ -15,20 +15,24 @@
 import pytest
 
 from conformance.sides import METHOD, PATIENCE, PluginSide
-from message_sender.core.ports import Answer, State
+from message_sender.core.ports import AttemptResult, CompletionState
 from message_sender.grpc import BadRouteError, open_channel
-from message_sender.grpc.courier import ENFORCED, OPTIONS, GrpcCourier
-from message_sender.grpc.fates import FINAL, MAY_BE_TURNED_AWAY, MAY_HAVE_RUN, fate
 from message_sender.grpc.retry import retry_after, trailers
 from message_sender.grpc.route import pairs, unpaired
-from message_sender.interface import NEVER_RAN, Outcome
+from message_sender.grpc.status_mapping import FINAL, MAY_BE_TURNED_AWAY, MAY_HAVE_RUN, fate
+from message_sender.grpc.transport import ENFORCED, OPTIONS, GrpcTransport
 from message_sender.journal.lock import LockTakenError
-from message_sender.lab.grpc import GrpcEndpoint
-from message_sender.lab.history import Began, History, Over
-from message_sender.lab.script import Act, Does, Script
+from message_sender.policy.model import NEVER_RAN, Outcome
+from message_sender.testbed.grpc import GrpcEndpoint
+from message_sender.testbed.history import AttemptFinished, AttemptStarted, History
+from message_sender.testbed.script import EndpointBehavior, Script, ScriptedAnswer
 
 Code = grpc.StatusCode
-STALL, SERVE, RESET = Act(Does.STALL), Act(Does.SERVE), Act(Does.RESET)
+STALL, SERVE, RESET = (
+    ScriptedAnswer(EndpointBehavior.STALL),
+    ScriptedAnswer(EndpointBehavior.SERVE),
+    ScriptedAnswer(EndpointBehavior.RESET),
+)
 
 
 def play(test: Callable[[Path], Any]) -> Callable[[Path], None]:
@@ -58,14 +62,14 @@
 def test_every_status_has_its_row(code: grpc.StatusCode) -> None:
     answer = fate(code, None)
     if code is Code.OK:
-        assert answer == Answer(Outcome.OK, finished=True)
+        assert answer == AttemptResult(Outcome.OK, finished=True)
     elif code in FINAL:
-        assert answer == Answer(Outcome.OK, finished=True, status=code.name)
+        assert answer == AttemptResult(Outcome.OK, finished=True, status=code.name)
     else:
-        assert answer == Answer(MAY_HAVE_RUN[code])
+        assert answer == AttemptResult(MAY_HAVE_RUN[code])
         assert answer.outcome not in NEVER_RAN, "only the endpoint's word proves that a call did not run"
     said = fate(code, 0.25)
-    assert said == (Answer(Outcome.FULL, wait=250_000) if code in MAY_BE_TURNED_AWAY else answer)
+    assert said == (AttemptResult(Outcome.FULL, wait=250_000) if code in MAY_BE_TURNED_AWAY else answer)
 
 
 def test_retry_info_is_read_as_it_is_written_and_noise_is_none() -> None:
@@ -126,7 +130,7 @@
 async def test_the_endpoints_own_verdict_is_the_callers_at_once(state: Path) -> None:
     async with PluginSide(state, {}) as side:
 
-        async def refuse(act: Act, call: int, request: bytes, context: Any) -> bytes:  # noqa: ANN401
+        async def refuse(act: ScriptedAnswer, call: int, request: bytes, context: Any) -> bytes:  # noqa: ANN401
             await context.abort(Code.INVALID_ARGUMENT, "no such station")
             raise AssertionError
 
@@ -156,7 +160,9 @@
                 await (waiting or first)
             assert first.cancelled() and await first.code() is Code.CANCELLED
             assert await second == b"body"
-            _, over, began, _ = [each for each in side.history.events if isinstance(each, Began | Over)]
+            _, over, began, _ = [
+                each for each in side.history.events if isinstance(each, AttemptStarted | AttemptFinished)
+            ]
             assert began.at - over.at > 0.08, "the key has rested"
             assert side.channel.pending() == [] and side.channel.engine.calls == {}
             assert side.script.seen == {"m1": 1, "m2": 1}
@@ -176,7 +182,7 @@
 
 @play
 async def test_a_cancel_of_a_held_message_ends_it_there(state: Path) -> None:
-    async with PluginSide(state, {"m1": [Act(Does.SERVE, 0.1)]}) as side:
+    async with PluginSide(state, {"m1": [ScriptedAnswer(EndpointBehavior.SERVE, 0.1)]}) as side:
         first, held = send(side, "m1", "ordered", "k"), send(side, "m2", "ordered", "k")
         await side.came("m1")
         assert side.channel.pending() == ["m1", "m2"] and held.cancel()
@@ -206,7 +212,7 @@
 
 @play
 async def test_a_close_with_grace_lets_what_is_out_end(state: Path) -> None:
-    async with PluginSide(state, {"m": [Act(Does.SERVE, 0.1)]}) as side:
+    async with PluginSide(state, {"m": [ScriptedAnswer(EndpointBehavior.SERVE, 0.1)]}) as side:
         call = send(side, "m")
         await side.came("m")
         await side.channel.close(grace=5)
@@ -236,7 +242,7 @@
             channel.answers.keep(f"m{number}", "delivered", 0, b"reply", "")
         assert channel.answers.lost == 2 and channel.collect("m0") is None
         end = channel.collect("m3")
-        assert end is not None and (end.state, end.reply) == (State.DELIVERED, b"reply")
+        assert end is not None and (end.state, end.reply) == (CompletionState.DELIVERED, b"reply")
         assert channel.collect("m3") is None
         await channel.close()
         channel = await open_channel(side.told(), state)
@@ -256,7 +262,7 @@
 @play
 async def test_a_host_whose_loop_stalls_loses_nothing(state: Path) -> None:
     """Two seconds in which nothing of it runs: the clock of the engine jumps, and that of the loop."""
-    async with PluginSide(state, {"m1": [Act(Does.SERVE, 0.05)]}) as side:
+    async with PluginSide(state, {"m1": [ScriptedAnswer(EndpointBehavior.SERVE, 0.05)]}) as side:
         loop, engine = asyncio.get_running_loop(), side.channel.engine
         calls = [send(side, f"m{each}", "ordered", "k") for each in (1, 2, 3)]
         await side.came("m1")
@@ -308,9 +314,9 @@
 
 def test_a_host_cannot_switch_the_librarys_own_retries_on() -> None:
     options = [("grpc.enable_retries", 1), ("grpc.max_send_message_length", 9)]
-    courier = GrpcCourier(1, dict, lambda *_: None, options)
-    assert dict(courier.options)["grpc.enable_retries"] == 0
-    assert dict(courier.options)["grpc.max_send_message_length"] == 9
+    transport = GrpcTransport(1, dict, lambda *_: None, options)
+    assert dict(transport.options)["grpc.enable_retries"] == 0
+    assert dict(transport.options)["grpc.max_send_message_length"] == 9
     assert {name for name, _ in OPTIONS} <= ENFORCED
 
 
@@ -322,7 +328,7 @@
 @play
 async def test_the_endpoint_counts_no_call_that_the_engine_did_not_make(state: Path) -> None:
     """With a retry policy of the host's that would repeat each five times."""
-    async with PluginSide(state, {"u": [RESET], "e": [Act(Does.ERROR)]}) as side:
+    async with PluginSide(state, {"u": [RESET], "e": [ScriptedAnswer(EndpointBehavior.ERROR)]}) as side:
         await side.channel.close()
         options = [("grpc.service_config", POLICY), ("grpc.enable_retries", 1)]
         side.channel = await open_channel(side.told(), state, options=options)
@@ -413,7 +419,7 @@
 
 @play
 async def test_goaway_in_the_middle_lets_what_is_out_end_and_the_next_go_on(state: Path) -> None:
-    async with PluginSide(state, {"m": [Act(Does.SERVE, 0.15)]}) as side:
+    async with PluginSide(state, {"m": [ScriptedAnswer(EndpointBehavior.SERVE, 0.15)]}) as side:
         first = send(side, "m", "unsafe")
         await side.came("m")
         endpoint = side.endpoints["c"]
@@ -440,7 +446,7 @@
 
 @play
 async def test_a_drained_endpoint_keeps_the_call_that_is_out(state: Path) -> None:
-    async with PluginSide(state, {"m": [Act(Does.SERVE, 0.1)]}) as side:
+    async with PluginSide(state, {"m": [ScriptedAnswer(EndpointBehavior.SERVE, 0.1)]}) as side:
         call = send(side, "m")
         await side.came("m")
         side.channel.directory.drain("c")
@@ -476,7 +482,7 @@
     end."""
 
     async def test(state: Path) -> None:
-        script, history = Script(usual=Act(Does.SERVE, 0.02)), History()
+        script, history = Script(usual=ScriptedAnswer(EndpointBehavior.SERVE, 0.02)), History()
         async with GrpcEndpoint("c", script, history) as endpoint:
             lives = 0
             for lives, stop_at in enumerate((4 + seed, 9 + seed, None)):
@@ -494,7 +500,7 @@
                     process.send_signal(signal.SIGKILL)
                     await process.wait()
             assert lives == 2 and out.split()[-1] == b"pending:0"
-            began = [each.message for each in history.events if type(each).__name__ == "Began"]
+            began = [each.message for each in history.events if type(each).__name__ == "AttemptStarted"]
             for key in "abc":
                 came = [name for name in dict.fromkeys(began) if name.startswith(key)]
                 assert came == sorted(came, key=lambda name: int(name[1:])), came
--- a/tests/conformance/test_replaced.py
+++ b/tests/conformance/test_replaced.py
@@ -9,11 +9,20 @@
 from peers import answer_notices, config_json, host, play
 from successors import Platform, Process
 
-from message_sender.interface import Effect
-from message_sender.lab.history import Began, Ended, Event, History, Over, Ran, Restarted, Taken
-from message_sender.lab.http import HttpClient, HttpEndpoint
-from message_sender.lab.referee import Kind, Referee, Rules
-from message_sender.lab.script import Act, Does, Script
+from message_sender.policy.model import Effect
+from message_sender.testbed.history import (
+    AttemptFinished,
+    AttemptStarted,
+    EffectApplied,
+    History,
+    HistoryEvent,
+    MessageAdmitted,
+    MessageCompleted,
+    SenderRestarted,
+)
+from message_sender.testbed.history_checker import ClassRule, HistoryChecker, Rules
+from message_sender.testbed.http import HttpClient, HttpEndpoint
+from message_sender.testbed.script import EndpointBehavior, Script, ScriptedAnswer
 
 DEADLINE = 8.0  # s
 WINDOW = 5.0
@@ -43,8 +52,11 @@
     def __init__(self, folder: Path) -> None:
         self.history = History()
         # Some calls outlast the hand-over; one is refused with a wait, one breaks.
-        acts = {"m3": [Act(Does.FULL, 0.4), Act(Does.SERVE)], "m6": [Act(Does.RESET), Act(Does.SERVE)]}
-        self.script = Script(acts, usual=Act(Does.SERVE, 0.15))
+        acts = {
+            "m3": [ScriptedAnswer(EndpointBehavior.FULL, 0.4), ScriptedAnswer(EndpointBehavior.SERVE)],
+            "m6": [ScriptedAnswer(EndpointBehavior.RESET), ScriptedAnswer(EndpointBehavior.SERVE)],
+        }
+        self.script = Script(acts, usual=ScriptedAnswer(EndpointBehavior.SERVE, 0.15))
         self.state = folder / "state"
         self.state.mkdir()
         self.stack = AsyncExitStack()
@@ -66,7 +78,7 @@
 
     def notice(self, name: str, state: str) -> None:
         told = {"returned": "refused", "failed": "failed"}[state]
-        self.history.note(Ended(self.history.clock(), name, told))
+        self.history.note(MessageCompleted(self.history.clock(), name, told))
 
     async def client(self, number: int) -> None:
         """Hands in its messages, one after another, each until it is taken on; a connection that breaks is a
@@ -96,16 +108,19 @@
                 await asyncio.sleep(0)
                 continue
             assert status == 202
-            self.history.note(Taken(now, name, "c", 3, now + DEADLINE, key))
+            self.history.note(MessageAdmitted(now, name, "c", 3, now + DEADLINE, key))
             return
 
     def gone(self) -> None:
         """A process died with calls out: the next one cannot know their fate."""
-        self.history.note(Restarted(self.history.clock()))
+        self.history.note(SenderRestarted(self.history.clock()))
 
     async def settle(self) -> None:
         """Until each message has an end, as far as the endpoint and the notices tell."""
-        while len({each.message for each in ends_of(self.history) if isinstance(each, Ended)}) < MESSAGES:
+        while (
+            len({each.message for each in ends_of(self.history) if isinstance(each, MessageCompleted)})
+            < MESSAGES
+        ):
             await asyncio.sleep(0.01)
 
 
@@ -147,22 +162,26 @@
             assert serving.process.returncode is None
             told = (await serving.call("GET", "/stats")).body.decode()
             assert "edge_balancer.cluster_size=1" in told
-        rules = Rules({"c": Kind(Effect.KEYED, WINDOW, in_order=True)}, destinations={"r": 3})
-        assert Referee(rules).judge(ends_of(service.history)) == []
+        rules = Rules({"c": ClassRule(Effect.KEYED, WINDOW, in_order=True)}, destinations={"r": 3})
+        assert HistoryChecker(rules).judge(ends_of(service.history)) == []
 
     test(tmp_path)
 
 
-def ends_of(history: History) -> list[Event]:
+def ends_of(history: History) -> list[HistoryEvent]:
     """The history with an end for each message that was delivered: the endpoint's first answer is its end; a
     notice that comes after it, from a process that could not know, does no harm (the protocol's page)."""
-    names = {each.call: each.message for each in history.events if isinstance(each, Began)}
-    found: list[Event] = []
+    names = {each.call: each.message for each in history.events if isinstance(each, AttemptStarted)}
+    found: list[HistoryEvent] = []
     told = set()
     for each in history.events:
-        if not (isinstance(each, Ended) and each.message in told):
+        if not (isinstance(each, MessageCompleted) and each.message in told):
             found.append(each)
-        if isinstance(each, Over) and each.ran is Ran.YES and names[each.call] not in told:
+        if (
+            isinstance(each, AttemptFinished)
+            and each.ran is EffectApplied.YES
+            and names[each.call] not in told
+        ):
             told.add(names[each.call])
-            found.append(Ended(each.at, names[each.call], "delivered"))
+            found.append(MessageCompleted(each.at, names[each.call], "delivered"))
     return found
--- a/tests/conformance/test_scenarios.py
+++ b/tests/conformance/test_scenarios.py
@@ -8,11 +8,15 @@
 import pytest
 
 from conformance.sides import PATIENCE, SIDES, Message, Side
-from message_sender.lab.script import Act, Does
-
-ERROR, RESET = Act(Does.ERROR), Act(Does.RESET)
-FULL, WAIT = Act(Does.FULL), Act(Does.FULL, 0.2)
-STALL, SERVE, SLOW = Act(Does.STALL), Act(Does.SERVE), Act(Does.SERVE, 0.15)
+from message_sender.testbed.script import EndpointBehavior, ScriptedAnswer
+
+ERROR, RESET = ScriptedAnswer(EndpointBehavior.ERROR), ScriptedAnswer(EndpointBehavior.RESET)
+FULL, WAIT = ScriptedAnswer(EndpointBehavior.FULL), ScriptedAnswer(EndpointBehavior.FULL, 0.2)
+STALL, SERVE, SLOW = (
+    ScriptedAnswer(EndpointBehavior.STALL),
+    ScriptedAnswer(EndpointBehavior.SERVE),
+    ScriptedAnswer(EndpointBehavior.SERVE, 0.15),
+)
 Step = Callable[[Side], Awaitable[None]]
 
 
@@ -22,19 +26,23 @@
     messages: Sequence[Message]
     ends: dict[str, str]
     calls: dict[str, int]
-    acts: dict[str, Sequence[Act]] = field(default_factory=dict)
+    acts: dict[str, Sequence[ScriptedAnswer]] = field(default_factory=dict)
     order: dict[str, list[str]] = field(default_factory=dict)
     limits: dict[str, object] = field(default_factory=dict)
     between: Step | None = None  # after the last is handed in
     untold: Sequence[str] = ()  # messages whose end nobody is told
 
 
-def one(name: str, kind: str, acts: Sequence[Act], end: str, calls: int, **more: object) -> Scenario:
+def one(
+    name: str, kind: str, acts: Sequence[ScriptedAnswer], end: str, calls: int, **more: object
+) -> Scenario:
     told = Message("m", kind, **more)  # type: ignore[arg-type]
     return Scenario(name, [told], {"m": end}, {"m": calls} if calls else {}, {"m": acts})
 
 
-def line(name: str, kind: str, acts: dict[str, Sequence[Act]], ends: str, calls: Sequence[int]) -> Scenario:
+def line(
+    name: str, kind: str, acts: dict[str, Sequence[ScriptedAnswer]], ends: str, calls: Sequence[int]
+) -> Scenario:
     """Three messages of one key, handed in one after the other."""
     ids = ("m1", "m2", "m3")
     states = {"d": "delivered", "f": "failed", "r": "refused"}
@@ -64,7 +72,7 @@
     directory = side.engine().directory
     directory = getattr(directory, "source", directory)  # on the daemon's side overrides lie over it
     await side.came("m")
-    first = next(each.endpoint for each in side.history.events if type(each).__name__ == "Began")
+    first = next(each.endpoint for each in side.history.events if type(each).__name__ == "AttemptStarted")
     directory.drain(first)
     side.drained = first  # type: ignore[attr-defined]
 
@@ -178,7 +186,7 @@
         [Message("m", "safe", destination=1)],
         {"m": "delivered"},
         {"m": 2},
-        {"m": [Act(Does.FULL, 0.0), SERVE]},
+        {"m": [ScriptedAnswer(EndpointBehavior.FULL, 0.0), SERVE]},
         between=drain_the_endpoint,
     ),
     Scenario(
--- a/tests/crowds.py
+++ b/tests/crowds.py
@@ -8,11 +8,12 @@
 from helpers import MS, SECOND, endpoint, settings
 
 from message_sender import Dispatcher
-from message_sender import interface as face
-from message_sender.interface import Outcome
+from message_sender.policy.actions import PolicyAction, Send, WakeAfter
+from message_sender.policy.events import AttemptEnded, EndpointsUpdated, MessageAccepted, PolicyEvent, WakeUp
+from message_sender.policy.model import ListingKind, Outcome
 
 TRIP = 25 * MS  # one way
-Due = tuple[int, int, int, face.Event]
+Due = tuple[int, int, int, PolicyEvent]
 
 
 class Spans:
@@ -41,26 +42,26 @@
     """Senders that each get messages as chance has it. `told` is the rate on the list, in calls a second."""
 
     def __init__(self, told: float, senders: int = 40, seed: int = 1) -> None:
-        self.receiver, self.chance, self.now = Spans(told), random.Random(seed), 0
-        given = settings(fleet_size=senders, rates_told=True, slots=4, max_open=40)
+        self.receiver, self.rng, self.now = Spans(told), random.Random(seed), 0
+        given = settings(fleet_size=senders, announces_rates=True, slots=4, max_open=40)
         self.modules = [Dispatcher(given, seed=100 * seed + each) for each in range(senders)]
         self.queue: list[Due] = []
         self.count = itertools.count()
         self.seen: Counter[tuple[str, int]] = Counter()  # by outcome and second
         for each in range(senders):
             listed = endpoint("a", scale=told)
-            self.post(each, 0, face.EndpointsListed(face.Listing.FULL, (listed,)))
+            self.post(each, 0, EndpointsUpdated(ListingKind.FULL, (listed,)))
 
-    def post(self, sender: int, at: int, event: face.Event) -> None:
+    def post(self, sender: int, at: int, event: PolicyEvent) -> None:
         heapq.heappush(self.queue, (at, next(self.count), sender, event))
 
     def offer(self, rate: float, until: float) -> None:
         """From now on so many messages a second come, until that second. Plays up to then."""
         at, end = self.now, int(until * SECOND)
-        while (at := at + int(self.chance.expovariate(rate) * SECOND)) < end:
+        while (at := at + int(self.rng.expovariate(rate) * SECOND)) < end:
             name = f"m{next(self.count)}"
-            event = face.MessageTaken(name, "safe", 1, 12 * SECOND)
-            self.post(self.chance.randrange(len(self.modules)), at, event)
+            event = MessageAccepted(name, "safe", 1, 12 * SECOND)
+            self.post(self.rng.randrange(len(self.modules)), at, event)
         self.play(end)
 
     def play(self, end: int) -> None:
@@ -70,13 +71,13 @@
                 self.act(sender, action)
         self.now = end
 
-    def act(self, sender: int, action: face.Action) -> None:
-        if isinstance(action, face.WakeAfter):
-            self.post(sender, self.now + action.delay, face.WakeUp())
-        elif isinstance(action, face.Send):
+    def act(self, sender: int, action: PolicyAction) -> None:
+        if isinstance(action, WakeAfter):
+            self.post(sender, self.now + action.delay, WakeUp())
+        elif isinstance(action, Send):
             outcome, wait = self.receiver.call(self.now + TRIP)
             self.seen[outcome.value, self.now // SECOND] += 1
-            ended = face.AttemptEnded(action.message, action.attempt, outcome, outcome is Outcome.OK, wait)
+            ended = AttemptEnded(action.message, action.attempt, outcome, outcome is Outcome.OK, wait)
             self.post(sender, self.now + 2 * TRIP, ended)
 
     def rate(self, outcome: Outcome, since: int, until: int) -> float:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,80 +1,91 @@
 """Small hand-written worlds for the module's tests."""
 
 from message_sender import Dispatcher
-from message_sender import interface as face
+from message_sender.policy.actions import Fail, PolicyAction, Reject, Send
+from message_sender.policy.events import AttemptEnded, EndpointsUpdated, MessageAccepted, PolicyEvent
+from message_sender.policy.model import (
+    DestinationKind,
+    Effect,
+    Endpoint,
+    EndpointState,
+    ListingKind,
+    MessageClass,
+    Outcome,
+    Settings,
+)
 
 MS = 1_000
 SECOND = 1_000_000
-SAFE = face.MessageClass("safe", 2 * SECOND, 20 * SECOND, 1.0, 0.3, face.Effect.SAFE)
-KEYED = face.MessageClass("keyed", 2 * SECOND, 20 * SECOND, 1.0, 0.3, face.Effect.KEYED, window=5 * SECOND)
-ZONED = face.MessageClass("zoned", 2 * SECOND, 20 * SECOND, 1.0, 0.3, face.Effect.KEYED, 5 * SECOND, True)
-ONCE = face.MessageClass("once", 2 * SECOND, 20 * SECOND, 3.0, 0.3, face.Effect.UNSAFE)
-ORDERED = face.MessageClass("ordered", 2 * SECOND, 20 * SECOND, 1.0, 0.3, face.Effect.SAFE, in_order=True)
+SAFE = MessageClass("safe", 2 * SECOND, 20 * SECOND, 1.0, 0.3, Effect.IDEMPOTENT)
+KEYED = MessageClass("keyed", 2 * SECOND, 20 * SECOND, 1.0, 0.3, Effect.KEYED, idempotency_window=5 * SECOND)
+ZONED = MessageClass("zoned", 2 * SECOND, 20 * SECOND, 1.0, 0.3, Effect.KEYED, 5 * SECOND, True)
+ONCE = MessageClass("once", 2 * SECOND, 20 * SECOND, 3.0, 0.3, Effect.UNSAFE)
+ORDERED = MessageClass("ordered", 2 * SECOND, 20 * SECOND, 1.0, 0.3, Effect.IDEMPOTENT, is_ordered=True)
 
 
-def settings(**changes: object) -> face.Settings:
+def settings(**changes: object) -> Settings:
     values: dict[str, object] = {
         "classes": (SAFE, KEYED, ZONED, ONCE, ORDERED),
-        "kinds": (("plain", face.Kind()), ("apart", face.Kind(batch=5, apart=True))),
+        "kinds": (("plain", DestinationKind()), ("apart", DestinationKind(batch=5, apart=True))),
         "slots": 20,
         "max_open": 100,
         "max_attempts": 6,
         "zone": "z1",
         "tick": 5 * MS,
-        "key_quiet": 300 * MS,
+        "key_pause": 300 * MS,
     }
-    return face.Settings(**(values | changes))  # type: ignore[arg-type]
+    return Settings(**(values | changes))  # type: ignore[arg-type]
 
 
-def endpoint(name: str, destination: int = 1, **changes: object) -> face.Endpoint:
-    values: dict[str, object] = {"state": face.EndpointState.READY, "kind": "plain", "zone": "z1"}
-    return face.Endpoint(name, destination, **(values | changes))  # type: ignore[arg-type]
+def endpoint(name: str, destination: int = 1, **changes: object) -> Endpoint:
+    values: dict[str, object] = {"state": EndpointState.READY, "kind": "plain", "zone": "z1"}
+    return Endpoint(name, destination, **(values | changes))  # type: ignore[arg-type]
 
 
 class World:
     """A dispatcher, its clock, and what it has out."""
 
-    def __init__(self, *endpoints: face.Endpoint, **changes: object) -> None:
+    def __init__(self, *endpoints: Endpoint, **changes: object) -> None:
         self.dispatcher = Dispatcher(settings(**changes), seed=7)
         self.now = 0
         self.attempts: dict[str, int] = {}
         self.count = 0
-        self.step(face.EndpointsListed(face.Listing.FULL, endpoints or (endpoint("a"),)))
+        self.step(EndpointsUpdated(ListingKind.FULL, endpoints or (endpoint("a"),)))
 
-    def step(self, *events: face.Event, after: int = 0) -> list[face.Action]:
+    def step(self, *events: PolicyEvent, after: int = 0) -> list[PolicyAction]:
         self.now += after
         actions = self.dispatcher.handle(self.now, events)
         for action in actions:
-            if isinstance(action, face.Send):
+            if isinstance(action, Send):
                 self.attempts[action.message] = self.attempts.get(action.message, -1) + 1
         return actions
 
-    def take(self, kind: str = "safe", after: int = 0, **changes: object) -> list[face.Action]:
+    def take(self, kind: str = "safe", after: int = 0, **changes: object) -> list[PolicyAction]:
         self.count += 1
         values: dict[str, object] = {"message": f"m{self.count}", "destination": 1, "time_left": 20 * SECOND}
-        return self.step(face.MessageTaken(message_class=kind, **(values | changes)), after=after)  # type: ignore[arg-type]
+        return self.step(MessageAccepted(message_class=kind, **(values | changes)), after=after)  # type: ignore[arg-type]
 
     def answer(
-        self, message: str, outcome: face.Outcome, after: int = 10 * MS, wait: int = 0
-    ) -> list[face.Action]:
-        ok = outcome is face.Outcome.OK
-        return self.step(face.AttemptEnded(message, self.attempts[message], outcome, ok, wait), after=after)
+        self, message: str, outcome: Outcome, after: int = 10 * MS, wait: int = 0
+    ) -> list[PolicyAction]:
+        ok = outcome is Outcome.OK
+        return self.step(AttemptEnded(message, self.attempts[message], outcome, ok, wait), after=after)
 
     def open_breaker(self) -> None:
         """Fail enough once-only messages to open the breaker of destination 1; nothing is left held."""
         for _ in range(5):
             if not sent(self.take("once")):
                 return
-            self.answer(f"m{self.count}", face.Outcome.RESET)
+            self.answer(f"m{self.count}", Outcome.RESET)
         raise AssertionError("the breaker did not open")
 
 
-def sent(actions: list[face.Action]) -> list[str]:
-    return [each.message for each in actions if isinstance(each, face.Send)]
+def sent(actions: list[PolicyAction]) -> list[str]:
+    return [each.message for each in actions if isinstance(each, Send)]
 
 
-def ended(actions: list[face.Action]) -> list[face.Action]:
-    return [each for each in actions if isinstance(each, face.Refuse | face.Fail)]
+def ended(actions: list[PolicyAction]) -> list[PolicyAction]:
+    return [each for each in actions if isinstance(each, Reject | Fail)]
 
 
 #: A settings object as an instance is told it.
--- a/tests/killed.py
+++ b/tests/killed.py
@@ -9,13 +9,13 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
-from message_sender.handover.link import Link, Packet
+from message_sender.handover.link import HandoverLink, Packet
 
 WHEN, _, STEP = sys.argv[1].partition(" ")
-send = Link.send
+send = HandoverLink.send
 
 
-def send_and_die(self: Link, told: Packet, *rest: object) -> None:
+def send_and_die(self: HandoverLink, told: Packet, *rest: object) -> None:
     for when in ("before", "after"):
         if (when, told["do"]) == (WHEN, STEP):
             os.kill(os.getpid(), signal.SIGKILL)
@@ -23,6 +23,6 @@
             send(self, told, *rest)  # type: ignore[arg-type]
 
 
-Link.send = send_and_die  # type: ignore[method-assign]
+HandoverLink.send = send_and_die  # type: ignore[method-assign]
 sys.argv = ["message_sender"]
 runpy.run_module("message_sender", run_name="__main__")
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -11,9 +11,9 @@
 from helpers import ENV
 
 from message_sender.http.codec import Address
-from message_sender.http.daemon import Sender
 from message_sender.http.server import Server
-from message_sender.message import HandedIn
+from message_sender.message import Message
+from message_sender.service.daemon import PlatformSender
 from message_sender.start import config_from
 
 PATIENCE = 4.0  # s; only a failing test waits so long
@@ -170,7 +170,7 @@
     """A sender in this process."""
 
     def __init__(self, told: dict[str, Any], state: Path) -> None:
-        self.sender = Sender(config_from(told, state))
+        self.sender = PlatformSender(config_from(told, state))
 
     async def __aenter__(self) -> Self:
         await self.sender.start()
@@ -243,8 +243,8 @@
         writer.close()
 
 
-def handed_in(name: str = "m1", body: bytes = b"x", until: int = 0) -> HandedIn:
-    return HandedIn(name, "c", 3, until, "", "", f"key of {name}", False, body)
+def handed_in(name: str = "m1", body: bytes = b"x", until: int = 0) -> Message:
+    return Message(name, "c", 3, until, "", "", f"key of {name}", False, body)
 
 
 async def call(address: Address, method: str, path: str) -> Reply:
--- a/tests/raft_simulation.py
+++ b/tests/raft_simulation.py
@@ -139,7 +139,7 @@
     def __init__(
         self, seed: int, replica_class: type[Replica] = Replica, votes: Mapping[str, int] = VOTES
     ) -> None:
-        self.chance = Random(seed)
+        self.rng = Random(seed)
         self.replica_class = replica_class
         self.votes = votes
         self.now = 0.0
@@ -147,12 +147,11 @@
         self.numbers = count()
         self.ledger = Ledger(votes)
         self.outcome = Outcome()
-        self.loss = self.chance.choice((0.0, 0.05, 0.2))
+        self.loss = self.rng.choice((0.0, 0.05, 0.2))
         self.is_cut = False
         self.is_faulty = True
         self.machines = {
-            name: Machine(name, self.chance.uniform(*CLOCK_RATES), self.chance.uniform(-1e6, 1e6))
-            for name in votes
+            name: Machine(name, self.rng.uniform(*CLOCK_RATES), self.rng.uniform(-1e6, 1e6)) for name in votes
         }
 
     def at(self, after: float, action: Callable[[], None]) -> None:
@@ -176,7 +175,7 @@
             self.votes,
             machine.disk.hard_state,
             machine.disk.entries,
-            Random(self.chance.random()),
+            Random(self.rng.random()),
             machine.clock(self.now),
             not machine.is_learner,
         )
@@ -188,9 +187,9 @@
             return
         self.outcome.crashes += 1
         if machine.writing is not None:
-            part = self.chance.randrange(4)
+            part = self.rng.randrange(4)
             ready = machine.writing
-            kept = ready.entries[: self.chance.randint(0, len(ready.entries))]
+            kept = ready.entries[: self.rng.randint(0, len(ready.entries))]
             if part & 1:
                 machine.disk = machine.disk.written(replace_entries(ready, kept), has_hard_state=part == 3)
         machine.replica = None
@@ -200,7 +199,7 @@
         if machine.life != life or machine.replica is None:
             return
         self.act(machine, lambda replica: replica.tick(machine.clock(self.now)))
-        self.at(TICK_S * self.chance.uniform(0.8, 1.2), lambda: self.tick(machine, life))
+        self.at(TICK_S * self.rng.uniform(0.8, 1.2), lambda: self.tick(machine, life))
 
     def act(self, machine: Machine, event: Callable[[Replica], object]) -> None:
         replica = machine.replica
@@ -227,8 +226,8 @@
         if machine.writing.hard_state is None and not machine.writing.entries:
             self.written(machine, machine.life)
             return
-        takes = self.chance.choice((0.0, 0.001, 0.02))
-        if self.is_faulty and self.chance.random() < 0.02:
+        takes = self.rng.choice((0.0, 0.001, 0.02))
+        if self.is_faulty and self.rng.random() < 0.02:
             takes = 1.5  # the disk was full for a while
         self.at(takes, lambda life=machine.life: self.written(machine, life))  # type: ignore[misc]
 
@@ -250,14 +249,14 @@
 
     def send(self, sender: str, receiver: str, message: RaftMessage) -> None:
         self.ledger.sent(sender, receiver, message)
-        if self.is_faulty and self.chance.random() < self.loss:
+        if self.is_faulty and self.rng.random() < self.loss:
             self.outcome.lost += 1
             return
-        copies = 2 if self.is_faulty and self.chance.random() < 0.05 else 1
+        copies = 2 if self.is_faulty and self.rng.random() < 0.05 else 1
         for _ in range(copies):
-            delay = self.chance.uniform(0.001, 0.04)
-            if self.is_faulty and self.chance.random() < 0.02:
-                delay = self.chance.uniform(0.1, 3.0)
+            delay = self.rng.uniform(0.001, 0.04)
+            if self.is_faulty and self.rng.random() < 0.02:
+                delay = self.rng.uniform(0.1, 3.0)
             self.at(delay, lambda: self.deliver(sender, receiver, message))
 
     def deliver(self, sender: str, receiver: str, message: RaftMessage) -> None:
@@ -271,20 +270,20 @@
     def fault(self) -> None:
         if not self.is_faulty:
             return
-        if self.chance.random() < 0.3:
+        if self.rng.random() < 0.3:
             self.is_cut = not self.is_cut
             self.outcome.cuts += self.is_cut
         else:
-            machine = self.chance.choice(list(self.machines.values()))
+            machine = self.rng.choice(list(self.machines.values()))
             self.crash(machine)
-            if self.outcome.old_disks == 0 and self.chance.random() < 0.1:
+            if self.outcome.old_disks == 0 and self.rng.random() < 0.1:
                 self.outcome.old_disks = 1
                 machine.lost_disk, machine.disk = machine.disk, machine.old_disk
                 machine.is_learner = True
-            elif self.chance.random() < 0.2:
+            elif self.rng.random() < 0.2:
                 machine.old_disk = machine.disk
-            self.at(self.chance.choice((0.0, 0.5, 3.0)), lambda: self.restart(machine))
-        self.at(self.chance.expovariate(1.0), self.fault)
+            self.at(self.rng.choice((0.0, 0.5, 3.0)), lambda: self.restart(machine))
+        self.at(self.rng.expovariate(1.0), self.fault)
 
     def restart(self, machine: Machine) -> None:
         if machine.replica is None:
@@ -293,7 +292,7 @@
     def propose(self) -> None:
         for machine in self.machines.values():
             self.act(machine, self.proposal)
-        self.at(self.chance.uniform(0.05, 0.4), self.propose)
+        self.at(self.rng.uniform(0.05, 0.4), self.propose)
 
     def proposal(self, replica: Replica) -> None:
         """Each node that believes to be the leader takes one, one of a minority too."""
--- a/tests/test_arrows.py
+++ b/tests/test_arrows.py
@@ -9,70 +9,120 @@
 
 ROOT = Path(__file__).parent.parent / "message_sender"
 #: What each part may import of the package, besides itself; the parts above are not in any of these.
-BASE = {"files", "interface", "message"}
+BASE = {"files", "message", "policy.actions", "policy.events", "policy.limits", "policy.model"}
+CONFIGURATION = {"configuration.general", "configuration.resources", "configuration.tables"}
 FLEET = {"budget", "journal", "recovery", "fleet"}  # of a sender of our own, imported where it is asked for
-PARTS = ("breaker", "schedule", "endpoints", "pending", "inflight", "inherit")  # of the policy, from below
+#: The policy's messages, from below, and its parts, from below.
+POLICY_TYPES = {"policy.model", "policy.events", "policy.actions", "policy.limits"}
+PARTS = ("breaker", "schedule", "endpoints", "pending", "inflight", "state_transfer")
 ALLOWED: dict[str, set[str]] = {
     "files": set(),
-    "interface": set(),
     "message": set(),
+    "control_socket": set(),
     "policy": set(),
-    "policy.breaker": {"interface"},
-    "policy.schedule": {"policy.breaker", "interface"},
-    "policy.endpoints": {"policy.breaker", "interface", "policy.schedule"},
-    "policy.pending": {"policy.breaker", "interface", "policy.endpoints", "policy.schedule"},
-    "policy.inflight": {"interface", *(f"policy.{each}" for each in PARTS[:4])},
-    "policy.inherit": {"policy.breaker", "policy.pending", "interface", "policy.endpoints"},
-    "policy.dispatcher": {"interface", *(f"policy.{each}" for each in PARTS)},
-    "settings": {"interface"},
+    "policy.model": set(),
+    "policy.events": {"policy.model"},
+    "policy.actions": set(),
+    "policy.limits": {"policy.model"},
+    "policy.breaker": POLICY_TYPES,
+    "policy.schedule": {"policy.breaker", *POLICY_TYPES},
+    "policy.endpoints": {"policy.breaker", "policy.schedule", *POLICY_TYPES},
+    "policy.pending": {"policy.breaker", "policy.endpoints", "policy.schedule", *POLICY_TYPES},
+    "policy.inflight": {*(f"policy.{each}" for each in PARTS[:4]), *POLICY_TYPES},
+    "policy.state_transfer": {"policy.breaker", "policy.pending", "policy.endpoints", *POLICY_TYPES},
+    "policy.dispatcher": {*(f"policy.{each}" for each in PARTS), *POLICY_TYPES},
     "journal": BASE,
     "admission": BASE,
-    "directory": BASE,
-    "handover": {*BASE, "core", "directory"},
-    "manage": {*BASE, "core"},
-    "core": {*BASE, "policy.breaker", "policy.inherit", "policy.schedule", "policy.dispatcher", "journal"},
-    "tables": set(),
-    "resource_tables": {"directory", "interface", "tables"},
-    "control": {"directory", "files", "fleet", "interface", "journal", "resource_tables", "tables"},
-    "config": {*BASE, "directory", "resource_tables", "tables"},
-    "http": {
+    "discovery": BASE,
+    "handover": {*BASE, "control_socket", "core"},
+    "management": {*BASE, "core"},
+    "core": {
         *BASE,
-        "admission",
+        "journal",
+        "policy.breaker",
+        "policy.dispatcher",
+        "policy.schedule",
+        "policy.state_transfer",
+    },
+    "configuration": set(),
+    "configuration.tables": set(),
+    "configuration.settings": {"policy.model"},
+    "configuration.resources": {"configuration.tables", "discovery", "policy.model"},
+    "configuration.general": {*BASE, "configuration.resources", "configuration.tables", "discovery"},
+    "control": {
+        "configuration.resources",
+        "configuration.tables",
+        "control_socket",
+        "discovery",
+        "files",
+        "fleet",
+        "journal",
+        "policy.model",
+    },
+    "http": {*BASE, "admission", "core"},
+    "grpc": {*BASE, "configuration.general", "core", "discovery", "journal"},
+    "service": {
+        *BASE,
+        *CONFIGURATION,
+        *FLEET,
         "control",
+        "control_socket",
         "core",
-        "config",
-        "directory",
+        "discovery",
         "handover",
-        "policy.inherit",
-        "manage",
-        "resource_tables",
-        "tables",
-        *FLEET,
+        "http",
+        "management",
+        "policy.state_transfer",
     },
-    "grpc": {*BASE, "core", "config", "directory", "journal"},
     "recovery": {*BASE, "fleet", "journal"},
     "fleet": {"files"},
-    "lab": {*BASE, "control", "core", "config", "directory", "http", "grpc", "journal"},
-    "adapter": {"interface", "policy.dispatcher", "settings"},
+    "testbed": {
+        *BASE,
+        "configuration.general",
+        "control",
+        "control_socket",
+        "core",
+        "discovery",
+        "grpc",
+        "http",
+        "journal",
+        "service",
+    },
+    "adapter": {"configuration.settings", "policy.dispatcher", *POLICY_TYPES},
     "budget": {"fleet"},
     "emulator": {
         *BASE,
-        "budget",
-        "config",
+        *FLEET,
+        "configuration.general",
+        "configuration.resources",
+        "configuration.tables",
         "core",
-        "directory",
+        "discovery",
         "http",
-        "lab",
         "policy.dispatcher",
-        "tables",
-        *FLEET,
+        "service",
+        "testbed",
     },
     "pcap": {"http"},  # a codec's patterns
-    "cli": {"config", "control", "tables", "core", "directory", "emulator", "http", "journal", "lab", "pcap"},
-    "start": {"core", "handover", "http", "manage", "settings"},
+    "cli": {
+        "configuration.general",
+        "configuration.tables",
+        "control",
+        "control_socket",
+        "core",
+        "discovery",
+        "emulator",
+        "journal",
+        "pcap",
+        "service",
+        "testbed",
+    },
+    "start": {"configuration.settings", "core", "handover", "http", "management", "service"},
     "__main__": {"cli", "start"},
     "__init__": {"policy.dispatcher"},
 }
+#: Packages whose modules are parts by themselves.
+PARTED = ("configuration", "policy")
 
 
 def part(file: Path) -> str:
@@ -81,8 +131,8 @@
 
 
 def part_of(names: list[str]) -> str:
-    """A package is one part; the policy's modules are parts by themselves."""
-    return ".".join(names[:2] if names[0] == "policy" else names[:1])
+    """A package is one part, but for those whose modules are parts by themselves."""
+    return ".".join(names[:2] if names[0] in PARTED else names[:1])
 
 
 def imported(file: Path) -> set[str]:
@@ -126,8 +176,16 @@
 
 
 def test_the_core_and_what_is_below_it_know_no_protocol() -> None:
-    for name in ("core", "journal", "directory", "policy.dispatcher", "interface", "message"):
-        assert not ALLOWED[name] & {"http", "grpc", "lab", "cli"}
+    for name in (
+        "core",
+        "journal",
+        "discovery",
+        "policy.dispatcher",
+        "policy.model",
+        "policy.events",
+        "message",
+    ):
+        assert not ALLOWED[name] & {"http", "grpc", "service", "testbed", "cli"}
 
 
 EXTRAS = {
@@ -136,11 +194,10 @@
 }  # fmt: skip
 
 
-@pytest.mark.parametrize("module", ["__main__", "start", "http.daemon", "adapter"])
+@pytest.mark.parametrize("module", ["__main__", "start", "service.daemon", "adapter"])
 def test_the_daemon_imports_no_extra_and_nothing_of_the_control_plane(module: str) -> None:
-    found = (
-        f"{EXTRAS} & set(sys.modules) | {{name for name in sys.modules if 'message_sender.control' in name}}"
-    )
+    control = "{name for name in sys.modules if (name + '.').startswith('message_sender.control.')}"
+    found = f"{EXTRAS} & set(sys.modules) | {control}"
     code = f"import sys, message_sender.{module}; print(sorted({found}))"
     words = [sys.executable, "-c", code]
     out = subprocess.run(words, cwd=ROOT.parent, capture_output=True, check=True, text=True)
--- a/tests/test_breaker.py
+++ b/tests/test_breaker.py
@@ -5,9 +5,10 @@
 import pytest
 from helpers import MS, SECOND, World, ended, endpoint, sent
 
-from message_sender import interface as face
-from message_sender.interface import Outcome
+from message_sender.policy.actions import CancelAttempt, PolicyAction, Subscribe
 from message_sender.policy.breaker import FAILURE_THRESHOLD, RESET_TIMEOUT
+from message_sender.policy.events import EndpointsUpdated, MessageAccepted, MessageRestored, WakeUp
+from message_sender.policy.model import ListingKind, Outcome
 
 
 def test_opens_at_the_threshold_and_holds() -> None:
@@ -36,10 +37,10 @@
     world.open_breaker()
     world.take()
     world.take()
-    (trial,) = sent(world.step(face.WakeUp(), after=RESET_TIMEOUT))
+    (trial,) = sent(world.step(WakeUp(), after=RESET_TIMEOUT))
     assert sent(world.take(after=100 * MS)) == []
     actions = world.answer(trial, Outcome.OK)
-    later = sent(world.step(face.WakeUp(), after=4 * SECOND))
+    later = sent(world.step(WakeUp(), after=4 * SECOND))
     assert len(sent(actions)) + len(later) >= 1
 
 
@@ -47,10 +48,10 @@
     world = World()
     world.open_breaker()
     world.take()
-    (trial,) = sent(world.step(face.WakeUp(), after=RESET_TIMEOUT))
+    (trial,) = sent(world.step(WakeUp(), after=RESET_TIMEOUT))
     assert sent(world.answer(trial, Outcome.CONNECT_FAILED)) == []
-    assert sent(world.step(face.WakeUp(), after=RESET_TIMEOUT - 10 * MS)) == []
-    assert len(sent(world.step(face.WakeUp(), after=10 * MS))) == 1
+    assert sent(world.step(WakeUp(), after=RESET_TIMEOUT - 10 * MS)) == []
+    assert len(sent(world.step(WakeUp(), after=10 * MS))) == 1
 
 
 def test_gap_grows_with_refusals_and_shrinks_with_served_calls() -> None:
@@ -59,10 +60,10 @@
     world.answer("m1", Outcome.FULL)
     (breaker,) = world.dispatcher.registry.all_breakers()
     first = breaker.gap
-    world.step(face.WakeUp(), after=SECOND)
+    world.step(WakeUp(), after=SECOND)
     world.answer("m1", Outcome.FULL)
     assert breaker.gap == 2 * first > 0
-    world.step(face.WakeUp(), after=4 * SECOND)
+    world.step(WakeUp(), after=4 * SECOND)
     world.answer("m1", Outcome.OK)
     assert breaker.gap < 2 * first
 
@@ -72,20 +73,20 @@
     world.take()
     for _ in range(FAILURE_THRESHOLD):
         world.answer("m1", Outcome.FULL)
-        assert sent(world.step(face.WakeUp(), after=9 * SECOND // 2)) == ["m1"]
+        assert sent(world.step(WakeUp(), after=9 * SECOND // 2)) == ["m1"]
 
 
 def test_overdue_calls_open_the_breaker_before_any_time_out() -> None:
     world = World()
     for _ in range(FAILURE_THRESHOLD):
         world.take("once")
-    world.step(face.WakeUp(), after=3 * SECOND)
+    world.step(WakeUp(), after=3 * SECOND)
     assert sent(world.take()) == []
 
 
 def test_sends_of_one_round_share_a_call_where_batches_are_taken() -> None:
     world = World(endpoint("a", kind="apart"), slots=1)
-    events = [face.MessageTaken(f"x{each}", "safe", 1, 20 * SECOND) for each in range(7)]
+    events = [MessageAccepted(f"x{each}", "safe", 1, 20 * SECOND) for each in range(7)]
     assert len(sent(world.step(*events))) == 5
 
 
@@ -94,20 +95,20 @@
     """What the agent beside the sender holds counts as told, also while nobody listens to it."""
 
     def pause(**changes: object) -> int:
-        world = World(must_ask=True, **changes)
+        world = World(must_poll=True, **changes)
         for _ in range(tries):
-            world.step(face.EndpointsListed(face.Listing.FAILED), after=MS)
+            world.step(EndpointsUpdated(ListingKind.FAILED), after=MS)
             failed_at, asked_at = world.now, math.ceil(world.dispatcher.registry.list_calls.at)
-            assert face.Subscribe() in world.step(face.WakeUp(), after=asked_at - failed_at)
+            assert Subscribe() in world.step(WakeUp(), after=asked_at - failed_at)
         return asked_at - failed_at
 
-    assert pause(list_at_hand=True) <= 100 * MS < pause()
+    assert pause(has_local_list=True) <= 100 * MS < pause()
 
 
 def test_same_events_give_the_same_actions() -> None:
-    def run() -> list[list[face.Action]]:
-        world = World(endpoint("a"), endpoint("b"), must_ask=True)
-        out = [world.step(face.EndpointsListed(face.Listing.FAILED))]
+    def run() -> list[list[PolicyAction]]:
+        world = World(endpoint("a"), endpoint("b"), must_poll=True)
+        out = [world.step(EndpointsUpdated(ListingKind.FAILED))]
         for number in range(30):
             actions = world.take(("safe", "once", "keyed")[number % 3], after=50 * MS)
             out.append(actions)
@@ -131,8 +132,8 @@
     world = World(endpoint("a"), endpoint("b", destination=2), slots=4)
     for destination in (1, 1, 2, 2):
         world.take("once", destination=destination)
-    actions = world.step(face.WakeUp(), after=3 * SECOND) + world.step(face.WakeUp(), after=3 * SECOND)
-    assert [each for each in actions if isinstance(each, face.CancelAttempt)] != []
+    actions = world.step(WakeUp(), after=3 * SECOND) + world.step(WakeUp(), after=3 * SECOND)
+    assert [each for each in actions if isinstance(each, CancelAttempt)] != []
 
 
 def test_gap_may_grow_further_where_more_senders_share_a_limit() -> None:
@@ -142,7 +143,7 @@
         (breaker,) = world.dispatcher.registry.all_breakers()
         for _ in range(30):
             world.answer("m1", Outcome.FULL, after=MS)
-            world.step(face.WakeUp(), after=round(breaker.gap))
+            world.step(WakeUp(), after=round(breaker.gap))
             if "m1" not in world.dispatcher.messages:
                 break
         return breaker.gap
@@ -152,21 +153,21 @@
 
 def test_failures_before_a_restart_open_the_breaker_to_a_trial_and_warm_it_up() -> None:
     world = World()
-    taken = [face.MessageTaken(f"m{each}", "safe", 1, 20 * SECOND) for each in range(FAILURE_THRESHOLD)]
+    taken = [MessageAccepted(f"m{each}", "safe", 1, 20 * SECOND) for each in range(FAILURE_THRESHOLD)]
     failed = (("a", Outcome.CONNECT_FAILED),)
-    actions = world.step(*[face.MessageRestored(each, 1, None, "", failed) for each in taken])
+    actions = world.step(*[MessageRestored(each, 1, None, "", failed) for each in taken])
     assert sent(actions) == ["m0"]
     world.attempts["m0"] = 1
     assert sent(world.answer("m0", Outcome.OK)) == []
-    assert sent(world.step(face.WakeUp(), after=5 * SECOND)) == ["m1"]
+    assert sent(world.step(WakeUp(), after=5 * SECOND)) == ["m1"]
 
 
 def test_a_stray_failure_before_a_restart_holds_nothing_up() -> None:
     world = World()
-    taken = [face.MessageTaken(f"m{each}", "safe", 1, 20 * SECOND) for each in range(2)]
+    taken = [MessageAccepted(f"m{each}", "safe", 1, 20 * SECOND) for each in range(2)]
     actions = world.step(
-        face.MessageRestored(taken[0], 1, 0, "z1", (("a", Outcome.ERROR),)),
-        face.MessageRestored(taken[1], 0, None, ""),
+        MessageRestored(taken[0], 1, 0, "z1", (("a", Outcome.ERROR),)),
+        MessageRestored(taken[1], 0, None, ""),
     )
     assert sent(actions) == ["m0", "m1"]
 
@@ -178,8 +179,8 @@
     assert sent(world.take("zoned", after=100 * MS)) == ["m2"]
     world.answer("m2", Outcome.OK)
     (breaker,) = world.dispatcher.registry.all_breakers()
-    actions = world.step(face.WakeUp(), after=int(breaker.patience()))
-    assert [each for each in actions if isinstance(each, face.CancelAttempt)] == [face.CancelAttempt("m1", 0)]
+    actions = world.step(WakeUp(), after=int(breaker.patience()))
+    assert [each for each in actions if isinstance(each, CancelAttempt)] == [CancelAttempt("m1", 0)]
     assert sent(world.answer("m1", Outcome.CANCELLED)) == ["m1"]
 
 
@@ -190,27 +191,27 @@
         world.take("zoned", after=100 * MS)
         if served:
             world.answer("m2", Outcome.OK)
-        actions = world.step(face.WakeUp(), after=2 * SECOND)
-        assert not [each for each in actions if isinstance(each, face.CancelAttempt)]
+        actions = world.step(WakeUp(), after=2 * SECOND)
+        assert not [each for each in actions if isinstance(each, CancelAttempt)]
 
 
 def test_the_gap_stays_within_what_the_told_rate_makes_of_it() -> None:
     """Seen: gaps of 2 s, grown by refusals, at a destination that takes 58 calls a second. And gaps far under
     the share, where refused calls use the limit up too: a fifth of the attempts was refused."""
-    world = World(endpoint("a", scale=50.0), fleet_size=2, rates_told=True)
+    world = World(endpoint("a", scale=50.0), fleet_size=2, announces_rates=True)
     (breaker,) = world.dispatcher.registry.arouse(1).breakers
     gaps = []
     world.take()
     for _ in range(5):
         world.answer("m1", Outcome.FULL)
         gaps.append(breaker.gap)
-        assert sent(world.step(face.WakeUp(), after=SECOND)) == ["m1"]
+        assert sent(world.step(WakeUp(), after=SECOND)) == ["m1"]
     share = 2 * SECOND / 50  # two senders, 50 calls a second; for 2 s it may be a limit that refuses
     assert gaps == [1.2 * share, 1.2 * share, 2.4 * share, 4 * share, 4 * share]
 
 
 def test_a_gap_at_its_share_shrinks_slowly_and_one_that_was_shut_out_fast() -> None:
-    world = World(endpoint("a", scale=1.0), rates_told=True, max_attempts=99)
+    world = World(endpoint("a", scale=1.0), announces_rates=True, max_attempts=99)
     (breaker,) = world.dispatcher.registry.arouse(1).breakers
 
     def shrink(gap: float) -> float:
@@ -231,12 +232,12 @@
 ) -> None:
     """Seen: three refusals above a limit in a row, and the destination was warmed for 9 s like one that was
     out. Shut ones refuse for longer than any span lasts, or tell a longer wait; those are warmed."""
-    world = World(endpoint("a", scale=50.0), rates_told=True, max_attempts=99)
+    world = World(endpoint("a", scale=50.0), announces_rates=True, max_attempts=99)
     (breaker,) = world.dispatcher.registry.arouse(1).breakers
     world.take()
     for _ in range(FAILURE_THRESHOLD + 1):
         world.answer("m1", Outcome.FULL, wait=wait * MS)
-        world.step(face.WakeUp(), after=max(pause, wait) * MS)
+        world.step(WakeUp(), after=max(pause, wait) * MS)
     assert (breaker.cold_gap(world.now) > 0) is doubtful
 
 
@@ -263,8 +264,8 @@
 def test_a_trial_that_times_out_restarts_the_timeout() -> None:
     world = World()
     world.open_breaker()
-    trial = sent(world.step(face.WakeUp(), after=RESET_TIMEOUT))
+    trial = sent(world.step(WakeUp(), after=RESET_TIMEOUT))
     assert len(trial) == 1
     world.answer(trial[0], Outcome.TIMEOUT, after=40 * MS)
     assert not sent(world.take("safe"))
-    assert sent(world.step(face.WakeUp(), after=RESET_TIMEOUT))
+    assert sent(world.step(WakeUp(), after=RESET_TIMEOUT))
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from message_sender.budget import lease
-from message_sender.budget.lease import Kind, Member, Terms, Word
+from message_sender.budget.lease import LeaseMessage, LeaseMessageKind, Member, Terms
 from message_sender.emulator.explore import Limits, explore, quiet
 
 TWO = Terms(whole=1, size=2, lease=1, term=2, margin=1)
@@ -56,12 +56,14 @@
     assert not stuck
 
 
-def forgets(member: Member, terms: Terms, word: Word, amount: int) -> Member:
+def forgets(member: Member, terms: Terms, word: LeaseMessage, amount: int) -> Member:
     return member
 
 
-def keeps_what_it_gives_back(member: Member, terms: Terms, keeper: int) -> tuple[Member, tuple[Word, ...]]:
-    return member, (Word(Kind.BACK, member.name, keeper, member.session, member.clock),)
+def keeps_what_it_gives_back(
+    member: Member, terms: Terms, keeper: int
+) -> tuple[Member, tuple[LeaseMessage, ...]]:
+    return member, (LeaseMessage(LeaseMessageKind.BACK, member.name, keeper, member.session, member.clock),)
 
 
 @pytest.mark.parametrize(
@@ -125,18 +127,20 @@
 TERMS = Terms(whole=5, size=3, lease=100, term=200, margin=7)
 
 
-@given(st.integers(-300, 300), st.integers(-5, 10**9), st.integers(0, 2), st.sampled_from(Kind))
+@given(st.integers(-300, 300), st.integers(-5, 10**9), st.integers(0, 2), st.sampled_from(LeaseMessageKind))
 def test_nothing_that_comes_gives_more_than_the_whole(
-    asked: int, amount: int, session: int, kind: Kind
+    asked: int, amount: int, session: int, kind: LeaseMessageKind
 ) -> None:
     member = lease.at(lease.started(0, 1), 150)
-    after, out = lease.hear(member, TERMS, Word(kind, 1, 0, session, asked, amount))
+    after, out = lease.hear(member, TERMS, LeaseMessage(kind, 1, 0, session, asked, amount))
     assert lease.spendable(after, TERMS) <= TERMS.whole
-    assert all(each.kind is Kind.PROMISE for each in out), "who is no keeper gives nothing"
+    assert all(each.kind is LeaseMessageKind.PROMISE for each in out), "who is no keeper gives nothing"
     if session != 1 or asked + TERMS.lease <= 150:
         assert lease.spendable(after, TERMS) == 0
 
 
 def test_what_is_held_runs_out_by_the_holders_own_clock() -> None:
-    member, _ = lease.hear(lease.at(lease.started(0, 1), 10), TERMS, Word(Kind.GRANT, 1, 0, 1, 10, 3))
+    member, _ = lease.hear(
+        lease.at(lease.started(0, 1), 10), TERMS, LeaseMessage(LeaseMessageKind.GRANT, 1, 0, 1, 10, 3)
+    )
     assert [lease.spendable(lease.at(member, now), TERMS) for now in (10, 109, 110, 500)] == [3, 3, 0, 0]
--- a/tests/test_budgeted.py
+++ b/tests/test_budgeted.py
@@ -15,9 +15,9 @@
 from click.testing import CliRunner
 
 from message_sender.cli import fleet as command
-from message_sender.directory.control import ask
-from message_sender.lab.cluster import Cluster, Fault, Hub, HubApart, Nursery
-from message_sender.lab.history import most_in
+from message_sender.control_socket import ask
+from message_sender.testbed.cluster import Cluster, Fault, MemberFactory, ReceiverStub, ThreadedReceiverStub
+from message_sender.testbed.history import most_in
 
 SEEDS = int(os.environ.get("BUDGET_SEEDS", "20"))
 WHOLE, SPAN = 20, 0.5  # calls, s
@@ -49,20 +49,20 @@
 OUT = 'destination = 1\nof = "in_flight"\nwhole = 6\nheld_ms = 500\n'
 
 
-def configuration(budget: str, hub: Hub, floor: int = 1, slots: int = 64) -> str:
+def configuration(budget: str, hub: ReceiverStub, floor: int = 1, slots: int = 64) -> str:
     return MORE.format(floor=floor, slots=slots) + budget + hub.listed()
 
 
 def drawn(seed: int) -> list[Fault]:
     """Two or three troubles, of which all are over by FAULTS_END."""
-    chance, plan = random.Random(f"budget {seed}"), list[Fault]()
+    rng, plan = random.Random(f"budget {seed}"), list[Fault]()
     names = [f"n{number}" for number in range(5)]
-    for at in sorted(chance.uniform(0, FAULTS_END - 2) for _ in range(chance.randint(2, 3))):
-        some = tuple(chance.sample(names, chance.randint(1, 3)))
+    for at in sorted(rng.uniform(0, FAULTS_END - 2) for _ in range(rng.randint(2, 3))):
+        some = tuple(rng.sample(names, rng.randint(1, 3)))
         rest = tuple(name for name in names if name not in some)
-        later = at + chance.uniform(0.5, 1.5)
+        later = at + rng.uniform(0.5, 1.5)
         sides = (" ".join(some), " ".join(rest))
-        plan += chance.choice(
+        plan += rng.choice(
             [
                 [Fault(at, "kill", some), Fault(later, "start", some)],
                 [Fault(at, "kill", some), Fault(at + 0.02, "lose_disk", some), Fault(later, "start", some)],
@@ -82,14 +82,14 @@
         await asyncio.gather(*(cluster.hand_in(each, "safe", 1, 30, to=[name]) for each, name in names))
 
 
-async def life(folder: Path, seed: int, nursery: Nursery) -> str:
-    chance = random.Random(f"link {seed}")
+async def life(folder: Path, seed: int, nursery: MemberFactory) -> str:
+    rng = random.Random(f"link {seed}")
     cluster = Cluster(folder, 5, seed, "group", nursery=nursery)
-    async with HubApart("hub", cluster.history, 1e9) as hub:
-        cluster.more = configuration(CALLS, hub, floor=chance.choice([0, 1]))
+    async with ThreadedReceiverStub("hub", cluster.history, 1e9) as hub:
+        cluster.more = configuration(CALLS, hub, floor=rng.choice([0, 1]))
         async with cluster:
             await cluster.start()
-            cluster.relay.loss, cluster.relay.delay = chance.choice([(0.0, 0.0), (0.2, 0.02), (0.05, 1.0)])
+            cluster.relay.loss, cluster.relay.delay = rng.choice([(0.0, 0.0), (0.2, 0.02), (0.05, 1.0)])
             await feed(cluster, 60)
             await cluster.run(drawn(seed))
             sent = len(hub.calls)
@@ -112,20 +112,20 @@
             async with turns:
                 return await life(tmp_path / str(seed), seed, nursery)
 
-        async with Nursery() as nursery:
+        async with MemberFactory() as nursery:
             return [each for each in await asyncio.gather(*map(one, range(SEEDS))) if each]
 
     assert asyncio.run(play()) == []
 
 
-Act = Callable[[Cluster, Hub], Any]
+Act = Callable[[Cluster, ReceiverStub], Any]
 
 
-async def up(act: Act, budget: str, floor: int, rate: float, nursery: Nursery | None = None) -> None:
+async def up(act: Act, budget: str, floor: int, rate: float, nursery: MemberFactory | None = None) -> None:
     """A fleet that is up, with a hub that notes what comes."""
     with tempfile.TemporaryDirectory() as folder:
         cluster = Cluster(Path(folder), 3, 1, "none", nursery=nursery)
-        async with HubApart("hub", cluster.history, rate) as hub:
+        async with ThreadedReceiverStub("hub", cluster.history, rate) as hub:
             cluster.more = configuration(budget, hub, floor)
             async with cluster:
                 await cluster.start()
@@ -142,7 +142,7 @@
 
 
 def test_who_stood_still_with_a_full_part_spends_nothing_of_it_when_it_wakes() -> None:
-    async def act(cluster: Cluster, hub: Hub) -> None:
+    async def act(cluster: Cluster, hub: ReceiverStub) -> None:
         for number in range(60):
             await cluster.hand_in(f"m{number}", "safe", 1, 30, to=["n0"])
         await cluster.until(lambda: part(cluster, "n0")["part"] >= WHOLE - 1)
@@ -158,7 +158,7 @@
 
 
 def test_things_that_are_held_at_once_stay_within_the_whole() -> None:
-    async def act(cluster: Cluster, hub: Hub) -> None:
+    async def act(cluster: Cluster, hub: ReceiverStub) -> None:
         hub.takes = 0.2
         await feed(cluster, 20)
         await cluster.until(lambda: len(hub.ran) >= 20)
@@ -171,7 +171,7 @@
     played(act, OUT)
 
 
-async def halved(was: str, to: str, cluster: Cluster, hub: Hub) -> None:
+async def halved(was: str, to: str, cluster: Cluster, hub: ReceiverStub) -> None:
     """By a reload of all, while all is out."""
     await feed(cluster, 30)
     await cluster.until(lambda: len(hub.calls) > WHOLE)
@@ -191,7 +191,7 @@
 
 
 def test_without_a_budget_the_same_work_passes_the_whole() -> None:
-    async def act(cluster: Cluster, hub: Hub) -> None:
+    async def act(cluster: Cluster, hub: ReceiverStub) -> None:
         await feed(cluster, 20)
         await cluster.until(lambda: len(hub.ran) == 60)
         assert hub.most_in(SPAN - SLACK) > WHOLE
@@ -200,7 +200,7 @@
 
 
 def test_people_see_who_has_what_and_why() -> None:
-    async def act(cluster: Cluster, hub: Hub) -> None:
+    async def act(cluster: Cluster, hub: ReceiverStub) -> None:
         await feed(cluster, 60)
         await cluster.until(lambda: any("from 0 to" in text for _, text in part(cluster, "n1")["changes"]))
         state = str(cluster.members["n1"].state)
@@ -225,7 +225,7 @@
 
 
 def test_a_tenant_has_its_share_over_all_doors() -> None:
-    async def act(cluster: Cluster, hub: Hub) -> None:
+    async def act(cluster: Cluster, hub: ReceiverStub) -> None:
         await cluster.until(lambda: all(part(cluster, name)["keeper"] for name in cluster.members))
         taken = list[float]()
         loop = asyncio.get_running_loop()
@@ -244,11 +244,11 @@
 RATED = "whole = 4\nper_ms = 500\n"
 
 
-def all_ran(cluster: Cluster, hub: Hub) -> bool:
+def all_ran(cluster: Cluster, hub: ReceiverStub) -> bool:
     return len(hub.ran) == len(cluster.accepted)
 
 
-async def trials(cluster: Cluster, hub: Hub) -> None:
+async def trials(cluster: Cluster, hub: ReceiverStub) -> None:
     """Each of three finds the hub out of order; from there on it is tried by one at a time."""
     hub.fails = 0.25
     await feed(cluster, 8)
@@ -265,7 +265,7 @@
     return dict(ask(cluster.members[name].state, {"do": "budgets"})["value"])
 
 
-async def repeats(cluster: Cluster, hub: Hub) -> None:
+async def repeats(cluster: Cluster, hub: ReceiverStub) -> None:
     hub.fails = 0.001
     await feed(cluster, 10)
     await cluster.until(lambda: len(hub.again) >= 12)
@@ -275,7 +275,7 @@
     assert most_in(hub.again, SPAN - SLACK) <= 4
 
 
-async def earned(cluster: Cluster, hub: Hub) -> None:
+async def earned(cluster: Cluster, hub: ReceiverStub) -> None:
     """A repeat for two first attempts of the same two seconds, whoever made them."""
     hub.fails = 0.001
     await feed(cluster, 8)
@@ -286,14 +286,14 @@
         assert 0 < repeats <= firsts / 2 + 3, "and one of each member's, in any case"
 
 
-async def handshakes(cluster: Cluster, hub: Hub) -> None:
+async def handshakes(cluster: Cluster, hub: ReceiverStub) -> None:
     hub.more = "Connection: close\r\n"
     await feed(cluster, 8)
     await cluster.until(lambda: all_ran(cluster, hub))
     assert 3 <= most_in(hub.opened, SPAN - SLACK) <= 4 and len(hub.opened) >= 24
 
 
-async def connections(cluster: Cluster, hub: Hub) -> None:
+async def connections(cluster: Cluster, hub: ReceiverStub) -> None:
     """Three for three members with work for many; who has none gives its kept ones up."""
     hub.takes = 0.05
     await feed(cluster, 30)
@@ -305,7 +305,7 @@
     assert hub.most_open <= 3 < len(hub.opened), "each is retired in its time"
 
 
-async def told_by_answers(cluster: Cluster, hub: Hub) -> None:
+async def told_by_answers(cluster: Cluster, hub: ReceiverStub) -> None:
     """Its list says nothing of use; the first answers tell ten calls in a second."""
     hub.more = 'RateLimit-Policy: "burst";q=10;w=1\r\n'
     await feed(cluster, 4)
@@ -333,7 +333,7 @@
     """A fleet for each kind, all at once."""
 
     async def play() -> list[BaseException | None]:
-        async with Nursery() as nursery:
+        async with MemberFactory() as nursery:
             lives = (up(act, told, 0, rate, nursery) for act, told, rate in KINDS.values())
             return await asyncio.gather(*lives, return_exceptions=True)
 
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -12,29 +12,29 @@
 from faults import turn
 from peers import Peer, handed_in, play, soon
 
-from message_sender.core.ports import Answer
+from message_sender.core.ports import AttemptResult
 from message_sender.http import client as module
 from message_sender.http import codec as http
 from message_sender.http.client import HttpTransport, answer_from
-from message_sender.http.codec import Address, Connection
-from message_sender.interface import NEVER_RAN, Outcome
+from message_sender.http.codec import Address, ClientConnection
+from message_sender.policy.model import NEVER_RAN, Outcome
 
 ANSWERS = [
-    ("200", (), Answer(Outcome.OK, finished=True)),
-    ("500", (), Answer(Outcome.ERROR)),
-    ("429", ("Retry-After: 0.25",), Answer(Outcome.FULL, wait=250_000)),
-    ("429", ("Retry-After: soon",), Answer(Outcome.FULL)),
-    ("503", (), Answer(Outcome.FULL)),
-    ("503", ("X-Egress-Full: 1",), Answer(Outcome.NOT_SENT)),
-    ("504", (), Answer(Outcome.NOT_SENT)),
-    ("410", (), Answer(Outcome.NOT_SENT, finished=True)),
-    ("302", (), Answer(Outcome.ERROR)),
+    ("200", (), AttemptResult(Outcome.OK, finished=True)),
+    ("500", (), AttemptResult(Outcome.ERROR)),
+    ("429", ("Retry-After: 0.25",), AttemptResult(Outcome.FULL, wait=250_000)),
+    ("429", ("Retry-After: soon",), AttemptResult(Outcome.FULL)),
+    ("503", (), AttemptResult(Outcome.FULL)),
+    ("503", ("X-Egress-Full: 1",), AttemptResult(Outcome.NOT_SENT)),
+    ("504", (), AttemptResult(Outcome.NOT_SENT)),
+    ("410", (), AttemptResult(Outcome.NOT_SENT, finished=True)),
+    ("302", (), AttemptResult(Outcome.ERROR)),
 ]
 
 
 def call(
     client: HttpTransport, address: Address, timeout: float = 10, body: bytes = b"x", may_go: bool = True
-) -> asyncio.Task[Answer]:
+) -> asyncio.Task[AttemptResult]:
     """A call to the endpoint "r", which stands at `address`."""
     client.dials = lambda: {"r": address}
     work = client.call("r", handed_in(body=body), timeout, lambda: may_go)
@@ -54,7 +54,7 @@
 
 
 @pytest.mark.parametrize(("status", "headers", "answer"), ANSWERS)
-def test_what_an_answer_means(status: str, headers: tuple[str, ...], answer: Answer) -> None:
+def test_what_an_answer_means(status: str, headers: tuple[str, ...], answer: AttemptResult) -> None:
     async def test(_: Path) -> None:
         async with client_and_receiver() as (client, receiver):
             going = call(client, receiver.address)
@@ -85,7 +85,7 @@
 
 
 def test_connection_that_never_comes_up_never_ran(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def never(address: Address) -> Connection:
+    async def never(address: Address) -> ClientConnection:
         await asyncio.Event().wait()
         raise AssertionError
 
@@ -94,7 +94,7 @@
             answer = await soon(call(client, ("127.0.0.1", 1), timeout=timeout))
             assert answer.outcome is Outcome.CONNECT_FAILED
 
-    monkeypatch.setattr(module.Connection, "open", never)
+    monkeypatch.setattr(module.ClientConnection, "open", never)
     play(test)(Path())
 
 
@@ -115,14 +115,14 @@
             other.close()
             assert (await soon(going)).outcome is Outcome.CONNECT_FAILED
 
-    opened = Connection.open
+    opened = ClientConnection.open
 
-    async def small(address: Address) -> Connection:
+    async def small(address: Address) -> ClientConnection:
         connection = await opened(address)
         connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         return connection
 
-    monkeypatch.setattr(module.Connection, "open", small)
+    monkeypatch.setattr(module.ClientConnection, "open", small)
     play(test)(Path())
 
 
@@ -139,7 +139,7 @@
     return "\r\n".join([f"HTTP/1.1 {status}", *lines, "", ""])
 
 
-DELIVERED, MAY_HAVE_RUN = Answer(Outcome.OK, finished=True), Answer(Outcome.SPOILT)
+DELIVERED, MAY_HAVE_RUN = AttemptResult(Outcome.OK, finished=True), AttemptResult(Outcome.MALFORMED)
 SPOILT = [
     ("\x16\x03\x01 noise", MAY_HAVE_RUN),
     ("nonsense\r\n\r\n", MAY_HAVE_RUN),
@@ -159,7 +159,9 @@
 
 
 @pytest.mark.parametrize(("text", "answer"), SPOILT)
-def test_a_spoilt_answer_has_its_outcome_at_once_and_its_connection_ends(text: str, answer: Answer) -> None:
+def test_a_spoilt_answer_has_its_outcome_at_once_and_its_connection_ends(
+    text: str, answer: AttemptResult
+) -> None:
     """The receiver leaves the connection open: nothing but what has come can decide. Guards against waiting
     for the deadline, and against taking a message that has run for one that has not."""
 
@@ -205,7 +207,7 @@
             assert await soon(going) == DELIVERED
             again = call(client, receiver.address)
             (await receiver.next()).answer(503)
-            assert await soon(again) == Answer(Outcome.FULL) and receiver.accepted == 2
+            assert await soon(again) == AttemptResult(Outcome.FULL) and receiver.accepted == 2
 
     play(test)(Path())
 
@@ -245,12 +247,12 @@
 @pytest.mark.parametrize("told", ["1e308", "1_0", "inf", "nan", "-1", "٣", "9" * 400])
 def test_a_wait_that_is_no_plain_number_is_none(told: str) -> None:
     response = h11.Response(status_code=429, headers=[("Retry-After", told.encode())])
-    assert answer_from(response) == Answer(Outcome.FULL)
+    assert answer_from(response) == AttemptResult(Outcome.FULL)
 
 
 def test_a_wait_longer_than_any_message_lives_is_cut() -> None:
     response = h11.Response(status_code=429, headers=[("Retry-After", "999999999999")])
-    assert answer_from(response) == Answer(Outcome.FULL, wait=3_600_000_000)
+    assert answer_from(response) == AttemptResult(Outcome.FULL, wait=3_600_000_000)
 
 
 @play
@@ -261,7 +263,7 @@
         await soon(going)
         assert list(client.pool) == ["r"]
         client.dials = lambda: {"new": receiver.address}
-        client.list_changed()
+        client.endpoints_changed()
         await soon(receiver.ends.get())
         going = asyncio.create_task(client.call("new", handed_in(), 10, lambda: True))
         request = await receiver.next()
@@ -349,7 +351,7 @@
 async def test_state_is_looked_at_once_more_as_the_first_byte_goes(_: Path) -> None:
     async with client_and_receiver() as (client, receiver):
         answer = await soon(call(client, receiver.address, may_go=False))
-        assert answer == Answer(Outcome.NOT_SENT) and receiver.requests.empty()
+        assert answer == AttemptResult(Outcome.NOT_SENT) and receiver.requests.empty()
         again = call(client, receiver.address)
         (await receiver.next()).answer(200)
         assert (await soon(again)).outcome is Outcome.OK and receiver.accepted == 1
@@ -371,7 +373,7 @@
                 await soon(receiver.ends.get())
             if spoil == "old":
                 kept[0].idle_since -= 8.5  # the receiver may close it after 10
-                client.tidy()
+                client.close_expired()
                 assert not client.pool
 
 
@@ -398,7 +400,7 @@
 async def test_a_told_wait_is_heard_before_the_rest_of_its_answer(_: Path) -> None:
     async with client_and_receiver() as (client, receiver):
         heard: asyncio.Queue[tuple[str, int]] = asyncio.Queue()
-        client.wait_told = lambda *told: heard.put_nowait(told)
+        client.retry_after_received = lambda *told: heard.put_nowait(told)
         going = call(client, receiver.address)
         (await receiver.next()).write(head("429 Wait", "Retry-After: 2", "Content-Length: 9") + "half")
         assert await soon(heard.get()) == ("r", 2_000_000)
@@ -446,7 +448,7 @@
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.client = client_with()
 
-    async def meets(self, *acts: Callable[[socket.socket], object]) -> Answer:
+    async def meets(self, *acts: Callable[[socket.socket], object]) -> AttemptResult:
         def may_go() -> bool:
             other = self.listener.accept()[0]
             for act in acts:
@@ -454,7 +456,7 @@
             return True
 
         self.client.dials = lambda: {"r": self.listener.getsockname()}
-        answer: Answer = await soon(self.client.call("r", handed_in(), 10, may_go))
+        answer: AttemptResult = await soon(self.client.call("r", handed_in(), 10, may_go))
         self.listener.close()
         assert not self.client.idle and not self.client.open
         return answer
@@ -475,20 +477,20 @@
 @pytest.mark.parametrize(
     ("text", "answer"),
     [
-        (REFUSAL.format(429), Answer(Outcome.FULL, wait=2_500_000)),
-        (REFUSAL.format(503), Answer(Outcome.FULL)),
-        (REFUSAL.format(200), Answer(Outcome.CONNECT_FAILED)),  # of no call of ours: none has gone
-        ("HTTP/1.1 42", Answer(Outcome.CONNECT_FAILED)),
-        ("noise", Answer(Outcome.CONNECT_FAILED)),
-        ("", Answer(Outcome.CONNECT_FAILED)),
+        (REFUSAL.format(429), AttemptResult(Outcome.FULL, wait=2_500_000)),
+        (REFUSAL.format(503), AttemptResult(Outcome.FULL)),
+        (REFUSAL.format(200), AttemptResult(Outcome.CONNECT_FAILED)),  # of no call of ours: none has gone
+        ("HTTP/1.1 42", AttemptResult(Outcome.CONNECT_FAILED)),
+        ("noise", AttemptResult(Outcome.CONNECT_FAILED)),
+        ("", AttemptResult(Outcome.CONNECT_FAILED)),
     ],
 )
 def test_a_reset_before_the_first_byte_never_ran_and_a_wait_told_ahead_of_it_binds(
-    text: str, answer: Answer
+    text: str, answer: AttemptResult
 ) -> None:
     async def test(_: Path) -> None:
         crossing, waits = Crossing(), []
-        crossing.client.wait_told = lambda endpoint, wait: waits.append((endpoint, wait))
+        crossing.client.retry_after_received = lambda endpoint, wait: waits.append((endpoint, wait))
         assert await crossing.meets(says(text), resets) == answer
         assert waits == ([("r", answer.wait)] if answer.wait else [])
 
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -12,37 +12,56 @@
 from test_server import serving
 
 from message_sender.handover.drain import GRACE
-from message_sender.http.closing import IDLE_LIMIT, LINGER, READ_LIMIT, Event, State, Step, decide, limit
+from message_sender.http.connection_state import (
+    IDLE_LIMIT,
+    LINGER,
+    READ_LIMIT,
+    ConnectionAction,
+    ConnectionEvent,
+    ConnectionState,
+    decide,
+    limit,
+)
 from message_sender.http.server import Server
 
 
-@pytest.mark.parametrize(("state", "event", "busy"), list(product(State, Event, (False, True))))
-def test_each_pair_has_the_step_that_its_rule_names(state: State, event: Event, busy: bool) -> None:
+@pytest.mark.parametrize(
+    ("state", "event", "busy"), list(product(ConnectionState, ConnectionEvent, (False, True)))
+)
+def test_each_pair_has_the_step_that_its_rule_names(
+    state: ConnectionState, event: ConnectionEvent, busy: bool
+) -> None:
     """The rules once more, each as what must not be."""
     step = decide(state, event, busy)
-    open_to_requests = state in (State.SILENT, State.RESTING)
-    if event is Event.GONE:
-        assert step is Step.CLOSE
+    open_to_requests = state in (ConnectionState.SILENT, ConnectionState.RESTING)
+    if event is ConnectionEvent.GONE:
+        assert step is ConnectionAction.CLOSE
         return
-    if state is State.TAKEN:
-        assert step is Step.STAY  # 1
+    if state is ConnectionState.TAKEN:
+        assert step is ConnectionAction.STAY  # 1
     if open_to_requests and busy:
-        assert step is Step.STAY  # 2
+        assert step is ConnectionAction.STAY  # 2
     if open_to_requests and not busy:
-        assert step is (Step.CLOSE if event is Event.ROOM else Step.SHUT)  # 3, 6
-    if state is State.READING:
-        assert step is (Step.STAY if event is Event.ROOM else Step.REFUSE)  # 5
-    if state is State.LINGERING:
-        assert step is (Step.STAY if event is Event.LAST else Step.CLOSE)  # 3, 6
+        assert step is (
+            ConnectionAction.CLOSE if event is ConnectionEvent.ROOM else ConnectionAction.SHUT
+        )  # 3, 6
+    if state is ConnectionState.READING:
+        assert step is (
+            ConnectionAction.STAY if event is ConnectionEvent.ROOM else ConnectionAction.REFUSE
+        )  # 5
+    if state is ConnectionState.LINGERING:
+        assert step is (
+            ConnectionAction.STAY if event is ConnectionEvent.LAST else ConnectionAction.CLOSE
+        )  # 3, 6
 
 
 @pytest.mark.parametrize("away", [False, True])
 def test_only_what_is_owed_has_no_limit_and_whoever_was_sent_away_has_less(away: bool) -> None:
-    limits = {each: limit(each, away) for each in State}
-    assert [each for each, s in limits.items() if s == float("inf")] == [State.TAKEN]
-    assert limits[State.READING] == READ_LIMIT and limits[State.LINGERING] == LINGER
-    assert limits[State.RESTING] == (0 if away else IDLE_LIMIT)
-    assert limits[State.SILENT] == (LINGER if away else READ_LIMIT)
+    limits = {each: limit(each, away) for each in ConnectionState}
+    assert [each for each, s in limits.items() if s == float("inf")] == [ConnectionState.TAKEN]
+    assert limits[ConnectionState.READING] == READ_LIMIT and limits[ConnectionState.LINGERING] == LINGER
+    assert limits[ConnectionState.RESTING] == (0 if away else IDLE_LIMIT)
+    assert limits[ConnectionState.SILENT] == (LINGER if away else READ_LIMIT)
 
 
 class Client:
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -12,12 +12,12 @@
 
 import pytest
 
-from message_sender.directory.control import ask
-from message_sender.interface import Effect
-from message_sender.lab.cluster import Cluster, Fault, Hub, Member, Nursery, faults
-from message_sender.lab.referee import Kind, Rules
-from message_sender.recovery import snapshot
+from message_sender.control_socket import ask
+from message_sender.policy.model import Effect
+from message_sender.recovery import learned_snapshot
 from message_sender.recovery.stages import TRIAL
+from message_sender.testbed.cluster import Cluster, Fault, Member, MemberFactory, ReceiverStub, faults
+from message_sender.testbed.history_checker import ClassRule, Rules
 
 POWER = Path(__file__).parent.parent / "scenarios" / "power"
 RATE = 60  # calls a second that a hub takes
@@ -51,9 +51,9 @@
 #: The senders start on a machine that is busy with other tests: lateness is judged with that in mind.
 RULES = Rules(
     {
-        "safe": Kind(),
-        "keyed": Kind(Effect.KEYED, 7.0, in_order=True),
-        "unsafe": Kind(Effect.UNSAFE),
+        "safe": ClassRule(),
+        "keyed": ClassRule(Effect.KEYED, 7.0, in_order=True),
+        "unsafe": ClassRule(Effect.UNSAFE),
     },
     zones={"hub": "a"},
     destinations={"hub": 1},
@@ -68,11 +68,11 @@
     seed: int = 0,
     sync: str = "group",
     link: bool = True,
-    nursery: Nursery | None = None,
-) -> AsyncIterator[tuple[Cluster, Hub]]:
+    nursery: MemberFactory | None = None,
+) -> AsyncIterator[tuple[Cluster, ReceiverStub]]:
     """A fleet that is up, and its hub."""
     cluster = Cluster(folder, size, seed, sync, link, nursery=nursery)
-    async with Hub("hub", cluster.history, RATE) as hub:
+    async with ReceiverStub("hub", cluster.history, RATE) as hub:
         cluster.more = MORE.format(size=size) + hub.listed()
         async with cluster:
             await cluster.start()
@@ -140,34 +140,34 @@
 def drawn(seed: int) -> list[Fault]:
     """Faults of one life: the power of all or of some goes, of some a second time, and the link is split
     meanwhile."""
-    chance = random.Random(f"faults {seed}")
-    names = chance.sample(["n0", "n1", "n2", "n3", "n4"], 5)
-    some, cut = tuple(names[:3]), chance.uniform(0.2, 0.9)
-    plan = [Fault(cut, "cut", chance.choice([(), (), some]))]
-    if chance.random() < 0.4:
+    rng = random.Random(f"faults {seed}")
+    names = rng.sample(["n0", "n1", "n2", "n3", "n4"], 5)
+    some, cut = tuple(names[:3]), rng.uniform(0.2, 0.9)
+    plan = [Fault(cut, "cut", rng.choice([(), (), some]))]
+    if rng.random() < 0.4:
         plan += [Fault(cut + 0.01, "split", (" ".join(some), " ".join(names[3:])))]
         plan += [Fault(cut + 1.5, "heal")]
-    if chance.random() < 0.4:
+    if rng.random() < 0.4:
         plan += [Fault(cut + 0.02, "start", some), Fault(cut + 0.6, "cut", some)]
     return [*plan, Fault(cut + 1.0, "start")]
 
 
 async def life(
-    folder: Path, seed: int, nursery: Nursery | None = None, plan: list[Fault] | None = None
+    folder: Path, seed: int, nursery: MemberFactory | None = None, plan: list[Fault] | None = None
 ) -> list[str]:
     """Traffic with a hub that is down for a part of it, faults, and the referee's word on the whole."""
-    chance = random.Random(f"traffic {seed}")
+    rng = random.Random(f"traffic {seed}")
     async with fleet(folder, seed=seed, nursery=nursery) as (cluster, hub):
-        cluster.relay.loss, cluster.relay.double = chance.choice([(0, 0), (0.1, 0.1), (0.3, 0.2)])
-        cluster.relay.delay = chance.choice([0.0, 0.02])
+        cluster.relay.loss, cluster.relay.double = rng.choice([(0, 0), (0.1, 0.1), (0.3, 0.2)])
+        cluster.relay.delay = rng.choice([0.0, 0.02])
 
         async def traffic() -> None:
             names = list(cluster.members)
             for number in range(120):
-                kind = chance.choice(["safe", "keyed", "unsafe"])
+                kind = rng.choice(["safe", "keyed", "unsafe"])
                 key = f"key {number % 7}" if number % 2 else ""
                 # Who hears no yes comes again elsewhere, under the same id; a key's order is one sender's.
-                order = [names[number % 7 % 5]] if key else chance.sample(names, 2)
+                order = [names[number % 7 % 5]] if key else rng.sample(names, 2)
                 if not await cluster.hand_in(f"m{number}", kind, 1, 8, key, order):
                     await cluster.until(lambda: any(each.port for each in cluster.members.values()))
                 hub.down = 30 <= number < 80
@@ -185,7 +185,7 @@
             async with turns:
                 return await life(tmp_path / str(seed), seed, nursery)
 
-        async with Nursery() as nursery:
+        async with MemberFactory() as nursery:
             found = await asyncio.gather(*(one(seed) for seed in range(20)))
         return [each for breaches in found for each in breaches]
 
@@ -260,7 +260,10 @@
 def test_what_others_keep_out_of_service_is_kept_so_by_who_lost_its_disk(tmp_path: Path, by: str) -> None:
     async def play() -> None:
         cluster = Cluster(tmp_path, 3, 1)
-        async with Hub("hub", cluster.history, RATE) as hub, Hub("old", cluster.history, RATE) as old:
+        async with (
+            ReceiverStub("hub", cluster.history, RATE) as hub,
+            ReceiverStub("old", cluster.history, RATE) as old,
+        ):
             cluster.more = MORE.format(size=3) + hub.listed() + "\n" + old.listed()
             async with cluster:
                 await cluster.start()
@@ -306,7 +309,9 @@
 def waits(state: Path) -> bool:
     """Whether its snapshot tells one."""
     found = (
-        snapshot.decode((state / snapshot.FILE).read_bytes()) if (state / snapshot.FILE).exists() else None
+        learned_snapshot.decode((state / learned_snapshot.FILE).read_bytes())
+        if (state / learned_snapshot.FILE).exists()
+        else None
     )
     return found is not None and any(values["wait_until"] for _, _, values in found[1])
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from message_sender import interface as face
 from message_sender.cli import main
-from message_sender.config import ConfigError, load, read
+from message_sender.configuration.general import ConfigError, load, read
+from message_sender.policy.model import Effect, EndpointState
 
 GOOD: dict[str, Any] = {
     "name": "n",
@@ -37,12 +37,16 @@
 def test_a_good_one_is_read_as_it_is_meant(tmp_path: Path) -> None:
     told = read(GOOD, tmp_path)
     (command,) = told.settings.classes
-    assert (command.effect, command.aim, command.window) == (face.Effect.KEYED, 4_000_000, 5_000_000)
+    assert (command.effect, command.latency_objective, command.idempotency_window) == (
+        Effect.KEYED,
+        4_000_000,
+        5_000_000,
+    )
     assert told.state == tmp_path / "state" and told.disk_bytes == 3_000_000
     assert told.settings.slots == 8 and told.settings.tenants == (("acme", 5.0),)
-    assert told.settings.key_quiet == 100_000 and told.settings.rates_told
+    assert told.settings.key_pause == 100_000 and told.settings.announces_rates
     assert [each.dial for each in told.places] == [("127.0.0.1", 9001), ("::1", 9002)]
-    assert told.places[1].endpoint.state is face.EndpointState.DRAINING
+    assert told.places[1].endpoint.state is EndpointState.DRAINING
     assert told.places[1].endpoint.kind == "apart"
 
 
@@ -213,11 +217,11 @@
 def test_a_demo_with_a_broken_rule_ends_with_1(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    from message_sender.lab import demo
-    from message_sender.lab.referee import Breach
+    from message_sender.testbed import demo
+    from message_sender.testbed.history_checker import Violation
 
-    async def broken(self: object, show: object) -> list[Breach]:
-        return [Breach("order", 1.0, "forged")]
+    async def broken(self: object, show: object) -> list[Violation]:
+        return [Violation("order", 1.0, "forged")]
 
     monkeypatch.setattr(demo.Demo, "run", broken)
     assert main(["demo", "--plain"]) == 1 and "broken: order: forged" in capsys.readouterr().out
--- a/tests/test_control_channel.py
+++ b/tests/test_control_channel.py
@@ -26,8 +26,8 @@
     known: Mapping[str, KnownStart] | None = None,
     addresses: Mapping[str, Address] = ADDRESSES,
 ) -> Channel:
-    chance = random.Random(f"{name} {epoch} {session}")
-    return Channel(name, epoch, session or chance.getrandbits(60) + 1, Seal([key]), addresses, known)
+    rng = random.Random(f"{name} {epoch} {session}")
+    return Channel(name, epoch, session or rng.getrandbits(60) + 1, Seal([key]), addresses, known)
 
 
 def exchange(
@@ -290,7 +290,7 @@
 @pytest.mark.parametrize("seed", range(20))
 def test_over_a_bad_network_each_body_is_believed_at_most_once(seed: int) -> None:
     """Loss, doubling, disorder and restarts; what was said more than once arrives in the end."""
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     channels = {"c0": make("c0"), "c1": make("c1")}
     heard: list[int] = []
     air: list[tuple[str, str, bytes]] = []
@@ -298,18 +298,18 @@
     epoch = 1
     for step in range(400):
         now = step / 20
-        if chance.random() < 0.02:
+        if rng.random() < 0.02:
             epoch += 1
             channels["c1"] = make("c1", epoch)
         channels["c0"].send("c1", StatusRequest(next(numbers)), now)
         for name, channel in channels.items():
             air += [(name, NAMES[address], datagram) for address, datagram in channel.take_datagrams()]
-        chance.shuffle(air)
-        for _ in range(chance.randrange(len(air) + 1)):
+        rng.shuffle(air)
+        for _ in range(rng.randrange(len(air) + 1)):
             sender, receiver, datagram = air.pop()
-            if chance.random() < 0.2:
+            if rng.random() < 0.2:
                 air.append((sender, receiver, datagram))
-            if chance.random() < 0.8:
+            if rng.random() < 0.8:
                 bodies = channels[receiver].receive(datagram, ADDRESSES[sender], now)
                 heard += [body.number for _, body in bodies if isinstance(body, StatusRequest)]
     assert len(heard) == len(set(heard)) and len(heard) > 80
--- a/tests/test_control_cli.py
+++ b/tests/test_control_cli.py
@@ -14,7 +14,7 @@
 from message_sender.cli import control_change, main
 from message_sender.cli.control_status import overview
 from message_sender.control import schema
-from message_sender.directory.control import AskedBadlyError, Control
+from message_sender.control_socket import ControlSocket, InvalidRequestError
 
 FLEET = """
 [[endpoints]]
@@ -74,7 +74,7 @@
     @contextlib.contextmanager
     def serving(self, folder: Path) -> Iterator[None]:
         loop = asyncio.new_event_loop()
-        control = Control(folder, {"get": self.get, "set": self.set, "status": self.status})
+        control = ControlSocket(folder, {"get": self.get, "set": self.set, "status": self.status})
         thread = threading.Thread(target=loop.run_forever)
         thread.start()
         asyncio.run_coroutine_threadsafe(control.start(), loop).result()
@@ -87,7 +87,7 @@
             loop.close()
 
     @staticmethod
-    async def ended(control: Control) -> None:
+    async def ended(control: ControlSocket) -> None:
         control.close()
         await asyncio.gather(*control.tasks, return_exceptions=True)
 
@@ -250,7 +250,7 @@
 
 def test_what_a_node_refuses_is_told(stub: Stub, run: Run, tmp_path: Path) -> None:
     def refuse(asked: Mapping[str, Any]) -> dict[str, Any]:
-        raise AskedBadlyError("a change of 40000 bytes; 32768 at the most")
+        raise InvalidRequestError("a change of 40000 bytes; 32768 at the most")
 
     stub.set = refuse  # type: ignore[method-assign]  # the socket asks by name, below
     with stub_at(stub, tmp_path / "other") as folder:
--- a/tests/test_control_configuration.py
+++ b/tests/test_control_configuration.py
@@ -5,13 +5,14 @@
 
 import pytest
 
-from message_sender.config import General, Shared, read
+from message_sender.configuration.general import SenderConfig, read
+from message_sender.configuration.resources import SharedBudget
 from message_sender.control import schema
 from message_sender.control.document import Document
 from message_sender.control.messages import Delta, Resource
 from message_sender.control.watch import RefusedConfigurationError
-from message_sender.http.configuration import IN_FORCE_FILE, NEXT_START_FILE, SenderConfiguration
-from message_sender.journal.disk import Files
+from message_sender.journal.disk import SystemDisk
+from message_sender.service.control_configuration import IN_FORCE_FILE, NEXT_START_FILE, SenderConfiguration
 
 OWN: dict[str, Any] = {
     "name": "n1",
@@ -29,7 +30,7 @@
 class Running:
     """What a running sender has: the endpoints and budgets that it was told last."""
 
-    def __init__(self, config: General) -> None:
+    def __init__(self, config: SenderConfig) -> None:
         self.places, self.told, self.size = config.places, config.budgets, 0
         self.reasons: list[str] = []
 
@@ -39,14 +40,14 @@
         else:
             self.told, self.size = told
 
-    def waits_for_start(self, budgets: tuple[Shared, ...]) -> list[str]:
+    def waits_for_start(self, budgets: tuple[SharedBudget, ...]) -> list[str]:
         return list(self.reasons)
 
     def ids(self) -> list[str]:
         return [each.endpoint.id for each in self.places]
 
 
-class FullDisk(Files):
+class FullDisk(SystemDisk):
     """Refuses to write while it is full."""
 
     is_full = True
@@ -60,8 +61,8 @@
 class Scene:
     """A sender's configuration over its starts."""
 
-    def __init__(self, state: Path, disk: Files | None = None, **changes: object) -> None:
-        self.state, self.own, self.disk = state, {**OWN, **changes}, disk or Files()
+    def __init__(self, state: Path, disk: SystemDisk | None = None, **changes: object) -> None:
+        self.state, self.own, self.disk = state, {**OWN, **changes}, disk or SystemDisk()
         self.start()
 
     def start(self) -> None:
@@ -123,7 +124,7 @@
 def test_the_document_is_durable_before_it_is_in_force(tmp_path: Path) -> None:
     steps: list[str] = []
 
-    class Noted(Files):
+    class Noted(SystemDisk):
         def sync(self, file: int) -> None:
             steps.append("sync")
             super().sync(file)
--- a/tests/test_control_fleet.py
+++ b/tests/test_control_fleet.py
@@ -21,8 +21,8 @@
 from pathlib import Path
 from typing import Any
 
-from message_sender.lab.cluster import PATIENCE
-from message_sender.lab.control_cluster import ControlCluster
+from message_sender.testbed.cluster import PATIENCE
+from message_sender.testbed.control_cluster import ControlCluster
 
 IN_FORCE_WITHIN_S = 4.0  # the operators' allowance
 OBSERVE_INTERVAL_S = 0.1
@@ -99,7 +99,7 @@
 
     def __init__(self, cluster: ControlCluster) -> None:
         self.cluster = cluster
-        self.chance = random.Random(f"fleet {SEED}")
+        self.rng = random.Random(f"fleet {SEED}")
         self.version = 0  # the last that was confirmed
         self.confirmed_at = self.calm_since = 0.0
         self.longest_s = 0.0  # from a confirmation, or the end of a fault, until in force at all that run
@@ -145,7 +145,7 @@
 
     def any_node(self) -> str:
         """A control node that runs and does not stand still."""
-        return self.chance.choice(sorted({*self.cluster.running()} - self.paused))
+        return self.rng.choice(sorted({*self.cluster.running()} - self.paused))
 
     def running_senders(self) -> list[str]:
         return [name for name, each in self.cluster.senders.items() if each.process is not None]
--- a/tests/test_control_link.py
+++ b/tests/test_control_link.py
@@ -14,20 +14,20 @@
 from peers import play
 from watching import ChangedStore
 
-from message_sender.config import load
+from message_sender.configuration.general import load
 from message_sender.control import schema
 from message_sender.control.channel import Channel
 from message_sender.control.fanout import Fanout
 from message_sender.control.messages import Poll, SnapshotRequest, WatcherStatus
-from message_sender.core.ports import End, State
+from message_sender.core.ports import Completion, CompletionState
 from message_sender.fleet.seal import Seal
-from message_sender.http import control
-from message_sender.http.configuration import IN_FORCE_FILE
-from message_sender.http.serve import LineTeller, PlainSender
-from message_sender.lab.history import History
-from message_sender.lab.http import HttpClient, HttpEndpoint
-from message_sender.lab.running import running
-from message_sender.lab.script import Script
+from message_sender.service import control_link
+from message_sender.service.control_configuration import IN_FORCE_FILE
+from message_sender.service.standalone import CompletionWriter, StandaloneSender
+from message_sender.testbed.history import History
+from message_sender.testbed.http import HttpClient, HttpEndpoint
+from message_sender.testbed.running import running
+from message_sender.testbed.script import Script
 
 PATIENCE_S = 10.0  # only a failing test waits so long
 KEY = bytes(32)
@@ -125,26 +125,28 @@
         node.transport.close()
 
 
-class Answers(LineTeller):
+class Answers(CompletionWriter):
     """Final answers, which a test waits for."""
 
     def __init__(self) -> None:
         super().__init__(io.StringIO(), self.note)
-        self.states: dict[str, State] = {}
+        self.states: dict[str, CompletionState] = {}
         self.came = asyncio.Event()
 
-    def note(self, message: str, end: End) -> None:
+    def note(self, message: str, end: Completion) -> None:
         self.states[message] = end.state
         self.came.set()
 
 
-def sender_at(state: Path, port: int, more: str = "", answers: LineTeller | None = None) -> PlainSender:
+def sender_at(
+    state: Path, port: int, more: str = "", answers: CompletionWriter | None = None
+) -> StandaloneSender:
     key = state / "control.key"
     key.write_text(base64.b64encode(KEY).decode())
     key.chmod(0o600)
     file = state / "sender.toml"
     file.write_text(TEXT.format(port=port) + more)
-    return PlainSender(load(file), state, answers or LineTeller(io.StringIO()))
+    return StandaloneSender(load(file), state, answers or CompletionWriter(io.StringIO()))
 
 
 def hub(port: int) -> dict[str, object]:
@@ -166,7 +168,7 @@
             assert status == 202
             await asyncio.wait_for(answers.came.wait(), PATIENCE_S)
             client.close()
-    assert answers.states == {"m1": State.DELIVERED} and receiver.served == 1
+    assert answers.states == {"m1": CompletionState.DELIVERED} and receiver.served == 1
 
 
 @play
@@ -179,7 +181,7 @@
             reason = await node.refused(node.change(hub(2) | {"budgets/out": budget}))
             assert reason == "budgets/out: needs a [fleet] to be shared in, and this sender has none"
             assert sender.dials() == {"hub": ("127.0.0.1", 1)}
-            told = sender.commands()["control"]({})
+            told = sender.commands()["control_link"]({})
             assert (told["version"], told["refused_version"], told["reason"]) == (1, 2, reason)
             await node.acknowledged(node.change({}, ("budgets/out",)))
             assert sender.dials() == {"hub": ("127.0.0.1", 2)}
@@ -220,14 +222,14 @@
 @play
 async def test_a_link_that_could_not_be_made_at_the_start_is_made_later(state: Path) -> None:
     full = OSError(28, "No space left on device")
-    with patch.object(control, "LINK_RETRY_S", 0.01), patch.object(control, "write_epoch") as write:
+    with patch.object(control_link, "LINK_RETRY_S", 0.01), patch.object(control_link, "write_epoch") as write:
         write.side_effect = [full, full, None]
         async with serving(Node()) as node:
             sender = sender_at(state, node.port)
             async with running(sender):
-                assert "No space" in sender.commands()["control"]({})["fault"]
+                assert "No space" in sender.commands()["control_link"]({})["fault"]
                 await node.acknowledged(node.change(hub(1)))
-                assert sender.commands()["control"]({})["fault"] == "" and set(sender.dials()) == {"hub"}
+                assert sender.commands()["control_link"]({})["fault"] == "" and set(sender.dials()) == {"hub"}
     assert write.call_count == 3
 
 
@@ -257,7 +259,7 @@
             link = sender.control_plane.link
             await node.until(lambda: sum(node.channel.refused.values()) >= 2)
             link.datagram_received(node.channel.seal.seal(b"forged"), ("127.0.0.1", node.port))
-            told = sender.commands()["control"]({})
+            told = sender.commands()["control_link"]({})
             assert told["version"] == 0 and sum(told["refused_datagrams"].values()) == 1
     assert node.watcher() is None
 
@@ -278,7 +280,7 @@
             await node.acknowledged(0)
             assert sender.control_plane and sender.control_plane.link
             channel = sender.control_plane.link.channel
-            with patch.object(control, "write_epoch", slow_write):
+            with patch.object(control_link, "write_epoch", slow_write):
                 for epoch in (7, 9):
                     channel.epoch = epoch
                     channel.on_behind(epoch)
--- a/tests/test_control_live.py
+++ b/tests/test_control_live.py
@@ -16,10 +16,10 @@
 from peers import play
 
 from message_sender.cli import main
-from message_sender.directory.control import ask
-from message_sender.lab.history import History
-from message_sender.lab.http import HttpClient, HttpEndpoint
-from message_sender.lab.script import Act, Script
+from message_sender.control_socket import ask
+from message_sender.testbed.history import History
+from message_sender.testbed.http import HttpClient, HttpEndpoint
+from message_sender.testbed.script import Script, ScriptedAnswer
 
 PATIENCE_S = 20.0  # only a failing test waits so long
 HOST = "127.0.0.1"
@@ -158,7 +158,7 @@
 async def test_a_change_is_in_force_delivered_to_refused_and_survives_a_node(folder: Path) -> None:
     called = asyncio.Event()
 
-    def rule(message: str) -> Act | None:
+    def rule(message: str) -> ScriptedAnswer | None:
         called.set()
         return None
 
--- a/tests/test_control_log_file.py
+++ b/tests/test_control_log_file.py
@@ -16,7 +16,7 @@
 )
 from message_sender.control.messages import LogEntry
 from message_sender.control.raft import HardState
-from message_sender.lab.forgetful import MemoryDisk, Platter
+from message_sender.testbed.simulated_disk import MemoryDisk, SimulatedDisk
 
 FOLDER = Path("state")
 
@@ -44,8 +44,8 @@
 ENDS = [len(MAGIC) + sum(map(len, FRAMES[:count])) for count in range(len(FRAMES) + 1)]
 
 
-def load(data: bytes) -> tuple[LoadedLog, Platter]:
-    platter = Platter({LOG_FILE: data})
+def load(data: bytes) -> tuple[LoadedLog, SimulatedDisk]:
+    platter = SimulatedDisk({LOG_FILE: data})
     log = LogFile(FOLDER, MemoryDisk(platter))
     loaded = log.load()
     if loaded.damage is not None:
@@ -54,7 +54,7 @@
 
 
 def test_batches_come_back_as_they_were_stored() -> None:
-    platter = Platter()
+    platter = SimulatedDisk()
     log = LogFile(FOLDER, MemoryDisk(platter))
     log.create()
     assert log.load() == LoadedLog(HardState(), ())
@@ -110,10 +110,10 @@
 
 @pytest.mark.parametrize("seed", range(40))
 def test_a_power_loss_leaves_what_was_stored(seed: int) -> None:
-    chance = random.Random(seed)
-    platter = Platter()
+    rng = random.Random(seed)
+    platter = SimulatedDisk()
     stored = 0
-    countdown = chance.randrange(4, 16)
+    countdown = rng.randrange(4, 16)
 
     def lose_power(what: str) -> None:
         nonlocal countdown
@@ -132,14 +132,14 @@
             stored += 1
     except EOFError:
         pass
-    loaded, _ = load(platter.cut(chance)[LOG_FILE])
+    loaded, _ = load(platter.cut(rng)[LOG_FILE])
     assert loaded.damage is None
     assert (loaded.hard_state, loaded.entries) in AFTER[stored : stored + 2]
 
 
 @pytest.mark.parametrize("operation", ["write", "sync"])
 def test_a_batch_that_a_full_disk_refused_is_stored_later_and_once(operation: str) -> None:
-    platter = Platter({LOG_FILE: WHOLE})
+    platter = SimulatedDisk({LOG_FILE: WHOLE})
     is_full = False
 
     def refuse(what: str) -> None:
--- a/tests/test_control_node.py
+++ b/tests/test_control_node.py
@@ -40,7 +40,7 @@
 from message_sender.control.watch import ControlNodeAddress, Watch
 from message_sender.emulator.loop import VirtualLoop
 from message_sender.fleet.seal import Seal
-from message_sender.lab.forgetful import MemoryDisk, Platter
+from message_sender.testbed.simulated_disk import MemoryDisk, SimulatedDisk
 
 KEY = bytes(32)
 VOTES = {"c1": 2, "c2": 1, "c3": 1, "c4": 1}
@@ -63,8 +63,8 @@
 class Network:
     """Datagrams between names; a cut keeps sides apart."""
 
-    def __init__(self, chance: random.Random) -> None:
-        self.chance = chance
+    def __init__(self, rng: random.Random) -> None:
+        self.rng = rng
         self.loss = self.double = 0.0
         self.delay = 0.002
         self.sides: tuple[frozenset[str], ...] = ()
@@ -74,9 +74,9 @@
         to = address[0]
         if self.sides and not any({sender, to} <= side for side in self.sides):
             return
-        for _ in range(1 + (self.chance.random() < self.double)):
-            if self.chance.random() >= self.loss:
-                after = self.chance.uniform(0.0, self.delay)
+        for _ in range(1 + (self.rng.random() < self.double)):
+            if self.rng.random() >= self.loss:
+                after = self.rng.uniform(0.0, self.delay)
                 asyncio.get_running_loop().call_later(after, self.deliver, sender, to, datagram)
 
     def deliver(self, sender: str, to: str, datagram: bytes) -> None:
@@ -97,12 +97,12 @@
 class Watcher:
     """A sender's watch."""
 
-    def __init__(self, name: str, region: str, network: Network, chance: random.Random) -> None:
+    def __init__(self, name: str, region: str, network: Network, rng: random.Random) -> None:
         loop = asyncio.get_running_loop()
         self.name, self.network, self.loop, self.recorder = name, network, loop, Recorder()
         addresses = {each.name: each.address for each in NODES}
-        self.channel = Channel(name, 1, chance.getrandbits(60) + 1, Seal([KEY]), addresses)
-        self.watch = Watch(name, NODES, region, Document(), self.recorder, chance, loop.time())
+        self.channel = Channel(name, 1, rng.getrandbits(60) + 1, Seal([KEY]), addresses)
+        self.watch = Watch(name, NODES, region, Document(), self.recorder, rng, loop.time())
         network.receivers[name] = self.receive
         self.task = loop.create_task(self.run())
 
@@ -130,7 +130,7 @@
 
     name: str
     folder: Path
-    platter: Platter = field(default_factory=Platter)
+    platter: SimulatedDisk = field(default_factory=SimulatedDisk)
     driver: NodeDriver | None = None
     is_full: bool = False
     crash_after: str = ""  # an operation on the disk
@@ -142,7 +142,7 @@
     """Control nodes, watchers and operators in one virtual time."""
 
     def __init__(self, folder: Path, seed: int = 0) -> None:
-        self.folder, self.chance = folder, random.Random(seed)
+        self.folder, self.rng = folder, random.Random(seed)
         self.network = Network(random.Random(seed + 1))
         self.machines = {name: Machine(name, folder / name) for name in VOTES}
         self.defects: list[Exception] = []
@@ -170,8 +170,8 @@
             folder = StateFolder(machine.folder)
             clock = partial(offset_time, loop, machine.clock_offset)
             config = self.configuration(machine)
-            chance = random.Random(self.chance.getrandbits(32))
-            node = build_node(config, Seal([KEY]), folder, log_file, chance, clock())
+            rng = random.Random(self.rng.getrandbits(32))
+            node = build_node(config, Seal([KEY]), folder, log_file, rng, clock())
             node.requests.validate = no_faults
             notes = FolderNotes(folder, node)
 
@@ -206,7 +206,7 @@
     def cut_power(self, name: str, keeps: float = 0.0) -> None:
         self.kill(name)
         machine = self.machines[name]
-        machine.platter = Platter(machine.platter.cut(self.chance, keeps))
+        machine.platter = SimulatedDisk(machine.platter.cut(self.rng, keeps))
 
     def driver(self, name: str) -> NodeDriver:
         driver = self.machines[name].driver
@@ -272,8 +272,8 @@
     def watch(self, count: int) -> None:
         for number in range(len(self.watchers), len(self.watchers) + count):
             region = "north" if number % 2 else "south"
-            chance = random.Random(self.chance.getrandbits(32))
-            self.watchers.append(Watcher(f"w{number}", region, self.network, chance))
+            rng = random.Random(self.rng.getrandbits(32))
+            self.watchers.append(Watcher(f"w{number}", region, self.network, rng))
 
     def check(self) -> None:
         """No defect, one content for all, and versions that only rose."""
@@ -340,7 +340,7 @@
         node = cluster.driver(first).node
         term = node.replica.term
         before = asyncio.create_task(cluster.submit(other, cluster.change(1)))
-        await asyncio.sleep(0.02 * cluster.chance.random())
+        await asyncio.sleep(0.02 * cluster.rng.random())
         cluster.driver(first).do(node.end)
         behind = [asyncio.create_task(cluster.submit(name, cluster.change(1))) for name in (first, other)]
         took = await cluster.until(lambda: node.replica.leader not in ("", first))
@@ -450,24 +450,24 @@
     """Loss, doubling, delay, kills and power losses; clients ask again under the same id."""
 
     async def story(cluster: Cluster) -> None:
-        chance = random.Random(f"story {seed}")
+        rng = random.Random(f"story {seed}")
         cluster.network.loss, cluster.network.double, cluster.network.delay = 0.1, 0.1, 0.05
         cluster.start()
         cluster.watch(4)
         await cluster.until_led()
         made: dict[int, bytes] = {}
         for number in range(25):
-            if chance.random() < 0.3:
-                name = chance.choice(list(VOTES))
+            if rng.random() < 0.3:
+                name = rng.choice(list(VOTES))
                 if name in cluster.alive():
-                    cluster.cut_power(name, chance.choice((0.0, 0.5, 1.0)))
+                    cluster.cut_power(name, rng.choice((0.0, 0.5, 1.0)))
                 down = [each for each in VOTES if each not in cluster.alive()]
                 for each in down[:-1]:
                     cluster.start(each)
             value = b"%d" % number
             base = max(cluster.document(name).version for name in cluster.alive())
             change = cluster.change(base, value)
-            while (result := await cluster.submit(chance.choice(cluster.alive()), change)).outcome:
+            while (result := await cluster.submit(rng.choice(cluster.alive()), change)).outcome:
                 if result.outcome is Outcome.CONFLICT:
                     change = cluster.change(result.version, value)
             made[result.version] = value
@@ -527,7 +527,7 @@
         machine = cluster.machines[lost]
         cluster.kill(lost)
         shutil.rmtree(machine.folder)
-        machine.platter = Platter()
+        machine.platter = SimulatedDisk()
         if is_initialised:
             cluster.initialise(machine)
         cluster.start(lost)
@@ -561,7 +561,10 @@
         await cluster.make("c1")
         await cluster.until_everywhere()
         cluster.kill("c2")
-        copy, platter = tmp_path / "copy", Platter(cluster.machines["c2"].platter.cut(random.Random(0), 1.0))
+        copy, platter = (
+            tmp_path / "copy",
+            SimulatedDisk(cluster.machines["c2"].platter.cut(random.Random(0), 1.0)),
+        )
         shutil.copytree(cluster.machines["c2"].folder, copy)
         cluster.start("c2")
         await cluster.until_led()
@@ -595,7 +598,7 @@
         left = cluster.machines["c3"].platter.cut(random.Random(0), 1.0)
         damaged = bytearray(left["log"])
         damaged[len(damaged) // 2] ^= 16
-        cluster.machines["c3"].platter = Platter({**left, "log": bytes(damaged)})
+        cluster.machines["c3"].platter = SimulatedDisk({**left, "log": bytes(damaged)})
         for _ in range(2):
             cluster.start("c3")
             fault = cluster.driver("c3").node.fault()
@@ -879,7 +882,7 @@
     folder = StateFolder(tmp_path / "c1")
     folder.path.mkdir()
     writes: dict[str, Callable[[], None]] = {
-        "identity": lambda: folder.initialise(Identity("test", "c1", "now"), MemoryDisk(Platter())),
+        "identity": lambda: folder.initialise(Identity("test", "c1", "now"), MemoryDisk(SimulatedDisk())),
         "epoch": lambda: folder.write_epoch(7),
         "starts": lambda: folder.write_starts({}),
         "learner": lambda: folder.mark_learner("lost"),
--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -11,10 +11,10 @@
 
 import pytest
 
+from message_sender.configuration.tables import ConfigError
 from message_sender.control import process
 from message_sender.control.configuration import load
-from message_sender.lab.control_cluster import HOST, ControlCluster, address_of
-from message_sender.tables import ConfigError
+from message_sender.testbed.control_cluster import HOST, ControlCluster, address_of
 
 IN_FORCE_WITHIN_S = 4.0  # the operators' allowance
 HEALED_WITHIN_S = 10.0  # after a fault, for the node that it befell
--- a/tests/test_control_schema.py
+++ b/tests/test_control_schema.py
@@ -7,9 +7,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from message_sender.config import read
+from message_sender.configuration.general import read
+from message_sender.configuration.tables import ConfigError
 from message_sender.control import schema
-from message_sender.tables import ConfigError
 
 TEXT = """
 [[endpoints]]
--- a/tests/test_control_sender.py
+++ b/tests/test_control_sender.py
@@ -14,18 +14,19 @@
 import pytest
 from peers import play
 
-from message_sender import interface as face
-from message_sender.config import Shared, load
+from message_sender.configuration.general import load
+from message_sender.configuration.resources import SharedBudget
 from message_sender.control import schema
 from message_sender.control.document import Document
 from message_sender.control.document_file import DocumentFile
 from message_sender.control.messages import Delta, Resource
-from message_sender.directory.control import ask
-from message_sender.emulator.joined import Links
-from message_sender.http.configuration import IN_FORCE_FILE
-from message_sender.http.serve import LineTeller, PlainSender, reread
-from message_sender.journal.disk import Files
-from message_sender.lab.running import running
+from message_sender.control_socket import ask
+from message_sender.emulator.shared_links import LinkHub
+from message_sender.journal.disk import SystemDisk
+from message_sender.policy.model import DestinationKind, Endpoint, EndpointState
+from message_sender.service.control_configuration import IN_FORCE_FILE
+from message_sender.service.standalone import CompletionWriter, StandaloneSender, reread
+from message_sender.testbed.running import running
 
 ROOT = Path(__file__).parent.parent
 US = 1_000_000
@@ -67,16 +68,16 @@
     return file
 
 
-def made(file: Path, state: Path) -> PlainSender:
-    return PlainSender(load(file), state, LineTeller(io.StringIO()))
+def made(file: Path, state: Path) -> StandaloneSender:
+    return StandaloneSender(load(file), state, CompletionWriter(io.StringIO()))
 
 
 SERVED = """
 import asyncio, io, sys
 from pathlib import Path
-from message_sender.config import load
-from message_sender.http.serve import LineTeller, PlainSender, reread
-from message_sender.lab.running import running
+from message_sender.configuration.general import load
+from message_sender.service.standalone import LineTeller, PlainSender, reread
+from message_sender.testbed.running import running
 
 async def main(file, state):
     sender = PlainSender(load(file), state, LineTeller(io.StringIO()))
@@ -95,14 +96,14 @@
     state.mkdir()
     words = [sys.executable, "-c", SERVED, str(file), str(state)]
     out = subprocess.run(words, cwd=ROOT, capture_output=True, check=True, text=True)
-    assert out.stdout.strip() == "['message_sender.directory.control']"
+    assert out.stdout.strip() == "['message_sender.control_socket']"
     assert not [each.name for each in state.iterdir() if each.name.startswith("control.")]
 
 
 @play
 async def test_a_start_and_sighup_keep_what_the_control_plane_holds(state: Path) -> None:
     file = folder(state)
-    DocumentFile(state / IN_FORCE_FILE, Files()).store(Document(7, HELD))
+    DocumentFile(state / IN_FORCE_FILE, SystemDisk()).store(Document(7, HELD))
     sender = made(file, state)
     async with running(sender):
         assert sender.dials() == {"held": ("127.0.0.1", 2)}
@@ -135,7 +136,7 @@
 async def test_without_a_key_the_last_version_stays_and_the_status_says_why(state: Path) -> None:
     file = folder(state)
     (state / "control.key").unlink()
-    DocumentFile(state / IN_FORCE_FILE, Files()).store(Document(7, HELD))
+    DocumentFile(state / IN_FORCE_FILE, SystemDisk()).store(Document(7, HELD))
     sender = made(file, state)
     async with running(sender):
         assert set(sender.dials()) == {"held"}
@@ -173,19 +174,19 @@
 
 
 def test_what_waits_for_a_start_is_what_configure_would_leave(caplog: pytest.LogCaptureFixture) -> None:
-    listed = face.Endpoint("e", 3, face.EndpointState.READY, "plain", "", 8.0)
+    listed = Endpoint("e", 3, EndpointState.READY, "plain", "", 8.0)
     at = SimpleNamespace(held={}, endpoints=[SimpleNamespace(listed=listed)], breakers=())
-    registry = SimpleNamespace(kinds={"plain": face.Kind()}, leave_grew=lambda number: None)
+    registry = SimpleNamespace(kinds={"plain": DestinationKind()}, leave_grew=lambda number: None)
     there = SimpleNamespace(endpoints={"e": at.endpoints[0]}, destinations={3: at}, registry=registry)
-    engine: Any = SimpleNamespace(dispatcher=there, post=lambda event: None, courier=None)
-    links = Links(lambda: 0.0, lambda *told: None, 1, US, 0.0, 1)
+    engine: Any = SimpleNamespace(dispatcher=there, post=lambda event: None, transport=None)
+    links = LinkHub(lambda: 0.0, lambda *told: None, 1, US, 0.0, 1)
     links.join("n0", engine, 1)
     _, budgets = links.ends["n0"]
     was = tuple(budgets.told.values())
-    calls = Shared("calls", "calls", "destination", 3, 10, None, US, 0, US, 0, 0)
+    calls = SharedBudget("calls", "calls", "destination", 3, 10, None, US, 0, US, 0, 0)
     budgets.configure((*was, calls), 1)
 
-    def reasons(*told: Shared) -> list[str]:
+    def reasons(*told: SharedBudget) -> list[str]:
         """The texts, which are there exactly where `configure` says that something is left as it is."""
         found = budgets.waits_for_start((*was, *told))
         caplog.clear()
--- a/tests/test_control_store.py
+++ b/tests/test_control_store.py
@@ -198,11 +198,11 @@
 
 
 def test_stores_that_apply_the_same_log_are_the_same() -> None:
-    chance = random.Random(47)
+    rng = random.Random(47)
     stores = ConfigurationStore(results_limit=5), ConfigurationStore(results_limit=5)
     log = Log(*stores)
     for _ in range(300):
-        base = max(0, stores[0].document.version - chance.randrange(2))
-        log.change(str(chance.randrange(20)), base, put(chance.choice("xyz"), b"%d" % chance.randrange(9)))
+        base = max(0, stores[0].document.version - rng.randrange(2))
+        log.change(str(rng.randrange(20)), base, put(rng.choice("xyz"), b"%d" % rng.randrange(9)))
     assert stores[0].document.digest == stores[1].document.digest
     assert 20 < stores[0].document.version == stores[1].document.version
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -20,9 +20,10 @@
 from peers import Request, Running, World, answer_notices, host, message, play, soon, tell
 from test_closing import Client
 
-from message_sender import interface as face
 from message_sender.handover.drain import GRACE
-from message_sender.http.codec import Address, Connection
+from message_sender.http.codec import Address, ClientConnection
+from message_sender.policy.events import EndpointsUpdated, WakeUp
+from message_sender.policy.model import Endpoint, EndpointState, ListingKind
 
 NAME = "m1"
 HEAD, _, BODY = message(NAME, b"x" * 40).partition(b"\r\n\r\n")
@@ -104,7 +105,7 @@
         await self.written()
         assert self.request
         self.request.write("HTTP/1.1 20")
-        (connection,) = self.sender.courier.out
+        (connection,) = self.sender.transport.out
         await until(lambda: bool(connection.codec.trailing_data[0]))
 
     async def answer_unread(self) -> None:
@@ -166,9 +167,9 @@
         self.sender.orders.changed("r", self.sender.maintenance.take_out("r"))
         self.drained = len(self.calls)
 
-    def news(self, health: str) -> face.EndpointsListed:
-        told = face.Endpoint("r", 3, face.EndpointState(health), "k", "z", 1.0)
-        return face.EndpointsListed(face.Listing.CHANGES, (told,))
+    def news(self, health: str) -> EndpointsUpdated:
+        told = Endpoint("r", 3, EndpointState(health), "k", "z", 1.0)
+        return EndpointsUpdated(ListingKind.CHANGES, (told,))
 
     def idle_limit(self) -> None:
         for each in self.sender.server.connections:
@@ -203,7 +204,7 @@
     def deadline(self) -> None:
         now = self.engine.now
         self.engine.now = lambda: now() + 60_000_000
-        self.engine.post(face.WakeUp())
+        self.engine.post(WakeUp())
 
     def disk_full(self) -> None:
         self.engine.journal.limit = 0
@@ -241,10 +242,10 @@
         if self.drained is not None:
             assert len(self.calls) == self.drained  # nothing new went there
             self.drained = None
-        ready = face.EndpointState.READY
-        told = tuple(face.Endpoint(name, place, ready, "k", "z") for name, place in (("r", 3), ("d", 9)))
+        ready = EndpointState.READY
+        told = tuple(Endpoint(name, place, ready, "k", "z") for name, place in (("r", 3), ("d", 9)))
         self.sender.discovery.dials |= {name: self.world.receiver.address for name in ("r", "d")}
-        self.sender.listed(face.EndpointsListed(face.Listing.CHANGES, told))
+        self.sender.listed(EndpointsUpdated(ListingKind.CHANGES, told))
 
     async def end(self) -> None:
         """The process ends, and another one begins on its folder."""
@@ -352,16 +353,16 @@
 def test_a_step_meets_an_event(
     step: str, event: str, effect: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    real: Callable[[Address], Awaitable[Connection]] = Connection.open
+    real: Callable[[Address], Awaitable[ClientConnection]] = ClientConnection.open
     held: list[Crossing] = []
 
-    async def opened(address: Address) -> Connection:
+    async def opened(address: Address) -> ClientConnection:
         if held and address == held[0].world.receiver.address and step == "dialling":
             held[0].dialled.set()
             await held[0].go_on.wait()
         return await real(address)
 
-    monkeypatch.setattr(Connection, "open", opened)
+    monkeypatch.setattr(ClientConnection, "open", opened)
 
     async def test(state: Path) -> None:
         async with World(state, semantics=effect) as world:
