--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -15,9 +15,9 @@
 
 from message_sender.emulator.loop import VirtualLoop
 from message_sender.emulator.net import HOST, REFUSED, SILENT, Net
-from message_sender.http import daemon
-from message_sender.http.daemon import Config, Sender
-from message_sender.policy.schedule import ListCalls
+from message_sender.policy.schedule import ListPolling
+from message_sender.service import daemon
+from message_sender.service.daemon import DaemonConfig, PlatformSender
 from message_sender.start import config_from
 
 TOLD = 6.0  # s
@@ -27,7 +27,7 @@
 SECOND = 1_000_000
 
 
-def config(state: Path, discovery: tuple[str, int], mode: str, fleet: int = 40) -> Config:
+def config(state: Path, discovery: tuple[str, int], mode: str, fleet: int = 40) -> DaemonConfig:
     class At:
         dial = f"{discovery[0]}:{discovery[1]}"
 
@@ -108,12 +108,12 @@
         self.net, self.loop, self.closed = net, loop, 0.0
         self.discovery = Discovery(net)
         self.config = config(state, AT, mode)
-        self.sender: Sender
+        self.sender: PlatformSender
 
     async def start(self) -> None:
         await self.discovery.up()
         token = HOST.set("sender")
-        self.sender = Sender(self.config)
+        self.sender = PlatformSender(self.config)
         await self.sender.start()
         HOST.reset(token)
 
@@ -276,7 +276,7 @@
 ) -> None:
     """Discovery takes a call from each in `all_calls`; it is down from 10 to 18 s."""
     calls = [
-        ListCalls(settings(fleet_size=fleet, must_ask=True), random.Random(f"{seed}/{each}"))
+        ListPolling(settings(fleet_size=fleet, must_poll=True), random.Random(f"{seed}/{each}"))
         for each in range(fleet)
     ]
     turns, known, asked = Turns(all_calls / fleet, (10.0, 18.0)), {}, 0
@@ -306,7 +306,7 @@
 
 def test_a_list_call_waits_for_its_turn_and_not_longer() -> None:
     """One that discovery made wait is made again at once, one that failed at once is not."""
-    calls = ListCalls(settings(must_ask=True), random.Random(1))
+    calls = ListPolling(settings(must_poll=True), random.Random(1))
     assert calls.is_due(0)
     calls.failed(2 * SECOND)
     assert calls.at <= 2.5 * SECOND
--- a/tests/test_usual.py
+++ b/tests/test_usual.py
@@ -9,7 +9,7 @@
 from peers import message
 from test_backlog import UNUSUAL
 
-from message_sender.http import usual
+from message_sender.http import fast_path
 from message_sender.http.codec import BODY_LIMIT
 
 PLAIN = message("m1", b"body of it")
@@ -51,7 +51,7 @@
 @settings(max_examples=3000, deadline=None, derandomize=True)
 def test_a_request_that_is_usual_is_the_same_to_the_codec(changes: list[tuple[float, int, bytes]]) -> None:
     data = mutated(PLAIN, changes)
-    if found := usual.request(data, BODY_LIMIT):
+    if found := fast_path.request(data, BODY_LIMIT):
         head, body = codec_reads(h11.Connection(h11.SERVER), data)
         assert (head.method, head.target) == (b"POST", found.target)
         assert list(head.headers) == found.headers and body == found.body
@@ -70,7 +70,7 @@
 @settings(max_examples=3000, deadline=None, derandomize=True)
 def test_an_answer_that_is_usual_is_the_same_to_the_codec(changes: list[tuple[float, int, bytes]]) -> None:
     data = mutated(ANSWER, changes)
-    if found := usual.answer(data, BODY_LIMIT):
+    if found := fast_path.answer(data, BODY_LIMIT):
         head, _ = codec_reads(client(), data)
         assert (head.status_code, list(head.headers)) == (found.status_code, found.headers)
     assert changes or found
@@ -78,21 +78,21 @@
 
 def test_mutations_find_both_what_is_usual_and_what_is_not() -> None:
     """Else the two tests above would hold for nothing."""
-    chance, counts = random.Random(1), [0, 0]
+    rng, counts = random.Random(1), [0, 0]
     for _ in range(2000):
-        change = (chance.random(), chance.randrange(3), chance.choice(PIECES))
-        counts[usual.request(mutated(PLAIN, [change]), BODY_LIMIT) is None] += 1
+        change = (rng.random(), rng.randrange(3), rng.choice(PIECES))
+        counts[fast_path.request(mutated(PLAIN, [change]), BODY_LIMIT) is None] += 1
     assert min(counts) > 100
 
 
 @pytest.mark.parametrize("name", sorted(set(UNUSUAL) - {"no id"}))
 def test_what_is_unusual_is_left_to_the_codec(name: str) -> None:
-    assert usual.request(UNUSUAL[name], BODY_LIMIT) is None
+    assert fast_path.request(UNUSUAL[name], BODY_LIMIT) is None
 
 
 @pytest.mark.parametrize("size", [BODY_LIMIT, BODY_LIMIT + 1])
 def test_a_body_beyond_the_limit_is_not_usual(size: int) -> None:
-    assert (usual.request(message("m", b"x" * size), BODY_LIMIT) is None) == (size > BODY_LIMIT)
+    assert (fast_path.request(message("m", b"x" * size), BODY_LIMIT) is None) == (size > BODY_LIMIT)
 
 
 VALUES = st.text(st.characters(max_codepoint=255), max_size=12).map(lambda each: each.encode("latin-1"))
@@ -106,9 +106,9 @@
     """No value may add a line, or a request, of its own."""
     fields = [(b"Host", b"x"), (b"Content-Length", str(len(body)).encode())]
     fields += [(f"X-{n}".encode(), value) for n, value in enumerate(values)]
-    text = usual.request_text("/hook", fields, body)
+    text = fast_path.request_text("/hook", fields, body)
     if text is None:
-        assert any(value.strip(b" \t") != value or not usual.SAFE.fullmatch(value) for value in values)
+        assert any(value.strip(b" \t") != value or not fast_path.SAFE.fullmatch(value) for value in values)
         return
     head, read = codec_reads(h11.Connection(h11.SERVER), text)
     assert list(head.headers) == [(name.lower(), value) for name, value in fields] and read == body
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""Sockets in memory, and whole senders over them: real doors, couriers and bytes in emulated time."""
+"""Sockets in memory, and whole senders over them: real doors, transports and bytes in emulated time."""
 
 import asyncio
 import errno
@@ -16,7 +16,7 @@
 from hypothesis import strategies as st
 
 from message_sender.cli import main
-from message_sender.emulator import hunt, scenario
+from message_sender.emulator import fuzzing, scenario
 from message_sender.emulator.fleet import Outcomes
 from message_sender.emulator.loop import DeadlockError, VirtualLoop
 from message_sender.emulator.net import HOST, REFUSED, ROOM, SILENT, Net
@@ -267,7 +267,7 @@
 
 @pytest.mark.parametrize("level", ["ports", "bytes"])
 def test_drawn_scenarios_break_no_rule(level: str) -> None:
-    found = list(hunt.hunt(0, 24, min(os.cpu_count() or 1, 4), level))
+    found = list(fuzzing.hunt(0, 24, min(os.cpu_count() or 1, 4), level))
     assert [(each.seed, each.breaches, each.error) for each in found if each.breaches or each.error] == []
     assert sum(each.calls for each in found) > 3000 and sum(each.kills for each in found) > 8
 
@@ -289,4 +289,4 @@
     monkeypatch.undo()
     assert main(["emulate", "run", str(file)]) == 0
     with pytest.raises(ValueError, match="does not break"):
-        hunt.cut(hunt.draw(0), "waits", "ports")
+        fuzzing.cut(fuzzing.draw(0), "waits", "ports")
