--- a/message_sender/adapter.py
+++ b/message_sender/adapter.py
@@ -228,7 +228,7 @@
                     time_left=line.number_of("time_left"),
                     tenant=line.text("customer", ""),
                     key=line.text("path_key", ""),
-                    again=bool(line.number_of("bitmap", "0") & AGAIN_BIT),
+                    is_repeat=bool(line.number_of("bitmap", "0") & AGAIN_BIT),
                 )
             case "answer":
                 outcome = line.one_of("outcome", OUTCOMES)
--- a/message_sender/cli/journal.py
+++ b/message_sender/cli/journal.py
@@ -66,7 +66,7 @@
             "class": entry.message.message_class,
             "destination": entry.message.destination,
             "key": entry.message.key,
-            "until": at(entry.message.until),
+            "until": at(entry.message.deadline_us),
             "attempts": len(entry.attempts),
             "may_have_run": entry.first_risk() is not None,
             "doubtful": entry.doubtful,
--- a/message_sender/core/engine.py
+++ b/message_sender/core/engine.py
@@ -395,11 +395,11 @@
             message=message.id,
             message_class=message.message_class,
             destination=message.destination,
-            time_left=message.until - self.now(),
+            time_left=message.deadline_us - self.now(),
             tenant=message.tenant,
             key=message.key,
-            again=message.again,
-            pinned=self.pin_of(message),
+            is_repeat=message.is_repeat,
+            pinned_endpoint=self.pin_of(message),
         )
 
     def take(self, message: Message, caller: Caller) -> None:
--- a/message_sender/discovery/overridden.py
+++ b/message_sender/discovery/overridden.py
@@ -32,7 +32,7 @@
 
 
 class OverriddenDirectory:
-    """`source` gives its lists to `hear`; `told` is the engine's `endpoints_updated`; `now`: its clock, us."""
+    """`source` gives its lists to `hear`; `told` is the engine's `endpoints_updated`; `now`: its clock."""
 
     def __init__(
         self,
--- a/message_sender/emulator/fleet.py
+++ b/message_sender/emulator/fleet.py
@@ -400,7 +400,9 @@
     def arrive(self, sender: Sender, life: int, message: Message, one: ClientAttempt) -> None:
         if sender.alive and sender.lives == life and not one.left:
             # The sender reckons with its own wall clock.
-            sender.engine.take(replace(message, until=message.until + round(sender.wall * SECOND)), one)
+            sender.engine.take(
+                replace(message, deadline_us=message.deadline_us + round(sender.wall * SECOND)), one
+            )
 
     def front(self, asked: ClientMessage, number: int) -> Sender | None:
         """Who is handed it. A key has its own sender, also while that one is down: what it holds of the key
--- a/message_sender/emulator/simulated_run.py
+++ b/message_sender/emulator/simulated_run.py
@@ -148,7 +148,7 @@
 
     def accepted(self) -> bool:
         told = self.message
-        until = (told.until - EPOCH) / SECOND
+        until = (told.deadline_us - EPOCH) / SECOND
         now = self.life.time()
         self.life.history.note(
             seen.MessageAdmitted(now, told.id, told.message_class, told.destination, until, told.key)
@@ -306,7 +306,7 @@
             at += rng.expovariate(spec.rate)
             message = self.drawn_message(number, at)
             key = f" of key {message.key}" if message.key else ""
-            left = (message.until - EPOCH) / SECOND - at
+            left = (message.deadline_us - EPOCH) / SECOND - at
             text = f"{message.id}, {message.message_class}{key}, for {message.destination}, {left:.3f} s left"
             self.happens(at, text, partial(SimulatedRun.hand_in, message=message))
         for _ in range(spec.drains):
--- a/message_sender/emulator/wire.py
+++ b/message_sender/emulator/wire.py
@@ -263,7 +263,7 @@
     # Clients.
 
     def note_taken(self, message: Message, sender: fleet.Sender) -> None:
-        until = (message.until - EPOCH) / SECOND - sender.wall
+        until = (message.deadline_us - EPOCH) / SECOND - sender.wall
         told = message.id, message.message_class, message.destination, until, message.key
         self.history.note(seen.MessageAdmitted(self.time(), *told, sender.name))
 
--- a/message_sender/files.py
+++ b/message_sender/files.py
@@ -1,21 +1,29 @@
-"""A small file that is replaced in one step."""
+"""Atomic replacement of small files."""
 
 import json
 import os
 from pathlib import Path
 
 
-def replace_json(path: Path, told: object, sync: bool) -> None:
-    """A file with this in it in place of the one before; `sync`: on the disk before that. Raises OSError;
-    then the file is as it was."""
-    fresh = path.with_name(path.name + ".new")
+def replace_json(path: Path, content: object, sync: bool) -> None:
+    """Writes a JSON file that takes the place of the one at `path` in one step.
+
+    Args:
+        path: The file to replace; a file of that name with `.new` behind it is written first.
+        content: What `json.dump` can write.
+        sync: Whether the content is on the disk before the file is replaced.
+
+    Raises:
+        OSError: The file could not be written; the one at `path` is as it was.
+    """
+    new_path = path.with_name(path.name + ".new")
     try:
-        with fresh.open("w") as out:
-            json.dump(told, out, separators=(",", ":"))
+        with new_path.open("w") as file:
+            json.dump(content, file, separators=(",", ":"))
             if sync:
-                out.flush()
-                os.fsync(out.fileno())
-        os.replace(fresh, path)
+                file.flush()
+                os.fsync(file.fileno())
+        os.replace(new_path, path)
     except OSError:
-        fresh.unlink(missing_ok=True)
+        new_path.unlink(missing_ok=True)
         raise
--- a/message_sender/grpc/channel.py
+++ b/message_sender/grpc/channel.py
@@ -74,7 +74,7 @@
             case CompletionState.WITHDRAWN:
                 self._fail(error(Code.CANCELLED, "the endpoint wants it no more"))
             case _:
-                late = self._message.until - self._channel.engine.now() <= self._channel.tick
+                late = self._message.deadline_us - self._channel.engine.now() <= self._channel.tick
                 code = Code.DEADLINE_EXCEEDED if late else Code.UNKNOWN
                 self._fail(error(code, end.status or "failed; it may have run"))
 
@@ -129,7 +129,7 @@
 
     def time_remaining(self) -> float | None:
         """Seconds until its time is up."""
-        return max((self._message.until - self._channel.engine.now()) / 1e6, 0.0)
+        return max((self._message.deadline_us - self._channel.engine.now()) / 1e6, 0.0)
 
     def add_done_callback(self, callback: Callable[[Any], None]) -> None:
         if self.done():
--- a/message_sender/grpc/route.py
+++ b/message_sender/grpc/route.py
@@ -92,11 +92,11 @@
         id=route.id,
         message_class=name,
         destination=route.destination,
-        until=now + max(left, 0),
+        deadline_us=now + max(left, 0),
         tenant=route.tenant,
         key=route.key,
         idempotency_key=route.idempotency_key,
-        again=False,
+        is_repeat=False,
         body=body,
         extras=extras,
     )
--- a/message_sender/http/server.py
+++ b/message_sender/http/server.py
@@ -84,13 +84,13 @@
         id=needed("X-Correlation-Id"),
         message_class=name,
         destination=int(dest),
-        until=began + left,
+        deadline_us=began + left,
         tenant=field("X-Account"),
         key=field("X-Session-Key"),
         idempotency_key=needed("Idempotency-Key")
         if kind.effect is Effect.KEYED
         else field("Idempotency-Key"),
-        again=field("X-Repeat") == "1",
+        is_repeat=field("X-Repeat") == "1",
         body=body,
     )
 
--- a/message_sender/journal/process_journal.py
+++ b/message_sender/journal/process_journal.py
@@ -9,7 +9,7 @@
 import logging
 import os
 from collections.abc import Callable, Iterator
-from dataclasses import dataclass, field, fields
+from dataclasses import dataclass, field
 from pathlib import Path
 from typing import Any
 
@@ -18,8 +18,18 @@
 
 FILE, COMPACTED = "journal", "journal.new"
 BLOCK = 512  # a file counts in whole blocks
-#: Fields of a message that are texts and whole numbers.
-TOLD = tuple(each.name for each in fields(Message) if each.name not in ("again", "body", "extras"))
+#: Fields of a message that are texts and whole numbers, by their names in a record.
+RECORDED_FIELDS = {
+    "id": "id",
+    "message_class": "message_class",
+    "destination": "destination",
+    "until": "deadline_us",
+    "tenant": "tenant",
+    "key": "key",
+    "idempotency_key": "idempotency_key",
+}
+#: Names in a record that differ from those of the fields.
+FIELDS = {"again": "is_repeat", "until": "deadline_us"}
 ENCODER = json.JSONEncoder(separators=(",", ":"), check_circular=False)
 quoted = json.encoder.encode_basestring_ascii  # a text as JSON; the encoder itself costs five times as much
 SPARE = 8  # one part in so many is kept free of new messages, for the attempts and ends of those held
@@ -61,9 +71,9 @@
 
 
 def taken_line(message: Message) -> bytes:
-    values = [(name, getattr(message, name)) for name in TOLD]
+    values = [(name, getattr(message, field)) for name, field in RECORDED_FIELDS.items()]
     told = ",".join([f'"{k}":{v if isinstance(v, int) else quoted(v)}' for k, v in values])
-    again = "true" if message.again else "false"
+    again = "true" if message.is_repeat else "false"
     # What most messages lack takes no room.
     extras = f',"extras":{ENCODER.encode(message.extras)}' if message.extras else ""
     body = base64.b64encode(message.body).decode()
@@ -139,7 +149,9 @@
     def apply(self, record: dict[str, Any], size: int) -> None:
         if told := record.get("taken"):
             extras = tuple((str(name), str(text)) for name, text in told.get("extras", ()))
-            message = Message(**told | {"body": base64.b64decode(told["body"]), "extras": extras})
+            values = {FIELDS.get(name, name): value for name, value in told.items()}
+            body = base64.b64decode(told["body"])
+            message = Message(**values | {"body": body, "extras": extras})
             self.entries[message.id] = JournalEntry(message)
             self.grow(message.id, size)
         elif name := record.get("sent"):
--- a/message_sender/policy/breaker.py
+++ b/message_sender/policy/breaker.py
@@ -64,7 +64,7 @@
 class PendingMessage:
     def __init__(self, taken: MessageAccepted, kind: MessageClass, now: int, share: float) -> None:
         self.id, self.kind, self.destination = taken.message, kind, taken.destination
-        self.key, self.pinned = taken.key if kind.is_ordered else "", taken.pinned
+        self.key, self.pinned = taken.key if kind.is_ordered else "", taken.pinned_endpoint
         self.until, self.born, self.came = now + taken.time_left, now + taken.time_left - kind.deadline, now
         self.share = share  # 1, or what is left of its worth over its tenant's share
         self.attempts, self.out, self.ended, self.restored = 0, False, False, False
--- a/message_sender/policy/events.py
+++ b/message_sender/policy/events.py
@@ -23,8 +23,8 @@
     time_left: int
     tenant: str = ""
     key: str = ""  # empty: not kept in order
-    again: bool = False  # the client says it was handed in before
-    pinned: str = ""  # the endpoint that it is to go to, as long as that one is there
+    is_repeat: bool = False  # the client says it was handed in before
+    pinned_endpoint: str = ""  # the endpoint that it is to go to, as long as that one is there
 
 
 @dataclass(frozen=True, slots=True)
--- a/message_sender/recovery/trust.py
+++ b/message_sender/recovery/trust.py
@@ -113,8 +113,8 @@
     for entry in entries.values():
         message = entry.message
         latest = now + deadlines.get(message.message_class, 0)
-        if message.until > latest:
-            entry.message = replace(message, until=latest)
+        if message.deadline_us > latest:
+            entry.message = replace(message, deadline_us=latest)
         if start.passed is None:
             for attempt in entry.attempts.values():
                 if attempt.may_have_run():
--- a/tests/compatibility/samples.py
+++ b/tests/compatibility/samples.py
@@ -71,8 +71,9 @@
 def message(name: str, **changes: object) -> Message:
     """A message with every field set."""
     values: dict[str, object] = {
-        "message_class": "keyed", "destination": 3, "until": 1_700_000_000_000_000, "tenant": "t\u00e9",
-        "key": "k 1", "idempotency_key": f"key of {name}", "again": False, "body": bytes(range(0, 256, 5)),
+        "message_class": "keyed", "destination": 3, "deadline_us": 1_700_000_000_000_000,
+        "tenant": "t\u00e9", "key": "k 1", "idempotency_key": f"key of {name}", "is_repeat": False,
+        "body": bytes(range(0, 256, 5)),
     }  # fmt: skip
     return Message(id=name, **(values | changes))  # type: ignore[arg-type]
 
@@ -80,7 +81,7 @@
 def fill(journal: Journal) -> None:
     """Messages in every state that a journal holds."""
     journal.record_accepted(message("m1"))
-    journal.record_accepted(message("m2", again=True, key="", tenant="", extras=EXTRAS))
+    journal.record_accepted(message("m2", is_repeat=True, key="", tenant="", extras=EXTRAS))
     journal.record_accepted(message("m3", body=b"", destination=2**40))
     journal.record_attempt("m1", 0, AttemptRecord(1_600_000_000_000_001, "hub-1", "z1"))
     journal.record_outcome("m1", 0, Outcome.FULL)
--- a/tests/compatibility/test_compatibility.py
+++ b/tests/compatibility/test_compatibility.py
@@ -44,7 +44,7 @@
     assert list(journal.entries) == ["m1", "m2", "m3"]
     first, second, third = journal.entries.values()
     assert first.message == samples.message("m1")
-    assert second.message == samples.message("m2", again=True, key="", tenant="", extras=samples.EXTRAS)
+    assert second.message == samples.message("m2", is_repeat=True, key="", tenant="", extras=samples.EXTRAS)
     assert third.message == samples.message("m3", body=b"", destination=2**40)
     told = {
         number: (each.at, each.endpoint, each.zone, each.outcome) for number, each in first.attempts.items()
--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -350,11 +350,11 @@
 @pytest.mark.parametrize("clock", [0, 10 * SECOND, 10**15])
 def test_no_clock_gives_an_attempt_its_window_back_after_a_power_loss(clock: int) -> None:
     attempt = AttemptRecord(1000 * SECOND, "r", "z", Outcome.RESET)
-    entry = JournalEntry(replace(handed_in("a"), message_class="x", until=10**16), {0: attempt})
+    entry = JournalEntry(replace(handed_in("a"), message_class="x", deadline_us=10**16), {0: attempt})
     start = trust.judge(PreviousRun("a", False, 1001 * SECOND), "b", clock)
     trust.owed({"a": entry}, start, clock + start.behind, {"x": 5 * SECOND})
     assert start.passed is None and attempt.at == 0
-    assert entry.message.until == clock + start.behind + 5 * SECOND
+    assert entry.message.deadline_us == clock + start.behind + 5 * SECOND
 
 
 class Stepped(DurableJournal):
--- a/tests/test_late.py
+++ b/tests/test_late.py
@@ -56,7 +56,7 @@
     def take(self, name: str, **changes: Any) -> Waiting:  # noqa: ANN401
         caller = Waiting()
         until = self.engine.now() + changes.pop("left", 8_000_000)
-        fields = {"id": name, "until": until, "body": b"x", "again": False, "extras": ()}
+        fields = {"id": name, "deadline_us": until, "body": b"x", "is_repeat": False, "extras": ()}
         fields |= {"message_class": "c", "destination": 3, "tenant": "", "key": "", "idempotency_key": "i"}
         self.engine.take(type(handed_in())(**fields | changes), caller)
         return caller
--- a/tests/test_overrides.py
+++ b/tests/test_overrides.py
@@ -390,7 +390,7 @@
     wanted: list[str],
 ) -> None:
     world = World(*(endpoint(name, zone=zone) for name, zone in ZONES.items()))
-    first = world.take(kind, pinned="a" if change == "ran in x" else pinned)
+    first = world.take(kind, pinned_endpoint="a" if change == "ran in x" else pinned)
     went = [each.endpoint for each in first if isinstance(each, Send)]
     if change == "ran in x":
         world.dispatcher.messages["m1"].pinned = "b"
@@ -402,9 +402,9 @@
 
 def test_a_pinned_message_that_waits_holds_up_no_other() -> None:
     world = World(*(endpoint(name, kind="apart") for name in "ab"))
-    world.take("safe", pinned="b")
+    world.take("safe", pinned_endpoint="b")
     world.answer("m1", Outcome.FULL, wait=5 * SECOND)
-    assert sent(world.take(pinned="b", after=MS)) == []
+    assert sent(world.take(pinned_endpoint="b", after=MS)) == []
     assert sent(world.take(after=MS)) == ["m3"]
     assert sorted(sent(world.step(WakeUp(), after=5 * SECOND) + world.step(WakeUp(), after=SECOND)))
 
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -125,7 +125,7 @@
         server.now = lambda: NOW + 700_000
         writer.write(data[40:])
         assert (await read_reply(reader)).status == 202
-        assert taken[0].until == NOW + 1_000_000 - ON_THE_WAY
+        assert taken[0].deadline_us == NOW + 1_000_000 - ON_THE_WAY
         writer.close()
 
 
