--- a/message_sender/core/__init__.py
+++ b/message_sender/core/__init__.py
@@ -1,4 +1,4 @@
-"""The engine round the decision module: one turn, one table of messages, the journal before any byte.
+"""The engine round the delivery policy: one loop iteration, one message table, the journal before any byte.
 
 It knows ports and no protocol; see docs/design/core.md.
 """
--- a/message_sender/core/attempts.py
+++ b/message_sender/core/attempts.py
@@ -132,7 +132,7 @@
         return await self.owner.transport.call(endpoint, message, remaining_s, may_go)
 
     def poll_unread(self) -> None:
-        """Reads what lies unread, before anything is decided or sent on the strength of what was read before."""
+        """Reads what lies unread, before anything is decided or sent on the strength of older news."""
         self.owner.directory.poll_unread()
         self.owner.transport.poll_unread()
 
@@ -238,12 +238,14 @@
             # A message that was complete may have been followed by another one of its id.
             if attempt := journal.entries[message_id].attempts.get(number):
                 self.hooks.attempt_finished(attempt.endpoint, result.outcome)
-            if result.finished:
+            if result.is_final:
                 self.table.finish(message_id, result)
             elif message_id in withdrawn:
                 self.table.forget(message_id, CompletionState.WITHDRAWN)
         withdrawn.discard(message_id)
-        self.owner.post(AttemptEnded(message_id, number, result.outcome, result.finished, result.wait))
+        self.owner.post(
+            AttemptEnded(message_id, number, result.outcome, result.is_final, result.retry_after_us)
+        )
         self.hooks.work_finished()
 
     # Handover.
--- a/message_sender/core/engine.py
+++ b/message_sender/core/engine.py
@@ -8,11 +8,10 @@
 import logging
 import math
 from collections.abc import Callable, Coroutine
-from dataclasses import replace
-from functools import partial
 from pathlib import Path
 from typing import Any
 
+from message_sender.core.arrivals import Arrivals, is_acceptance_of
 from message_sender.core.attempts import Attempts, ResultReceiver
 from message_sender.core.clock import Clock
 from message_sender.core.engine_config import EngineConfig, HandoverState
@@ -26,11 +25,11 @@
     CompletionListener,
     CompletionState,
     Directory,
-    RejectReason,
     Transport,
 )
+from message_sender.core.restoration import Restoration
 from message_sender.core.socket_errors import describe
-from message_sender.journal.process_journal import Journal, JournalEntry
+from message_sender.journal.process_journal import Journal
 from message_sender.message import Message
 from message_sender.policy.actions import (
     CancelAttempt,
@@ -46,11 +45,8 @@
 from message_sender.policy.dispatcher import Dispatcher
 from message_sender.policy.events import (
     CallInFlight,
-    EndAcknowledged,
     EndpointsUpdated,
     InheritedState,
-    MessageAccepted,
-    MessageRestored,
     MessageWithdrawn,
     PolicyEvent,
     Stopping,
@@ -66,11 +62,6 @@
 log = logging.getLogger(__name__)
 
 
-def is_acceptance_of(event: PolicyEvent, message_id: str) -> bool:
-    """Whether the event tells the policy of this message."""
-    return isinstance(event, MessageAccepted) and event.message == message_id
-
-
 class Engine:
     """One sender without its protocols. Build it on its loop, `plug` the ports in, `start` it, `close` it.
 
@@ -114,6 +105,7 @@
         class_names = (each.name for each in config.settings.classes)
         self.table = MessageTable(self.journal, class_names, self, self.hooks)
         self.attempts = Attempts(self, self.dispatcher, self.table, self.hooks)
+        self.arrivals = Arrivals(self.dispatcher, self.table, self.hooks, self, self.now)
         self.inbox: list[PolicyEvent] = []
         self.inbox_since = self.loop.time()
         self.periodic_tasks: list[Callable[[], None]] = []
@@ -145,8 +137,9 @@
             handed_over: What a process that still runs knows besides.
         """
         self.post(EndpointsUpdated(ListingKind.CACHED, self.config.known, self.config.returned))
-        for entry in list(self.journal.entries.values()):
-            self._restore(entry, handed_over)
+        restoration = Restoration(self.table, self.attempts, self.arrivals, self.directory, self.now)
+        for event in restoration.events(handed_over):
+            self.post(event)
         if handed_over:
             self.post(handed_over.inherited)
             self.table.inherit_completed(handed_over.ended)
@@ -159,48 +152,6 @@
         self.listener_task = self.spawn(self.table.completion_listener.run())
         self.spawn(self._run_periodic_tasks())
 
-    def _restore(self, entry: JournalEntry, handed_over: HandoverState | None) -> None:
-        """A message of the journal: it is completed, or the policy hears of it."""
-        message_id = entry.message.id
-        self.directory.remember(entry.message.destination)
-        if entry.delivered():
-            self.table.finish_delivered(message_id)
-        elif entry.verdict:
-            self.table.notify_again(message_id, *entry.verdict)
-        elif handed_over:
-            self.post(self._restored_in_flight(entry, handed_over))
-        else:
-            self.post(self.restored(entry))
-
-    def _restored_in_flight(self, entry: JournalEntry, handed_over: HandoverState) -> MessageRestored:
-        """A message of a process that still runs: it may be complete already, or in flight there."""
-        message_id = entry.message.id
-        completion = handed_over.ending.get(message_id)
-        number, call = handed_over.calls.get(message_id, (-1, None))
-        if completion:
-            self.table.resubmit_completion(message_id, completion)
-        if call:
-            self.attempts.predecessor_calls.add((message_id, number))
-        return replace(
-            self.restored(entry, number),
-            outcomes=(),
-            handed=True,
-            call=call,
-            ended=completion is not None,
-            share=handed_over.shares.get(message_id),
-        )
-
-    def restored(self, entry: JournalEntry, in_flight: int = -1) -> MessageRestored:
-        """The event for a message of the journal. `in_flight`: the attempt whose result will still come."""
-        risk = entry.first_risk(in_flight)
-        return MessageRestored(
-            taken=self._accepted(entry.message),
-            attempts=max(entry.attempts, default=-1) + 1,
-            risky_since=min(risk.at, self.now()) if risk else None,
-            risky_zone=risk.zone if risk else "",
-            outcomes=tuple((each.endpoint, each.outcome) for each in entry.attempts.values() if each.outcome),
-        )
-
     def stop(self, code: int) -> None:
         """Ends `stopped` with this exit code."""
         if not self.stopped.done():
@@ -317,8 +268,8 @@
     def inherit_result(self, message_id: str, number: int, result: AttemptResult) -> None:
         """The result of a call that another process made, or that came while this one was frozen."""
         self.attempts.predecessor_calls.discard((message_id, number))
-        if result.wait and (call := self.dispatcher.calls.get((message_id, number))):
-            self.retry_after_received(call.endpoint.listed.id, result.wait)
+        if result.retry_after_us and (call := self.dispatcher.calls.get((message_id, number))):
+            self.retry_after_received(call.endpoint.listed.id, result.retry_after_us)
         self.attempts.record_result(message_id, number, result)
 
     # What happened. Events of one iteration of the loop go to the policy together.
@@ -333,36 +284,7 @@
 
     def take(self, message: Message, caller: Caller) -> None:
         """A client submits a message. Its caller hears in this iteration or the next."""
-        is_same = self.table.is_same_message(message)
-        if is_same:
-            self.table.accept_again(message.id, caller)
-        elif is_same is not None:
-            # Protects a client whose id another one has used: none of its message would be accepted, and the
-            # order of its key would not wait for it. It may come again, under a new id.
-            log.warning("message rejected: id=%s reason=another message has this id", message.id)
-            self._reject(message, caller, RejectReason.OTHER_ID)
-        elif len(self.dispatcher.messages) + len(self.table.arrivals) >= self.settings.max_open:
-            self._reject(message, caller, RejectReason.NO_ROOM)
-        elif delay_us := self.hooks.admission_delay_us(message):
-            self.table.reject(message, caller, RejectReason.NOT_YET, delay_us)
-        else:
-            self.table.arrivals[message.id] = message, caller
-            self.post(self._accepted(message))
-
-    def _accepted(self, message: Message) -> MessageAccepted:
-        return MessageAccepted(
-            message=message.id,
-            message_class=message.message_class,
-            destination=message.destination,
-            time_left=message.deadline_us - self.now(),
-            tenant=message.tenant,
-            key=message.key,
-            is_repeat=message.is_repeat,
-            pinned_endpoint=self.hooks.pinned_endpoint(message),
-        )
-
-    def _reject(self, message: Message, caller: Caller, reason: RejectReason) -> None:
-        self.table.reject(message, caller, reason, self.dispatcher.suggest_retry_after())
+        self.arrivals.submit(message, caller)
 
     def withdraw(self, message_id: str, caller: Caller) -> None:
         """A caller withdraws its message; nobody is told of an end.
@@ -420,54 +342,17 @@
         for message_id in gone:
             events = [each for each in events if not is_acceptance_of(each, message_id)]
         actions = self.dispatcher.handle(self.now(), events)
-        rejected = self._answer_arrivals(arrivals, gone, actions)
+        rejected = self.arrivals.answer(arrivals, gone, actions)
         for action in actions:
             self.act(action, rejected)
 
-    def _answer_arrivals(
-        self, arrivals: dict[str, tuple[Message, Caller]], gone: set[str], actions: list[PolicyAction]
-    ) -> set[str]:
-        """Puts new messages on record and answers their callers; returns the ids that are not accepted."""
-        decisions = {each.message: each for each in actions if isinstance(each, Reject | Fail)}
-        rejected = set()
-        for message_id, (message, caller) in arrivals.items():
-            if message_id in gone:
-                caller.withdrawn()
-            elif message_id in decisions:
-                self._reject_new(decisions[message_id], message, caller)
-                rejected.add(message_id)
-            elif self.journal.record_accepted(message):
-                self.journal.when_durable(partial(self._confirm, message, caller))
-            else:
-                self._reject(message, caller, RejectReason.NO_DISK)
-                rejected.add(message_id)
-                self.post(MessageWithdrawn(message_id))
-        return rejected
-
-    def _confirm(self, message: Message, caller: Caller, is_durable: bool) -> None:
-        retry_after_us = 0 if is_durable else self.dispatcher.suggest_retry_after()
-        self.table.confirm(message, caller, retry_after_us, is_durable)
-
-    def _reject_new(self, action: Reject | Fail, message: Message, caller: Caller) -> None:
-        """The final answer of a message that was never accepted. Nothing of it has run."""
-        if isinstance(action, Reject):
-            retry_after_us = action.retry_after
-        else:
-            retry_after_us = self.dispatcher.suggest_retry_after()
-        self.table.reject(message, caller, RejectReason.REFUSED, retry_after_us)
-        self.post(EndAcknowledged(action.message))
-
     def act(self, action: PolicyAction, rejected: set[str]) -> None:
         """Carries out one action. `rejected`: ids of new messages that were not accepted."""
         match action:
             case Send():
                 self.attempts.start(action, action.message in rejected)
-            case Reject(message_id) | Fail(message_id) if message_id in rejected:
-                pass  # its caller has been answered
-            case Reject(message_id, retry_after_us):
-                self.table.complete(message_id, Completion(CompletionState.REFUSED, retry_after_us))
-            case Fail(message_id):
-                self.table.complete(message_id, Completion(CompletionState.FAILED))
+            case Reject() | Fail():
+                self._complete(action, rejected)
             case CancelAttempt(message_id, number):
                 if work := self.attempts.cancel(message_id, number):
                     self.spawn(work)
@@ -480,6 +365,15 @@
             case LogLine(text):
                 log.info("%s", text)
 
+    def _complete(self, action: Reject | Fail, rejected: set[str]) -> None:
+        if action.message in rejected:
+            return  # its caller has been answered
+        if isinstance(action, Reject):
+            completion = Completion(CompletionState.REFUSED, action.retry_after)
+        else:
+            completion = Completion(CompletionState.FAILED)
+        self.table.complete(action.message, completion)
+
     def _set_wake_timer(self, delay_us: int) -> None:
         """The policy asks anew only for an earlier time, or after this one."""
         if self.wake_timer:
--- a/message_sender/core/hooks.py
+++ b/message_sender/core/hooks.py
@@ -31,7 +31,7 @@
         """An attempt at the endpoint is on record and begins."""
 
     def reserve_limits(self, endpoint: str, message_id: str) -> bool:
-        """Takes a call from the limits that it counts against, as its first byte goes; False: none is left."""
+        """Takes a call from the limits that it counts against, as its first byte goes; False: none left."""
         return True
 
     def release_limits(self, message_id: str) -> None:
--- a/message_sender/core/inventory.py
+++ b/message_sender/core/inventory.py
@@ -1,7 +1,8 @@
-"""What a sender keeps for each destination: its state, age and size. For people; nothing is decided by it.
+"""What a sender keeps for each destination: its state, age and size; for people. Nothing is decided by it.
 
-A file of it is one JSON object: `at` (Unix seconds), `destinations` (objects as `DestinationRecord`, in the
-order of their numbers). It is replaced in one step, so that who reads it never sees half of one.
+A file of it is one JSON object: `at` (Unix seconds) and `destinations` (objects with the fields of
+`DestinationRecord`, in the order of their numbers). It is replaced in one step, so that who reads it never
+sees half of one.
 """
 
 import json
@@ -17,55 +18,69 @@
 from message_sender.policy.schedule import Destination
 
 FILE = "destinations.json"
+#: States of breakers, the most troubled first.
+ORDER = ("open", "half-open", "waits", "warming", "closed")
 
 
 @dataclass(frozen=True, slots=True)
 class DestinationRecord:
+    """One destination. The names of its fields are those in the file.
+
+    Attributes:
+        number: Of the destination.
+        state: listed, asleep, or of its breakers: closed, open, half-open, waits, warming.
+        endpoints: How many are listed.
+        held: Messages that wait.
+        out: Calls in flight.
+        silent_s: Since the last call; None if there was none.
+        gap_ms: Between calls, the widest of its routes'.
+        bytes: Of the objects kept for it alone, by `sys.getsizeof`; texts and what is shared are not counted.
+    """
+
     number: int
-    state: str  # listed, asleep, or awake: closed, open, half-open, waits, warming
+    state: str
     endpoints: int
     held: int
     out: int
-    silent_s: float | None  # since the last call; none if there was none
-    gap_ms: float  # between calls, the widest of its routes'
-    bytes: int  # of the objects kept for it alone, by sys.getsizeof; texts and what is shared are not counted
+    silent_s: float | None
+    gap_ms: float
+    bytes: int
 
 
 def inventory(dispatcher: Dispatcher, now: int) -> list[DestinationRecord]:
-    """`now` in us, on the module's clock."""
-    return [kept(each, now) for _, each in sorted(dispatcher.destinations.items())]
+    """All destinations by number. `now`: microseconds on the policy's clock."""
+    return [record_of(each, now) for _, each in sorted(dispatcher.destinations.items())]
 
 
-def kept(at: Destination, now: int) -> DestinationRecord:
-    own = list((at.own or {}).values())
-    used = max((each.last_sent for each in own), default=-NEVER)
-    if used == -NEVER and at.silent_since is not None:
-        used = at.silent_since
-    gaps = [max(each.gap, each.cold_gap(now)) for each in own]
+def record_of(destination: Destination, now: int) -> DestinationRecord:
+    """What is kept for one destination."""
+    breakers = list((destination.own or {}).values())
+    last_used = max((each.last_sent for each in breakers), default=-NEVER)
+    if last_used == -NEVER and destination.silent_since is not None:
+        last_used = destination.silent_since
+    gaps = [max(each.gap, each.cold_gap(now)) for each in breakers]
     return DestinationRecord(
-        number=at.number,
-        state=state_of(at, now),
-        endpoints=len(at.endpoints),
-        held=len(at.held or ()),
-        out=sum(each.out for each in own),
-        silent_s=None if used == -NEVER else round((now - used) / 1e6, 3),
+        number=destination.number,
+        state=state_of(destination, now),
+        endpoints=len(destination.endpoints),
+        held=len(destination.held or ()),
+        out=sum(each.out for each in breakers),
+        silent_s=None if last_used == -NEVER else round((now - last_used) / 1e6, 3),
         gap_ms=round(max(gaps, default=0.0) / 1e3, 1),
-        bytes=sum(sys.getsizeof(each) for each in objects(at)),
+        bytes=sum(sys.getsizeof(each) for each in objects_of(destination)),
     )
 
 
-def state_of(at: Destination, now: int) -> str:
-    """Of several routes the most troubled speaks."""
-    if at.own is None:
-        return "listed" if at.silent_since is None else "asleep"
-    states = [breaker_state(each, now) for each in at.own.values()]
+def state_of(destination: Destination, now: int) -> str:
+    """The destination's state; of several routes the most troubled one's."""
+    if destination.own is None:
+        return "listed" if destination.silent_since is None else "asleep"
+    states = [breaker_state(each, now) for each in destination.own.values()]
     return min(states, key=ORDER.index, default="closed")
 
 
-ORDER = ("open", "half-open", "waits", "warming", "closed")
-
-
 def breaker_state(breaker: Breaker, now: int) -> str:
+    """One of `ORDER`."""
     if breaker.is_open():
         return "half-open" if breaker.trial else "open"
     if breaker.wait_until > now:
@@ -73,34 +88,52 @@
     return "warming" if breaker.cold_gap(now) else "closed"
 
 
-def objects(at: Destination) -> Iterator[object]:
-    yield at
-    for part in (at.endpoints, at.own, at.breakers, at.held, at.groups):
+def objects_of(destination: Destination) -> Iterator[object]:
+    """The objects that are kept for the destination alone."""
+    yield destination
+    for part in (
+        destination.endpoints,
+        destination.own,
+        destination.breakers,
+        destination.held,
+        destination.groups,
+    ):
         if part is not None:
             yield part
-    for endpoint in at.endpoints:
+    for endpoint in destination.endpoints:
         yield from (endpoint, endpoint.listed)
-    for breaker in (at.own or {}).values():
+    for breaker in (destination.own or {}).values():
         yield from (breaker, breaker.fresh, breaker.stuck)
-    yield from (at.held or {}).values()
-    for group in (at.groups or {}).values():
+    yield from (destination.held or {}).values()
+    for group in (destination.groups or {}).values():
         yield from (group, group.line)
 
 
 def write(dispatcher: Dispatcher, now: int, folder: Path) -> Path:
-    """Writes the file into the folder and gives its path. Raises OSError."""
+    """Writes the file into the folder and returns its path.
+
+    Raises:
+        OSError: It could not be written.
+    """
     path = folder / FILE
-    told = {"at": now / 1e6, "destinations": [asdict(each) for each in inventory(dispatcher, now)]}
-    replace_json(path, told, sync=False)
+    destinations = [asdict(each) for each in inventory(dispatcher, now)]
+    replace_json(path, {"at": now / 1e6, "destinations": destinations}, sync=False)
     return path
 
 
 def read(path: Path) -> tuple[float, list[DestinationRecord]]:
-    """When it was written, and what it says; `path` is the file or its folder. Raises OSError where it cannot
-    be read, and ValueError, in one line, where it is something else."""
+    """When the file was written, and its records.
+
+    Args:
+        path: The file or its folder.
+
+    Raises:
+        OSError: It cannot be read.
+        ValueError: It is something else; the text is one line.
+    """
     file = path / FILE if path.is_dir() else path
     try:
-        told: dict[str, Any] = json.loads(file.read_text())
-        return float(told["at"]), [DestinationRecord(**each) for each in told["destinations"]]
+        content: dict[str, Any] = json.loads(file.read_text())
+        return float(content["at"]), [DestinationRecord(**each) for each in content["destinations"]]
     except (KeyError, TypeError, AttributeError, ValueError) as error:
         raise ValueError(f"{file} is no file of destinations: {' '.join(str(error).split())}") from None
--- a/message_sender/core/lock.py
+++ b/message_sender/core/lock.py
@@ -1,4 +1,4 @@
-"""The lock on a state folder, under the name by which the parts above the core know it."""
+"""The lock on a state folder, under the name by which the packages above the core import it."""
 
 from message_sender.journal.lock import FILE, Lock, LockTakenError, holder
 
--- a/message_sender/core/message_table.py
+++ b/message_sender/core/message_table.py
@@ -144,7 +144,7 @@
     def complete(self, message_id: str, completion: Completion) -> None:
         """The policy's final answer for an accepted message."""
         self.pending_completions[message_id] = completion
-        self.journal.record_completion(message_id, completion.state.value, completion.retry_after)
+        self.journal.record_completion(message_id, completion.state.value, completion.retry_after_us)
         self.journal.when_durable(partial(self.tell_completion, message_id, completion))
 
     def tell_completion(self, message_id: str, completion: Completion, is_durable: bool) -> None:
--- /dev/null
+++ b/message_sender/core/restoration.py
@@ -0,0 +1,85 @@
+"""What an engine takes over at its start: messages of the journal and of a process that still runs."""
+
+from collections.abc import Callable, Iterator
+from dataclasses import replace
+
+from message_sender.core.arrivals import Arrivals
+from message_sender.core.attempts import Attempts
+from message_sender.core.engine_config import HandoverState
+from message_sender.core.message_table import MessageTable
+from message_sender.core.ports import Directory
+from message_sender.journal.process_journal import JournalEntry
+from message_sender.policy.events import MessageRestored
+
+NO_ATTEMPT = -1
+
+
+class Restoration:
+    """Turns the journal's entries into events for the policy, and completes those that are over."""
+
+    def __init__(
+        self,
+        table: MessageTable,
+        attempts: Attempts,
+        arrivals: Arrivals,
+        directory: Directory,
+        now: Callable[[], int],
+    ) -> None:
+        """`now`: microseconds since the epoch."""
+        self.table = table
+        self.attempts = attempts
+        self.arrivals = arrivals
+        self.directory = directory
+        self.now = now
+
+    def events(self, handed_over: HandoverState | None) -> Iterator[MessageRestored]:
+        """An event for each message that is not complete.
+
+        Args:
+            handed_over: What a process that still runs knows of them.
+        """
+        for entry in list(self.table.journal.entries.values()):
+            message_id = entry.message.id
+            self.directory.remember(entry.message.destination)
+            if entry.delivered():
+                self.table.finish_delivered(message_id)
+            elif entry.verdict:
+                self.table.notify_again(message_id, *entry.verdict)
+            elif handed_over:
+                yield self._handed_over(entry, handed_over)
+            else:
+                yield self.restored(entry)
+
+    def _handed_over(self, entry: JournalEntry, handed_over: HandoverState) -> MessageRestored:
+        """A message of a process that still runs: it may be complete already, or in flight there."""
+        message_id = entry.message.id
+        completion = handed_over.ending.get(message_id)
+        number, call = handed_over.calls.get(message_id, (NO_ATTEMPT, None))
+        if completion:
+            self.table.resubmit_completion(message_id, completion)
+        if call:
+            self.attempts.predecessor_calls.add((message_id, number))
+        return replace(
+            self.restored(entry, number),
+            outcomes=(),
+            handed=True,
+            call=call,
+            ended=completion is not None,
+            share=handed_over.shares.get(message_id),
+        )
+
+    def restored(self, entry: JournalEntry, in_flight: int = NO_ATTEMPT) -> MessageRestored:
+        """The event for a message of the journal.
+
+        Args:
+            entry: What the journal has of it.
+            in_flight: The attempt whose result will still come, if any.
+        """
+        risk = entry.first_risk(in_flight)
+        return MessageRestored(
+            taken=self.arrivals.acceptance_of(entry.message),
+            attempts=max(entry.attempts, default=-1) + 1,
+            risky_since=min(risk.at, self.now()) if risk else None,
+            risky_zone=risk.zone if risk else "",
+            outcomes=tuple((each.endpoint, each.outcome) for each in entry.attempts.values() if each.outcome),
+        )
--- a/message_sender/core/traffic_observer.py
+++ b/message_sender/core/traffic_observer.py
@@ -1,44 +1,55 @@
-"""Who sees what goes over a sender's connections: a port for records of the traffic.
+"""A port for records of the traffic on a sender's connections.
 
-A witness is called in the sender's turn and may neither wait nor raise. Without one, nothing is paid but the
-question whether there is one.
+An observer is called on the sender's loop and may neither wait nor raise. Without one, nothing is paid but
+the question whether there is one.
 """
 
 from typing import Protocol
 
-Place = tuple[str, int]  # address and port
+SocketAddress = tuple[str, int]  # IP address and port
+
+CLIENT_SIDE = 0  # the side that opened the connection
+SERVER_SIDE = 1
 
 
 class TrafficObserver(Protocol):
-    """Sides: 0 the client's, who opened the connection, and 1 the server's."""
+    """Hears of connections and of the bytes of either side (`CLIENT_SIDE`, `SERVER_SIDE`)."""
 
-    def opened(self, client: Place, server: Place) -> int:
-        """A connection is up. The answer is its number from now on."""
+    def opened(self, client: SocketAddress, server: SocketAddress) -> int:
+        """A connection is up. Returns its number, from 1 on."""
 
     def passed(self, connection: int, side: int, data: bytes) -> None:
-        """Bytes from that side."""
+        """Bytes that this side sent."""
 
     def ended(self, connection: int, side: int, reset: bool) -> None:
-        """That side ended it; nothing more passes. Told more than once, the first counts."""
+        """This side ended the connection; of several calls the first counts."""
 
 
 class ObservedConnection:
-    """One connection and its witness."""
+    """One connection and its observer."""
+
+    __slots__ = ("number", "observer")
 
-    __slots__ = ("number", "witness")
+    def __init__(self, observer: TrafficObserver, client: object, server: object) -> None:
+        """Announces the connection.
 
-    def __init__(self, witness: TrafficObserver, client: object, server: object) -> None:
-        """The two ends as the socket tells them; what is no address of IP is not seen (number 0)."""
-        self.witness = witness
+        Args:
+            observer: Hears of its traffic.
+            client: The client's end as the socket tells it.
+            server: The server's end; where either is no IP address, the connection is not observed.
+        """
+        self.observer = observer
         self.number = 0
         if isinstance(client, tuple) and isinstance(server, tuple):
-            self.number = witness.opened(client[:2], server[:2])
+            self.number = observer.opened(client[:2], server[:2])
 
     def passed(self, side: int, data: bytes) -> None:
+        """Bytes that this side sent."""
         if self.number:
-            self.witness.passed(self.number, side, data)
+            self.observer.passed(self.number, side, data)
 
     def ended(self, side: int, reset: bool) -> None:
+        """This side ended the connection."""
         if self.number:
-            self.witness.ended(self.number, side, reset)
+            self.observer.ended(self.number, side, reset)
             self.number = 0
--- a/message_sender/emulator/fleet.py
+++ b/message_sender/emulator/fleet.py
@@ -99,7 +99,7 @@
 
     def rejected(self, told: Rejected) -> None:
         self.world.history.note(seen.MessageRejected(self.world.time(), self.name))
-        self.world.later(self.world.way(0.5), self.hear, False, told.retry_after)
+        self.world.later(self.world.way(0.5), self.hear, False, told.retry_after_us)
 
     def withdrawn(self) -> None: ...
 
@@ -180,7 +180,7 @@
         wait = int(fate.wait * SECOND)
         if wait:
             sender.engine.retry_after_received(endpoint, wait)
-        return AttemptResult(fate.outcome, finished=fate.outcome is Outcome.OK, wait=wait)
+        return AttemptResult(fate.outcome, is_final=fate.outcome is Outcome.OK, retry_after_us=wait)
 
     def poll_unread(self) -> None: ...
     def close_idle(self, endpoint: str) -> None: ...
--- a/message_sender/emulator/simulated_run.py
+++ b/message_sender/emulator/simulated_run.py
@@ -206,7 +206,7 @@
             life.engine.retry_after_received(endpoint, told)
             # The head is here, the rest comes, or its time is up.
             await asyncio.sleep(min(life.way(), max(deadline - loop.time(), 0.0)))
-        return AttemptResult(outcome, finished=outcome is Outcome.OK, wait=told)
+        return AttemptResult(outcome, is_final=outcome is Outcome.OK, retry_after_us=told)
 
     def poll_unread(self) -> None:
         """What has come is heard at once."""
--- a/message_sender/grpc/channel.py
+++ b/message_sender/grpc/channel.py
@@ -58,7 +58,7 @@
         return True
 
     def rejected(self, told: Rejected) -> None:
-        self._fail(refusal(f"turned away: {told.why.value}", told.retry_after))
+        self._fail(refusal(f"turned away: {told.reason.value}", told.retry_after_us))
 
     def withdrawn(self) -> None:
         """The host cancelled before it was taken on."""
@@ -71,7 +71,7 @@
                 name, _, text = end.status.partition(" ")
                 self._fail(error(Code[name], text))
             case CompletionState.REFUSED:
-                self._fail(refusal("refused", end.retry_after))
+                self._fail(refusal("refused", end.retry_after_us))
             case CompletionState.WITHDRAWN:
                 self._fail(error(Code.CANCELLED, "the endpoint wants it no more"))
             case _:
@@ -230,7 +230,7 @@
     # The engine's completion_listener: what nobody waits for is kept until it is collected.
 
     def notify(self, message: str, end: Completion) -> bool:
-        self.answers.keep(message, end.state.value, end.retry_after, end.reply, end.status)
+        self.answers.keep(message, end.state.value, end.retry_after_us, end.reply, end.status)
         return False
 
     async def run(self) -> None:
--- a/message_sender/grpc/status_mapping.py
+++ b/message_sender/grpc/status_mapping.py
@@ -55,9 +55,9 @@
     """The fate of an attempt that was handed to an open connection and ended with `code`. `retry_after` is
     the endpoint's RetryInfo in seconds, None where it sent none."""
     if code is Code.OK:
-        return AttemptResult(Outcome.OK, finished=True, reply=reply)
+        return AttemptResult(Outcome.OK, is_final=True, reply=reply)
     if code in MAY_BE_TURNED_AWAY and retry_after is not None:
-        return AttemptResult(Outcome.FULL, wait=clamped_wait(retry_after))
+        return AttemptResult(Outcome.FULL, retry_after_us=clamped_wait(retry_after))
     if code in FINAL:
-        return AttemptResult(Outcome.OK, finished=True, status=f"{code.name} {details}".strip())
+        return AttemptResult(Outcome.OK, is_final=True, status=f"{code.name} {details}".strip())
     return AttemptResult(MAY_HAVE_RUN[code])
--- a/message_sender/grpc/transport.py
+++ b/message_sender/grpc/transport.py
@@ -120,8 +120,8 @@
             answer = fate(error.code(), told, details=error.details() or "")
         else:
             answer = fate(grpc.StatusCode.OK, None, reply=reply)
-        if answer.wait:
-            self.retry_after_received(endpoint, answer.wait)
+        if answer.retry_after_us:
+            self.retry_after_received(endpoint, answer.retry_after_us)
         return answer
 
     def method(self, endpoint: str, channel: grpc.aio.Channel, name: str) -> Any:  # noqa: ANN401
--- a/message_sender/http/client.py
+++ b/message_sender/http/client.py
@@ -36,10 +36,10 @@
     """The protocol's table. A status that it does not name may have run."""
     match response.status_code:
         case 200:
-            return AttemptResult(Outcome.OK, finished=True)
+            return AttemptResult(Outcome.OK, is_final=True)
         case 429:
             told = decimal(header(response.headers, b"retry-after") or "") or 0.0
-            return AttemptResult(Outcome.FULL, wait=clamped_wait(told))
+            return AttemptResult(Outcome.FULL, retry_after_us=clamped_wait(told))
         case 503 if header(response.headers, b"x-egress-full") == "1":
             return AttemptResult(Outcome.NOT_SENT)
         case 503:
@@ -47,7 +47,7 @@
         case 504:
             return AttemptResult(Outcome.NOT_SENT)
         case 410:
-            return AttemptResult(Outcome.NOT_SENT, finished=True)
+            return AttemptResult(Outcome.NOT_SENT, is_final=True)
         case _:
             return AttemptResult(Outcome.ERROR)
 
@@ -95,7 +95,7 @@
         self.closing = False  # no call begins any more
         self.draining: set[asyncio.Task[None]] = set()
         self.reports = ErrorReports()
-        self.witness: TrafficObserver | None = None  # of connections that are opened from now on
+        self.observer: TrafficObserver | None = None  # of connections that are opened from now on
         #: Of budgets that a fleet shares. Asked as a connection to an endpoint is about to open for a
         #: message: what to call once it is closed, or None: it may not.
         self.opens: Callable[[str, str], Callable[[], None] | None] = lambda endpoint, name: nothing
@@ -144,7 +144,7 @@
                 if loop.time() >= deadline:
                     raise TimeoutError  # the loop was late: whether this still was a delivery is not known
                 answer = answer_from(response)
-                if wait := answer.wait:
+                if wait := answer.retry_after_us:
                     self.retry_after_received(endpoint, wait)
                 if self.limit_told and (limit := told_limit(response)):
                     self.limit_told(endpoint, *limit)
@@ -168,21 +168,23 @@
         except TimeoutError:
             given_up = written
             lying = self.lying(endpoint, connection) if connection else None
-            wait = lying.wait if lying else wait
-            return AttemptResult(Outcome.TIMEOUT if written else Outcome.CONNECT_FAILED, wait=wait)
+            wait = lying.retry_after_us if lying else wait
+            return AttemptResult(Outcome.TIMEOUT if written else Outcome.CONNECT_FAILED, retry_after_us=wait)
         except MalformedMessageError as error:
             # It may have run; a first line of 200 is true all the same.
             if error.status == 200:
                 if isinstance(error, IncompleteHeadError) and connection:
                     kept = self.read_rest(endpoint, connection, connection.skip_answer())
-                return AttemptResult(Outcome.OK, finished=True)
-            return AttemptResult(Outcome.MALFORMED, wait=wait)
+                return AttemptResult(Outcome.OK, is_final=True)
+            return AttemptResult(Outcome.MALFORMED, retry_after_us=wait)
         except BROKEN:
             if kept_one:  # it had been given up over there, unseen here, and so may have been the others
                 self.close_idle(endpoint)
-                return AttemptResult(Outcome.STALE if written else Outcome.NOT_SENT, wait=wait)
+                return AttemptResult(Outcome.STALE if written else Outcome.NOT_SENT, retry_after_us=wait)
             if written or not connection:
-                return AttemptResult(Outcome.RESET if written else Outcome.CONNECT_FAILED, wait=wait)
+                return AttemptResult(
+                    Outcome.RESET if written else Outcome.CONNECT_FAILED, retry_after_us=wait
+                )
             return self.ahead(endpoint, connection) or AttemptResult(Outcome.CONNECT_FAILED)
         finally:
             self.unsent.discard(task)
@@ -218,8 +220,8 @@
         if not isinstance(response := connection.head(), fast_path.ResponseHead):
             return None
         answer = answer_from(response)
-        if answer.wait:
-            self.retry_after_received(endpoint, answer.wait)
+        if answer.retry_after_us:
+            self.retry_after_received(endpoint, answer.retry_after_us)
         return answer
 
     def lying(self, endpoint: str, connection: ClientConnection) -> AttemptResult | None:
@@ -263,8 +265,8 @@
         finally:
             self.connecting -= 1
         connection.quick = True
-        if self.witness:
-            connection.seen = ObservedConnection(self.witness, connection.sock.getsockname(), address)
+        if self.observer:
+            connection.observed = ObservedConnection(self.observer, connection.sock.getsockname(), address)
         try:
             self.unread.add(connection)
         except OSError:
@@ -282,7 +284,7 @@
             except OSError as error:
                 if cause_of(error) is not Cause.SHORTAGE:
                     raise
-                self.reports.tell(error, "opening a connection")
+                self.reports.report(error, "opening a connection")
             if self.idle:
                 self.close_one(next(iter(self.idle)))
             await asyncio.sleep(SHORTAGE_PAUSE)
--- a/message_sender/http/codec.py
+++ b/message_sender/http/codec.py
@@ -88,7 +88,7 @@
         self.interim = 0  # 1xx answers ahead of this one
         #: The head of the answer, or why there is none.
         self.found: fast_path.ResponseHead | MalformedMessageError | ConnectionResetError | None = None
-        self.seen: ObservedConnection | None = None  # what a witness of its traffic has of it
+        self.observed: ObservedConnection | None = None  # what a witness of its traffic has of it
         self.quick = False  # requests are written, and usual answers read, without the codec
         self.believed = False  # the first line has counted: the rest of its head is only read
 
@@ -143,8 +143,8 @@
             try:
                 begun = len(data) - self.unsent
                 self.unsent -= self.sock.send(data[begun:])
-                if self.seen:
-                    self.seen.passed(0, bytes(data[begun : len(data) - self.unsent]))
+                if self.observed:
+                    self.observed.passed(0, bytes(data[begun : len(data) - self.unsent]))
             except (BlockingIOError, InterruptedError):
                 await self.writable()
 
@@ -206,8 +206,8 @@
         except TimeoutError as error:
             # The network's ETIMEDOUT; read as our own patience's end, it would pass for a call given up.
             raise ConnectionResetError(str(error)) from None
-        if self.seen:
-            self.seen.passed(1, data)
+        if self.observed:
+            self.observed.passed(1, data)
         self.take_in(data)
         return True
 
@@ -347,7 +347,7 @@
 
     def close(self) -> None:
         """Never raises: close(2) frees the descriptor, whatever else it has to say of the connection."""
-        if self.seen:
-            self.seen.ended(0, reset=False)
+        if self.observed:
+            self.observed.ended(0, reset=False)
         self.stop_watching()
         close(self.sock)
--- a/message_sender/http/discovery.py
+++ b/message_sender/http/discovery.py
@@ -218,8 +218,8 @@
         if end.state not in STATES:
             return False
         notice: dict[str, Any] = {"id": message, "state": STATES[end.state]}
-        if end.retry_after:
-            notice["after_ms"] = -(-end.retry_after // 1000)
+        if end.retry_after_us:
+            notice["after_ms"] = -(-end.retry_after_us // 1000)
         self.notices[message] = json.dumps(notice)
         self.has_notices.set()
         return True
--- a/message_sender/http/server.py
+++ b/message_sender/http/server.py
@@ -132,15 +132,15 @@
         self.answering = self.discarding = False
         self.proven = self.queued = False  # has asked for what could be given; waits to be read on
         self.handed_in = False  # ever
-        self.seen: ObservedConnection | None = None
+        self.observed: ObservedConnection | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        if self.server.witness:
+        if self.server.observer:
             ends = transport.get_extra_info("peername"), transport.get_extra_info("sockname")
-            self.seen = ObservedConnection(self.server.witness, *ends)
-            self.transport = cast(asyncio.Transport, ObservedTransport(transport, self.seen))
+            self.observed = ObservedConnection(self.server.observer, *ends)
+            self.transport = cast(asyncio.Transport, ObservedTransport(transport, self.observed))
         if self not in self.server.connections:
             transport.abort()  # closed to make room before it was up
         elif self.server.frozen:
@@ -167,12 +167,12 @@
 
     def broke(self, error: Exception, doing: str) -> None:
         """Whatever a call on this client's socket raised ends this connection and touches nobody else."""
-        self.server.reports.tell(error, doing)
+        self.server.reports.report(error, doing)
         self.meets(ConnectionEvent.GONE)
 
     def connection_lost(self, error: Exception | None) -> None:
-        if self.seen:
-            self.seen.ended(0, reset=error is not None)
+        if self.observed:
+            self.observed.ended(0, reset=error is not None)
         self.server.forget(self)
 
     def get_buffer(self, sizehint: int) -> bytearray:
@@ -185,8 +185,8 @@
             self.broke(error, "reading")
 
     def receive(self, data: memoryview) -> None:
-        if self.seen:
-            self.seen.passed(0, bytes(data))
+        if self.observed:
+            self.observed.passed(0, bytes(data))
         if self.server.frozen and not self.discarding:
             self.stashed += bytes(data)
             return
@@ -408,7 +408,7 @@
             elif step is ConnectionAction.SHUT and self.transport:
                 self.leave()
         except Exception as error:
-            self.server.reports.tell(error, "ending a connection")
+            self.server.reports.report(error, "ending a connection")
             step = ConnectionAction.CLOSE
         if step is ConnectionAction.CLOSE:
             self.close()
@@ -426,8 +426,8 @@
         return False
 
     def rejected(self, told: Rejected) -> None:
-        text = "this id is another message's" if told.why is RejectReason.OTHER_ID else ""
-        self.answer(429 if told.why is RejectReason.REFUSED else 503, told.retry_after, text)
+        text = "this id is another message's" if told.reason is RejectReason.OTHER_ID else ""
+        self.answer(429 if told.reason is RejectReason.REFUSED else 503, told.retry_after_us, text)
 
     def withdrawn(self) -> None:
         self.transport.close()
@@ -503,7 +503,7 @@
         self.refused_unread: Callable[[str], None] = lambda message_class: None
         self.accepted = 0  # ever
         self.reports = ErrorReports()
-        self.witness: TrafficObserver | None = None  # of connections that come from now on
+        self.observer: TrafficObserver | None = None  # of connections that come from now on
         self.listener: socket.socket | None = None
         self.place: Address | None = None  # where it listens, with the port that the system gave
 
@@ -621,7 +621,7 @@
             # system held back would be lost with a reset.
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         except OSError as error:
-            self.reports.tell(error, "taking in")
+            self.reports.report(error, "taking in")
             close(sock)
             return
         self.connections.add(connection)
--- a/message_sender/management/server.py
+++ b/message_sender/management/server.py
@@ -186,7 +186,7 @@
             self.broke(caller, error)
 
     def broke(self, caller: ManagementConnection, error: Exception) -> None:
-        self.reports.tell(error, "an operator's call")
+        self.reports.report(error, "an operator's call")
         self.end(caller)
 
     def end(self, caller: ManagementConnection) -> None:
--- a/message_sender/service/daemon.py
+++ b/message_sender/service/daemon.py
@@ -181,7 +181,7 @@
         error = context.get("exception")
         if transport := transport_in(context):
             if isinstance(error, Exception):
-                self.server.reports.tell(error, str(context.get("message")))
+                self.server.reports.report(error, str(context.get("message")))
             if isinstance(transport, asyncio.WriteTransport):
                 transport.abort()
             return
--- a/message_sender/service/process_handover.py
+++ b/message_sender/service/process_handover.py
@@ -48,7 +48,7 @@
     return {
         "inherited": asdict(handed.inherited),
         "calls": {name: [number, asdict(call)] for name, (number, call) in handed.calls.items()},
-        "ending": {name: [end.state.value, end.retry_after] for name, end in handed.ending.items()},
+        "ending": {name: [end.state.value, end.retry_after_us] for name, end in handed.ending.items()},
         "shares": handed.shares,
         "ended": handed.ended,
     }
@@ -183,7 +183,7 @@
     def tell_fate(self, name: str, number: int, answer: AttemptResult) -> None:
         if self.seat.link:
             told = {"do": "fate", "message": name, "attempt": number, "outcome": answer.outcome.value}
-            self.seat.link.send(told | {"finished": answer.finished, "wait": answer.wait})
+            self.seat.link.send(told | {"finished": answer.is_final, "wait": answer.retry_after_us})
 
     def message_received(self, told: Packet) -> None:
         if told.get("do") == "call off":
--- a/message_sender/service/standalone.py
+++ b/message_sender/service/standalone.py
@@ -53,8 +53,8 @@
 
     def notify(self, message: str, end: Completion) -> bool:
         told: dict[str, object] = {"id": message, "state": end.state.value, "at": round(time.time(), 3)}
-        if end.retry_after:
-            told["retry_after_ms"] = -(-end.retry_after // 1000)
+        if end.retry_after_us:
+            told["retry_after_ms"] = -(-end.retry_after_us // 1000)
         print(json.dumps(told), file=self.out, flush=True)
         self.heard(message, end)
         return False
@@ -172,7 +172,7 @@
         self.control = ControlSocket(state, self.commands())
         super().__init__(engine, config.listen, config.sockets)
         self.plug(self.overrides, completion_listener)
-        self.server.witness = self.transport.witness = witness
+        self.server.observer = self.transport.observer = witness
         self.learned: LearnedState | None = None
         if self.beginning:
             from message_sender.service import learned_state
--- a/tests/conformance/test_captured.py
+++ b/tests/conformance/test_captured.py
@@ -20,7 +20,7 @@
     """What clients sent to a daemon that writes its traffic, as its capture has it."""
     async with DaemonSide(folder / "recorded", made.acts) as side:
         tap = TrafficTap(folder / "captures", 10**7)
-        side.sender.server.witness = side.sender.transport.witness = tap
+        side.sender.server.observer = side.sender.transport.observer = tap
         for message in made.messages:
             await side.hand_in(message)
         await side.all_ended(*(each.id for each in made.messages))
--- a/tests/conformance/test_plugin.py
+++ b/tests/conformance/test_plugin.py
@@ -62,14 +62,16 @@
 def test_every_status_has_its_row(code: grpc.StatusCode) -> None:
     answer = fate(code, None)
     if code is Code.OK:
-        assert answer == AttemptResult(Outcome.OK, finished=True)
+        assert answer == AttemptResult(Outcome.OK, is_final=True)
     elif code in FINAL:
-        assert answer == AttemptResult(Outcome.OK, finished=True, status=code.name)
+        assert answer == AttemptResult(Outcome.OK, is_final=True, status=code.name)
     else:
         assert answer == AttemptResult(MAY_HAVE_RUN[code])
         assert answer.outcome not in NEVER_RAN, "only the endpoint's word proves that a call did not run"
     said = fate(code, 0.25)
-    assert said == (AttemptResult(Outcome.FULL, wait=250_000) if code in MAY_BE_TURNED_AWAY else answer)
+    assert said == (
+        AttemptResult(Outcome.FULL, retry_after_us=250_000) if code in MAY_BE_TURNED_AWAY else answer
+    )
 
 
 def test_retry_info_is_read_as_it_is_written_and_noise_is_none() -> None:
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -20,14 +20,14 @@
 from message_sender.policy.model import NEVER_RAN, Outcome
 
 ANSWERS = [
-    ("200", (), AttemptResult(Outcome.OK, finished=True)),
+    ("200", (), AttemptResult(Outcome.OK, is_final=True)),
     ("500", (), AttemptResult(Outcome.ERROR)),
-    ("429", ("Retry-After: 0.25",), AttemptResult(Outcome.FULL, wait=250_000)),
+    ("429", ("Retry-After: 0.25",), AttemptResult(Outcome.FULL, retry_after_us=250_000)),
     ("429", ("Retry-After: soon",), AttemptResult(Outcome.FULL)),
     ("503", (), AttemptResult(Outcome.FULL)),
     ("503", ("X-Egress-Full: 1",), AttemptResult(Outcome.NOT_SENT)),
     ("504", (), AttemptResult(Outcome.NOT_SENT)),
-    ("410", (), AttemptResult(Outcome.NOT_SENT, finished=True)),
+    ("410", (), AttemptResult(Outcome.NOT_SENT, is_final=True)),
     ("302", (), AttemptResult(Outcome.ERROR)),
 ]
 
@@ -139,7 +139,7 @@
     return "\r\n".join([f"HTTP/1.1 {status}", *lines, "", ""])
 
 
-DELIVERED, MAY_HAVE_RUN = AttemptResult(Outcome.OK, finished=True), AttemptResult(Outcome.MALFORMED)
+DELIVERED, MAY_HAVE_RUN = AttemptResult(Outcome.OK, is_final=True), AttemptResult(Outcome.MALFORMED)
 SPOILT = [
     ("\x16\x03\x01 noise", MAY_HAVE_RUN),
     ("nonsense\r\n\r\n", MAY_HAVE_RUN),
@@ -187,7 +187,7 @@
                 going = call(client, receiver.address, timeout=3600)
                 (await receiver.next()).write(text)
                 told = await soon(going)
-                assert told == answer or (told.outcome is answer and told.wait == 2_000_000)
+                assert told == answer or (told.outcome is answer and told.retry_after_us == 2_000_000)
                 await soon(receiver.ends.get())
 
     monkeypatch.setattr(http, "HEAD_PATIENCE", 0.05)
@@ -252,7 +252,7 @@
 
 def test_a_wait_longer_than_any_message_lives_is_cut() -> None:
     response = h11.Response(status_code=429, headers=[("Retry-After", "999999999999")])
-    assert answer_from(response) == AttemptResult(Outcome.FULL, wait=3_600_000_000)
+    assert answer_from(response) == AttemptResult(Outcome.FULL, retry_after_us=3_600_000_000)
 
 
 @play
@@ -477,7 +477,7 @@
 @pytest.mark.parametrize(
     ("text", "answer"),
     [
-        (REFUSAL.format(429), AttemptResult(Outcome.FULL, wait=2_500_000)),
+        (REFUSAL.format(429), AttemptResult(Outcome.FULL, retry_after_us=2_500_000)),
         (REFUSAL.format(503), AttemptResult(Outcome.FULL)),
         (REFUSAL.format(200), AttemptResult(Outcome.CONNECT_FAILED)),  # of no call of ours: none has gone
         ("HTTP/1.1 42", AttemptResult(Outcome.CONNECT_FAILED)),
@@ -492,7 +492,7 @@
         crossing, waits = Crossing(), []
         crossing.client.retry_after_received = lambda endpoint, wait: waits.append((endpoint, wait))
         assert await crossing.meets(says(text), resets) == answer
-        assert waits == ([("r", answer.wait)] if answer.wait else [])
+        assert waits == ([("r", answer.retry_after_us)] if answer.retry_after_us else [])
 
     play(test)(Path())
 
--- a/tests/test_late.py
+++ b/tests/test_late.py
@@ -258,8 +258,8 @@
         if passes:
             asyncio.get_running_loop().call_soon(self.tells_later, name, answer, passes - 1)
             return
-        if answer.wait:
-            self.engine.retry_after_received("r", answer.wait)
+        if answer.retry_after_us:
+            self.engine.retry_after_received("r", answer.retry_after_us)
         if not self.fates[name].done():
             self.fates[name].set_result(answer)
 
@@ -281,7 +281,7 @@
         await until(lambda: transport.went == ["m"])
         s.take("n")
         s.late.passed += 0.2 if late else 0.0
-        transport.tells_later("m", AttemptResult(Outcome.FULL, wait=5_000_000))
+        transport.tells_later("m", AttemptResult(Outcome.FULL, retry_after_us=5_000_000))
         s.engine.run_iteration()
         await until(
             lambda: "n" not in {name for name, _ in s.engine.attempts.calls} or transport.went == ["m", "n"]
@@ -298,7 +298,7 @@
         caller = s.take("m")
         await until(lambda: transport.went == ["m"])
         s.engine.inbox_since = s.engine.loop.time() - 0.2
-        transport.tells_later("m", AttemptResult(Outcome.OK, finished=True))
+        transport.tells_later("m", AttemptResult(Outcome.OK, is_final=True))
         s.engine.act(CancelAttempt("m", 0), set())
         await until(lambda: bool(caller.ends))
         assert caller.ends[0].state.value == "delivered" and transport.went == ["m"]
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -225,7 +225,7 @@
     (state / "s").mkdir()
     async with World(state / "s") as world:
         tap = TrafficTap(state / "c", 1_000_000, secrets=["idempotency-key"])
-        world.sender.server.witness = world.sender.transport.witness = tap
+        world.sender.server.observer = world.sender.transport.observer = tap
         reader, writer = await asyncio.open_connection(*world.running.address)
         for name in ("m1", "m2"):
             writer.write(message(name, b"body"))
--- a/tests/test_sender.py
+++ b/tests/test_sender.py
@@ -2,13 +2,13 @@
 
 import asyncio
 import json
-from dataclasses import replace
 from pathlib import Path
 
 import pytest
 from faults import turn as loop_turn
 from peers import KEYED, PATIENCE, READY, Running, World, ask, host, message, play, read_reply, soon, tell
 
+from message_sender.core.restoration import Restoration
 from message_sender.handover.drain import GRACE
 from message_sender.http import server as module
 from message_sender.http.server import ACCEPTS
@@ -77,7 +77,7 @@
 @play
 async def test_no_more_than_the_settings_allow_are_held(state: Path) -> None:
     async with World(state) as world:
-        world.sender.engine.settings = replace(world.sender.engine.settings, max_open=1)
+        world.sender.engine.arrivals.max_messages = 1
         assert (await world.hand_in("m1")).status == 202
         reply = await world.hand_in("m2")
         assert reply.status == 503 and float(reply.headers["retry-after"]) > 0
@@ -318,7 +318,8 @@
             world.sender.stop(0)
             await world.running.task
             again = PlatformSender(config_from(world.told, state)).engine
-            restored = again.restored(again.journal.entries["m1"])
+            restoration = Restoration(again.table, again.attempts, again.arrivals, again.directory, again.now)
+            restored = restoration.restored(again.journal.entries["m1"])
             assert (restored.attempts, restored.risky_since, restored.risky_zone) == (3, 1001, "z1")
 
     play(test)(tmp_path)
--- a/tests/test_storms.py
+++ b/tests/test_storms.py
@@ -19,7 +19,14 @@
 from faults import turn, until
 from peers import READY, Held, World, handed_in, host, message, play, read_reply, soon, tell
 
-from message_sender.core.socket_errors import REPORT_SPAN, REPORTS, Cause, ErrorReports, cause_of, describe
+from message_sender.core.socket_errors import (
+    REPORT_INTERVAL_S,
+    REPORTS_LIMIT,
+    Cause,
+    ErrorReports,
+    cause_of,
+    describe,
+)
 from message_sender.http.client import HttpTransport as Transport
 from message_sender.http.codec import Address
 from message_sender.http.server import ServerConnection
@@ -135,7 +142,7 @@
         """What a late loop does before it looks at its sockets again, in either order."""
         self.passed += seconds
         engine = self.sender.engine
-        reading, turning = type(self.server).read_some, type(engine).turn
+        reading, turning = type(self.server).read_some, type(engine).run_iteration
         steps: list[Callable[[], object]] = [lambda: reading(self.server), lambda: turning(engine)]
         for each in (self.server.expire, *steps) if sweep_first else (*steps, self.server.expire):
             each()
@@ -448,14 +455,14 @@
     now = 0.0
     reports = ErrorReports(lambda: now)
     caplog.set_level("INFO")
-    for _ in range(10 * REPORTS):
-        reports.tell(ConnectionResetError(errno.ECONNRESET, "reset"), "reading")
-    assert len(caplog.records) == REPORTS
-    now = REPORT_SPAN
-    reports.tell(ConnectionResetError(errno.ECONNRESET, "reset"), "reading")
-    assert [each.getMessage() for each in caplog.records[REPORTS:]] == [
-        f"{9 * REPORTS} more connections ended in trouble",
-        "a connection ended (peer), reading: [Errno 104] reset",
+    for _ in range(10 * REPORTS_LIMIT):
+        reports.report(ConnectionResetError(errno.ECONNRESET, "reset"), "reading")
+    assert len(caplog.records) == REPORTS_LIMIT
+    now = REPORT_INTERVAL_S
+    reports.report(ConnectionResetError(errno.ECONNRESET, "reset"), "reading")
+    assert [each.getMessage() for each in caplog.records[REPORTS_LIMIT:]] == [
+        f"connections closed on errors: unreported={9 * REPORTS_LIMIT}",
+        "connection closed: cause=peer operation=reading error=[Errno 104] reset",
     ]
 
 
