--- a/message_sender/core/arrivals.py
+++ b/message_sender/core/arrivals.py
@@ -3,6 +3,7 @@
 import logging
 from collections.abc import Callable
 from functools import partial
+from typing import Protocol
 
 from message_sender.core.hooks import EngineHooks
 from message_sender.core.message_table import EventSink, MessageTable
@@ -22,6 +23,12 @@
     return isinstance(event, MessageAccepted) and event.message == message_id
 
 
+class ArrivalOwner(EventSink, Protocol):
+    """What arrivals need of the engine: a sink for events, and microseconds since the epoch."""
+
+    now: Callable[[], int]
+
+
 class Arrivals:
     """Checks submitted messages, and answers their callers once the policy has decided."""
 
@@ -30,15 +37,13 @@
         dispatcher: Dispatcher,
         table: MessageTable,
         hooks: EngineHooks,
-        events: EventSink,
-        now: Callable[[], int],
+        owner: "ArrivalOwner",
     ) -> None:
-        """`now`: microseconds since the epoch."""
+        """`owner`: the engine."""
         self.dispatcher = dispatcher
         self.table = table
         self.hooks = hooks
-        self.events = events
-        self.now = now
+        self.owner = owner
         self.max_messages = dispatcher.settings.max_open
 
     def submit(self, message: Message, caller: Caller) -> None:
@@ -57,7 +62,7 @@
             self.table.reject(message, caller, RejectReason.NOT_YET, delay_us)
         else:
             self.table.arrivals[message.id] = message, caller
-            self.events.post(self.acceptance_of(message))
+            self.owner.post(self.acceptance_of(message))
 
     def _is_full(self) -> bool:
         messages = len(self.dispatcher.messages) + len(self.table.arrivals)
@@ -69,7 +74,7 @@
             message=message.id,
             message_class=message.message_class,
             destination=message.destination,
-            time_left=message.deadline_us - self.now(),
+            time_left=message.deadline_us - self.owner.now(),
             tenant=message.tenant,
             key=message.key,
             is_repeat=message.is_repeat,
@@ -104,7 +109,7 @@
             else:
                 self.reject(message, caller, RejectReason.NO_DISK)
                 rejected.add(message_id)
-                self.events.post(MessageWithdrawn(message_id))
+                self.owner.post(MessageWithdrawn(message_id))
         return rejected
 
     def _confirm(self, message: Message, caller: Caller, is_durable: bool) -> None:
@@ -117,4 +122,4 @@
             self.table.reject(message, caller, RejectReason.REFUSED, action.retry_after)
         else:
             self.reject(message, caller, RejectReason.REFUSED)
-        self.events.post(EndAcknowledged(action.message))
+        self.owner.post(EndAcknowledged(action.message))
--- a/message_sender/core/engine.py
+++ b/message_sender/core/engine.py
@@ -105,7 +105,7 @@
         class_names = (each.name for each in config.settings.classes)
         self.table = MessageTable(self.journal, class_names, self, self.hooks)
         self.attempts = Attempts(self, self.dispatcher, self.table, self.hooks)
-        self.arrivals = Arrivals(self.dispatcher, self.table, self.hooks, self, self.now)
+        self.arrivals = Arrivals(self.dispatcher, self.table, self.hooks, self)
         self.inbox: list[PolicyEvent] = []
         self.inbox_since = self.loop.time()
         self.periodic_tasks: list[Callable[[], None]] = []
--- a/message_sender/emulator/wire.py
+++ b/message_sender/emulator/wire.py
@@ -108,7 +108,7 @@
     def start(self) -> None:
         inside(self.name, super().start)
         inside(self.name, self.http.server.listen, self.name, PORT)
-        self.http.server.ready = True
+        self.http.server.is_ready = True
 
     def plug(self) -> None:
         taken = self.engine.journal.record_accepted
--- a/message_sender/service/daemon.py
+++ b/message_sender/service/daemon.py
@@ -93,7 +93,7 @@
             engine.retry_after_received,
         )
         self.transport.sent = engine.table.counts.sent
-        self.server.refused_unread = lambda name: engine.table.counts.ended(name, CompletionState.REFUSED)
+        self.server.count_rejected = lambda name: engine.table.counts.ended(name, CompletionState.REFUSED)
         engine.periodic_tasks += [self.server.expire, self.stop_if_done]
         engine.hooks.add(self)
 
@@ -122,7 +122,7 @@
         loop.add_signal_handler(signal.SIGINT, self.terminate)
         self.engine.start(self.handed())
         self.server.listen(*self.listen, self.inherited)
-        self.server.ready = not self.server.stopping
+        self.server.is_ready = not self.server.is_stopping
         host, port = self.server.address()[:2]
         log.info("%s: ready on %s:%d", self.engine.config.name, host, port)
 
@@ -169,7 +169,7 @@
         engine, server = self.engine, self.server
         if self.drain.ends_at() is None or server.listener or engine.attempts.calls or engine.journal.entries:
             return
-        if not server.owes():
+        if not server.has_clients():
             engine.stop(0)
 
     def stop(self, code: int) -> None:
--- a/message_sender/service/process_handover.py
+++ b/message_sender/service/process_handover.py
@@ -16,7 +16,7 @@
 from message_sender.handover.link import Packet
 from message_sender.handover.takeover import OwnershipHandover
 from message_sender.http.discovery import EndpointList
-from message_sender.http.server import ServerConnection
+from message_sender.http.server_connection import ServerConnection
 from message_sender.policy.events import CallInFlight, InheritedState
 from message_sender.policy.model import Endpoint, Outcome
 
@@ -170,14 +170,14 @@
     def release(self) -> None:
         sender = self.sender
         sender.engine.release(self.tell_fate)
-        sender.server.let_go(self.pass_on)
+        sender.server.release(self.pass_on)
         sender.transport.close_all_idle()
         asyncio.get_running_loop().call_later(STAYS, sender.terminate)
 
     def pass_on(self, connection: ServerConnection, read: bytes, done: Callable[[], None]) -> None:
         assert self.seat.link is not None
         told = {"do": "client", "read": base64.b64encode(read).decode()}
-        told |= {"began": connection.began, "handed_in": connection.handed_in}  # type: ignore[dict-item]
+        told |= {"began": connection.began, "handed_in": connection.has_submitted}  # type: ignore[dict-item]
         self.seat.link.send(told, (connection.sock.fileno(),), done)
 
     def tell_fate(self, name: str, number: int, answer: AttemptResult) -> None:
--- a/message_sender/service/standalone.py
+++ b/message_sender/service/standalone.py
@@ -210,7 +210,7 @@
             log.warning("fleet: %s keeps %s out of service, which is not done here: %s", by, endpoint, error)
 
     def set_ready(self, ready: bool) -> None:
-        self.server.ready = ready and self.server.listener is not None and not self.server.stopping
+        self.server.is_ready = ready and self.server.listener is not None and not self.server.is_stopping
 
     async def start(self) -> None:
         waits = self.learned.read() if self.learned else {}
--- a/tests/compatibility/samples.py
+++ b/tests/compatibility/samples.py
@@ -489,9 +489,9 @@
         classes = {each.name: each for each in (SAFE, KEYED)}
         server = Server(classes, take, lambda: 1_000_000, 50, named=lambda number: number != 99)
         server.listen("127.0.0.1", 0)
-        server.ready = True
+        server.is_ready = True
         found = {name: await ask(server, data) for name, data in REQUESTS.items()}
-        server.ready = False
+        server.is_ready = False
         found["not-ready"] = await ask(server, REQUESTS["ready"])
         server.close()
         return found
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -88,9 +88,9 @@
 
 async def resting(server: Server, name: str = "m0") -> Client:
     """One that has had its answer and rests."""
-    client, seen = Client(server.address()), len(server.idle)
+    client, seen = Client(server.address()), len(server.table.idle)
     client.send(message(name))
-    await until(lambda: len(server.idle) > seen)
+    await until(lambda: len(server.table.idle) > seen)
     assert client.sock.recv(1000).startswith(b"HTTP/1.1 202")
     return client
 
@@ -131,7 +131,7 @@
     async with serving() as (server, taken):
         client = Client(server.address())
         client.send(message("m0"))
-        await until(lambda: len(server.idle) == 1)
+        await until(lambda: len(server.table.idle) == 1)
         overdue(server)
         server.expire()
         client.send(message("m1"))
@@ -163,7 +163,7 @@
     async with serving() as (server, taken):
         client, quiet = await resting(server), await resting(server, "m1")
         silent, fresh = Client(server.address()), Client(server.address())
-        await until(lambda: len(server.silent) == 2)
+        await until(lambda: len(server.table.silent) == 2)
         server.send_away()
         client.send(message("m2"))
         fresh.send(message("m3"))
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -147,7 +147,11 @@
     scenario: Callable[[Stage], Awaitable[None]],
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    for module, pause in ((server, "ACCEPT_PAUSE"), (discovery, "NOTICE_PAUSE"), (client, "SHORTAGE_PAUSE")):
+    for module, pause in (
+        (server, "ACCEPT_RETRY_S"),
+        (discovery, "NOTICE_PAUSE"),
+        (client, "SHORTAGE_PAUSE"),
+    ):
         monkeypatch.setattr(module, pause, 0.0)
 
     async def test(faults: Faults) -> None:
@@ -181,7 +185,7 @@
         await until(lambda: stage.faults.struck == 1)
     else:
         await until(lambda: len(sender.server.connections) == 2)
-        (own,) = [each for each in sender.server.connections if not each.handed_in]
+        (own,) = [each for each in sender.server.connections if not each.has_submitted]
         await until(lambda: own.transport is not None and own.transport.is_reading())
         await turn()  # the loop reads from it now
         stage.at("silent", "client")
@@ -208,7 +212,7 @@
         elif faulty_stage in ("bad", "leaving"):
             stage.at("bad", "client")
             held.writer.write(b"noise\r\n\r\n")
-            await until(lambda: own.discarding)
+            await until(lambda: own.is_discarding)
             stage.at("leaving", "client")
             held.writer.write(b"more noise")
         elif faulty_stage == "silent" and stage.case[1] == "recv_into":
@@ -237,7 +241,7 @@
     await until(lambda: stage.faults.struck == 1)
     await until(lambda: stage.sender.server.listener.fileno() >= 0)
     # Where it made room, that was the one connection that served nobody: the bystander's, between requests.
-    if not stage.sender.server.idle:
+    if not stage.sender.server.table.idle:
         stage.bystander = await Held.open(stage.sender.server)  # type: ignore[attr-defined]
 
 
--- a/tests/test_manage.py
+++ b/tests/test_manage.py
@@ -100,7 +100,7 @@
             ),
         ):
             assert (await ask(address, bad)).status == status
-        assert world.sender.server.ready
+        assert world.sender.server.is_ready
 
 
 def test_without_an_address_nothing_listens_and_a_bad_one_is_named(tmp_path: Path) -> None:
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -11,7 +11,9 @@
 from peers import READY, Held, Reply, ask, message, play, read_reply, soon
 
 from message_sender.http.connection_state import IDLE_LIMIT, LINGER, READ_LIMIT
-from message_sender.http.server import LINGER_BYTES, ON_THE_WAY, Server, ServerConnection
+from message_sender.http.request_parsing import TRANSIT_ALLOWANCE_US
+from message_sender.http.server import Server
+from message_sender.http.server_connection import DRAINED_BYTES_LIMIT, ServerConnection
 from message_sender.message import Message
 from message_sender.policy.model import Effect, MessageClass
 
@@ -29,7 +31,7 @@
 
     server = Server({"c": KEYED}, take, lambda: NOW, most)
     server.listen("127.0.0.1", 0)
-    server.ready = True
+    server.is_ready = True
     yield server, taken
     server.close()
 
@@ -45,7 +47,7 @@
         data = message("é1", body, X_Account="acme", X_Session_Key="k", X_Repeat="1", X_Time_Left="0.480")
         assert (await raw(server, data)).status == 202
         assert taken == [
-            Message("é1", "c", 3, NOW + 480_000 - ON_THE_WAY, "acme", "k", "key of é1", True, body)
+            Message("é1", "c", 3, NOW + 480_000 - TRANSIT_ALLOWANCE_US, "acme", "k", "key of é1", True, body)
         ]
 
 
@@ -125,7 +127,7 @@
         server.now = lambda: NOW + 700_000
         writer.write(data[40:])
         assert (await read_reply(reader)).status == 202
-        assert taken[0].deadline_us == NOW + 1_000_000 - ON_THE_WAY
+        assert taken[0].deadline_us == NOW + 1_000_000 - TRANSIT_ALLOWANCE_US
         writer.close()
 
 
@@ -187,7 +189,7 @@
 async def test_with_every_connection_at_work_one_more_is_turned_away(_: Path) -> None:
     async with serving(most=1) as (server, _taken):
         half = await Held.open(server, message("a")[:30])
-        while server.silent or not server.connections:
+        while server.table.silent or not server.connections:
             await turn()
         assert (await raw(server, b"")).status == 503
         server.lingering = -1
@@ -227,7 +229,7 @@
         silent = await Held.open(server)
         idle = await Held.open(server, message("i"))
         assert (await read_reply(idle.reader)).status == 202
-        while len(server.silent) != 1 or len(server.connections) != 3:
+        while len(server.table.silent) != 1 or len(server.connections) != 3:
             await turn()
         server.expire()
         assert len(server.connections) == 3
@@ -256,7 +258,7 @@
         (connection,) = server.connections
         while connection.transport.is_reading():
             await turn()
-        assert connection.dropped < 2 * LINGER_BYTES and taken == []
+        assert connection.dropped < 2 * DRAINED_BYTES_LIMIT and taken == []
         connection.since -= LINGER + 0.1
         server.expire()
         await held.ended()
@@ -280,16 +282,16 @@
 @play
 async def test_requests_by_the_hundred_are_not_read_before_their_turn(_: Path) -> None:
     async with serving() as (server, _taken):
-        server.take = lambda *_: None  # the answer is still pending
+        server.submit = lambda *_: None  # the answer is still pending
         held = await Held.open(server, message("m"))
-        while not any(each.answering for each in server.connections):
+        while not any(each.is_answering for each in server.connections):
             await turn()
         (connection,) = server.connections
         held.writer.write(message("n", b"x" * 60_000) * 200)
         while connection.transport.is_reading():
             await turn()
         assert len(connection.codec.trailing_data[0]) <= 1024 * 1024
-        server.take = lambda _, connection: connection.answer(202)
+        server.submit = lambda _, connection: connection.answer(202)
         connection.answer(202)
         for _n in range(201):
             assert (await read_reply(held.reader)).status == 202
@@ -302,12 +304,12 @@
     async with serving(most=40) as (server, taken):
         usual = await Held.open(server, message("a"))
         assert (await read_reply(usual.reader)).status == 202
-        read_some, server.read_some = server.read_some, lambda: None  # type: ignore[method-assign]
+        read_some, server.read_queue.run = server.read_queue.run, lambda: None  # type: ignore[method-assign]
         flood = [await Held.open(server, message(f"m{each}")) for each in range(10)]
         usual.writer.write(message("b"))
-        while sum(map(len, server.to_read)) < 11:
+        while len(server.read_queue) < 11:
             await turn()
-        server.read_some, clock = read_some, server.loop.time  # type: ignore[method-assign]
+        server.read_queue.run, clock = read_some, server.loop.time  # type: ignore[method-assign]
         server.loop.time = lambda: clock() + len(taken)  # type: ignore[method-assign]  # each takes a second
         read_some()
         assert [each.id for each in taken] == ["a", "b"]
@@ -321,7 +323,7 @@
 @play
 async def test_a_destination_that_no_list_ever_named_is_turned_away(_: Path) -> None:
     async with serving() as (server, taken):
-        server.named = lambda destination: destination == 3
+        server.knows_destination = lambda destination: destination == 3
         assert (await raw(server, message("m", X_Route_To="dest=4"))).status == 404
         assert (await raw(server, message("m"))).status == 202
         assert [each.destination for each in taken] == [3]
@@ -330,9 +332,9 @@
 @play
 async def test_what_nobody_foresaw_ends_one_connection_only(_: Path) -> None:
     async with serving() as (server, _taken):
-        take, server.take = server.take, None  # type: ignore[assignment]
+        take, server.submit = server.submit, None  # type: ignore[assignment]
         assert await (await Held.open(server, message("m"))).ended() == b""
-        server.take = take
+        server.submit = take
         assert (await raw(server, message("m"))).status == 202
 
 
--- a/tests/test_storms.py
+++ b/tests/test_storms.py
@@ -29,7 +29,7 @@
 )
 from message_sender.http.client import HttpTransport as Transport
 from message_sender.http.codec import Address
-from message_sender.http.server import ServerConnection
+from message_sender.http.server_connection import ServerConnection
 from message_sender.policy.events import WakeUp
 from message_sender.policy.model import NEVER_RAN, Outcome
 from message_sender.service.daemon import log
@@ -89,11 +89,11 @@
         return client
 
     def own(self) -> ServerConnection:
-        (own,) = [each for each in self.server.connections if not each.handed_in]
+        (own,) = [each for each in self.server.connections if not each.has_submitted]
         return own
 
     async def silent(self, client: Client, own: ServerConnection) -> None:
-        assert own in self.server.silent
+        assert own in self.server.table.silent
 
     async def half_a_head(self, client: Client, own: ServerConnection) -> None:
         client.sock.sendall(message("m")[:30])
@@ -104,9 +104,9 @@
         await until(lambda: own.request is not None)
 
     async def queued(self, client: Client, own: ServerConnection) -> None:
-        self.server.read_some = lambda: None  # type: ignore[method-assign]
+        self.server.read_queue.run = lambda: None  # type: ignore[method-assign]
         client.sock.sendall(message("m"))
-        await until(lambda: own.queued)
+        await until(lambda: own.is_queued)
 
     async def taken(self, client: Client, own: ServerConnection) -> None:
         self.sender.engine.run_iteration = lambda: None  # type: ignore[method-assign]
@@ -120,11 +120,11 @@
 
     async def answered(self, client: Client, own: ServerConnection) -> None:
         client.sock.sendall(message("m"))
-        await until(lambda: own in self.server.idle)
+        await until(lambda: own in self.server.table.idle)
 
     async def leaving(self, client: Client, own: ServerConnection) -> None:
         client.sock.sendall(b"noise\r\n\r\n")
-        await until(lambda: own in self.server.leaving)
+        await until(lambda: own in self.server.table.closing)
 
     async def leaving_and_paused(self, client: Client, own: ServerConnection) -> None:
         await self.leaving(client, own)
@@ -142,13 +142,13 @@
         """What a late loop does before it looks at its sockets again, in either order."""
         self.passed += seconds
         engine = self.sender.engine
-        reading, turning = type(self.server).read_some, type(engine).run_iteration
-        steps: list[Callable[[], object]] = [lambda: reading(self.server), lambda: turning(engine)]
+        reading, turning = type(self.server.read_queue).run, type(engine).run_iteration
+        steps: list[Callable[[], object]] = [lambda: reading(self.server.read_queue), lambda: turning(engine)]
         for each in (self.server.expire, *steps) if sweep_first else (*steps, self.server.expire):
             each()
-        if self.server.leaving or self.server.strangers:
+        if self.server.table.closing or self.server.table.probing:
             self.server.make_room()  # else it would choose the bystander, who stands between requests
-        self.server.read_some = lambda: reading(self.server)  # type: ignore[method-assign]
+        self.server.read_queue.run = lambda: reading(self.server.read_queue)  # type: ignore[method-assign]
         self.sender.engine.run_iteration = lambda: turning(engine)  # type: ignore[method-assign]
 
     async def serve_all(self, *, most: int = 1) -> None:
@@ -258,8 +258,8 @@
     """Closed in the turn of its answer, it would lose a message that the sender has just taken on."""
     async with World(state) as world:
         client = Client(world.running.address, message("m"))
-        await until(lambda: bool(world.sender.server.idle))
-        (own,) = world.sender.server.idle
+        await until(lambda: bool(world.sender.server.table.idle))
+        (own,) = world.sender.server.table.idle
         own.transport.get_write_buffer_size = lambda: 1  # type: ignore[method-assign]
         world.sender.server.make_room()
         assert own in world.sender.server.connections
@@ -274,8 +274,8 @@
     async with World(state) as world:
         server = world.sender.server
         crowd = [Client(world.running.address, READY) for _ in range(8)]
-        await until(lambda: len(server.strangers) == 8)
-        old = list(server.strangers)
+        await until(lambda: len(server.table.probing) == 8)
+        old = list(server.table.probing)
         numbers = {each.sock.fileno() for each in old}
         sockets = [socket.socket() for _ in old]  # they take none of those numbers
         for each in old:
@@ -291,7 +291,7 @@
             each.close()
         for each in fresh:
             each.sock.sendall(message(f"m{id(each)}"))
-        await until(lambda: len(server.idle) == 8)
+        await until(lambda: len(server.table.idle) == 8)
         for each in (*crowd, *fresh):
             each.finish()
 
@@ -505,8 +505,8 @@
 async def test_an_os_error_of_a_turn_is_a_defect_and_one_of_a_transport_is_not(state: Path) -> None:
     async with World(state) as world:
         client = Client(world.running.address, READY)
-        await until(lambda: bool(world.sender.server.strangers))
-        (own,) = world.sender.server.strangers
+        await until(lambda: bool(world.sender.server.table.probing))
+        (own,) = world.sender.server.table.probing
         broken = ConnectionResetError(errno.ECONNRESET, "reset")
         handle = asyncio.Handle(own.transport.abort, (), asyncio.get_running_loop())
         world.sender.loop_failed({"message": "a callback raised", "exception": broken, "handle": handle})
