--- /dev/null
+++ b/message_sender/http/call.py
@@ -0,0 +1,249 @@
+"""One call to a receiver, in its steps.
+
+Its result is known for sure: broken before its last byte was written, it never ran.
+"""
+
+import asyncio
+from collections.abc import Callable, Coroutine, Mapping
+from typing import Any, Protocol
+
+from message_sender.core.ports import AttemptResult
+from message_sender.http.codec import (
+    BODY_LIMIT,
+    BROKEN,
+    Address,
+    ClientConnection,
+    IncompleteHeadError,
+    MalformedMessageError,
+    header,
+)
+from message_sender.http.fast_path import ResponseHead
+from message_sender.http.response_mapping import announced_limit, answer_from
+from message_sender.message import Message
+from message_sender.policy.model import NEVER_RAN, Outcome
+
+BODY_PATIENCE = 0.5  # seconds for the rest of an answer whose head has come; the body means nothing
+TARGET = "/hook"
+OK_STATUS = 200
+
+
+class CallOwner(Protocol):
+    """What a call needs of its transport.
+
+    Attributes:
+        dials: Addresses of the listed endpoints.
+        out: Connections whose answer is waited for, with their endpoints.
+        unsent: Calls whose first byte has not gone.
+        closing: No call begins any more.
+        opens: Asked before a connection is opened for a message: what to call once it is closed; None: it
+            may not be opened.
+        sent: Called once a message's last byte is written.
+        retry_after_received: Hears of a Retry-After of an endpoint, in microseconds.
+        limit_told: Hears of a limit that an answer announces: so many calls in so many microseconds.
+    """
+
+    dials: Callable[[], Mapping[str, Address]]
+    out: dict[ClientConnection, str]
+    unsent: set[asyncio.Task[Any]]
+    closing: bool
+    opens: Callable[[str, str], Callable[[], None] | None]
+    sent: Callable[[], None]
+    retry_after_received: Callable[[str, int], None]
+    limit_told: Callable[[str, int, int], None] | None
+
+    def take_idle(self, endpoint: str) -> ClientConnection | None:
+        """An idle connection to the endpoint."""
+
+    async def open_counted(self, address: Address, closed: Callable[[], None]) -> ClientConnection:
+        """A new connection."""
+
+    def keep(self, endpoint: str, connection: ClientConnection) -> bool:
+        """Keeps a connection for the next call; False: it may not be kept."""
+
+    def finish(self, endpoint: str, connection: ClientConnection) -> bool:
+        """Keeps a connection once its answer is here to its end."""
+
+    def read_rest(self, endpoint: str, connection: ClientConnection, rest: Coroutine[Any, Any, None]) -> bool:
+        """Reads the rest of an answer in the background, and keeps the connection then."""
+
+    def lying(self, endpoint: str, connection: ClientConnection) -> AttemptResult | None:
+        """The answer that has come and is not read yet."""
+
+    def ahead(self, endpoint: str, connection: ClientConnection) -> AttemptResult | None:
+        """The answer that came before the request was written whole."""
+
+    def drop(self, connection: ClientConnection) -> None:
+        """Closes a connection."""
+
+    def close_idle(self, endpoint: str) -> None:
+        """Closes the idle connections to the endpoint."""
+
+
+class HttpCall:
+    """One call.
+
+    Attributes:
+        connection: The connection that it uses; None: none yet.
+        is_reused: The connection was idle before.
+        is_written: The request's last byte is written.
+        is_kept: The connection goes on without this call.
+        is_given_up: The call was given up after it was written.
+        retry_after_us: Binds, whatever becomes of the rest of the answer.
+    """
+
+    def __init__(
+        self,
+        owner: CallOwner,
+        endpoint: str,
+        message: Message,
+        deadline: float,
+        may_go: Callable[[], bool],
+    ) -> None:
+        """`deadline`: seconds on the loop's clock."""
+        self.owner = owner
+        self.endpoint = endpoint
+        self.message = message
+        self.deadline = deadline
+        self.may_go = may_go
+        self.loop = asyncio.get_running_loop()
+        self.connection: ClientConnection | None = None
+        self.is_reused = False
+        self.is_written = False
+        self.is_kept = False
+        self.is_given_up = False
+        self.retry_after_us = 0
+
+    async def run(self) -> AttemptResult:
+        """Makes the call, in the task of the caller."""
+        task = asyncio.current_task()
+        assert task
+        self.owner.unsent.add(task)
+        try:
+            async with asyncio.timeout_at(self.deadline):
+                result = await self._exchange(task)
+            return result
+        except asyncio.CancelledError:
+            if result_at_hand := self._result_of_cancelled(task):
+                return result_at_hand
+            raise
+        except TimeoutError:
+            return self._timed_out()
+        except MalformedMessageError as error:
+            return self._malformed(error)
+        except BROKEN:
+            return self._broken()
+        finally:
+            self.owner.unsent.discard(task)
+            self._release_connection()
+
+    # Its steps.
+
+    async def _exchange(self, task: asyncio.Task[Any]) -> AttemptResult:
+        connection = await self._connect()
+        if connection is None:
+            return AttemptResult(Outcome.NOT_SENT)
+        if self.owner.closing or not self.may_go():
+            self.is_kept = self.owner.keep(self.endpoint, connection)
+            return AttemptResult(Outcome.NOT_SENT)
+        self.owner.unsent.discard(task)
+        await connection.send("POST", TARGET, self._headers(), self.message.body)
+        self.is_written = True
+        self.owner.sent()
+        self.owner.out[connection] = self.endpoint
+        response = await connection.response()
+        if self.loop.time() >= self.deadline:
+            raise TimeoutError  # the loop was late: whether this still was a delivery is not known
+        result = self._read_head(response)
+        await self._finish_answer(connection, result)
+        return result
+
+    async def _connect(self) -> ClientConnection | None:
+        """An idle or a new connection; None: the endpoint is gone, or none may be opened."""
+        address = self.owner.dials().get(self.endpoint)
+        if address is None:
+            return None
+        self.connection = self.owner.take_idle(self.endpoint)
+        self.is_reused = self.connection is not None
+        if self.connection is None:
+            closed = self.owner.opens(self.endpoint, self.message.id)
+            if closed is None:
+                return None
+            self.connection = await self.owner.open_counted(address, closed)
+        return self.connection
+
+    def _headers(self) -> dict[str, str]:
+        remaining_s = max(self.deadline - self.loop.time(), 0.0)
+        return {
+            "X-Correlation-Id": self.message.id,
+            "Idempotency-Key": self.message.idempotency_key,
+            "X-Time-Left": f"{remaining_s:.3f}",
+            "Content-Length": str(len(self.message.body)),
+        }
+
+    def _read_head(self, response: ResponseHead) -> AttemptResult:
+        result = answer_from(response)
+        self.retry_after_us = result.retry_after_us
+        if self.retry_after_us:
+            self.owner.retry_after_received(self.endpoint, self.retry_after_us)
+        if self.owner.limit_told and (limit := announced_limit(response)):
+            self.owner.limit_told(self.endpoint, *limit)
+        if int(header(response.headers, b"content-length") or 0) > BODY_LIMIT:
+            raise MalformedMessageError(response.status_code, "the answer is too long")
+        return result
+
+    async def _finish_answer(self, connection: ClientConnection, result: AttemptResult) -> None:
+        if result.outcome not in NEVER_RAN:
+            self.is_kept = self.owner.finish(self.endpoint, connection)
+            return
+        # A malformed answer has run, whatever it says: only a whole one proves that it has not.
+        async with asyncio.timeout(BODY_PATIENCE):
+            await connection.skip_body()
+        self.is_kept = connection.next_cycle() and self.owner.keep(self.endpoint, connection)
+
+    # What may end it early.
+
+    def _result_of_cancelled(self, task: asyncio.Task[Any]) -> AttemptResult | None:
+        """The result that is known although the call is cancelled."""
+        if self.owner.closing and task in self.owner.unsent:
+            return AttemptResult(Outcome.NOT_SENT)
+        if self.connection and (result := self.owner.lying(self.endpoint, self.connection)):
+            return result
+        self.is_given_up = self.is_written
+        return None
+
+    def _timed_out(self) -> AttemptResult:
+        self.is_given_up = self.is_written
+        unread = self.owner.lying(self.endpoint, self.connection) if self.connection else None
+        retry_after_us = unread.retry_after_us if unread else self.retry_after_us
+        outcome = Outcome.TIMEOUT if self.is_written else Outcome.CONNECT_FAILED
+        return AttemptResult(outcome, retry_after_us=retry_after_us)
+
+    def _malformed(self, error: MalformedMessageError) -> AttemptResult:
+        """It may have run; a first line of 200 is true all the same."""
+        if error.status != OK_STATUS:
+            return AttemptResult(Outcome.MALFORMED, retry_after_us=self.retry_after_us)
+        if isinstance(error, IncompleteHeadError) and self.connection:
+            rest = self.connection.skip_answer()
+            self.is_kept = self.owner.read_rest(self.endpoint, self.connection, rest)
+        return AttemptResult(Outcome.OK, is_final=True)
+
+    def _broken(self) -> AttemptResult:
+        if self.is_reused:  # the receiver had given it up, unseen here, and so may the others have been
+            self.owner.close_idle(self.endpoint)
+            outcome = Outcome.STALE if self.is_written else Outcome.NOT_SENT
+            return AttemptResult(outcome, retry_after_us=self.retry_after_us)
+        if self.is_written:
+            return AttemptResult(Outcome.RESET, retry_after_us=self.retry_after_us)
+        if self.connection is None:
+            return AttemptResult(Outcome.CONNECT_FAILED, retry_after_us=self.retry_after_us)
+        early_answer = self.owner.ahead(self.endpoint, self.connection)
+        return early_answer or AttemptResult(Outcome.CONNECT_FAILED)
+
+    def _release_connection(self) -> None:
+        if self.connection:
+            self.owner.out.pop(self.connection, None)
+            # A timeout or a cancel gives the call up: only closing the connection tells the receiver.
+            if not self.is_kept:
+                self.owner.drop(self.connection)
+        if self.is_given_up:
+            self.owner.close_idle(self.endpoint)  # they may have fallen silent with it
--- a/message_sender/http/client.py
+++ b/message_sender/http/client.py
@@ -3,69 +3,32 @@
 import asyncio
 import contextlib
 import math
-import re
 from collections.abc import Callable, Coroutine, Mapping
 from typing import Any
 
-from message_sender.core.ports import AttemptResult, clamped_wait
+from message_sender.core.ports import AttemptResult
 from message_sender.core.socket_errors import Cause, ErrorReports, cause_of
 from message_sender.core.traffic_observer import ObservedConnection, TrafficObserver
 from message_sender.http import fast_path
+from message_sender.http.call import BODY_PATIENCE, HttpCall
 from message_sender.http.codec import (
-    BODY_LIMIT,
     BROKEN,
     Address,
     ClientConnection,
-    IncompleteHeadError,
-    MalformedMessageError,
-    decimal,
-    header,
 )
+from message_sender.http.response_mapping import answer_from
 from message_sender.http.unread_sockets import UnreadSockets
 from message_sender.message import Message
 from message_sender.policy.model import NEVER_RAN, Outcome
 
 IDLE_SHARE = 0.8  # of the receiver's idle limit: a kept connection is dropped that much earlier
-BODY_PATIENCE = 0.5  # s for the rest of an answer whose head has come; the body means nothing
-QUOTA = re.compile(r";\s*q=([0-9]{1,9})\s*(?:;|$)|^\s*([0-9]{1,9})\s*;", re.ASCII)
-WINDOW = re.compile(r";\s*w=([0-9]{1,6})\s*(?:;|$)", re.ASCII)
 SHORTAGE_PAUSE = 0.05  # s until the next try to open a connection where no descriptor or port was left
 
 
-def answer_from(response: fast_path.ResponseHead) -> AttemptResult:
-    """The protocol's table. A status that it does not name may have run."""
-    match response.status_code:
-        case 200:
-            return AttemptResult(Outcome.OK, is_final=True)
-        case 429:
-            told = decimal(header(response.headers, b"retry-after") or "") or 0.0
-            return AttemptResult(Outcome.FULL, retry_after_us=clamped_wait(told))
-        case 503 if header(response.headers, b"x-egress-full") == "1":
-            return AttemptResult(Outcome.NOT_SENT)
-        case 503:
-            return AttemptResult(Outcome.FULL)
-        case 504:
-            return AttemptResult(Outcome.NOT_SENT)
-        case 410:
-            return AttemptResult(Outcome.NOT_SENT, is_final=True)
-        case _:
-            return AttemptResult(Outcome.ERROR)
-
-
 def nothing() -> None:
     """What is to be done where nobody counts connections."""
 
 
-def told_limit(response: fast_path.ResponseHead) -> tuple[int, int] | None:
-    """Calls, and the us in which they are taken, as the draft on RateLimit header fields has them, of the
-    first policy that says both: `RateLimit-Policy: "burst";q=100;w=10`, or `100;w=10` in its older form."""
-    for policy in (header(response.headers, b"ratelimit-policy") or "").split(","):
-        quota, window = QUOTA.search(policy), WINDOW.search(policy)
-        if quota and window and int(window[1]):
-            return int(quota[1] or quota[2]), int(window[1]) * 1_000_000
-    return None
-
-
 class HttpTransport:
     """`dials` is discovery's: an endpoint that is no longer in it, or at another address, keeps nothing.
     `most` bounds the connections open at once; to open one more, the one idle for longest is closed."""
@@ -107,94 +70,9 @@
     async def call(
         self, endpoint: str, message: Message, timeout: float, may_go: Callable[[], bool]
     ) -> AttemptResult:
-        """One call, with a fate known for sure: broken before its last byte is written it never ran."""
-        loop = asyncio.get_running_loop()
-        deadline = loop.time() + timeout
-        connection: ClientConnection | None = None
-        kept_one: ClientConnection | None = None
-        written = kept = given_up = False
-        wait = 0  # a told one binds, whatever becomes of the rest of its answer
-        task = asyncio.current_task()
-        assert task
-        self.unsent.add(task)
-        try:
-            async with asyncio.timeout_at(deadline):
-                if (address := self.dials().get(endpoint)) is None:
-                    return AttemptResult(Outcome.NOT_SENT)  # gone since the module chose it
-                connection = kept_one = self.take_idle(endpoint)
-                if connection is None:
-                    if (closed := self.opens(endpoint, message.id)) is None:
-                        return AttemptResult(Outcome.NOT_SENT)
-                    connection = await self.open_counted(address, closed)
-                if self.closing or not may_go():
-                    kept = self.keep(endpoint, connection)
-                    return AttemptResult(Outcome.NOT_SENT)
-                headers = {
-                    "X-Correlation-Id": message.id,
-                    "Idempotency-Key": message.idempotency_key,
-                    "X-Time-Left": f"{max(deadline - loop.time(), 0.0):.3f}",
-                    "Content-Length": str(len(message.body)),
-                }
-                self.unsent.discard(task)
-                await connection.send("POST", "/hook", headers, message.body)
-                written = True
-                self.sent()
-                self.out[connection] = endpoint
-                response = await connection.response()
-                if loop.time() >= deadline:
-                    raise TimeoutError  # the loop was late: whether this still was a delivery is not known
-                answer = answer_from(response)
-                if wait := answer.retry_after_us:
-                    self.retry_after_received(endpoint, wait)
-                if self.limit_told and (limit := told_limit(response)):
-                    self.limit_told(endpoint, *limit)
-                if int(header(response.headers, b"content-length") or 0) > BODY_LIMIT:
-                    raise MalformedMessageError(response.status_code, "the answer is too long")
-                if answer.outcome in NEVER_RAN:
-                    # A spoilt answer has run, whatever it says: only a whole one proves that it has not.
-                    async with asyncio.timeout(BODY_PATIENCE):
-                        await connection.skip_body()
-                    kept = connection.next_cycle() and self.keep(endpoint, connection)
-                else:
-                    kept = self.finish(endpoint, connection)
-            return answer
-        except asyncio.CancelledError:
-            if self.closing and task in self.unsent:
-                return AttemptResult(Outcome.NOT_SENT)
-            if connection and (lying := self.lying(endpoint, connection)):
-                return lying
-            given_up = written
-            raise
-        except TimeoutError:
-            given_up = written
-            lying = self.lying(endpoint, connection) if connection else None
-            wait = lying.retry_after_us if lying else wait
-            return AttemptResult(Outcome.TIMEOUT if written else Outcome.CONNECT_FAILED, retry_after_us=wait)
-        except MalformedMessageError as error:
-            # It may have run; a first line of 200 is true all the same.
-            if error.status == 200:
-                if isinstance(error, IncompleteHeadError) and connection:
-                    kept = self.read_rest(endpoint, connection, connection.skip_answer())
-                return AttemptResult(Outcome.OK, is_final=True)
-            return AttemptResult(Outcome.MALFORMED, retry_after_us=wait)
-        except BROKEN:
-            if kept_one:  # it had been given up over there, unseen here, and so may have been the others
-                self.close_idle(endpoint)
-                return AttemptResult(Outcome.STALE if written else Outcome.NOT_SENT, retry_after_us=wait)
-            if written or not connection:
-                return AttemptResult(
-                    Outcome.RESET if written else Outcome.CONNECT_FAILED, retry_after_us=wait
-                )
-            return self.ahead(endpoint, connection) or AttemptResult(Outcome.CONNECT_FAILED)
-        finally:
-            self.unsent.discard(task)
-            if connection:
-                self.out.pop(connection, None)
-            # A time-out or a cancel gives the call up: only closing the connection tells the receiver.
-            if connection and not kept:
-                self.drop(connection)
-            if given_up:
-                self.close_idle(endpoint)  # they may have fallen silent with it; a repeat goes on a new one
+        """As of `Transport`."""
+        deadline = asyncio.get_running_loop().time() + timeout
+        return await HttpCall(self, endpoint, message, deadline, may_go).run()
 
     def hold_back(self) -> None:
         """Calls whose first byte has not gone never go; those that are out come to their ends."""
--- /dev/null
+++ b/message_sender/http/response_mapping.py
@@ -0,0 +1,46 @@
+"""What a receiver's answer means for an attempt, by its status and headers; see the protocol page. Pure."""
+
+import re
+
+from message_sender.core.ports import AttemptResult, clamped_wait
+from message_sender.http.codec import decimal, header
+from message_sender.http.fast_path import ResponseHead
+from message_sender.policy.model import Outcome
+
+QUOTA = re.compile(r";\s*q=([0-9]{1,9})\s*(?:;|$)|^\s*([0-9]{1,9})\s*;", re.ASCII)
+WINDOW = re.compile(r";\s*w=([0-9]{1,6})\s*(?:;|$)", re.ASCII)
+US_PER_S = 1_000_000
+
+
+def answer_from(response: ResponseHead) -> AttemptResult:
+    """The result that an answer stands for. A status that the protocol does not name may have run."""
+    match response.status_code:
+        case 200:
+            return AttemptResult(Outcome.OK, is_final=True)
+        case 429:
+            seconds = decimal(header(response.headers, b"retry-after") or "") or 0.0
+            return AttemptResult(Outcome.FULL, retry_after_us=clamped_wait(seconds))
+        case 503 if header(response.headers, b"x-egress-full") == "1":
+            return AttemptResult(Outcome.NOT_SENT)
+        case 503:
+            return AttemptResult(Outcome.FULL)
+        case 504:
+            return AttemptResult(Outcome.NOT_SENT)
+        case 410:
+            return AttemptResult(Outcome.NOT_SENT, is_final=True)
+        case _:
+            return AttemptResult(Outcome.ERROR)
+
+
+def announced_limit(response: ResponseHead) -> tuple[int, int] | None:
+    """The limit that an answer announces, by the draft on RateLimit header fields.
+
+    Returns:
+        Calls, and the microseconds in which they are taken, of the first policy that states both:
+        `RateLimit-Policy: "burst";q=100;w=10`, or `100;w=10` in its older form. None: none is stated.
+    """
+    for policy in (header(response.headers, b"ratelimit-policy") or "").split(","):
+        quota, window = QUOTA.search(policy), WINDOW.search(policy)
+        if quota and window and int(window[1]):
+            return int(quota[1] or quota[2]), int(window[1]) * US_PER_S
+    return None
--- a/message_sender/service/budgets.py
+++ b/message_sender/service/budgets.py
@@ -18,7 +18,8 @@
 from message_sender.core.engine import Engine
 from message_sender.core.hooks import EngineHooks
 from message_sender.fleet import wire
-from message_sender.http.client import BODY_PATIENCE, HttpTransport
+from message_sender.http.call import BODY_PATIENCE
+from message_sender.http.client import HttpTransport
 from message_sender.message import Message
 from message_sender.policy.events import WakeUp
 from message_sender.policy.model import Endpoint
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -13,10 +13,12 @@
 from peers import Peer, handed_in, play, soon
 
 from message_sender.core.ports import AttemptResult
+from message_sender.http import call as call_module
 from message_sender.http import client as module
 from message_sender.http import codec as http
-from message_sender.http.client import HttpTransport, answer_from
+from message_sender.http.client import HttpTransport
 from message_sender.http.codec import Address, ClientConnection
+from message_sender.http.response_mapping import answer_from
 from message_sender.policy.model import NEVER_RAN, Outcome
 
 ANSWERS = [
@@ -191,7 +193,7 @@
                 await soon(receiver.ends.get())
 
     monkeypatch.setattr(http, "HEAD_PATIENCE", 0.05)
-    monkeypatch.setattr(module, "BODY_PATIENCE", 0.05)
+    monkeypatch.setattr(call_module, "BODY_PATIENCE", 0.05)
     play(test)(Path())
 
 
@@ -426,6 +428,7 @@
 
 def test_the_rest_of_a_delivery_is_waited_for_only_so_long(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(module, "BODY_PATIENCE", 0.01)
+    monkeypatch.setattr(call_module, "BODY_PATIENCE", 0.01)
 
     async def test(_: Path) -> None:
         async with client_and_receiver() as (client, receiver):
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -26,7 +26,8 @@
 from message_sender.emulator.shared import Fleet
 from message_sender.emulator.shared_links import LinkHub
 from message_sender.fleet.wire import LeaseDatagram
-from message_sender.http.client import HttpTransport, told_limit
+from message_sender.http.client import HttpTransport
+from message_sender.http.response_mapping import announced_limit
 from message_sender.policy.events import WakeUp
 from message_sender.policy.model import DestinationKind, Endpoint, EndpointState, Outcome
 
@@ -298,7 +299,7 @@
 )
 def test_a_limit_that_an_answer_tells_is_read(policy: str, limit: tuple[int, int] | None) -> None:
     told = SimpleNamespace(headers=[(b"ratelimit-policy", policy.encode())])
-    assert told_limit(told) == limit  # type: ignore[arg-type]
+    assert announced_limit(told) == limit  # type: ignore[arg-type]
 
 
 class Denies:
