--- a/benchmarks/scale/control_plane.py
+++ b/benchmarks/scale/control_plane.py
@@ -353,7 +353,7 @@
         """An operator asks for a change, and asks again until it is confirmed."""
         number = len(self.requests)
         value = self.rng.randbytes(CHANGE_BYTES // 2).hex().encode()
-        put = (Resource(f"endpoints/hub-{self.chance.randrange(RESOURCES):04}", value),)
+        put = (Resource(f"endpoints/hub-{self.rng.randrange(RESOURCES):04}", value),)
         base = self.first_version + number
         change = Change(f"request-{number}", base, put, (), "operator")
         request = self.requests[change.request_id] = Request(change, base + 1, self.now)
--- a/message_sender/control/choice.py
+++ b/message_sender/control/choice.py
@@ -27,7 +27,7 @@
         self.names = tuple(names)
         self.changes = 0
         self.probed = ""  # the node that is being probed
-        self._chance = rng
+        self._rng = rng
         self._rank = 0
         self._probed_rank = -1
         self._behind_since: float | None = None
@@ -63,7 +63,7 @@
     def note_good(self) -> None:
         """The node isn't behind."""
         self._behind_since = None
-        self._patience = self._chance.uniform(PATIENCE_LEAST, PATIENCE_MOST)
+        self._patience = self._rng.uniform(PATIENCE_LEAST, PATIENCE_MOST)
 
     def note_behind(self, now: float) -> bool:
         """The node is behind; whether it has been for longer than the patience."""
@@ -87,4 +87,4 @@
         self._draw_probe(now)
 
     def _draw_probe(self, now: float) -> None:
-        self._probe_due = now + self._chance.uniform(PROBE_LEAST, PROBE_MOST)
+        self._probe_due = now + self._rng.uniform(PROBE_LEAST, PROBE_MOST)
--- a/message_sender/control/fanout.py
+++ b/message_sender/control/fanout.py
@@ -122,7 +122,7 @@
     ) -> None:
         self.store = store
         self.counts = FanoutCounts()
-        self._chance = rng
+        self._rng = rng
         self._authority_age_ms = authority_age_ms
         self._budget = ByteBudget(bytes_per_second, BURST_BYTES, now)
         self._sessions_limit = sessions_limit
@@ -207,7 +207,7 @@
 
     def _notify(self, sender: str, needs_snapshot: bool = False, wait: float = 0.0) -> None:
         document = self.store.document
-        spread = wait * (1 + self._chance.uniform(0, RETRY_SPREAD))
+        spread = wait * (1 + self._rng.uniform(0, RETRY_SPREAD))
         notice = VersionNotice(
             version=document.version,
             digest=document.digest,
--- a/message_sender/control/replica.py
+++ b/message_sender/control/replica.py
@@ -94,7 +94,7 @@
         self._messages: deque[tuple[str, RaftMessage]] = deque(maxlen=WAITING_MESSAGES_LIMIT)
         self._granted: frozenset[str] = frozenset()
         self._leadership: Leadership | None = None  # while it is the leader
-        self._chance = rng
+        self._rng = rng
         self._started_at = now
         self._authority_at: float | None = None  # when it last knew a leader with a majority
         self._heartbeat_at = now
@@ -236,7 +236,7 @@
     # Elections.
 
     def _restart_election_timer(self, now: float) -> None:
-        self._election_timeout = self._chance.uniform(ELECTION_TIMEOUT_LEAST_S, ELECTION_TIMEOUT_MOST_S)
+        self._election_timeout = self._rng.uniform(ELECTION_TIMEOUT_LEAST_S, ELECTION_TIMEOUT_MOST_S)
         self._election_at = now + self._election_timeout
 
     def _become_follower(self, term: int, leader: str, now: float) -> None:
--- a/message_sender/control/watch.py
+++ b/message_sender/control/watch.py
@@ -145,7 +145,7 @@
         self.counts = WatchCounts()
         self.choice = NodeChoice([node.name for node in order_nodes(name, nodes, region)], rng, now)
         self._applier = applier
-        self._chance = rng
+        self._rng = rng
         self._out: list[tuple[str, WatchMessage]] = []
         self._ticked_at = now
         self._polled_at = now - REPEAT
@@ -255,7 +255,7 @@
     def _answered(self, now: float) -> None:
         if self._unanswered:
             self._unanswered = 0
-            self._poll_due = max(now, self._polled_at + self._chance.uniform(POLL_LEAST, POLL_MOST))
+            self._poll_due = max(now, self._polled_at + self._rng.uniform(POLL_LEAST, POLL_MOST))
 
     def _is_good_answer(self, message: WatchMessage) -> bool:
         """Whether a probed node has answered and is worth going back to."""
--- a/message_sender/core/counts.py
+++ b/message_sender/core/counts.py
@@ -1,14 +1,15 @@
-"""What became of messages since this process began, counted where the engine forgets or turns away each one.
+"""Completions since this process began, as the operators' figures have them.
 
-A message has one end here as in the journal: the engine tells it in one place. Refusals before a message was
-taken on count as deferred: it may be handed in again.
+A message is counted once, where the message table forgets or rejects it. Messages that were rejected before
+they were accepted count as deferred: they may be submitted again.
 """
 
 from collections.abc import Iterable
 
 from message_sender.core.ports import CompletionState
 
-NAMES = {
+#: Names in the figures.
+FIGURE_NAMES = {
     CompletionState.DELIVERED: "answered",
     CompletionState.REFUSED: "deferred",
     CompletionState.FAILED: "errored",
@@ -16,14 +17,24 @@
 
 
 class CompletionCounts:
+    """Counts by message class and by the figures' names of completions.
+
+    Attributes:
+        classes: Counts by class, then by name.
+        sends: Messages written whole to endpoints.
+    """
+
     def __init__(self, classes: Iterable[str]) -> None:
-        self.classes = {name: dict.fromkeys(NAMES.values(), 0) for name in classes}
-        self.sends = 0  # messages written whole to endpoints
+        """Begins at zero for each class."""
+        self.classes = {name: dict.fromkeys(FIGURE_NAMES.values(), 0) for name in classes}
+        self.sends = 0
 
     def ended(self, message_class: str, state: CompletionState) -> None:
-        """One that was withdrawn ended for nobody and is not counted; nor is one of an unknown class."""
-        if (found := self.classes.get(message_class)) and state in NAMES:
-            found[NAMES[state]] += 1
+        """Counts a completion; withdrawn messages and those of an unknown class are not counted."""
+        counts = self.classes.get(message_class)
+        if counts and state in FIGURE_NAMES:
+            counts[FIGURE_NAMES[state]] += 1
 
     def sent(self) -> None:
+        """Counts a message that was written whole."""
         self.sends += 1
--- a/message_sender/emulator/fleet.py
+++ b/message_sender/emulator/fleet.py
@@ -19,7 +19,8 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
-from message_sender.core.engine import Engine, EngineConfig
+from message_sender.core.engine import Engine
+from message_sender.core.engine_config import EngineConfig
 from message_sender.core.ports import AttemptResult, Completion, CompletionState, Rejected
 from message_sender.discovery.static import StaticDirectory, StaticEndpoint
 from message_sender.emulator.arrivals import Arrivals, ClientMessage
@@ -259,12 +260,12 @@
         engine, self.alive = self.engine, False
         if self.world.links:
             self.world.links.gone(self.name)
-        engine.over = True
+        engine.is_closed = True
         os.close(engine.journal.file)
-        for task in [*engine.calls.values(), *engine.tasks]:
+        for task in [*engine.attempts.calls.values(), *engine.tasks]:
             task.cancel()
-        if engine.wake:
-            engine.wake.cancel()
+        if engine.wake_timer:
+            engine.wake_timer.cancel()
 
     def hear(self, places: dict[str, StaticEndpoint], life: int) -> None:
         """The list of endpoints, as it was when it was told."""
--- a/message_sender/emulator/simulated_run.py
+++ b/message_sender/emulator/simulated_run.py
@@ -21,7 +21,8 @@
 from functools import partial
 from pathlib import Path
 
-from message_sender.core.engine import Engine, EngineConfig
+from message_sender.core.engine import Engine
+from message_sender.core.engine_config import EngineConfig
 from message_sender.core.ports import AttemptResult, Completion, Rejected
 from message_sender.discovery.static import StaticDirectory, StaticEndpoint
 from message_sender.emulator.isolation import sealed
@@ -448,7 +449,7 @@
     def bury(self) -> None:
         """What a killed process leaves to the system: descriptors close, and nothing of it runs any more."""
         self.engine.journal.release()
-        self.engine.over = True
+        self.engine.is_closed = True
         self.loop.set_exception_handler(lambda *_: None)  # the kill itself is no task's own trouble
         for task in asyncio.all_tasks(self.loop):
             task._log_destroy_pending = False  # type: ignore[attr-defined]  # it is meant to be
--- a/message_sender/emulator/wire.py
+++ b/message_sender/emulator/wire.py
@@ -15,10 +15,10 @@
 from collections import defaultdict
 from collections.abc import Callable
 from dataclasses import replace
-from functools import partial
 from pathlib import Path
 from typing import Any
 
+from message_sender.core.hooks import EngineHooks
 from message_sender.core.ports import AttemptResult
 from message_sender.discovery.static import StaticEndpoint
 from message_sender.emulator import fleet
@@ -91,6 +91,19 @@
         return self.sender.directory.dials()
 
 
+class CallCounter(EngineHooks):
+    """Counts the calls of one sender."""
+
+    def __init__(self, world: fleet.World, name: str) -> None:
+        """`name`: the sender's."""
+        self.world = world
+        self.name = name
+
+    def attempt_finished(self, endpoint: str, outcome: Outcome) -> None:
+        """A call has ended."""
+        self.world.count_call(self.name, endpoint, outcome)
+
+
 class Sender(fleet.Sender):
     def start(self) -> None:
         inside(self.name, super().start)
@@ -107,7 +120,7 @@
             return written
 
         self.engine.journal.record_accepted = noted  # type: ignore[method-assign]
-        self.engine.outcome_of = partial(self.world.count_call, self.name)
+        self.engine.hooks.add(CallCounter(self.world, self.name))
         self.http = Http(self)
         self.http.plug(self.directory, ModelCompletionListener(self))
 
--- a/message_sender/grpc/channel.py
+++ b/message_sender/grpc/channel.py
@@ -9,7 +9,8 @@
 
 from message_sender.configuration import general
 from message_sender.configuration.general import SenderConfig
-from message_sender.core.engine import Engine, EngineConfig
+from message_sender.core.engine import Engine
+from message_sender.core.engine_config import EngineConfig
 from message_sender.core.ports import Completion, CompletionState, Rejected
 from message_sender.discovery.static import StaticDirectory
 from message_sender.grpc import retry
--- a/message_sender/service/budgets.py
+++ b/message_sender/service/budgets.py
@@ -16,6 +16,7 @@
 from message_sender.budget.retry_allowance import RetryAllowance
 from message_sender.configuration.resources import SharedBudget
 from message_sender.core.engine import Engine
+from message_sender.core.hooks import EngineHooks
 from message_sender.fleet import wire
 from message_sender.http.client import BODY_PATIENCE, HttpTransport
 from message_sender.message import Message
@@ -101,7 +102,7 @@
     return [FILE_NAMES.get(each, each) for each in names if getattr(known, each) != getattr(told, each)]
 
 
-class SharedBudgets:
+class SharedBudgets(EngineHooks):
     """The module's `Leave`, the doors' for tenants, the transport's for connections."""
 
     def __init__(
@@ -145,7 +146,7 @@
         """From here on they bind."""
         engine = self.engine
         engine.dispatcher.registry.leave = self
-        engine.spends, engine.spent, engine.call_limit = self.spends, self.spent, self.call_limit
+        engine.hooks.add(self)
         if not isinstance(transport := engine.transport, HttpTransport):
             return
         if any(each.of in WAYS for each in self.told.values()):
@@ -275,7 +276,7 @@
         """Whether it is in doubt, and this member one that may find out."""
         at = self.engine.dispatcher.destinations[number]
         opened = any(each.is_open() for each in at.breakers)
-        return opened and any(self.engine.allows(each.listed.id) for each in at.endpoints)
+        return opened and any(self.engine.hooks.may_call(each.listed.id) for each in at.endpoints)
 
     def warm(self, told: SharedBudget, value: Value) -> int:
         """Thousandths: what a destination that is out, or returning, takes of its rate. One failed call
@@ -367,7 +368,7 @@
 
     # The engine's side.
 
-    def spends(self, endpoint: str, message: str) -> bool:
+    def reserve_limits(self, endpoint: str, message: str) -> bool:
         if (known := self.engine.dispatcher.endpoints.get(endpoint)) is None:
             return False
         going = self.out.get(message) or CallReservation(
@@ -393,7 +394,7 @@
             going.claims = False
             self.claims[going.endpoint] -= 1
 
-    def spent(self, message: str) -> None:
+    def release_limits(self, message: str) -> None:
         """A call is over."""
         if (going := self.out.pop(message, None)) is None:
             return
@@ -407,7 +408,7 @@
             if held:
                 self.grew(name)
 
-    def call_limit(self, endpoint: str, message: str) -> float:
+    def call_timeout_us(self, endpoint: str, message: str) -> float:
         """us that a call may take: what is held at once counts as over after that."""
         known, going = self.engine.dispatcher.endpoints.get(endpoint), self.out.get(message)
         names = (going.names if going else []) + (self.of(known.listed).ways if known else [])
--- a/message_sender/service/daemon.py
+++ b/message_sender/service/daemon.py
@@ -9,7 +9,10 @@
 from pathlib import Path
 from typing import Any, ClassVar
 
-from message_sender.core.engine import Clock, Engine, EngineConfig, HandoverState
+from message_sender.core.clock import Clock
+from message_sender.core.engine import Engine
+from message_sender.core.engine_config import EngineConfig, HandoverState
+from message_sender.core.hooks import EngineHooks
 from message_sender.core.ports import CompletionListener, CompletionState, Directory
 from message_sender.core.socket_errors import transport_in
 from message_sender.discovery.maintenance import ROOM, Maintenance, MaintenanceFile
@@ -66,7 +69,7 @@
         return cls(max(sockets - cls.OWN - lingering - calls, 1), lingering, calls)
 
 
-class HttpSender:
+class HttpSender(EngineHooks):
     """An engine with an HTTP door and an HTTP transport. Its directory and completion_listener are given by
     who builds it."""
 
@@ -89,10 +92,14 @@
             self.dials,
             engine.retry_after_received,
         )
-        self.transport.sent = engine.counts.sent
-        self.server.refused_unread = lambda name: engine.counts.ended(name, CompletionState.REFUSED)
+        self.transport.sent = engine.table.counts.sent
+        self.server.refused_unread = lambda name: engine.table.counts.ended(name, CompletionState.REFUSED)
         engine.periodic_tasks += [self.server.expire, self.stop_if_done]
-        engine.attempt_ended = self.stop_if_done
+        engine.hooks.add(self)
+
+    def work_finished(self) -> None:
+        """A sender that is to end may be done now."""
+        self.stop_if_done()
 
     def dials(self) -> dict[str, Address]:
         raise NotImplementedError
@@ -160,7 +167,7 @@
 
     def stop_if_done(self) -> None:
         engine, server = self.engine, self.server
-        if self.drain.ends_at() is None or server.listener or engine.calls or engine.journal.entries:
+        if self.drain.ends_at() is None or server.listener or engine.attempts.calls or engine.journal.entries:
             return
         if not server.owes():
             engine.stop(0)
@@ -258,4 +265,4 @@
             log.info("%s: discovery is at %s:%d from now on", self.config.name, *config.discovery)
             self.discovery.move(config.discovery)
             # The watch at the old address goes on until this one has a list.
-            self.engine.watching = self.engine.spawn(self.discovery.watch())
+            self.engine.watch_task = self.engine.spawn(self.discovery.watch())
--- a/message_sender/service/learned_state.py
+++ b/message_sender/service/learned_state.py
@@ -7,6 +7,7 @@
 from pathlib import Path
 
 from message_sender.core.engine import Engine
+from message_sender.core.hooks import EngineHooks
 from message_sender.policy.events import InheritedState
 from message_sender.policy.state_transfer import BREAKER, fields
 from message_sender.recovery.learned_snapshot import MOST, Breakers, Known, LearnedSnapshots, believed
@@ -15,15 +16,14 @@
 log = logging.getLogger(__name__)
 
 
-class LearnedState:
+class LearnedState(EngineHooks):
     def __init__(self, engine: Engine, beginning: RecoveryStart, state: Path) -> None:
         self.engine, self.beginning = engine, beginning
         sync = beginning.gather is not None
         self.snapshots = LearnedSnapshots(state, beginning.disk, self.known, told, engine.now, sync)
         self.inherited = InheritedState()
         engine.periodic_tasks.append(self.chore)
-        engine.retry_after_listeners.append(self.wait_heard)
-        engine.beginnings.append(self.begin)
+        engine.hooks.add(self)
 
     def known(self) -> list[Known]:
         """Those that were called last, where there are too many."""
@@ -46,12 +46,12 @@
         log.info("learned before: %d breakers, %d waits", len(self.inherited.breakers), len(waits))
         return waits
 
-    def begin(self) -> None:
+    def messages_restored(self) -> None:
         """Before the engine's first turn."""
         if self.inherited.breakers:
             self.engine.post(self.inherited)
 
-    def wait_heard(self, endpoint: str, wait: int) -> None:
+    def retry_after_received(self, endpoint: str, delay_us: int) -> None:
         """Waits are put down at the next chance: nobody else could tell them after a power loss."""
         self.snapshots.next_at = 0
 
--- a/message_sender/service/membership.py
+++ b/message_sender/service/membership.py
@@ -12,6 +12,7 @@
 from message_sender.configuration.general import FleetConfig
 from message_sender.configuration.resources import SharedBudget
 from message_sender.core.engine import Engine
+from message_sender.core.hooks import EngineHooks
 from message_sender.fleet.node import LocalMember
 from message_sender.fleet.seal import KeyFileError
 from message_sender.fleet.udp import FleetLink
@@ -43,7 +44,7 @@
 
     def owed(self) -> dict[int, int]:
         """From the journal until the engine has begun, which takes over what stands there."""
-        if self.engine.telling is None:
+        if self.engine.listener_task is None:
             return dict(Counter(each.message.destination for each in self.engine.journal.entries.values()))
         return dict(Counter(each.destination for each in self.engine.dispatcher.messages.values()))
 
@@ -65,7 +66,7 @@
         journal = self.engine.journal
         if entry := journal.entries.get(name):
             return IdState.OUT if entry.attempts else IdState.TAKEN
-        over = name in self.engine.ended or name in getattr(journal, "over_ids", ())
+        over = name in self.engine.table.completed or name in getattr(journal, "over_ids", ())
         return IdState.ENDED if over else None
 
     def doubt(self, name: str) -> None:
@@ -77,7 +78,7 @@
         return at is not None and any(each.is_open() for each in (at.own or {}).values())
 
 
-class Membership:
+class Membership(EngineHooks):
     """Raises KeyFileError and OSError where the link cannot be; the sender then serves alone, and says so."""
 
     def __init__(
@@ -103,7 +104,6 @@
             self.budgets = shared.SharedBudgets(engine, self.link, budgets, config.size)
         self.asked: asyncio.Future[None] = self.link.loop.create_future()
         self.coordinator.changed = self.stage_changed
-        self.heard_before = engine.outcome_of
 
     async def start(self, waits: Mapping[int, float]) -> None:
         """Until the others have been asked: no longer than stated. `waits`: s that destinations are to be
@@ -114,11 +114,7 @@
         engine = self.engine
         assert self.link.task
         self.link.task.add_done_callback(engine.task_ended)  # a defect ends more than the link
-        engine.allows, engine.call_begins = self.allows, self.call_begins
-        engine.outcome_of = self.outcome
-        engine.retry_after_listeners.append(self.wait_heard)
-        engine.beginnings.append(lambda: self.coordinator.bind(self.link.loop.time()))
-        engine.admits = self.admits
+        engine.hooks.add(self)
         if self.budgets:
             self.budgets.bind()
         try:
@@ -164,24 +160,27 @@
         known = self.engine.dispatcher.endpoints.get(endpoint)
         return known.listed.destination if known else None
 
-    def allows(self, endpoint: str) -> bool:
+    def messages_restored(self) -> None:
+        """The messages found at the start count from now on."""
+        self.coordinator.bind(self.link.loop.time())
+
+    def may_call(self, endpoint: str) -> bool:
         number = self.destination(endpoint)
         return number is None or self.coordinator.may_call(number)
 
-    def call_begins(self, endpoint: str) -> None:
+    def call_started(self, endpoint: str) -> None:
         if (number := self.destination(endpoint)) is not None:
             self.coordinator.began(number)
 
-    def outcome(self, endpoint: str, outcome: Outcome) -> None:
-        self.heard_before(endpoint, outcome)
+    def attempt_finished(self, endpoint: str, outcome: Outcome) -> None:
         if (number := self.destination(endpoint)) is not None:
             self.coordinator.outcome(number, outcome)
 
-    def wait_heard(self, endpoint: str, wait: int) -> None:
+    def retry_after_received(self, endpoint: str, wait: int) -> None:
         if (number := self.destination(endpoint)) is not None:
             self.coordinator.asked_to_wait(number, wait)
 
-    def admits(self, message: Message) -> int:
+    def admission_delay_us(self, message: Message) -> int:
         if after := self.coordinator.admits(message.destination, message.message_class):
             return after
         if self.budgets and (after := self.budgets.admits(message)):
--- a/message_sender/service/operator_commands.py
+++ b/message_sender/service/operator_commands.py
@@ -36,7 +36,7 @@
         return self.sender.maintenance
 
     def asked(self, call: ManagementCall) -> ManagementReply:
-        if self.sender.engine.attempt_forwarder and call.ask not in (
+        if self.sender.engine.is_handed_over and call.ask not in (
             Operation.TAKES_CLIENTS,
             Operation.FIGURES,
         ):
@@ -52,7 +52,7 @@
 
     def figures(self, call: ManagementCall) -> ManagementReply:
         engine, listed = self.sender.engine, self.maintenance.listed
-        counts, avoided = engine.counts, sum(map(self.is_avoided, listed))
+        counts, avoided = engine.table.counts, sum(map(self.is_avoided, listed))
         current = len(engine.journal.entries)
         return ManagementReply(
             200, Metrics(counts.classes, counts.sends, current, len(listed), avoided).text()
--- a/message_sender/service/owner.py
+++ b/message_sender/service/owner.py
@@ -3,7 +3,8 @@
 
 from typing import Protocol
 
-from message_sender.core.engine import Clock, Engine
+from message_sender.core.clock import Clock
+from message_sender.core.engine import Engine
 from message_sender.discovery.maintenance import Maintenance
 from message_sender.handover.drain import Drain
 from message_sender.http.client import HttpTransport
--- a/message_sender/service/process_handover.py
+++ b/message_sender/service/process_handover.py
@@ -11,7 +11,7 @@
 from dataclasses import asdict, dataclass
 from typing import TYPE_CHECKING, Any
 
-from message_sender.core.engine import HandoverState
+from message_sender.core.engine_config import HandoverState
 from message_sender.core.ports import AttemptResult, Completion, CompletionState
 from message_sender.handover.link import Packet
 from message_sender.handover.takeover import OwnershipHandover
@@ -98,8 +98,8 @@
         self.seat.serve(self)
         if before := self.seat.before:
             engine, transport = self.sender.engine, self.sender.transport
-            engine.cancel_predecessor_call = self.call_off
-            self.spared = min(len(engine.predecessor_calls) + SPARE, transport.most // 2)
+            engine.attempts.predecessor = self
+            self.spared = min(len(engine.attempts.predecessor_calls) + SPARE, transport.most // 2)
             transport.most -= self.spared
             before.attach(self.told, self.gone)
 
@@ -113,13 +113,14 @@
                 self.sender.server.adopt(sock, text, told["began"], told["handed_in"])
             elif told["do"] == "fate":
                 answer = AttemptResult(Outcome(told["outcome"]), bool(told["finished"]), int(told["wait"]))
-                self.sender.engine.inherited_attempt_ended(told["message"], int(told["attempt"]), answer)
+                self.sender.engine.inherit_result(told["message"], int(told["attempt"]), answer)
         except (KeyError, ValueError, TypeError, OSError) as error:
             log.error("what the process before told is dropped: %r", error)
         for each in descriptors:
             os.close(each)
 
-    def call_off(self, name: str, number: int) -> None:
+    def cancel_call(self, name: str, number: int) -> None:
+        """Asks the process before to cancel a call."""
         if self.seat.before:
             self.seat.before.link.send({"do": "call off", "message": name, "attempt": number})
 
@@ -129,10 +130,10 @@
         self.spared = 0
         self.seat.before = None
         engine = self.sender.engine
-        if left := sorted(engine.predecessor_calls):
+        if left := sorted(engine.attempts.predecessor_calls):
             log.warning("the process before has ended with %d calls out", len(left))
         for name, number in left:
-            engine.inherited_attempt_ended(name, number, AttemptResult(Outcome.RESET))
+            engine.inherit_result(name, number, AttemptResult(Outcome.RESET))
 
     # As the owner.
 
@@ -186,12 +187,14 @@
 
     def message_received(self, told: Packet) -> None:
         if told.get("do") == "call off":
-            task = self.sender.engine.calls.get((told.get("message", ""), told.get("attempt", -1)))
+            task = self.sender.engine.attempts.calls.get((told.get("message", ""), told.get("attempt", -1)))
             if task:
                 task.cancel()
 
     def successor_lost(self) -> None:
-        log.warning("the process that followed is gone: %d calls end here", len(self.sender.engine.calls))
+        log.warning(
+            "the process that followed is gone: %d calls end here", len(self.sender.engine.attempts.calls)
+        )
         self.sender.stop(0)
 
     def superseded(self) -> None:
--- a/message_sender/service/standalone.py
+++ b/message_sender/service/standalone.py
@@ -14,7 +14,10 @@
 from message_sender.configuration.general import ConfigError, SenderConfig, load, read_endpoints
 from message_sender.control_socket import Command, ControlSocket
 from message_sender.core import explain, inventory
-from message_sender.core.engine import Clock, Engine, EngineConfig
+from message_sender.core.clock import Clock
+from message_sender.core.engine import Engine
+from message_sender.core.engine_config import EngineConfig
+from message_sender.core.hooks import EngineHooks
 from message_sender.core.ports import Completion
 from message_sender.core.traffic_observer import TrafficObserver
 from message_sender.discovery.file import FileDirectory
@@ -25,8 +28,9 @@
 from message_sender.journal.disk import Disk
 from message_sender.journal.lock import Lock
 from message_sender.journal.process_journal import FILE, Journal
+from message_sender.message import Message
 from message_sender.policy.events import EndpointsUpdated
-from message_sender.policy.model import EndpointState, ListingKind
+from message_sender.policy.model import EndpointState, ListingKind, Outcome
 from message_sender.service.daemon import HttpSender
 
 if TYPE_CHECKING:
@@ -110,6 +114,22 @@
 MOST_AWAY = 6 * 86_400.0  # s
 
 
+class OverrideHooks(EngineHooks):
+    """Pins messages as overrides say, and tells the overrides of outcomes."""
+
+    def __init__(self, overrides: OverriddenDirectory) -> None:
+        """`overrides`: the sender's."""
+        self.overrides = overrides
+
+    def pinned_endpoint(self, message: Message) -> str:
+        """The endpoint to which the message's key or tenant is pinned."""
+        return self.overrides.overlay.pin_of(message.tenant, message.key)
+
+    def attempt_finished(self, endpoint: str, outcome: Outcome) -> None:
+        """Outlier detection counts the outcome."""
+        self.overrides.outcome(endpoint, outcome)
+
+
 class StandaloneSender(HttpSender):
     """An HTTP sender over a static directory."""
 
@@ -148,8 +168,7 @@
             open_journal=open_journal,
         )  # fmt: skip
         over.told, self.directory.told = engine.endpoints_updated, over.hear
-        engine.outcome_of = over.outcome
-        engine.pin_of = lambda message: over.overlay.pin_of(message.tenant, message.key)
+        engine.hooks.add(OverrideHooks(over))
         self.control = ControlSocket(state, self.commands())
         super().__init__(engine, config.listen, config.sockets)
         self.plug(self.overrides, completion_listener)
--- a/message_sender/testbed/member.py
+++ b/message_sender/testbed/member.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from message_sender.configuration.general import load
-from message_sender.core.engine import Clock
+from message_sender.core.clock import Clock
 from message_sender.journal import durable  # noqa: F401
 from message_sender.service import learned_state, membership  # noqa: F401  # imported before any member is made
 from message_sender.service.standalone import HostMachine, serve
--- a/tests/compatibility/samples.py
+++ b/tests/compatibility/samples.py
@@ -27,7 +27,7 @@
 from message_sender.control.log_file import LogFile, make_batch
 from message_sender.control.raft import HardState
 from message_sender.core import explain, inventory
-from message_sender.core.engine import HandoverState
+from message_sender.core.engine_config import HandoverState
 from message_sender.core.ports import Completion, CompletionState
 from message_sender.discovery.maintenance import MaintenanceFile
 from message_sender.discovery.override_store import OverrideStore
--- a/tests/conformance/host.py
+++ b/tests/conformance/host.py
@@ -31,7 +31,7 @@
                 ("idempotency-key", f"{key}{number}"),
             ]
             calls.append(channel.unary_unary("/s/M")(b"x", metadata=metadata))
-    while channel.pending() or channel.engine.arrived:
+    while channel.pending() or channel.engine.table.arrivals:
         await asyncio.sleep(0.01)
     print(f"pending:{len(channel.pending())}", flush=True)
     await channel.close()
--- a/tests/conformance/sides.py
+++ b/tests/conformance/sides.py
@@ -267,7 +267,7 @@
         self.calls[message.id] = call
         self.tasks.append(asyncio.create_task(self.wait(message.id, taken, call)))
         async with asyncio.timeout(PATIENCE):
-            while message.id in self.channel.engine.arrived:
+            while message.id in self.channel.engine.table.arrivals:
                 await asyncio.sleep(0)
 
     async def wait(self, name: str, taken: MessageAdmitted, call: Any) -> None:  # noqa: ANN401
--- a/tests/conformance/test_figures.py
+++ b/tests/conformance/test_figures.py
@@ -53,7 +53,7 @@
                 for name in acts:
                     status, _ = await client.post("/c", fields(name, rng), b"x")
                     refused += status != 202
-                while running.sender.engine.journal.entries or running.sender.engine.calls:
+                while running.sender.engine.journal.entries or running.sender.engine.attempts.calls:
                     await asyncio.sleep(0.01)
                 client.close()
                 reply = await call(running.sender.desk.address(), "GET", "/stats")
--- a/tests/conformance/test_plugin.py
+++ b/tests/conformance/test_plugin.py
@@ -164,7 +164,7 @@
                 each for each in side.history.events if isinstance(each, AttemptStarted | AttemptFinished)
             ]
             assert began.at - over.at > 0.08, "the key has rested"
-            assert side.channel.pending() == [] and side.channel.engine.calls == {}
+            assert side.channel.pending() == [] and side.channel.engine.attempts.calls == {}
             assert side.script.seen == {"m1": 1, "m2": 1}
             assert side.channel.collect("m1") is None
 
--- a/tests/test_control_link.py
+++ b/tests/test_control_link.py
@@ -181,7 +181,7 @@
             reason = await node.refused(node.change(hub(2) | {"budgets/out": budget}))
             assert reason == "budgets/out: needs a [fleet] to be shared in, and this sender has none"
             assert sender.dials() == {"hub": ("127.0.0.1", 1)}
-            told = sender.commands()["control_link"]({})
+            told = sender.commands()["control"]({})
             assert (told["version"], told["refused_version"], told["reason"]) == (1, 2, reason)
             await node.acknowledged(node.change({}, ("budgets/out",)))
             assert sender.dials() == {"hub": ("127.0.0.1", 2)}
@@ -227,9 +227,9 @@
         async with serving(Node()) as node:
             sender = sender_at(state, node.port)
             async with running(sender):
-                assert "No space" in sender.commands()["control_link"]({})["fault"]
+                assert "No space" in sender.commands()["control"]({})["fault"]
                 await node.acknowledged(node.change(hub(1)))
-                assert sender.commands()["control_link"]({})["fault"] == "" and set(sender.dials()) == {"hub"}
+                assert sender.commands()["control"]({})["fault"] == "" and set(sender.dials()) == {"hub"}
     assert write.call_count == 3
 
 
@@ -259,7 +259,7 @@
             link = sender.control_plane.link
             await node.until(lambda: sum(node.channel.refused.values()) >= 2)
             link.datagram_received(node.channel.seal.seal(b"forged"), ("127.0.0.1", node.port))
-            told = sender.commands()["control_link"]({})
+            told = sender.commands()["control"]({})
             assert told["version"] == 0 and sum(told["refused_datagrams"].values()) == 1
     assert node.watcher() is None
 
--- a/tests/test_control_sender.py
+++ b/tests/test_control_sender.py
@@ -21,6 +21,7 @@
 from message_sender.control.document_file import DocumentFile
 from message_sender.control.messages import Delta, Resource
 from message_sender.control_socket import ask
+from message_sender.core.hooks import HookChain
 from message_sender.emulator.shared_links import LinkHub
 from message_sender.journal.disk import SystemDisk
 from message_sender.policy.model import DestinationKind, Endpoint, EndpointState
@@ -76,11 +77,11 @@
 import asyncio, io, sys
 from pathlib import Path
 from message_sender.configuration.general import load
-from message_sender.service.standalone import LineTeller, PlainSender, reread
+from message_sender.service.standalone import CompletionWriter, StandaloneSender, reread
 from message_sender.testbed.running import running
 
 async def main(file, state):
-    sender = PlainSender(load(file), state, LineTeller(io.StringIO()))
+    sender = StandaloneSender(load(file), state, CompletionWriter(io.StringIO()))
     async with running(sender):
         reread(sender, file)
         assert sender.commands()["control"]({}) == {}
@@ -178,7 +179,9 @@
     at = SimpleNamespace(held={}, endpoints=[SimpleNamespace(listed=listed)], breakers=())
     registry = SimpleNamespace(kinds={"plain": DestinationKind()}, leave_grew=lambda number: None)
     there = SimpleNamespace(endpoints={"e": at.endpoints[0]}, destinations={3: at}, registry=registry)
-    engine: Any = SimpleNamespace(dispatcher=there, post=lambda event: None, transport=None)
+    engine: Any = SimpleNamespace(
+        dispatcher=there, post=lambda event: None, transport=None, hooks=HookChain()
+    )
     links = LinkHub(lambda: 0.0, lambda *told: None, 1, US, 0.0, 1)
     links.join("n0", engine, 1)
     _, budgets = links.ends["n0"]
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -264,7 +264,7 @@
         if engine is None:
             return
         for _ in range(400):
-            if not (engine.journal.entries or engine.arrived or engine.inbox):
+            if not (engine.journal.entries or engine.table.arrivals or engine.inbox):
                 return
             await asyncio.wait_for(asyncio.shield(self.tick()), 1)
         raise AssertionError(f"{list(engine.journal.entries)} have no end")
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -15,6 +15,7 @@
 import pytest
 
 from message_sender.cli import main
+from message_sender.core.attempts import Attempts
 from message_sender.core.engine import Engine
 from message_sender.emulator import search, shrink, simulated_run
 from message_sender.emulator.isolation import sealed
@@ -77,7 +78,7 @@
     return True
 
 
-def go_anyway(self: Engine, endpoint: str, name: str) -> bool:
+def go_anyway(self: Attempts, endpoint: str, name: str) -> bool:
     return True
 
 
@@ -120,10 +121,15 @@
     "what may have run is refused": (PendingQueue, "may_refuse", refuse_anything, {"no effect twice"}),
     "a key does not rest": (PendingQueue, "rest", no_rest, {"order"}),
     "a key's messages go at once": (PendingQueue, "in_turn", any_turn, {"order"}),
-    "waits and drains do not bind while connecting": (Engine, "may_go", go_anyway, {"waits"}),
+    "waits and drains do not bind while connecting": (Attempts, "may_go", go_anyway, {"waits"}),
     "an endpoint that drains stays": (EndpointRegistry, "unlist", keep_the_endpoint, {"drains"}),
-    "an attempt is not on record": (Journal, "sent", no_record_of_the_attempt, {"no effect twice", "order"}),
-    "a message is not on record": (Journal, "taken", no_record_of_the_message, {"one end"}),
+    "an attempt is not on record": (
+        Journal,
+        "record_attempt",
+        no_record_of_the_attempt,
+        {"no effect twice", "order"},
+    ),
+    "a message is not on record": (Journal, "record_accepted", no_record_of_the_message, {"one end"}),
     "a wait binds only with the fate": (Engine, "retry_after_received", wait_binds_with_the_fate, {"waits"}),
     "one that is back is taken for warm": (Breaker, "cold_gap", no_gap, {"cold"}),
     "refusals are forgotten with the process": (Dispatcher, "restore", restore_alone, {"cold"}),
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -95,7 +95,7 @@
             request = self.world.receiver.requests.get_nowait()
             calls += request.id == what
             request.answer(200)
-            await until(lambda: not self.sender.engine.calls)
+            await until(lambda: not self.sender.engine.attempts.calls)
         return calls
 
     async def settle(self) -> None:
@@ -105,7 +105,7 @@
                 await self.skip(0.05)
             else:
                 self.world.receiver.requests.get_nowait().answer(200)
-                await until(lambda: not self.sender.engine.calls)
+                await until(lambda: not self.sender.engine.attempts.calls)
 
     async def check(self) -> None:
         """What holds after every fault."""
@@ -293,7 +293,7 @@
             continue
         receiver.requests.get_nowait().answer(200)
         seen += 1
-        await until(lambda: not sender.engine.calls)
+        await until(lambda: not sender.engine.attempts.calls)
     fates = [answer.outcome for who, answer in stage.answers if who == "m"]
     ran = [each for each in fates if each not in NEVER_RAN]
     assert len(ran) == seen, f"{seen} requests came whole, and the fates are {fates}"
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -111,7 +111,13 @@
 PLANTED: dict[str, tuple[type, str, Callable[..., Any], str, str]] = {
     "it is taken for warm at once": (Breaker, "cold_gap", warm_at_once, "herd-on-return", "cold"),
     "unsafe ones go again": (PendingQueue, "may_repeat_at", anything_goes, "resets", "no effect twice"),
-    "no record of attempts": (Journal, "sent", unrecorded, "kill-between-writes", "no effect twice"),
+    "no record of attempts": (
+        Journal,
+        "record_attempt",
+        unrecorded,
+        "kill-between-writes",
+        "no effect twice",
+    ),
 }
 
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -17,7 +17,7 @@
 from successors import Platform, Process
 
 from message_sender import Dispatcher
-from message_sender.core.engine import HandoverState
+from message_sender.core.engine_config import HandoverState
 from message_sender.core.ports import Completion, CompletionState
 from message_sender.handover.link import connect
 from message_sender.handover.ownership import Ownership, OwnershipState
--- a/tests/test_late.py
+++ b/tests/test_late.py
@@ -16,7 +16,7 @@
 from peers import Request, Running, World, config_json, handed_in, host, play, tell
 from test_storms import Late
 
-from message_sender.core.event_loop_lag import LEAST, SPAN, TOLD, EventLoopLag
+from message_sender.core.event_loop_lag import FIRST_BUCKET_S, REPORT_INTERVAL_S, REPORTED_LAG_S, EventLoopLag
 from message_sender.core.ports import AttemptResult, Completion, Rejected
 from message_sender.policy.actions import CancelAttempt
 from message_sender.policy.events import AttemptEnded, WakeUp
@@ -64,7 +64,7 @@
     async def begin(self, **changes: Any) -> Request:  # noqa: ANN401
         self.watch = await self.world.platform.watches.get()
         self.take("first"), self.take("m", **changes)
-        self.caller = self.engine.arrived["m"][1]  # type: ignore[assignment]
+        self.caller = self.engine.table.arrivals["m"][1]  # type: ignore[assignment]
         requests = {each.id: each for each in [await self.world.receiver.next() for _ in range(2)]}
         requests["first"].answer(200)
         kept, owed = self.world.sender.transport.idle, self.engine.journal.entries
@@ -114,9 +114,9 @@
     request = await s.begin()
     s.take("n")
     request.answer(429, WAIT)
-    s.engine.turn()
+    s.engine.run_iteration()
     await s.passes()
-    assert s.calls() == [] and not s.engine.calls
+    assert s.calls() == [] and not s.engine.attempts.calls
 
 
 @scene()
@@ -125,7 +125,7 @@
     s.take("n")
     s.as_a_call_begins(lambda: request.answer(429, WAIT))
     await s.passes()
-    assert s.calls() == [] and not s.engine.calls
+    assert s.calls() == [] and not s.engine.attempts.calls
 
 
 @scene()
@@ -133,11 +133,11 @@
     request = await s.begin()
     s.engine.retry_after_received("r", 100_000)
     s.take("n")
-    s.engine.turn()
+    s.engine.run_iteration()
     s.late.passed += 0.3
     request.answer(429, WAIT)
     s.engine.post(WakeUp())
-    s.engine.turn()
+    s.engine.run_iteration()
     await s.passes()
     assert s.calls() == [] and "n" in s.engine.dispatcher.messages
 
@@ -147,9 +147,9 @@
     request = await s.begin(left=1_000_000)
     request.answer(429, WAIT)
     s.late.passed += 1.2  # the loop finds the answer and the end of its time in one pass
-    await until(lambda: not s.engine.calls)
+    await until(lambda: not s.engine.attempts.calls)
     s.take("n")
-    s.engine.turn()
+    s.engine.run_iteration()
     await s.passes()
     assert s.calls() == [] and len(s.caller.ends) == 1
 
@@ -164,7 +164,7 @@
         hosts = () if whole else (host(s.world.receiver.dial, health="draining"),)
         if before:
             tell(s.watch, 42, *hosts, whole=whole)
-            s.engine.turn()
+            s.engine.run_iteration()
         else:
             s.as_a_call_begins(lambda: tell(s.watch, 42, *hosts, whole=whole))
         await s.passes()
@@ -177,7 +177,7 @@
 async def test_a_line_that_a_look_cannot_read_ends_the_watch_as_ever(s: Scene) -> None:
     await s.begin()
     s.watch.write("5\r\nnoise\r\n2\r\n\n\n\r\n")
-    s.engine.look()
+    s.engine.attempts.poll_unread()
     tell_again = s.world.platform.watches
     calls = s.engine.dispatcher.registry.list_calls
     calls.at = float("inf")
@@ -213,7 +213,7 @@
     """Its rest of 100 ms follows what may still run; an answer that only lay unread is none of that."""
     request = await s.begin(key="k")
     s.take("next", key="k")
-    s.engine.turn()
+    s.engine.run_iteration()
     request.answer(200)
     s.engine.act(CancelAttempt("m", 0), set())
     assert (await s.world.receiver.next()).id == "next"
@@ -228,7 +228,7 @@
         if writer.transport.get_extra_info("peername") == idle.sock.getsockname():
             writer.transport.abort()
     await turn()
-    s.engine.look()
+    s.engine.attempts.poll_unread()
     assert not s.world.sender.transport.idle and idle.sock.fileno() < 0
 
 
@@ -282,8 +282,10 @@
         s.take("n")
         s.late.passed += 0.2 if late else 0.0
         transport.tells_later("m", AttemptResult(Outcome.FULL, wait=5_000_000))
-        s.engine.turn()
-        await until(lambda: "n" not in {name for name, _ in s.engine.calls} or transport.went == ["m", "n"])
+        s.engine.run_iteration()
+        await until(
+            lambda: "n" not in {name for name, _ in s.engine.attempts.calls} or transport.went == ["m", "n"]
+        )
         assert transport.went == (["m"] if late else ["m", "n"])
 
     test(tmp_path)
@@ -295,7 +297,7 @@
         transport = s.engine.transport = DeafTransport(s.engine)
         caller = s.take("m")
         await until(lambda: transport.went == ["m"])
-        s.engine.since = s.engine.loop.time() - 0.2
+        s.engine.inbox_since = s.engine.loop.time() - 0.2
         transport.tells_later("m", AttemptResult(Outcome.OK, finished=True))
         s.engine.act(CancelAttempt("m", 0), set())
         await until(lambda: bool(caller.ends))
@@ -315,7 +317,11 @@
         lateness.note(each)
     for share in (0.5, 0.9, 0.99, 0.999, 1.0):
         truth = samples[max(round(share * len(samples)) - 1, 0)]
-        assert max(truth, LEAST) <= lateness.percentile(share) * (1 + 1e-9) <= max(truth, LEAST) * 1.1001
+        assert (
+            max(truth, FIRST_BUCKET_S)
+            <= lateness.percentile(share) * (1 + 1e-9)
+            <= max(truth, FIRST_BUCKET_S) * 1.1001
+        )
 
 
 def test_a_late_loop_is_told_with_what_was_held_and_a_timely_one_is_not(
@@ -323,14 +329,14 @@
 ) -> None:
     caplog.set_level(logging.WARNING)
     lateness = EventLoopLag(0.0)
-    lateness.note(TOLD / 2)
-    lateness.record(SPAN, 3, 2)
+    lateness.note(REPORTED_LAG_S / 2)
+    lateness.record(REPORT_INTERVAL_S, 3, 2)
     assert not caplog.records
-    lateness.note(TOLD * 4)
-    lateness.record(SPAN * 1.5, 3, 2)  # not before the span is over
+    lateness.note(REPORTED_LAG_S * 4)
+    lateness.record(REPORT_INTERVAL_S * 1.5, 3, 2)  # not before the span is over
     assert not caplog.records
-    lateness.record(SPAN * 2, 30, 20)
-    assert "200 ms at most" in caplog.text and "held 30, out 20" in caplog.text
+    lateness.record(REPORT_INTERVAL_S * 2, 30, 20)
+    assert "max_ms=200 " in caplog.text and "messages=30 calls=20" in caplog.text
     assert lateness.count == 0 and lateness.longest == 0.0
 
 
--- a/tests/test_manage.py
+++ b/tests/test_manage.py
@@ -167,7 +167,7 @@
             await turn()
         assert (await world.hand_in("m1")).status == 202
         await turn()
-        assert not world.sender.engine.calls
+        assert not world.sender.engine.attempts.calls
         assert (await call(address, "POST", "/receivers/r/ready")).status == 200
         assert (await world.receiver.next()).id == "m1"
         breakers = world.sender.engine.dispatcher.registry.all_breakers()
@@ -183,7 +183,7 @@
         async with Running(world.told, tmp_path) as again:
             await again.hand_in("m1")
             await turn()
-            assert not again.sender.engine.calls
+            assert not again.sender.engine.attempts.calls
         (tmp_path / "orders.json").write_text('{"out": ["r"')
         async with Running(world.told, tmp_path):
             assert (await world.receiver.next()).id == "m1"
--- a/tests/test_sender.py
+++ b/tests/test_sender.py
@@ -98,18 +98,18 @@
 @play
 async def test_a_client_that_closed_before_its_answer_withdraws_its_message(state: Path) -> None:
     async with World(state) as world:
-        turn, closed = world.sender.engine.turn, asyncio.Event()
-        world.sender.engine.turn = lambda: None  # the loop is late: the turn does not come
+        turn, closed = world.sender.engine.run_iteration, asyncio.Event()
+        world.sender.engine.run_iteration = lambda: None  # the loop is late: the turn does not come
         _, writer = await asyncio.open_connection(*world.running.address)
         writer.write(message("m1"))
-        while not world.sender.engine.arrived:
+        while not world.sender.engine.table.arrivals:
             await loop_turn()
-        connection = world.sender.engine.arrived["m1"][1]
+        connection = world.sender.engine.table.arrivals["m1"][1]
         connection.transport.pause_reading()
         writer.close()
         await writer.wait_closed()
         closed.set()
-        world.sender.engine.turn = turn
+        world.sender.engine.run_iteration = turn
         turn()
         assert (await world.hand_in("m2")).status == 202
         assert (await world.receiver.next()).id == "m2"
@@ -147,7 +147,7 @@
     async with World(state) as world:
         await world.hand_in("m1")
         (await world.receiver.next()).answer(429, "Retry-After: 3600")
-        while world.sender.engine.calls:
+        while world.sender.engine.attempts.calls:
             await loop_turn()
         await world.hand_in("m2", **SHORT)
         # m2 ends by its time without a call, and m1 is held.
@@ -370,7 +370,7 @@
         timers = []
         for each in asked:
             world.sender.engine.act(each, set())
-            timers.append(world.sender.engine.wake)
+            timers.append(world.sender.engine.wake_timer)
         assert [each.cancelled() for each in timers] == [True, True, False]
 
 
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -22,6 +22,7 @@
 from message_sender.budget.retry_allowance import RetryAllowance
 from message_sender.cli.chart import Run
 from message_sender.configuration.resources import SharedBudget
+from message_sender.core.hooks import HookChain
 from message_sender.emulator.shared import Fleet
 from message_sender.emulator.shared_links import LinkHub
 from message_sender.fleet.wire import LeaseDatagram
@@ -227,7 +228,11 @@
         registry=SimpleNamespace(kinds={"plain": DestinationKind()}, leave_grew=lambda number: None),
     )  # fmt: skip
     engine: Any = SimpleNamespace(
-        dispatcher=there, config=SimpleNamespace(known=(listed,)), post=lambda event: None, transport=None
+        dispatcher=there,
+        config=SimpleNamespace(known=(listed,)),
+        post=lambda event: None,
+        transport=None,
+        hooks=HookChain(),
     )
     time = {"now": 0.0}
     links = LinkHub(lambda: time["now"], lambda *told: None, 1, US, 0.0, 1)
@@ -238,14 +243,14 @@
         budgets.step(time["now"])
         if budgets.free_at(listed, 0) <= 0 and not budgets.out:
             budgets.reserve(listed, "m")
-            assert budgets.spends("e", "m")
+            assert budgets.reserve_limits("e", "m")
     assert budgets.out["m"].names == ["rate/3"]
     at.held = {}
     for second in range(20, 100):
         time["now"] = float(second)
         budgets.step(time["now"])
     assert not budgets.desk.books
-    engine.spent("m")
+    engine.hooks.release_limits("m")
     assert not budgets.out and budgets.free_at(listed, 0) > 0, "opened anew, and asked for"
 
 
@@ -354,7 +359,9 @@
     at = SimpleNamespace(held={}, endpoints=[SimpleNamespace(listed=listed)], breakers=())
     registry = SimpleNamespace(kinds={"plain": DestinationKind()}, leave_grew=lambda number: None)
     there = SimpleNamespace(endpoints={"e": at.endpoints[0]}, destinations={3: at}, registry=registry)
-    engine: Any = SimpleNamespace(dispatcher=there, post=lambda event: None, transport=None)
+    engine: Any = SimpleNamespace(
+        dispatcher=there, post=lambda event: None, transport=None, hooks=HookChain()
+    )
     links = LinkHub(lambda: 0.0, lambda *told: None, 1, US, 0.0, 1)
     links.join("n0", engine, 1)
     _, budgets = links.ends["n0"]
--- a/tests/test_storms.py
+++ b/tests/test_storms.py
@@ -102,9 +102,9 @@
         await until(lambda: own.queued)
 
     async def taken(self, client: Client, own: ServerConnection) -> None:
-        self.sender.engine.turn = lambda: None  # type: ignore[method-assign]
+        self.sender.engine.run_iteration = lambda: None  # type: ignore[method-assign]
         client.sock.sendall(message("m"))
-        await until(lambda: "m" in self.sender.engine.arrived)
+        await until(lambda: "m" in self.sender.engine.table.arrivals)
 
     async def paused(self, client: Client, own: ServerConnection) -> None:
         await self.taken(client, own)
@@ -142,13 +142,13 @@
         if self.server.leaving or self.server.strangers:
             self.server.make_room()  # else it would choose the bystander, who stands between requests
         self.server.read_some = lambda: reading(self.server)  # type: ignore[method-assign]
-        self.sender.engine.turn = lambda: turning(engine)  # type: ignore[method-assign]
+        self.sender.engine.run_iteration = lambda: turning(engine)  # type: ignore[method-assign]
 
     async def serve_all(self, *, most: int = 1) -> None:
         """Answers what is called for until nothing is owed; no message may come twice."""
         seen: dict[str, int] = {}
         requests = self.world.receiver.requests
-        while self.sender.engine.journal.entries or self.sender.engine.calls:
+        while self.sender.engine.journal.entries or self.sender.engine.attempts.calls:
             while not requests.empty():
                 request = requests.get_nowait()
                 seen[request.id] = seen.get(request.id, 0) + 1
@@ -233,12 +233,12 @@
     """Out of a turn the same error was only logged, and those behind it were neither answered nor sent."""
     async with World(state) as world:
         late = Late(world)
-        late.sender.engine.turn = lambda: None  # type: ignore[method-assign]
+        late.sender.engine.run_iteration = lambda: None  # type: ignore[method-assign]
         first = Client(world.running.address, message("m", Connection="close"))
-        await until(lambda: "m" in world.sender.engine.arrived)
+        await until(lambda: "m" in world.sender.engine.table.arrivals)
         second = await Held.open(world.sender.server, message("n"))
-        await until(lambda: "n" in world.sender.engine.arrived)
-        gone, _ = world.sender.engine.arrived["m"][1], first.finish()
+        await until(lambda: "n" in world.sender.engine.table.arrivals)
+        gone, _ = world.sender.engine.table.arrivals["m"][1], first.finish()
         gone.is_gone = lambda: False  # type: ignore[method-assign]  # it closes between the look and the answer
         late.one_late_turn(0.0, sweep_first=False)
         assert (await read_reply(second.reader)).status == 202
