--- a/message_sender/cli/control_change.py
+++ b/message_sender/cli/control_change.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 from typing import Any
 
-from message_sender.control.schema import Difference, changes_between, encode_value
+from message_sender.control.schema import Difference, compare_resources, encode_value
 from message_sender.control_socket import ask
 
 RETRY_INTERVAL_S = 0.3
@@ -103,7 +103,7 @@
     """What is to be put and deleted; a patch leaves alone what it does not name. Raises KeyError for a name
     to be deleted that is not there."""
     if not is_patch:
-        return changes_between(present, wanted)
+        return compare_resources(present, wanted)
     for name in delete:
         if name not in present:
             raise KeyError(name)
--- a/message_sender/control/channel.py
+++ b/message_sender/control/channel.py
@@ -27,10 +27,10 @@
 from message_sender.fleet.seal import LEAST, MOST, RefusedError, Seal
 from message_sender.fleet.session import PeerSession
 
-GREETINGS_PER_SECOND = 500  # answers to all that are not in the table
-PEER_GREETINGS_PER_SECOND = 50  # to each that is: what others send or replay takes nothing of it
+HELLO_ANSWERS_PER_SECOND = 500  # answers to all that are not in the table
+PEER_HELLO_ANSWERS_PER_SECOND = 50  # to each that is: what others send or replay takes nothing of it
 HELLO_INTERVAL_S = 0.3  # between two calls to a peer whose session is not known
-WAITING_LIMIT = 4  # bodies that wait for a peer's session, the latest ones
+QUEUED_BODIES_LIMIT = 4  # bodies that wait for a peer's session, the latest ones
 PEERS_LIMIT = 4096  # peers that are remembered; beyond it the one that was silent longest is forgotten
 FRAGMENT_BYTES = 1_200  # of an encoded body in one datagram
 MESSAGE_BYTES_LIMIT = 64 * 1024  # of one encoded body: its fragments fit the replay window in any order
@@ -39,7 +39,7 @@
 PARTIAL_AGE_LIMIT_S = 5.0  # after which a message that is not whole is dropped
 
 
-class Refusal(StrEnum):
+class RefusalReason(StrEnum):
     """Why a datagram was dropped."""
 
     SEAL = "sealed with another key, damaged, or not one of these datagrams"
@@ -58,7 +58,7 @@
 class DroppedError(Exception):
     """A datagram that is not believed."""
 
-    def __init__(self, refusal: Refusal) -> None:
+    def __init__(self, refusal: RefusalReason) -> None:
         super().__init__(refusal.value)
         self.refusal = refusal
 
@@ -100,7 +100,7 @@
         self.is_behind = False  # others know a later start of this name than its disk does
         self.on_behind: Callable[[int], None] = lambda epoch: None  # the epoch to keep from now on
         self.on_start_known: Callable[[str, KnownStart], None] = lambda name, start: None
-        self.refused: Counter[Refusal] = Counter()
+        self.refused: Counter[RefusalReason] = Counter()
         self.partial_bytes = 0  # of messages that are not whole yet
         self.sent = self.received = self.sent_bytes = self.received_bytes = 0
         self._peers: dict[str, PeerSession] = {}
@@ -128,7 +128,7 @@
         if peer is not None:
             self._send_body(address, peer.session, body)
             return
-        self._waiting[to] = [*self._waiting.get(to, ()), body][-WAITING_LIMIT:]
+        self._waiting[to] = [*self._waiting.get(to, ()), body][-QUEUED_BODIES_LIMIT:]
         if now - self._called.get(to, -HELLO_INTERVAL_S) >= HELLO_INTERVAL_S:
             self._called[to] = now
             self._send_datagram(address, 0, Hello())
@@ -186,21 +186,21 @@
         try:
             plain = self.seal.open(datagram)
         except RefusedError:
-            raise DroppedError(Refusal.SEAL) from None
+            raise DroppedError(RefusalReason.SEAL) from None
         try:
             envelope: Envelope = self._envelope_decoder.decode(plain)
         except (msgspec.MsgspecError, ValueError, RecursionError):
-            raise DroppedError(Refusal.MALFORMED) from None
+            raise DroppedError(RefusalReason.MALFORMED) from None
         return envelope
 
     def _believe(self, envelope: Envelope, source: Address, now: float) -> Body | None:
         if envelope.name == self.name:
-            raise DroppedError(Refusal.OWN_NAME)
+            raise DroppedError(RefusalReason.OWN_NAME)
         if envelope.to_session != self.session:
             self._greet(envelope, source, now)
             if isinstance(envelope.body, Hello) and envelope.to_session == 0:
                 return None
-            raise DroppedError(Refusal.OTHER_SESSION)
+            raise DroppedError(RefusalReason.OTHER_SESSION)
         self._admit(envelope, source, now)
         match envelope.body:
             case Hello(known_epoch):
@@ -219,10 +219,10 @@
         if peer is None or peer.session != envelope.session:
             if self._later_epoch(envelope):
                 self._greet(envelope, source, now)
-                raise DroppedError(Refusal.OLD_START)
+                raise DroppedError(RefusalReason.OLD_START)
             peer = self._begin_session(envelope)
         if not peer.is_new(envelope.number):
-            raise DroppedError(Refusal.REPLAY)
+            raise DroppedError(RefusalReason.REPLAY)
         if envelope.epoch > peer.epoch:
             peer.epoch = envelope.epoch
         self._note_start(envelope.name, KnownStart(peer.epoch, peer.session))
@@ -262,9 +262,9 @@
         if now - self._greetings_since >= 1.0:
             self._greetings.clear()
             self._greetings_since = now
-        name, limit = "", GREETINGS_PER_SECOND
+        name, limit = "", HELLO_ANSWERS_PER_SECOND
         if envelope.name in self.addresses:
-            name, limit = envelope.name, PEER_GREETINGS_PER_SECOND
+            name, limit = envelope.name, PEER_HELLO_ANSWERS_PER_SECOND
         if self._greetings[name] >= limit:
             return
         self._greetings[name] += 1
@@ -292,13 +292,13 @@
         self._drop_old_partial(now)
         most = -(-MESSAGE_BYTES_LIMIT // FRAGMENT_BYTES)
         if not fragment.index < fragment.count <= most or len(fragment.data) > FRAGMENT_BYTES:
-            raise DroppedError(Refusal.FRAGMENT)
+            raise DroppedError(RefusalReason.FRAGMENT)
         key = name, fragment.message
         partial = self._partial.get(key)
         if partial is None:
             partial = self._begin_partial(key, fragment, now)
         if partial.count != fragment.count:
-            raise DroppedError(Refusal.FRAGMENT)
+            raise DroppedError(RefusalReason.FRAGMENT)
         if fragment.index in partial.parts:
             return None
         partial.parts[fragment.index] = fragment.data
@@ -331,7 +331,7 @@
         try:
             body: Body = self._body_decoder.decode(data)
         except (msgspec.MsgspecError, ValueError, RecursionError):
-            raise DroppedError(Refusal.MALFORMED) from None
+            raise DroppedError(RefusalReason.MALFORMED) from None
         if isinstance(body, Hello | Fragment):
-            raise DroppedError(Refusal.FRAGMENT)
+            raise DroppedError(RefusalReason.FRAGMENT)
         return body
--- a/message_sender/control/choice.py
+++ b/message_sender/control/choice.py
@@ -4,18 +4,18 @@
 
 - The nodes are in an order of preference. A node that fails is left for the next one, round and round.
 - While a sender isn't with its first choice, it probes the nodes that it prefers to the present one, one each
-  `PROBE_LEAST` to `PROBE_MOST` seconds (drawn), and goes back only to one that answered.
+  `PROBE_INTERVAL_MIN_S` to `PROBE_INTERVAL_MAX_S` seconds (drawn), and goes back only to one that answered.
 - A node that is behind is given some patience, then left. The patience doubles each time, up to
-  `PATIENCE_LIMIT`, until a node is met that isn't behind: where all are, senders don't run in circles.
+  `PATIENCE_LIMIT_S`, until a node is met that isn't behind: where all are, senders don't run in circles.
 """
 
 import random
 from collections.abc import Sequence
 
 # Seconds.
-PROBE_LEAST, PROBE_MOST = 30.0, 60.0
-PATIENCE_LEAST, PATIENCE_MOST = 3.0, 6.0  # the first time
-PATIENCE_LIMIT = 60.0
+PROBE_INTERVAL_MIN_S, PROBE_INTERVAL_MAX_S = 30.0, 60.0
+PATIENCE_MIN_S, PATIENCE_MAX_S = 3.0, 6.0  # the first time
+PATIENCE_LIMIT_S = 60.0
 
 
 class NodeChoice:
@@ -63,7 +63,7 @@
     def note_good(self) -> None:
         """The node isn't behind."""
         self._behind_since = None
-        self._patience = self._rng.uniform(PATIENCE_LEAST, PATIENCE_MOST)
+        self._patience = self._rng.uniform(PATIENCE_MIN_S, PATIENCE_MAX_S)
 
     def note_behind(self, now: float) -> bool:
         """The node is behind; whether it has been for longer than the patience."""
@@ -71,7 +71,7 @@
             self._behind_since = now
         if now - self._behind_since <= self._patience:
             return False
-        self._patience = min(2 * self._patience, PATIENCE_LIMIT)
+        self._patience = min(2 * self._patience, PATIENCE_LIMIT_S)
         return True
 
     def forget_times(self) -> None:
@@ -87,4 +87,4 @@
         self._draw_probe(now)
 
     def _draw_probe(self, now: float) -> None:
-        self._probe_due = now + self._rng.uniform(PROBE_LEAST, PROBE_MOST)
+        self._probe_due = now + self._rng.uniform(PROBE_INTERVAL_MIN_S, PROBE_INTERVAL_MAX_S)
--- a/message_sender/control/configuration.py
+++ b/message_sender/control/configuration.py
@@ -15,7 +15,7 @@
 VOTES_LIMIT = 100
 
 
-def node_name(name: str) -> str:
+def check_node_name(name: str) -> str:
     if not name or len(name) > NAME_LENGTH_LIMIT or not name.isascii() or not name.isprintable():
         raise ValueError(f"must be 1 to {NAME_LENGTH_LIMIT} printable ASCII characters, not {name!r}")
     return name
@@ -39,15 +39,15 @@
 
 
 class NodeTable(Table):
-    name: Annotated[str, AfterValidator(node_name)]
+    name: Annotated[str, AfterValidator(check_node_name)]
     address: AddressField
     region: str = ""
     votes: Annotated[int, within(1, VOTES_LIMIT)] = 1
 
 
 class NodeFile(Table):
-    name: Annotated[str, AfterValidator(node_name)]
-    cluster: Annotated[str, AfterValidator(node_name)]
+    name: Annotated[str, AfterValidator(check_node_name)]
+    cluster: Annotated[str, AfterValidator(check_node_name)]
     listen: AddressField
     state: str
     key_file: str
--- a/message_sender/control/document.py
+++ b/message_sender/control/document.py
@@ -33,7 +33,7 @@
     resources: tuple[Resource, ...]
 
 
-def digest_of(name: str, value: bytes) -> int:
+def compute_digest(name: str, value: bytes) -> int:
     """64 bits for one resource (XXH3)."""
     return xxhash.xxh3_64_intdigest(name.encode() + b"\0" + value)
 
@@ -46,7 +46,7 @@
         self.resources: dict[str, bytes] = dict(resources or {})
         self.digest = 0
         for name, value in self.resources.items():
-            self.digest ^= digest_of(name, value)
+            self.digest ^= compute_digest(name, value)
 
     def digest_after(self, put: Iterable[Resource], delete: Iterable[str]) -> int:
         """The digest that these changes lead to. A name may be put or deleted once; deleting needs it there.
@@ -59,15 +59,15 @@
             if name in seen or name not in self.resources:
                 raise DeltaMismatchError(f"{name}: cannot be deleted, it is not there")
             seen.add(name)
-            digest ^= digest_of(name, self.resources[name])
+            digest ^= compute_digest(name, self.resources[name])
         for resource in put:
             if resource.name in seen:
                 raise DeltaMismatchError(f"{resource.name}: is changed twice")
             seen.add(resource.name)
             old = self.resources.get(resource.name)
             if old is not None:
-                digest ^= digest_of(resource.name, old)
-            digest ^= digest_of(resource.name, resource.value)
+                digest ^= compute_digest(resource.name, old)
+            digest ^= compute_digest(resource.name, resource.value)
         return digest
 
     def check(self, delta: Delta) -> None:
--- a/message_sender/control/fanout.py
+++ b/message_sender/control/fanout.py
@@ -21,7 +21,7 @@
 from dataclasses import dataclass
 
 from message_sender.control.document import encode_snapshot
-from message_sender.control.fetch import SNAPSHOT_WINDOW
+from message_sender.control.fetch import SNAPSHOT_WINDOW_CHUNKS
 from message_sender.control.messages import (
     CHUNK_BYTES,
     Delta,
@@ -32,20 +32,20 @@
     WatcherStatus,
     WatchMessage,
 )
-from message_sender.control.store import RESOURCE_OVERHEAD, ConfigurationStore
+from message_sender.control.store import RESOURCE_OVERHEAD_BYTES, ConfigurationStore
 
 # Seconds.
-PUSH_AGE = 5.0  # who hasn't polled for so long is not pushed to
-SESSION_AGE = 86_400.0
-SNAPSHOT_AGE = 60.0  # an encoded snapshot that nobody asked for so long is dropped
-RETRY_AFTER_LIMIT = 10.0
-RETRY_SPREAD = 0.2  # of the wait, drawn
+PUSH_AGE_LIMIT_S = 5.0  # who hasn't polled for so long is not pushed to
+SESSION_AGE_LIMIT_S = 86_400.0
+SNAPSHOT_AGE_LIMIT_S = 60.0  # an encoded snapshot that nobody asked for so long is dropped
+RETRY_AFTER_LIMIT_S = 10.0
+RETRY_JITTER = 0.2  # of the wait, drawn
 
 # Bytes.
 BYTES_PER_SECOND = 8_000_000
 BURST_BYTES = 1_000_000
 DELTA_RESERVE_BYTES = 250_000  # what snapshots leave to deltas
-DATAGRAM_OVERHEAD = 130  # headers, seal, envelope
+DATAGRAM_OVERHEAD_BYTES = 130  # headers, seal, envelope
 
 SESSIONS_LIMIT = 4_096
 SNAPSHOTS_LIMIT = 2  # encoded ones that are kept
@@ -74,7 +74,7 @@
         missing = max(0.0, size + reserve - self._tokens)
         refilled_at = now + missing / self.bytes_per_second
         next_slot = max(self._next_slot + size / self.bytes_per_second, refilled_at)
-        self._next_slot = min(next_slot, now + RETRY_AFTER_LIMIT)
+        self._next_slot = min(next_slot, now + RETRY_AFTER_LIMIT_S)
         return self._next_slot - now
 
 
@@ -154,17 +154,17 @@
         """Forgets what is long over."""
         while self._sessions:
             name, session = next(iter(self._sessions.items()))
-            if now - session.polled_at <= SESSION_AGE:
+            if now - session.polled_at <= SESSION_AGE_LIMIT_S:
                 break
             del self._sessions[name]
         for version, snapshot in tuple(self._snapshots.items()):
-            if now - snapshot.used_at > SNAPSHOT_AGE:
+            if now - snapshot.used_at > SNAPSHOT_AGE_LIMIT_S:
                 del self._snapshots[version]
 
     def version_changed(self, now: float) -> None:
         """The store has a new version: it is pushed to all that can take it."""
         for name, session in self._sessions.items():
-            if now - session.polled_at > PUSH_AGE or self._is_refused(session):
+            if now - session.polled_at > PUSH_AGE_LIMIT_S or self._is_refused(session):
                 continue
             delta = self.store.delta_from(session.assumed_version)
             if delta is not None:
@@ -207,7 +207,7 @@
 
     def _notify(self, sender: str, needs_snapshot: bool = False, wait: float = 0.0) -> None:
         document = self.store.document
-        spread = wait * (1 + self._rng.uniform(0, RETRY_SPREAD))
+        spread = wait * (1 + self._rng.uniform(0, RETRY_JITTER))
         notice = VersionNotice(
             version=document.version,
             digest=document.digest,
@@ -220,7 +220,7 @@
         self._out.append((sender, notice))
 
     def _send_delta(self, sender: str, session: Session, delta: Delta, now: float) -> None:
-        wait = self._budget.take(_size_of(delta), 0, now)
+        wait = self._budget.take(_estimate_size(delta), 0, now)
         if wait:
             self._notify(sender, wait=wait)
             return
@@ -234,9 +234,9 @@
             return
         version, data = self._snapshot_for(request.version, now)
         offset = request.offset if version == request.version else 0
-        end = min(len(data), offset + SNAPSHOT_WINDOW * CHUNK_BYTES)
+        end = min(len(data), offset + SNAPSHOT_WINDOW_CHUNKS * CHUNK_BYTES)
         chunks = range(offset, end, CHUNK_BYTES)
-        size = max(0, end - offset) + len(chunks) * DATAGRAM_OVERHEAD
+        size = max(0, end - offset) + len(chunks) * DATAGRAM_OVERHEAD_BYTES
         wait = self._budget.take(size, DELTA_RESERVE_BYTES, now)
         if wait:
             self._notify(sender, wait=wait)
@@ -267,8 +267,8 @@
         return snapshot
 
 
-def _size_of(delta: Delta) -> int:
+def _estimate_size(delta: Delta) -> int:
     """Bytes that a delta takes on the network, about."""
-    size = DATAGRAM_OVERHEAD + sum(len(name) + RESOURCE_OVERHEAD for name in delta.delete)
-    size += sum(len(each.name) + len(each.value) + RESOURCE_OVERHEAD for each in delta.put)
-    return size + size // CHUNK_BYTES * DATAGRAM_OVERHEAD
+    size = DATAGRAM_OVERHEAD_BYTES + sum(len(name) + RESOURCE_OVERHEAD_BYTES for name in delta.delete)
+    size += sum(len(each.name) + len(each.value) + RESOURCE_OVERHEAD_BYTES for each in delta.put)
+    return size + size // CHUNK_BYTES * DATAGRAM_OVERHEAD_BYTES
--- a/message_sender/control/fetch.py
+++ b/message_sender/control/fetch.py
@@ -2,8 +2,8 @@
 
 Rules:
 
-- A request names an offset; the node sends the window of `SNAPSHOT_WINDOW` chunks from there. The next window
-  is asked for when this one is here, so that no more than a window is under way or held out of order.
+- A request names an offset; the node sends the window of `SNAPSHOT_WINDOW_CHUNKS` chunks from there. The next
+  window is asked for when this one is here, so that no more than a window is under way or held out of order.
 - Chunks come in any order, doubled or not at all. One that lies outside the window or names another length
   is dropped. What is missing is asked for again from the first missing byte.
 - All chunks are of one version. Their bytes are the same at every node: a fetch goes on at another one.
@@ -15,7 +15,7 @@
 from message_sender.control.document import Document, SnapshotError, decode_snapshot
 from message_sender.control.messages import CHUNK_BYTES, Delta, Resource, SnapshotChunk, SnapshotRequest
 
-SNAPSHOT_WINDOW = 16  # chunks in flight
+SNAPSHOT_WINDOW_CHUNKS = 16  # chunks in flight
 SNAPSHOT_BYTES_LIMIT = 64 * 1024 * 1024
 
 
@@ -28,11 +28,11 @@
         self.total: int | None = None
         self._data = bytearray()
         self._ahead: dict[int, bytes] = {}
-        self._window_end = SNAPSHOT_WINDOW * CHUNK_BYTES
+        self._window_end = SNAPSHOT_WINDOW_CHUNKS * CHUNK_BYTES
 
     def request(self) -> SnapshotRequest:
         """Asks for a window from the first missing byte on."""
-        self._window_end = len(self._data) + SNAPSHOT_WINDOW * CHUNK_BYTES
+        self._window_end = len(self._data) + SNAPSHOT_WINDOW_CHUNKS * CHUNK_BYTES
         return SnapshotRequest(self.version, len(self._data))
 
     def add(self, chunk: SnapshotChunk) -> bool:
@@ -81,7 +81,7 @@
         return is_new and chunk.offset < self._window_end
 
 
-def difference(present: Document, wanted: Document) -> Delta:
+def compute_delta(present: Document, wanted: Document) -> Delta:
     """The delta that leads from one document to the other."""
     put = tuple(
         Resource(name, value)
--- a/message_sender/control/log_file.py
+++ b/message_sender/control/log_file.py
@@ -32,7 +32,7 @@
 FRAME_HEADER = struct.Struct(">III")  # length, CRC of the content, CRC of these two
 FRAME_BYTES_LIMIT = 256 * 1024 * 1024
 SECTOR_BYTES = 512
-LEAST_ZEROS = 16  # bytes of a sector that must be zeros for it to count as never written
+EMPTY_SECTOR_BYTES_MIN = 16  # bytes of a sector that must be zeros for it to count as never written
 
 
 class LogBatch(msgspec.Struct, array_like=True, frozen=True):
@@ -125,7 +125,7 @@
     at = offset
     while at < len(data):
         end = min((at // SECTOR_BYTES + 1) * SECTOR_BYTES, len(data))
-        if end - at >= LEAST_ZEROS and not any(data[at:end]):
+        if end - at >= EMPTY_SECTOR_BYTES_MIN and not any(data[at:end]):
             return True
         at = end
     return False
--- a/message_sender/control/node.py
+++ b/message_sender/control/node.py
@@ -39,13 +39,13 @@
 from message_sender.control.store import ConfigurationStore
 
 DISK_RETRY_S = 1.0
-HAND_OVER_REPEAT_S = 0.3
+LEADERSHIP_TRANSFER_RETRY_S = 0.3
 STATUS_TIMEOUT_S = 1.0
 STATUS_REPEAT_S = 0.25
 WATCHERS_BYTES_LIMIT = 48 * 1024  # of the watchers in one status, as they are encoded
-WATCHER_OVERHEAD = 32  # bytes of a watcher's numbers, at the most
-REASON_IN_STATUS_LIMIT = 120  # characters
-FAULT_IN_STATUS_LIMIT = 400  # characters
+WATCHER_OVERHEAD_BYTES = 32  # bytes of a watcher's numbers, at the most
+STATUS_REASON_LENGTH_LIMIT = 120  # characters
+STATUS_FAULT_LENGTH_LIMIT = 400  # characters
 MS_PER_SECOND = 1_000
 BEHIND_REASON = "its disk is older than what other nodes have heard of it"
 
@@ -134,7 +134,7 @@
 
     def _hand_over(self, now: float) -> None:
         if now >= self._hand_over_at and self.replica.hand_over():
-            self._hand_over_at = now + HAND_OVER_REPEAT_S
+            self._hand_over_at = now + LEADERSHIP_TRANSFER_RETRY_S
 
     def _dispatch(self, sender: str, body: Body, now: float) -> None:
         is_node = sender in self.channel.addresses
@@ -230,8 +230,8 @@
             version=self.store.document.version,
             commit_index=self.replica.commit_index,
             age_ms=self._authority_age_ms(),
-            watchers=_as_many_as_fit(watchers),
-            fault=self.fault()[:FAULT_IN_STATUS_LIMIT],
+            watchers=_limit_size(watchers),
+            fault=self.fault()[:STATUS_FAULT_LENGTH_LIMIT],
         )
 
     def fault(self) -> str:
@@ -280,17 +280,17 @@
     return not isinstance(message, AppendReply) or message.is_voter
 
 
-def _shortened(watcher: WatcherStatus) -> WatcherStatus:
-    if len(watcher.reason) <= REASON_IN_STATUS_LIMIT:
+def _shorten_reason(watcher: WatcherStatus) -> WatcherStatus:
+    if len(watcher.reason) <= STATUS_REASON_LENGTH_LIMIT:
         return watcher
-    reason = watcher.reason[: REASON_IN_STATUS_LIMIT - 3] + "..."
+    reason = watcher.reason[: STATUS_REASON_LENGTH_LIMIT - 3] + "..."
     return WatcherStatus(watcher.name, watcher.version, watcher.refused_version, reason, watcher.silent_ms)
 
 
-def _as_many_as_fit(watchers: Iterable[WatcherStatus]) -> tuple[WatcherStatus, ...]:
+def _limit_size(watchers: Iterable[WatcherStatus]) -> tuple[WatcherStatus, ...]:
     found, size = [], 0
-    for watcher in map(_shortened, watchers):
-        size += len(watcher.name.encode()) + len(watcher.reason.encode()) + WATCHER_OVERHEAD
+    for watcher in map(_shorten_reason, watchers):
+        size += len(watcher.name.encode()) + len(watcher.reason.encode()) + WATCHER_OVERHEAD_BYTES
         if size > WATCHERS_BYTES_LIMIT:
             break
         found.append(watcher)
--- a/message_sender/control/operators.py
+++ b/message_sender/control/operators.py
@@ -49,7 +49,7 @@
             put = read_values(request.put)
         except ConfigError as error:
             version = self.node.store.document.version
-            return _answer(Outcome.INVALID, version, tuple(map(str, error.faults)))
+            return _describe_result(Outcome.INVALID, version, tuple(map(str, error.faults)))
         if request.base_version < 0:
             raise InvalidRequestError("base_version: must be 0 or more")
         resources = tuple(Resource(name, value) for name, value in sorted(put.items()))
@@ -57,7 +57,7 @@
             request.request_id, request.base_version, resources, tuple(request.delete), request.author
         )
         result = await self._wait_for(lambda answer, now: self.node.submit(change, answer, now))
-        return _answer(result.outcome, result.version, result.faults)
+        return _describe_result(result.outcome, result.version, result.faults)
 
     def get(self, asked: Mapping[str, Any]) -> dict[str, Any]:
         """The document that is in force here, and how old this node's knowledge is."""
@@ -78,7 +78,7 @@
         nodes: list[dict[str, Any]] = []
         for name in self.node.node_names():
             if name in found:
-                nodes.append(_described(found[name]))
+                nodes.append(_describe_node(found[name]))
             else:
                 nodes.append({"name": name, "is_reachable": False})
         own = next(each for each in nodes if each["name"] == self.node.name)
@@ -102,11 +102,11 @@
         return await future
 
 
-def _answer(outcome: Outcome, version: int, faults: tuple[str, ...]) -> dict[str, Any]:
+def _describe_result(outcome: Outcome, version: int, faults: tuple[str, ...]) -> dict[str, Any]:
     return {"outcome": outcome.name.lower(), "version": version, "faults": list(faults)}
 
 
-def _described(status: NodeStatus) -> dict[str, Any]:
+def _describe_node(status: NodeStatus) -> dict[str, Any]:
     fields = {name: getattr(status, name) for name in status.__struct_fields__ if name != "number"}
     watchers = [
         {name: getattr(each, name) for name in each.__struct_fields__} for each in status.watchers
--- a/message_sender/control/process.py
+++ b/message_sender/control/process.py
@@ -24,7 +24,7 @@
 from message_sender.control.replica import Replica
 from message_sender.control.schema import Validator
 from message_sender.control.store import ConfigurationStore
-from message_sender.control.udp import FolderNotes, NodeDriver, UdpSocket
+from message_sender.control.udp import FolderWriter, NodeDriver, UdpSocket
 from message_sender.control_socket import ControlSocket
 from message_sender.fleet.seal import KeyFileError, Seal, read_keys, reread_keys
 from message_sender.journal.disk import Disk, SystemDisk
@@ -32,8 +32,8 @@
 
 SESSION_BITS = 62
 SEED_BITS = 64
-HAND_OVER_LIMIT_S = 2.0  # that a leader waits for another one as it ends
-HAND_OVER_LOOK_S = 0.02
+LEADERSHIP_TRANSFER_LIMIT_S = 2.0  # that a leader waits for another one as it ends
+LEADERSHIP_TRANSFER_POLL_S = 0.02
 
 log = logging.getLogger(__name__)
 
@@ -142,7 +142,7 @@
         node = build_node(config, seal, folder, self.log_file, rng, self.loop.time())
         self.socket = UdpSocket()
         self.driver = NodeDriver(
-            node, self.log_file, FolderNotes(folder, node), self.socket.send, self.failed
+            node, self.log_file, FolderWriter(folder, node), self.socket.send, self.failed
         )  # fmt: skip
         self.socket.on_datagram = self.driver.received
         self.control = ControlSocket(config.state, OperatorCommands(self.driver).commands())
@@ -175,10 +175,10 @@
 
     async def hand_over(self) -> None:
         """Ends once another node leads, so that changes wait for no time-out, or after HAND_OVER_LIMIT_S."""
-        replica, ends_at = self.driver.node.replica, self.loop.time() + HAND_OVER_LIMIT_S
+        replica, ends_at = self.driver.node.replica, self.loop.time() + LEADERSHIP_TRANSFER_LIMIT_S
         self.driver.do(self.driver.node.end)
         while replica.leader in ("", self.config.name) and self.loop.time() < ends_at:
-            await asyncio.sleep(HAND_OVER_LOOK_S)
+            await asyncio.sleep(LEADERSHIP_TRANSFER_POLL_S)
         log.info("control: %s: handed over to %s", self.config.name, replica.leader or "nobody")
         self.stop(0)
 
--- a/message_sender/control/replica.py
+++ b/message_sender/control/replica.py
@@ -55,9 +55,9 @@
 __all__ = ["HardState", "NotLeaderError", "Ready", "Replica", "ReplicaInvariantError", "Role"]
 
 HEARTBEAT_INTERVAL_S = 0.1
-ELECTION_TIMEOUT_LEAST_S = 0.6
-ELECTION_TIMEOUT_MOST_S = 1.2
-WAITING_MESSAGES_LIMIT = 256  # that wait for the disk; beyond it the oldest go, as a network loses them
+ELECTION_TIMEOUT_MIN_S = 0.6
+ELECTION_TIMEOUT_MAX_S = 1.2
+QUEUED_MESSAGES_LIMIT = 256  # that wait for the disk; beyond it the oldest go, as a network loses them
 
 
 class Replica:
@@ -91,7 +91,7 @@
         self._disk_last_index = self._log.last_index
         self._handed_index = 0  # the last committed entry that a Ready has held
         self._outstanding: Ready | None = None
-        self._messages: deque[tuple[str, RaftMessage]] = deque(maxlen=WAITING_MESSAGES_LIMIT)
+        self._messages: deque[tuple[str, RaftMessage]] = deque(maxlen=QUEUED_MESSAGES_LIMIT)
         self._granted: frozenset[str] = frozenset()
         self._leadership: Leadership | None = None  # while it is the leader
         self._rng = rng
@@ -236,7 +236,7 @@
     # Elections.
 
     def _restart_election_timer(self, now: float) -> None:
-        self._election_timeout = self._rng.uniform(ELECTION_TIMEOUT_LEAST_S, ELECTION_TIMEOUT_MOST_S)
+        self._election_timeout = self._rng.uniform(ELECTION_TIMEOUT_MIN_S, ELECTION_TIMEOUT_MAX_S)
         self._election_at = now + self._election_timeout
 
     def _become_follower(self, term: int, leader: str, now: float) -> None:
@@ -308,7 +308,7 @@
     def _would_vote(self, request: VoteRequest, now: float) -> bool:
         if self.role is Role.LEADER or request.term <= self.term:
             return False
-        if self._authority_at is not None and now - self._authority_at < ELECTION_TIMEOUT_LEAST_S:
+        if self._authority_at is not None and now - self._authority_at < ELECTION_TIMEOUT_MIN_S:
             return False
         return self._is_log_new_enough(request)
 
--- a/message_sender/control/requests.py
+++ b/message_sender/control/requests.py
@@ -83,7 +83,7 @@
 
     def submit(self, change: Change, answer: Answer, now: float) -> None:
         """Calls `answer` once: when the outcome is known, or after ANSWER_TIMEOUT_S."""
-        if fault := _format_fault(change):
+        if fault := _find_format_fault(change):
             answer(self._result(change, Outcome.INVALID, (fault,)))
             return
         waiting = self._waiting.get(change.request_id)
@@ -137,7 +137,7 @@
                 self._take_result(waiting, message.result)
             return
         change = message.change
-        if self.replica.role is not Role.LEADER or _format_fault(change):
+        if self.replica.role is not Role.LEADER or _find_format_fault(change):
             return
         result = self._consider(change, now)
         if result is not None:
@@ -215,7 +215,7 @@
         self._forwarded.clear()
 
 
-def _format_fault(change: Change) -> str:
+def _find_format_fault(change: Change) -> str:
     """Why a change cannot be an entry of the log; empty if it can."""
     try:
         decode_change(encode_change(change))
--- a/message_sender/control/schema.py
+++ b/message_sender/control/schema.py
@@ -68,18 +68,18 @@
     return text.encode()
 
 
-def dial_text(dial: Dial) -> str:
+def format_dial(dial: Dial) -> str:
     """An address as a file has it."""
     host, port = dial
     return f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
 
 
-def resource_of(kind: Kind, table: Table) -> tuple[str, bytes]:
+def encode_resource(kind: Kind, table: Table) -> tuple[str, bytes]:
     """Name and canonical value."""
     fields = table.model_dump(exclude_defaults=True)
     name = fields.pop(kind.key)
     if "dial" in fields:
-        fields["dial"] = dial_text(fields["dial"])
+        fields["dial"] = format_dial(fields["dial"])
     return f"{kind.name}/{name}", encode_value(fields)
 
 
@@ -101,8 +101,8 @@
     ]
     if faults:
         raise ConfigError(faults)
-    found = [resource_of(KINDS[ENDPOINTS], each) for each in table.endpoints]
-    found += [resource_of(KINDS[BUDGETS], each) for each in table.budgets]
+    found = [encode_resource(KINDS[ENDPOINTS], each) for each in table.endpoints]
+    found += [encode_resource(KINDS[BUDGETS], each) for each in table.budgets]
     return dict(found)
 
 
@@ -110,14 +110,14 @@
     """The file that `read_toml` reads as these. Raises ConfigError for resources that are not in order."""
     blocks = []
     for name in sorted(resources):
-        kind, table = parsed(name, resources[name])
+        kind, table = parse_resource(name, resources[name])
         fields = {kind.key: getattr(table, kind.key), **json.loads(resources[name])}
-        rows = [f"{key} = {toml_text(value)}" for key, value in fields.items()]
+        rows = [f"{key} = {format_toml_value(value)}" for key, value in fields.items()]
         blocks.append("\n".join([f"[[{kind.name}]]", *rows]))
     return "\n\n".join(blocks) + "\n" if blocks else ""
 
 
-def toml_text(value: object) -> str:
+def format_toml_value(value: object) -> str:
     """A text, a number or a truth value: JSON's form is TOML's, but for one control character."""
     return json.dumps(value, ensure_ascii=False).replace("\x7f", "\\u007f")
 
@@ -126,7 +126,7 @@
 
 
 @lru_cache(VALUE_CACHE_SIZE)
-def parsed(name: str, value: bytes) -> tuple[Kind, Any]:
+def parse_resource(name: str, value: bytes) -> tuple[Kind, Any]:
     """The kind and the checked table of a resource. Raises ConfigError with paths from its name on."""
     kind_name, _, own_name = name.partition("/")
     if (kind := KINDS.get(kind_name)) is None:
@@ -149,7 +149,7 @@
         raise ConfigError(faults) from None
 
 
-def faults_in(
+def find_faults(
     resources: Mapping[str, bytes], size: int = 1, known: Mapping[str, bytes] | None = None
 ) -> Iterator[ConfigFault]:
     """Every fault, those of single resources first; `size`: the most senders that share a budget; `known`:
@@ -157,7 +157,7 @@
     known, wrong = known or {}, set[str]()
     for name in sorted(name for name, value in resources.items() if known.get(name) != value):
         try:
-            parsed(name, resources[name])
+            parse_resource(name, resources[name])
         except ConfigError as error:
             wrong.add(name)
             yield from error.faults
@@ -167,7 +167,7 @@
 
 def validate(resources: Mapping[str, bytes], size: int = 1) -> tuple[str, ...]:
     """All faults of a whole configuration as texts with their paths; none where it is in order."""
-    return tuple(str(each) for each in faults_in(resources, size))
+    return tuple(str(each) for each in find_faults(resources, size))
 
 
 class Validator:
@@ -178,7 +178,7 @@
         self._in_order: Mapping[str, bytes] = {}
 
     def __call__(self, resources: Mapping[str, bytes]) -> tuple[str, ...]:
-        faults = tuple(str(each) for each in faults_in(resources, known=self._in_order))
+        faults = tuple(str(each) for each in find_faults(resources, known=self._in_order))
         if not faults:
             self._in_order = dict(resources)
         return faults
@@ -189,13 +189,13 @@
     found, faults = dict[str, bytes](), list[ConfigFault]()
     for name, value in values.items():
         try:
-            kind, table = parsed(name, encode_value(value))
+            kind, table = parse_resource(name, encode_value(value))
         except ConfigError as error:
             faults += error.faults
         except ValueError as error:
             faults.append(ConfigFault(name, str(error)))
         else:
-            own_name, encoded = resource_of(kind, table)
+            own_name, encoded = encode_resource(kind, table)
             found[own_name] = encoded
     if faults:
         raise ConfigError(faults)
@@ -210,32 +210,38 @@
     """The resources of a document as a sender uses them. A change costs what it touches, and a copy of the
     tables of names."""
 
-    places: dict[str, StaticEndpoint]
-    budgets: dict[str, BudgetTable]
+    endpoints_by_name: dict[str, StaticEndpoint]
+    budgets_by_name: dict[str, BudgetTable]
 
-    def changed(self, put: Mapping[str, bytes], delete: Iterable[str]) -> "Interpretation":
-        """With these changes. Raises ConfigError with all faults of what is put."""
-        places, budgets, faults = dict(self.places), dict(self.budgets), list[ConfigFault]()
+    def with_changes(self, put: Mapping[str, bytes], delete: Iterable[str]) -> "Interpretation":
+        """Returns a copy with these changes applied.
+
+        Raises:
+            ConfigError: With all faults of the resources in `put`.
+        """
+        endpoints_by_name = dict(self.endpoints_by_name)
+        budgets_by_name = dict(self.budgets_by_name)
+        faults: list[ConfigFault] = []
         for name in delete:
-            places.pop(name, None)
-            budgets.pop(name, None)
+            endpoints_by_name.pop(name, None)
+            budgets_by_name.pop(name, None)
         for name, value in put.items():
             try:
-                _, table = parsed(name, value)
+                _, table = parse_resource(name, value)
             except ConfigError as error:
                 faults += error.faults
                 continue
             if isinstance(table, EndpointTable):
-                places[name] = table.told()
+                endpoints_by_name[name] = table.told()
             elif isinstance(table, BudgetTable):
-                budgets[name] = table
+                budgets_by_name[name] = table
         if faults:
             raise ConfigError(faults)
-        return Interpretation(places, budgets)
+        return Interpretation(endpoints_by_name, budgets_by_name)
 
     def faults(self, size: int) -> list[ConfigFault]:
         """Those of budgets held against one another, and against a fleet of `size` senders."""
-        tables = [self.budgets[name] for name in sorted(self.budgets)]
+        tables = [self.budgets_by_name[name] for name in sorted(self.budgets_by_name)]
         return [
             ConfigFault(f"{BUDGETS}/{tables[each.index].name}.{each.field}", each.text)
             for each in budget_faults(tables, size)
@@ -243,24 +249,24 @@
 
     def endpoints(self) -> tuple[StaticEndpoint, ...]:
         """In the order of their names."""
-        return tuple(self.places[name] for name in sorted(self.places))
+        return tuple(self.endpoints_by_name[name] for name in sorted(self.endpoints_by_name))
 
     def shared_budgets(self) -> tuple[SharedBudget, ...]:
         """In the order of their names."""
-        return tuple(self.budgets[name].told() for name in sorted(self.budgets))
+        return tuple(self.budgets_by_name[name].told() for name in sorted(self.budgets_by_name))
 
 
 def interpret(resources: Mapping[str, bytes]) -> Interpretation:
     """Raises ConfigError with all faults of single resources."""
-    return Interpretation({}, {}).changed(resources, ())
+    return Interpretation({}, {}).with_changes(resources, ())
 
 
-def places(resources: Mapping[str, bytes]) -> tuple[StaticEndpoint, ...]:
+def read_endpoints(resources: Mapping[str, bytes]) -> tuple[StaticEndpoint, ...]:
     """The endpoints, in the order of their names. Raises ConfigError."""
     return interpret(resources).endpoints()
 
 
-def budgets(resources: Mapping[str, bytes]) -> tuple[SharedBudget, ...]:
+def read_budgets(resources: Mapping[str, bytes]) -> tuple[SharedBudget, ...]:
     """The shared budgets, in the order of their names. Raises ConfigError."""
     return interpret(resources).shared_budgets()
 
@@ -270,7 +276,7 @@
     return name.startswith(f"{kind_name}/")
 
 
-def changes_between(old: Mapping[str, bytes], new: Mapping[str, bytes]) -> Difference:
+def compare_resources(old: Mapping[str, bytes], new: Mapping[str, bytes]) -> Difference:
     """What leads from the old resources to the new ones."""
     put = {name: value for name, value in new.items() if old.get(name) != value}
     return Difference(put, tuple(sorted(old.keys() - new.keys())))
--- a/message_sender/control/store.py
+++ b/message_sender/control/store.py
@@ -29,13 +29,13 @@
     Resource,
 )
 
-HISTORY_LIMIT = 2_000  # versions: two days at 980 changes a day
+HISTORY_VERSIONS_LIMIT = 2_000  # versions: two days at 980 changes a day
 HISTORY_BYTES_LIMIT = 4 * 1024 * 1024  # bytes of names in the history
 RESULTS_LIMIT = 10_000  # request ids that are remembered
 DELTA_BYTES_LIMIT = CHANGE_BYTES_LIMIT + 8 * 1024  # bytes of a delta; any single change fits
 DELTA_CACHE_LIMIT = 64  # deltas to the present version that are kept for the next sender
-RESOURCE_OVERHEAD = 10  # bytes that msgpack adds to a resource, at the most
-NAME_OVERHEAD = 100  # bytes in memory that a name in the history takes besides its text
+RESOURCE_OVERHEAD_BYTES = 10  # bytes that msgpack adds to a resource, at the most
+NAME_OVERHEAD_BYTES = 100  # bytes in memory that a name in the history takes besides its text
 
 
 class ChangeFormatError(ValueError):
@@ -81,7 +81,7 @@
 
     def __init__(
         self,
-        history_limit: int = HISTORY_LIMIT,
+        history_limit: int = HISTORY_VERSIONS_LIMIT,
         history_bytes_limit: int = HISTORY_BYTES_LIMIT,
         results_limit: int = RESULTS_LIMIT,
         delta_bytes_limit: int = DELTA_BYTES_LIMIT,
@@ -158,7 +158,7 @@
     def _step_of(self, change: Change) -> HistoryStep:
         was_there = {resource.name: resource.name in self.document.resources for resource in change.put}
         was_there |= dict.fromkeys(change.delete, True)
-        size = sum(len(name) + NAME_OVERHEAD for name in was_there)
+        size = sum(len(name) + NAME_OVERHEAD_BYTES for name in was_there)
         return HistoryStep(self.document.version, was_there, size)
 
     def _add_step(self, step: HistoryStep) -> None:
@@ -186,8 +186,8 @@
         delete = tuple(
             name for name, was in sorted(was_there.items()) if was and name not in present.resources
         )
-        size = sum(len(each.name) + len(each.value) + RESOURCE_OVERHEAD for each in put)
-        size += sum(len(name) + RESOURCE_OVERHEAD for name in delete)
+        size = sum(len(each.name) + len(each.value) + RESOURCE_OVERHEAD_BYTES for each in put)
+        size += sum(len(name) + RESOURCE_OVERHEAD_BYTES for name in delete)
         if size > self.delta_bytes_limit:
             return None
         return Delta(version, present.version, put, delete, present.digest)
--- a/message_sender/control/udp.py
+++ b/message_sender/control/udp.py
@@ -42,7 +42,7 @@
             folder.write_starts(self.starts)
 
 
-class FolderNotes:
+class FolderWriter:
     """What a node learns while it runs and its folder must keep. It is written beside the loop, since a sync
     may take seconds; what can't be written is tried again."""
 
@@ -99,7 +99,7 @@
         self,
         node: ControlNode,
         log_file: LogFile,
-        notes: FolderNotes,
+        notes: FolderWriter,
         send: Callable[[Address, bytes], None],
         failed: Callable[[Exception], None],
         clock: Callable[[], float] | None = None,
--- a/message_sender/control/watch.py
+++ b/message_sender/control/watch.py
@@ -9,9 +9,10 @@
   the document it leads to. Old and doubled ones are dropped; one from a version not here makes it poll soon.
 - **A digest that differs** leads to a snapshot, which becomes a delta by comparison with what is here.
 - **A refused version** changes nothing. Every poll tells it with its reason, and it is not tried again until
-  another version comes. What could not be stored is tried again after `STORE_RETRY`.
-- **Poll** each second (drawn from `POLL_LEAST` to `POLL_MOST`), and soon after anything was applied or
-  refused: the poll is the acknowledgement. Without an answer it is repeated each `REPEAT`; after
+  another version comes. What could not be stored is tried again after `STORE_RETRY_INTERVAL_S`.
+- **Poll** each second (drawn from `POLL_INTERVAL_MIN_S` to `POLL_INTERVAL_MAX_S`), and soon after anything
+  was applied or refused: the poll is the acknowledgement. Without an answer it is repeated each
+  `POLL_RETRY_INTERVAL_S`; after
   `UNANSWERED_LIMIT` the next node is tried. A busy node is asked again when it says so.
 - **First choice**: the nodes of one's own region, then the others, each by rendezvous hashing.
 - **A pause** (the machine or the process stood still) is nobody's failure: it polls at once and counts anew.
@@ -26,7 +27,7 @@
 
 from message_sender.control.choice import NodeChoice
 from message_sender.control.document import DeltaMismatchError, Document, SnapshotError
-from message_sender.control.fetch import SnapshotFetch, difference
+from message_sender.control.fetch import SnapshotFetch, compute_delta
 from message_sender.control.messages import (
     REASON_LENGTH_LIMIT,
     Address,
@@ -38,14 +39,14 @@
 )
 
 # Seconds.
-FIRST_POLL_MOST = 0.2  # drawn from 0, so that senders that start at once don't poll at once
-POLL_LEAST, POLL_MOST = 0.8, 1.2
-REPEAT = 0.3
-STALE_AGE = 5.0  # a node without a majority for so long is behind
-RETRY_AFTER_LIMIT = 10.0
-PAUSE = 3.0  # without a tick
-STORE_RETRY = 10.0
-DAMAGED_SNAPSHOT_WAIT = 10.0
+FIRST_POLL_DELAY_MAX_S = 0.2  # drawn from 0, so that senders that start at once don't poll at once
+POLL_INTERVAL_MIN_S, POLL_INTERVAL_MAX_S = 0.8, 1.2
+POLL_RETRY_INTERVAL_S = 0.3
+STALE_AGE_S = 5.0  # a node without a majority for so long is behind
+RETRY_AFTER_LIMIT_S = 10.0
+PAUSE_THRESHOLD_S = 3.0  # without a tick
+STORE_RETRY_INTERVAL_S = 10.0
+DAMAGED_SNAPSHOT_DELAY_S = 10.0
 
 UNANSWERED_LIMIT = 3
 FETCH_STALLS_LIMIT = 12  # requests without a chunk, over changes of node
@@ -108,7 +109,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Refusal:
+class RefusedVersion:
     """A version that is not in force here, and until when it isn't tried again."""
 
     version: int
@@ -148,11 +149,11 @@
         self._rng = rng
         self._out: list[tuple[str, WatchMessage]] = []
         self._ticked_at = now
-        self._polled_at = now - REPEAT
+        self._polled_at = now - POLL_RETRY_INTERVAL_S
         self._polled_version = document.version  # that the last poll told
-        self._poll_due = now + rng.uniform(0, FIRST_POLL_MOST)
+        self._poll_due = now + rng.uniform(0, FIRST_POLL_DELAY_MAX_S)
         self._unanswered = 0
-        self._refusal: Refusal | None = None
+        self._refusal: RefusedVersion | None = None
         self._fetch: SnapshotFetch | None = None
         self._fetch_due = now
         self._fetch_stalls = 0
@@ -184,7 +185,7 @@
 
     def tick(self, now: float) -> None:
         """Sends what is due."""
-        if now - self._ticked_at > PAUSE:
+        if now - self._ticked_at > PAUSE_THRESHOLD_S:
             self._wake(now)
         self._ticked_at = now
         if self._refusal and now >= self._refusal.until:
@@ -212,7 +213,7 @@
         self._unanswered += 1
         self._polled_at = now
         self._polled_version = self.document.version
-        self._poll_due = now + REPEAT
+        self._poll_due = now + POLL_RETRY_INTERVAL_S
 
     def _poll_message(self) -> Poll:
         refusal = self._refusal
@@ -221,7 +222,7 @@
         return Poll(self.document.version, self.document.digest, refusal.version, refusal.reason)
 
     def _poll_soon(self, now: float) -> None:
-        self._poll_due = min(self._poll_due, max(now, self._polled_at + REPEAT))
+        self._poll_due = min(self._poll_due, max(now, self._polled_at + POLL_RETRY_INTERVAL_S))
 
     def _begin_with_node(self, now: float) -> None:
         """Another node is watched; a fetch goes on there."""
@@ -239,7 +240,7 @@
         if node == self.choice.probed and self._is_good_answer(message):
             self.choice.go_back(now)
             self._begin_with_node(now)
-            self._polled_at, self._poll_due = now, now + REPEAT
+            self._polled_at, self._poll_due = now, now + POLL_RETRY_INTERVAL_S
             self._unanswered = 1
         if node == self.node:
             self._answered(now)
@@ -255,7 +256,9 @@
     def _answered(self, now: float) -> None:
         if self._unanswered:
             self._unanswered = 0
-            self._poll_due = max(now, self._polled_at + self._rng.uniform(POLL_LEAST, POLL_MOST))
+            self._poll_due = max(
+                now, self._polled_at + self._rng.uniform(POLL_INTERVAL_MIN_S, POLL_INTERVAL_MAX_S)
+            )
 
     def _is_good_answer(self, message: WatchMessage) -> bool:
         """Whether a probed node has answered and is worth going back to."""
@@ -264,7 +267,7 @@
         return isinstance(message, Delta) and message.to_version > self.document.version
 
     def _is_behind(self, notice: VersionNotice) -> bool:
-        return notice.version < self.document.version or notice.age_ms > STALE_AGE * MS_PER_SECOND
+        return notice.version < self.document.version or notice.age_ms > STALE_AGE_S * MS_PER_SECOND
 
     def _take_notice(self, notice: VersionNotice, now: float) -> None:
         if not self._is_behind(notice):
@@ -285,8 +288,8 @@
             self._start_fetch(notice.version, notice.digest, now)
 
     def _heed(self, retry_after_ms: int, now: float) -> None:
-        due = now + min(retry_after_ms / MS_PER_SECOND, RETRY_AFTER_LIMIT)
-        self._poll_due = max(due, self._polled_at + REPEAT)
+        due = now + min(retry_after_ms / MS_PER_SECOND, RETRY_AFTER_LIMIT_S)
+        self._poll_due = max(due, self._polled_at + POLL_RETRY_INTERVAL_S)
         if self._fetch:
             self._fetch_due = due
             self._fetch_stalls = 0
@@ -324,13 +327,13 @@
             self._refuse(delta.to_version, str(error), float("inf"))
         except OSError as error:
             self.counts.store_failures += 1
-            self._refuse(delta.to_version, f"cannot be stored: {error}", now + STORE_RETRY)
+            self._refuse(delta.to_version, f"cannot be stored: {error}", now + STORE_RETRY_INTERVAL_S)
         else:
             self._put_in_force(delta, now)
         self._poll_soon(now)
 
     def _refuse(self, version: int, reason: str, until: float) -> None:
-        self._refusal = Refusal(version, reason[:REASON_LENGTH_LIMIT], until)
+        self._refusal = RefusedVersion(version, reason[:REASON_LENGTH_LIMIT], until)
         if self._fetch and self._fetch.version == version:
             self._fetch = None
 
@@ -354,7 +357,7 @@
 
     def _request_chunks(self, fetch: SnapshotFetch, now: float) -> None:
         self._out.append((self.node, fetch.request()))
-        self._fetch_due = now + REPEAT
+        self._fetch_due = now + POLL_RETRY_INTERVAL_S
 
     def _repeat_fetch(self, now: float) -> None:
         """Nothing came for a while. Whether the node is there the polls tell; they begin a fetch anew too."""
@@ -378,7 +381,7 @@
             self.counts.old += 1
             return
         self._fetch_stalls = 0
-        self._fetch_due = now + REPEAT
+        self._fetch_due = now + POLL_RETRY_INTERVAL_S
         if fetch.is_complete:
             self._fetch = None
             self._install(fetch, now)
@@ -390,10 +393,10 @@
             document = fetch.document()
         except SnapshotError:
             self.counts.damaged_snapshots += 1
-            self._fetch_not_before = now + DAMAGED_SNAPSHOT_WAIT
+            self._fetch_not_before = now + DAMAGED_SNAPSHOT_DELAY_S
             return
         self.counts.snapshots += 1
-        delta = difference(self.document, document)
+        delta = compute_delta(self.document, document)
         is_same = document.version == self.document.version and document.digest == self.document.digest
         if document.version >= self.document.version and not is_same:
             self._apply(delta, now)
--- a/message_sender/service/control_configuration.py
+++ b/message_sender/service/control_configuration.py
@@ -64,7 +64,7 @@
     found = [str(each) for each in interpretation.faults(config.fleet.size if config.fleet else 1)]
     if config.fleet is None:
         reason = "needs a [fleet] to be shared in, and this sender has none"
-        found += [f"{name}: {reason}" for name in sorted(interpretation.budgets)]
+        found += [f"{name}: {reason}" for name in sorted(interpretation.budgets_by_name)]
     return found
 
 
@@ -195,7 +195,7 @@
         try:
             is_present = (document.version, document.digest) == (self.document.version, self.document.digest)
             known = self.interpretation if is_present else schema.interpret(document.resources)
-            return known.changed(put, delta.delete)
+            return known.with_changes(put, delta.delete)
         except ConfigError as error:
             raise RefusedConfigurationError("; ".join(map(str, error.faults))) from None
 
--- a/tests/test_control_channel.py
+++ b/tests/test_control_channel.py
@@ -7,7 +7,7 @@
 import pytest
 
 from message_sender.control import channel as channel_module
-from message_sender.control.channel import BodyTooLargeError, Channel, KnownStart, Refusal
+from message_sender.control.channel import BodyTooLargeError, Channel, KnownStart, RefusalReason
 from message_sender.control.messages import Address, Body, Hello, LogEntry, Poll, StatusRequest
 from message_sender.control.messages import AppendRequest as Append
 from message_sender.fleet.seal import MOST, Seal
@@ -90,7 +90,7 @@
     assert two.receive(datagram, ADDRESSES["c0"], 0.0) == [("c0", StatusRequest(7))]
     for _ in range(5):
         assert two.receive(datagram, ADDRESSES["c0"], 0.0) == []
-    assert two.refused == {Refusal.REPLAY: 5}
+    assert two.refused == {RefusalReason.REPLAY: 5}
     assert two.take_datagrams() == []
 
 
@@ -101,9 +101,9 @@
     again = make("c1", 2)
     for _ in range(2_000):
         assert again.receive(datagram, ADDRESSES["c0"], 0.5) == []
-    assert again.refused == {Refusal.OTHER_SESSION: 2_000}
+    assert again.refused == {RefusalReason.OTHER_SESSION: 2_000}
     greetings = again.take_datagrams()
-    assert len(greetings) == channel_module.PEER_GREETINGS_PER_SECOND
+    assert len(greetings) == channel_module.PEER_HELLO_ANSWERS_PER_SECOND
     assert {address for address, _ in greetings} == {ADDRESSES["c0"]}
 
 
@@ -120,10 +120,10 @@
         damaged[at] ^= 1
         assert two.receive(bytes(damaged), ADDRESSES["c0"], 0.0) == []
         assert two.receive(datagram[:at], ADDRESSES["c0"], 0.0) == []
-    assert two.refused == {Refusal.SEAL: 1 + 2 * len(datagram)}
+    assert two.refused == {RefusalReason.SEAL: 1 + 2 * len(datagram)}
     for content in (b"", b"\xc1", b"\x93\x01", b"\x96\xa1x\x01\x01\x01\x01\x92\x63\x01"):
         assert two.receive(Seal([KEY]).seal(content), ADDRESSES["c0"], 0.0) == []
-    assert two.refused[Refusal.MALFORMED] == 4
+    assert two.refused[RefusalReason.MALFORMED] == 4
     assert two.take_datagrams() == []
     assert two.receive(datagram, ADDRESSES["c0"], 0.0) == [("c0", StatusRequest(2))]
 
@@ -149,7 +149,7 @@
     heard = [each for datagram in datagrams for each in two.receive(datagram, ADDRESSES["c0"], 0.0)]
     assert heard == [("c0", body)]
     assert two.partial_bytes == 0
-    assert two.refused == {Refusal.REPLAY: len(datagrams) // 2}
+    assert two.refused == {RefusalReason.REPLAY: len(datagrams) // 2}
 
 
 def test_a_lost_fragment_leaves_nothing_behind() -> None:
@@ -198,7 +198,7 @@
     again.send("c1", StatusRequest(9), 0.0)
     assert exchange({"c0": again, "c1": two}) == [("c1", "c0", StatusRequest(9))]
     assert two.receive(old, ADDRESSES["c0"], 0.0) == []
-    assert two.refused == {Refusal.OLD_START: 1}
+    assert two.refused == {RefusalReason.OLD_START: 1}
     two.send("c0", StatusRequest(10), 0.0)
     assert exchange({"c0": again, "c1": two}) == [("c0", "c1", StatusRequest(10))]
     assert not again.is_behind
@@ -271,7 +271,7 @@
     two.send("c0", Hello(), 0.0)
     ((_, datagram),) = two.take_datagrams()
     assert one.receive(datagram, ADDRESSES["c1"], 0.0) == []
-    assert one.refused == {Refusal.OWN_NAME: 1}
+    assert one.refused == {RefusalReason.OWN_NAME: 1}
 
 
 def test_peers_that_are_not_in_the_table_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -317,11 +317,11 @@
 
 def test_a_flood_of_strangers_does_not_keep_a_control_node_out() -> None:
     node, stranger, other = make("c0"), make("s1"), make("c1")
-    for number in range(2 * channel_module.GREETINGS_PER_SECOND):
+    for number in range(2 * channel_module.HELLO_ANSWERS_PER_SECOND):
         stranger.send("c0", StatusRequest(number), float(number))
         for _, datagram in stranger.take_datagrams():
             node.receive(datagram, WATCHER, 0.5)
-    assert len(node.take_datagrams()) == channel_module.GREETINGS_PER_SECOND
+    assert len(node.take_datagrams()) == channel_module.HELLO_ANSWERS_PER_SECOND
     other.send("c0", StatusRequest(1), 0.5)
     heard = exchange({"c0": node, "c1": other}, 0.5)
     assert heard == [("c0", "c1", StatusRequest(1))]
@@ -329,8 +329,8 @@
 
 def test_a_flood_under_the_name_of_a_control_node_is_greeted_so_often() -> None:
     node, other = make("c0"), make("c1")
-    for number in range(2 * channel_module.PEER_GREETINGS_PER_SECOND):
+    for number in range(2 * channel_module.PEER_HELLO_ANSWERS_PER_SECOND):
         other.send("c0", StatusRequest(number), float(number))
         for _, datagram in other.take_datagrams():
             node.receive(datagram, ADDRESSES["c1"], 0.5)
-    assert len(node.take_datagrams()) == channel_module.PEER_GREETINGS_PER_SECOND
+    assert len(node.take_datagrams()) == channel_module.PEER_HELLO_ANSWERS_PER_SECOND
--- a/tests/test_control_chaos.py
+++ b/tests/test_control_chaos.py
@@ -381,7 +381,7 @@
     except SnapshotError:
         return
     if not self._is_refused(document.version):
-        self._apply(fetch.difference(self.document, document), now)
+        self._apply(fetch.compute_delta(self.document, document), now)
 
 
 def apply_piece_by_piece(self: RecordingApplier, document: Document, delta: Delta) -> None:
--- a/tests/test_control_fanout.py
+++ b/tests/test_control_fanout.py
@@ -8,12 +8,12 @@
 from message_sender.control.fanout import (
     BURST_BYTES,
     DELTA_RESERVE_BYTES,
-    RETRY_AFTER_LIMIT,
-    SESSION_AGE,
+    RETRY_AFTER_LIMIT_S,
+    SESSION_AGE_LIMIT_S,
     ByteBudget,
     Fanout,
 )
-from message_sender.control.fetch import SNAPSHOT_WINDOW
+from message_sender.control.fetch import SNAPSHOT_WINDOW_CHUNKS
 from message_sender.control.messages import (
     CHUNK_BYTES,
     Delta,
@@ -130,7 +130,7 @@
     bench.now += 60
     bench.fanout.tick(bench.now)
     assert bench.fanout.watchers(bench.now)[0].silent_ms == 60_000
-    bench.now += SESSION_AGE
+    bench.now += SESSION_AGE_LIMIT_S
     bench.fanout.tick(bench.now)
     assert bench.fanout.watchers(bench.now) == ()
 
@@ -155,7 +155,7 @@
     data = encode_snapshot(bench.store.document)
     messages = bench.ask("s1", 3, 16_000)
     chunks = [message for message in messages if isinstance(message, SnapshotChunk)]
-    assert len(chunks) == len(messages) == SNAPSHOT_WINDOW
+    assert len(chunks) == len(messages) == SNAPSHOT_WINDOW_CHUNKS
     assert b"".join(chunk.data for chunk in chunks) == data[16_000:32_000]
     assert {(chunk.version, chunk.total) for chunk in chunks} == {(3, len(data))}
     assert len(bench.ask("s1", 3, len(data) // CHUNK_BYTES * CHUNK_BYTES)) == 1
@@ -188,12 +188,12 @@
 def test_fetches_at_once_are_bounded_and_told_when_to_come_again() -> None:
     bench = Bench(large_store())
     messages = [bench.ask(f"s{number}", 3, 0) for number in range(630)]
-    served = [each for each in messages if len(each) == SNAPSHOT_WINDOW]
+    served = [each for each in messages if len(each) == SNAPSHOT_WINDOW_CHUNKS]
     sent = sum(len(each) for each in served) * (CHUNK_BYTES + 130)
     assert sent <= BURST_BYTES - DELTA_RESERVE_BYTES
     waits = [m.retry_after_ms for each in messages for m in each if isinstance(m, VersionNotice)]
     assert len(served) + len(waits) == 630 and min(waits) > 0
-    assert max(waits) <= 1.2 * RETRY_AFTER_LIMIT * 1000 + 1
+    assert max(waits) <= 1.2 * RETRY_AFTER_LIMIT_S * 1000 + 1
     assert len({wait // 100 for wait in waits}) > 10, "spread"
 
 
--- a/tests/test_control_node.py
+++ b/tests/test_control_node.py
@@ -33,10 +33,10 @@
 from message_sender.control.node import ControlNode
 from message_sender.control.process import build_node
 from message_sender.control.raft import HardState, Role
-from message_sender.control.replica import ELECTION_TIMEOUT_LEAST_S, Replica
+from message_sender.control.replica import ELECTION_TIMEOUT_MIN_S, Replica
 from message_sender.control.requests import ChangeRequests
 from message_sender.control.store import ConfigurationStore
-from message_sender.control.udp import FolderNotes, NodeDriver
+from message_sender.control.udp import FolderWriter, NodeDriver
 from message_sender.control.watch import ControlNodeAddress, Watch
 from message_sender.emulator.loop import VirtualLoop
 from message_sender.fleet.seal import Seal
@@ -173,7 +173,7 @@
             rng = random.Random(self.rng.getrandbits(32))
             node = build_node(config, Seal([KEY]), folder, log_file, rng, clock())
             node.requests.validate = no_faults
-            notes = FolderNotes(folder, node)
+            notes = FolderWriter(folder, node)
 
             def send(address: Address, datagram: bytes, name: str = name) -> None:
                 self.network.send(name, address, datagram)
@@ -344,7 +344,7 @@
         cluster.driver(first).do(node.end)
         behind = [asyncio.create_task(cluster.submit(name, cluster.change(1))) for name in (first, other)]
         took = await cluster.until(lambda: node.replica.leader not in ("", first))
-        assert took < ELECTION_TIMEOUT_LEAST_S and node.replica.term == term + 1
+        assert took < ELECTION_TIMEOUT_MIN_S and node.replica.term == term + 1
         cluster.kill(first)
         results = await asyncio.gather(before, behind[1])
         assert sorted(each.outcome for each in results) == [Outcome.APPLIED, Outcome.CONFLICT]
@@ -377,7 +377,7 @@
         cluster.driver(asked).do(lambda now: replica.receive(first, TimeoutNow(replica.term), now))
         took = await cluster.until(lambda: replica.role is Role.LEADER)
         print(f"{asked} in place of {first}: elected after {took:.3f} s")
-        assert took < ELECTION_TIMEOUT_LEAST_S
+        assert took < ELECTION_TIMEOUT_MIN_S
 
     play(tmp_path, story, 3)
 
--- a/tests/test_control_raft_rules.py
+++ b/tests/test_control_raft_rules.py
@@ -18,10 +18,10 @@
 from message_sender.control.progress import IN_FLIGHT_REQUESTS_LIMIT
 from message_sender.control.quorum import Quorum
 from message_sender.control.replica import (
-    ELECTION_TIMEOUT_LEAST_S,
-    ELECTION_TIMEOUT_MOST_S,
+    ELECTION_TIMEOUT_MAX_S,
+    ELECTION_TIMEOUT_MIN_S,
     HEARTBEAT_INTERVAL_S,
-    WAITING_MESSAGES_LIMIT,
+    QUEUED_MESSAGES_LIMIT,
     HardState,
     NotLeaderError,
     Ready,
@@ -110,7 +110,7 @@
 
 def elected(replica: Replica, now: float) -> float:
     """Makes it the leader by the votes of all others; the time at which it is."""
-    now += ELECTION_TIMEOUT_MOST_S
+    now += ELECTION_TIMEOUT_MAX_S
     replica.tick(now)
     for is_pre_vote in (True, False):
         flush(replica)
@@ -182,10 +182,10 @@
     drawn = []
     for seed in range(200):
         replica = Replica("a", THREE, HardState(), (), Random(seed), 0.0)
-        replica.tick(ELECTION_TIMEOUT_LEAST_S - 0.001)
+        replica.tick(ELECTION_TIMEOUT_MIN_S - 0.001)
         assert replica.role is Role.FOLLOWER
         drawn.append(replica._election_timeout)
-        replica.tick(ELECTION_TIMEOUT_MOST_S)
+        replica.tick(ELECTION_TIMEOUT_MAX_S)
         assert replica.role is Role.PRE_CANDIDATE
     assert max(drawn) - min(drawn) > 0.55
 
@@ -204,7 +204,7 @@
     replica = follower()
     replica.receive("b", AppendRequest(1, 0, 0, 0, 1, ()), 5.0)
     flush(replica)
-    for now, is_granted in ((5.0 + ELECTION_TIMEOUT_LEAST_S - 0.01, False), (5.0 + 0.61, True)):
+    for now, is_granted in ((5.0 + ELECTION_TIMEOUT_MIN_S - 0.01, False), (5.0 + 0.61, True)):
         replica.receive("c", VoteRequest(2, 0, 0, True), now)
         ready = flush(replica)
         assert ready is not None
@@ -284,9 +284,9 @@
     leader = cluster.leader()
     assert leader.authority_age(cluster.now) < 2 * HEARTBEAT_INTERVAL_S
     cluster.parts = ("a", "b", "c", "d")
-    cluster.run(ELECTION_TIMEOUT_MOST_S + 0.1)
+    cluster.run(ELECTION_TIMEOUT_MAX_S + 0.1)
     assert not cluster.leaders()
-    assert leader.authority_age(cluster.now) >= ELECTION_TIMEOUT_MOST_S
+    assert leader.authority_age(cluster.now) >= ELECTION_TIMEOUT_MAX_S
     with pytest.raises(NotLeaderError):
         leader.propose(b"change", cluster.now)
 
@@ -319,7 +319,7 @@
 
 def test_a_leader_counts_itself_from_the_sync_on() -> None:
     replica = follower(votes={"a": 3, "b": 1, "c": 1})
-    now = ELECTION_TIMEOUT_MOST_S
+    now = ELECTION_TIMEOUT_MAX_S
     replica.tick(now)  # its own votes are a majority
     assert replica.role is Role.LEADER and replica.commit_index == 0
     ready = replica.take_ready()
@@ -504,7 +504,7 @@
     cluster.exchange()
     assert cluster.replicas["c"].last_index == cluster.replicas[leader].last_index == 3
     assert cluster.committed[leader] == cluster.committed["c"] == [b"one"]
-    cluster.run(ELECTION_TIMEOUT_MOST_S + 0.1)
+    cluster.run(ELECTION_TIMEOUT_MAX_S + 0.1)
     assert not cluster.leaders()
 
 
@@ -559,12 +559,12 @@
     replica.receive("b", AppendRequest(1, 0, 0, 0, 0, entries_of(1)), 0.0)
     hanging = replica.take_ready()
     assert hanging is not None and hanging.entries
-    rounds = 4 * WAITING_MESSAGES_LIMIT
+    rounds = 4 * QUEUED_MESSAGES_LIMIT
     for number in range(1, rounds + 1):
         replica.receive("b", AppendRequest(1, 1, 1, 0, number, ()), number * HEARTBEAT_INTERVAL_S)
     replica.persisted(hanging)
     ready = replica.take_ready()
-    assert ready is not None and len(ready.messages) == WAITING_MESSAGES_LIMIT
+    assert ready is not None and len(ready.messages) == QUEUED_MESSAGES_LIMIT
     assert ready.messages[-1] == ("b", AppendReply(1, True, 1, rounds, True))
 
 
--- a/tests/test_control_schema.py
+++ b/tests/test_control_schema.py
@@ -62,8 +62,8 @@
         }
     )
     resources = schema.read_toml(TEXT)
-    assert schema.places(resources) == own.places
-    assert sorted(schema.budgets(resources), key=lambda x: x.name, reverse=True) == list(own.budgets)
+    assert schema.read_endpoints(resources) == own.places
+    assert sorted(schema.read_budgets(resources), key=lambda x: x.name, reverse=True) == list(own.budgets)
 
 
 def test_resources_written_as_a_file_are_read_as_the_same() -> None:
@@ -97,7 +97,7 @@
     assert schema.validate(resources) == ()
     assert schema.read_toml(schema.write_toml(resources)) == resources
     assert schema.read_values({name: json.loads(value) for name, value in resources.items()}) == resources
-    assert {each.endpoint.id for each in schema.places(resources)} == {each["id"] for each in rows}
+    assert {each.endpoint.id for each in schema.read_endpoints(resources)} == {each["id"] for each in rows}
 
 
 def test_all_faults_of_a_file_are_named_at_once(tmp_path: Path) -> None:
@@ -178,16 +178,16 @@
 
 def test_the_difference_of_two_documents_is_what_leads_from_one_to_the_other() -> None:
     old, new = {"a": b"1", "b": b"2", "c": b"3"}, {"a": b"1", "b": b"4", "d": b"5"}
-    difference = schema.changes_between(old, new)
+    difference = schema.compare_resources(old, new)
     assert difference == ({"b": b"4", "d": b"5"}, ("c",))
-    assert schema.changes_between(new, new) == ({}, ())
+    assert schema.compare_resources(new, new) == ({}, ())
 
 
 def test_of_a_configuration_that_was_in_order_only_what_changed_and_the_budgets_are_read_again(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     read_again: list[str] = []
-    parsed = schema.parsed
+    parsed = schema.parse_resource
 
     def noted(name: str, value: bytes) -> tuple[schema.Kind, object]:
         read_again.append(name)
@@ -197,7 +197,7 @@
     resources["budgets/a"] = b'{"of":"in_flight","destination":1,"whole":8}'
     validator = schema.Validator()
     assert validator(resources) == ()
-    monkeypatch.setattr(schema, "parsed", noted)
+    monkeypatch.setattr(schema, "parse_resource", noted)
     bad = resources | {"endpoints/7": b'{"destination":1}'}
     for _ in range(2):
         read_again.clear()
--- a/tests/test_control_watch.py
+++ b/tests/test_control_watch.py
@@ -8,7 +8,7 @@
 from watching import BAD, ChangedStore, RecordingApplier, copy_of
 
 from message_sender.control.document import Document, SnapshotError, encode_snapshot
-from message_sender.control.fetch import SNAPSHOT_BYTES_LIMIT, SNAPSHOT_WINDOW, SnapshotFetch
+from message_sender.control.fetch import SNAPSHOT_BYTES_LIMIT, SNAPSHOT_WINDOW_CHUNKS, SnapshotFetch
 from message_sender.control.messages import (
     CHUNK_BYTES,
     REASON_LENGTH_LIMIT,
@@ -72,7 +72,9 @@
         while requests and isinstance(requests[-1], SnapshotRequest):
             offset = requests[-1].offset
             requests = []
-            for at in range(offset, min(len(data), offset + SNAPSHOT_WINDOW * CHUNK_BYTES), CHUNK_BYTES):
+            for at in range(
+                offset, min(len(data), offset + SNAPSHOT_WINDOW_CHUNKS * CHUNK_BYTES), CHUNK_BYTES
+            ):
                 chunk = SnapshotChunk(document.version, at, len(data), data[at : at + CHUNK_BYTES])
                 requests += [message for _, message in self.receive(chunk, node)]
 
@@ -352,7 +354,7 @@
     assert bench.applier.in_force == store.document.resources
     requests = [message for *_, message in bench.sent if isinstance(message, SnapshotRequest)]
     total = len(encode_snapshot(store.document))
-    assert [each.offset for each in requests] == list(range(0, total, SNAPSHOT_WINDOW * CHUNK_BYTES))
+    assert [each.offset for each in requests] == list(range(0, total, SNAPSHOT_WINDOW_CHUNKS * CHUNK_BYTES))
 
 
 def test_chunks_out_of_order_and_doubled_are_joined_and_lost_ones_asked_for_again() -> None:
@@ -360,7 +362,7 @@
     chunks = [SnapshotChunk(1, at, len(data), data[at : at + 1000]) for at in range(0, len(data), 1000)]
     fetch = SnapshotFetch(1)
     fetch.request()
-    assert not fetch.add(chunks[SNAPSHOT_WINDOW]), "outside the window"
+    assert not fetch.add(chunks[SNAPSHOT_WINDOW_CHUNKS]), "outside the window"
     assert [fetch.add(chunks[at]) for at in (3, 1, 1, 2, 5)] == [True, True, False, True, True]
     assert fetch.request() == SnapshotRequest(1, 0)
     fetch.add(chunks[0])
@@ -462,4 +464,4 @@
     total = SNAPSHOT_BYTES_LIMIT
     for at in range(1000, 200_000, 1000):
         fetch.add(SnapshotChunk(1, at, total, b"1" * 1000))
-    assert fetch.bytes_held < SNAPSHOT_WINDOW * CHUNK_BYTES
+    assert fetch.bytes_held < SNAPSHOT_WINDOW_CHUNKS * CHUNK_BYTES
