--- a/message_sender/control/channel.py
+++ b/message_sender/control/channel.py
@@ -76,7 +76,7 @@
     """Fragments of one message that came so far."""
 
     count: int
-    began: float  # s
+    started_at: float  # s
     parts: dict[int, bytes] = field(default_factory=dict)
 
 
@@ -104,13 +104,13 @@
         self.partial_bytes = 0  # of messages that are not whole yet
         self.sent = self.received = self.sent_bytes = self.received_bytes = 0
         self._peers: dict[str, PeerSession] = {}
-        self._learned: dict[str, Address] = {}
-        self._waiting: dict[str, list[Body]] = {}
-        self._called: dict[str, float] = {}
-        self._partial: dict[tuple[str, int], PartialMessage] = {}
-        self._number = self._message = 0
-        self._greetings: Counter[str] = Counter()  # in this second, by name; "": of all not in the table
-        self._greetings_since = 0.0
+        self._learned_addresses: dict[str, Address] = {}
+        self._queued_bodies: dict[str, list[Body]] = {}
+        self._hello_sent_at: dict[str, float] = {}
+        self._partial_messages: dict[tuple[str, int], PartialMessage] = {}
+        self._datagram_number = self._message_number = 0
+        self._hello_answers: Counter[str] = Counter()  # in this second, by name; "": of all not in the table
+        self._hello_answers_since = 0.0
         self._outbox: list[tuple[Address, bytes]] = []
         self._encoder = msgspec.msgpack.Encoder()
         self._envelope_decoder = msgspec.msgpack.Decoder(Envelope)
@@ -128,14 +128,14 @@
         if peer is not None:
             self._send_body(address, peer.session, body)
             return
-        self._waiting[to] = [*self._waiting.get(to, ()), body][-QUEUED_BODIES_LIMIT:]
-        if now - self._called.get(to, -HELLO_INTERVAL_S) >= HELLO_INTERVAL_S:
-            self._called[to] = now
+        self._queued_bodies[to] = [*self._queued_bodies.get(to, ()), body][-QUEUED_BODIES_LIMIT:]
+        if now - self._hello_sent_at.get(to, -HELLO_INTERVAL_S) >= HELLO_INTERVAL_S:
+            self._hello_sent_at[to] = now
             self._send_datagram(address, 0, Hello())
 
     def address_of(self, name: str) -> Address | None:
         """Where a peer is called; None where that is not known."""
-        return self.addresses.get(name) or self._learned.get(name)
+        return self.addresses.get(name) or self._learned_addresses.get(name)
 
     def has_session(self, name: str) -> bool:
         """Whether a body to this peer goes out at once."""
@@ -153,14 +153,14 @@
             return
         if len(encoded) > MESSAGE_BYTES_LIMIT:
             raise BodyTooLargeError(f"{type(body).__name__}: {len(encoded)} bytes of {MESSAGE_BYTES_LIMIT}")
-        self._message += 1
+        self._message_number += 1
         pieces = [encoded[at : at + FRAGMENT_BYTES] for at in range(0, len(encoded), FRAGMENT_BYTES)]
         for index, piece in enumerate(pieces):
-            self._send_datagram(address, session, Fragment(self._message, index, len(pieces), piece))
+            self._send_datagram(address, session, Fragment(self._message_number, index, len(pieces), piece))
 
     def _send_datagram(self, address: Address, session: int, body: Body) -> None:
-        self._number += 1
-        envelope = Envelope(self.name, self.epoch, self.session, session, self._number, body)
+        self._datagram_number += 1
+        envelope = Envelope(self.name, self.epoch, self.session, session, self._datagram_number, body)
         datagram = self.seal.seal(self._encoder.encode(envelope))
         assert LEAST < len(datagram) <= MOST, len(datagram)
         self.sent += 1
@@ -174,7 +174,7 @@
         for what comes."""
         try:
             envelope = self._open(datagram)
-            body = self._believe(envelope, source, now)
+            body = self._accept(envelope, source, now)
         except DroppedError as error:
             self.refused[error.refusal] += 1
             return []
@@ -193,32 +193,32 @@
             raise DroppedError(RefusalReason.MALFORMED) from None
         return envelope
 
-    def _believe(self, envelope: Envelope, source: Address, now: float) -> Body | None:
+    def _accept(self, envelope: Envelope, source: Address, now: float) -> Body | None:
         if envelope.name == self.name:
             raise DroppedError(RefusalReason.OWN_NAME)
         if envelope.to_session != self.session:
-            self._greet(envelope, source, now)
+            self._answer_with_hello(envelope, source, now)
             if isinstance(envelope.body, Hello) and envelope.to_session == 0:
                 return None
             raise DroppedError(RefusalReason.OTHER_SESSION)
-        self._admit(envelope, source, now)
+        self._accept_number(envelope, source, now)
         match envelope.body:
             case Hello(known_epoch):
-                self._hear_known_epoch(known_epoch)
+                self._take_known_epoch(known_epoch)
                 body = None
             case Fragment():
                 body = self._reassemble(envelope.name, envelope.body, now)
             case _:
                 body = envelope.body
-        self._send_waiting(envelope.name)
+        self._send_queued_bodies(envelope.name)
         return body
 
-    def _admit(self, envelope: Envelope, source: Address, now: float) -> None:
+    def _accept_number(self, envelope: Envelope, source: Address, now: float) -> None:
         """Notes the session and its number. Raises DroppedError for a start that is over and a replay."""
         peer = self._peers.get(envelope.name)
         if peer is None or peer.session != envelope.session:
-            if self._later_epoch(envelope):
-                self._greet(envelope, source, now)
+            if self._find_later_epoch(envelope):
+                self._answer_with_hello(envelope, source, now)
                 raise DroppedError(RefusalReason.OLD_START)
             peer = self._begin_session(envelope)
         if not peer.is_new(envelope.number):
@@ -226,21 +226,27 @@
         if envelope.epoch > peer.epoch:
             peer.epoch = envelope.epoch
         self._note_start(envelope.name, KnownStart(peer.epoch, peer.session))
-        peer.heard = now
+        peer.received_at = now
         if envelope.name not in self.addresses:
-            self._learned[envelope.name] = source
+            self._learned_addresses[envelope.name] = source
 
     def _begin_session(self, envelope: Envelope) -> PeerSession:
         if len(self._peers) >= PEERS_LIMIT:
             strangers = (name for name in self._peers if name not in self.addresses)
-            self._forget(min(strangers, key=lambda name: self._peers[name].heard))
-        for key in [key for key in self._partial if key[0] == envelope.name]:
+            self._forget(min(strangers, key=lambda name: self._peers[name].received_at))
+        for key in [key for key in self._partial_messages if key[0] == envelope.name]:
             self._drop_partial(key)
         peer = self._peers[envelope.name] = PeerSession(envelope.epoch, envelope.session)
         return peer
 
     def _forget(self, name: str) -> None:
-        for table in (self._peers, self._learned, self._waiting, self._called, self.known_starts):
+        for table in (
+            self._peers,
+            self._learned_addresses,
+            self._queued_bodies,
+            self._hello_sent_at,
+            self.known_starts,
+        ):
             table.pop(name, None)
 
     def _note_start(self, name: str, start: KnownStart) -> None:
@@ -250,39 +256,41 @@
         if name in self.addresses:
             self.on_start_known(name, start)
 
-    def _later_epoch(self, envelope: Envelope) -> int:
+    def _find_later_epoch(self, envelope: Envelope) -> int:
         """The epoch known of this name, if this is not a datagram of its latest start; else 0."""
         known = self.known_starts.get(envelope.name)
         if known is None or known.session == envelope.session or known.epoch < envelope.epoch:
             return 0
         return known.epoch
 
-    def _greet(self, envelope: Envelope, source: Address, now: float) -> None:
+    def _answer_with_hello(self, envelope: Envelope, source: Address, now: float) -> None:
         """Tells a stranger this session, at the address that its datagram came from."""
-        if now - self._greetings_since >= 1.0:
-            self._greetings.clear()
-            self._greetings_since = now
+        if now - self._hello_answers_since >= 1.0:
+            self._hello_answers.clear()
+            self._hello_answers_since = now
         name, limit = "", HELLO_ANSWERS_PER_SECOND
         if envelope.name in self.addresses:
             name, limit = envelope.name, PEER_HELLO_ANSWERS_PER_SECOND
-        if self._greetings[name] >= limit:
+        if self._hello_answers[name] >= limit:
             return
-        self._greetings[name] += 1
+        self._hello_answers[name] += 1
         address = self.addresses.get(envelope.name, source)
-        self._send_datagram(address, envelope.session, Hello(self._later_epoch(envelope), is_answer=True))
+        self._send_datagram(
+            address, envelope.session, Hello(self._find_later_epoch(envelope), is_answer=True)
+        )
 
-    def _hear_known_epoch(self, known_epoch: int) -> None:
+    def _take_known_epoch(self, known_epoch: int) -> None:
         if known_epoch >= self.epoch:
             self.epoch = known_epoch + 1
             self.is_behind = True
-            self._waiting.clear()  # said by one who did not know it
+            self._queued_bodies.clear()  # said by one who did not know it
             self.on_behind(self.epoch)
 
-    def _send_waiting(self, name: str) -> None:
+    def _send_queued_bodies(self, name: str) -> None:
         address = self.address_of(name)
         if address is None:
             return
-        for body in self._waiting.pop(name, ()):
+        for body in self._queued_bodies.pop(name, ()):
             self._send_body(address, self._peers[name].session, body)
 
     # Fragments.
@@ -294,7 +302,7 @@
         if not fragment.index < fragment.count <= most or len(fragment.data) > FRAGMENT_BYTES:
             raise DroppedError(RefusalReason.FRAGMENT)
         key = name, fragment.message
-        partial = self._partial.get(key)
+        partial = self._partial_messages.get(key)
         if partial is None:
             partial = self._begin_partial(key, fragment, now)
         if partial.count != fragment.count:
@@ -307,24 +315,26 @@
             self._drop_partial(key)
             return self._decode_body(b"".join(partial.parts[index] for index in range(partial.count)))
         while self.partial_bytes > PARTIAL_BYTES_LIMIT:
-            self._drop_partial(next(iter(self._partial)))
+            self._drop_partial(next(iter(self._partial_messages)))
         return None
 
     def _begin_partial(self, key: tuple[str, int], fragment: Fragment, now: float) -> PartialMessage:
         """Makes room: the oldest partial message of the same peer goes where there are too many."""
-        own = [each for each in self._partial if each[0] == key[0]]
+        own = [each for each in self._partial_messages if each[0] == key[0]]
         if len(own) >= PARTIAL_MESSAGES_LIMIT:
             self._drop_partial(own[0])
-        partial = self._partial[key] = PartialMessage(fragment.count, now)
+        partial = self._partial_messages[key] = PartialMessage(fragment.count, now)
         return partial
 
     def _drop_old_partial(self, now: float) -> None:
-        old = [key for key, each in self._partial.items() if now - each.began > PARTIAL_AGE_LIMIT_S]
+        old = [
+            key for key, each in self._partial_messages.items() if now - each.started_at > PARTIAL_AGE_LIMIT_S
+        ]
         for key in old:
             self._drop_partial(key)
 
     def _drop_partial(self, key: tuple[str, int]) -> None:
-        partial = self._partial.pop(key)
+        partial = self._partial_messages.pop(key)
         self.partial_bytes -= sum(map(len, partial.parts.values()))
 
     def _decode_body(self, data: bytes) -> Body:
--- a/message_sender/control/choice.py
+++ b/message_sender/control/choice.py
@@ -32,7 +32,7 @@
         self._probed_rank = -1
         self._behind_since: float | None = None
         self._patience = 0.0
-        self.note_good()
+        self.note_up_to_date()
         self._draw_probe(now)
 
     @property
@@ -44,7 +44,7 @@
         """Leaves the node for the next one."""
         self._settle_on((self._rank + 1) % len(self.names), now)
 
-    def go_back(self, now: float) -> None:
+    def return_to_probed(self, now: float) -> None:
         """Settles on the node that was probed."""
         self._settle_on(self.names.index(self.probed), now)
 
@@ -60,7 +60,7 @@
         self.probed = self.names[self._probed_rank]
         return self.probed
 
-    def note_good(self) -> None:
+    def note_up_to_date(self) -> None:
         """The node isn't behind."""
         self._behind_since = None
         self._patience = self._rng.uniform(PATIENCE_MIN_S, PATIENCE_MAX_S)
@@ -74,7 +74,7 @@
         self._patience = min(2 * self._patience, PATIENCE_LIMIT_S)
         return True
 
-    def forget_times(self) -> None:
+    def reset_times(self) -> None:
         """Time passed in which nothing could be heard."""
         self._behind_since = None
 
--- a/message_sender/control/document_file.py
+++ b/message_sender/control/document_file.py
@@ -37,21 +37,21 @@
         if not data:
             return None
         if not data.startswith(MAGIC):
-            raise self.damaged(0, "it does not begin as a document does")
+            raise self._make_error(0, "it does not begin as a document does")
         if len(data) < BODY_OFFSET:
-            raise self.damaged(len(data), "it ends within its header")
+            raise self._make_error(len(data), "it ends within its header")
         length, checksum = HEADER.unpack_from(data, len(MAGIC))
         body = data[BODY_OFFSET:]
         if len(body) != length:
-            raise self.damaged(BODY_OFFSET, f"{length} bytes should follow, and {len(body)} do")
+            raise self._make_error(BODY_OFFSET, f"{length} bytes should follow, and {len(body)} do")
         if google_crc32c.value(body) != checksum:
-            raise self.damaged(BODY_OFFSET, "the checksum of what follows is another one")
+            raise self._make_error(BODY_OFFSET, "the checksum of what follows is another one")
         try:
             return decode_snapshot(body)
         except SnapshotError as error:
-            raise self.damaged(BODY_OFFSET, str(error)) from None
+            raise self._make_error(BODY_OFFSET, str(error)) from None
 
-    def damaged(self, offset: int, reason: str) -> DamagedDocumentError:
+    def _make_error(self, offset: int, reason: str) -> DamagedDocumentError:
         """The error for this file."""
         return DamagedDocumentError(self.path, offset, reason)
 
@@ -68,7 +68,7 @@
         self.disk.replace(fresh, self.path)
         self.disk.sync_folder(self.path.parent)
 
-    def put_aside(self) -> Path:
+    def move_damaged_aside(self) -> Path:
         """Moves a damaged file out of the way, and tells where to. Raises OSError."""
         aside = self.path.with_name(f"{self.path.name}.damaged")
         self.disk.replace(self.path, aside)
--- a/message_sender/control/fanout.py
+++ b/message_sender/control/fanout.py
@@ -128,11 +128,11 @@
         self._sessions_limit = sessions_limit
         self._sessions: OrderedDict[str, Session] = OrderedDict()  # the longest silent first
         self._snapshots: dict[int, EncodedSnapshot] = {}
-        self._out: list[tuple[str, WatchMessage]] = []
+        self._outbox: list[tuple[str, WatchMessage]] = []
 
     def take_messages(self) -> list[tuple[str, WatchMessage]]:
         """What is to be sent, each with the sender that it is for."""
-        out, self._out = self._out, []
+        out, self._outbox = self._outbox, []
         return out
 
     def watchers(self, now: float) -> tuple[WatcherStatus, ...]:
@@ -217,7 +217,7 @@
         )
         self.counts.notices += 1
         self.counts.postponed += wait > 0
-        self._out.append((sender, notice))
+        self._outbox.append((sender, notice))
 
     def _send_delta(self, sender: str, session: Session, delta: Delta, now: float) -> None:
         wait = self._budget.take(_estimate_size(delta), 0, now)
@@ -226,7 +226,7 @@
             return
         session.assumed_version = delta.to_version
         self.counts.deltas += 1
-        self._out.append((sender, delta))
+        self._outbox.append((sender, delta))
 
     def _send_chunks(self, sender: str, request: SnapshotRequest, now: float) -> None:
         if request.version > self.store.document.version:
@@ -244,7 +244,7 @@
         for at in chunks:
             chunk = SnapshotChunk(version, at, len(data), data[at : at + CHUNK_BYTES])
             self.counts.chunks += 1
-            self._out.append((sender, chunk))
+            self._outbox.append((sender, chunk))
 
     def _snapshot_for(self, version: int, now: float) -> tuple[int, bytes]:
         """The encoded document at `version` if it is kept and of use, or at the newest version."""
--- a/message_sender/control/fetch.py
+++ b/message_sender/control/fetch.py
@@ -27,7 +27,7 @@
         self.digest = digest
         self.total: int | None = None
         self._data = bytearray()
-        self._ahead: dict[int, bytes] = {}
+        self._out_of_order: dict[int, bytes] = {}
         self._window_end = SNAPSHOT_WINDOW_CHUNKS * CHUNK_BYTES
 
     def request(self) -> SnapshotRequest:
@@ -37,11 +37,11 @@
 
     def add(self, chunk: SnapshotChunk) -> bool:
         """Takes a chunk of this version; false where it brings nothing."""
-        if not self._is_wanted(chunk):
+        if not self._is_acceptable(chunk):
             return False
         self.total = chunk.total
-        self._ahead[chunk.offset] = chunk.data
-        while (data := self._ahead.pop(len(self._data), None)) is not None:
+        self._out_of_order[chunk.offset] = chunk.data
+        while (data := self._out_of_order.pop(len(self._data), None)) is not None:
             self._data += data
         return True
 
@@ -56,9 +56,9 @@
         return len(self._data) >= self._window_end
 
     @property
-    def bytes_held(self) -> int:
+    def buffered_bytes(self) -> int:
         """Bytes in memory."""
-        return len(self._data) + sum(map(len, self._ahead.values()))
+        return len(self._data) + sum(map(len, self._out_of_order.values()))
 
     def document(self) -> Document:
         """The whole. Raises SnapshotError where it isn't the document at this version."""
@@ -69,7 +69,7 @@
             raise SnapshotError(f"version {self.version}: the snapshot differs from the node's document")
         return document
 
-    def _is_wanted(self, chunk: SnapshotChunk) -> bool:
+    def _is_acceptable(self, chunk: SnapshotChunk) -> bool:
         if self.total not in (None, chunk.total) or chunk.total > SNAPSHOT_BYTES_LIMIT:
             return False
         end = chunk.offset + len(chunk.data)
@@ -77,7 +77,7 @@
             return False
         if len(chunk.data) != CHUNK_BYTES and end != chunk.total:
             return False
-        is_new = chunk.offset >= len(self._data) and chunk.offset not in self._ahead
+        is_new = chunk.offset >= len(self._data) and chunk.offset not in self._out_of_order
         return is_new and chunk.offset < self._window_end
 
 
--- a/message_sender/control/leadership.py
+++ b/message_sender/control/leadership.py
@@ -30,8 +30,8 @@
         self._round += 1
         self._round_started_at[self._round] = now
         for progress in self._progress.values():
-            progress.heartbeat_due()
-        self._note_answered_round()
+            progress.require_heartbeat()
+        self._update_authority()
 
     def take_requests(self, commit_index: int) -> list[tuple[str, AppendRequest]]:
         """Entries that peers lack, a commit index that rose, and heartbeats that are due."""
@@ -51,7 +51,7 @@
         progress.is_heartbeat_due = False
         progress.sent_commit_index = commit_index
         if entries:
-            progress.entries_sent(entries[-1].index)
+            progress.note_entries_sent(entries[-1].index)
         return AppendRequest(self._term, previous_index, previous_term, commit_index, self._round, entries)
 
     def receive(self, sender: str, reply: AppendReply) -> None:
@@ -59,11 +59,11 @@
         progress = self._progress[sender]
         progress.is_voter = progress.is_voter and reply.is_voter
         progress.answered_round = max(progress.answered_round, min(reply.round, self._round))
-        self._note_answered_round()
+        self._update_authority()
         if reply.is_match:
-            progress.matched(min(reply.match_index, self._log.last_index))
+            progress.note_match(min(reply.match_index, self._log.last_index))
         else:
-            progress.refused(reply.match_index)
+            progress.note_refusal(reply.match_index)
 
     def committed_index(self, durable_index: int) -> int:
         """The last entry that is durable on a majority, if it is of this term, or else 0.
@@ -88,7 +88,7 @@
     def _voting_peers(self) -> list[tuple[str, Progress]]:
         return [(peer, progress) for peer, progress in self._progress.items() if progress.is_voter]
 
-    def _note_answered_round(self) -> None:
+    def _update_authority(self) -> None:
         """A round that a majority answered shows that this leader had authority when the round started."""
         answered = {peer: progress.answered_round for peer, progress in self._voting_peers()}
         answered[self._name] = self._round
--- a/message_sender/control/log_file.py
+++ b/message_sender/control/log_file.py
@@ -159,7 +159,9 @@
         self.folder, self.path, self.disk = folder, folder / LOG_FILE, disk
         self._file: int | None = None
         self._durable_size = 0
-        self._has_remains = False  # a write that failed may have left bytes behind the durable ones
+        self._may_have_partial_write = (
+            False  # a write that failed may have left bytes behind the durable ones
+        )
 
     def create(self) -> None:
         """Makes an empty log, durable. Raises OSError."""
@@ -187,14 +189,14 @@
     def store(self, batch: LogBatch) -> None:
         """Makes a batch durable; may take long. Raises OSError, and the batch may be stored again then."""
         assert self._file is not None
-        if self._has_remains:
+        if self._may_have_partial_write:
             self.disk.truncate(self._file, self._durable_size)
-        self._has_remains = True
+        self._may_have_partial_write = True
         frame = encode_frame(batch)
         self.disk.write(self._file, frame)
         self.disk.sync(self._file)
         self._durable_size += len(frame)
-        self._has_remains = False
+        self._may_have_partial_write = False
 
     def close(self) -> None:
         if self._file is not None:
--- a/message_sender/control/node.py
+++ b/message_sender/control/node.py
@@ -61,7 +61,7 @@
     answer: StatusAnswer
     deadline: float
     repeat_at: float
-    found: dict[str, NodeStatus]
+    statuses: dict[str, NodeStatus]
 
 
 class ControlNode:
@@ -87,7 +87,7 @@
         self._ready: Ready | None = None
         self._is_storing = False  # the caller has the batch
         self._retry_at = now
-        self._hand_over_at = now
+        self._transfer_due = now
         self._seen_term = replica.term
         self._queries: dict[int, StatusQuery] = {}
         self._query_number = 0
@@ -111,8 +111,8 @@
         self._check_disk_age()
         if not self.disk_fault or self.replica.role is Role.LEADER:
             self.replica.tick(now)
-        if self.requests.is_ending:
-            self._hand_over(now)
+        if self.requests.is_shutting_down:
+            self._transfer_leadership(now)
         self.fanout.tick(now)
         self.requests.tick(now)
         self._tick_queries(now)
@@ -124,17 +124,17 @@
         self.requests.submit(change, answer, now)
         self._advance()
 
-    def end(self, now: float) -> None:
+    def begin_shutdown(self, now: float) -> None:
         """This node is to end: from now on it proposes nothing, and as long as it leads it asks another node
         to lead. One that lacked a late proposal could not be elected."""
         self._now = now
-        self.requests.is_ending = True
-        self._hand_over(now)
+        self.requests.is_shutting_down = True
+        self._transfer_leadership(now)
         self._advance()
 
-    def _hand_over(self, now: float) -> None:
-        if now >= self._hand_over_at and self.replica.hand_over():
-            self._hand_over_at = now + LEADERSHIP_TRANSFER_RETRY_S
+    def _transfer_leadership(self, now: float) -> None:
+        if now >= self._transfer_due and self.replica.transfer_leadership():
+            self._transfer_due = now + LEADERSHIP_TRANSFER_RETRY_S
 
     def _dispatch(self, sender: str, body: Body, now: float) -> None:
         is_node = sender in self.channel.addresses
@@ -206,7 +206,7 @@
         self.replica.persisted(ready)
         version = self.store.document.version
         for entry in ready.committed:
-            self.requests.applied(entry, self.store.apply(entry))
+            self.requests.entry_applied(entry, self.store.apply(entry))
         if self.store.document.version != version:
             self.fanout.version_changed(self._now)
 
@@ -256,10 +256,10 @@
 
     def _tick_queries(self, now: float) -> None:
         for number, query in tuple(self._queries.items()):
-            missing = [name for name in self.node_names() if name not in query.found]
+            missing = [name for name in self.node_names() if name not in query.statuses]
             if not missing or now >= query.deadline:
                 del self._queries[number]
-                query.answer(query.found)
+                query.answer(query.statuses)
             elif now >= query.repeat_at:
                 query.repeat_at = now + STATUS_REPEAT_S
                 for name in missing:
@@ -268,8 +268,8 @@
     def _take_status(self, sender: str, status: NodeStatus) -> None:
         query = self._queries.get(status.number)
         if query is not None and status.name == sender:
-            query.found[sender] = status
-            if len(query.found) == len(self.node_names()):
+            query.statuses[sender] = status
+            if len(query.statuses) == len(self.node_names()):
                 self._tick_queries(self._now)
 
     def _authority_age_ms(self) -> int:
--- a/message_sender/control/operators.py
+++ b/message_sender/control/operators.py
@@ -98,7 +98,7 @@
             if not future.done():
                 future.set_result(value)
 
-        self.driver.do(lambda now: begin(answer, now))
+        self.driver.run_action(lambda now: begin(answer, now))
         return await future
 
 
--- a/message_sender/control/process.py
+++ b/message_sender/control/process.py
@@ -142,11 +142,11 @@
         node = build_node(config, seal, folder, self.log_file, rng, self.loop.time())
         self.socket = UdpSocket()
         self.driver = NodeDriver(
-            node, self.log_file, FolderWriter(folder, node), self.socket.send, self.failed
+            node, self.log_file, FolderWriter(folder, node), self.socket.send, self.fail
         )  # fmt: skip
-        self.socket.on_datagram = self.driver.received
+        self.socket.on_datagram = self.driver.receive
         self.control = ControlSocket(config.state, OperatorCommands(self.driver).commands())
-        self.ending: asyncio.Task[None] | None = None
+        self.shutdown_task: asyncio.Task[None] | None = None
 
     async def run(self) -> int:
         """Raises OSError where an address cannot be bound."""
@@ -168,15 +168,15 @@
 
     def terminate(self) -> None:
         """SIGTERM or SIGINT; the second one waits for nothing."""
-        if self.ending is None and self.driver.node.replica.role is Role.LEADER:
-            self.ending = self.loop.create_task(self.hand_over())
+        if self.shutdown_task is None and self.driver.node.replica.role is Role.LEADER:
+            self.shutdown_task = self.loop.create_task(self.transfer_leadership())
         else:
             self.stop(0)
 
-    async def hand_over(self) -> None:
+    async def transfer_leadership(self) -> None:
         """Ends once another node leads, so that changes wait for no time-out, or after HAND_OVER_LIMIT_S."""
         replica, ends_at = self.driver.node.replica, self.loop.time() + LEADERSHIP_TRANSFER_LIMIT_S
-        self.driver.do(self.driver.node.end)
+        self.driver.run_action(self.driver.node.begin_shutdown)
         while replica.leader in ("", self.config.name) and self.loop.time() < ends_at:
             await asyncio.sleep(LEADERSHIP_TRANSFER_POLL_S)
         log.info("control: %s: handed over to %s", self.config.name, replica.leader or "nobody")
@@ -187,7 +187,7 @@
             log.info("control: %s: ends", self.config.name)
             self.stopped.set_result(code)
 
-    def failed(self, error: Exception) -> None:
+    def fail(self, error: Exception) -> None:
         """A defect: better no node than one that goes on with half a step done."""
         log.critical("control: %s: ended by a defect", self.config.name, exc_info=error)
         self.stop(1)
--- a/message_sender/control/progress.py
+++ b/message_sender/control/progress.py
@@ -31,25 +31,25 @@
             return not self.is_probe_sent
         return self.in_flight < IN_FLIGHT_REQUESTS_LIMIT
 
-    def entries_sent(self, last_sent: int) -> None:
+    def note_entries_sent(self, last_sent: int) -> None:
         if self.is_probing:
             self.is_probe_sent = True
             return
         self.next_index = last_sent + 1
         self.in_flight += 1
 
-    def heartbeat_due(self) -> None:
+    def require_heartbeat(self) -> None:
         self.is_heartbeat_due = True
         self.in_flight = 0
 
-    def matched(self, index: int) -> None:
+    def note_match(self, index: int) -> None:
         """The peer's log equals the leader's up to `index`, durably."""
         self.match_index = max(self.match_index, index)
         self.next_index = max(self.next_index, self.match_index + 1)
         self.is_probing = False
         self.in_flight = max(0, self.in_flight - 1)
 
-    def refused(self, hint: int) -> None:
+    def note_refusal(self, hint: int) -> None:
         """The peer has not the entry before `next_index`; `hint` is where to try next.
 
         A learner may have lost what it had; a voter never loses what it has confirmed.
--- a/message_sender/control/replica.py
+++ b/message_sender/control/replica.py
@@ -89,10 +89,10 @@
         self._durable_hard_state = hard_state
         self._durable_index = self._log.last_index  # up to here the disk equals the log
         self._disk_last_index = self._log.last_index
-        self._handed_index = 0  # the last committed entry that a Ready has held
+        self._delivered_index = 0  # the last committed entry that a Ready has held
         self._outstanding: Ready | None = None
         self._messages: deque[tuple[str, RaftMessage]] = deque(maxlen=QUEUED_MESSAGES_LIMIT)
-        self._granted: frozenset[str] = frozenset()
+        self._votes_granted: frozenset[str] = frozenset()
         self._leadership: Leadership | None = None  # while it is the leader
         self._rng = rng
         self._started_at = now
@@ -178,7 +178,7 @@
             raise NotLeaderError(self.leader)
         return self._append_own(data)
 
-    def hand_over(self) -> bool:
+    def transfer_leadership(self) -> bool:
         """Has another node stand for election now. Whether one was asked: this one must lead, and another one
         have the whole log. To be repeated until another one leads, without proposals meanwhile."""
         successor = self._leadership.successor() if self._leadership is not None else ""
@@ -194,7 +194,7 @@
             self.leader = ""
         self._end_leadership()
         self.role = Role.LEARNER
-        self._granted = frozenset()
+        self._votes_granted = frozenset()
 
     def take_ready(self) -> Ready | None:
         """What is to be done now; None: nothing, or the last one is not `persisted` yet."""
@@ -208,12 +208,12 @@
             truncate_from=self._durable_index + 1 if self._disk_last_index > self._durable_index else None,
             entries=self._log.between(self._durable_index + 1, self._log.last_index),
             messages=(*self._messages, *requests),
-            committed=self._log.between(self._handed_index + 1, self.commit_index),
+            committed=self._log.between(self._delivered_index + 1, self.commit_index),
         )
         if ready == NOTHING_READY:
             return None
         self._messages.clear()
-        self._handed_index = self.commit_index
+        self._delivered_index = self.commit_index
         self._outstanding = ready
         return ready
 
@@ -246,7 +246,7 @@
             self.role = Role.FOLLOWER
             self._restart_election_timer(now)
         self.leader = leader
-        self._granted = frozenset()
+        self._votes_granted = frozenset()
         self._end_leadership()
 
     def _end_leadership(self) -> None:
@@ -256,20 +256,20 @@
 
     def _start_pre_vote(self, now: float) -> None:
         self.role = Role.PRE_CANDIDATE
-        self._ask_for_votes(now)
-        if self._quorum.is_majority(self._granted):
+        self._begin_vote_round(now)
+        if self._quorum.is_majority(self._votes_granted):
             self._start_election(now)
 
     def _start_election(self, now: float) -> None:
         self.role = Role.CANDIDATE
         self._hard_state = HardState(self.term + 1, self.name)
-        self._ask_for_votes(now)
-        if self._quorum.is_majority(self._granted):
+        self._begin_vote_round(now)
+        if self._quorum.is_majority(self._votes_granted):
             self._become_leader(now)
 
-    def _ask_for_votes(self, now: float) -> None:
+    def _begin_vote_round(self, now: float) -> None:
         self.leader = ""
-        self._granted = frozenset((self.name,))
+        self._votes_granted = frozenset((self.name,))
         self._restart_election_timer(now)
         self._request_votes(now)
 
@@ -280,7 +280,7 @@
             return  # what was asked last has not left yet
         is_pre_vote = self.role is Role.PRE_CANDIDATE
         request = VoteRequest(self.term + is_pre_vote, self._log.last_index, self._log.last_term, is_pre_vote)
-        self._messages.extend((peer, request) for peer in self._peers if peer not in self._granted)
+        self._messages.extend((peer, request) for peer in self._peers if peer not in self._votes_granted)
 
     def _become_leader(self, now: float) -> None:
         self.role = Role.LEADER
@@ -293,26 +293,26 @@
         if self.role is Role.LEARNER:
             return
         if request.is_pre_vote:
-            is_granted = self._would_vote(request, now)
+            is_granted = self._would_grant_pre_vote(request, now)
             term = request.term if is_granted else self.term
         else:
             if request.term > self.term:
                 self._become_follower(request.term, "", now)
-            is_granted = request.term == self.term and self._votes_for(sender, request)
+            is_granted = request.term == self.term and self._can_vote_for(sender, request)
             term = self.term
             if is_granted:
                 self._hard_state = HardState(self.term, sender)
                 self._restart_election_timer(now)
         self._messages.append((sender, VoteReply(term, is_granted, request.is_pre_vote)))
 
-    def _would_vote(self, request: VoteRequest, now: float) -> bool:
+    def _would_grant_pre_vote(self, request: VoteRequest, now: float) -> bool:
         if self.role is Role.LEADER or request.term <= self.term:
             return False
         if self._authority_at is not None and now - self._authority_at < ELECTION_TIMEOUT_MIN_S:
             return False
         return self._is_log_new_enough(request)
 
-    def _votes_for(self, sender: str, request: VoteRequest) -> bool:
+    def _can_vote_for(self, sender: str, request: VoteRequest) -> bool:
         return self._hard_state.voted_for in ("", sender) and self._is_log_new_enough(request)
 
     def _is_log_new_enough(self, request: VoteRequest) -> bool:
@@ -327,8 +327,8 @@
         term = self.term + 1 if reply.is_pre_vote else self.term
         if self.role is not asked or reply.term != term:
             return
-        self._granted |= {sender}
-        if not self._quorum.is_majority(self._granted):
+        self._votes_granted |= {sender}
+        if not self._quorum.is_majority(self._votes_granted):
             return
         if reply.is_pre_vote:
             self._start_election(now)
--- a/message_sender/control/requests.py
+++ b/message_sender/control/requests.py
@@ -60,7 +60,7 @@
     """A request of other nodes that this one proposed."""
 
     change: Change
-    askers: set[str] = field(default_factory=set)
+    requesters: set[str] = field(default_factory=set)
 
 
 class ChangeRequests:
@@ -68,15 +68,15 @@
 
     def __init__(self, replica: Replica, store: ConfigurationStore, validate: Validate) -> None:
         self.replica, self.store, self.validate = replica, store, validate
-        self.is_ending = False  # nothing is proposed any more
+        self.is_shutting_down = False  # nothing is proposed any more
         self._waiting: dict[str, WaitingRequest] = {}
         self._forwarded: dict[str, ForwardedRequest] = {}
         self._proposed: dict[str, int] = {}  # by request id: the term
-        self._out: list[tuple[str, OperatorMessage]] = []
+        self._outbox: list[tuple[str, OperatorMessage]] = []
 
     def take_messages(self) -> list[tuple[str, OperatorMessage]]:
         """What is to be sent, each with the node that it is for."""
-        out, self._out = self._out, []
+        out, self._outbox = self._outbox, []
         return out
 
     # Requests of this node's operators.
@@ -84,38 +84,38 @@
     def submit(self, change: Change, answer: Answer, now: float) -> None:
         """Calls `answer` once: when the outcome is known, or after ANSWER_TIMEOUT_S."""
         if fault := _find_format_fault(change):
-            answer(self._result(change, Outcome.INVALID, (fault,)))
+            answer(self._make_result(change, Outcome.INVALID, (fault,)))
             return
         waiting = self._waiting.get(change.request_id)
         if waiting is not None:
             waiting.answers.append(answer)
             return
         if len(self._waiting) >= WAITING_LIMIT:
-            answer(self._result(change, Outcome.UNAVAILABLE, ("too many requests at once",)))
+            answer(self._make_result(change, Outcome.UNAVAILABLE, ("too many requests at once",)))
             return
         waiting = WaitingRequest(change, [answer], now + ANSWER_TIMEOUT_S, now)
         self._waiting[change.request_id] = waiting
-        self._try(waiting, now)
+        self._propose_or_forward(waiting, now)
 
     def tick(self, now: float) -> None:
         """Tries again what is due, and gives up what is too late."""
         for waiting in tuple(self._waiting.values()):
             if now >= waiting.deadline:
-                late = waiting.result or self._result(waiting.change, Outcome.UNAVAILABLE)
+                late = waiting.result or self._make_result(waiting.change, Outcome.UNAVAILABLE)
                 self._finish(waiting, late)
             elif now >= waiting.retry_at:
-                self._try(waiting, now)
+                self._propose_or_forward(waiting, now)
 
-    def _try(self, waiting: WaitingRequest, now: float) -> None:
+    def _propose_or_forward(self, waiting: WaitingRequest, now: float) -> None:
         waiting.retry_at = now + RETRY_INTERVAL_S
         if waiting.result is not None:
             return
         if self.replica.role is Role.LEADER:
-            result = self._consider(waiting.change, now)
+            result = self._decide(waiting.change, now)
             if result is not None:
                 self._take_result(waiting, result)
         elif self.replica.leader:
-            self._out.append((self.replica.leader, ForwardedChange(waiting.change)))
+            self._outbox.append((self.replica.leader, ForwardedChange(waiting.change)))
 
     def _take_result(self, waiting: WaitingRequest, result: ChangeResult) -> None:
         waiting.result = result
@@ -139,43 +139,43 @@
         change = message.change
         if self.replica.role is not Role.LEADER or _find_format_fault(change):
             return
-        result = self._consider(change, now)
+        result = self._decide(change, now)
         if result is not None:
-            self._out.append((sender, ForwardedResult(result)))
+            self._outbox.append((sender, ForwardedResult(result)))
             return
         if len(self._forwarded) >= FORWARDED_LIMIT:
             del self._forwarded[next(iter(self._forwarded))]
-        self._forwarded.setdefault(change.request_id, ForwardedRequest(change)).askers.add(sender)
+        self._forwarded.setdefault(change.request_id, ForwardedRequest(change)).requesters.add(sender)
 
     # The leader's part.
 
-    def _consider(self, change: Change, now: float) -> ChangeResult | None:
+    def _decide(self, change: Change, now: float) -> ChangeResult | None:
         """The answer where it is known now; otherwise the change is proposed, once a term."""
         known = self.store.known_result(change.request_id)
         if known is not None:
             return known
-        if self.is_ending or not self._is_caught_up():
+        if self.is_shutting_down or not self._has_applied_own_term():
             return None
         if self._proposed.get(change.request_id) == self.replica.term:
             return None
         version = self.store.document.version
         if change.base_version < version:
-            return self._result(change, Outcome.CONFLICT)
+            return self._make_result(change, Outcome.CONFLICT)
         if change.base_version > version:
             if self.replica.last_index != self.store.applied_index:
                 return None  # what is under way may make that version: this would count unchecked behind it
-        elif faults := self._faults(change):
-            return self._result(change, Outcome.INVALID, faults)
+        elif faults := self._validate_change(change):
+            return self._make_result(change, Outcome.INVALID, faults)
         self.replica.propose(encode_change(change), now)
         self._proposed[change.request_id] = self.replica.term
         return None
 
-    def _is_caught_up(self) -> bool:
+    def _has_applied_own_term(self) -> bool:
         """Whether all that was confirmed before this leader's term is in its document."""
         applied = self.store.applied_index
         return applied > 0 and self.replica.entry(applied).term == self.replica.term
 
-    def _faults(self, change: Change) -> tuple[str, ...]:
+    def _validate_change(self, change: Change) -> tuple[str, ...]:
         document = self.store.document
         try:
             document.digest_after(change.put, change.delete)
@@ -190,18 +190,18 @@
             faults[FAULTS_LIMIT:] = [f"and {len(faults) - FAULTS_LIMIT} more"]
         return tuple(faults)
 
-    def _result(self, change: Change, outcome: Outcome, faults: tuple[str, ...] = ()) -> ChangeResult:
+    def _make_result(self, change: Change, outcome: Outcome, faults: tuple[str, ...] = ()) -> ChangeResult:
         return ChangeResult(change.request_id, outcome, self.store.document.version, faults)
 
     # Applied entries.
 
-    def applied(self, entry: LogEntry, result: ChangeResult | None) -> None:
+    def entry_applied(self, entry: LogEntry, result: ChangeResult | None) -> None:
         """An entry was applied here; `result` is what the store made of it."""
         if result is not None and entry.data:
             self._proposed.pop(result.request_id, None)
             forwarded = self._forwarded.pop(result.request_id, None)
             if forwarded is not None:
-                self._out += [(asker, ForwardedResult(result)) for asker in sorted(forwarded.askers)]
+                self._outbox += [(asker, ForwardedResult(result)) for asker in sorted(forwarded.requesters)]
             waiting = self._waiting.get(result.request_id)
             if waiting is not None:
                 waiting.result = result
--- a/message_sender/control/store.py
+++ b/message_sender/control/store.py
@@ -72,7 +72,7 @@
     """What one version touched: each name, and whether it was there at the version before."""
 
     from_version: int
-    was_there: dict[str, bool]
+    existed_before: dict[str, bool]
     size: int
 
 
@@ -111,7 +111,7 @@
         known = self.known_result(change.request_id)
         if known is not None:
             return known
-        result = self._make(change)
+        result = self._apply_change(change)
         self._remember(result)
         return result
 
@@ -141,7 +141,7 @@
         """Bytes that the history takes, about."""
         return self._history_bytes
 
-    def _make(self, change: Change) -> ChangeResult:
+    def _apply_change(self, change: Change) -> ChangeResult:
         version = self.document.version
         if change.base_version != version:
             return ChangeResult(change.request_id, Outcome.CONFLICT, version)
@@ -149,13 +149,13 @@
             digest = self.document.digest_after(change.put, change.delete)
         except DeltaMismatchError as error:
             return ChangeResult(change.request_id, Outcome.INVALID, version, (str(error),))
-        step = self._step_of(change)
+        step = self._make_history_step(change)
         self.document.apply(Delta(version, version + 1, change.put, change.delete, digest))
         self._deltas.clear()
         self._add_step(step)
         return ChangeResult(change.request_id, Outcome.APPLIED, version + 1)
 
-    def _step_of(self, change: Change) -> HistoryStep:
+    def _make_history_step(self, change: Change) -> HistoryStep:
         was_there = {resource.name: resource.name in self.document.resources for resource in change.put}
         was_there |= dict.fromkeys(change.delete, True)
         size = sum(len(name) + NAME_OVERHEAD_BYTES for name in was_there)
@@ -178,7 +178,7 @@
             return None
         was_there: dict[str, bool] = {}
         for number in range(version - self.oldest_version, len(self._history)):
-            for name, was in self._history[number].was_there.items():
+            for name, was in self._history[number].existed_before.items():
                 was_there.setdefault(name, was)
         put = tuple(
             Resource(name, present.resources[name]) for name in sorted(was_there) if name in present.resources
--- a/message_sender/control/udp.py
+++ b/message_sender/control/udp.py
@@ -49,8 +49,8 @@
     def __init__(self, folder: StateFolder, node: ControlNode) -> None:
         self.folder = folder
         self._channel = node.channel
-        self._new = FolderChanges()
-        self._under_way: FolderChanges | None = None
+        self._pending = FolderChanges()
+        self._in_progress: FolderChanges | None = None
         self._retry_at = 0.0
         node.on_learner = self._note_learner
         node.channel.on_behind = self._note_epoch
@@ -58,37 +58,37 @@
 
     def _note_learner(self, reason: str) -> None:
         log.error("control: this node is a learner: %s", reason)
-        self._new = replace(self._new, learner_reason=reason)
+        self._pending = replace(self._pending, learner_reason=reason)
 
     def _note_epoch(self, epoch: int) -> None:
-        self._new = replace(self._new, epoch=epoch)
+        self._pending = replace(self._pending, epoch=epoch)
 
     def _note_start(self, name: str, start: KnownStart) -> None:
         known = self._channel.known_starts
         kept = {each: known[each] for each in self._channel.addresses if each in known}
-        self._new = replace(self._new, starts=kept)
+        self._pending = replace(self._pending, starts=kept)
 
     def take_job(self, now: float) -> Callable[[], None] | None:
         """What is to be written now, which raises OSError; None: nothing, or the last job is under way."""
-        if self._under_way is not None or now < self._retry_at or self._new == FolderChanges():
+        if self._in_progress is not None or now < self._retry_at or self._pending == FolderChanges():
             return None
-        self._under_way, self._new = self._new, FolderChanges()
-        return partial(self._under_way.write, self.folder)
+        self._in_progress, self._pending = self._pending, FolderChanges()
+        return partial(self._in_progress.write, self.folder)
 
-    def written(self) -> None:
+    def job_succeeded(self) -> None:
         """The job is done."""
-        self._under_way = None
+        self._in_progress = None
 
-    def failed(self, error: OSError, now: float) -> None:
+    def job_failed(self, error: OSError, now: float) -> None:
         """The job failed; what it had is tried again after FOLDER_RETRY_S, unless it is outdated."""
         log.error("control: the state folder cannot be written: %s", error)
-        old, self._under_way = self._under_way, None
+        old, self._in_progress = self._in_progress, None
         assert old is not None
         self._retry_at = now + FOLDER_RETRY_S
-        self._new = FolderChanges(
-            self._new.learner_reason or old.learner_reason,
-            self._new.epoch or old.epoch,
-            old.starts if self._new.starts is None else self._new.starts,
+        self._pending = FolderChanges(
+            self._pending.learner_reason or old.learner_reason,
+            self._pending.epoch or old.epoch,
+            old.starts if self._pending.starts is None else self._pending.starts,
         )
 
 
@@ -108,12 +108,12 @@
         loop's, if not given."""
         self.loop = asyncio.get_running_loop()
         self.clock = clock or self.loop.time
-        self.node, self.log_file, self.notes = node, log_file, notes
-        self.send, self.failed = send, failed
-        self.is_over = False
+        self.node, self.log_file, self.folder_writer = node, log_file, notes
+        self.send, self.on_failure = send, failed
+        self.is_closed = False
         self._tasks: set[asyncio.Task[None]] = set()
-        self._recorded: tuple[object, ...] = ()
-        self._recorded_fault = ""
+        self._logged_state: tuple[object, ...] = ()
+        self._logged_fault = ""
         self._recorded_refusals, self._refusals_recorded_at = 0, -REFUSED_DATAGRAMS_INTERVAL_S
 
     def start(self) -> None:
@@ -121,24 +121,24 @@
 
     def close(self) -> None:
         """Nothing is sent from here on."""
-        self.is_over = True
+        self.is_closed = True
         for task in self._tasks:
             task.cancel()
 
-    def received(self, datagram: bytes, source: Address) -> None:
+    def receive(self, datagram: bytes, source: Address) -> None:
         """A datagram came from the network."""
         self._step(partial(self.node.receive, datagram, source, self.clock()))
 
-    def do(self, action: Callable[[float], None]) -> None:
+    def run_action(self, action: Callable[[float], None]) -> None:
         """Has the node do something, and carries on with what follows from it."""
         self._step(partial(action, self.clock()))
 
     def _step(self, action: Callable[[], None]) -> None:
-        if self.is_over:
+        if self.is_closed:
             return
         try:
             action()
-            job = self.notes.take_job(self.clock())
+            job = self.folder_writer.take_job(self.clock())
             if job is not None:
                 self._spawn(self._write_folder(job))
             batch = self.node.take_batch()
@@ -151,28 +151,28 @@
 
     def _fail(self, error: Exception) -> None:
         self.close()
-        self.failed(error)
+        self.on_failure(error)
 
     async def _store(self, batch: LogBatch) -> None:
         try:
             await self.log_file.disk.run(partial(self.log_file.store, batch))
         except OSError as error:
             fault = str(error)
-            self.do(lambda now: self.node.store_failed(fault, now))
+            self.run_action(lambda now: self.node.store_failed(fault, now))
         else:
-            self.do(self.node.stored)
+            self.run_action(self.node.stored)
 
     async def _write_folder(self, job: Callable[[], None]) -> None:
         try:
             await self.log_file.disk.run(job)
         except OSError as error:
-            self.notes.failed(error, self.clock())
+            self.folder_writer.job_failed(error, self.clock())
         else:
-            self.notes.written()
+            self.folder_writer.job_succeeded()
 
     async def _run(self) -> None:
-        while not self.is_over:
-            self.do(self.node.tick)
+        while not self.is_closed:
+            self.run_action(self.node.tick)
             self._record()
             await asyncio.sleep(TICK_S)
 
@@ -184,7 +184,7 @@
     def _ended(self, task: asyncio.Task[None]) -> None:
         """A defect in a task ends the node too: what waits for that task would wait for ever."""
         self._tasks.discard(task)
-        if not task.cancelled() and isinstance(error := task.exception(), Exception) and not self.is_over:
+        if not task.cancelled() and isinstance(error := task.exception(), Exception) and not self.is_closed:
             self._fail(error)
 
     # Records.
@@ -193,8 +193,8 @@
         """Logs what has changed since the last time."""
         replica, version = self.node.replica, self.node.store.document.version
         present = replica.role, replica.leader, replica.term, version
-        if present != self._recorded:
-            self._recorded = present
+        if present != self._logged_state:
+            self._logged_state = present
             log.info(
                 "control: %s in term %d, leader %s, version %d",
                 replica.role.value,
@@ -203,8 +203,8 @@
                 version,
             )
         fault = self.node.disk_fault
-        if fault != self._recorded_fault:
-            self._recorded_fault = fault
+        if fault != self._logged_fault:
+            self._logged_fault = fault
             if fault:
                 log.error("control: the disk takes no writes, nothing is confirmed: %s", fault)
             else:
--- a/message_sender/control/watch.py
+++ b/message_sender/control/watch.py
@@ -147,7 +147,7 @@
         self.choice = NodeChoice([node.name for node in order_nodes(name, nodes, region)], rng, now)
         self._applier = applier
         self._rng = rng
-        self._out: list[tuple[str, WatchMessage]] = []
+        self._outbox: list[tuple[str, WatchMessage]] = []
         self._ticked_at = now
         self._polled_at = now - POLL_RETRY_INTERVAL_S
         self._polled_version = document.version  # that the last poll told
@@ -178,7 +178,7 @@
 
     def take_messages(self) -> list[tuple[str, WatchMessage]]:
         """What is to be sent, each with the control node that it is for."""
-        out, self._out = self._out, []
+        out, self._outbox = self._outbox, []
         return out
 
     # Time.
@@ -186,7 +186,7 @@
     def tick(self, now: float) -> None:
         """Sends what is due."""
         if now - self._ticked_at > PAUSE_THRESHOLD_S:
-            self._wake(now)
+            self._resume_after_pause(now)
         self._ticked_at = now
         if self._refusal and now >= self._refusal.until:
             self._refusal = None
@@ -196,20 +196,20 @@
             self._repeat_fetch(now)
         probed = self.choice.next_probe(now)
         if probed:
-            self._out.append((probed, self._poll_message()))
+            self._outbox.append((probed, self._poll_message()))
 
-    def _wake(self, now: float) -> None:
+    def _resume_after_pause(self, now: float) -> None:
         self.counts.pauses += 1
         self._unanswered = 0
         self._fetch_stalls = 0
-        self.choice.forget_times()
+        self.choice.reset_times()
         self._poll_due = now
 
     def _poll(self, now: float) -> None:
         if self._unanswered >= UNANSWERED_LIMIT:
             self.choice.move_on(now)
-            self._begin_with_node(now)
-        self._out.append((self.node, self._poll_message()))
+            self._restart_polling(now)
+        self._outbox.append((self.node, self._poll_message()))
         self._unanswered += 1
         self._polled_at = now
         self._polled_version = self.document.version
@@ -224,7 +224,7 @@
     def _poll_soon(self, now: float) -> None:
         self._poll_due = min(self._poll_due, max(now, self._polled_at + POLL_RETRY_INTERVAL_S))
 
-    def _begin_with_node(self, now: float) -> None:
+    def _restart_polling(self, now: float) -> None:
         """Another node is watched; a fetch goes on there."""
         self._unanswered = 0
         self._poll_due = now
@@ -238,12 +238,12 @@
             self.counts.unexpected += 1
             return
         if node == self.choice.probed and self._is_good_answer(message):
-            self.choice.go_back(now)
-            self._begin_with_node(now)
+            self.choice.return_to_probed(now)
+            self._restart_polling(now)
             self._polled_at, self._poll_due = now, now + POLL_RETRY_INTERVAL_S
             self._unanswered = 1
         if node == self.node:
-            self._answered(now)
+            self._note_answer(now)
         if isinstance(message, Delta):
             self._take_delta(message, now)
         elif isinstance(message, SnapshotChunk):
@@ -253,7 +253,7 @@
         else:
             self.counts.unexpected += 1
 
-    def _answered(self, now: float) -> None:
+    def _note_answer(self, now: float) -> None:
         if self._unanswered:
             self._unanswered = 0
             self._poll_due = max(
@@ -271,15 +271,15 @@
 
     def _take_notice(self, notice: VersionNotice, now: float) -> None:
         if not self._is_behind(notice):
-            self.choice.note_good()
+            self.choice.note_up_to_date()
         elif self.choice.note_behind(now):
             self.choice.move_on(now)
-            self._begin_with_node(now)
+            self._restart_polling(now)
             return
         if notice.version >= self.document.version:
             self._confirmed_at = max(self._confirmed_at, now - notice.age_ms / MS_PER_SECOND)
         if notice.retry_after_ms:
-            self._heed(notice.retry_after_ms, now)
+            self._delay_poll(notice.retry_after_ms, now)
         is_newer = notice.version > self.document.version
         differs = notice.version == self.document.version and notice.digest != self.document.digest
         self.counts.mismatches += differs
@@ -287,7 +287,7 @@
         if differs or (is_newer and notice.needs_snapshot and is_of_this_version):
             self._start_fetch(notice.version, notice.digest, now)
 
-    def _heed(self, retry_after_ms: int, now: float) -> None:
+    def _delay_poll(self, retry_after_ms: int, now: float) -> None:
         due = now + min(retry_after_ms / MS_PER_SECOND, RETRY_AFTER_LIMIT_S)
         self._poll_due = max(due, self._polled_at + POLL_RETRY_INTERVAL_S)
         if self._fetch:
@@ -356,7 +356,7 @@
         self._request_chunks(self._fetch, now)
 
     def _request_chunks(self, fetch: SnapshotFetch, now: float) -> None:
-        self._out.append((self.node, fetch.request()))
+        self._outbox.append((self.node, fetch.request()))
         self._fetch_due = now + POLL_RETRY_INTERVAL_S
 
     def _repeat_fetch(self, now: float) -> None:
--- a/message_sender/fleet/node.py
+++ b/message_sender/fleet/node.py
@@ -209,7 +209,7 @@
                 self.greet(told, now)
                 raise RefusedError(f"{told.name}: a start before the latest, or another one of its name")
             elsewhere = member and member.state is MemberState.ALIVE and told.address != member.address
-            if elsewhere and now - peer.heard < 2.0:
+            if elsewhere and now - peer.received_at < 2.0:
                 self.greet(told, now)
                 raise RefusedError(f"{told.name}: two members use this name")
             peer = None
@@ -217,7 +217,7 @@
             peer = self.peers[told.name] = PeerSession(told.epoch, told.session)
         if not peer.is_new(told.number):
             raise RefusedError(f"{told.name}: a datagram that has come before")
-        peer.heard, peer.epoch = now, max(peer.epoch, told.epoch)
+        peer.received_at, peer.epoch = now, max(peer.epoch, told.epoch)
         return fresh
 
     def greet(self, told: Envelope, now: float) -> None:
--- a/message_sender/fleet/session.py
+++ b/message_sender/fleet/session.py
@@ -14,18 +14,20 @@
 
     epoch: int
     session: int
-    highest: int = 0
-    seen: int = 0  # bits: of the WINDOW numbers up to the highest
-    heard: float = 0.0  # s: when a datagram of it was believed last
+    highest_number: int = 0
+    window_bits: int = 0  # bits: of the WINDOW numbers up to the highest
+    received_at: float = 0.0  # s: when a datagram of it was believed last
 
     def is_new(self, number: int) -> bool:
         """Whether a datagram of this number has not come yet; notes it."""
-        if number > self.highest:
-            self.seen = (self.seen << min(number - self.highest, WINDOW) | 1) & ((1 << WINDOW) - 1)
-            self.highest = number
+        if number > self.highest_number:
+            self.window_bits = (self.window_bits << min(number - self.highest_number, WINDOW) | 1) & (
+                (1 << WINDOW) - 1
+            )
+            self.highest_number = number
             return True
-        bit = 1 << (self.highest - number)
-        if self.highest - number >= WINDOW or self.seen & bit:
+        bit = 1 << (self.highest_number - number)
+        if self.highest_number - number >= WINDOW or self.window_bits & bit:
             return False
-        self.seen |= bit
+        self.window_bits |= bit
         return True
--- a/message_sender/service/control_configuration.py
+++ b/message_sender/service/control_configuration.py
@@ -127,7 +127,7 @@
     def put_aside(self, file: DocumentFile) -> None:
         """Keeps a damaged file for whoever wants to look at it."""
         try:
-            log.error("control: it is in %s now", file.put_aside())
+            log.error("control: it is in %s now", file.move_damaged_aside())
         except OSError as error:
             log.error("control: it cannot be put aside: %s", error)
 
--- a/tests/raft_model.py
+++ b/tests/raft_model.py
@@ -136,7 +136,7 @@
 
 def settle(replica: Replica) -> None:
     """Forgets what depends on time alone, or on what was already handed to the caller."""
-    replica._handed_index = replica.commit_index
+    replica._delivered_index = replica.commit_index
     replica.leader = ""
     if replica._leadership is not None:
         for progress in replica._leadership._progress.values():
@@ -153,7 +153,7 @@
         replica.commit_index,
         replica._durable_index,
         replica._disk_last_index,
-        replica._granted,
+        replica._votes_granted,
         tuple(replica._messages),
         tuple(tuple(_fields(each)) for each in leadership._progress.values()) if leadership else (),
     )
@@ -331,7 +331,7 @@
                 replica._become_follower(replica.term, "", NOW)
             replica._start_election(NOW)
         elif kind == "hand over":
-            replica.hand_over()
+            replica.transfer_leadership()
         elif kind == "propose":
             replica.propose(b"%d" % argument, NOW)
 
--- a/tests/test_control_chaos.py
+++ b/tests/test_control_chaos.py
@@ -428,7 +428,7 @@
     return ORIGINAL_MAKE(self, present)
 
 
-ORIGINAL_MAKE = ConfigurationStore._make
+ORIGINAL_MAKE = ConfigurationStore._apply_change
 Patch = tuple[object, str, Callable[..., Any]]
 
 
@@ -487,7 +487,7 @@
         ((ConfigurationStore, "_remember", lambda self, result: None),), "another answer than before"
     ),
     "compare-and-set is not done": Defect(
-        ((ConfigurationStore, "_make", make_without_comparing),), "another answer than before"
+        ((ConfigurationStore, "_apply_change", make_without_comparing),), "another answer than before"
     ),
     "a push that was lost is never made good": Defect(
         ((Fanout, "_answer", lambda self, sender, session, poll, now: self._notify(sender)),),
--- a/tests/test_control_node.py
+++ b/tests/test_control_node.py
@@ -179,7 +179,7 @@
                 self.network.send(name, address, datagram)
 
             machine.driver = NodeDriver(node, log_file, notes, send, self.defects.append, clock)
-            self.network.receivers[name] = machine.driver.received
+            self.network.receivers[name] = machine.driver.receive
             machine.driver.start()
 
     def disk(self, machine: Machine) -> MemoryDisk:
@@ -244,7 +244,9 @@
     async def submit(self, name: str, change: Change) -> ChangeResult:
         """Asks once."""
         future: asyncio.Future[ChangeResult] = asyncio.get_running_loop().create_future()
-        self.driver(name).do(lambda now: self.driver(name).node.submit(change, future.set_result, now))
+        self.driver(name).run_action(
+            lambda now: self.driver(name).node.submit(change, future.set_result, now)
+        )
         result = await future
         if result.outcome is Outcome.APPLIED:
             assert self.confirmed.setdefault(change.request_id, result.version) == result.version
@@ -255,7 +257,7 @@
 
     async def status(self, name: str) -> dict[str, NodeStatus]:
         future: asyncio.Future[dict[str, NodeStatus]] = asyncio.get_running_loop().create_future()
-        self.driver(name).do(lambda now: self.driver(name).node.query_status(future.set_result, now))
+        self.driver(name).run_action(lambda now: self.driver(name).node.query_status(future.set_result, now))
         return await future
 
     async def until_everywhere(self, within: float = 4.0) -> float:
@@ -341,7 +343,7 @@
         term = node.replica.term
         before = asyncio.create_task(cluster.submit(other, cluster.change(1)))
         await asyncio.sleep(0.02 * cluster.rng.random())
-        cluster.driver(first).do(node.end)
+        cluster.driver(first).run_action(node.begin_shutdown)
         behind = [asyncio.create_task(cluster.submit(name, cluster.change(1))) for name in (first, other)]
         took = await cluster.until(lambda: node.replica.leader not in ("", first))
         assert took < ELECTION_TIMEOUT_MIN_S and node.replica.term == term + 1
@@ -374,7 +376,7 @@
         await cluster.until_everywhere()
         await asyncio.sleep(1.0)
         replica = cluster.driver(asked).node.replica
-        cluster.driver(asked).do(lambda now: replica.receive(first, TimeoutNow(replica.term), now))
+        cluster.driver(asked).run_action(lambda now: replica.receive(first, TimeoutNow(replica.term), now))
         took = await cluster.until(lambda: replica.role is Role.LEADER)
         print(f"{asked} in place of {first}: elected after {took:.3f} s")
         assert took < ELECTION_TIMEOUT_MIN_S
@@ -498,7 +500,7 @@
         change = cluster.change(1, b"2")
         unanswered: list[ChangeResult] = []
         driver = cluster.driver(asked if whom == "asked" else leader)
-        driver.do(lambda now: driver.node.submit(change, unanswered.append, now))
+        driver.run_action(lambda now: driver.node.submit(change, unanswered.append, now))
         await cluster.until(lambda: killed not in cluster.alive())
         name = killed if again_at == "the same" else next(each for each in VOTES if each != killed)
         if again_at == "the same":
@@ -793,13 +795,13 @@
     requests.tick(0.5)
     assert not answers and not leader.proposed
     entry = leader.entry(2)
-    requests.applied(entry, store.apply(entry))
+    requests.entry_applied(entry, store.apply(entry))
     for now in (1.0, 1.5, 2.0):
         requests.tick(now)
     assert not answers and len(leader.proposed) == 2
     for index, data in enumerate(tuple(leader.proposed), 3):
         entry = messages.LogEntry(index, 2, data)
-        requests.applied(entry, store.apply(entry))
+        requests.entry_applied(entry, store.apply(entry))
     early, right = ChangeResult("early", Outcome.CONFLICT, 0), ChangeResult("right", Outcome.APPLIED, 1)
     assert answers == [early, right]
     requests.submit(Change("right", 0, (Resource("a", b"1"),), ()), answers.append, 9.0)
@@ -832,7 +834,7 @@
     requests.tick(0.5)
     assert not answers and len(leader.proposed) == 1
     entry = messages.LogEntry(3, 2, leader.proposed[0])
-    requests.applied(entry, store.apply(entry))
+    requests.entry_applied(entry, store.apply(entry))
     requests.tick(1.0)
     assert answers[0] == ChangeResult("first", Outcome.APPLIED, 1) and len(leader.proposed) == 1
     assert answers[1] == ChangeResult("second", Outcome.INVALID, 1, ("a: is bad",))
@@ -907,7 +909,7 @@
             while not cluster.defects:
                 await asyncio.sleep(0.01)
         assert str(cluster.defects[0]) == "a defect"
-        ended = [name for name in VOTES if cluster.driver(name).is_over]
+        ended = [name for name in VOTES if cluster.driver(name).is_closed]
         assert len(ended) == len(cluster.defects), "each is told of once"
         cluster.defects.clear()
 
--- a/tests/test_control_raft_rules.py
+++ b/tests/test_control_raft_rules.py
@@ -577,7 +577,7 @@
     cluster.propose(b"x")
     cluster.exchange()
     term = first.term
-    first.hand_over()
+    first.transfer_leadership()
     cluster.exchange()
     second = cluster.leader()
     assert second is not first and second.term == term + 1
@@ -593,13 +593,13 @@
     replica = follower(votes=THREE)
     now = elected(replica, 0.0)
     flush(replica)
-    assert not replica.hand_over() and flush(replica) is None  # nobody has answered yet
+    assert not replica.transfer_leadership() and flush(replica) is None  # nobody has answered yet
     acknowledge(replica, "b", replica.last_index, now, is_voter=False)
     flush(replica)
-    assert not replica.hand_over() and flush(replica) is None
+    assert not replica.transfer_leadership() and flush(replica) is None
     acknowledge(replica, "c", replica.last_index, now)
     flush(replica)
-    replica.hand_over()
+    replica.transfer_leadership()
     ready = flush(replica)
     assert ready and ready.messages == (("c", TimeoutNow(replica.term)),)
 
@@ -614,7 +614,7 @@
     replica.tick(now)
     replica.receive("c", AppendReply(replica.term, True, replica.last_index, 2, True), now)
     flush(replica)
-    replica.hand_over()
+    replica.transfer_leadership()
     ready = flush(replica)
     assert ready and ready.messages == (("c", TimeoutNow(replica.term)),)
 
--- a/tests/test_control_watch.py
+++ b/tests/test_control_watch.py
@@ -369,7 +369,7 @@
     assert fetch.request() == SnapshotRequest(1, 4000)
     for chunk in chunks[:20]:
         fetch.add(chunk)
-    assert fetch.is_window_complete and fetch.bytes_held == 20_000
+    assert fetch.is_window_complete and fetch.buffered_bytes == 20_000
     fetch.request()
     for chunk in reversed(chunks):
         fetch.add(chunk)
@@ -388,7 +388,7 @@
 )
 def test_chunks_that_do_not_fit_are_dropped(chunk: SnapshotChunk) -> None:
     fetch = SnapshotFetch(1)
-    assert not fetch.add(chunk) and fetch.bytes_held == 0
+    assert not fetch.add(chunk) and fetch.buffered_bytes == 0
 
 
 def test_a_damaged_snapshot_is_dropped_whole_and_fetched_again_only_after_a_while() -> None:
@@ -464,4 +464,4 @@
     total = SNAPSHOT_BYTES_LIMIT
     for at in range(1000, 200_000, 1000):
         fetch.add(SnapshotChunk(1, at, total, b"1" * 1000))
-    assert fetch.bytes_held < SNAPSHOT_WINDOW_CHUNKS * CHUNK_BYTES
+    assert fetch.buffered_bytes < SNAPSHOT_WINDOW_CHUNKS * CHUNK_BYTES
