--- a/benchmarks/scale/control_plane.py
+++ b/benchmarks/scale/control_plane.py
@@ -18,6 +18,7 @@
 from functools import partial
 
 from message_sender.control.channel import Channel
+from message_sender.control.choice import ControlNodeAddress
 from message_sender.control.document import Document
 from message_sender.control.fanout import Fanout
 from message_sender.control.messages import (
@@ -36,10 +37,10 @@
     VoteReply,
     VoteRequest,
 )
-from message_sender.control.raft import Ready
-from message_sender.control.replica import HardState, Replica, Role
+from message_sender.control.raft import HardState, Ready, Role
+from message_sender.control.replica import Replica
 from message_sender.control.store import ConfigurationStore, encode_change
-from message_sender.control.watch import ControlNodeAddress, Watch
+from message_sender.control.watch import Watch
 from message_sender.fleet.seal import Seal
 
 HEADER_BYTES = 28  # UDP and IPv4
--- a/message_sender/control/choice.py
+++ b/message_sender/control/choice.py
@@ -1,27 +1,64 @@
-"""Which control node a sender watches: its first choice, the next one, and the way back. Pure.
+"""Chooses the control node that a sender watches. Pure.
 
 Rules:
 
-- The nodes are in an order of preference. A node that fails is left for the next one, round and round.
-- While a sender isn't with its first choice, it probes the nodes that it prefers to the present one, one each
-  `PROBE_INTERVAL_MIN_S` to `PROBE_INTERVAL_MAX_S` seconds (drawn), and goes back only to one that answered.
-- A node that is behind is given some patience, then left. The patience doubles each time, up to
-  `PATIENCE_LIMIT_S`, until a node is met that isn't behind: where all are, senders don't run in circles.
+- The nodes are in an order of preference: those of the sender's own region first, then the others, each group
+  by rendezvous hashing. A node that fails is left for the next one, cyclically.
+- While a sender is not with its first choice, it probes the nodes that it prefers to the present one, one
+  each PROBE_INTERVAL_MIN_S to PROBE_INTERVAL_MAX_S (drawn), and returns only to one that answered.
+- A node that is behind is left after some patience. The patience doubles each time, up to PATIENCE_LIMIT_S,
+  until a node is found that is not behind: where all are behind, senders do not cycle through them quickly.
 """
 
 import random
 from collections.abc import Sequence
+from dataclasses import dataclass
 
-# Seconds.
-PROBE_INTERVAL_MIN_S, PROBE_INTERVAL_MAX_S = 30.0, 60.0
-PATIENCE_MIN_S, PATIENCE_MAX_S = 3.0, 6.0  # the first time
+import xxhash
+
+from message_sender.control.messages import Address
+
+PROBE_INTERVAL_MIN_S = 30.0
+PROBE_INTERVAL_MAX_S = 60.0
+PATIENCE_MIN_S = 3.0
+PATIENCE_MAX_S = 6.0
 PATIENCE_LIMIT_S = 60.0
 
 
+@dataclass(frozen=True, slots=True)
+class ControlNodeAddress:
+    """A control node's name, the address at which it is reached, and its region."""
+
+    name: str
+    address: Address
+    region: str
+
+
+def order_nodes(
+    name: str, nodes: Sequence[ControlNodeAddress], region: str
+) -> tuple[ControlNodeAddress, ...]:
+    """Returns the nodes in the order in which the sender `name` of `region` prefers them."""
+
+    def rank(node: ControlNodeAddress) -> tuple[bool, int]:
+        return node.region != region, xxhash.xxh3_64_intdigest(f"{name}\0{node.name}".encode())
+
+    return tuple(sorted(nodes, key=rank))
+
+
 class NodeChoice:
-    """`names`: the control nodes in the order of preference."""
+    """The node that a sender watches, and the state of its probes."""
 
     def __init__(self, names: Sequence[str], rng: random.Random, now: float) -> None:
+        """Begins with the first choice.
+
+        Args:
+            names: The control nodes in the order of preference.
+            rng: Draws intervals and patience.
+            now: Seconds of the monotonic clock.
+
+        Raises:
+            ValueError: If there is no node.
+        """
         if not names:
             raise ValueError("a watch needs a control node")
         self.names = tuple(names)
@@ -45,11 +82,11 @@
         self._settle_on((self._rank + 1) % len(self.names), now)
 
     def return_to_probed(self, now: float) -> None:
-        """Settles on the node that was probed."""
+        """Returns to the preferred node that was probed."""
         self._settle_on(self.names.index(self.probed), now)
 
     def next_probe(self, now: float) -> str | None:
-        """The node to be probed, if one is due."""
+        """Returns the node to probe now, or None if no probe is due."""
         if now < self._probe_due:
             return None
         self._draw_probe(now)
@@ -61,12 +98,12 @@
         return self.probed
 
     def note_up_to_date(self) -> None:
-        """The node isn't behind."""
+        """Notes that the node is not behind."""
         self._behind_since = None
         self._patience = self._rng.uniform(PATIENCE_MIN_S, PATIENCE_MAX_S)
 
     def note_behind(self, now: float) -> bool:
-        """The node is behind; whether it has been for longer than the patience."""
+        """Notes that the node is behind; returns whether it has been for longer than the patience."""
         if self._behind_since is None:
             self._behind_since = now
         if now - self._behind_since <= self._patience:
@@ -75,7 +112,7 @@
         return True
 
     def reset_times(self) -> None:
-        """Time passed in which nothing could be heard."""
+        """Starts the patience anew after a pause in which nothing could be received."""
         self._behind_since = None
 
     def _settle_on(self, rank: int, now: float) -> None:
--- a/message_sender/control/configuration.py
+++ b/message_sender/control/configuration.py
@@ -1,4 +1,4 @@
-"""The TOML file of a control node, checked whole: every fault at once, with its path."""
+"""The TOML file of a control node. Checks the complete file and reports every fault with its path."""
 
 from dataclasses import dataclass
 from pathlib import Path
@@ -9,13 +9,18 @@
 from message_sender.configuration.resources import Address as AddressField
 from message_sender.configuration.resources import node_list_faults
 from message_sender.configuration.tables import Table, check, parse, within
+from message_sender.control.choice import ControlNodeAddress
 from message_sender.control.messages import NAME_LENGTH_LIMIT, Address
-from message_sender.control.watch import ControlNodeAddress
 
 VOTES_LIMIT = 100
 
 
 def check_node_name(name: str) -> str:
+    """Returns `name` if it can name a node or a cluster.
+
+    Raises:
+        ValueError: If it is empty, too long or not printable ASCII.
+    """
     if not name or len(name) > NAME_LENGTH_LIMIT or not name.isascii() or not name.isprintable():
         raise ValueError(f"must be 1 to {NAME_LENGTH_LIMIT} printable ASCII characters, not {name!r}")
     return name
@@ -23,7 +28,17 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeConfiguration:
-    """One control node's configuration; paths are those of the file system."""
+    """One control node's configuration.
+
+    Attributes:
+        name: This node, one of `nodes`.
+        cluster: A name that all nodes of a control plane share.
+        listen: The UDP address to bind.
+        state: The state folder.
+        key_file: The file with the keys of the sealed datagrams.
+        nodes: All nodes, with the addresses at which the others reach them.
+        votes: The votes of each node by name.
+    """
 
     name: str
     cluster: str
@@ -34,11 +49,13 @@
     votes: dict[str, int]
 
     def addresses(self) -> dict[str, Address]:
-        """Of the other nodes."""
-        return {each.name: each.address for each in self.nodes if each.name != self.name}
+        """Returns the addresses of the other nodes by name."""
+        return {node.name: node.address for node in self.nodes if node.name != self.name}
 
 
 class NodeTable(Table):
+    """A `[[nodes]]` table."""
+
     name: Annotated[str, AfterValidator(check_node_name)]
     address: AddressField
     region: str = ""
@@ -46,6 +63,8 @@
 
 
 class NodeFile(Table):
+    """The complete file."""
+
     name: Annotated[str, AfterValidator(check_node_name)]
     cluster: Annotated[str, AfterValidator(check_node_name)]
     listen: AddressField
@@ -54,17 +73,23 @@
     nodes: tuple[NodeTable, ...]
 
     @model_validator(mode="after")
-    def consistent(self) -> Self:
-        wrong = node_list_faults([(each.name, each.address) for each in self.nodes])
-        if self.name not in {each.name for each in self.nodes}:
-            wrong.append(f"name: {self.name!r} is not among the nodes")
-        if wrong:
-            raise ValueError("\n".join(wrong))
+    def check_consistency(self) -> Self:
+        """Checks what concerns more than one field; raises ValueError with one fault per line."""
+        faults = node_list_faults([(node.name, node.address) for node in self.nodes])
+        if self.name not in {node.name for node in self.nodes}:
+            faults.append(f"name: {self.name!r} is not among the nodes")
+        if faults:
+            raise ValueError("\n".join(faults))
         return self
 
 
 def load(path: Path) -> NodeConfiguration:
-    """Raises ConfigError with all faults, and OSError."""
+    """Reads the file at `path`; paths in it are relative to its folder.
+
+    Raises:
+        ConfigError: With all faults of the file.
+        OSError: If it cannot be read.
+    """
     table = check(NodeFile, parse(path))
     folder = path.parent
     return NodeConfiguration(
@@ -73,6 +98,6 @@
         listen=table.listen,
         state=folder / table.state,
         key_file=folder / table.key_file,
-        nodes=tuple(ControlNodeAddress(each.name, each.address, each.region) for each in table.nodes),
-        votes={each.name: each.votes for each in table.nodes},
+        nodes=tuple(ControlNodeAddress(node.name, node.address, node.region) for node in table.nodes),
+        votes={node.name: node.votes for node in table.nodes},
     )
--- a/message_sender/control/leadership.py
+++ b/message_sender/control/leadership.py
@@ -1,4 +1,4 @@
-"""A leader's term: what its peers' logs hold, which heartbeat rounds they answered, what is committed."""
+"""The state of a leader's term: its peers' logs, the heartbeat rounds they answered, what is committed."""
 
 from collections.abc import Sequence
 
@@ -11,11 +11,12 @@
 
 
 class Leadership:
-    """Kept from the election to the end of the term's leadership; see the rules in `replica.py`."""
+    """Exists from the election to the end of the leadership; see the rules in replica.py."""
 
     def __init__(
         self, name: str, term: int, peers: Sequence[str], quorum: Quorum, log: ReplicatedLog, now: float
     ) -> None:
+        """Begins the leadership of `name` in `term`, with nothing known of its peers' logs."""
         self._name = name
         self._term = term
         self._quorum = quorum
@@ -26,7 +27,7 @@
         self.authority_at = now  # the start of the last round that a majority answered
 
     def start_round(self, now: float) -> None:
-        """A heartbeat goes to each peer with the next `take_requests`."""
+        """Makes a heartbeat to each peer due, which the next `take_requests` returns."""
         self._round += 1
         self._round_started_at[self._round] = now
         for progress in self._progress.values():
@@ -34,7 +35,10 @@
         self._update_authority()
 
     def take_requests(self, commit_index: int) -> list[tuple[str, AppendRequest]]:
-        """Entries that peers lack, a commit index that rose, and heartbeats that are due."""
+        """Returns the requests that are due, each with its receiver.
+
+        They carry entries that a peer lacks, a commit index that rose, or a heartbeat.
+        """
         requests = []
         for peer, progress in self._progress.items():
             while progress.can_send(self._log.last_index):
@@ -44,7 +48,7 @@
         return requests
 
     def _request(self, progress: Progress, commit_index: int, entries_limit: int) -> AppendRequest:
-        """The next request to a peer; with a limit of 0 bytes one without entries."""
+        """Returns the next request to a peer; without entries if `entries_limit`, in bytes, is 0."""
         previous_index = progress.next_index - 1
         previous_term = self._log.term_at(previous_index)
         entries = self._log.batch(progress.next_index, entries_limit) if entries_limit else ()
@@ -55,7 +59,7 @@
         return AppendRequest(self._term, previous_index, previous_term, commit_index, self._round, entries)
 
     def receive(self, sender: str, reply: AppendReply) -> None:
-        """An answer of this term."""
+        """Handles a reply of this term."""
         progress = self._progress[sender]
         progress.is_voter = progress.is_voter and reply.is_voter
         progress.answered_round = max(progress.answered_round, min(reply.round, self._round))
@@ -66,10 +70,12 @@
             progress.note_refusal(reply.match_index)
 
     def committed_index(self, durable_index: int) -> int:
-        """The last entry that is durable on a majority, if it is of this term, or else 0.
+        """Returns the index of the last entry that is durable on a majority, or 0 if it is of an older term.
+
+        Entries of earlier terms are committed only by an entry of this term after them.
 
-        `durable_index` is the last one that is durable on the leader's own disk. Entries of earlier terms are
-        committed only by one of this term behind them.
+        Args:
+            durable_index: The last entry that is durable on the leader's own disk.
         """
         durable = {peer: progress.match_index for peer, progress in self._voting_peers()}
         durable[self._name] = durable_index
@@ -77,7 +83,7 @@
         return index if self._log.term_at(index) == self._term else 0
 
     def successor(self) -> str:
-        """The voter with the whole log that answered the latest heartbeat round; empty if none has it."""
+        """Returns the voter with the complete log that answered the latest round; empty if there is none."""
         rounds = {
             peer: progress.answered_round
             for peer, progress in self._voting_peers()
@@ -89,12 +95,12 @@
         return [(peer, progress) for peer, progress in self._progress.items() if progress.is_voter]
 
     def _update_authority(self) -> None:
-        """A round that a majority answered shows that this leader had authority when the round started."""
+        """Updates `authority_at`: a round that a majority answered proves authority at the round's start."""
         answered = {peer: progress.answered_round for peer, progress in self._voting_peers()}
         answered[self._name] = self._round
         answered_round = self._quorum.majority_value(answered)
         if answered_round not in self._round_started_at:
             return
         self.authority_at = max(self.authority_at, self._round_started_at[answered_round])
-        for each in [each for each in self._round_started_at if each < answered_round]:
-            del self._round_started_at[each]
+        for earlier_round in [number for number in self._round_started_at if number < answered_round]:
+            del self._round_started_at[earlier_round]
--- a/message_sender/control/process.py
+++ b/message_sender/control/process.py
@@ -1,7 +1,7 @@
-"""A control node as a process: state folder, log, socket, signals, control socket.
+"""A control node as a process: state folder, log, UDP socket, signals and control socket.
 
-`python -m message_sender.control.process FILE` serves with records in plain form; `message-sender control
-serve` is the same with records as the other commands have them.
+`python -m message_sender.control.process FILE` serves with plain log lines; `message-sender control serve`
+does the same with the log format of the other commands.
 """
 
 import asyncio
@@ -16,7 +16,9 @@
 from message_sender.configuration.tables import ConfigError, ConfigFault
 from message_sender.control.channel import Channel
 from message_sender.control.configuration import NodeConfiguration, load
+from message_sender.control.driver import NodeDriver
 from message_sender.control.folder import FolderError, Identity, StateFolder
+from message_sender.control.folder_writer import FolderWriter
 from message_sender.control.log_file import LOG_FILE, LogFile
 from message_sender.control.node import ControlNode
 from message_sender.control.operators import OperatorCommands
@@ -24,23 +26,27 @@
 from message_sender.control.replica import Replica
 from message_sender.control.schema import Validator
 from message_sender.control.store import ConfigurationStore
-from message_sender.control.udp import FolderWriter, NodeDriver, UdpSocket
 from message_sender.control_socket import ControlSocket
 from message_sender.fleet.seal import KeyFileError, Seal, read_keys, reread_keys
+from message_sender.fleet.udp_socket import UdpSocket
 from message_sender.journal.disk import Disk, SystemDisk
 from message_sender.journal.lock import Lock, LockTakenError
 
 SESSION_BITS = 62
 SEED_BITS = 64
-LEADERSHIP_TRANSFER_LIMIT_S = 2.0  # that a leader waits for another one as it ends
+LEADERSHIP_TRANSFER_LIMIT_S = 2.0
 LEADERSHIP_TRANSFER_POLL_S = 0.02
 
 log = logging.getLogger(__name__)
 
 
 def initialise(path: Path) -> None:
-    """Makes the state folder of the node configured at `path`. Raises ConfigError, and OSError where the
-    folder holds anything."""
+    """Creates the state folder of the node configured at `path`.
+
+    Raises:
+        ConfigError: If the configuration has faults.
+        OSError: If the folder is not empty or cannot be written.
+    """
     config = load(path)
     created = datetime.now(UTC).isoformat(timespec="seconds")
     disk = SystemDisk()
@@ -51,15 +57,22 @@
 
 
 def run(path: Path) -> int:
-    """Serves by the TOML configuration at `path` until SIGTERM; the exit code.
+    """Serves by the TOML configuration at `path` until SIGTERM and returns the exit code.
 
-    Raises ConfigError and OSError.
+    Raises:
+        ConfigError: If the configuration has faults.
+        OSError: If the state folder or an address cannot be used.
     """
     return asyncio.run(serve(load(path)))
 
 
 async def serve(config: NodeConfiguration, disk: Disk | None = None) -> int:
-    """Serves until SIGTERM or SIGINT; 1 if a defect ended it. Raises ConfigError and OSError."""
+    """Serves until SIGTERM or SIGINT and returns the exit code, which is 1 after a defect.
+
+    Raises:
+        ConfigError: If the key file cannot be used.
+        OSError: If the state folder or an address cannot be used.
+    """
     config.state.mkdir(parents=True, exist_ok=True)
     try:
         lock = Lock(config.state)
@@ -75,7 +88,11 @@
 
 
 def read_seal(config: NodeConfiguration) -> Seal:
-    """Raises ConfigError."""
+    """Returns the seal with the keys of the configured key file.
+
+    Raises:
+        ConfigError: If the key file cannot be used.
+    """
     try:
         return Seal(read_keys(config.key_file))
     except KeyFileError as error:
@@ -85,8 +102,16 @@
 def load_log(
     folder: StateFolder, log_file: LogFile, config: NodeConfiguration, rng: random.Random, now: float
 ) -> tuple[Replica, str]:
-    """The replica as the disk has it, and why it is a learner. A learner is marked as one before a damaged
-    log is replaced. Raises OSError."""
+    """Restores the replica from the disk.
+
+    The mark of a learner is durable before a damaged log is replaced.
+
+    Returns:
+        The replica, and why it is a learner; an empty text if it is not.
+
+    Raises:
+        OSError: If the folder belongs to another node, or cannot be read or written.
+    """
     identity = folder.identity()
     if identity and (identity.cluster, identity.name) != (config.cluster, config.name):
         raise FolderError(f"{folder.path}: belongs to {identity.name} of the cluster {identity.cluster}")
@@ -95,17 +120,22 @@
         reason = reason or "its folder was not initialised (message-sender control init)"
     loaded = log_file.load()
     if loaded.damage:
-        where = f"{LOG_FILE}: {loaded.damage.reason} at byte {loaded.damage.offset}"
-        log.error("control: %s; nothing from there on is believed", where)
-        reason = reason or f"a damaged log: {where}"
+        damage = f"{LOG_FILE}: {loaded.damage.reason} at byte {loaded.damage.offset}"
+        log.error(
+            "control: log damaged, the rest of it is discarded: file=%s offset=%d reason=%s",
+            LOG_FILE,
+            loaded.damage.offset,
+            loaded.damage.reason,
+        )
+        reason = reason or f"a damaged log: {damage}"
         if identity is not None:
             folder.mark_learner(reason)
         log_file.replace_damaged(loaded)
     elif loaded.torn_bytes:
-        log.info("control: %d bytes of a write that was never whole are dropped", loaded.torn_bytes)
+        log.info("control: torn write at the end of the log dropped: bytes=%d", loaded.torn_bytes)
     replica = Replica(
         config.name, config.votes, loaded.hard_state, loaded.entries, rng, now, is_voter=not reason
-    )  # fmt: skip
+    )
     return replica, reason
 
 
@@ -117,10 +147,14 @@
     rng: random.Random,
     now: float,
 ) -> ControlNode:
-    """A node as it starts: its epoch is raised, durably. Raises OSError."""
+    """Builds a node from its state folder, after its epoch was raised durably.
+
+    Raises:
+        OSError: If the folder belongs to another node, or cannot be read or written.
+    """
     replica, reason = load_log(folder, log_file, config, rng, now)
     if reason:
-        log.warning("control: starts as a learner, which counts for no majority: %s", reason)
+        log.warning("control: started as a learner, which counts for no majority: reason=%s", reason)
     epoch = folder.read_epoch() + 1
     folder.write_epoch(epoch)
     session = secrets.randbits(SESSION_BITS) + 1
@@ -129,32 +163,39 @@
 
 
 class NodeProcess:
-    """The node's process from its start to its end."""
+    """One control node from its start to its shutdown."""
 
     def __init__(self, config: NodeConfiguration, seal: Seal, disk: Disk) -> None:
-        """Raises OSError."""
-        self.config, self.seal = config, seal
+        """Builds the node on the running event loop.
+
+        Raises:
+            OSError: If the state folder cannot be used.
+        """
+        self.config = config
+        self.seal = seal
         self.loop = asyncio.get_running_loop()
         self.stopped: asyncio.Future[int] = self.loop.create_future()
+        self.shutdown_task: asyncio.Task[None] | None = None
         folder = StateFolder(config.state)
         self.log_file = LogFile(config.state, disk)
         rng = random.Random(secrets.randbits(SEED_BITS))
         node = build_node(config, seal, folder, self.log_file, rng, self.loop.time())
         self.socket = UdpSocket()
-        self.driver = NodeDriver(
-            node, self.log_file, FolderWriter(folder, node), self.socket.send, self.fail
-        )  # fmt: skip
-        self.socket.on_datagram = self.driver.receive
+        folder_writer = FolderWriter(folder, node)
+        self.driver = NodeDriver(node, self.log_file, folder_writer, self.socket.send, self.fail)
         self.control = ControlSocket(config.state, OperatorCommands(self.driver).commands())
-        self.shutdown_task: asyncio.Task[None] | None = None
 
     async def run(self) -> int:
-        """Raises OSError where an address cannot be bound."""
+        """Serves until the process is stopped and returns the exit code.
+
+        Raises:
+            OSError: If an address cannot be bound.
+        """
         for number in (signal.SIGTERM, signal.SIGINT):
             self.loop.add_signal_handler(number, self.terminate)
         self.loop.add_signal_handler(signal.SIGHUP, self.reread_keys)
         try:
-            await self.socket.open(self.config.listen)
+            await self.socket.open(self.config.listen, self.driver.receive)
             await self.control.start()
             self.driver.start()
             log.info("control: %s: ready on %s:%d", self.config.name, *self.config.listen)
@@ -167,33 +208,40 @@
             self.log_file.close()
 
     def terminate(self) -> None:
-        """SIGTERM or SIGINT; the second one waits for nothing."""
+        """Handles SIGTERM and SIGINT: a leader transfers its leadership first; the second signal stops at once."""
         if self.shutdown_task is None and self.driver.node.replica.role is Role.LEADER:
             self.shutdown_task = self.loop.create_task(self.transfer_leadership())
         else:
             self.stop(0)
 
     async def transfer_leadership(self) -> None:
-        """Ends once another node leads, so that changes wait for no time-out, or after HAND_OVER_LIMIT_S."""
-        replica, ends_at = self.driver.node.replica, self.loop.time() + LEADERSHIP_TRANSFER_LIMIT_S
+        """Stops once another node leads, so that changes need not wait for an election timeout.
+
+        Waits for LEADERSHIP_TRANSFER_LIMIT_S at most.
+        """
+        replica = self.driver.node.replica
+        deadline = self.loop.time() + LEADERSHIP_TRANSFER_LIMIT_S
         self.driver.run_action(self.driver.node.begin_shutdown)
-        while replica.leader in ("", self.config.name) and self.loop.time() < ends_at:
+        while replica.leader in ("", self.config.name) and self.loop.time() < deadline:
             await asyncio.sleep(LEADERSHIP_TRANSFER_POLL_S)
-        log.info("control: %s: handed over to %s", self.config.name, replica.leader or "nobody")
+        log.info(
+            "control: leadership transferred: node=%s leader=%s", self.config.name, replica.leader or "none"
+        )
         self.stop(0)
 
     def stop(self, code: int) -> None:
+        """Makes `run` return `code`; later calls have no effect."""
         if not self.stopped.done():
-            log.info("control: %s: ends", self.config.name)
+            log.info("control: stopped: node=%s code=%d", self.config.name, code)
             self.stopped.set_result(code)
 
     def fail(self, error: Exception) -> None:
-        """A defect: better no node than one that goes on with half a step done."""
-        log.critical("control: %s: ended by a defect", self.config.name, exc_info=error)
+        """Stops the process after a defect: a node must not go on from a step that was half done."""
+        log.critical("control: unexpected error: node=%s", self.config.name, exc_info=error)
         self.stop(1)
 
     def reread_keys(self) -> None:
-        """SIGHUP."""
+        """Handles SIGHUP."""
         reread_keys(self.seal, self.config.key_file, "control")
 
 
--- a/message_sender/control/progress.py
+++ b/message_sender/control/progress.py
@@ -1,4 +1,4 @@
-"""What a leader knows of one other node's log (as etcd's raft library keeps it)."""
+"""What a leader knows of another node's log, modelled on etcd's raft library."""
 
 from dataclasses import dataclass
 
@@ -9,13 +9,14 @@
 class Progress:
     """One peer's log as its leader knows it.
 
-    The leader sends entries ahead of the answers. After a refusal it probes: it sends one batch from where
-    the peer says that its log ends, and goes on once that is answered; heartbeats repeat the question.
+    The leader sends entries ahead of the answers. After a refusal it probes: it sends one batch from the end
+    of the peer's log, as reported by the peer, and goes on once that is answered. Heartbeats repeat a probe
+    that was lost.
     """
 
     next_index: int  # the next entry to send
-    match_index: int = 0  # durable there and equal to the leader's log
-    is_voter: bool = True  # once it said that it is no voter, it is none for the rest of the term
+    match_index: int = 0  # up to it the peer's durable log equals the leader's
+    is_voter: bool = True  # a learner stays one for the rest of the term
     answered_round: int = 0
     sent_commit_index: int = 0
     is_heartbeat_due: bool = True
@@ -24,7 +25,7 @@
     in_flight: int = 0
 
     def can_send(self, last_index: int) -> bool:
-        """Whether entries are to be sent now."""
+        """Returns whether entries are to be sent now."""
         if self.next_index > last_index:
             return False
         if self.is_probing:
@@ -32,6 +33,7 @@
         return self.in_flight < IN_FLIGHT_REQUESTS_LIMIT
 
     def note_entries_sent(self, last_sent: int) -> None:
+        """Notes a request with entries up to the index `last_sent`."""
         if self.is_probing:
             self.is_probe_sent = True
             return
@@ -39,20 +41,21 @@
         self.in_flight += 1
 
     def require_heartbeat(self) -> None:
+        """Makes a heartbeat due, and counts all requests without an answer as lost."""
         self.is_heartbeat_due = True
         self.in_flight = 0
 
     def note_match(self, index: int) -> None:
-        """The peer's log equals the leader's up to `index`, durably."""
+        """Notes that the peer's log durably equals the leader's up to `index`."""
         self.match_index = max(self.match_index, index)
         self.next_index = max(self.next_index, self.match_index + 1)
         self.is_probing = False
         self.in_flight = max(0, self.in_flight - 1)
 
     def note_refusal(self, hint: int) -> None:
-        """The peer has not the entry before `next_index`; `hint` is where to try next.
+        """Notes that the peer lacks the entry before `next_index`; `hint` is the index to try next.
 
-        A learner may have lost what it had; a voter never loses what it has confirmed.
+        A learner may have lost entries; a voter never loses what it has confirmed.
         """
         if not self.is_voter:
             self.match_index = min(self.match_index, hint)
--- a/message_sender/control/quorum.py
+++ b/message_sender/control/quorum.py
@@ -1,6 +1,6 @@
 """Weighted votes: a majority is more than half of all votes of the configuration, absent ones included.
 
-Any two majorities share at least one node, which is all that Raft's proof asks of them.
+Any two majorities share at least one node, which is what Raft's proof requires of them.
 """
 
 from collections.abc import Iterable, Mapping
@@ -10,6 +10,11 @@
     """The votes of each node; they don't change while a node runs."""
 
     def __init__(self, votes: Mapping[str, int]) -> None:
+        """Creates a quorum of these votes by node.
+
+        Raises:
+            ValueError: If a node has no vote.
+        """
         if any(weight < 1 for weight in votes.values()):
             raise ValueError("each node needs at least one vote")
         self._votes = dict(votes)
@@ -17,19 +22,22 @@
 
     @property
     def names(self) -> tuple[str, ...]:
+        """All nodes of the configuration."""
         return tuple(self._votes)
 
     def is_majority(self, names: Iterable[str]) -> bool:
-        """Whether these nodes (each named once) have more than half of all votes."""
+        """Returns whether these nodes (each named once) have more than half of all votes."""
         return 2 * sum(self._votes[name] for name in names) > self._total
 
     def majority_value(self, values: Mapping[str, int]) -> int:
-        """The highest number that a majority has reached, by what each node has reached; 0 if there is none.
+        """Returns the highest number that a majority has reached, or 0 if there is none.
 
-        A node that is not in `values` has reached nothing, but its votes still count in the total.
+        Args:
+            values: What each node has reached. A node that is not in it has reached nothing, but its votes
+                still count in the total.
         """
         reached = 0
-        for name in sorted(values, key=lambda each: -values[each]):
+        for name in sorted(values, key=lambda name: -values[name]):
             reached += self._votes[name]
             if 2 * reached > self._total:
                 return values[name]
--- a/message_sender/control/raft.py
+++ b/message_sender/control/raft.py
@@ -1,4 +1,4 @@
-"""Types of the replication that its users share: roles, the durable state, what is to be done, errors."""
+"""Types that the replication shares with its users: roles, the durable state, pending work and errors."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -7,6 +7,8 @@
 
 
 class Role(StrEnum):
+    """The role of a node in the present term."""
+
     FOLLOWER = "follower"
     PRE_CANDIDATE = "pre-candidate"
     CANDIDATE = "candidate"
@@ -15,20 +17,21 @@
 
 
 class NotLeaderError(Exception):
-    """Only a leader takes proposals; `leader` is its name as far as known, or empty."""
+    """A proposal at a node that does not lead; `leader` is the leader's name, or empty if it is unknown."""
 
     def __init__(self, leader: str) -> None:
+        """Creates the error with the known leader."""
         super().__init__(f"not the leader; it is {leader or 'unknown'}")
         self.leader = leader
 
 
 class ReplicaInvariantError(Exception):
-    """Something that Raft excludes: a disk that forgot, or two nodes of one name. The node must stop."""
+    """A state that Raft excludes: a disk lost data, or two nodes use one name. The node must stop."""
 
 
 @dataclass(frozen=True, slots=True)
 class HardState:
-    """What a node must never forget besides its log."""
+    """What a node must keep durable besides its log."""
 
     term: int = 0
     voted_for: str = ""
@@ -36,11 +39,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Ready:
-    """What the caller does next, in this order.
+    """What the caller does next.
 
-    It removes the log's entries from `truncate_from` on, appends `entries`, stores `hard_state`, and makes
-    all of it durable; then it sends `messages` (each with its receiver), calls `persisted`, and applies
-    `committed`.
+    In this order: it removes the log's entries from `truncate_from` on, appends `entries`, stores
+    `hard_state`, and makes all of it durable; then it sends `messages` (each with its receiver), calls
+    `persisted`, and applies `committed`.
     """
 
     hard_state: HardState | None
@@ -54,7 +57,7 @@
 
 
 def is_well_formed(message: RaftMessage) -> bool:
-    """Whether the entries of an AppendRequest follow its previous index without a gap."""
+    """Returns whether the entries of an AppendRequest follow its previous index without a gap."""
     if not isinstance(message, AppendRequest):
         return True
     first = message.previous_index + 1
--- a/message_sender/control/replica.py
+++ b/message_sender/control/replica.py
@@ -1,27 +1,27 @@
 """Replication of the control plane's log: Raft with weighted votes, as a state machine without I/O.
 
-Source: Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm" (2014); pre-vote and check
-quorum as in Ongaro's thesis, sections 9.6 and 6.2, the hand-over of leadership as in its section 3.10.
+Source: Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm" (2014); pre-vote, check
+quorum and leadership transfer as in Ongaro's thesis, sections 9.6, 6.2 and 3.10.
 
-The rules:
+Rules:
 
 - **Majority.** More than half of all votes of the configuration, those of absent nodes and learners included.
-- **One vote a term.** A node votes for at most one candidate a term, whose log is at least as new as its own.
-  Term and vote are durable before the answer leaves.
-- **Pre-vote.** A node whose election time-out passed first asks whether it would be elected, without raising
-  its term. A node that heard a leader within the least election time-out says no, and so does a leader.
-- **Log matching.** A follower takes entries only behind an entry that its log has with the same term. What
-  conflicts is truncated, and only that: a request that comes late or twice never shortens the log.
+- **One vote per term.** A node votes for at most one candidate per term, whose log is at least as new as its
+  own. Term and vote are durable before the answer leaves.
+- **Pre-vote.** A node whose election timeout passed first asks whether it would be elected, without raising
+  its term. A leader refuses, and so does a node that received from one within the minimum timeout.
+- **Log matching.** A follower takes entries only after an entry that its log has with the same term. It
+  truncates what conflicts, and nothing else: a late or duplicate request never shortens the log.
 - **Commitment.** An entry is committed once it is durable on a majority and is of the leader's own term;
   those before it are committed with it (figure 8 of the paper). The leader counts itself once its own disk
   has the entry. It begins its term with an empty entry, so that entries of earlier terms are committed soon.
-- **Check quorum.** A leader that no majority answered for an election time-out steps down.
-- **Learner.** A node that may have forgotten a vote or an entry copies the log. It never votes, is never
-  counted and never a candidate. Once a leader heard so it counts that node no more in its term.
-- **Hand-over.** A leader that is to end asks a voter with the whole log to stand for election now, without
-  pre-vote. For safety that is a time-out like any other: the votes decide as ever.
+- **Check quorum.** A leader that no majority answered for an election timeout steps down.
+- **Learner.** A node that may have lost a vote or an entry copies the log. It never votes, is never counted
+  and is never a candidate. A leader that learns of it does not count that node for the rest of its term.
+- **Leadership transfer.** A leader that is shutting down asks a voter with the complete log to stand for
+  election at once, without pre-vote. For safety this is an election timeout like any other.
 - **Durable first.** A `Ready` holds what is to be made durable, then sent, then applied. There is one at a
-  time, and messages of later events wait for the next one: so many, the latest, as a disk may hang.
+  time; messages of later events are queued for the next one, in a bounded queue, as a disk may hang.
 
 All times are seconds of the caller's monotonic clock; only differences count, and safety needs no clock.
 """
@@ -30,6 +30,7 @@
 from collections import deque
 from collections.abc import Mapping, Sequence
 
+from message_sender.control.durable_state import DurableState, restore_hard_state
 from message_sender.control.leadership import Leadership
 from message_sender.control.log import ReplicatedLog
 from message_sender.control.messages import (
@@ -52,16 +53,14 @@
     is_well_formed,
 )
 
-__all__ = ["HardState", "NotLeaderError", "Ready", "Replica", "ReplicaInvariantError", "Role"]
-
 HEARTBEAT_INTERVAL_S = 0.1
 ELECTION_TIMEOUT_MIN_S = 0.6
 ELECTION_TIMEOUT_MAX_S = 1.2
-QUEUED_MESSAGES_LIMIT = 256  # that wait for the disk; beyond it the oldest go, as a network loses them
+QUEUED_MESSAGES_LIMIT = 256  # beyond it the oldest are dropped, as a network would
 
 
 class Replica:
-    """One control node's part in the replication; see the rules at the top of the module."""
+    """One control node's part in the replication; see the rules of the module."""
 
     def __init__(
         self,
@@ -73,7 +72,11 @@
         now: float,
         is_voter: bool = True,
     ) -> None:
-        """`hard_state` and `entries` are what the disk holds; ValueError if `name` has no votes."""
+        """Restores a replica from the hard state and the entries on its disk.
+
+        Raises:
+            ValueError: If `name` has no votes.
+        """
         if name not in votes:
             raise ValueError(f"{name} has no votes")
         self.name = name
@@ -83,13 +86,11 @@
         self.leader = ""
         self.commit_index = 0
         self._quorum = Quorum(votes)
-        self._peers = tuple(each for each in votes if each != name)
+        self._peers = tuple(peer for peer in votes if peer != name)
         self._log = ReplicatedLog(entries)
-        self._hard_state = self._restored(hard_state)
-        self._durable_hard_state = hard_state
-        self._durable_index = self._log.last_index  # up to here the disk equals the log
-        self._disk_last_index = self._log.last_index
-        self._delivered_index = 0  # the last committed entry that a Ready has held
+        self._hard_state = restore_hard_state(hard_state, self._log)
+        self._durable = DurableState(hard_state, self._log.last_index, self._log.last_index)
+        self._delivered_index = 0  # the last committed entry that a Ready has contained
         self._outstanding: Ready | None = None
         self._messages: deque[tuple[str, RaftMessage]] = deque(maxlen=QUEUED_MESSAGES_LIMIT)
         self._votes_granted: frozenset[str] = frozenset()
@@ -100,28 +101,24 @@
         self._heartbeat_at = now
         self._restart_election_timer(now)
 
-    def _restored(self, hard_state: HardState) -> HardState:
-        """A crash may leave entries of a term whose hard state was not written: then it had no vote in it."""
-        if self._log.last_term > hard_state.term:
-            return HardState(self._log.last_term, "")
-        return hard_state
-
-    # What others read.
+    # Queries.
 
     @property
     def term(self) -> int:
+        """The present term."""
         return self._hard_state.term
 
     @property
     def last_index(self) -> int:
+        """The index of the log's last entry; 0 for an empty log."""
         return self._log.last_index
 
     def entry(self, index: int) -> LogEntry:
-        """The log's entry at `index`; IndexError if there is none."""
+        """Returns the log's entry at `index`; raises IndexError if there is none."""
         return self._log.entry(index)
 
     def authority_age(self, now: float) -> float:
-        """Seconds since it last knew a leader with a majority; if it never did, since it started.
+        """Returns the seconds since it last knew a leader with a majority, or else since its start.
 
         A leader counts from the start of the last heartbeat round that a majority answered, a follower from
         the last AppendRequest of the leader.
@@ -134,7 +131,7 @@
     # Events.
 
     def receive(self, sender: str, message: RaftMessage, now: float) -> None:
-        """Takes a message of another node; one of a node without votes, or not well formed, is ignored."""
+        """Handles a message of another node; ignored if the sender has no votes or it is not well formed."""
         if sender not in self._peers or not is_well_formed(message):
             return
         match message:
@@ -150,7 +147,7 @@
                 self._start_election(now)
 
     def tick(self, now: float) -> None:
-        """Does what is due by now; to be called at least each HEARTBEAT_INTERVAL_S."""
+        """Does what is due by now; to be called at least every HEARTBEAT_INTERVAL_S."""
         if self._leadership is not None:
             if now - self._leadership.authority_at > self._election_timeout:
                 self._become_follower(self.term, "", now)
@@ -168,9 +165,14 @@
             self._start_pre_vote(now)
 
     def propose(self, data: bytes, now: float) -> tuple[int, int]:
-        """Appends an entry; gives its index and term. It is confirmed once it comes back as committed.
+        """Appends an entry, which is confirmed once a `Ready` has it among the committed ones.
+
+        Returns:
+            The index and the term of the entry.
 
-        Raises NotLeaderError, and ValueError for empty data, which is the leader's own first entry.
+        Raises:
+            NotLeaderError: If this node does not lead.
+            ValueError: If `data` is empty, which only the first entry of a term is.
         """
         if not data:
             raise ValueError("an entry needs data")
@@ -179,15 +181,20 @@
         return self._append_own(data)
 
     def transfer_leadership(self) -> bool:
-        """Has another node stand for election now. Whether one was asked: this one must lead, and another one
-        have the whole log. To be repeated until another one leads, without proposals meanwhile."""
+        """Asks another node to stand for election at once.
+
+        To be repeated until another node leads, without proposals meanwhile.
+
+        Returns:
+            Whether a node was asked: this one must lead, and a voter must have the complete log.
+        """
         successor = self._leadership.successor() if self._leadership is not None else ""
         if successor:
             self._messages.append((successor, TimeoutNow(self.term)))
         return bool(successor)
 
     def become_learner(self, reason: str) -> None:
-        """Its disk was lost or is old: it may have forgotten a vote, and so copies the log from now on."""
+        """Makes this node a learner, because its disk was lost or is old and may lack a vote."""
         self.is_voter = False
         self.learner_reason = reason
         if self.leader == self.name:
@@ -197,16 +204,16 @@
         self._votes_granted = frozenset()
 
     def take_ready(self) -> Ready | None:
-        """What is to be done now; None: nothing, or the last one is not `persisted` yet."""
+        """Returns the work to do now, or None if there is none or the last one is not `persisted` yet."""
         if self._outstanding is not None:
             return None
         requests: Sequence[tuple[str, RaftMessage]] = ()
         if self._leadership is not None:
             requests = self._leadership.take_requests(self.commit_index)
         ready = Ready(
-            hard_state=self._hard_state if self._hard_state != self._durable_hard_state else None,
-            truncate_from=self._durable_index + 1 if self._disk_last_index > self._durable_index else None,
-            entries=self._log.between(self._durable_index + 1, self._log.last_index),
+            hard_state=self._durable.hard_state_to_write(self._hard_state),
+            truncate_from=self._durable.truncate_from_to_write(),
+            entries=self._log.between(self._durable.index + 1, self._log.last_index),
             messages=(*self._messages, *requests),
             committed=self._log.between(self._delivered_index + 1, self.commit_index),
         )
@@ -218,18 +225,11 @@
         return ready
 
     def persisted(self, ready: Ready) -> None:
-        """All of `ready` is durable and its messages are sent."""
+        """Notes that all of `ready` is durable and its messages were sent."""
         if ready is not self._outstanding:
             raise ValueError("not the Ready that is outstanding")
         self._outstanding = None
-        if ready.hard_state is not None:
-            self._durable_hard_state = ready.hard_state
-        if ready.truncate_from is not None:
-            self._disk_last_index = ready.truncate_from - 1
-        for entry in ready.entries:
-            self._disk_last_index = entry.index
-            if entry.index == self._durable_index + 1 and self._log.has(entry.index, entry.term):
-                self._durable_index = entry.index
+        self._durable = self._durable.after(ready, self._log)
         if self._leadership is not None:
             self._advance_commit(self._leadership)
 
@@ -274,10 +274,10 @@
         self._request_votes(now)
 
     def _request_votes(self, now: float) -> None:
-        """Asks those whose vote is not here: again each HEARTBEAT_INTERVAL_S, as a request may be lost."""
+        """Requests the missing votes; repeated every HEARTBEAT_INTERVAL_S, as requests may be lost."""
         self._heartbeat_at = now + HEARTBEAT_INTERVAL_S
         if self._outstanding is not None and self._messages:
-            return  # what was asked last has not left yet
+            return  # the last requests have not been sent yet
         is_pre_vote = self.role is Role.PRE_CANDIDATE
         request = VoteRequest(self.term + is_pre_vote, self._log.last_index, self._log.last_term, is_pre_vote)
         self._messages.extend((peer, request) for peer in self._peers if peer not in self._votes_granted)
@@ -323,9 +323,9 @@
             if reply.term > self.term:
                 self._become_follower(reply.term, "", now)
             return
-        asked = Role.PRE_CANDIDATE if reply.is_pre_vote else Role.CANDIDATE
-        term = self.term + 1 if reply.is_pre_vote else self.term
-        if self.role is not asked or reply.term != term:
+        expected_role = Role.PRE_CANDIDATE if reply.is_pre_vote else Role.CANDIDATE
+        expected_term = self.term + 1 if reply.is_pre_vote else self.term
+        if self.role is not expected_role or reply.term != expected_term:
             return
         self._votes_granted |= {sender}
         if not self._quorum.is_majority(self._votes_granted):
@@ -354,7 +354,7 @@
             self._advance_commit(self._leadership)
 
     def _advance_commit(self, leadership: Leadership) -> None:
-        self.commit_index = max(self.commit_index, leadership.committed_index(self._durable_index))
+        self.commit_index = max(self.commit_index, leadership.committed_index(self._durable.index))
 
     # The follower's side of replication.
 
@@ -368,7 +368,8 @@
         self._authority_at = now
         self._restart_election_timer(now)
         if not self._log.has(request.previous_index, request.previous_term):
-            self._reply_to_append(sender, request, is_match=False, match_index=self._conflict_hint(request))
+            hint = self._log.conflict_hint(request.previous_index, self.commit_index)
+            self._reply_to_append(sender, request, is_match=False, match_index=hint)
             return
         self._merge(request.entries)
         match_index = request.previous_index + len(request.entries)
@@ -379,14 +380,8 @@
         reply = AppendReply(self.term, is_match, match_index, request.round, self.is_voter)
         self._messages.append((sender, reply))
 
-    def _conflict_hint(self, request: AppendRequest) -> int:
-        """Where the leader is to try next: the log's end, or before the term that conflicts."""
-        if request.previous_index > self._log.last_index:
-            return self._log.last_index
-        return max(self.commit_index, self._log.index_before_term_at(request.previous_index))
-
     def _merge(self, entries: Sequence[LogEntry]) -> None:
-        """Appends what the log lacks; from the first conflict on the leader's entries replace its own."""
+        """Appends the entries that the log lacks; from the first conflict on they replace its own."""
         for entry in entries:
             if self._log.has(entry.index, entry.term):
                 continue
@@ -398,4 +393,4 @@
         if index <= self.commit_index:
             raise ReplicaInvariantError(f"entry {index} is committed and would be replaced")
         self._log.truncate_from(index)
-        self._durable_index = min(self._durable_index, index - 1)
+        self._durable = self._durable.with_log_truncated(index)
--- a/tests/raft_model.py
+++ b/tests/raft_model.py
@@ -28,7 +28,8 @@
     VoteRequest,
 )
 from message_sender.control.progress import Progress
-from message_sender.control.replica import HardState, Ready, Replica, ReplicaInvariantError, Role
+from message_sender.control.raft import HardState, Ready, ReplicaInvariantError, Role
+from message_sender.control.replica import Replica
 
 NOW = 0.0  # time stands still
 NO_HARD_STATE = HardState()
@@ -151,8 +152,8 @@
         replica._hard_state,
         tuple(replica._log._entries),
         replica.commit_index,
-        replica._durable_index,
-        replica._disk_last_index,
+        replica._durable.index,
+        replica._durable.disk_last_index,
         replica._votes_granted,
         tuple(replica._messages),
         tuple(tuple(_fields(each)) for each in leadership._progress.values()) if leadership else (),
--- a/tests/raft_simulation.py
+++ b/tests/raft_simulation.py
@@ -15,14 +15,8 @@
 from raft_model import Disk, ViolationError, is_log_matching
 
 from message_sender.control.messages import LogEntry, RaftMessage, VoteReply, VoteRequest
-from message_sender.control.replica import (
-    HardState,
-    NotLeaderError,
-    Ready,
-    Replica,
-    ReplicaInvariantError,
-    Role,
-)
+from message_sender.control.raft import HardState, NotLeaderError, Ready, ReplicaInvariantError, Role
+from message_sender.control.replica import Replica
 
 VOTES = {"a": 2, "b": 1, "c": 1, "d": 1}
 REGIONS = ({"a", "b"}, {"c", "d"})
--- a/tests/test_control_chaos.py
+++ b/tests/test_control_chaos.py
@@ -28,6 +28,7 @@
 from watching import BAD, RecordingApplier, copy_of
 
 from message_sender.control import fetch
+from message_sender.control.choice import ControlNodeAddress
 from message_sender.control.document import DeltaMismatchError, Document, Snapshot, SnapshotError
 from message_sender.control.fanout import Fanout
 from message_sender.control.messages import (
@@ -44,7 +45,7 @@
     WatchMessage,
 )
 from message_sender.control.store import ConfigurationStore, encode_change
-from message_sender.control.watch import ControlNodeAddress, RefusedConfigurationError, Watch
+from message_sender.control.watch import RefusedConfigurationError, Watch
 
 NODES = tuple(ControlNodeAddress(name, ("127.0.0.1", 1), "north") for name in ("c1", "c2"))
 SENDERS = ("s1", "s2")
--- a/tests/test_control_node.py
+++ b/tests/test_control_node.py
@@ -16,9 +16,12 @@
 
 from message_sender.control import messages
 from message_sender.control.channel import Channel, KnownStart
+from message_sender.control.choice import ControlNodeAddress
 from message_sender.control.configuration import NodeConfiguration
 from message_sender.control.document import Document
+from message_sender.control.driver import NodeDriver
 from message_sender.control.folder import FolderError, Identity, StateFolder
+from message_sender.control.folder_writer import FolderWriter
 from message_sender.control.log_file import LogFile
 from message_sender.control.messages import (
     Address,
@@ -36,8 +39,7 @@
 from message_sender.control.replica import ELECTION_TIMEOUT_MIN_S, Replica
 from message_sender.control.requests import ChangeRequests
 from message_sender.control.store import ConfigurationStore
-from message_sender.control.udp import FolderWriter, NodeDriver
-from message_sender.control.watch import ControlNodeAddress, Watch
+from message_sender.control.watch import Watch
 from message_sender.emulator.loop import VirtualLoop
 from message_sender.fleet.seal import Seal
 from message_sender.testbed.simulated_disk import MemoryDisk, SimulatedDisk
@@ -173,12 +175,12 @@
             rng = random.Random(self.rng.getrandbits(32))
             node = build_node(config, Seal([KEY]), folder, log_file, rng, clock())
             node.requests.validate = no_faults
-            notes = FolderWriter(folder, node)
+            folder_writer = FolderWriter(folder, node)
 
             def send(address: Address, datagram: bytes, name: str = name) -> None:
                 self.network.send(name, address, datagram)
 
-            machine.driver = NodeDriver(node, log_file, notes, send, self.defects.append, clock)
+            machine.driver = NodeDriver(node, log_file, folder_writer, send, self.defects.append, clock)
             self.network.receivers[name] = machine.driver.receive
             machine.driver.start()
 
--- a/tests/test_control_raft_rules.py
+++ b/tests/test_control_raft_rules.py
@@ -17,17 +17,13 @@
 )
 from message_sender.control.progress import IN_FLIGHT_REQUESTS_LIMIT
 from message_sender.control.quorum import Quorum
+from message_sender.control.raft import HardState, NotLeaderError, Ready, ReplicaInvariantError, Role
 from message_sender.control.replica import (
     ELECTION_TIMEOUT_MAX_S,
     ELECTION_TIMEOUT_MIN_S,
     HEARTBEAT_INTERVAL_S,
     QUEUED_MESSAGES_LIMIT,
-    HardState,
-    NotLeaderError,
-    Ready,
     Replica,
-    ReplicaInvariantError,
-    Role,
 )
 
 FOUR = {"a": 2, "b": 1, "c": 1, "d": 1}
--- a/tests/test_control_replica.py
+++ b/tests/test_control_replica.py
@@ -15,7 +15,8 @@
 from message_sender.control.messages import LogEntry, VoteRequest
 from message_sender.control.progress import Progress
 from message_sender.control.quorum import Quorum
-from message_sender.control.replica import HardState, Replica
+from message_sender.control.raft import HardState
+from message_sender.control.replica import Replica
 
 A, B = LogEntry(1, 1, b"a"), LogEntry(1, 2, b"b")
 #: Figure 8 of the paper: term 1's leader wrote an entry, then term 2's another one; each stands alone.
@@ -124,7 +125,7 @@
 def merge_after_truncating_always(self: Replica, entries: Sequence[LogEntry]) -> None:
     if entries and entries[0].index <= self._log.last_index:
         self._log.truncate_from(entries[0].index)
-        self._durable_index = min(self._durable_index, entries[0].index - 1)
+        self._durable = self._durable.with_log_truncated(entries[0].index)
     for entry in entries:
         self._log.append(entry)
 
--- a/tests/test_control_watch.py
+++ b/tests/test_control_watch.py
@@ -7,6 +7,7 @@
 import pytest
 from watching import BAD, ChangedStore, RecordingApplier, copy_of
 
+from message_sender.control.choice import ControlNodeAddress, order_nodes
 from message_sender.control.document import Document, SnapshotError, encode_snapshot
 from message_sender.control.fetch import SNAPSHOT_BYTES_LIMIT, SNAPSHOT_WINDOW_CHUNKS, SnapshotFetch
 from message_sender.control.messages import (
@@ -20,7 +21,7 @@
     VersionNotice,
     WatchMessage,
 )
-from message_sender.control.watch import ControlNodeAddress, Watch, order_nodes
+from message_sender.control.watch import Watch
 
 NODES = tuple(
     ControlNodeAddress(name, ("127.0.0.1", 1), region)
