--- a/message_sender/control/operators.py
+++ b/message_sender/control/operators.py
@@ -1,4 +1,4 @@
-"""What operators may ask of a control node over its socket: set, get, status (control_socket.py)."""
+"""The commands of a control node's control socket (control_socket.py): set, get and status."""
 
 import asyncio
 import json
@@ -8,15 +8,15 @@
 import msgspec
 
 from message_sender.configuration.tables import ConfigError
+from message_sender.control.driver import NodeDriver
 from message_sender.control.messages import Change, ChangeResult, NodeStatus, Outcome, Resource
 from message_sender.control.node import ControlNode
 from message_sender.control.schema import read_values
-from message_sender.control.udp import NodeDriver
 from message_sender.control_socket import Command, InvalidRequestError
 
 
 class SetRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """A change as an operator asks for it; values are JSON."""
+    """A change as an operator requests it; values are JSON."""
 
     do: str
     request_id: str
@@ -27,22 +27,29 @@
 
 
 class OperatorCommands:
-    """Answers the requests of one node's control socket."""
+    """Executes the commands of one node's control socket."""
 
     def __init__(self, driver: NodeDriver) -> None:
+        """Creates the commands of the node that `driver` runs."""
         self.driver = driver
 
     @property
     def node(self) -> ControlNode:
+        """The node."""
         return self.driver.node
 
     def commands(self) -> dict[str, Command]:
+        """Returns the commands by the name that a request has in `do`."""
         return {"set": self.set, "get": self.get, "status": self.status}
 
-    async def set(self, asked: Mapping[str, Any]) -> dict[str, Any]:
-        """Raises AskedBadlyError for a request that is none; faults of the configuration are an answer."""
+    async def set(self, fields: Mapping[str, Any]) -> dict[str, Any]:
+        """Makes a change; faults of the configuration are part of the answer.
+
+        Raises:
+            InvalidRequestError: If the request is malformed.
+        """
         try:
-            request = msgspec.convert(asked, SetRequest)
+            request = msgspec.convert(fields, SetRequest)
         except msgspec.ValidationError as error:
             raise InvalidRequestError(str(error)) from None
         try:
@@ -59,8 +66,8 @@
         result = await self._wait_for(lambda answer, now: self.node.submit(change, answer, now))
         return _describe_result(result.outcome, result.version, result.faults)
 
-    def get(self, asked: Mapping[str, Any]) -> dict[str, Any]:
-        """The document that is in force here, and how old this node's knowledge is."""
+    def get(self, fields: Mapping[str, Any]) -> dict[str, Any]:
+        """Returns the document of this node, and the age of its contact with a majority."""
         document = self.node.store.document
         status = self.node.status(self.driver.clock())
         return {
@@ -72,16 +79,16 @@
             "leader": status.leader,
         }
 
-    async def status(self, asked: Mapping[str, Any]) -> dict[str, Any]:
-        """All nodes' own words; who does not answer in time is not reachable."""
-        found = await self._wait_for(self.node.query_status)
+    async def status(self, fields: Mapping[str, Any]) -> dict[str, Any]:
+        """Returns the status that each node reports; nodes that do not answer in time are not reachable."""
+        statuses = await self._wait_for(self.node.query_status)
         nodes: list[dict[str, Any]] = []
         for name in self.node.node_names():
-            if name in found:
-                nodes.append(_describe_node(found[name]))
+            if name in statuses:
+                nodes.append(_describe_node(statuses[name]))
             else:
                 nodes.append({"name": name, "is_reachable": False})
-        own = next(each for each in nodes if each["name"] == self.node.name)
+        own = next(node for node in nodes if node["name"] == self.node.name)
         refused = self.node.channel.refused
         own["refused_datagrams"] = {reason.value: number for reason, number in refused.items()}
         own["traffic"] = {
@@ -91,7 +98,7 @@
         return {"nodes": nodes}
 
     async def _wait_for(self, begin: Callable[[Callable[[Any], None], float], None]) -> Any:  # noqa: ANN401
-        """What `begin` calls its argument with."""
+        """Waits for the value with which `begin` calls the callback that it gets."""
         future: asyncio.Future[Any] = self.driver.loop.create_future()
 
         def answer(value: ChangeResult | dict[str, NodeStatus]) -> None:
@@ -109,6 +116,6 @@
 def _describe_node(status: NodeStatus) -> dict[str, Any]:
     fields = {name: getattr(status, name) for name in status.__struct_fields__ if name != "number"}
     watchers = [
-        {name: getattr(each, name) for name in each.__struct_fields__} for each in status.watchers
-    ]  # fmt: skip
+        {name: getattr(watcher, name) for name in watcher.__struct_fields__} for watcher in status.watchers
+    ]
     return {**fields, "watchers": watchers, "is_reachable": True}
--- a/message_sender/control/process.py
+++ b/message_sender/control/process.py
@@ -208,7 +208,7 @@
             self.log_file.close()
 
     def terminate(self) -> None:
-        """Handles SIGTERM and SIGINT: a leader transfers its leadership first; the second signal stops at once."""
+        """Handles SIGTERM and SIGINT: a leader transfers its leadership first, but not on a second signal."""
         if self.shutdown_task is None and self.driver.node.replica.role is Role.LEADER:
             self.shutdown_task = self.loop.create_task(self.transfer_leadership())
         else:
--- a/message_sender/control/watch.py
+++ b/message_sender/control/watch.py
@@ -1,21 +1,20 @@
-"""A sender's watch of the configuration: which node it asks, what it takes and what it refuses. Pure.
+"""A sender's watch of the configuration: which node it polls, what it applies and what it refuses. Pure.
 
 Rules:
 
-- **Versions only rise.** It starts with the document that is stored here; whatever leads to an older version
-  is dropped. A node that is behind, or cut off from a majority, is told our version; after some patience it
-  is left (choice.py).
-- **A delta is applied whole, once, to the version that it was made from**, and only if its digest is that of
-  the document it leads to. Old and doubled ones are dropped; one from a version not here makes it poll soon.
-- **A digest that differs** leads to a snapshot, which becomes a delta by comparison with what is here.
-- **A refused version** changes nothing. Every poll tells it with its reason, and it is not tried again until
-  another version comes. What could not be stored is tried again after `STORE_RETRY_INTERVAL_S`.
-- **Poll** each second (drawn from `POLL_INTERVAL_MIN_S` to `POLL_INTERVAL_MAX_S`), and soon after anything
-  was applied or refused: the poll is the acknowledgement. Without an answer it is repeated each
-  `POLL_RETRY_INTERVAL_S`; after
-  `UNANSWERED_LIMIT` the next node is tried. A busy node is asked again when it says so.
-- **First choice**: the nodes of one's own region, then the others, each by rendezvous hashing.
-- **A pause** (the machine or the process stood still) is nobody's failure: it polls at once and counts anew.
+- **Versions only rise.** The watch starts with the document stored on this sender's disk; whatever leads to
+  an older version is dropped. A node that is behind, or cut off from a majority, is left after some patience
+  (choice.py).
+- **A delta is applied completely, once, to the version that it was made from**, and only if its digest is
+  that of the document it leads to. Old and duplicate deltas are dropped; one from another version than the
+  present one brings the next poll forward.
+- **A digest that differs** leads to a snapshot, which becomes a delta by comparison with the document.
+- **A refused version** changes nothing. Every poll reports it with its reason, and it is not tried again
+  until another version comes. What could not be stored is retried after `STORE_RETRY_INTERVAL_S`.
+- **Poll** every `POLL_INTERVAL_MIN_S` to `POLL_INTERVAL_MAX_S` (drawn), and soon after anything was applied
+  or refused: the poll is the acknowledgement. Without an answer it is repeated every `POLL_RETRY_INTERVAL_S`;
+  after `UNANSWERED_LIMIT` polls the next node is tried. A busy node is polled again after its Retry-After.
+- **A pause** of the machine or the process is no failure of a node: the watch polls at once and counts anew.
 """
 
 import random
@@ -23,14 +22,11 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-import xxhash
-
-from message_sender.control.choice import NodeChoice
+from message_sender.control.choice import ControlNodeAddress, NodeChoice, order_nodes
 from message_sender.control.document import DeltaMismatchError, Document, SnapshotError
 from message_sender.control.fetch import SnapshotFetch, compute_delta
 from message_sender.control.messages import (
     REASON_LENGTH_LIMIT,
-    Address,
     Delta,
     Poll,
     SnapshotChunk,
@@ -38,42 +34,36 @@
     WatchMessage,
 )
 
-# Seconds.
-FIRST_POLL_DELAY_MAX_S = 0.2  # drawn from 0, so that senders that start at once don't poll at once
-POLL_INTERVAL_MIN_S, POLL_INTERVAL_MAX_S = 0.8, 1.2
+FIRST_POLL_DELAY_MAX_S = 0.2  # drawn from 0, to spread the polls of senders that start together
+POLL_INTERVAL_MIN_S = 0.8
+POLL_INTERVAL_MAX_S = 1.2
 POLL_RETRY_INTERVAL_S = 0.3
-STALE_AGE_S = 5.0  # a node without a majority for so long is behind
+STALE_AGE_S = 5.0  # a node without a majority for longer is behind
 RETRY_AFTER_LIMIT_S = 10.0
-PAUSE_THRESHOLD_S = 3.0  # without a tick
+PAUSE_THRESHOLD_S = 3.0  # between two ticks
 STORE_RETRY_INTERVAL_S = 10.0
 DAMAGED_SNAPSHOT_DELAY_S = 10.0
 
 UNANSWERED_LIMIT = 3
-FETCH_STALLS_LIMIT = 12  # requests without a chunk, over changes of node
+FETCH_STALLS_LIMIT = 12  # requests without a chunk, across changes of node
 MS_PER_SECOND = 1_000
 
 
 class RefusedConfigurationError(ValueError):
-    """A configuration that cannot be put in force here; the text says why."""
-
-
-@dataclass(frozen=True, slots=True)
-class ControlNodeAddress:
-    """A control node by name, where it is heard, and the region that it is in."""
-
-    name: str
-    address: Address
-    region: str
+    """A configuration that cannot be put in force on this sender; the text gives the reason."""
 
 
 class Applier(Protocol):
     """Puts a configuration in force."""
 
     def apply(self, document: Document, delta: Delta) -> None:
-        """Checks, stores durably and puts in force what `delta` makes of `document`, whole or not at all.
+        """Checks, stores durably and puts in force what `delta` makes of `document`, or changes nothing.
+
+        Does not change `document`. `delta` may lead from a version to itself, to repair its content.
 
-        Leaves `document` as it is. Raises RefusedConfigurationError, or OSError where it cannot be stored;
-        nothing was changed then. `delta` may lead from a version to itself: its content is mended.
+        Raises:
+            RefusedConfigurationError: If the result cannot be put in force. Nothing was changed.
+            OSError: If it cannot be stored. Nothing was changed.
         """
 
 
@@ -81,7 +71,12 @@
 class WatchStatus:
     """What a sender has in force.
 
-    `age`: seconds since a majority is known to have stood behind it, or since the start if that is not known.
+    Attributes:
+        version: The version in force.
+        age: Seconds since a majority was known to confirm it, or since the start if it never was.
+        refused_version: The refused version; 0 if there is none.
+        reason: Why it was refused.
+        node: The control node that is watched.
     """
 
     version: int
@@ -93,13 +88,13 @@
 
 @dataclass(slots=True)
 class WatchCounts:
-    """What happened, for figures and tests."""
+    """Counts of events, for status reports and tests."""
 
     applied: int = 0
     refused: int = 0
     store_failures: int = 0
-    old: int = 0  # deltas and chunks that lead to a version that is here already
-    unfit: int = 0  # deltas from a version that is not here
+    old: int = 0  # deltas and chunks that lead to no newer version
+    unfit: int = 0  # deltas from another version than the present one
     refused_again: int = 0  # deltas to the refused version
     mismatches: int = 0  # digests that differ
     snapshots: int = 0
@@ -110,26 +105,15 @@
 
 @dataclass(frozen=True, slots=True)
 class RefusedVersion:
-    """A version that is not in force here, and until when it isn't tried again."""
+    """A version that was refused, and the time until which it is not tried again."""
 
     version: int
     reason: str
     until: float
 
 
-def order_nodes(
-    name: str, nodes: Sequence[ControlNodeAddress], region: str
-) -> tuple[ControlNodeAddress, ...]:
-    """Nodes in the order in which the sender `name` prefers them."""
-
-    def rank(node: ControlNodeAddress) -> tuple[bool, int]:
-        return node.region != region, xxhash.xxh3_64_intdigest(f"{name}\0{node.name}".encode())
-
-    return tuple(sorted(nodes, key=rank))
-
-
 class Watch:
-    """What a sender does to have the newest configuration in force. `tick` at least each 0.1 s."""
+    """Keeps the newest configuration in force on one sender. To be ticked at least every 0.1 s."""
 
     def __init__(
         self,
@@ -141,6 +125,17 @@
         rng: random.Random,
         now: float,
     ) -> None:
+        """Creates a watch that polls its first choice soon.
+
+        Args:
+            name: The sender.
+            nodes: The control nodes, in any order.
+            region: The sender's region.
+            document: The document in force, which the watch changes.
+            applier: Puts new versions in force.
+            rng: Draws intervals.
+            now: Seconds of the monotonic clock.
+        """
         self.name = name
         self.document = document
         self.counts = WatchCounts()
@@ -150,7 +145,7 @@
         self._outbox: list[tuple[str, WatchMessage]] = []
         self._ticked_at = now
         self._polled_at = now - POLL_RETRY_INTERVAL_S
-        self._polled_version = document.version  # that the last poll told
+        self._polled_version = document.version  # as reported by the last poll
         self._poll_due = now + rng.uniform(0, FIRST_POLL_DELAY_MAX_S)
         self._unanswered = 0
         self._refusal: RefusedVersion | None = None
@@ -166,7 +161,7 @@
         return self.choice.node
 
     def status(self, now: float) -> WatchStatus:
-        """What is in force, and from whom."""
+        """Returns what is in force, and which node is watched."""
         refusal = self._refusal
         return WatchStatus(
             version=self.document.version,
@@ -177,9 +172,10 @@
         )
 
     def take_messages(self) -> list[tuple[str, WatchMessage]]:
-        """What is to be sent, each with the control node that it is for."""
-        out, self._outbox = self._outbox, []
-        return out
+        """Returns the messages to send now, each with its control node; each message is returned once."""
+        messages = self._outbox
+        self._outbox = []
+        return messages
 
     # Time.
 
@@ -225,15 +221,15 @@
         self._poll_due = min(self._poll_due, max(now, self._polled_at + POLL_RETRY_INTERVAL_S))
 
     def _restart_polling(self, now: float) -> None:
-        """Another node is watched; a fetch goes on there."""
+        """Begins to poll a node that was just chosen; a fetch continues with it."""
         self._unanswered = 0
         self._poll_due = now
         self._fetch_due = now
 
-    # What nodes say.
+    # Messages of nodes.
 
     def receive(self, node: str, message: WatchMessage, now: float) -> None:
-        """Takes a message of a control node."""
+        """Handles a message of a control node."""
         if node not in self.choice.names:
             self.counts.unexpected += 1
             return
@@ -261,7 +257,7 @@
             )
 
     def _is_good_answer(self, message: WatchMessage) -> bool:
-        """Whether a probed node has answered and is worth going back to."""
+        """Returns whether the answer of a probed node allows to return to it."""
         if isinstance(message, VersionNotice):
             return not self._is_behind(message) and not message.retry_after_ms
         return isinstance(message, Delta) and message.to_version > self.document.version
@@ -283,8 +279,8 @@
         is_newer = notice.version > self.document.version
         differs = notice.version == self.document.version and notice.digest != self.document.digest
         self.counts.mismatches += differs
-        is_of_this_version = self._polled_version == self.document.version  # else a poll is due soon
-        if differs or (is_newer and notice.needs_snapshot and is_of_this_version):
+        is_poll_current = self._polled_version == self.document.version  # otherwise a poll is due soon
+        if differs or (is_newer and notice.needs_snapshot and is_poll_current):
             self._start_fetch(notice.version, notice.digest, now)
 
     def _delay_poll(self, retry_after_ms: int, now: float) -> None:
@@ -360,7 +356,7 @@
         self._fetch_due = now + POLL_RETRY_INTERVAL_S
 
     def _repeat_fetch(self, now: float) -> None:
-        """Nothing came for a while. Whether the node is there the polls tell; they begin a fetch anew too."""
+        """Requests the missing chunks again, or gives the fetch up; a later poll may begin another one."""
         self._fetch_stalls += 1
         if self._fetch and self._fetch_stalls <= FETCH_STALLS_LIMIT:
             self._request_chunks(self._fetch, now)
@@ -371,7 +367,7 @@
         if self._fetch is None or chunk.version < self._fetch.version:
             self.counts.old += 1
             return
-        if chunk.version > self._fetch.version:  # the node has no other one any more
+        if chunk.version > self._fetch.version:  # the node no longer has the requested one
             if self._is_refused(chunk.version):
                 self._fetch = None
                 return
--- a/message_sender/fleet/refused_datagrams.py
+++ b/message_sender/fleet/refused_datagrams.py
@@ -2,9 +2,12 @@
 
 import logging
 from collections.abc import Mapping
+from typing import TypeVar
 
 REFUSED_DATAGRAMS_INTERVAL_S = 10.0
 
+ReasonText = TypeVar("ReasonText", bound=str)
+
 
 class RefusedDatagramsLog:
     """Logs the counts of refused datagrams by reason when they have changed, at most once per interval."""
@@ -21,7 +24,7 @@
         self._logged_count = 0
         self._logged_at = -REFUSED_DATAGRAMS_INTERVAL_S
 
-    def update(self, refused: Mapping[str, int], now: float) -> None:
+    def update(self, refused: Mapping[ReasonText, int], now: float) -> None:
         """Logs the counts if they have changed and the interval has passed.
 
         Args:
--- a/message_sender/fleet/udp_socket.py
+++ b/message_sender/fleet/udp_socket.py
@@ -9,7 +9,9 @@
 
 
 class UdpSocket(asyncio.DatagramProtocol):
-    """Passes each datagram and its source address to a receiver; sends nothing before `open` or after `close`.
+    """Passes each datagram with its source address to a receiver.
+
+    Nothing is sent before `open` or after `close`.
 
     Errors that the network reports for an address are ignored: the protocols above detect an absent peer by
     its missing answers.
