--- a/message_sender/control/fanout.py
+++ b/message_sender/control/fanout.py
@@ -2,16 +2,17 @@
 
 Rules:
 
-- A poll makes or renews a sender's session, and is answered: a delta where the sender's version is in the
-  history, a notice otherwise. The notice says whether a snapshot is needed.
-- A new version is pushed at once to all that polled lately and whose version is in the history. What was sent
-  is assumed to be there until the next poll tells; a push that was lost is made good by that poll.
-- The version that a sender refused isn't sent to it again.
-- Bytes of deltas and snapshots are bounded by a token bucket; a part of it is for deltas alone, so that
-  fetches of snapshots don't hold back changes. Who finds it empty gets a notice with a time of its own to
-  come again: times are given out one behind the other, at the rate that the bucket fills.
-- A snapshot is sent a window of chunks a request. Versions that were encoded are kept for some fetches to end
-  with, as long as the history leads on from them; who asks for another version gets chunks of the newest.
+- A poll creates or renews a sender's session, and is answered: by a delta where the sender's version is in
+  the history, by a notice otherwise. The notice says whether a snapshot is needed.
+- A new version is pushed at once to all senders that polled lately and whose version is in the history. It
+  counts as delivered until the next poll; that poll also repairs a push that was lost.
+- The version that a sender refused is not sent to it again.
+- Bytes of deltas and snapshots are bounded by a token bucket; a part of it is reserved for deltas, so that
+  fetches of snapshots don't delay changes. A sender that finds it empty gets a notice with a Retry-After of
+  its own: these times follow one another at the rate at which the bucket fills.
+- A snapshot is sent one window of chunks per request. Encoded versions are cached until the fetches that
+  use them have ended, as long as the history leads on from them; a request for another version gets chunks
+  of the newest one.
 - Sessions are bounded: silent ones are dropped after a day, the longest silent one when there are too many.
 """
 
@@ -34,28 +35,25 @@
 )
 from message_sender.control.store import RESOURCE_OVERHEAD_BYTES, ConfigurationStore
 
-# Seconds.
-PUSH_AGE_LIMIT_S = 5.0  # who hasn't polled for so long is not pushed to
-SESSION_AGE_LIMIT_S = 86_400.0
-SNAPSHOT_AGE_LIMIT_S = 60.0  # an encoded snapshot that nobody asked for so long is dropped
+PUSH_AGE_LIMIT_S = 5.0  # since the last poll
+SESSION_AGE_LIMIT_S = 86_400.0  # since the last poll
+SNAPSHOT_AGE_LIMIT_S = 60.0  # since the last request
 RETRY_AFTER_LIMIT_S = 10.0
 RETRY_JITTER = 0.2  # of the wait, drawn
-
-# Bytes.
 BYTES_PER_SECOND = 8_000_000
 BURST_BYTES = 1_000_000
-DELTA_RESERVE_BYTES = 250_000  # what snapshots leave to deltas
+DELTA_RESERVE_BYTES = 250_000  # not available to snapshots
 DATAGRAM_OVERHEAD_BYTES = 130  # headers, seal, envelope
-
 SESSIONS_LIMIT = 4_096
-SNAPSHOTS_LIMIT = 2  # encoded ones that are kept
+SNAPSHOTS_LIMIT = 2  # encoded snapshots in the cache
 MS_PER_SECOND = 1_000
 
 
 class ByteBudget:
-    """A token bucket that tells who finds it empty when to come again."""
+    """A token bucket that assigns a time to retry where it is empty."""
 
     def __init__(self, bytes_per_second: float, burst: float, now: float) -> None:
+        """Creates a full bucket of `burst` bytes."""
         self.bytes_per_second = bytes_per_second
         self.burst = burst
         self._tokens = burst
@@ -63,7 +61,13 @@
         self._next_slot = now
 
     def take(self, size: int, reserve: float, now: float) -> float:
-        """Takes `size` and returns 0, or returns the seconds to wait; `reserve` is left for others."""
+        """Takes `size` bytes and returns 0, or returns the seconds to wait.
+
+        Args:
+            size: Bytes to send.
+            reserve: Bytes that must remain in the bucket for others.
+            now: Seconds of the monotonic clock.
+        """
         if now > self._filled_at:
             filled = (now - self._filled_at) * self.bytes_per_second
             self._tokens = min(self.burst, self._tokens + filled)
@@ -80,7 +84,7 @@
 
 @dataclass(slots=True)
 class Session:
-    """A sender that watches. `assumed_version`: what it has once all that was sent to it arrives."""
+    """A sender that watches; `assumed_version` is its version once all messages to it have arrived."""
 
     polled_at: float
     version: int = 0
@@ -91,7 +95,7 @@
 
 @dataclass(slots=True)
 class EncodedSnapshot:
-    """A snapshot's bytes, and when one last asked for it."""
+    """A snapshot's bytes, and the time of the last request for it."""
 
     data: bytes
     used_at: float
@@ -99,7 +103,7 @@
 
 @dataclass(slots=True)
 class FanoutCounts:
-    """What was sent, for figures and tests."""
+    """Counts of messages, for benchmarks and tests."""
 
     notices: int = 0
     deltas: int = 0
@@ -120,6 +124,16 @@
         bytes_per_second: float = BYTES_PER_SECOND,
         sessions_limit: int = SESSIONS_LIMIT,
     ) -> None:
+        """Creates a fan-out without sessions.
+
+        Args:
+            store: The configuration to send.
+            rng: Draws jitter.
+            now: Seconds of the monotonic clock.
+            authority_age_ms: Returns the age of the node's contact with a majority.
+            bytes_per_second: Limit of deltas and snapshots to all senders.
+            sessions_limit: Most sessions at once.
+        """
         self.store = store
         self.counts = FanoutCounts()
         self._rng = rng
@@ -131,12 +145,13 @@
         self._outbox: list[tuple[str, WatchMessage]] = []
 
     def take_messages(self) -> list[tuple[str, WatchMessage]]:
-        """What is to be sent, each with the sender that it is for."""
-        out, self._outbox = self._outbox, []
-        return out
+        """Returns the messages to send now, each with its sender; each message is returned once."""
+        messages = self._outbox
+        self._outbox = []
+        return messages
 
     def watchers(self, now: float) -> tuple[WatcherStatus, ...]:
-        """The senders that are known here, by name."""
+        """Returns the known senders in the order of their names."""
         return tuple(
             WatcherStatus(
                 name=name,
@@ -151,7 +166,7 @@
     # Time and versions.
 
     def tick(self, now: float) -> None:
-        """Forgets what is long over."""
+        """Drops sessions and snapshots that have expired."""
         while self._sessions:
             name, session = next(iter(self._sessions.items()))
             if now - session.polled_at <= SESSION_AGE_LIMIT_S:
@@ -162,7 +177,7 @@
                 del self._snapshots[version]
 
     def version_changed(self, now: float) -> None:
-        """The store has a new version: it is pushed to all that can take it."""
+        """Pushes the store's new version to all senders that can apply a delta."""
         for name, session in self._sessions.items():
             if now - session.polled_at > PUSH_AGE_LIMIT_S or self._is_refused(session):
                 continue
@@ -170,10 +185,10 @@
             if delta is not None:
                 self._send_delta(name, session, delta, now)
 
-    # What senders say.
+    # Messages of senders.
 
     def receive(self, sender: str, message: Poll | SnapshotRequest, now: float) -> None:
-        """Takes a message of a sender."""
+        """Handles a message of a sender."""
         if isinstance(message, Poll):
             self._answer(sender, self._renew(sender, message, now), message, now)
         else:
@@ -185,8 +200,10 @@
         while len(self._sessions) > self._sessions_limit:
             self._sessions.popitem(last=False)
         session.polled_at = now
-        session.version = session.assumed_version = poll.version
-        session.refused_version, session.reason = poll.refused_version, poll.reason
+        session.version = poll.version
+        session.assumed_version = poll.version
+        session.refused_version = poll.refused_version
+        session.reason = poll.reason
         return session
 
     def _answer(self, sender: str, session: Session, poll: Poll, now: float) -> None:
@@ -203,7 +220,7 @@
     def _is_refused(self, session: Session) -> bool:
         return session.refused_version == self.store.document.version > session.version
 
-    # What senders are sent.
+    # Messages to senders.
 
     def _notify(self, sender: str, needs_snapshot: bool = False, wait: float = 0.0) -> None:
         document = self.store.document
@@ -241,13 +258,13 @@
         if wait:
             self._notify(sender, wait=wait)
             return
-        for at in chunks:
-            chunk = SnapshotChunk(version, at, len(data), data[at : at + CHUNK_BYTES])
+        for start in chunks:
+            chunk = SnapshotChunk(version, start, len(data), data[start : start + CHUNK_BYTES])
             self.counts.chunks += 1
             self._outbox.append((sender, chunk))
 
     def _snapshot_for(self, version: int, now: float) -> tuple[int, bytes]:
-        """The encoded document at `version` if it is kept and of use, or at the newest version."""
+        """Returns the version and bytes of the cached document at `version`, or of the newest one."""
         present = self.store.document
         if version != present.version and self.store.delta_from(version) is None:
             version = present.version
@@ -268,7 +285,7 @@
 
 
 def _estimate_size(delta: Delta) -> int:
-    """Bytes that a delta takes on the network, about."""
+    """Returns about how many bytes a delta takes on the network."""
     size = DATAGRAM_OVERHEAD_BYTES + sum(len(name) + RESOURCE_OVERHEAD_BYTES for name in delta.delete)
-    size += sum(len(each.name) + len(each.value) + RESOURCE_OVERHEAD_BYTES for each in delta.put)
+    size += sum(len(put.name) + len(put.value) + RESOURCE_OVERHEAD_BYTES for put in delta.put)
     return size + size // CHUNK_BYTES * DATAGRAM_OVERHEAD_BYTES
--- a/message_sender/control/node.py
+++ b/message_sender/control/node.py
@@ -1,13 +1,13 @@
-"""A control node: channel, replica, store, fan-out and operators' requests joined, without I/O.
+"""A control node: combines channel, replica, store, fan-out and operators' requests, without I/O.
 
 Rules:
 
-- What the replica wants durable is given to the caller as one `LogBatch` (`take_batch`). Only after `stored`
-  do its messages leave and its entries count. While the disk refuses (`store_failed`) the same batch is given
-  again each `DISK_RETRY_S`; replication stands still meanwhile, and watches and status are served.
-- Only names in the table of nodes take part in replication and forward changes; any name may watch.
-- An old disk (`Channel.is_behind`) makes the node a learner before the next message is looked at. What it had
-  to say as a voter and had not said yet is not said any more: a vote may be its second one of the term.
+- What the replica needs durable is passed to the caller as one `LogBatch` (`take_batch`). Only after `stored`
+  are its messages sent and its entries applied. While the disk fails (`store_failed`) the same batch is
+  passed again every `DISK_RETRY_S`; replication stops meanwhile, and watches and status are served.
+- Only nodes of the configuration take part in replication and forward changes; any name may watch.
+- An old disk (`Channel.is_behind`) makes the node a learner before the next message is handled. Its pending
+  messages as a voter are dropped: a vote among them may be its second one of the term.
 - Only the caller's monotonic clock is used, and only differences of it.
 """
 
@@ -42,8 +42,8 @@
 LEADERSHIP_TRANSFER_RETRY_S = 0.3
 STATUS_TIMEOUT_S = 1.0
 STATUS_REPEAT_S = 0.25
-WATCHERS_BYTES_LIMIT = 48 * 1024  # of the watchers in one status, as they are encoded
-WATCHER_OVERHEAD_BYTES = 32  # bytes of a watcher's numbers, at the most
+WATCHERS_BYTES_LIMIT = 48 * 1024  # of the encoded watchers in one status
+WATCHER_OVERHEAD_BYTES = 32  # a watcher's encoded numbers, at most
 STATUS_REASON_LENGTH_LIMIT = 120  # characters
 STATUS_FAULT_LENGTH_LIMIT = 400  # characters
 MS_PER_SECOND = 1_000
@@ -56,7 +56,7 @@
 
 @dataclass(slots=True)
 class StatusQuery:
-    """An operator's question that other nodes are asked."""
+    """A status request of an operator that waits for the answers of other nodes."""
 
     answer: StatusAnswer
     deadline: float
@@ -65,7 +65,7 @@
 
 
 class ControlNode:
-    """One control node, driven by datagrams, ticks and a disk that its user keeps."""
+    """One control node, driven by datagrams, ticks and the results of disk writes."""
 
     def __init__(
         self,
@@ -77,12 +77,16 @@
         now: float,
         learner_reason: str = "",
     ) -> None:
-        self.name, self.channel, self.replica, self.store = channel.name, channel, replica, store
+        """Creates a node; with a `learner_reason` it starts as a learner."""
+        self.name = channel.name
+        self.channel = channel
+        self.replica = replica
+        self.store = store
         self.fanout = Fanout(store, rng, now, self._authority_age_ms)
         self.requests = ChangeRequests(replica, store, validate)
         self.learner_reason = learner_reason
         self.disk_fault = ""
-        self.on_learner: Callable[[str], None] = lambda reason: None
+        self.on_learner: Callable[[str], None] | None = None  # called with the reason
         self._now = now
         self._ready: Ready | None = None
         self._is_storing = False  # the caller has the batch
@@ -97,7 +101,7 @@
     # Events.
 
     def receive(self, datagram: bytes, source: Address, now: float) -> None:
-        """Takes a datagram from the network; never raises for what comes."""
+        """Handles a datagram from the network; never raises for its content."""
         self._now = now
         bodies = self.channel.receive(datagram, source, now)
         self._check_disk_age()
@@ -106,7 +110,7 @@
         self._advance()
 
     def tick(self, now: float) -> None:
-        """What time brings; at least each 0.05 s."""
+        """Does what is due by now; to be called at least every 0.05 s."""
         self._now = now
         self._check_disk_age()
         if not self.disk_fault or self.replica.role is Role.LEADER:
@@ -119,14 +123,16 @@
         self._advance()
 
     def submit(self, change: Change, answer: Answer, now: float) -> None:
-        """An operator's change; `answer` is called once, within a few seconds."""
+        """Handles an operator's change; `answer` is called once, within a few seconds."""
         self._now = now
         self.requests.submit(change, answer, now)
         self._advance()
 
     def begin_shutdown(self, now: float) -> None:
-        """This node is to end: from now on it proposes nothing, and as long as it leads it asks another node
-        to lead. One that lacked a late proposal could not be elected."""
+        """Stops proposing, and as long as this node leads, asks another one to lead.
+
+        A node that lacked a late proposal could not be elected.
+        """
         self._now = now
         self.requests.is_shutting_down = True
         self._transfer_leadership(now)
@@ -156,12 +162,13 @@
         if self.channel.is_behind and not self.learner_reason:
             self.learner_reason = BEHIND_REASON
             self.replica.become_learner(BEHIND_REASON)
-            self.on_learner(BEHIND_REASON)
+            if self.on_learner is not None:
+                self.on_learner(BEHIND_REASON)
 
     # The disk.
 
     def take_batch(self) -> LogBatch | None:
-        """What is to be made durable now; None: nothing, or the last one is under way."""
+        """Returns the batch to store now, or None if there is none or the last one is being stored."""
         ready = self._ready
         if ready is None or self._is_storing or self._now < self._retry_at:
             return None
@@ -169,22 +176,25 @@
         return make_batch(ready.hard_state, ready.truncate_from, ready.entries)
 
     def stored(self, now: float) -> None:
-        """The batch is durable."""
+        """Notes that the batch is durable."""
         assert self._ready is not None and self._is_storing
         self._now = now
-        self._is_storing, self.disk_fault = False, ""
-        ready, self._ready = self._ready, None
+        ready = self._ready
+        self._ready = None
+        self._is_storing = False
+        self.disk_fault = ""
         self._complete(ready)
         self._advance()
 
     def store_failed(self, fault: str, now: float) -> None:
-        """The batch is not durable; `take_batch` gives it again later."""
+        """Notes that the batch could not be stored; `take_batch` returns it again later."""
         self._now = now
-        self._is_storing, self.disk_fault = False, fault
+        self._is_storing = False
+        self.disk_fault = fault
         self._retry_at = now + DISK_RETRY_S
 
     def _advance(self) -> None:
-        """Carries on with the replica until something must be durable first."""
+        """Handles the replica's work until something must be durable first, then sends messages."""
         if self.replica.term != self._seen_term:
             self._seen_term = self.replica.term
             self.requests.term_changed()
@@ -214,13 +224,13 @@
         try:
             self.channel.send(to, body, self._now)
         except BodyTooLargeError as error:
-            log.error("control: not said to %s: %s", to, error)
+            log.error("control: message not sent: receiver=%s error=%s", to, error)
 
     # Status.
 
     def status(self, now: float, number: int = 0) -> NodeStatus:
-        """This node's own view. Of its watchers those with the oldest version come first, so many as fit."""
-        watchers = sorted(self.fanout.watchers(now), key=lambda each: each.version)
+        """Returns this node's own view, with as many watchers as fit, those with the oldest version first."""
+        watchers = sorted(self.fanout.watchers(now), key=lambda watcher: watcher.version)
         return NodeStatus(
             number=number,
             name=self.name,
@@ -235,7 +245,7 @@
         )
 
     def fault(self) -> str:
-        """What an operator is to look after here; empty if nothing."""
+        """Returns the faults that need an operator; empty if there are none."""
         faults = []
         if self.disk_fault:
             faults.append(f"the disk takes no writes: {self.disk_fault}")
@@ -251,7 +261,7 @@
         self._tick_queries(now)
 
     def node_names(self) -> tuple[str, ...]:
-        """All control nodes, this one included."""
+        """Returns the names of all control nodes, this one included."""
         return tuple(sorted({self.name, *self.channel.addresses}))
 
     def _tick_queries(self, now: float) -> None:
@@ -288,10 +298,11 @@
 
 
 def _limit_size(watchers: Iterable[WatcherStatus]) -> tuple[WatcherStatus, ...]:
-    found, size = [], 0
+    fitting: list[WatcherStatus] = []
+    size = 0
     for watcher in map(_shorten_reason, watchers):
         size += len(watcher.name.encode()) + len(watcher.reason.encode()) + WATCHER_OVERHEAD_BYTES
         if size > WATCHERS_BYTES_LIMIT:
             break
-        found.append(watcher)
-    return tuple(found)
+        fitting.append(watcher)
+    return tuple(fitting)
--- a/message_sender/control/requests.py
+++ b/message_sender/control/requests.py
@@ -1,19 +1,19 @@
-"""Operators' changes on their way: validated and proposed by the leader, forwarded to it by any other node.
+"""Operators' changes in progress: validated and proposed by the leader, forwarded to it by any other node.
 
 Rules:
 
-- A request waits at the node that it was made at, and is proposed or forwarded again each `RETRY_INTERVAL_S`
-  until its answer is here. After `ANSWER_TIMEOUT_S` the answer is `unavailable`: whether the change was made
-  is known once it is asked for again, under the same id.
-- The leader answers from the store where the id was applied. Otherwise it validates what the change leads to,
+- A request waits at the node that received it, and is proposed or forwarded again every `RETRY_INTERVAL_S`
+  until its answer is known. After `ANSWER_TIMEOUT_S` the answer is `unavailable`: a retry under the same
+  id finds out whether the change was made.
+- The leader answers from the store if the id was applied. Otherwise it validates the result of the change
   against the document that the change names as its base: faults and an older base are answered at once, and
   nothing is written. A leader that has not applied an entry of its own term yet does not answer: its document
   may lack changes that were confirmed.
-- A base above the leader's own version may be another leader's by now, which this one has not heard of: it
-  can't say that nothing was changed. So the question goes through the log, behind all that is applied, where
-  the store answers it with a conflict; who is cut off answers nothing.
-- In one term an id is proposed once. Where a term was lost the store's memory of ids makes it once.
-- A node answers its operator once its own document has the version, so that what is read there shows it.
+- A base above the leader's own version may come from a newer leader that this one does not know: it cannot
+  answer that nothing was changed. So the change goes through the log, after all that is applied, where
+  the store answers it with a conflict; a leader that is cut off answers nothing.
+- In one term an id is proposed once. Across terms the store, which remembers ids, applies it once.
+- A node answers its operator once its own document has the version, so that a read there shows the change.
 """
 
 from collections.abc import Callable, Mapping
@@ -35,9 +35,9 @@
 
 RETRY_INTERVAL_S = 0.3
 ANSWER_TIMEOUT_S = 3.0
-FORWARDED_LIMIT = 256  # requests of other nodes that are remembered; they ask again
-WAITING_LIMIT = 256  # requests of this node's operators at once
-FAULTS_LIMIT = 100  # that one answer names
+FORWARDED_LIMIT = 256  # requests of other nodes, which repeat them
+WAITING_LIMIT = 256  # requests of this node's operators
+FAULTS_LIMIT = 100  # in one answer
 FAULT_LENGTH_LIMIT = 400  # characters
 
 Validate = Callable[[Mapping[str, bytes]], tuple[str, ...]]
@@ -46,7 +46,7 @@
 
 @dataclass(slots=True)
 class WaitingRequest:
-    """A request of an operator at this node. `result`: known, and not yet shown by the own document."""
+    """A request of an operator at this node; a `result` waits until the own document has its version."""
 
     change: Change
     answers: list[Answer]
@@ -57,33 +57,38 @@
 
 @dataclass(slots=True)
 class ForwardedRequest:
-    """A request of other nodes that this one proposed."""
+    """A request of other nodes that this node proposed."""
 
     change: Change
     requesters: set[str] = field(default_factory=set)
 
 
 class ChangeRequests:
-    """The changes that are under way through one node."""
+    """The changes in progress at one node."""
 
     def __init__(self, replica: Replica, store: ConfigurationStore, validate: Validate) -> None:
-        self.replica, self.store, self.validate = replica, store, validate
-        self.is_shutting_down = False  # nothing is proposed any more
+        """Creates an empty set; `validate` returns the faults of a complete configuration."""
+        self.replica = replica
+        self.store = store
+        self.validate = validate
+        self.is_shutting_down = False  # if so, nothing is proposed any more
         self._waiting: dict[str, WaitingRequest] = {}
         self._forwarded: dict[str, ForwardedRequest] = {}
         self._proposed: dict[str, int] = {}  # by request id: the term
         self._outbox: list[tuple[str, OperatorMessage]] = []
 
     def take_messages(self) -> list[tuple[str, OperatorMessage]]:
-        """What is to be sent, each with the node that it is for."""
-        out, self._outbox = self._outbox, []
-        return out
+        """Returns the messages to send now, each with its node; each message is returned once."""
+        messages = self._outbox
+        self._outbox = []
+        return messages
 
     # Requests of this node's operators.
 
     def submit(self, change: Change, answer: Answer, now: float) -> None:
         """Calls `answer` once: when the outcome is known, or after ANSWER_TIMEOUT_S."""
-        if fault := _find_format_fault(change):
+        fault = _find_format_fault(change)
+        if fault:
             answer(self._make_result(change, Outcome.INVALID, (fault,)))
             return
         waiting = self._waiting.get(change.request_id)
@@ -98,11 +103,11 @@
         self._propose_or_forward(waiting, now)
 
     def tick(self, now: float) -> None:
-        """Tries again what is due, and gives up what is too late."""
+        """Retries the requests that are due, and answers those whose deadline has passed."""
         for waiting in tuple(self._waiting.values()):
             if now >= waiting.deadline:
-                late = waiting.result or self._make_result(waiting.change, Outcome.UNAVAILABLE)
-                self._finish(waiting, late)
+                result = waiting.result or self._make_result(waiting.change, Outcome.UNAVAILABLE)
+                self._finish(waiting, result)
             elif now >= waiting.retry_at:
                 self._propose_or_forward(waiting, now)
 
@@ -130,7 +135,7 @@
     # Messages of other nodes.
 
     def receive(self, sender: str, message: ForwardedChange | ForwardedResult, now: float) -> None:
-        """Takes a change that another node forwards, or the answer to one that this node did."""
+        """Handles a change that another node forwards, or the result of one that this node forwarded."""
         if isinstance(message, ForwardedResult):
             waiting = self._waiting.get(message.result.request_id)
             if waiting is not None and waiting.result is None:
@@ -150,7 +155,7 @@
     # The leader's part.
 
     def _decide(self, change: Change, now: float) -> ChangeResult | None:
-        """The answer where it is known now; otherwise the change is proposed, once a term."""
+        """Returns the result if it is known now; otherwise proposes the change, once per term."""
         known = self.store.known_result(change.request_id)
         if known is not None:
             return known
@@ -163,7 +168,7 @@
             return self._make_result(change, Outcome.CONFLICT)
         if change.base_version > version:
             if self.replica.last_index != self.store.applied_index:
-                return None  # what is under way may make that version: this would count unchecked behind it
+                return None  # an entry in progress may make that version; this change would follow unchecked
         elif faults := self._validate_change(change):
             return self._make_result(change, Outcome.INVALID, faults)
         self.replica.propose(encode_change(change), now)
@@ -171,7 +176,7 @@
         return None
 
     def _has_applied_own_term(self) -> bool:
-        """Whether all that was confirmed before this leader's term is in its document."""
+        """Returns whether the document has all that was confirmed before this leader's term."""
         applied = self.store.applied_index
         return applied > 0 and self.replica.entry(applied).term == self.replica.term
 
@@ -184,7 +189,7 @@
         resources = dict(document.resources)
         for name in change.delete:
             del resources[name]
-        resources.update((each.name, each.value) for each in change.put)
+        resources.update((resource.name, resource.value) for resource in change.put)
         faults = [fault[:FAULT_LENGTH_LIMIT] for fault in self.validate(resources)]
         if len(faults) > FAULTS_LIMIT:
             faults[FAULTS_LIMIT:] = [f"and {len(faults) - FAULTS_LIMIT} more"]
@@ -196,12 +201,12 @@
     # Applied entries.
 
     def entry_applied(self, entry: LogEntry, result: ChangeResult | None) -> None:
-        """An entry was applied here; `result` is what the store made of it."""
+        """Notes that an entry was applied to the store with this result, and answers its requests."""
         if result is not None and entry.data:
             self._proposed.pop(result.request_id, None)
             forwarded = self._forwarded.pop(result.request_id, None)
             if forwarded is not None:
-                self._outbox += [(asker, ForwardedResult(result)) for asker in sorted(forwarded.requesters)]
+                self._outbox += [(name, ForwardedResult(result)) for name in sorted(forwarded.requesters)]
             waiting = self._waiting.get(result.request_id)
             if waiting is not None:
                 waiting.result = result
@@ -210,13 +215,13 @@
                 self._take_result(waiting, waiting.result)
 
     def term_changed(self) -> None:
-        """What was proposed or forwarded in another term may be lost; it is asked for again."""
+        """Drops the proposals of the previous term, which may be lost; their requesters repeat them."""
         self._proposed.clear()
         self._forwarded.clear()
 
 
 def _find_format_fault(change: Change) -> str:
-    """Why a change cannot be an entry of the log; empty if it can."""
+    """Returns why a change cannot be an entry of the log; empty if it can."""
     try:
         decode_change(encode_change(change))
     except ChangeFormatError as error:
--- a/message_sender/service/control_link.py
+++ b/message_sender/service/control_link.py
@@ -15,9 +15,9 @@
 
 from message_sender.configuration.general import ControlPlane, SenderConfig
 from message_sender.control.channel import BodyTooLargeError, Channel
+from message_sender.control.choice import ControlNodeAddress
 from message_sender.control.messages import WatchMessage
 from message_sender.control.schema import BUDGETS, ENDPOINTS, has_kind
-from message_sender.control.choice import ControlNodeAddress
 from message_sender.control.watch import Watch, WatchStatus
 from message_sender.files import replace_json
 from message_sender.fleet.seal import KeyFileError, Seal, read_keys, reread_keys
--- a/message_sender/testbed/control_cluster.py
+++ b/message_sender/testbed/control_cluster.py
@@ -19,10 +19,10 @@
 
 from message_sender.control import process as control_process
 from message_sender.control.channel import Channel
+from message_sender.control.choice import ControlNodeAddress
 from message_sender.control.configuration import load
 from message_sender.control.document import Document
 from message_sender.control.messages import Address, Delta, WatchMessage
-from message_sender.control.choice import ControlNodeAddress
 from message_sender.control.watch import Watch
 from message_sender.control_socket import ask
 from message_sender.testbed.cluster import HOST, PATIENCE, Relay
