--- a/message_sender/control/channel.py
+++ b/message_sender/control/channel.py
@@ -1,19 +1,19 @@
-"""Sealed datagrams between control nodes, and between them and senders. Pure; the socket is in udp.py.
+"""Sealed datagrams between control nodes, and between them and senders. Pure; driver.py sends them.
 
 Rules:
 
-- A datagram that is not sealed with a key of ours, or does not decode, is counted by its reason and dropped.
-- A datagram is believed only if it names the present session of this end. A stranger is told that session by
-  a `Hello`, a bounded number of times a second, counted apart for each name in the table; that is all that a
-  replayed datagram can cause.
-- Of each name one start counts, the one of the highest epoch, and of its session each number once.
-- Who comes with an epoch below the one known of its name, or with the same one and another session, is told
-  the epoch that is known. It goes on with a higher one, and knows that its disk is old (`is_behind`).
-- The starts of the names in the table are kept by the caller (`on_start_known`) and given back at the next
-  start, so that an old disk is noticed also after the others were restarted.
-- Who is in the table is called at its address there. Another one is called at the address from which its
-  last believed datagram came.
-- A body that is larger than a datagram goes in fragments, which are put together within bounds.
+- A datagram that is not sealed with one of our keys, or does not decode, is dropped and counted by reason.
+- A datagram is accepted only if it names the present session of this end. A `Hello` tells that session to a
+  peer that does not know it, a bounded number of times per second, counted separately for each configured
+  name; a replayed datagram can cause nothing else.
+- Of each name one start counts, the one with the highest epoch, and of its session each number once.
+- A peer that comes with an epoch below the one known of its name, or with the same one and another session,
+  receives the known epoch. It continues with a higher one, and knows that its disk is old (`is_behind`).
+- The caller stores the starts of the configured names (`on_start_known`) and passes them to the next
+  channel, so that an old disk is noticed even after the other nodes were restarted.
+- A configured name is reached at its configured address, any other one at the source address of its last
+  accepted datagram.
+- A body that is larger than a datagram is sent in fragments, which are reassembled within bounds.
 """
 
 from collections import Counter
@@ -27,16 +27,18 @@
 from message_sender.fleet.seal import LEAST, MOST, RefusedError, Seal
 from message_sender.fleet.session import PeerSession
 
-HELLO_ANSWERS_PER_SECOND = 500  # answers to all that are not in the table
-PEER_HELLO_ANSWERS_PER_SECOND = 50  # to each that is: what others send or replay takes nothing of it
-HELLO_INTERVAL_S = 0.3  # between two calls to a peer whose session is not known
-QUEUED_BODIES_LIMIT = 4  # bodies that wait for a peer's session, the latest ones
-PEERS_LIMIT = 4096  # peers that are remembered; beyond it the one that was silent longest is forgotten
+HELLO_ANSWERS_PER_SECOND = 500  # to all names that are not configured
+PEER_HELLO_ANSWERS_PER_SECOND = 50  # to each configured name, whatever others send or replay
+HELLO_INTERVAL_S = 0.3  # to a peer whose session is unknown
+QUEUED_BODIES_LIMIT = 4  # per peer whose session is unknown; the latest ones are kept
+PEERS_LIMIT = 4096  # beyond it the peer that was silent longest is dropped
 FRAGMENT_BYTES = 1_200  # of an encoded body in one datagram
 MESSAGE_BYTES_LIMIT = 64 * 1024  # of one encoded body: its fragments fit the replay window in any order
-PARTIAL_MESSAGES_LIMIT = 8  # of one peer that are being put together
+FRAGMENTS_LIMIT = -(-MESSAGE_BYTES_LIMIT // FRAGMENT_BYTES)  # of one body
+PARTIAL_MESSAGES_LIMIT = 8  # of one peer
 PARTIAL_BYTES_LIMIT = 4 * 1024 * 1024  # of all peers
-PARTIAL_AGE_LIMIT_S = 5.0  # after which a message that is not whole is dropped
+PARTIAL_AGE_LIMIT_S = 5.0
+HELLO_ANSWERS_WINDOW_S = 1.0
 
 
 class RefusalReason(StrEnum):
@@ -56,16 +58,17 @@
 
 
 class DroppedError(Exception):
-    """A datagram that is not believed."""
+    """A datagram that is dropped."""
 
     def __init__(self, refusal: RefusalReason) -> None:
+        """Creates the error with its reason."""
         super().__init__(refusal.value)
         self.refusal = refusal
 
 
 @dataclass(frozen=True, slots=True)
 class KnownStart:
-    """The latest start of a name that was heard of."""
+    """The latest known start of a name."""
 
     epoch: int
     session: int
@@ -73,10 +76,10 @@
 
 @dataclass(slots=True)
 class PartialMessage:
-    """Fragments of one message that came so far."""
+    """The fragments of one message that have arrived."""
 
     count: int
-    started_at: float  # s
+    started_at: float  # seconds of the caller's clock
     parts: dict[int, bytes] = field(default_factory=dict)
 
 
@@ -92,24 +95,39 @@
         addresses: Mapping[str, Address],
         known_starts: Mapping[str, KnownStart] | None = None,
     ) -> None:
-        """`epoch`: above that of each start before, as far as the disk knows. `session`: drawn at random,
-        above 0. `addresses`: peers at fixed addresses. `known_starts`: what `on_start_known` told earlier."""
-        self.name, self.epoch, self.session, self.seal = name, epoch, session, seal
+        """Creates a channel without sessions.
+
+        Args:
+            name: The name of this end.
+            epoch: A number above that of each earlier start, as far as the disk knows.
+            session: A random number above 0.
+            seal: Seals and opens datagrams.
+            addresses: The peers at fixed addresses.
+            known_starts: The starts that were reported to `on_start_known` before.
+        """
+        self.name = name
+        self.epoch = epoch
+        self.session = session
+        self.seal = seal
         self.addresses = dict(addresses)
         self.known_starts = dict(known_starts or {})
-        self.is_behind = False  # others know a later start of this name than its disk does
-        self.on_behind: Callable[[int], None] = lambda epoch: None  # the epoch to keep from now on
-        self.on_start_known: Callable[[str, KnownStart], None] = lambda name, start: None
+        self.is_behind = False  # peers know a later start of this name than its disk does
+        self.on_behind: Callable[[int], None] | None = None  # called with the epoch to store
+        self.on_start_known: Callable[[str, KnownStart], None] | None = None
         self.refused: Counter[RefusalReason] = Counter()
-        self.partial_bytes = 0  # of messages that are not whole yet
-        self.sent = self.received = self.sent_bytes = self.received_bytes = 0
+        self.partial_bytes = 0  # of all messages that are being reassembled
+        self.sent = 0
+        self.received = 0
+        self.sent_bytes = 0
+        self.received_bytes = 0
         self._peers: dict[str, PeerSession] = {}
         self._learned_addresses: dict[str, Address] = {}
         self._queued_bodies: dict[str, list[Body]] = {}
         self._hello_sent_at: dict[str, float] = {}
         self._partial_messages: dict[tuple[str, int], PartialMessage] = {}
-        self._datagram_number = self._message_number = 0
-        self._hello_answers: Counter[str] = Counter()  # in this second, by name; "": of all not in the table
+        self._datagram_number = 0
+        self._message_number = 0
+        self._hello_answers: Counter[str] = Counter()  # in this second; "" for all names not configured
         self._hello_answers_since = 0.0
         self._outbox: list[tuple[Address, bytes]] = []
         self._encoder = msgspec.msgpack.Encoder()
@@ -119,8 +137,13 @@
     # Sending.
 
     def send(self, to: str, body: Body, now: float) -> None:
-        """Sends `body`, or keeps it until the session of `to` is known. A name whose address is not known is
-        nobody's. Raises BodyTooLargeError."""
+        """Sends `body`, or queues it until the session of `to` is known.
+
+        Nothing is sent to a name whose address is not known.
+
+        Raises:
+            BodyTooLargeError: If the encoded body is larger than MESSAGE_BYTES_LIMIT.
+        """
         address = self.address_of(to)
         if address is None:
             return
@@ -134,16 +157,17 @@
             self._send_datagram(address, 0, Hello())
 
     def address_of(self, name: str) -> Address | None:
-        """Where a peer is called; None where that is not known."""
+        """Returns the address of a peer, or None if it is not known."""
         return self.addresses.get(name) or self._learned_addresses.get(name)
 
     def has_session(self, name: str) -> bool:
-        """Whether a body to this peer goes out at once."""
+        """Returns whether the peer's session is known, so that bodies to it are sent at once."""
         return name in self._peers
 
     def take_datagrams(self) -> list[tuple[Address, bytes]]:
-        """What is to be sent now, each once."""
-        datagrams, self._outbox = self._outbox, []
+        """Returns the datagrams to send now; each is returned once."""
+        datagrams = self._outbox
+        self._outbox = []
         return datagrams
 
     def _send_body(self, address: Address, session: int, body: Body) -> None:
@@ -170,8 +194,11 @@
     # Receiving.
 
     def receive(self, datagram: bytes, source: Address, now: float) -> list[tuple[str, Body]]:
-        """The bodies that a datagram completes, with the names of their senders: one or none. Never raises
-        for what comes."""
+        """Handles a datagram; never raises for its content.
+
+        Returns:
+            The body that the datagram completes with the name of its sender, or nothing.
+        """
         try:
             envelope = self._open(datagram)
             body = self._accept(envelope, source, now)
@@ -214,7 +241,11 @@
         return body
 
     def _accept_number(self, envelope: Envelope, source: Address, now: float) -> None:
-        """Notes the session and its number. Raises DroppedError for a start that is over and a replay."""
+        """Notes the sender's session and the datagram's number.
+
+        Raises:
+            DroppedError: For a datagram of an earlier start, and for a replay.
+        """
         peer = self._peers.get(envelope.name)
         if peer is None or peer.session != envelope.session:
             if self._find_later_epoch(envelope):
@@ -232,40 +263,38 @@
 
     def _begin_session(self, envelope: Envelope) -> PeerSession:
         if len(self._peers) >= PEERS_LIMIT:
-            strangers = (name for name in self._peers if name not in self.addresses)
-            self._forget(min(strangers, key=lambda name: self._peers[name].received_at))
+            unconfigured = (name for name in self._peers if name not in self.addresses)
+            self._forget(min(unconfigured, key=lambda name: self._peers[name].received_at))
         for key in [key for key in self._partial_messages if key[0] == envelope.name]:
             self._drop_partial(key)
-        peer = self._peers[envelope.name] = PeerSession(envelope.epoch, envelope.session)
+        peer = PeerSession(envelope.epoch, envelope.session)
+        self._peers[envelope.name] = peer
         return peer
 
     def _forget(self, name: str) -> None:
-        for table in (
-            self._peers,
-            self._learned_addresses,
-            self._queued_bodies,
-            self._hello_sent_at,
-            self.known_starts,
-        ):
-            table.pop(name, None)
+        self._peers.pop(name, None)
+        self._learned_addresses.pop(name, None)
+        self._queued_bodies.pop(name, None)
+        self._hello_sent_at.pop(name, None)
+        self.known_starts.pop(name, None)
 
     def _note_start(self, name: str, start: KnownStart) -> None:
         if self.known_starts.get(name) == start:
             return
         self.known_starts[name] = start
-        if name in self.addresses:
+        if name in self.addresses and self.on_start_known is not None:
             self.on_start_known(name, start)
 
     def _find_later_epoch(self, envelope: Envelope) -> int:
-        """The epoch known of this name, if this is not a datagram of its latest start; else 0."""
+        """Returns the known epoch of the sender if the datagram is not of its latest start; otherwise 0."""
         known = self.known_starts.get(envelope.name)
         if known is None or known.session == envelope.session or known.epoch < envelope.epoch:
             return 0
         return known.epoch
 
     def _answer_with_hello(self, envelope: Envelope, source: Address, now: float) -> None:
-        """Tells a stranger this session, at the address that its datagram came from."""
-        if now - self._hello_answers_since >= 1.0:
+        """Sends this session to a peer that does not know it, within the limits per second."""
+        if now - self._hello_answers_since >= HELLO_ANSWERS_WINDOW_S:
             self._hello_answers.clear()
             self._hello_answers_since = now
         name, limit = "", HELLO_ANSWERS_PER_SECOND
@@ -283,8 +312,9 @@
         if known_epoch >= self.epoch:
             self.epoch = known_epoch + 1
             self.is_behind = True
-            self._queued_bodies.clear()  # said by one who did not know it
-            self.on_behind(self.epoch)
+            self._queued_bodies.clear()  # they were made before the old disk was noticed
+            if self.on_behind is not None:
+                self.on_behind(self.epoch)
 
     def _send_queued_bodies(self, name: str) -> None:
         address = self.address_of(name)
@@ -296,10 +326,13 @@
     # Fragments.
 
     def _reassemble(self, name: str, fragment: Fragment, now: float) -> Body | None:
-        """The whole body once its last missing part is here. Raises DroppedError."""
+        """Returns the complete body once its last missing fragment has arrived, otherwise None.
+
+        Raises:
+            DroppedError: If the fragment fits no message.
+        """
         self._drop_old_partial(now)
-        most = -(-MESSAGE_BYTES_LIMIT // FRAGMENT_BYTES)
-        if not fragment.index < fragment.count <= most or len(fragment.data) > FRAGMENT_BYTES:
+        if not fragment.index < fragment.count <= FRAGMENTS_LIMIT or len(fragment.data) > FRAGMENT_BYTES:
             raise DroppedError(RefusalReason.FRAGMENT)
         key = name, fragment.message
         partial = self._partial_messages.get(key)
@@ -319,18 +352,21 @@
         return None
 
     def _begin_partial(self, key: tuple[str, int], fragment: Fragment, now: float) -> PartialMessage:
-        """Makes room: the oldest partial message of the same peer goes where there are too many."""
-        own = [each for each in self._partial_messages if each[0] == key[0]]
-        if len(own) >= PARTIAL_MESSAGES_LIMIT:
-            self._drop_partial(own[0])
-        partial = self._partial_messages[key] = PartialMessage(fragment.count, now)
+        """Begins a partial message, in place of the oldest one of the same peer if it has too many."""
+        keys_of_peer = [other for other in self._partial_messages if other[0] == key[0]]
+        if len(keys_of_peer) >= PARTIAL_MESSAGES_LIMIT:
+            self._drop_partial(keys_of_peer[0])
+        partial = PartialMessage(fragment.count, now)
+        self._partial_messages[key] = partial
         return partial
 
     def _drop_old_partial(self, now: float) -> None:
-        old = [
-            key for key, each in self._partial_messages.items() if now - each.started_at > PARTIAL_AGE_LIMIT_S
+        expired = [
+            key
+            for key, partial in self._partial_messages.items()
+            if now - partial.started_at > PARTIAL_AGE_LIMIT_S
         ]
-        for key in old:
+        for key in expired:
             self._drop_partial(key)
 
     def _drop_partial(self, key: tuple[str, int]) -> None:
--- a/message_sender/control/document.py
+++ b/message_sender/control/document.py
@@ -2,11 +2,11 @@
 
 Rules:
 
-- A document changes by a whole delta or not at all; a delta applies only to the version it was made from.
-- The digest is the exclusive or of one hash a resource: the cost of a change depends on the change alone.
-  A delta carries the digest that it leads to, so that a document which would differ is noticed at once.
-- Versions only rise. A delta from a version to itself is for a document whose content differs from what its
-  version has elsewhere: it mends the content, and is made from a snapshot alone.
+- A delta is applied completely or not at all, and only to the version it was made from.
+- The digest is the exclusive or of one hash per resource: the cost of a change depends on the change alone.
+  A delta carries the digest of its result, so that a document which would differ is noticed at once.
+- Versions only rise. A delta from a version to itself repairs a document whose content differs from that of
+  the same version elsewhere; only a snapshot leads to one.
 """
 
 from collections.abc import Iterable, Mapping
@@ -18,15 +18,15 @@
 
 
 class DeltaMismatchError(ValueError):
-    """A delta that does not fit the document; the text says why."""
+    """A delta that does not fit the document; the text gives the reason."""
 
 
 class SnapshotError(ValueError):
-    """Bytes that are no snapshot; the text says why."""
+    """Bytes that are not a valid snapshot; the text gives the reason."""
 
 
 class Snapshot(msgspec.Struct, array_like=True, frozen=True):
-    """A whole document in the form in which it is stored and sent."""
+    """A complete document in the form in which it is stored and sent."""
 
     version: int
     digest: int
@@ -34,7 +34,7 @@
 
 
 def compute_digest(name: str, value: bytes) -> int:
-    """64 bits for one resource (XXH3)."""
+    """Returns the 64-bit digest of one resource (XXH3)."""
     return xxhash.xxh3_64_intdigest(name.encode() + b"\0" + value)
 
 
@@ -42,6 +42,7 @@
     """Resources by name at one version; version 0 is the empty document."""
 
     def __init__(self, version: int = 0, resources: Mapping[str, bytes] | None = None) -> None:
+        """Creates a document of these resources, which are copied."""
         self.version = version
         self.resources: dict[str, bytes] = dict(resources or {})
         self.digest = 0
@@ -49,9 +50,10 @@
             self.digest ^= compute_digest(name, value)
 
     def digest_after(self, put: Iterable[Resource], delete: Iterable[str]) -> int:
-        """The digest that these changes lead to. A name may be put or deleted once; deleting needs it there.
+        """Returns the digest that these changes lead to.
 
-        Raises DeltaMismatchError.
+        Raises:
+            DeltaMismatchError: If a name is changed twice, or one to be deleted does not exist.
         """
         digest = self.digest
         seen: set[str] = set()
@@ -71,17 +73,25 @@
         return digest
 
     def check(self, delta: Delta) -> None:
-        """Raises DeltaMismatchError where `delta` does not lead from this document to its own digest."""
+        """Checks that `delta` leads from this document to its digest.
+
+        Raises:
+            DeltaMismatchError: If it does not.
+        """
         if delta.from_version != self.version:
             raise DeltaMismatchError(f"a delta from version {delta.from_version}, and {self.version} is here")
-        is_mending = delta.to_version == delta.from_version and delta.digest != self.digest
-        if delta.to_version <= delta.from_version and not is_mending:
+        is_repair = delta.to_version == delta.from_version and delta.digest != self.digest
+        if delta.to_version <= delta.from_version and not is_repair:
             raise DeltaMismatchError(f"a delta from version {delta.from_version} to {delta.to_version}")
         if self.digest_after(delta.put, delta.delete) != delta.digest:
             raise DeltaMismatchError(f"version {delta.to_version} would differ from the leader's")
 
     def apply(self, delta: Delta) -> None:
-        """Changes to the delta's version, whole. Raises DeltaMismatchError, and changes nothing then."""
+        """Changes the document to the delta's version.
+
+        Raises:
+            DeltaMismatchError: If the delta does not fit. Nothing was changed.
+        """
         self.check(delta)
         for name in delta.delete:
             del self.resources[name]
@@ -92,18 +102,22 @@
 
 
 def encode_snapshot(document: Document) -> bytes:
-    """The whole document, resources in order of their names."""
+    """Returns the complete document, with the resources in the order of their names."""
     resources = tuple(Resource(name, document.resources[name]) for name in sorted(document.resources))
     return msgspec.msgpack.encode(Snapshot(document.version, document.digest, resources))
 
 
 def decode_snapshot(data: bytes) -> Document:
-    """Raises SnapshotError, also where the content does not have the digest that it names."""
+    """Decodes a document.
+
+    Raises:
+        SnapshotError: If the bytes do not decode, or the content does not have the digest that they name.
+    """
     try:
         snapshot = msgspec.msgpack.decode(data, type=Snapshot)
     except (msgspec.DecodeError, msgspec.ValidationError, ValueError) as error:
         raise SnapshotError(f"no snapshot: {error}") from None
-    document = Document(snapshot.version, {each.name: each.value for each in snapshot.resources})
+    document = Document(snapshot.version, {resource.name: resource.value for resource in snapshot.resources})
     if document.digest != snapshot.digest or len(document.resources) != len(snapshot.resources):
         raise SnapshotError(f"version {snapshot.version}: the content differs from its digest")
     return document
--- a/message_sender/control/document_file.py
+++ b/message_sender/control/document_file.py
@@ -1,4 +1,4 @@
-"""A document on a sender's disk: one file, replaced in one step, believed whole or not at all.
+"""A document on a sender's disk: one file, replaced atomically and protected by a checksum.
 
 The file is a magic line, the length of the rest and its CRC-32C (8 and 4 bytes, big endian), and the document
 as a snapshot. When `store` returns, content and name are durable.
@@ -18,21 +18,31 @@
 
 
 class DamagedDocumentError(ValueError):
-    """A file that is not believed."""
+    """A file that does not contain a valid document."""
 
     def __init__(self, path: Path, offset: int, reason: str) -> None:
+        """Creates the error for the damage at byte `offset`."""
         super().__init__(f"{path}: damaged at byte {offset}: {reason}")
-        self.path, self.offset, self.reason = path, offset, reason
+        self.path = path
+        self.offset = offset
+        self.reason = reason
 
 
 class DocumentFile:
-    """Keeps one document."""
+    """The file of one document."""
 
     def __init__(self, path: Path, disk: Disk) -> None:
-        self.path, self.disk = path, disk
+        """Creates an accessor; the file need not exist."""
+        self.path = path
+        self.disk = disk
 
     def load(self) -> Document | None:
-        """What was stored last; None where nothing was. Raises DamagedDocumentError and OSError."""
+        """Returns the document that was stored last, or None if there is none.
+
+        Raises:
+            DamagedDocumentError: If the file does not contain a valid document.
+            OSError: If it cannot be read.
+        """
         data = self.disk.read(self.path)
         if not data:
             return None
@@ -52,28 +62,39 @@
             raise self._make_error(BODY_OFFSET, str(error)) from None
 
     def _make_error(self, offset: int, reason: str) -> DamagedDocumentError:
-        """The error for this file."""
         return DamagedDocumentError(self.path, offset, reason)
 
     def store(self, document: Document) -> None:
-        """Replaces what was there. Raises OSError; what was there before is then there still."""
+        """Replaces the stored document.
+
+        Raises:
+            OSError: If it cannot be written; the previous document is still stored then.
+        """
         body = encode_snapshot(document)
-        fresh = self.path.with_name(f"{self.path.name}.new")
-        file = self.disk.open(fresh, fresh=True)
+        new_path = self.path.with_name(f"{self.path.name}.new")
+        file = self.disk.open(new_path, fresh=True)
         try:
             self.disk.write(file, MAGIC + HEADER.pack(len(body), google_crc32c.value(body)) + body)
             self.disk.sync(file)
         finally:
             self.disk.close(file)
-        self.disk.replace(fresh, self.path)
+        self.disk.replace(new_path, self.path)
         self.disk.sync_folder(self.path.parent)
 
     def move_damaged_aside(self) -> Path:
-        """Moves a damaged file out of the way, and tells where to. Raises OSError."""
-        aside = self.path.with_name(f"{self.path.name}.damaged")
-        self.disk.replace(self.path, aside)
-        return aside
+        """Renames a damaged file and returns its new path.
+
+        Raises:
+            OSError: If it cannot be renamed.
+        """
+        renamed = self.path.with_name(f"{self.path.name}.damaged")
+        self.disk.replace(self.path, renamed)
+        return renamed
 
     def remove(self) -> None:
-        """Removes it, if it is there. Raises OSError."""
+        """Removes the file if it exists.
+
+        Raises:
+            OSError: If it cannot be removed.
+        """
         self.disk.unlink(self.path)
--- a/message_sender/control/fetch.py
+++ b/message_sender/control/fetch.py
@@ -1,15 +1,15 @@
-"""The fetching of a snapshot, chunk by chunk: what is asked for next and what has come. Pure.
+"""Fetches a snapshot chunk by chunk: what to request next and what has arrived. Pure.
 
 Rules:
 
 - A request names an offset; the node sends the window of `SNAPSHOT_WINDOW_CHUNKS` chunks from there. The next
-  window is asked for when this one is here, so that no more than a window is under way or held out of order.
-- Chunks come in any order, doubled or not at all. One that lies outside the window or names another length
-  is dropped. What is missing is asked for again from the first missing byte.
-- All chunks are of one version. Their bytes are the same at every node: a fetch goes on at another one.
-- Memory: the bytes that have come in order, and at most a window out of order. A snapshot longer than
+  window is requested when this one is complete, so that at most one window is in flight or out of order.
+- Chunks arrive in any order, duplicated or not at all. One outside the window, or that names another length,
+  is dropped. A repeated request begins at the first missing byte.
+- All chunks are of one version. Their bytes are the same at every node, so another node can continue a fetch.
+- Memory: the bytes that arrived in order, and at most a window out of order. A snapshot longer than
   `SNAPSHOT_BYTES_LIMIT` isn't fetched.
-- The whole is believed only if it decodes, its version is the one asked for and its content has its digest.
+- The snapshot is accepted only if it decodes, has the requested version and its content has its digest.
 """
 
 from message_sender.control.document import Document, SnapshotError, decode_snapshot
@@ -20,9 +20,10 @@
 
 
 class SnapshotFetch:
-    """One snapshot under way. `digest`: what the document at `version` must have, as far as known."""
+    """One snapshot that is being fetched."""
 
     def __init__(self, version: int, digest: int | None = None) -> None:
+        """Begins a fetch of the document at `version`, which must have `digest` unless that is None."""
         self.version = version
         self.digest = digest
         self.total: int | None = None
@@ -31,12 +32,12 @@
         self._window_end = SNAPSHOT_WINDOW_CHUNKS * CHUNK_BYTES
 
     def request(self) -> SnapshotRequest:
-        """Asks for a window from the first missing byte on."""
+        """Returns the request of the window that begins with the first missing byte."""
         self._window_end = len(self._data) + SNAPSHOT_WINDOW_CHUNKS * CHUNK_BYTES
         return SnapshotRequest(self.version, len(self._data))
 
     def add(self, chunk: SnapshotChunk) -> bool:
-        """Takes a chunk of this version; false where it brings nothing."""
+        """Adds a chunk of this version; returns whether it was of use."""
         if not self._is_acceptable(chunk):
             return False
         self.total = chunk.total
@@ -47,21 +48,25 @@
 
     @property
     def is_complete(self) -> bool:
-        """Whether every byte is here."""
+        """Whether every byte has arrived."""
         return self.total is not None and len(self._data) == self.total
 
     @property
     def is_window_complete(self) -> bool:
-        """Whether the next window is to be asked for."""
+        """Whether the next window is to be requested."""
         return len(self._data) >= self._window_end
 
     @property
     def buffered_bytes(self) -> int:
-        """Bytes in memory."""
+        """The bytes in memory."""
         return len(self._data) + sum(map(len, self._out_of_order.values()))
 
     def document(self) -> Document:
-        """The whole. Raises SnapshotError where it isn't the document at this version."""
+        """Returns the complete document.
+
+        Raises:
+            SnapshotError: If it is not valid, or not the document at this version.
+        """
         document = decode_snapshot(bytes(self._data))
         if document.version != self.version:
             raise SnapshotError(f"version {document.version} in a snapshot of version {self.version}")
@@ -81,12 +86,12 @@
         return is_new and chunk.offset < self._window_end
 
 
-def compute_delta(present: Document, wanted: Document) -> Delta:
-    """The delta that leads from one document to the other."""
+def compute_delta(present: Document, target: Document) -> Delta:
+    """Returns the delta that leads from one document to the other."""
     put = tuple(
         Resource(name, value)
-        for name, value in sorted(wanted.resources.items())
+        for name, value in sorted(target.resources.items())
         if present.resources.get(name) != value
     )
-    delete = tuple(name for name in sorted(present.resources) if name not in wanted.resources)
-    return Delta(present.version, wanted.version, put, delete, wanted.digest)
+    delete = tuple(name for name in sorted(present.resources) if name not in target.resources)
+    return Delta(present.version, target.version, put, delete, target.digest)
--- a/message_sender/control/log_file.py
+++ b/message_sender/control/log_file.py
@@ -1,17 +1,17 @@
-"""The replicated log and the hard state of a control node in one file that only grows.
+"""The replicated log and the hard state of a control node in one append-only file.
 
 Rules:
 
-- The file begins with `MAGIC`, written when the folder is initialised. Behind it stand frames: the length and
-  the CRC-32C of the content, the CRC-32C of these two, then the content, a `LogBatch` in msgpack.
-- A batch is what the replica wants durable at once: entries to remove, entries to append, the hard state. It
-  counts whole or not at all, so that one write that a power loss tears is one frame.
-- What a write or sync that failed may have left is cut off before the next one: nothing stands behind it.
-- A frame that ends the file and is cut short, or has a sector of zeros that never reached the disk, is a torn
-  write: it was not confirmed, and is dropped. Anything else that does not check is damage, named by its
-  offset, and nothing from there on is believed. (The loss of whole frames at the end of a file can't be told
-  from writes that were never made; the epochs of channel.py are what notices an old disk.)
-- A damaged file is kept under another name; the frames before the damage go on in a new one.
+- The file begins with `MAGIC`, written when the folder is initialised. Frames follow: the length and the
+  CRC-32C of the content, the CRC-32C of these two, then the content, a `LogBatch` in msgpack.
+- A batch is what the replica needs durable at once: entries to remove, entries to append, the hard state. It
+  is applied completely or not at all, so that one write that a power loss tears is one frame.
+- What a failed write or sync may have left is truncated before the next one, so that no frame follows it.
+- A frame at the end of the file that is cut short, or has a sector of zeros that never reached the disk, is a
+  torn write: it was not confirmed, and is dropped. Any other invalid frame is damage, reported by its offset,
+  and everything from there on is discarded. (The loss of complete frames at the end of a file cannot be
+  distinguished from writes that were never made; the epochs of channel.py detect an old disk.)
+- A damaged file is kept under another name; the frames before the damage are copied to a new one.
 """
 
 import struct
@@ -30,13 +30,14 @@
 DAMAGED_SUFFIX = ".damaged"
 MAGIC = b"ELCLOG1\n"
 FRAME_HEADER = struct.Struct(">III")  # length, CRC of the content, CRC of these two
+CHECKED_HEADER_BYTES = 8  # of the header, before its own CRC
 FRAME_BYTES_LIMIT = 256 * 1024 * 1024
 SECTOR_BYTES = 512
-EMPTY_SECTOR_BYTES_MIN = 16  # bytes of a sector that must be zeros for it to count as never written
+EMPTY_SECTOR_BYTES_MIN = 16  # fewer zeros do not show that a sector was never written
 
 
 class LogBatch(msgspec.Struct, array_like=True, frozen=True):
-    """What becomes durable at once. Entries from `truncate_from` on are removed first; 0: none are."""
+    """What becomes durable at once; entries from `truncate_from` on are removed first, unless it is 0."""
 
     truncate_from: Count
     entries: tuple[LogEntry, ...]
@@ -47,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogDamage:
-    """Where a log ceases to be believed, in bytes from its beginning, and why."""
+    """The offset of the first damaged frame, in bytes from the beginning, and the reason."""
 
     offset: int
     reason: str
@@ -55,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadedLog:
-    """What a log holds. `torn_bytes`: of a write at the end that was never whole."""
+    """The content of a log file; `torn_bytes` is the length of a torn write at its end."""
 
     hard_state: HardState
     entries: tuple[LogEntry, ...]
@@ -66,28 +67,39 @@
 def make_batch(
     hard_state: HardState | None, truncate_from: int | None, entries: Sequence[LogEntry]
 ) -> LogBatch:
-    """The batch of a `Ready`."""
+    """Returns the batch that stores these parts of a `Ready`."""
     if hard_state is None:
         return LogBatch(truncate_from or 0, tuple(entries))
     return LogBatch(truncate_from or 0, tuple(entries), hard_state.term, hard_state.voted_for, True)
 
 
 def encode_frame(batch: LogBatch) -> bytes:
+    """Returns the frame of a batch."""
     content = msgspec.msgpack.encode(batch)
     head = struct.pack(">II", len(content), google_crc32c.value(content))
     return head + struct.pack(">I", google_crc32c.value(head)) + content
 
 
 class FrameError(ValueError):
-    """Bytes that are no whole frame; the text says why."""
+    """Bytes that are not a valid frame; the text gives the reason."""
 
 
 def decode_frame(data: bytes, offset: int) -> tuple[LogBatch, int]:
-    """The frame at `offset` and where the next one begins. Raises FrameError."""
+    """Decodes the frame at `offset`.
+
+    Returns:
+        The batch, and the offset of the next frame.
+
+    Raises:
+        FrameError: If there is no valid frame.
+    """
     if len(data) - offset < FRAME_HEADER.size:
         raise FrameError("the header is cut short")
     length, content_crc, header_crc = FRAME_HEADER.unpack_from(data, offset)
-    if google_crc32c.value(data[offset : offset + 8]) != header_crc or length > FRAME_BYTES_LIMIT:
+    if (
+        google_crc32c.value(data[offset : offset + CHECKED_HEADER_BYTES]) != header_crc
+        or length > FRAME_BYTES_LIMIT
+    ):
         raise FrameError("the header does not fit its checksum")
     begin = offset + FRAME_HEADER.size
     content = data[begin : begin + length]
@@ -102,8 +114,10 @@
 
 
 def is_torn(data: bytes, offset: int) -> bool:
-    """Whether the bytes from `offset` to the end are a write that a power loss tore: no whole frame stands
-    behind them, and they are cut short or have a sector of zeros."""
+    """Returns whether the bytes from `offset` to the end are a write that a power loss tore.
+
+    They are if no valid frame follows, and they are cut short or have a sector of zeros.
+    """
     for later in range(offset + 1, len(data) - FRAME_HEADER.size + 1):
         try:
             decode_frame(data, later)
@@ -117,29 +131,33 @@
     if len(data) - offset < FRAME_HEADER.size:
         return True
     length, _, header_crc = FRAME_HEADER.unpack_from(data, offset)
-    is_header_whole = bool(google_crc32c.value(data[offset : offset + 8]) == header_crc)
-    return is_header_whole and len(data) - offset - FRAME_HEADER.size < length
+    is_header_valid = bool(google_crc32c.value(data[offset : offset + CHECKED_HEADER_BYTES]) == header_crc)
+    return is_header_valid and len(data) - offset - FRAME_HEADER.size < length
 
 
 def _has_empty_sector(data: bytes, offset: int) -> bool:
-    at = offset
-    while at < len(data):
-        end = min((at // SECTOR_BYTES + 1) * SECTOR_BYTES, len(data))
-        if end - at >= EMPTY_SECTOR_BYTES_MIN and not any(data[at:end]):
+    start = offset
+    while start < len(data):
+        end = min((start // SECTOR_BYTES + 1) * SECTOR_BYTES, len(data))
+        if end - start >= EMPTY_SECTOR_BYTES_MIN and not any(data[start:end]):
             return True
-        at = end
+        start = end
     return False
 
 
 @dataclass(slots=True)
 class LogContent:
-    """Entries and hard state as batches make them."""
+    """The entries and the hard state that result from batches."""
 
     hard_state: HardState
     entries: list[LogEntry]
 
     def apply(self, batch: LogBatch) -> None:
-        """Raises FrameError for entries that leave a gap; nothing is changed then."""
+        """Applies a batch.
+
+        Raises:
+            FrameError: If its entries leave a gap. Nothing was changed.
+        """
         last = len(self.entries)
         if batch.truncate_from:
             last = min(last, batch.truncate_from - 1)
@@ -153,10 +171,13 @@
 
 
 class LogFile:
-    """The log's file; `load` comes first, then batches by `store`."""
+    """The log's file; `load` is called first, then `store` for each batch."""
 
     def __init__(self, folder: Path, disk: Disk) -> None:
-        self.folder, self.path, self.disk = folder, folder / LOG_FILE, disk
+        """Creates an accessor; the file need not exist."""
+        self.folder = folder
+        self.path = folder / LOG_FILE
+        self.disk = disk
         self._file: int | None = None
         self._durable_size = 0
         self._may_have_partial_write = (
@@ -164,7 +185,11 @@
         )
 
     def create(self) -> None:
-        """Makes an empty log, durable. Raises OSError."""
+        """Creates an empty log durably.
+
+        Raises:
+            OSError: If it cannot be written.
+        """
         file = self.disk.open(self.path, fresh=True)
         try:
             self.disk.write(file, MAGIC)
@@ -174,7 +199,11 @@
         self.disk.sync_folder(self.folder)
 
     def load(self) -> LoadedLog:
-        """What the file holds; a whole one is open for `store` then. Raises OSError."""
+        """Reads the file, and opens it for `store` unless it is damaged.
+
+        Raises:
+            OSError: If it cannot be read, or a torn write cannot be truncated.
+        """
         data = self.disk.read(self.path)
         content, end, damage = read_log(data)
         torn = 0 if damage else len(data) - end
@@ -183,11 +212,15 @@
             self._durable_size = end
             if torn:
                 self.disk.truncate(self._file, end)
-            self.disk.sync(self._file)  # what a process that was killed had written, but not synced
+            self.disk.sync(self._file)  # a killed process may have left writes without a sync
         return LoadedLog(content.hard_state, tuple(content.entries), damage, torn)
 
     def store(self, batch: LogBatch) -> None:
-        """Makes a batch durable; may take long. Raises OSError, and the batch may be stored again then."""
+        """Makes a batch durable, which may take long.
+
+        Raises:
+            OSError: If it cannot be written. It may be stored again.
+        """
         assert self._file is not None
         if self._may_have_partial_write:
             self.disk.truncate(self._file, self._durable_size)
@@ -199,32 +232,45 @@
         self._may_have_partial_write = False
 
     def close(self) -> None:
+        """Closes the file if it is open."""
         if self._file is not None:
             self.disk.close(self._file)
             self._file = None
 
     def replace_damaged(self, loaded: LoadedLog) -> None:
-        """Goes on with what stood before the damage in a new file, and keeps the damaged one beside it. The
-        node is to be marked as a learner before, durably: the new file does not show it."""
-        new = self.folder / f"{LOG_FILE}.new"
-        kept = encode_frame(make_batch(loaded.hard_state, None, loaded.entries))
-        file = self.disk.open(new, fresh=True)
-        self.disk.write(file, MAGIC + kept)
+        """Writes the content before the damage to a new file, and keeps the damaged one under another name.
+
+        The node must have been marked as a learner durably: the new file does not show the damage.
+
+        Raises:
+            OSError: If the new file cannot be written.
+        """
+        new_path = self.folder / f"{LOG_FILE}.new"
+        frame = encode_frame(make_batch(loaded.hard_state, None, loaded.entries))
+        file = self.disk.open(new_path, fresh=True)
+        self.disk.write(file, MAGIC + frame)
         self.disk.sync(file)
         self.disk.close(file)
         if self.disk.read(self.path):
             self.disk.replace(self.path, self.folder / (LOG_FILE + DAMAGED_SUFFIX))
-        self.disk.replace(new, self.path)
+        self.disk.replace(new_path, self.path)
         self.disk.sync_folder(self.folder)
         self._file = self.disk.open(self.path)
-        self._durable_size = len(MAGIC) + len(kept)
+        self._durable_size = len(MAGIC) + len(frame)
 
 
 def read_log(data: bytes) -> tuple[LogContent, int, LogDamage | None]:
-    """What a log's bytes hold, where the whole frames end, and the damage there unless it is a torn write."""
+    """Reads a log from its bytes.
+
+    Returns:
+        The content of the valid frames, the offset at which they end, and the damage there, or None if the
+        rest is empty or a torn write.
+    """
     content = LogContent(HardState(), [])
+    if not data:
+        return content, 0, LogDamage(0, "there is no log")
     if not data.startswith(MAGIC):
-        return content, 0, LogDamage(0, "there is no log" if not data else "it does not begin as a log does")
+        return content, 0, LogDamage(0, "it does not begin as a log does")
     offset = len(MAGIC)
     while offset < len(data):
         try:
--- a/message_sender/control/messages.py
+++ b/message_sender/control/messages.py
@@ -1,8 +1,11 @@
-"""Messages of the control plane: one envelope a datagram, msgpack by msgspec, which checks every field.
+"""Messages of the control plane: one envelope per datagram, in msgpack, with every field checked.
 
-`Envelope` identifies who speaks: `epoch` counts the starts of that name and stands on its disk, `session` is
-drawn at random at each start, `to_session` is the receiver's session as far as known (0: unknown), `number`
-counts the datagrams of this session from 1 and serves to drop duplicates.
+`Envelope` identifies the sender: `epoch` counts the starts of that name and is stored on its disk, `session`
+is drawn at random at each start, `to_session` is the receiver's session as far as known (0: unknown),
+`number` counts the datagrams of this session from 1 and serves to drop duplicates.
+
+All structures are encoded as arrays: the order and the types of their fields, and the tags, are the wire
+format.
 """
 
 from enum import IntEnum
@@ -11,12 +14,12 @@
 import msgspec
 
 Count = Annotated[int, msgspec.Meta(ge=0, le=2**62)]
-Digest = Annotated[int, msgspec.Meta(ge=0)]  # 64 bits: more do not fit into msgpack
+Digest = Annotated[int, msgspec.Meta(ge=0)]  # 64 bits, the largest integer of msgpack
 Address = tuple[str, int]
 
-CHANGE_BYTES_LIMIT = 32 * 1024  # encoded bytes of one change
-REASON_LENGTH_LIMIT = 400  # characters of a reason for a refusal
-CHUNK_BYTES = 1_000  # bytes of a snapshot chunk
+CHANGE_BYTES_LIMIT = 32 * 1024  # of one encoded change
+REASON_LENGTH_LIMIT = 400  # characters of the reason for a refused version
+CHUNK_BYTES = 1_000  # of a snapshot
 NAME_LENGTH_LIMIT = 64  # characters of the name of a node, a sender or a request
 
 
@@ -28,7 +31,7 @@
 
 
 class Change(msgspec.Struct, array_like=True, frozen=True):
-    """A change against the version `base_version`; asked for again, it has the same `request_id`."""
+    """A change against the version `base_version`; a retry has the same `request_id`."""
 
     request_id: str
     base_version: Count
@@ -38,16 +41,16 @@
 
 
 class Outcome(IntEnum):
-    """What became of a change."""
+    """The outcome of a change."""
 
     APPLIED = 0
-    CONFLICT = 1  # another version is in force than the one it was made against
+    CONFLICT = 1  # the present version is not the base version
     INVALID = 2  # the configuration would have faults; nothing was written
-    UNAVAILABLE = 3  # no leader with a majority; whether it was made is known once it is asked for again
+    UNAVAILABLE = 3  # no leader with a majority; a retry finds out whether the change was made
 
 
 class ChangeResult(msgspec.Struct, array_like=True, frozen=True):
-    """The answer to a change: the version it made, or the present one."""
+    """The answer to a change; `version` is the one that it made, or the present one."""
 
     request_id: str
     outcome: Outcome
@@ -59,7 +62,7 @@
 
 
 class Poll(msgspec.Struct, array_like=True, frozen=True, tag=1):
-    """A sender's heartbeat and acknowledgement: the version in force there, the newest it refused."""
+    """A sender's heartbeat and acknowledgement: the version in force, and the newest version it refused."""
 
     version: Count
     digest: Digest
@@ -68,11 +71,15 @@
 
 
 class VersionNotice(msgspec.Struct, array_like=True, frozen=True, tag=2):
-    """A node's answer to a poll: the newest version it may give out.
-
-    `needs_snapshot`: the sender's version is older than the history or its digest differs, and it is to
-    fetch a snapshot. `age_ms`: since the node last knew a leader with a majority.
-    `retry_after_ms` above 0: the node is busy.
+    """A node's answer to a poll.
+
+    Attributes:
+        version: The newest version of the node.
+        digest: The digest of its document.
+        needs_snapshot: Whether the sender is to fetch a snapshot, because its version is older than the
+            history or its digest differs.
+        age_ms: The time since the node last knew a leader with a majority.
+        retry_after_ms: If above 0 the node is busy, and is to be polled again after this time.
     """
 
     version: Count
@@ -93,7 +100,7 @@
 
 
 class SnapshotRequest(msgspec.Struct, array_like=True, frozen=True, tag=4):
-    """Asks for chunks of the document at `version` from byte `offset` on; the node sends a window of them."""
+    """Requests a window of chunks of the document at `version` from byte `offset` on."""
 
     version: Count
     offset: Count
@@ -109,7 +116,7 @@
 
 
 class Hello(msgspec.Struct, array_like=True, frozen=True, tag=6):
-    """Tells the sender's session. `known_epoch`: the highest epoch heard of the receiver's name."""
+    """Announces the sender's session; `known_epoch` is the highest known epoch of the receiver's name."""
 
     known_epoch: Count = 0
     is_answer: bool = False
@@ -128,7 +135,7 @@
 
 
 class LogEntry(msgspec.Struct, array_like=True, frozen=True):
-    """An entry of the replicated log; an empty `data` is the entry with which a leader begins its term."""
+    """An entry of the replicated log; `data` is empty in the entry with which a leader begins its term."""
 
     index: Count
     term: Count
@@ -136,7 +143,7 @@
 
 
 class VoteRequest(msgspec.Struct, array_like=True, frozen=True, tag=20):
-    """A candidate asks for a vote; with `is_pre_vote` only whether it would get one."""
+    """A candidate's request for a vote; with `is_pre_vote` it only asks whether it would get one."""
 
     term: Count
     last_index: Count
@@ -145,13 +152,15 @@
 
 
 class VoteReply(msgspec.Struct, array_like=True, frozen=True, tag=21):
+    """The answer to a VoteRequest."""
+
     term: Count
     is_granted: bool
     is_pre_vote: bool
 
 
 class AppendRequest(msgspec.Struct, array_like=True, frozen=True, tag=22):
-    """A leader's entries behind (`previous_index`, `previous_term`); a heartbeat without any."""
+    """A leader's entries after (`previous_index`, `previous_term`); without entries it is a heartbeat."""
 
     term: Count
     previous_index: Count
@@ -162,10 +171,15 @@
 
 
 class AppendReply(msgspec.Struct, array_like=True, frozen=True, tag=23):
-    """`match_index`: durable and equal to the leader's log up to there, or else where to try next.
-
-    `is_voter` is false for a node whose disk was lost or is old: it copies the log and counts for no
-    majority.
+    """The answer to an AppendRequest.
+
+    Attributes:
+        term: The term of the answering node.
+        is_match: Whether the entries were accepted.
+        match_index: The index up to which the log is durable and equal to the leader's; if the entries were
+            not accepted, the index to try next.
+        round: The round of the request.
+        is_voter: False for a learner, whose disk was lost or is old and which counts for no majority.
     """
 
     term: Count
@@ -176,7 +190,7 @@
 
 
 class TimeoutNow(msgspec.Struct, array_like=True, frozen=True, tag=24):
-    """A leader that is to end asks the receiver to stand for election at once."""
+    """A leader that is shutting down asks the receiver to stand for election at once."""
 
     term: Count
 
@@ -185,19 +199,25 @@
 
 
 class ForwardedChange(msgspec.Struct, array_like=True, frozen=True, tag=30):
+    """A change that a node forwards to the leader."""
+
     change: Change
 
 
 class ForwardedResult(msgspec.Struct, array_like=True, frozen=True, tag=31):
+    """The result of a forwarded change."""
+
     result: ChangeResult
 
 
 class StatusRequest(msgspec.Struct, array_like=True, frozen=True, tag=32):
+    """Requests a NodeStatus with the same number."""
+
     number: Count
 
 
 class WatcherStatus(msgspec.Struct, array_like=True, frozen=True):
-    """A sender as a control node knows it."""
+    """A sender that watches, as a control node knows it."""
 
     name: str
     version: Count
@@ -218,7 +238,7 @@
     commit_index: Count
     age_ms: Count
     watchers: tuple[WatcherStatus, ...]
-    fault: str = ""  # a disk that takes no writes, or why the node is a learner
+    fault: str = ""  # a disk that cannot be written, or why the node is a learner
 
 
 RaftMessage = VoteRequest | VoteReply | AppendRequest | AppendReply | TimeoutNow
--- a/message_sender/control/schema.py
+++ b/message_sender/control/schema.py
@@ -1,15 +1,15 @@
-"""What a configuration may hold: resources from TOML, every fault at once, what a sender makes of them. Pure.
+"""The schema of a configuration: resources from TOML, their validation, their meaning for a sender. Pure.
 
 Rules:
 
 - A resource's name is its kind, a slash and its own name: `endpoints/hub-1`, `budgets/rate`. Other kinds are
   faults.
-- Its value is a table as in a sender's own file, without the field that its name already tells (`id` of an
+- Its value is a table as in a sender's own file, without the field that its name already contains (`id` of an
   endpoint, `name` of a budget), as canonical JSON: defaults left out, keys sorted, no blanks, addresses as
-  text. Two tables that mean the same have the same bytes.
-- A fault names the path to what is wrong: `endpoints/hub-1.dial: must be host:port, not 'here'`.
-- A control node doesn't know how many senders a fleet has: it checks a budget's floor against the whole for
-  one. A sender checks it for its own fleet's size.
+  text. Two tables with the same meaning have the same bytes.
+- Validation reports every fault at once, each with its path: `endpoints/hub-1.dial: must be host:port, ...`.
+- A control node doesn't know how many senders a fleet has: it checks a budget's floor against its total for
+  one sender. A sender checks it for the size of its own fleet.
 """
 
 import json
@@ -30,8 +30,9 @@
 from message_sender.configuration.tables import ConfigError, ConfigFault, Table, check
 from message_sender.discovery.static import Dial, StaticEndpoint
 
-ENDPOINTS, BUDGETS = "endpoints", "budgets"
-VALUE_CACHE_SIZE = 4096  # tables of resources that are kept, least recently used first out
+ENDPOINTS = "endpoints"
+BUDGETS = "budgets"
+VALUE_CACHE_SIZE = 4096  # parsed resources
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,7 +41,7 @@
 
     name: str
     table: type[Table]
-    key: str  # the field of the table that the resource's name tells
+    key: str  # the field of the table that the resource's name contains
 
 
 KINDS = {
@@ -50,32 +51,32 @@
 
 
 class Difference(NamedTuple):
-    """What leads from one set of resources to another."""
+    """The changes from one set of resources to another."""
 
     put: dict[str, bytes]
     delete: tuple[str, ...]
 
 
 class ConfigurationTable(Endpoints):
-    """A file that is put into the control plane; `endpoints` comes from its base."""
+    """A file with resources for the control plane; the field `endpoints` is inherited."""
 
     budgets: tuple[BudgetTable, ...] = ()
 
 
 def encode_value(value: object) -> bytes:
-    """Canonical JSON of any JSON value."""
+    """Returns the canonical JSON of any JSON value."""
     text = json.dumps(value, sort_keys=True, separators=(",", ":"), ensure_ascii=False, allow_nan=False)
     return text.encode()
 
 
 def format_dial(dial: Dial) -> str:
-    """An address as a file has it."""
+    """Returns an address in the form that a file has."""
     host, port = dial
     return f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
 
 
 def encode_resource(kind: Kind, table: Table) -> tuple[str, bytes]:
-    """Name and canonical value."""
+    """Returns the name and the canonical value of a resource."""
     fields = table.model_dump(exclude_defaults=True)
     name = fields.pop(kind.key)
     if "dial" in fields:
@@ -87,27 +88,36 @@
 
 
 def read_toml(source: Path | str) -> dict[str, bytes]:
-    """The resources in a TOML file, or in a text. Raises ConfigError with all faults, and OSError."""
-    where = str(source) if isinstance(source, Path) else "text"
+    """Reads resources from a TOML file or a TOML text.
+
+    Raises:
+        ConfigError: With all faults.
+        OSError: If the file cannot be read.
+    """
+    origin = str(source) if isinstance(source, Path) else "text"
     try:
         text = source.read_text() if isinstance(source, Path) else source
-        told = tomllib.loads(text)
+        fields = tomllib.loads(text)
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
-        raise ConfigError([ConfigFault(where, str(error))]) from None
-    table = check(ConfigurationTable, told)
+        raise ConfigError([ConfigFault(origin, str(error))]) from None
+    table = check(ConfigurationTable, fields)
     faults = [
-        ConfigFault(f"budgets[{each.index}].{each.field}", each.text)
-        for each in budget_faults(table.budgets, 1)
+        ConfigFault(f"budgets[{fault.index}].{fault.field}", fault.text)
+        for fault in budget_faults(table.budgets, 1)
     ]
     if faults:
         raise ConfigError(faults)
-    found = [encode_resource(KINDS[ENDPOINTS], each) for each in table.endpoints]
-    found += [encode_resource(KINDS[BUDGETS], each) for each in table.budgets]
-    return dict(found)
+    resources = [encode_resource(KINDS[ENDPOINTS], endpoint) for endpoint in table.endpoints]
+    resources += [encode_resource(KINDS[BUDGETS], budget) for budget in table.budgets]
+    return dict(resources)
 
 
 def write_toml(resources: Mapping[str, bytes]) -> str:
-    """The file that `read_toml` reads as these. Raises ConfigError for resources that are not in order."""
+    """Returns a TOML text that `read_toml` reads as these resources.
+
+    Raises:
+        ConfigError: If a resource is invalid.
+    """
     blocks = []
     for name in sorted(resources):
         kind, table = parse_resource(name, resources[name])
@@ -118,7 +128,7 @@
 
 
 def format_toml_value(value: object) -> str:
-    """A text, a number or a truth value: JSON's form is TOML's, but for one control character."""
+    """Formats a string, a number or a boolean: JSON equals TOML except for one control character."""
     return json.dumps(value, ensure_ascii=False).replace("\x7f", "\\u007f")
 
 
@@ -127,66 +137,96 @@
 
 @lru_cache(VALUE_CACHE_SIZE)
 def parse_resource(name: str, value: bytes) -> tuple[Kind, Any]:
-    """The kind and the checked table of a resource. Raises ConfigError with paths from its name on."""
+    """Parses a resource.
+
+    Returns:
+        Its kind and its checked table.
+
+    Raises:
+        ConfigError: With all faults; their paths begin with the resource's name.
+    """
     kind_name, _, own_name = name.partition("/")
-    if (kind := KINDS.get(kind_name)) is None:
-        known = ", ".join(f"{each}/NAME" for each in KINDS)
+    kind = KINDS.get(kind_name)
+    if kind is None:
+        known = ", ".join(f"{known_name}/NAME" for known_name in KINDS)
         raise ConfigError([ConfigFault(name, f"must be one of {known}")])
     try:
-        told = json.loads(value)
+        fields = json.loads(value)
     except (ValueError, RecursionError) as error:
         raise ConfigError([ConfigFault(name, f"no JSON: {error}")]) from None
-    if not isinstance(told, dict):
+    if not isinstance(fields, dict):
         raise ConfigError([ConfigFault(name, "must be a table")])
-    if kind.key in told:
+    if kind.key in fields:
         raise ConfigError(
             [ConfigFault(f"{name}.{kind.key}", "is not known here: the resource's name tells it")]
         )
     try:
-        return kind, check(kind.table, {kind.key: own_name, **told})
+        return kind, check(kind.table, {kind.key: own_name, **fields})
     except ConfigError as error:
-        faults = [ConfigFault(name if x.path == "file" else f"{name}.{x.path}", x.text) for x in error.faults]
-        raise ConfigError(faults) from None
+        raise ConfigError([_with_resource_path(name, fault) for fault in error.faults]) from None
+
+
+def _with_resource_path(name: str, fault: ConfigFault) -> ConfigFault:
+    path = name if fault.path == "file" else f"{name}.{fault.path}"
+    return ConfigFault(path, fault.text)
 
 
 def find_faults(
     resources: Mapping[str, bytes], size: int = 1, known: Mapping[str, bytes] | None = None
 ) -> Iterator[ConfigFault]:
-    """Every fault, those of single resources first; `size`: the most senders that share a budget; `known`:
-    resources that are in order by themselves, which are not read again."""
-    known, wrong = known or {}, set[str]()
+    """Yields every fault, those of single resources first.
+
+    Args:
+        resources: The complete configuration.
+        size: The largest number of senders that share a budget.
+        known: Resources that are known to be valid by themselves, which are not parsed again.
+    """
+    known = known or {}
+    invalid: set[str] = set()
     for name in sorted(name for name, value in resources.items() if known.get(name) != value):
         try:
             parse_resource(name, resources[name])
         except ConfigError as error:
-            wrong.add(name)
+            invalid.add(name)
             yield from error.faults
-    good = {name: resources[name] for name in resources if has_kind(name, BUDGETS) and name not in wrong}
-    yield from interpret(good).faults(size)
+    valid_budgets = {
+        name: value for name, value in resources.items() if has_kind(name, BUDGETS) and name not in invalid
+    }
+    yield from interpret(valid_budgets).faults(size)
 
 
 def validate(resources: Mapping[str, bytes], size: int = 1) -> tuple[str, ...]:
-    """All faults of a whole configuration as texts with their paths; none where it is in order."""
-    return tuple(str(each) for each in find_faults(resources, size))
+    """Returns all faults of a complete configuration as texts with their paths."""
+    return tuple(str(fault) for fault in find_faults(resources, size))
 
 
 class Validator:
-    """Checks whole configurations one after another, as `validate` does. What was in order the last time is
-    not read again: a leader checks each change, and its heartbeats wait meanwhile."""
+    """Validates complete configurations one after another, as `validate` does.
+
+    Resources that were valid the last time are not parsed again: a leader validates each change, and its
+    heartbeats wait meanwhile.
+    """
 
     def __init__(self) -> None:
-        self._in_order: Mapping[str, bytes] = {}
+        """Creates a validator that knows no resources."""
+        self._valid_resources: Mapping[str, bytes] = {}
 
     def __call__(self, resources: Mapping[str, bytes]) -> tuple[str, ...]:
-        faults = tuple(str(each) for each in find_faults(resources, known=self._in_order))
+        """Returns all faults as texts with their paths."""
+        faults = tuple(str(fault) for fault in find_faults(resources, known=self._valid_resources))
         if not faults:
-            self._in_order = dict(resources)
+            self._valid_resources = dict(resources)
         return faults
 
 
 def read_values(values: Mapping[str, object]) -> dict[str, bytes]:
-    """Resources from JSON values, in canonical form. Raises ConfigError with all faults."""
-    found, faults = dict[str, bytes](), list[ConfigFault]()
+    """Returns resources in canonical form from JSON values.
+
+    Raises:
+        ConfigError: With all faults.
+    """
+    resources: dict[str, bytes] = {}
+    faults: list[ConfigFault] = []
     for name, value in values.items():
         try:
             kind, table = parse_resource(name, encode_value(value))
@@ -195,11 +235,11 @@
         except ValueError as error:
             faults.append(ConfigFault(name, str(error)))
         else:
-            own_name, encoded = encode_resource(kind, table)
-            found[own_name] = encoded
+            canonical_name, encoded = encode_resource(kind, table)
+            resources[canonical_name] = encoded
     if faults:
         raise ConfigError(faults)
-    return found
+    return resources
 
 
 # What a sender uses.
@@ -207,8 +247,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Interpretation:
-    """The resources of a document as a sender uses them. A change costs what it touches, and a copy of the
-    tables of names."""
+    """The resources of a document as a sender uses them.
+
+    A change costs as much as the resources it concerns, and a copy of the tables of names.
+    """
 
     endpoints_by_name: dict[str, StaticEndpoint]
     budgets_by_name: dict[str, BudgetTable]
@@ -240,43 +282,55 @@
         return Interpretation(endpoints_by_name, budgets_by_name)
 
     def faults(self, size: int) -> list[ConfigFault]:
-        """Those of budgets held against one another, and against a fleet of `size` senders."""
+        """Returns the faults of budgets that contradict each other or a fleet of `size` senders."""
         tables = [self.budgets_by_name[name] for name in sorted(self.budgets_by_name)]
         return [
-            ConfigFault(f"{BUDGETS}/{tables[each.index].name}.{each.field}", each.text)
-            for each in budget_faults(tables, size)
+            ConfigFault(f"{BUDGETS}/{tables[fault.index].name}.{fault.field}", fault.text)
+            for fault in budget_faults(tables, size)
         ]
 
     def endpoints(self) -> tuple[StaticEndpoint, ...]:
-        """In the order of their names."""
+        """Returns the endpoints in the order of their names."""
         return tuple(self.endpoints_by_name[name] for name in sorted(self.endpoints_by_name))
 
     def shared_budgets(self) -> tuple[SharedBudget, ...]:
-        """In the order of their names."""
+        """Returns the shared budgets in the order of their names."""
         return tuple(self.budgets_by_name[name].told() for name in sorted(self.budgets_by_name))
 
 
 def interpret(resources: Mapping[str, bytes]) -> Interpretation:
-    """Raises ConfigError with all faults of single resources."""
+    """Interprets all resources of a document.
+
+    Raises:
+        ConfigError: With all faults of single resources.
+    """
     return Interpretation({}, {}).with_changes(resources, ())
 
 
 def read_endpoints(resources: Mapping[str, bytes]) -> tuple[StaticEndpoint, ...]:
-    """The endpoints, in the order of their names. Raises ConfigError."""
+    """Returns the endpoints in the order of their names.
+
+    Raises:
+        ConfigError: With all faults of single resources.
+    """
     return interpret(resources).endpoints()
 
 
 def read_budgets(resources: Mapping[str, bytes]) -> tuple[SharedBudget, ...]:
-    """The shared budgets, in the order of their names. Raises ConfigError."""
+    """Returns the shared budgets in the order of their names.
+
+    Raises:
+        ConfigError: With all faults of single resources.
+    """
     return interpret(resources).shared_budgets()
 
 
 def has_kind(name: str, kind_name: str) -> bool:
-    """Whether a resource's name is of that kind."""
+    """Returns whether a resource's name is of that kind."""
     return name.startswith(f"{kind_name}/")
 
 
 def compare_resources(old: Mapping[str, bytes], new: Mapping[str, bytes]) -> Difference:
-    """What leads from the old resources to the new ones."""
+    """Returns the changes from the old resources to the new ones."""
     put = {name: value for name, value in new.items() if old.get(name) != value}
     return Difference(put, tuple(sorted(old.keys() - new.keys())))
--- a/message_sender/control/store.py
+++ b/message_sender/control/store.py
@@ -1,15 +1,15 @@
-"""The configuration as the committed entries of the replicated log make it, the same on every node. Pure.
+"""The configuration that results from the committed entries of the log, equal on every node. Pure.
 
 Rules:
 
-- Entries are applied in the order of the log, each once. What an entry does depends on the log before it
-  alone: no clock, no chance, nothing that a node knows for itself.
+- Entries are applied in the order of the log, each once. The effect of an entry depends on the earlier log
+  alone: no clock, no randomness, no state of a single node.
 - Compare-and-set: a change that was made against another version than the present one writes nothing.
-- A request id that was seen before is answered as it was then. So many ids are remembered, the oldest is
-  forgotten first. A change whose id is forgotten isn't made twice either: its base version is old by then.
-- The history holds the names that each version touched, no values: what a sender lacks are the present values
-  of all names touched since its version. It is bounded by versions and by bytes; a sender from before it
-  needs a snapshot.
+- A known request id gets the same answer again. The number of remembered ids is bounded, the oldest is
+  dropped first. A change whose id was dropped isn't made twice either: its base version is old by then.
+- The history has the names that each version changed, without values: a sender needs the present values
+  of all names that changed since its version. It is bounded by versions and by bytes; a sender with an older
+  version needs a snapshot.
 """
 
 from collections import OrderedDict, deque
@@ -29,22 +29,25 @@
     Resource,
 )
 
-HISTORY_VERSIONS_LIMIT = 2_000  # versions: two days at 980 changes a day
-HISTORY_BYTES_LIMIT = 4 * 1024 * 1024  # bytes of names in the history
-RESULTS_LIMIT = 10_000  # request ids that are remembered
-DELTA_BYTES_LIMIT = CHANGE_BYTES_LIMIT + 8 * 1024  # bytes of a delta; any single change fits
-DELTA_CACHE_LIMIT = 64  # deltas to the present version that are kept for the next sender
-RESOURCE_OVERHEAD_BYTES = 10  # bytes that msgpack adds to a resource, at the most
-NAME_OVERHEAD_BYTES = 100  # bytes in memory that a name in the history takes besides its text
+HISTORY_VERSIONS_LIMIT = 2_000  # two days at 980 changes a day
+HISTORY_BYTES_LIMIT = 4 * 1024 * 1024  # of names in the history
+RESULTS_LIMIT = 10_000  # remembered request ids
+DELTA_BYTES_LIMIT = CHANGE_BYTES_LIMIT + 8 * 1024  # any single change fits
+DELTA_CACHE_LIMIT = 64  # cached deltas to the present version
+RESOURCE_OVERHEAD_BYTES = 10  # that msgpack adds to a resource, at most
+NAME_OVERHEAD_BYTES = 100  # in memory, for a name in the history, besides its text
 
 
 class ChangeFormatError(ValueError):
-    """Bytes that are no change; the text says why."""
+    """Bytes that are not a valid change; the text gives the reason."""
 
 
 def encode_change(change: Change) -> bytes:
-    """The data of a log entry. Raises ChangeFormatError where it would be too large, or holds a text or a
-    number that has no form on the wire."""
+    """Returns the data of a log entry.
+
+    Raises:
+        ChangeFormatError: If it would be too large, or a text or a number cannot be encoded.
+    """
     try:
         data = msgspec.msgpack.encode(change)
     except (UnicodeEncodeError, OverflowError) as error:
@@ -55,7 +58,11 @@
 
 
 def decode_change(data: bytes) -> Change:
-    """Raises ChangeFormatError."""
+    """Decodes the data of a log entry.
+
+    Raises:
+        ChangeFormatError: If it is not a valid change.
+    """
     if len(data) > CHANGE_BYTES_LIMIT:
         raise ChangeFormatError(f"a change of {len(data)} bytes; {CHANGE_BYTES_LIMIT} at the most")
     try:
@@ -69,7 +76,13 @@
 
 @dataclass(frozen=True, slots=True)
 class HistoryStep:
-    """What one version touched: each name, and whether it was there at the version before."""
+    """The change from one version to the next.
+
+    Attributes:
+        from_version: The version before.
+        existed_before: Each changed name, and whether it existed in the version before.
+        size: About the bytes in memory.
+    """
 
     from_version: int
     existed_before: dict[str, bool]
@@ -77,7 +90,7 @@
 
 
 class ConfigurationStore:
-    """The present document, the answers to the latest requests and the history of versions."""
+    """The present document, the results of the latest requests and the history of versions."""
 
     def __init__(
         self,
@@ -86,6 +99,7 @@
         results_limit: int = RESULTS_LIMIT,
         delta_bytes_limit: int = DELTA_BYTES_LIMIT,
     ) -> None:
+        """Creates a store at version 0."""
         self.document = Document()
         self.applied_index = 0
         self.history_limit = history_limit
@@ -98,7 +112,11 @@
         self._deltas: dict[int, Delta | None] = {}
 
     def apply(self, entry: LogEntry) -> ChangeResult | None:
-        """Applies the next committed entry; None for an entry that holds no change or was applied before."""
+        """Applies the next committed entry.
+
+        Returns:
+            The result, or None for an entry that has no change or was applied before.
+        """
         if entry.index <= self.applied_index:
             return None
         self.applied_index = entry.index
@@ -116,14 +134,14 @@
         return result
 
     def known_result(self, request_id: str) -> ChangeResult | None:
-        """The answer to a request that was applied, while it is remembered."""
+        """Returns the result of a request that was applied, or None if it is unknown or was dropped."""
         return self._results.get(request_id)
 
     def delta_from(self, version: int) -> Delta | None:
-        """All that changed since `version`; None where a snapshot is needed.
+        """Returns all that changed since `version`, or None if a snapshot is needed.
 
-        That is: the version is older than the history or not among the versions made, or the delta would
-        be larger than a delta may be. From the present version there is none either.
+        A snapshot is needed if the version is older than the history or was never made, or if the delta would
+        be too large. For the present version the result is None too.
         """
         if version not in self._deltas:
             if len(self._deltas) >= DELTA_CACHE_LIMIT:
@@ -133,12 +151,12 @@
 
     @property
     def oldest_version(self) -> int:
-        """The oldest version from which the history leads on."""
+        """The oldest version from which there is a history."""
         return self._history[0].from_version if self._history else self.document.version
 
     @property
     def history_bytes(self) -> int:
-        """Bytes that the history takes, about."""
+        """About the bytes in memory of the history."""
         return self._history_bytes
 
     def _apply_change(self, change: Change) -> ChangeResult:
@@ -156,10 +174,10 @@
         return ChangeResult(change.request_id, Outcome.APPLIED, version + 1)
 
     def _make_history_step(self, change: Change) -> HistoryStep:
-        was_there = {resource.name: resource.name in self.document.resources for resource in change.put}
-        was_there |= dict.fromkeys(change.delete, True)
-        size = sum(len(name) + NAME_OVERHEAD_BYTES for name in was_there)
-        return HistoryStep(self.document.version, was_there, size)
+        existed_before = {resource.name: resource.name in self.document.resources for resource in change.put}
+        existed_before |= dict.fromkeys(change.delete, True)
+        size = sum(len(name) + NAME_OVERHEAD_BYTES for name in existed_before)
+        return HistoryStep(self.document.version, existed_before, size)
 
     def _add_step(self, step: HistoryStep) -> None:
         self._history.append(step)
@@ -176,17 +194,21 @@
         present = self.document
         if not self.oldest_version <= version < present.version:
             return None
-        was_there: dict[str, bool] = {}
+        existed_before: dict[str, bool] = {}
         for number in range(version - self.oldest_version, len(self._history)):
-            for name, was in self._history[number].existed_before.items():
-                was_there.setdefault(name, was)
+            for name, existed in self._history[number].existed_before.items():
+                existed_before.setdefault(name, existed)
         put = tuple(
-            Resource(name, present.resources[name]) for name in sorted(was_there) if name in present.resources
+            Resource(name, present.resources[name])
+            for name in sorted(existed_before)
+            if name in present.resources
         )
         delete = tuple(
-            name for name, was in sorted(was_there.items()) if was and name not in present.resources
+            name
+            for name, existed in sorted(existed_before.items())
+            if existed and name not in present.resources
         )
-        size = sum(len(each.name) + len(each.value) + RESOURCE_OVERHEAD_BYTES for each in put)
+        size = sum(len(resource.name) + len(resource.value) + RESOURCE_OVERHEAD_BYTES for resource in put)
         size += sum(len(name) + RESOURCE_OVERHEAD_BYTES for name in delete)
         if size > self.delta_bytes_limit:
             return None
--- a/tests/test_control_link.py
+++ b/tests/test_control_link.py
@@ -283,6 +283,7 @@
             with patch.object(control_link, "write_epoch", slow_write):
                 for epoch in (7, 9):
                     channel.epoch = epoch
+                    assert channel.on_behind is not None
                     channel.on_behind(epoch)
                 await node.acknowledged(node.change(hub(1)))
                 assert not kept, "a version came into force while the disk was busy"
