--- a/message_sender/control/store.py
+++ b/message_sender/control/store.py
@@ -198,15 +198,12 @@
         for number in range(version - self.oldest_version, len(self._history)):
             for name, existed in self._history[number].existed_before.items():
                 existed_before.setdefault(name, existed)
+        changed_names = sorted(existed_before)
         put = tuple(
-            Resource(name, present.resources[name])
-            for name in sorted(existed_before)
-            if name in present.resources
+            Resource(name, present.resources[name]) for name in changed_names if name in present.resources
         )
         delete = tuple(
-            name
-            for name, existed in sorted(existed_before.items())
-            if existed and name not in present.resources
+            name for name in changed_names if existed_before[name] and name not in present.resources
         )
         size = sum(len(resource.name) + len(resource.value) + RESOURCE_OVERHEAD_BYTES for resource in put)
         size += sum(len(name) + RESOURCE_OVERHEAD_BYTES for name in delete)
