--- a/message_sender/service/control_link.py
+++ b/message_sender/service/control_link.py
@@ -11,16 +11,18 @@
 import secrets
 from collections.abc import Callable
 from pathlib import Path
-from typing import Any, cast
+from typing import Any
 
 from message_sender.configuration.general import ControlPlane, SenderConfig
 from message_sender.control.channel import BodyTooLargeError, Channel
 from message_sender.control.choice import ControlNodeAddress
-from message_sender.control.messages import WatchMessage
+from message_sender.control.messages import Address, WatchMessage
 from message_sender.control.schema import BUDGETS, ENDPOINTS, has_kind
 from message_sender.control.watch import Watch, WatchStatus
 from message_sender.files import replace_json
+from message_sender.fleet.refused_datagrams import RefusedDatagramsLog
 from message_sender.fleet.seal import KeyFileError, Seal, read_keys, reread_keys
+from message_sender.fleet.udp_socket import UdpSocket
 from message_sender.journal.disk import Disk, SystemDisk
 from message_sender.service.control_configuration import (
     ConfigurableBudgets,
@@ -29,7 +31,6 @@
 )
 
 TICK_S = 0.1
-REFUSED_DATAGRAMS_INTERVAL_S = 10.0  # between two records of datagrams that were refused
 LINK_RETRY_S = 10.0  # after a link that could not be made
 EPOCH_FILE = "control.epoch"
 SESSION_BITS = 62
@@ -50,7 +51,7 @@
     replace_json(state / EPOCH_FILE, epoch, sync=True)
 
 
-class ControlLink(asyncio.DatagramProtocol):
+class ControlLink:
     """The socket, and the watch behind it."""
 
     def __init__(self, name: str, config: ControlPlane, state: Path, applier: SenderConfiguration) -> None:
@@ -68,31 +69,26 @@
         self.watch = Watch(
             name, nodes, config.region, applier.document, applier, rng, self.loop.time()
         )  # fmt: skip
-        self.transport: asyncio.DatagramTransport | None = None
+        self.socket = UdpSocket()
         self.task: asyncio.Task[None] | None = None
         self.kept_epoch = epoch
         self.keeping: asyncio.Task[None] | None = None  # of a later epoch, beside the loop
         self.recorded = self.watch.status(self.loop.time())
-        self.recorded_refusals, self.refusals_recorded_at = 0, -REFUSED_DATAGRAMS_INTERVAL_S
+        self.refused_datagrams = RefusedDatagramsLog("control", log)
 
     async def start(self) -> None:
         """Raises OSError where the address cannot be bound."""
-        await self.loop.create_datagram_endpoint(lambda: self, local_addr=self.config.listen)
+        await self.socket.open(self.config.listen, self.received)
         self.task = self.loop.create_task(self.run())
 
-    def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.DatagramTransport, transport)
-
-    def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
+    def received(self, datagram: bytes, source: Address) -> None:
+        """Handles a datagram from the network."""
         now = self.loop.time()
-        for name, body in self.channel.receive(data, (str(addr[0]), addr[1]), now):
+        for name, body in self.channel.receive(datagram, source, now):
             if name in self.channel.addresses and isinstance(body, WatchMessage):
                 self.watch.receive(name, body, now)
         self.flush(now)
 
-    def error_received(self, exc: Exception) -> None:
-        """Nobody is at an address: the watch finds out."""
-
     def flush(self, now: float) -> None:
         """Sends what the watch and the channel have to say."""
         for node, message in self.watch.take_messages():
@@ -100,9 +96,7 @@
                 self.channel.send(node, message, now)
             except BodyTooLargeError as error:
                 log.error("control: not said to %s: %s", node, error)
-        for address, datagram in self.channel.take_datagrams():
-            if self.transport and not self.transport.is_closing():
-                self.transport.sendto(datagram, address)
+        self.socket.send_all(self.channel.take_datagrams())
 
     async def run(self) -> None:
         """Until it is cancelled."""
@@ -142,16 +136,7 @@
             log.error("control: version %d is refused: %s", status.refused_version, status.reason)
         if status.node != before.node:
             log.info("control: %s is watched in place of %s", status.node, before.node)
-        self.record_refused_datagrams(now)
-
-    def record_refused_datagrams(self, now: float) -> None:
-        """At most once in ten seconds."""
-        count = sum(self.channel.refused.values())
-        if count == self.recorded_refusals or now - self.refusals_recorded_at < REFUSED_DATAGRAMS_INTERVAL_S:
-            return
-        self.recorded_refusals, self.refusals_recorded_at = count, now
-        reasons = "; ".join(f"{n} {reason}" for reason, n in self.channel.refused.items())
-        log.warning("control: datagrams refused: %s", reasons)
+        self.refused_datagrams.update(self.channel.refused, now)
 
     def reread_keys(self) -> None:
         """SIGHUP."""
@@ -162,8 +147,7 @@
         for task in (self.task, self.keeping):
             if task:
                 task.cancel()
-        if self.transport:
-            self.transport.close()
+        self.socket.close()
 
 
 class SenderControl:
--- a/message_sender/testbed/control_cluster.py
+++ b/message_sender/testbed/control_cluster.py
@@ -25,6 +25,7 @@
 from message_sender.control.messages import Address, Delta, WatchMessage
 from message_sender.control.watch import Watch
 from message_sender.control_socket import ask
+from message_sender.fleet.udp_socket import UdpSocket
 from message_sender.testbed.cluster import HOST, PATIENCE, Relay
 
 WATCH_TICK_S = 0.05
@@ -113,7 +114,7 @@
         self.versions.append(delta.to_version)
 
 
-class LabWatcher(asyncio.DatagramProtocol):
+class LabWatcher:
     """A sender's watch on a socket of its own."""
 
     def __init__(self, name: str, region: str, nodes: Sequence[ControlNodeAddress], config: Path) -> None:
@@ -126,11 +127,11 @@
         self.channel = Channel(name, 1, rng.getrandbits(60) + 1, seal, addresses)
         self.watch = Watch(name, nodes, region, Document(), self.applier, rng, self.loop.time())
         self.changed = asyncio.Condition()
-        self.transport: asyncio.DatagramTransport | None = None
+        self.socket = UdpSocket()
         self.tasks: set[asyncio.Task[None]] = set()
 
     async def start(self, port: int) -> None:
-        self.transport, _ = await self.loop.create_datagram_endpoint(lambda: self, local_addr=(HOST, port))
+        await self.socket.open((HOST, port), self.received)
         self.spawn(self.run())
 
     def spawn(self, work: Any) -> None:  # noqa: ANN401
@@ -138,9 +139,9 @@
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
+    def received(self, datagram: bytes, source: Address) -> None:
         now, before = self.loop.time(), self.watch.document.version
-        for sender, body in self.channel.receive(data, (str(addr[0]), addr[1]), now):
+        for sender, body in self.channel.receive(datagram, source, now):
             if isinstance(body, WatchMessage):
                 self.watch.receive(sender, body, now)
         if self.watch.document.version != before:
@@ -159,9 +160,7 @@
     def flush(self, now: float) -> None:
         for to, message in self.watch.take_messages():
             self.channel.send(to, message, now)
-        for address, datagram in self.channel.take_datagrams():
-            if self.transport and not self.transport.is_closing():
-                self.transport.sendto(datagram, address)
+        self.socket.send_all(self.channel.take_datagrams())
 
     async def run(self) -> None:
         while True:
@@ -173,8 +172,7 @@
     def close(self) -> None:
         for task in self.tasks:
             task.cancel()
-        if self.transport:
-            self.transport.close()
+        self.socket.close()
 
 
 class ControlCluster:
--- a/tests/test_control_link.py
+++ b/tests/test_control_link.py
@@ -1,7 +1,6 @@
 """A real sender and a control node's channel, store and fan-out, over loopback sockets."""
 
 import asyncio
-import base64
 import io
 import random
 import threading
@@ -12,6 +11,7 @@
 from unittest.mock import patch
 
 from peers import play
+from sender_files import FLEET, KEY, SENDER, control_section, write_sender
 from watching import ChangedStore
 
 from message_sender.configuration.general import load
@@ -30,31 +30,6 @@
 from message_sender.testbed.script import Script
 
 PATIENCE_S = 10.0  # only a failing test waits so long
-KEY = bytes(32)
-TEXT = """
-name = "n1"
-listen = "127.0.0.1:0"
-[classes.c]
-effect = "safe"
-aim_ms = 4000
-deadline_ms = 8000
-[[endpoints]]
-id = "own"
-destination = 1
-dial = "127.0.0.1:1"
-[control]
-nodes = [{{ name = "c1", address = "127.0.0.1:{port}" }}]
-key_file = "control.key"
-listen = "127.0.0.1:0"
-"""
-
-FLEET = """
-[fleet]
-listen = "127.0.0.1:0"
-advertise = "127.0.0.1:1"
-key_file = "control.key"
-size = 1
-"""
 
 
 class Node(asyncio.DatagramProtocol):
@@ -141,11 +116,7 @@
 def sender_at(
     state: Path, port: int, more: str = "", answers: CompletionWriter | None = None
 ) -> StandaloneSender:
-    key = state / "control.key"
-    key.write_text(base64.b64encode(KEY).decode())
-    key.chmod(0o600)
-    file = state / "sender.toml"
-    file.write_text(TEXT.format(port=port) + more)
+    file = write_sender(state, SENDER + control_section({"c1": port}) + more)
     return StandaloneSender(load(file), state, answers or CompletionWriter(io.StringIO()))
 
 
@@ -258,7 +229,7 @@
             assert sender.control_plane and sender.control_plane.link
             link = sender.control_plane.link
             await node.until(lambda: sum(node.channel.refused.values()) >= 2)
-            link.datagram_received(node.channel.seal.seal(b"forged"), ("127.0.0.1", node.port))
+            link.received(node.channel.seal.seal(b"forged"), ("127.0.0.1", node.port))
             told = sender.commands()["control"]({})
             assert told["version"] == 0 and sum(told["refused_datagrams"].values()) == 1
     assert node.watcher() is None
--- a/tests/test_control_live.py
+++ b/tests/test_control_live.py
@@ -1,7 +1,6 @@
 """Real control nodes and a real sender, by their command line."""
 
 import asyncio
-import base64
 import contextlib
 import io
 import json
@@ -14,6 +13,7 @@
 from pathlib import Path
 
 from peers import play
+from sender_files import KEY_FILE, SENDER, control_section, nodes_line, write_key
 
 from message_sender.cli import main
 from message_sender.control_socket import ask
@@ -24,21 +24,6 @@
 PATIENCE_S = 20.0  # only a failing test waits so long
 HOST = "127.0.0.1"
 NODES = ("c1", "c2", "c3")
-SENDER = """
-name = "n1"
-listen = "127.0.0.1:0"
-[classes.c]
-effect = "safe"
-aim_ms = 4000
-deadline_ms = 8000
-[[endpoints]]
-id = "own"
-destination = 1
-dial = "127.0.0.1:1"
-[control]
-key_file = "control.key"
-listen = "127.0.0.1:0"
-"""
 
 
 class Process:
@@ -86,9 +71,7 @@
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
-        key = folder / "control.key"
-        key.write_text(base64.b64encode(bytes(32)).decode())
-        key.chmod(0o600)
+        write_key(folder)
         self.ports = dict(zip(NODES, free_ports(len(NODES)), strict=True))
         self.nodes: dict[str, Process] = {}
 
@@ -100,17 +83,13 @@
     def state(self, name: str) -> str:
         return str(self.folder / f"state-{name}")
 
-    def listed(self) -> str:
-        rows = [f'{{ name = "{name}", address = "{HOST}:{port}" }}' for name, port in self.ports.items()]
-        return f"nodes = [{', '.join(rows)}]\n"
-
     def node_file(self, name: str) -> str:
         text = f'name = "{name}"\ncluster = "test"\nlisten = "{HOST}:{self.ports[name]}"\n'
-        text += f'state = "state-{name}"\nkey_file = "control.key"\n' + self.listed()
+        text += f'state = "state-{name}"\nkey_file = "{KEY_FILE}"\n{nodes_line(self.ports)}'
         return self.write(f"{name}.toml", text)
 
     def sender_file(self) -> str:
-        return self.write("sender.toml", SENDER + self.listed())
+        return self.write("sender.toml", SENDER + control_section(self.ports))
 
     async def run(self, *words: str) -> tuple[int, str]:
         """`message-sender control ...`: the exit code and what it wrote."""
--- a/tests/test_control_sender.py
+++ b/tests/test_control_sender.py
@@ -1,7 +1,6 @@
 """A sender with `[control]`: what it opens, what SIGHUP does, and what it is told by its budgets."""
 
 import asyncio
-import base64
 import io
 import json
 import subprocess
@@ -13,6 +12,7 @@
 
 import pytest
 from peers import play
+from sender_files import FLEET, SENDER, control_section, write_sender
 
 from message_sender.configuration.general import load
 from message_sender.configuration.resources import SharedBudget
@@ -31,44 +31,10 @@
 
 ROOT = Path(__file__).parent.parent
 US = 1_000_000
-OWN = """
-name = "n1"
-listen = "127.0.0.1:0"
-[classes.c]
-effect = "safe"
-aim_ms = 4000
-deadline_ms = 8000
-[[endpoints]]
-id = "own"
-destination = 1
-dial = "127.0.0.1:1"
-"""
-CONTROL = """
-[control]
-nodes = [{ name = "c1", address = "127.0.0.1:9" }]
-key_file = "control.key"
-listen = "127.0.0.1:0"
-"""
-FLEET = """
-[fleet]
-listen = "127.0.0.1:0"
-advertise = "127.0.0.1:1"
-key_file = "control.key"
-size = 1
-"""
+CONTROL = control_section({"c1": 9})
 HELD = schema.read_values({"endpoints/held": {"destination": 1, "dial": "127.0.0.1:2"}})
 
 
-def folder(state: Path, text: str = OWN + CONTROL) -> Path:
-    """A configuration beside its key."""
-    key = state / "control.key"
-    key.write_text(base64.b64encode(bytes(32)).decode())
-    key.chmod(0o600)
-    file = state / "sender.toml"
-    file.write_text(text)
-    return file
-
-
 def made(file: Path, state: Path) -> StandaloneSender:
     return StandaloneSender(load(file), state, CompletionWriter(io.StringIO()))
 
@@ -92,7 +58,7 @@
 
 
 def test_without_control_nothing_of_it_is_imported_opened_or_written(tmp_path: Path) -> None:
-    file = folder(tmp_path, OWN)
+    file = write_sender(tmp_path, SENDER)
     state = tmp_path / "state"
     state.mkdir()
     words = [sys.executable, "-c", SERVED, str(file), str(state)]
@@ -103,12 +69,12 @@
 
 @play
 async def test_a_start_and_sighup_keep_what_the_control_plane_holds(state: Path) -> None:
-    file = folder(state)
+    file = write_sender(state, SENDER + CONTROL)
     DocumentFile(state / IN_FORCE_FILE, SystemDisk()).store(Document(7, HELD))
     sender = made(file, state)
     async with running(sender):
         assert sender.dials() == {"held": ("127.0.0.1", 2)}
-        file.write_text((OWN + CONTROL).replace('"own"', '"new"'))
+        file.write_text((SENDER + CONTROL).replace('"own"', '"new"'))
         reread(sender, file)
         assert sender.dials() == {"held": ("127.0.0.1", 2)}
         assert set(sender.engine.dispatcher.endpoints) == {"held"}
@@ -124,18 +90,18 @@
 
 @play
 async def test_sighup_reads_the_file_while_nothing_stands_over_it(state: Path) -> None:
-    file = folder(state)
+    file = write_sender(state, SENDER + CONTROL)
     sender = made(file, state)
     async with running(sender):
         assert set(sender.dials()) == {"own"}
-        file.write_text((OWN + CONTROL).replace('"own"', '"new"'))
+        file.write_text((SENDER + CONTROL).replace('"own"', '"new"'))
         reread(sender, file)
         assert set(sender.dials()) == {"new"}
 
 
 @play
 async def test_without_a_key_the_last_version_stays_and_the_status_says_why(state: Path) -> None:
-    file = folder(state)
+    file = write_sender(state, SENDER + CONTROL)
     (state / "control.key").unlink()
     DocumentFile(state / IN_FORCE_FILE, SystemDisk()).store(Document(7, HELD))
     sender = made(file, state)
@@ -149,7 +115,7 @@
 
 @play
 async def test_each_start_has_a_higher_epoch(state: Path) -> None:
-    file = folder(state)
+    file = write_sender(state, SENDER + CONTROL)
     for number in (1, 2):
         sender = made(file, state)
         async with running(sender):
@@ -159,10 +125,7 @@
 
 @play
 async def test_the_first_budget_may_come_while_the_sender_runs(state: Path) -> None:
-    fleet = (
-        '\n[fleet]\nlisten = "127.0.0.1:0"\nadvertise = "127.0.0.1:1"\nkey_file = "control.key"\nsize = 1\n'
-    )
-    sender = made(folder(state, OWN + CONTROL + fleet), state)
+    sender = made(write_sender(state, SENDER + CONTROL + FLEET), state)
     async with running(sender):
         assert sender.control_plane and sender.membership and sender.membership.budgets
         configuration = sender.control_plane.configuration
