--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -13,11 +13,11 @@
 from dataclasses import dataclass, field
 
 from message_sender.fleet import wire
-from message_sender.fleet.members import PERIOD, Member, MemberState
+from message_sender.fleet.members import PROBE_INTERVAL_S, Member, MemberState
 from message_sender.fleet.node import FleetNode, LocalMember
 from message_sender.fleet.seal import Seal
 from message_sender.fleet.session import PeerSession
-from message_sender.fleet.udp import TICK
+from message_sender.fleet.udp import TICK_INTERVAL_S
 from message_sender.fleet.wire import Address
 
 KEY = bytes(32)
@@ -78,7 +78,7 @@
     def add(self, name: str, number: int) -> None:
         self.by_address[self.address(number)] = name
         self.nodes[name] = self.make_node(name, number, epoch=1)
-        self.call_at(self.rng.uniform(0, TICK), self.tick, name)
+        self.call_at(self.rng.uniform(0, TICK_INTERVAL_S), self.tick, name)
 
     def make_node(self, name: str, number: int, epoch: int) -> CountingNode:
         seeds = tuple(self.address(each) for each in range(min(SEEDS, self.size)))
@@ -97,7 +97,7 @@
             for other in self.nodes.values():
                 if other is not node:
                     self.introduce(node, other)
-            node.members.next_at = self.now + self.rng.uniform(0, PERIOD)
+            node.members.next_at = self.now + self.rng.uniform(0, PROBE_INTERVAL_S)
             self.place_in_round(node)
 
     def place_in_round(self, node: FleetNode) -> None:
@@ -139,7 +139,7 @@
     def tick(self, name: str) -> None:
         self.nodes[name].tick(self.now)
         self.flush(name)
-        self.call_at(self.now + TICK, self.tick, name)
+        self.call_at(self.now + TICK_INTERVAL_S, self.tick, name)
 
     def flush(self, name: str) -> None:
         node = self.nodes[name]
--- a/message_sender/control/channel.py
+++ b/message_sender/control/channel.py
@@ -24,7 +24,7 @@
 import msgspec
 
 from message_sender.control.messages import Address, Body, Envelope, Fragment, Hello
-from message_sender.fleet.seal import LEAST, MOST, RefusedError, Seal
+from message_sender.fleet.seal import DATAGRAM_BYTES_LIMIT, DATAGRAM_BYTES_MIN, RefusedError, Seal
 from message_sender.fleet.session import PeerSession
 
 HELLO_ANSWERS_PER_SECOND = 500  # to all names that are not configured
@@ -186,7 +186,7 @@
         self._datagram_number += 1
         envelope = Envelope(self.name, self.epoch, self.session, session, self._datagram_number, body)
         datagram = self.seal.seal(self._encoder.encode(envelope))
-        assert LEAST < len(datagram) <= MOST, len(datagram)
+        assert DATAGRAM_BYTES_MIN < len(datagram) <= DATAGRAM_BYTES_LIMIT, len(datagram)
         self.sent += 1
         self.sent_bytes += len(datagram)
         self._outbox.append((address, datagram))
--- a/message_sender/fleet/members.py
+++ b/message_sender/fleet/members.py
@@ -3,7 +3,7 @@
 The rules:
 
 - Each `period` one member is asked, in an order drawn anew for each round, so that everybody is asked in
-  turn. One that does not answer in time is asked through `HELPERS` others; one that does not answer them is
+  turn. One that does not answer in time is asked through `INDIRECT_PROBES` others; one that does not answer them is
   *suspect*.
 - A suspect is asked again and again by whoever suspects it, and so hears of that. One that does not speak up
   in time is *dead*. The time grows with the fleet (log N) and shrinks as others say the same. A member that
@@ -12,7 +12,7 @@
   suspected, multiplies its period and patience by its `health` (1 to 8), so that one bad machine does not
   accuse the others.
 - What is new goes with whatever is sent, each rumour a bounded number of times (a multiple of log N).
-- *dead* and *left* are kept for `KEPT`, so that an old rumour does not bring a member back; a start with a
+- *dead* and *left* are kept for `GONE_MEMBER_AGE_LIMIT_S`, so that an old rumour does not bring a member back; a start with a
   higher epoch does.
 """
 
@@ -23,18 +23,18 @@
 
 from message_sender.fleet.wire import Address, MembershipUpdate
 
-PERIOD = 0.5  # s between two questions
-WAIT = 0.2  # s for an answer before others are asked, and again before it is a suspect
-HELPERS = 3
-SUSPECT = (
+PROBE_INTERVAL_S = 0.5  # s between two questions
+PROBE_TIMEOUT_S = 0.2  # s for an answer before others are asked, and again before it is a suspect
+INDIRECT_PROBES = 3
+SUSPICION_MAX_PERIODS = (
     4  # periods times log10 of the fleet's size (at least 1) before a suspect is dead, with no confirmation
 )
-SHORTEST = 2  # the same, with all confirmations
-CONFIRMED = 3  # others that say the same, from which the shortest time holds
-WORST = 8  # of the health
-TOLD = 4  # times log2 of the fleet's size that a rumour is told
-KEPT = 120.0  # s that who is gone is remembered
-CARRIED = 8  # rumours in a datagram
+SUSPICION_MIN_PERIODS = 2  # the same, with all confirmations
+CONFIRMATIONS = 3  # others that say the same, from which the shortest time holds
+HEALTH_LIMIT = 8  # of the health
+TRANSMISSIONS_FACTOR = 4  # times log2 of the fleet's size that a rumour is told
+GONE_MEMBER_AGE_LIMIT_S = 120.0  # s that who is gone is remembered
+UPDATES_PER_DATAGRAM = 8  # rumours in a datagram
 
 
 class MemberState(IntEnum):
@@ -155,7 +155,7 @@
             self.health = max(self.health - 1, 1)
 
     def worse(self) -> None:
-        self.health = min(self.health + 1, WORST)
+        self.health = min(self.health + 1, HEALTH_LIMIT)
 
     # What is asked.
 
@@ -163,18 +163,18 @@
         """Questions to be sent: to whom, their number, and about whom ("" for itself)."""
         asked: list[tuple[str, int, str]] = []
         for number, question in list(self.out.items()):
-            late = now - question.asked - WAIT * self.health
+            late = now - question.asked - PROBE_TIMEOUT_S * self.health
             if late >= 0 and not question.helped:
                 question.helped = True
                 asked += [(helper, number, question.about) for helper in self.helpers(question.about)]
-            elif late >= WAIT * self.health:
+            elif late >= PROBE_TIMEOUT_S * self.health:
                 del self.out[number]
                 self.worse()
                 self.accuse(question.about, now)
                 if (known := self.others.get(question.about)) and known.state is MemberState.SUSPECT:
                     asked.append(self.question(question.about, now))
         if now >= self.next_at:
-            self.next_at = now + PERIOD * self.health
+            self.next_at = now + PROBE_INTERVAL_S * self.health
             if about := self.next_one():
                 asked.append(self.question(about, now))
         self.bury(now)
@@ -187,7 +187,7 @@
 
     def helpers(self, about: str) -> list[str]:
         found = [x.name for x in self.others.values() if x.state is MemberState.ALIVE and x.name != about]
-        return self.rng.sample(found, min(HELPERS, len(found)))
+        return self.rng.sample(found, min(INDIRECT_PROBES, len(found)))
 
     def next_one(self) -> str | None:
         while True:
@@ -207,22 +207,22 @@
 
     def patience(self, member: Member) -> float:
         """s for which a suspect may still speak up."""
-        longest, shortest = SUSPECT * self.scale() * PERIOD, SHORTEST * self.scale() * PERIOD
-        share = min(math.log(len(member.accusers) or 1) / math.log(CONFIRMED + 1), 1.0)
+        longest, shortest = SUSPICION_MAX_PERIODS * self.scale() * PROBE_INTERVAL_S, SUSPICION_MIN_PERIODS * self.scale() * PROBE_INTERVAL_S
+        share = min(math.log(len(member.accusers) or 1) / math.log(CONFIRMATIONS + 1), 1.0)
         return (longest - (longest - shortest) * share) * self.health
 
     def bury(self, now: float) -> None:
         for member in list(self.others.values()):
             if member.state is MemberState.SUSPECT and now - member.since >= self.patience(member):
                 self.turn(member, MemberState.DEAD, self.me.name, now)
-            elif member.state >= MemberState.DEAD and now - member.since >= KEPT:
+            elif member.state >= MemberState.DEAD and now - member.since >= GONE_MEMBER_AGE_LIMIT_S:
                 del self.others[member.name]
                 self.telling.pop(member.name, None)
 
     def news(self, to: str = "") -> tuple[MembershipUpdate, ...]:
         """What goes with the next datagram: what was told least often; to a suspect also that it is one."""
-        most = TOLD * math.ceil(math.log2(len(self.others) + 2))
-        names = sorted(self.telling, key=lambda name: (self.telling[name], name))[:CARRIED]
+        most = TRANSMISSIONS_FACTOR * math.ceil(math.log2(len(self.others) + 2))
+        names = sorted(self.telling, key=lambda name: (self.telling[name], name))[:UPDATES_PER_DATAGRAM]
         found = []
         if (suspect := self.others.get(to)) and suspect.state is MemberState.SUSPECT:
             found.append(suspect.rumour())
--- a/message_sender/fleet/node.py
+++ b/message_sender/fleet/node.py
@@ -25,15 +25,15 @@
 from message_sender.fleet.session import PeerSession
 from message_sender.fleet.wire import Address, Envelope, MembershipUpdate
 
-GREETINGS = 20  # answers to strangers a second
-JOIN_EVERY = 0.3  # s between calls to the seeds while nobody is known
-REJOIN_EVERY = 2.0  # s between calls to seeds that are not known to be there
-TEXT = 900  # bytes of a bulletin's part
-RATE = 100.0  # bulletins a second to others, at the most, when nothing changes
-REST = 1.0  # s between two rounds of an unchanged bulletin, at the least
-PARTS = 64  # of a bulletin at the most
-ERRANDS = 64  # that are remembered
-UNSAID = 4  # things that wait for a member's session, the latest ones
+HELLO_ANSWERS_PER_SECOND = 20  # answers to strangers a second
+JOIN_INTERVAL_S = 0.3  # s between calls to the seeds while nobody is known
+REJOIN_INTERVAL_S = 2.0  # s between calls to seeds that are not known to be there
+ANNOUNCEMENT_PART_BYTES = 900  # bytes of a bulletin's part
+ANNOUNCEMENTS_PER_SECOND = 100.0  # bulletins a second to others, at the most, when nothing changes
+ANNOUNCEMENT_INTERVAL_MIN_S = 1.0  # s between two rounds of an unchanged bulletin, at the least
+ANNOUNCEMENT_PARTS_LIMIT = 64  # of a bulletin at the most
+INDIRECT_PROBES_LIMIT = 64  # that are remembered
+QUEUED_BODIES_LIMIT = 4  # things that wait for a member's session, the latest ones
 
 
 @dataclass(frozen=True, slots=True)
@@ -107,7 +107,7 @@
             return
         if peer is None or peer.epoch < member.epoch:
             self.send(member.address, wire.Hello())
-            self.unsaid[name] = [*self.unsaid.get(name, ()), body][-UNSAID:]
+            self.unsaid[name] = [*self.unsaid.get(name, ()), body][-QUEUED_BODIES_LIMIT:]
         else:
             self.send(member.address, body, peer.session, self.members.news(name))
 
@@ -125,13 +125,13 @@
 
     def rest(self) -> float:
         """s between two rounds to all: the rate of what is sent does not grow with the fleet."""
-        return max(REST, len(self.members.others) / RATE)
+        return max(ANNOUNCEMENT_INTERVAL_MIN_S, len(self.members.others) / ANNOUNCEMENTS_PER_SECOND)
 
     def tell(self, name: str) -> None:
         if not self.version:
             return
-        pieces = [self.text[at : at + TEXT] for at in range(0, len(self.text), TEXT)] or [b""]
-        for part, piece in enumerate(pieces[:PARTS]):
+        pieces = [self.text[at : at + ANNOUNCEMENT_PART_BYTES] for at in range(0, len(self.text), ANNOUNCEMENT_PART_BYTES)] or [b""]
+        for part, piece in enumerate(pieces[:ANNOUNCEMENT_PARTS_LIMIT]):
             self.send_to(name, wire.AnnouncementPart(self.version, part, len(pieces), piece))
 
     def ask(self, number: int, names: Iterable[str], text: bytes) -> None:
@@ -167,7 +167,7 @@
         dead = [each for each in self.members.others.values() if each.state is MemberState.DEAD]
         if dead:  # a split may have healed
             self.send(self.rng.choice(dead).address, wire.Hello())
-        self.next_join = now + (REJOIN_EVERY if there else JOIN_EVERY) * self.rng.uniform(0.8, 1.2)
+        self.next_join = now + (REJOIN_INTERVAL_S if there else JOIN_INTERVAL_S) * self.rng.uniform(0.8, 1.2)
 
     # Hearing.
 
@@ -224,7 +224,7 @@
         """Tells a stranger this one's session, by an answer to the address that it gives."""
         if now - self.greeted_since >= 1.0:
             self.greeted, self.greeted_since = 0, now
-        if self.greeted < GREETINGS + len(self.members.others):
+        if self.greeted < HELLO_ANSWERS_PER_SECOND + len(self.members.others):
             self.greeted += 1
             self.send(told.address, wire.Hello(self.known_epoch(told), answer=True), told.session)
 
@@ -282,7 +282,7 @@
         """A question asked for another one."""
         self.errand_number += 1
         self.errands[self.errand_number] = asker, number
-        if len(self.errands) > ERRANDS:
+        if len(self.errands) > INDIRECT_PROBES_LIMIT:
             del self.errands[next(iter(self.errands))]
         return self.errand_number
 
@@ -306,7 +306,7 @@
             if (known.epoch, known.version) == (epoch, told.version):
                 known.at = now
             return
-        if not 0 <= told.part < told.parts <= PARTS:
+        if not 0 <= told.part < told.parts <= ANNOUNCEMENT_PARTS_LIMIT:
             raise RefusedError(f"{name}: a bulletin in {told.parts} parts")
         version, parts, pieces = self.parts.get(name, (0, 0, {}))
         if (version, parts) != (told.version, told.parts):
--- a/message_sender/fleet/seal.py
+++ b/message_sender/fleet/seal.py
@@ -22,9 +22,9 @@
 log = logging.getLogger(__name__)
 
 VERSION = b"EL1"
-NONCE, KEY = 12, 32  # bytes
-LEAST = len(VERSION) + NONCE + 16
-MOST = 1400  # bytes of a datagram: below what any link carries whole
+NONCE_BYTES, KEY_BYTES = 12, 32  # bytes
+DATAGRAM_BYTES_MIN = len(VERSION) + NONCE_BYTES + 16
+DATAGRAM_BYTES_LIMIT = 1400  # bytes of a datagram: below what any link carries whole
 
 
 class RefusedError(ValueError):
@@ -46,16 +46,16 @@
         raise KeyFileError(f"{path}: others may read it (mode {mode:o}); it must be 600")
     if not lines:
         raise KeyFileError(f"{path}: it holds no key")
-    return [key_of(line, f"{path}: line {number}") for number, line in enumerate(lines, 1)]
+    return [decode_key(line, f"{path}: line {number}") for number, line in enumerate(lines, 1)]
 
 
-def key_of(line: str, where: str) -> bytes:
+def decode_key(line: str, where: str) -> bytes:
     try:
         key = base64.b64decode(line, validate=True)
     except binascii.Error as error:
         raise KeyFileError(f"{where}: no base64: {error}") from None
-    if len(key) != KEY:
-        raise KeyFileError(f"{where}: a key of {len(key)} bytes; {KEY} are wanted")
+    if len(key) != KEY_BYTES:
+        raise KeyFileError(f"{where}: a key of {len(key)} bytes; {KEY_BYTES} are wanted")
     return key
 
 
@@ -69,21 +69,21 @@
         self.ciphers = [ChaCha20Poly1305(key) for key in keys]
 
     def seal(self, data: bytes) -> bytes:
-        nonce = self.random(NONCE)
+        nonce = self.random(NONCE_BYTES)
         return VERSION + nonce + self.ciphers[0].encrypt(nonce, data, VERSION)
 
     def open(self, datagram: bytes) -> bytes:
         """Raises RefusedError."""
-        if len(datagram) > MOST:
-            raise RefusedError(f"a datagram of {len(datagram)} bytes; {MOST} at the most")
-        if len(datagram) < LEAST:
+        if len(datagram) > DATAGRAM_BYTES_LIMIT:
+            raise RefusedError(f"a datagram of {len(datagram)} bytes; {DATAGRAM_BYTES_LIMIT} at the most")
+        if len(datagram) < DATAGRAM_BYTES_MIN:
             raise RefusedError(f"a datagram of {len(datagram)} bytes is cut short")
         if not datagram.startswith(VERSION):
             raise RefusedError(f"another version: {datagram[: len(VERSION)]!r}")
-        nonce = datagram[len(VERSION) : len(VERSION) + NONCE]
+        nonce = datagram[len(VERSION) : len(VERSION) + NONCE_BYTES]
         for cipher in self.ciphers:
             try:
-                return cipher.decrypt(nonce, datagram[len(VERSION) + NONCE :], VERSION)
+                return cipher.decrypt(nonce, datagram[len(VERSION) + NONCE_BYTES :], VERSION)
             except InvalidTag:
                 continue
         raise RefusedError("sealed with another key, or changed on its way")
--- a/message_sender/fleet/session.py
+++ b/message_sender/fleet/session.py
@@ -5,7 +5,7 @@
 
 from dataclasses import dataclass
 
-WINDOW = 64  # numbers back from the highest that may still come
+REPLAY_WINDOW = 64  # numbers back from the highest that may still come
 
 
 @dataclass(slots=True)
@@ -21,13 +21,13 @@
     def is_new(self, number: int) -> bool:
         """Whether a datagram of this number has not come yet; notes it."""
         if number > self.highest_number:
-            self.window_bits = (self.window_bits << min(number - self.highest_number, WINDOW) | 1) & (
-                (1 << WINDOW) - 1
+            self.window_bits = (self.window_bits << min(number - self.highest_number, REPLAY_WINDOW) | 1) & (
+                (1 << REPLAY_WINDOW) - 1
             )
             self.highest_number = number
             return True
         bit = 1 << (self.highest_number - number)
-        if self.highest_number - number >= WINDOW or self.window_bits & bit:
+        if self.highest_number - number >= REPLAY_WINDOW or self.window_bits & bit:
             return False
         self.window_bits |= bit
         return True
--- a/message_sender/fleet/udp.py
+++ b/message_sender/fleet/udp.py
@@ -13,9 +13,9 @@
 from message_sender.fleet.seal import Seal, read_keys, reread_keys
 from message_sender.fleet.wire import Address
 
-TICK = 0.05  # s
-EPOCH = "fleet.epoch"
-TOLD_EVERY = 10.0  # s between two records of what was refused
+TICK_INTERVAL_S = 0.05  # s
+EPOCH_FILE = "fleet.epoch"
+REFUSED_DATAGRAMS_INTERVAL_S = 10.0  # s between two records of what was refused
 
 log = logging.getLogger(__name__)
 
@@ -36,16 +36,16 @@
         self.step: Callable[[float], None] = lambda now: None
         self.transport: asyncio.DatagramTransport | None = None
         self.task: asyncio.Task[None] | None = None
-        self.told_at, self.told, self.namesake = -TOLD_EVERY, 0, ""
+        self.told_at, self.told, self.namesake = -REFUSED_DATAGRAMS_INTERVAL_S, 0, ""
 
     def read_epoch(self) -> int:
         try:
-            return max(int((self.state / EPOCH).read_text()), 0)
+            return max(int((self.state / EPOCH_FILE).read_text()), 0)
         except (OSError, ValueError):
             return 0
 
     def write_epoch(self, epoch: int) -> None:
-        replace_json(self.state / EPOCH, epoch, sync=True)
+        replace_json(self.state / EPOCH_FILE, epoch, sync=True)
 
     async def start(self) -> None:
         """Raises OSError where the address cannot be bound."""
@@ -75,7 +75,7 @@
             self.step(now)
             self.flush()
             self.record(now)
-            await asyncio.sleep(TICK)
+            await asyncio.sleep(TICK_INTERVAL_S)
 
     def record(self, now: float) -> None:
         for name, state, by in self.node.members.changed:
@@ -85,7 +85,7 @@
             self.namesake = self.node.namesake
             log.error("fleet: another member at %s uses the name %s", self.namesake, self.node.me.name)
         refused = self.node.counted.refused
-        if (count := sum(refused.values())) > self.told and now - self.told_at >= TOLD_EVERY:
+        if (count := sum(refused.values())) > self.told and now - self.told_at >= REFUSED_DATAGRAMS_INTERVAL_S:
             self.told_at, self.told = now, count
             log.warning("fleet: datagrams refused: %s", "; ".join(f"{n} {why}" for why, n in refused.items()))
 
--- a/message_sender/fleet/wire.py
+++ b/message_sender/fleet/wire.py
@@ -96,7 +96,7 @@
 
 
 ENCODER, DECODER = msgspec.msgpack.Encoder(), msgspec.msgpack.Decoder(Envelope)
-NAME_MOST = 64  # characters
+NAME_LENGTH_LIMIT = 64  # characters
 
 
 def encode(envelope: Envelope) -> bytes:
@@ -109,6 +109,6 @@
         found = DECODER.decode(data)
     except (msgspec.DecodeError, msgspec.ValidationError, ValueError) as error:
         raise RefusedError(f"no envelope: {error}") from None
-    if not 0 < len(found.name) <= NAME_MOST or min(found.epoch, found.session, found.number) < 0:
+    if not 0 < len(found.name) <= NAME_LENGTH_LIMIT or min(found.epoch, found.session, found.number) < 0:
         raise RefusedError("an envelope with figures that cannot be")
     return found
--- a/tests/test_control_channel.py
+++ b/tests/test_control_channel.py
@@ -10,7 +10,7 @@
 from message_sender.control.channel import BodyTooLargeError, Channel, KnownStart, RefusalReason
 from message_sender.control.messages import Address, Body, Hello, LogEntry, Poll, StatusRequest
 from message_sender.control.messages import AppendRequest as Append
-from message_sender.fleet.seal import MOST, Seal
+from message_sender.fleet.seal import DATAGRAM_BYTES_LIMIT, Seal
 
 KEY = bytes(range(32))
 ADDRESSES: Mapping[str, Address] = {f"c{number}": ("10.0.0.1", 7000 + number) for number in range(3)}
@@ -143,7 +143,7 @@
     body = large(20_000)
     one.send("c1", body, 0.0)
     datagrams = [datagram for _, datagram in one.take_datagrams()]
-    assert len(datagrams) > 15 and max(map(len, datagrams)) <= MOST
+    assert len(datagrams) > 15 and max(map(len, datagrams)) <= DATAGRAM_BYTES_LIMIT
     datagrams = datagrams * 2
     random.Random(4).shuffle(datagrams)
     heard = [each for datagram in datagrams for each in two.receive(datagram, ADDRESSES["c0"], 0.0)]
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -15,7 +15,7 @@
 from message_sender.fleet import wire
 from message_sender.fleet.members import MemberState
 from message_sender.fleet.node import FleetNode, LocalMember
-from message_sender.fleet.seal import MOST, KeyFileError, RefusedError, Seal, read_keys
+from message_sender.fleet.seal import DATAGRAM_BYTES_LIMIT, KeyFileError, RefusedError, Seal, read_keys
 
 KEY, OTHER = bytes(32), bytes(range(32))
 
@@ -75,7 +75,7 @@
     for data, text in (
         (b"EL1", "cut short"),
         (b"EL9" + bytes(60), "another version"),
-        (bytes(MOST + 1), "at the most"),
+        (bytes(DATAGRAM_BYTES_LIMIT + 1), "at the most"),
     ):
         with pytest.raises(RefusedError, match=text):
             Seal([KEY]).open(data)
