--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -33,10 +33,14 @@
     kinds: Counter[str]
 
     def send(
-        self, address: Address, body: wire.Body, to: int = 0, news: tuple[wire.MembershipUpdate, ...] = ()
+        self,
+        address: Address,
+        body: wire.Body,
+        to_session: int = 0,
+        updates: tuple[wire.MembershipUpdate, ...] = (),
     ) -> None:
         self.kinds[type(body).__name__] += 1
-        super().send(address, body, to, news)
+        super().send(address, body, to_session, updates)
 
 
 @dataclass(slots=True)
@@ -97,18 +101,18 @@
             for other in self.nodes.values():
                 if other is not node:
                     self.introduce(node, other)
-            node.members.next_at = self.now + self.rng.uniform(0, PROBE_INTERVAL_S)
+            node.members.next_probe_at = self.now + self.rng.uniform(0, PROBE_INTERVAL_S)
             self.place_in_round(node)
 
     def place_in_round(self, node: FleetNode) -> None:
         """A round lasts 22 parts of a twentieth of the rest at most, then comes the rest (Node.tick)."""
         if self.rng.random() < ROUND_SHARE:
-            node.round = node.others()
-            self.rng.shuffle(node.round)
-            del node.round[: int(self.rng.random() * len(node.round))]
-            node.next_round = self.now + self.rng.uniform(0, node.rest() / 20)
+            node.announcement_round = node.others()
+            self.rng.shuffle(node.announcement_round)
+            del node.announcement_round[: int(self.rng.random() * len(node.announcement_round))]
+            node.announcements_due = self.now + self.rng.uniform(0, node.announcement_interval() / 20)
         else:
-            node.next_round = self.now + self.rng.uniform(0, node.rest())
+            node.announcements_due = self.now + self.rng.uniform(0, node.announcement_interval())
 
     def introduce(self, node: FleetNode, other: FleetNode) -> None:
         epoch = other.members.me.epoch
@@ -155,14 +159,14 @@
     def deliver(self, to: str, data: bytes) -> None:
         self.traffic.received[to] += 1
         self.traffic.received_bytes[to] += len(data)
-        self.nodes[to].received(data, self.now)
+        self.nodes[to].receive(data, self.now)
         self.flush(to)
 
     # What is known.
 
     def know(self, version: int, of: str) -> int:
         """How many of the others have heard this version of a member's announcement, or a newer one."""
-        heard = [node.bulletins.get(of) for name, node in self.nodes.items() if name != of]
+        heard = [node.announcements.get(of) for name, node in self.nodes.items() if name != of]
         return sum(1 for said in heard if said and said.version >= version)
 
     def forget_traffic(self) -> None:
--- a/benchmarks/scale/members.py
+++ b/benchmarks/scale/members.py
@@ -15,7 +15,7 @@
 from benchmarks.scale.results import Allowance, Effort, Figure, Measured, Point, Quantity, Source
 
 ANNOUNCEMENT_BYTES = 200
-LINEAR_UP_TO = 80  # members: beyond, the rate of announcements no longer grows (fleet/node.py, RATE)
+LINEAR_UP_TO = 80  # members: beyond, the rate of announcements no longer grows (fleet/node.py)
 SETTLING_S = 0.5  # virtual, before anything is counted
 LONG_WINDOW_S, SHORT_WINDOW_S = 10.0, 3.0  # virtual, counted in small and in large fleets
 HEARD_S = 5.0  # virtual, in which small fleets hear each announcement
--- a/message_sender/control/channel.py
+++ b/message_sender/control/channel.py
@@ -24,6 +24,7 @@
 import msgspec
 
 from message_sender.control.messages import Address, Body, Envelope, Fragment, Hello
+from message_sender.fleet.rate_limit import RateLimit
 from message_sender.fleet.seal import DATAGRAM_BYTES_LIMIT, DATAGRAM_BYTES_MIN, RefusedError, Seal
 from message_sender.fleet.session import PeerSession
 
@@ -38,7 +39,6 @@
 PARTIAL_MESSAGES_LIMIT = 8  # of one peer
 PARTIAL_BYTES_LIMIT = 4 * 1024 * 1024  # of all peers
 PARTIAL_AGE_LIMIT_S = 5.0
-HELLO_ANSWERS_WINDOW_S = 1.0
 
 
 class RefusalReason(StrEnum):
@@ -127,8 +127,7 @@
         self._partial_messages: dict[tuple[str, int], PartialMessage] = {}
         self._datagram_number = 0
         self._message_number = 0
-        self._hello_answers: Counter[str] = Counter()  # in this second; "" for all names not configured
-        self._hello_answers_since = 0.0
+        self._hello_limit = RateLimit(0.0)  # by name; "" for all names that are not configured
         self._outbox: list[tuple[Address, bytes]] = []
         self._encoder = msgspec.msgpack.Encoder()
         self._envelope_decoder = msgspec.msgpack.Decoder(Envelope)
@@ -294,15 +293,12 @@
 
     def _answer_with_hello(self, envelope: Envelope, source: Address, now: float) -> None:
         """Sends this session to a peer that does not know it, within the limits per second."""
-        if now - self._hello_answers_since >= HELLO_ANSWERS_WINDOW_S:
-            self._hello_answers.clear()
-            self._hello_answers_since = now
-        name, limit = "", HELLO_ANSWERS_PER_SECOND
         if envelope.name in self.addresses:
-            name, limit = envelope.name, PEER_HELLO_ANSWERS_PER_SECOND
-        if self._hello_answers[name] >= limit:
+            is_allowed = self._hello_limit.allow(envelope.name, PEER_HELLO_ANSWERS_PER_SECOND, now)
+        else:
+            is_allowed = self._hello_limit.allow("", HELLO_ANSWERS_PER_SECOND, now)
+        if not is_allowed:
             return
-        self._hello_answers[name] += 1
         address = self.addresses.get(envelope.name, source)
         self._send_datagram(
             address, envelope.session, Hello(self._find_later_epoch(envelope), is_answer=True)
--- a/message_sender/emulator/member_network.py
+++ b/message_sender/emulator/member_network.py
@@ -92,7 +92,7 @@
         if to in self.frozen:
             self.frozen[to].append(data)
         elif node := self.nodes.get(to):
-            node.received(data, self.now)
+            node.receive(data, self.now)
             self.flush(to)
 
     def freeze(self, name: str) -> None:
--- a/message_sender/emulator/returning.py
+++ b/message_sender/emulator/returning.py
@@ -73,7 +73,7 @@
             if word := decode(text):
                 stages.heard(by, word, self.hall.now)
 
-        node.on_bulletin = lambda by, said: hear(by, said.text)
+        node.on_announcement = lambda by, said: hear(by, said.text)
 
     def step(self, name: str) -> None:
         now, member = self.hall.now, self.members[name]
--- a/message_sender/emulator/shared.py
+++ b/message_sender/emulator/shared.py
@@ -142,8 +142,8 @@
         desk.open(self.budget, lambda: int(self.held[name]))
         self.held.setdefault(name, 0.0)
         self.spenders[name] = LimitEnforcer(self.budget.counted)
-        node.on_share = lambda by, share: self.hear(name, desk, by, share)
-        node.epoch_raised = lambda epoch: desk.start_anew(epoch)
+        node.on_lease_datagram = lambda by, share: self.hear(name, desk, by, share)
+        node.on_epoch_raised = lambda epoch: desk.start_anew(epoch)
         self.hall.later(self.rng.uniform(0, STEP), lambda: self.work(number, node))
 
     def end(self, number: int) -> None:
--- a/message_sender/emulator/shared_links.py
+++ b/message_sender/emulator/shared_links.py
@@ -33,8 +33,8 @@
     def __init__(self, hub: "LinkHub", name: str, epoch: int) -> None:
         self.node, self.hub = self, hub
         self.name, self.members = name, MemberView(MemberName(name, epoch))
-        self.on_share: Callable[[str, wire.LeaseDatagram], None] = lambda by, share: None
-        self.epoch_raised: Callable[[int], None] = lambda epoch: None
+        self.on_lease_datagram: Callable[[str, wire.LeaseDatagram], None] = lambda by, share: None
+        self.on_epoch_raised: Callable[[int], None] = lambda epoch: None
 
     def others(self) -> list[str]:
         now = self.hub.time()
@@ -88,4 +88,4 @@
 
     def arrive(self, by: str, to: str, share: wire.LeaseDatagram) -> None:
         if found := self.ends.get(to):
-            found[0].on_share(by, share)
+            found[0].on_lease_datagram(by, share)
--- a/message_sender/fleet/__init__.py
+++ b/message_sender/fleet/__init__.py
@@ -1,2 +1,4 @@
-"""The link between senders: sealed datagrams, membership (pure), what each says of itself, who is asked
-what."""
+"""The link between senders: sealed datagrams, membership, announcements, queries and leases.
+
+It knows nothing of the content of announcements, queries and leases.
+"""
--- a/message_sender/fleet/node.py
+++ b/message_sender/fleet/node.py
@@ -1,321 +1,399 @@
-"""One end of the link: what is believed of what comes, and what is sent. Pure; I/O is in udp.py.
-
-The rules:
-
-- What is not sealed with a key of ours is counted and named, and nothing else comes of it.
-- A datagram is believed only if it names this one's present session. Whoever does not know it is told it, at
-  the address that it gives, a bounded number of times a second; that is all a replayed datagram can cause.
-- Of each member one session counts, that of its highest epoch, and of this each number once (a window of 64).
-- A member that comes with an epoch below one that was heard of is told so: its disk is old or empty. It goes
-  on with a higher one, and knows that what stands on its disk is not the latest (`behind`).
-- Who is dead is greeted now and then while it is remembered: a split heals by that, also between members that
-  are no seeds.
-- Two that use one name are noticed by their addresses: the one that was there stays, the other is refused.
-- Each member says one thing of itself to everybody, its bulletin: sent when it changes, and again and again
-  at a rate that does not grow with the fleet.
+"""One end of the link between senders: which datagrams it accepts, and what it sends. Pure; see udp.py.
+
+Rules:
+
+- A datagram that is not sealed with one of our keys is counted by its reason, and has no other effect.
+- A datagram is accepted only if it names the present session of this end. A peer that does not know it
+  receives it, at the address in its datagram, a bounded number of times per second; a replayed datagram can
+  cause nothing else.
+- Of each member one session counts, that of its highest epoch, and of this each number once (session.py).
+- A member that comes with an epoch below a known one receives the known one: its disk is old or empty. It
+  continues with a higher one, and knows that its disk does not have the latest state (`is_behind`).
+- Dead members are sent a hello now and then while they are remembered, so that a network partition heals also
+  between members that are no seeds.
+- Two members of one name are detected by their addresses: the earlier one stays, the other one is refused.
+- Each member sends one announcement to all others: when it changes, and periodically at a rate that does not
+  grow with the fleet.
+
+All times are seconds of the caller's monotonic clock.
 """
 
 import random
+from collections import Counter
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
 from message_sender.fleet import wire
+from message_sender.fleet.announcements import Announcement, AnnouncementTable, split_announcement
+from message_sender.fleet.default_handlers import (
+    ignore_announcement,
+    ignore_epoch,
+    ignore_lease_datagram,
+    ignore_query,
+    ignore_query_reply,
+)
+from message_sender.fleet.indirect_probes import IndirectProbeTable
 from message_sender.fleet.members import MemberList, MemberState
+from message_sender.fleet.rate_limit import RateLimit
 from message_sender.fleet.seal import RefusedError, Seal
 from message_sender.fleet.session import PeerSession
 from message_sender.fleet.wire import Address, Envelope, MembershipUpdate
 
-HELLO_ANSWERS_PER_SECOND = 20  # answers to strangers a second
-JOIN_INTERVAL_S = 0.3  # s between calls to the seeds while nobody is known
-REJOIN_INTERVAL_S = 2.0  # s between calls to seeds that are not known to be there
-ANNOUNCEMENT_PART_BYTES = 900  # bytes of a bulletin's part
-ANNOUNCEMENTS_PER_SECOND = 100.0  # bulletins a second to others, at the most, when nothing changes
-ANNOUNCEMENT_INTERVAL_MIN_S = 1.0  # s between two rounds of an unchanged bulletin, at the least
-ANNOUNCEMENT_PARTS_LIMIT = 64  # of a bulletin at the most
-INDIRECT_PROBES_LIMIT = 64  # that are remembered
-QUEUED_BODIES_LIMIT = 4  # things that wait for a member's session, the latest ones
+HELLO_ANSWERS_PER_SECOND = 20  # besides one for each known member
+JOIN_INTERVAL_S = 0.3  # between hellos to the seeds while no member is known
+REJOIN_INTERVAL_S = 2.0  # between hellos to seeds that are not among the members
+JOIN_JITTER = (0.8, 1.2)  # factors of these intervals, drawn
+ANNOUNCEMENTS_PER_SECOND = 100.0  # to other members, at most, when nothing changes
+ANNOUNCEMENT_INTERVAL_MIN_S = 1.0  # between two rounds of an unchanged announcement
+ANNOUNCEMENT_ROUND_STEPS = 20  # in which a round is sent, evenly over the interval
+QUEUED_BODIES_LIMIT = 4  # per member whose session is unknown; the latest ones are kept
+DUPLICATE_NAME_AGE_S = 2.0  # a session that was silent for longer may move to another address
+UPDATES_PER_INTRODUCTION = 16  # in one datagram
 
 
 @dataclass(frozen=True, slots=True)
 class LocalMember:
-    name: str
-    address: Address  # where others call this one
-    seeds: tuple[Address, ...] = ()
-    size: int = 8  # the most members expected
-
+    """This member's configuration.
 
-@dataclass(slots=True)
-class Announcement:
-    """The newest bulletin of a member."""
+    Attributes:
+        name: Its name, unique in the fleet.
+        address: The address at which others reach it.
+        seeds: Addresses of members through which it joins.
+        size: The largest expected number of members.
+    """
 
-    epoch: int
-    version: int
-    text: bytes
-    at: float  # s: when it was whole here
+    name: str
+    address: Address
+    seeds: tuple[Address, ...] = ()
+    size: int = 8
 
 
 @dataclass
 class LinkCounters:
+    """Counts of datagrams; `refused` by reason."""
+
     sent: int = 0
-    heard: int = 0
-    refused: dict[str, int] = field(default_factory=dict)  # why, and how often
+    received: int = 0
+    refused: Counter[str] = field(default_factory=Counter)
 
 
 class FleetNode:
+    """One end of the link, driven by datagrams and ticks.
+
+    Attributes:
+        outbox: The datagrams to send, each with its address; the caller removes them.
+        is_behind: Whether others know a later start of this name than its disk does.
+        duplicate_name_address: The address of another member that uses this name; empty if there is none.
+        on_epoch_raised: Called with an epoch that is to be stored.
+        on_query: Called with the sender and the text of a query; returns the reply, or None for none.
+        on_query_reply: Called with the sender, the query's number and the text of a reply.
+        on_lease_datagram: Called with the sender of a lease datagram.
+        on_announcement: Called with the sender of a new announcement.
+    """
+
     def __init__(
         self, me: LocalMember, seal: Seal, epoch: int, session: int, rng: random.Random, now: float
     ) -> None:
-        """`session`: drawn at random, above 0. `epoch`: above that of each start before, as far as known."""
-        self.me, self.seal, self.session, self.rng = me, seal, session, rng
+        """Creates an end without sessions.
+
+        Args:
+            me: This member.
+            seal: Seals and opens datagrams.
+            epoch: A number above that of each earlier start, as far as known.
+            session: A random number above 0.
+            rng: Draws targets and intervals.
+            now: The present time.
+        """
+        self.me = me
+        self.seal = seal
+        self.session = session
+        self.rng = rng
         self.members = MemberList(me.name, me.address, epoch, rng)
-        self.outbox: list[tuple[Address, bytes]] = []
         self.peers: dict[str, PeerSession] = {}
-        self.bulletins: dict[str, Announcement] = {}
-        self.parts: dict[str, tuple[int, int, dict[int, bytes]]] = {}
-        self.number, self.version, self.text = 0, 0, b""
-        self.next_join = self.next_round = now
-        self.round: list[str] = []
-        self.greeted, self.greeted_since = 0, now
-        self.errand_number = 0
-        self.errands: dict[int, tuple[str, int]] = {}  # asked for others: who asked, and their number
-        self.unsaid: dict[str, list[wire.Body]] = {}  # to members whose session is not known yet
-        self.counted = LinkCounters()
-        self.behind = False  # others know a later start of this name than its disk does
-        self.namesake = ""  # the address of another one that uses this name
-        self.epoch_raised: Callable[[int], None] = lambda epoch: None  # to be put on the disk
-        self.on_ask: Callable[[str, bytes], bytes | None] = lambda name, text: None
-        self.on_answer: Callable[[str, int, bytes], None] = lambda name, number, text: None
-        self.on_share: Callable[[str, wire.LeaseDatagram], None] = lambda name, share: None
-        self.on_bulletin: Callable[[str, Announcement], None] = lambda name, said: None
+        self.outbox: list[tuple[Address, bytes]] = []
+        self.counters = LinkCounters()
+        self.is_behind = False
+        self.duplicate_name_address = ""
+        self.datagram_number = 0
+        self.announcement_version = 0
+        self.announcement_text = b""
+        self.announcement_round: list[str] = []  # members yet to be sent to in this round
+        self.announcements_due = now
+        self.join_due = now
+        self.on_epoch_raised: Callable[[int], None] = ignore_epoch
+        self.on_query: Callable[[str, bytes], bytes | None] = ignore_query
+        self.on_query_reply: Callable[[str, int, bytes], None] = ignore_query_reply
+        self.on_lease_datagram: Callable[[str, wire.LeaseDatagram], None] = ignore_lease_datagram
+        self.on_announcement: Callable[[str, Announcement], None] = ignore_announcement
+        self._announcements = AnnouncementTable()
+        self._indirect_probes = IndirectProbeTable()
+        self._queued_bodies: dict[str, list[wire.Body]] = {}  # by member whose session is unknown
+        self._hello_limit = RateLimit(now)
+
+    @property
+    def announcements(self) -> dict[str, Announcement]:
+        """The newest announcement of each other member."""
+        return self._announcements.newest
 
     # Sending.
 
     def send(
-        self, address: Address, body: wire.Body, to: int = 0, news: tuple[MembershipUpdate, ...] = ()
+        self,
+        address: Address,
+        body: wire.Body,
+        to_session: int = 0,
+        updates: tuple[MembershipUpdate, ...] = (),
     ) -> None:
-        self.number += 1
-        epoch = self.members.me.epoch
-        told = Envelope(self.me.name, self.me.address, epoch, self.session, to, self.number, body, news)
-        data = self.seal.seal(wire.encode(told))
-        self.counted.sent += 1
-        self.outbox.append((address, data))
+        """Puts a datagram into the outbox."""
+        self.datagram_number += 1
+        envelope = Envelope(
+            self.me.name,
+            self.me.address,
+            self.members.me.epoch,
+            self.session,
+            to_session,
+            self.datagram_number,
+            body,
+            updates,
+        )
+        datagram = self.seal.seal(wire.encode(envelope))
+        self.counters.sent += 1
+        self.outbox.append((address, datagram))
 
     def send_to(self, name: str, body: wire.Body) -> None:
-        """To a member. One whose session is not known is greeted first, and hears it once it has answered."""
-        member, peer = self.members.others.get(name), self.peers.get(name)
+        """Sends `body` to a member, or queues it behind a hello until the member's session is known."""
+        member = self.members.others.get(name)
         if member is None:
             return
+        peer = self.peers.get(name)
         if peer is None or peer.epoch < member.epoch:
             self.send(member.address, wire.Hello())
-            self.unsaid[name] = [*self.unsaid.get(name, ()), body][-QUEUED_BODIES_LIMIT:]
+            self._queued_bodies[name] = [*self._queued_bodies.get(name, ()), body][-QUEUED_BODIES_LIMIT:]
         else:
-            self.send(member.address, body, peer.session, self.members.news(name))
+            self.send(member.address, body, peer.session, self.members.take_updates(name))
 
     def others(self) -> list[str]:
+        """Returns the other members that are alive or suspect, in the order of their names."""
         return [name for name in self.members.alive() if name != self.me.name]
 
     def publish(self, text: bytes, now: float) -> None:
-        """Says this of itself from now on, to everybody at once if it is new."""
-        if text == self.text:
+        """Sets this member's announcement, and sends it to all others at once if it has changed."""
+        if text == self.announcement_text:
             return
-        self.version, self.text = self.version + 1, text
+        self.announcement_version += 1
+        self.announcement_text = text
         for name in self.others():
-            self.tell(name)
-        self.next_round = now + self.rest()
+            self.send_announcement(name)
+        self.announcements_due = now + self.announcement_interval()
 
-    def rest(self) -> float:
-        """s between two rounds to all: the rate of what is sent does not grow with the fleet."""
+    def announcement_interval(self) -> float:
+        """Returns the seconds between two rounds, so that the rate does not grow with the fleet."""
         return max(ANNOUNCEMENT_INTERVAL_MIN_S, len(self.members.others) / ANNOUNCEMENTS_PER_SECOND)
 
-    def tell(self, name: str) -> None:
-        if not self.version:
+    def send_announcement(self, name: str) -> None:
+        """Sends this member's announcement, if it has one, to another member."""
+        if not self.announcement_version:
             return
-        pieces = [self.text[at : at + ANNOUNCEMENT_PART_BYTES] for at in range(0, len(self.text), ANNOUNCEMENT_PART_BYTES)] or [b""]
-        for part, piece in enumerate(pieces[:ANNOUNCEMENT_PARTS_LIMIT]):
-            self.send_to(name, wire.AnnouncementPart(self.version, part, len(pieces), piece))
+        for part in split_announcement(self.announcement_version, self.announcement_text):
+            self.send_to(name, part)
 
-    def ask(self, number: int, names: Iterable[str], text: bytes) -> None:
-        """Puts a question to these members, under a number that answers come with."""
+    def send_query(self, number: int, names: Iterable[str], text: bytes) -> None:
+        """Sends a query to these members; their replies have its number."""
         for name in names:
             self.send_to(name, wire.Query(number, text))
 
     def leave(self) -> None:
+        """Announces the shutdown of this member."""
         for name in self.others():
             self.send_to(name, wire.Leave())
 
+    # Time.
+
     def tick(self, now: float) -> None:
-        """Several times a second."""
-        if now >= self.next_join:
+        """Does what is due by now; to be called several times a second."""
+        if now >= self.join_due:
             self.join(now)
-        for name, number, about in self.members.tick(now):
-            self.send_to(name, wire.Ping(number, about))
-        if now >= self.next_round:
-            if not self.round:
-                self.round = self.others()
-                self.rng.shuffle(self.round)
-            share = max(len(self.others()) // 20, 1)  # a part at a time, evenly over the round
-            for name in self.round[:share]:
-                self.tell(name)
-            self.round = self.round[share:]
-            self.next_round = now + (self.rest() / 20 if self.round else self.rest())
+        for probe in self.members.tick(now):
+            self.send_to(probe.receiver, wire.Ping(probe.number, probe.target))
+        if now >= self.announcements_due:
+            self._send_announcement_step(now)
+
+    def _send_announcement_step(self, now: float) -> None:
+        """Sends the announcement to the next share of the members, so that a round is spread evenly."""
+        if not self.announcement_round:
+            self.announcement_round = self.others()
+            self.rng.shuffle(self.announcement_round)
+        share = max(len(self.others()) // ANNOUNCEMENT_ROUND_STEPS, 1)
+        for name in self.announcement_round[:share]:
+            self.send_announcement(name)
+        self.announcement_round = self.announcement_round[share:]
+        interval = self.announcement_interval()
+        if self.announcement_round:
+            interval /= ANNOUNCEMENT_ROUND_STEPS
+        self.announcements_due = now + interval
 
     def join(self, now: float) -> None:
-        there = {each.address for each in self.members.others.values() if each.state <= MemberState.SUSPECT}
+        """Sends a hello to the seeds that are not among the members, and to one dead member."""
+        members = self.members.others.values()
+        known = {member.address for member in members if member.state <= MemberState.SUSPECT}
         for seed in self.me.seeds:
-            if seed != self.me.address and seed not in there:
+            if seed != self.me.address and seed not in known:
                 self.send(seed, wire.Hello())
-        dead = [each for each in self.members.others.values() if each.state is MemberState.DEAD]
-        if dead:  # a split may have healed
+        dead = [member for member in members if member.state is MemberState.DEAD]
+        if dead:  # a partition may have healed
             self.send(self.rng.choice(dead).address, wire.Hello())
-        self.next_join = now + (REJOIN_INTERVAL_S if there else JOIN_INTERVAL_S) * self.rng.uniform(0.8, 1.2)
+        interval = REJOIN_INTERVAL_S if known else JOIN_INTERVAL_S
+        self.join_due = now + interval * self.rng.uniform(*JOIN_JITTER)
 
-    # Hearing.
+    # Receiving.
 
-    def received(self, data: bytes, now: float) -> None:
-        """Never raises for what comes."""
+    def receive(self, datagram: bytes, now: float) -> None:
+        """Handles a datagram from the network; a refused one is counted by its reason."""
         try:
-            self.hear(wire.decode(self.seal.open(data)), now)
+            self._accept(wire.decode(self.seal.open(datagram)), now)
         except RefusedError as error:
-            why = str(error)
-            self.counted.refused[why] = self.counted.refused.get(why, 0) + 1
+            self.counters.refused[str(error)] += 1
 
-    def hear(self, told: Envelope, now: float) -> None:
-        if told.name == self.me.name:
-            self.hear_namesake(told)
+    def _accept(self, envelope: Envelope, now: float) -> None:
+        if envelope.name == self.me.name:
+            self._check_duplicate_name(envelope)
             return
-        if isinstance(told.body, wire.Hello):
-            self.hear_hello(told, now)
-        if told.to != self.session:
-            if not isinstance(told.body, wire.Hello):
-                self.greet(told, now)
+        if isinstance(envelope.body, wire.Hello):
+            self._take_hello(envelope, envelope.body, now)
+        if envelope.to_session != self.session:
+            if not isinstance(envelope.body, wire.Hello):
+                self._answer_with_hello(envelope, now)
                 raise RefusedError("meant for another session: an old one, or a replay")
             return
-        fresh = self.admit(told, now)
-        self.counted.heard += 1
-        self.members.speaks(told.name, told.address, told.epoch, now)
-        for rumour in told.news:
-            self.members.hear(rumour, told.name, now)
-        self.act(told, now)
-        if fresh:
-            self.welcome(told.name)
-
-    def admit(self, told: Envelope, now: float) -> bool:
-        """Whether this is the first of its session. Raises RefusedError for a session that is over and a
-        number that has come."""
-        peer = self.peers.get(told.name)
-        member = self.members.others.get(told.name)
-        if peer and told.session != peer.session:
-            if told.epoch <= peer.epoch:
-                self.greet(told, now)
-                raise RefusedError(f"{told.name}: a start before the latest, or another one of its name")
-            elsewhere = member and member.state is MemberState.ALIVE and told.address != member.address
-            if elsewhere and now - peer.received_at < 2.0:
-                self.greet(told, now)
-                raise RefusedError(f"{told.name}: two members use this name")
+        is_first = self._accept_number(envelope, now)
+        self.counters.received += 1
+        self.members.note_datagram(envelope.name, envelope.address, envelope.epoch, now)
+        for update in envelope.updates:
+            self.members.apply_update(update, envelope.name, now)
+        self._dispatch(envelope, now)
+        if is_first:
+            self._introduce(envelope.name)
+
+    def _accept_number(self, envelope: Envelope, now: float) -> bool:
+        """Notes the sender's session and the datagram's number.
+
+        Returns:
+            Whether the datagram is the first of its session.
+
+        Raises:
+            RefusedError: For a datagram of an earlier start, of another member of this name, or a replay.
+        """
+        name = envelope.name
+        peer = self.peers.get(name)
+        if peer and envelope.session != peer.session:
+            self._check_new_session(envelope, peer, now)
             peer = None
-        if fresh := peer is None:
-            peer = self.peers[told.name] = PeerSession(told.epoch, told.session)
-        if not peer.is_new(told.number):
-            raise RefusedError(f"{told.name}: a datagram that has come before")
-        peer.received_at, peer.epoch = now, max(peer.epoch, told.epoch)
-        return fresh
-
-    def greet(self, told: Envelope, now: float) -> None:
-        """Tells a stranger this one's session, by an answer to the address that it gives."""
-        if now - self.greeted_since >= 1.0:
-            self.greeted, self.greeted_since = 0, now
-        if self.greeted < HELLO_ANSWERS_PER_SECOND + len(self.members.others):
-            self.greeted += 1
-            self.send(told.address, wire.Hello(self.known_epoch(told), answer=True), told.session)
-
-    def known_epoch(self, told: Envelope) -> int:
-        """The highest epoch heard of its name, if that was not this start of it; else 0."""
-        peer, member = self.peers.get(told.name), self.members.others.get(told.name)
-        if peer and peer.session != told.session and peer.epoch >= told.epoch:
+        is_first = peer is None
+        if peer is None:
+            peer = PeerSession(envelope.epoch, envelope.session)
+            self.peers[name] = peer
+        if not peer.is_new(envelope.number):
+            raise RefusedError(f"{name}: a datagram that has come before")
+        peer.received_at = now
+        peer.epoch = max(peer.epoch, envelope.epoch)
+        return is_first
+
+    def _check_new_session(self, envelope: Envelope, peer: PeerSession, now: float) -> None:
+        """Raises RefusedError unless the new session may replace the known one of its name."""
+        name = envelope.name
+        if envelope.epoch <= peer.epoch:
+            self._answer_with_hello(envelope, now)
+            raise RefusedError(f"{name}: a start before the latest, or another one of its name")
+        member = self.members.others.get(name)
+        is_elsewhere = (
+            member is not None and member.state is MemberState.ALIVE and member.address != envelope.address
+        )
+        if is_elsewhere and now - peer.received_at < DUPLICATE_NAME_AGE_S:
+            self._answer_with_hello(envelope, now)
+            raise RefusedError(f"{name}: two members use this name")
+
+    def _answer_with_hello(self, envelope: Envelope, now: float) -> None:
+        """Sends this session to a peer that does not know it, within the limit per second."""
+        if self._hello_limit.allow("", HELLO_ANSWERS_PER_SECOND + len(self.members.others), now):
+            hello = wire.Hello(self._find_later_epoch(envelope), is_answer=True)
+            self.send(envelope.address, hello, envelope.session)
+
+    def _find_later_epoch(self, envelope: Envelope) -> int:
+        """Returns the highest known epoch of the sender's name if it is of another start; otherwise 0."""
+        peer = self.peers.get(envelope.name)
+        if peer and peer.session != envelope.session and peer.epoch >= envelope.epoch:
             return peer.epoch
-        return member.epoch if member and member.epoch > told.epoch else 0
-
-    def hear_hello(self, told: Envelope, now: float) -> None:
-        """A hello alone is no proof of life: a replay says hello too. Only one that names this session is,
-        and brings the epoch that its sender's name has here."""
-        if told.to != self.session:
-            self.greet(told, now)
-            return
-        if told.body.known >= self.members.me.epoch:  # type: ignore[union-attr]
-            self.raise_epoch(told.body.known + 1)  # type: ignore[union-attr]
-
-    def raise_epoch(self, epoch: int) -> None:
-        self.behind = True
-        self.members.me.epoch = epoch
-        self.epoch_raised(epoch)
-
-    def hear_namesake(self, told: Envelope) -> None:
-        if told.session != self.session and told.address != self.me.address:
-            self.namesake = f"{told.address[0]}:{told.address[1]}"
-            raise RefusedError(f"another member uses the name {told.name}")
-
-    def act(self, told: Envelope, now: float) -> None:
-        match told.body:
-            case wire.Ping(number, ""):
-                self.send_to(told.name, wire.Ack(number))
-            case wire.Ping(number, about):
-                self.send_to(about, wire.Ping(-self.errand(told.name, number), ""))
-            case wire.Ack(number) if number >= 0:
-                self.members.acked(number)
+        member = self.members.others.get(envelope.name)
+        return member.epoch if member and member.epoch > envelope.epoch else 0
+
+    def _take_hello(self, envelope: Envelope, hello: wire.Hello, now: float) -> None:
+        """Answers a hello, or takes the epoch from one that names this session.
+
+        Only a hello that names this session proves that its sender is alive: others may be replays.
+        """
+        if envelope.to_session != self.session:
+            self._answer_with_hello(envelope, now)
+        elif hello.known_epoch >= self.members.me.epoch:
+            self.is_behind = True
+            self.members.me.epoch = hello.known_epoch + 1
+            self.on_epoch_raised(self.members.me.epoch)
+
+    def _check_duplicate_name(self, envelope: Envelope) -> None:
+        """Raises RefusedError if a datagram of this name is of another member."""
+        if envelope.session != self.session and envelope.address != self.me.address:
+            host, port = envelope.address
+            self.duplicate_name_address = f"{host}:{port}"
+            raise RefusedError(f"another member uses the name {envelope.name}")
+
+    def _dispatch(self, envelope: Envelope, now: float) -> None:
+        name = envelope.name
+        match envelope.body:
+            case wire.Ping(number, target):
+                self._take_ping(name, number, target)
             case wire.Ack(number):
-                asker, its = self.errands.pop(-number, ("", 0))
-                self.send_to(asker, wire.Ack(its))
+                self._take_ack(number)
             case wire.AnnouncementPart():
-                self.hear_bulletin(told.name, told.epoch, told.body, now)
+                announcement = self._announcements.add(name, envelope.epoch, envelope.body, now)
+                if announcement is not None:
+                    self.on_announcement(name, announcement)
             case wire.Query(number, text):
-                answer = self.on_ask(told.name, text)
-                if answer is not None:
-                    self.send_to(told.name, wire.QueryReply(number, answer))
+                reply = self.on_query(name, text)
+                if reply is not None:
+                    self.send_to(name, wire.QueryReply(number, reply))
             case wire.QueryReply(number, text):
-                self.on_answer(told.name, number, text)
+                self.on_query_reply(name, number, text)
             case wire.LeaseDatagram():
-                self.on_share(told.name, told.body)
+                self.on_lease_datagram(name, envelope.body)
             case wire.Leave():
-                self.members.left(told.name, now)
-
-    def errand(self, asker: str, number: int) -> int:
-        """A question asked for another one."""
-        self.errand_number += 1
-        self.errands[self.errand_number] = asker, number
-        if len(self.errands) > INDIRECT_PROBES_LIMIT:
-            del self.errands[next(iter(self.errands))]
-        return self.errand_number
-
-    def welcome(self, name: str) -> None:
-        """Both know the other one's session now: it hears of everybody, and this one's own word."""
-        known = [
-            x.rumour()
-            for x in self.members.others.values()
-            if x.state is MemberState.ALIVE and x.name != name
-        ]
-        peer, member = self.peers[name], self.members.others[name]
-        for at in range(0, max(len(known), 1), 16):
-            self.send(member.address, wire.Hello(), peer.session, tuple(known[at : at + 16]))
-        for body in self.unsaid.pop(name, ()):
-            self.send_to(name, body)
-        self.tell(name)
+                self.members.note_left(name, now)
 
-    def hear_bulletin(self, name: str, epoch: int, told: wire.AnnouncementPart, now: float) -> None:
-        known = self.bulletins.get(name)
-        if known and (known.epoch, known.version) >= (epoch, told.version):
-            if (known.epoch, known.version) == (epoch, told.version):
-                known.at = now
-            return
-        if not 0 <= told.part < told.parts <= ANNOUNCEMENT_PARTS_LIMIT:
-            raise RefusedError(f"{name}: a bulletin in {told.parts} parts")
-        version, parts, pieces = self.parts.get(name, (0, 0, {}))
-        if (version, parts) != (told.version, told.parts):
-            pieces = {}
-        pieces[told.part] = told.text
-        self.parts[name] = told.version, told.parts, pieces
-        if len(pieces) < told.parts:
+    def _take_ping(self, name: str, number: int, target: str) -> None:
+        """Answers a probe, or probes `target` on behalf of its sender under a negative number."""
+        if not target:
+            self.send_to(name, wire.Ack(number))
+        else:
+            self.send_to(target, wire.Ping(-self._indirect_probes.add(name, number), ""))
+
+    def _take_ack(self, number: int) -> None:
+        if number >= 0:
+            self.members.note_ack(number)
             return
-        del self.parts[name]
-        text = b"".join(pieces[part] for part in range(told.parts))
-        self.bulletins[name] = said = Announcement(epoch, told.version, text, now)
-        self.on_bulletin(name, said)
+        probe = self._indirect_probes.take(-number)
+        if probe is not None:
+            self.send_to(probe.requester, wire.Ack(probe.number))
+
+    def _introduce(self, name: str) -> None:
+        """Sends all known members, the queued bodies and the announcement to a member with a new session."""
+        updates = [
+            member.to_update()
+            for member in self.members.others.values()
+            if member.state is MemberState.ALIVE and member.name != name
+        ]
+        peer = self.peers[name]
+        address = self.members.others[name].address
+        for start in range(0, max(len(updates), 1), UPDATES_PER_INTRODUCTION):
+            batch = tuple(updates[start : start + UPDATES_PER_INTRODUCTION])
+            self.send(address, wire.Hello(), peer.session, batch)
+        for body in self._queued_bodies.pop(name, ()):
+            self.send_to(name, body)
+        self.send_announcement(name)
--- a/message_sender/fleet/seal.py
+++ b/message_sender/fleet/seal.py
@@ -1,11 +1,10 @@
-"""What goes between senders is sealed with a key that all of them have; without it nobody learns or says a
-thing.
-
-A datagram is the version, a random nonce of 96 bits and what ChaCha20-Poly1305 makes of the rest (RFC 8439,
-by the library `cryptography`). A key file has a 32-byte key in base64 a line: the first one seals, all of
-them open, so that a fleet changes its key by adding the new one last everywhere, then moving it to the
-front, then taking the old one out. With random nonces one key is good for 2^32 datagrams: a year at 100 a
-second; then it is changed.
+"""Seals the datagrams between senders and control nodes with keys that all of them have.
+
+A datagram is the version, a random nonce of 96 bits and the output of ChaCha20-Poly1305 for the rest (RFC
+8439, by the library `cryptography`). A key file has one 32-byte key in base64 per line: the first one seals,
+all of them open. To change the key of a fleet, add the new one last on every member, then move it to the front, then
+remove the old one. With random nonces one key is good for 2^32 datagrams, a year at 100 per second; then it
+must be changed.
 """
 
 import base64
@@ -22,27 +21,34 @@
 log = logging.getLogger(__name__)
 
 VERSION = b"EL1"
-NONCE_BYTES, KEY_BYTES = 12, 32  # bytes
-DATAGRAM_BYTES_MIN = len(VERSION) + NONCE_BYTES + 16
-DATAGRAM_BYTES_LIMIT = 1400  # bytes of a datagram: below what any link carries whole
+NONCE_BYTES = 12
+KEY_BYTES = 32
+TAG_BYTES = 16
+DATAGRAM_BYTES_MIN = len(VERSION) + NONCE_BYTES + TAG_BYTES
+DATAGRAM_BYTES_LIMIT = 1400  # fits the MTU of any link
+KEY_FILE_FORBIDDEN_MODE = 0o077  # group and others
 
 
 class RefusedError(ValueError):
-    """A datagram that is not believed; the text says why."""
+    """A datagram that is not accepted; the text gives the reason."""
 
 
 class KeyFileError(ValueError):
-    """A key file that cannot be used; the text says why."""
+    """A key file that cannot be used; the text gives the reason."""
 
 
 def read_keys(path: Path) -> list[bytes]:
-    """Raises KeyFileError, also for a file that others may read."""
+    """Reads a key file.
+
+    Raises:
+        KeyFileError: If it cannot be read, has no valid keys, or other users may read it.
+    """
     try:
         mode = stat.S_IMODE(path.stat().st_mode)
         lines = path.read_text("ascii").split()
     except (OSError, ValueError) as error:
         raise KeyFileError(f"{path}: {error}") from None
-    if mode & 0o077:
+    if mode & KEY_FILE_FORBIDDEN_MODE:
         raise KeyFileError(f"{path}: others may read it (mode {mode:o}); it must be 600")
     if not lines:
         raise KeyFileError(f"{path}: it holds no key")
@@ -50,6 +56,11 @@
 
 
 def decode_key(line: str, where: str) -> bytes:
+    """Decodes one line of a key file; `where` begins the text of an error.
+
+    Raises:
+        KeyFileError: If it is not a key.
+    """
     try:
         key = base64.b64decode(line, validate=True)
     except binascii.Error as error:
@@ -60,20 +71,33 @@
 
 
 class Seal:
+    """Seals and opens datagrams."""
+
     def __init__(self, keys: Sequence[bytes], random: Callable[[int], bytes] = os.urandom) -> None:
-        """`random` gives so many unpredictable bytes."""
-        self.change(keys)
+        """Creates a seal.
+
+        Args:
+            keys: The keys; the first one seals.
+            random: Returns that many unpredictable bytes.
+        """
+        self.set_keys(keys)
         self.random = random
 
-    def change(self, keys: Sequence[bytes]) -> None:
+    def set_keys(self, keys: Sequence[bytes]) -> None:
+        """Replaces the keys; the first one seals."""
         self.ciphers = [ChaCha20Poly1305(key) for key in keys]
 
     def seal(self, data: bytes) -> bytes:
+        """Returns the datagram with this content."""
         nonce = self.random(NONCE_BYTES)
         return VERSION + nonce + self.ciphers[0].encrypt(nonce, data, VERSION)
 
     def open(self, datagram: bytes) -> bytes:
-        """Raises RefusedError."""
+        """Returns the content of a datagram.
+
+        Raises:
+            RefusedError: If it was not sealed with one of the keys, or changed.
+        """
         if len(datagram) > DATAGRAM_BYTES_LIMIT:
             raise RefusedError(f"a datagram of {len(datagram)} bytes; {DATAGRAM_BYTES_LIMIT} at the most")
         if len(datagram) < DATAGRAM_BYTES_MIN:
@@ -90,12 +114,17 @@
 
 
 def reread_keys(seal: Seal, path: Path, part: str) -> None:
-    """Takes the keys that the file holds now. One that cannot be used changes nothing, and the log says why
-    with `part`, the name of who seals."""
+    """Sets the keys that the file has now; if it cannot be used, logs the reason and changes nothing.
+
+    Args:
+        seal: The seal to change.
+        path: The key file.
+        part: The component that uses the seal, for the log.
+    """
     try:
         keys = read_keys(path)
     except KeyFileError as error:
-        log.error("%s: the keys stay as they were: %s", part, error)
+        log.error("%s: key file refused, keys unchanged: error=%s", part, error)
         return
-    seal.change(keys)
-    log.info("%s: %d keys from now on", part, len(keys))
+    seal.set_keys(keys)
+    log.info("%s: keys replaced: count=%d", part, len(keys))
--- a/message_sender/fleet/udp.py
+++ b/message_sender/fleet/udp.py
@@ -1,4 +1,4 @@
-"""The link's edge: one UDP socket, the epoch on the disk, the node's ticks on the loop."""
+"""Runs the link between senders on the event loop: its UDP socket, its epoch on the disk, its ticks."""
 
 import asyncio
 import logging
@@ -6,97 +6,124 @@
 import secrets
 from collections.abc import Callable
 from pathlib import Path
-from typing import cast
 
 from message_sender.files import replace_json
+from message_sender.fleet.default_handlers import ignore_tick
 from message_sender.fleet.node import FleetNode, LocalMember
+from message_sender.fleet.refused_datagrams import RefusedDatagramsLog
 from message_sender.fleet.seal import Seal, read_keys, reread_keys
+from message_sender.fleet.udp_socket import UdpSocket
 from message_sender.fleet.wire import Address
 
-TICK_INTERVAL_S = 0.05  # s
+TICK_INTERVAL_S = 0.05
 EPOCH_FILE = "fleet.epoch"
-REFUSED_DATAGRAMS_INTERVAL_S = 10.0  # s between two records of what was refused
+SESSION_BITS = 62
+SEED_BITS = 64
 
 log = logging.getLogger(__name__)
 
 
-class FleetLink(asyncio.DatagramProtocol):
-    """Several times a second `step` is called with the node's time."""
+class FleetLink:
+    """One sender's end of the link; `on_tick` is called with the node's time several times a second."""
 
     def __init__(self, me: LocalMember, listen: Address, key_file: Path, state: Path) -> None:
-        """Raises KeyFileError where there is no key to seal with, OSError where the epoch cannot be kept."""
-        self.listen, self.key_file, self.state = listen, key_file, state
+        """Creates the link on the running event loop, after its epoch was raised durably.
+
+        Args:
+            me: This member.
+            listen: The address to bind.
+            key_file: The file with the keys of the datagrams.
+            state: The folder of the epoch's file.
+
+        Raises:
+            KeyFileError: If the key file cannot be used.
+            OSError: If the epoch cannot be stored.
+        """
+        self.listen = listen
+        self.key_file = key_file
+        self.state = state
         self.loop = asyncio.get_running_loop()
         self.seal = Seal(read_keys(key_file))
         epoch = self.read_epoch() + 1
         self.write_epoch(epoch)
-        session, rng = secrets.randbits(62) + 1, random.Random(secrets.randbits(64))
+        session = secrets.randbits(SESSION_BITS) + 1
+        rng = random.Random(secrets.randbits(SEED_BITS))
         self.node = FleetNode(me, self.seal, epoch, session, rng, self.loop.time())
-        self.node.epoch_raised = self.write_epoch
-        self.step: Callable[[float], None] = lambda now: None
-        self.transport: asyncio.DatagramTransport | None = None
+        self.node.on_epoch_raised = self.write_epoch
+        self.on_tick: Callable[[float], None] = ignore_tick
+        self.socket = UdpSocket()
         self.task: asyncio.Task[None] | None = None
-        self.told_at, self.told, self.namesake = -REFUSED_DATAGRAMS_INTERVAL_S, 0, ""
+        self._refused_datagrams = RefusedDatagramsLog("fleet", log)
+        self._logged_duplicate = ""
 
     def read_epoch(self) -> int:
+        """Returns the epoch of the latest start; 0 if none is known."""
         try:
             return max(int((self.state / EPOCH_FILE).read_text()), 0)
         except (OSError, ValueError):
             return 0
 
     def write_epoch(self, epoch: int) -> None:
+        """Stores the epoch durably; raises OSError if it cannot."""
         replace_json(self.state / EPOCH_FILE, epoch, sync=True)
 
     async def start(self) -> None:
-        """Raises OSError where the address cannot be bound."""
-        await self.loop.create_datagram_endpoint(lambda: self, local_addr=self.listen)
-        self.task = self.loop.create_task(self.run())
+        """Binds the socket and starts the ticks.
 
-    def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.DatagramTransport, transport)
+        Raises:
+            OSError: If the address cannot be bound.
+        """
+        await self.socket.open(self.listen, self.receive)
+        self.task = self.loop.create_task(self.run())
 
-    def datagram_received(self, data: bytes, addr: object) -> None:
-        self.node.received(data, self.loop.time())
+    def receive(self, datagram: bytes, source: Address) -> None:
+        """Handles a datagram from the network, and sends what follows from it."""
+        self.node.receive(datagram, self.loop.time())
         self.flush()
 
-    def error_received(self, exc: Exception) -> None:
-        """Nobody is at an address: membership finds out."""
-
     def flush(self) -> None:
-        out, self.node.outbox = self.node.outbox, []
-        for address, data in out:
-            if self.transport and not self.transport.is_closing():
-                self.transport.sendto(data, address)
+        """Sends the datagrams in the node's outbox."""
+        datagrams = self.node.outbox
+        self.node.outbox = []
+        self.socket.send_all(datagrams)
 
     async def run(self) -> None:
+        """Ticks until it is cancelled."""
         while True:
             now = self.loop.time()
             self.node.tick(now)
-            self.step(now)
+            self.on_tick(now)
             self.flush()
-            self.record(now)
+            self.log_changes(now)
             await asyncio.sleep(TICK_INTERVAL_S)
 
-    def record(self, now: float) -> None:
-        for name, state, by in self.node.members.changed:
-            log.info("fleet: %s is %s, says %s", name, state.name.lower(), by)
-        self.node.members.changed.clear()
-        if self.node.namesake != self.namesake:
-            self.namesake = self.node.namesake
-            log.error("fleet: another member at %s uses the name %s", self.namesake, self.node.me.name)
-        refused = self.node.counted.refused
-        if (count := sum(refused.values())) > self.told and now - self.told_at >= REFUSED_DATAGRAMS_INTERVAL_S:
-            self.told_at, self.told = now, count
-            log.warning("fleet: datagrams refused: %s", "; ".join(f"{n} {why}" for why, n in refused.items()))
+    def log_changes(self, now: float) -> None:
+        """Logs what has changed since the last call."""
+        for change in self.node.members.changes:
+            log.info(
+                "fleet: member state changed: member=%s state=%s reporter=%s",
+                change.name,
+                change.state.name.lower(),
+                change.reporter,
+            )
+        self.node.members.changes.clear()
+        duplicate = self.node.duplicate_name_address
+        if duplicate != self._logged_duplicate:
+            self._logged_duplicate = duplicate
+            log.error(
+                "fleet: another member uses this name: name=%s address=%s", self.node.me.name, duplicate
+            )
+        self._refused_datagrams.update(self.node.counters.refused, now)
 
     def reread_keys(self) -> None:
-        """SIGHUP."""
+        """Handles SIGHUP."""
         reread_keys(self.seal, self.key_file, "fleet")
 
     def close(self) -> None:
+        """Announces the shutdown and closes the socket."""
         if self.task:
             self.task.cancel()
-        if self.transport:
+        if self.socket.is_open:
             self.node.leave()
             self.flush()
-            self.transport.close()
+            self.socket.close()
--- a/message_sender/fleet/wire.py
+++ b/message_sender/fleet/wire.py
@@ -1,8 +1,11 @@
-"""What senders say to one another. One envelope a datagram; msgpack by msgspec, which checks every field.
+"""The datagrams between senders: one envelope per datagram, in msgpack, with every field checked.
 
-`session` is drawn anew at each start of a sender, `epoch` counts its starts and stands on its disk, `to` is
-the session of the receiver as far as known. Whoever starts again has another session, so that nothing that
-was said to the one before is believed again.
+`session` is drawn at random at each start of a sender, `epoch` counts its starts and is stored on its disk,
+`to_session` is the session of the receiver as far as known (0: unknown). A sender that starts again has
+another session, so that datagrams to its previous start are not accepted.
+
+All structures are encoded as arrays: the order and the types of their fields, and the tags, are the wire
+format.
 """
 
 from typing import Annotated
@@ -16,7 +19,7 @@
 
 
 class MembershipUpdate(msgspec.Struct, array_like=True, frozen=True):
-    """What is known of a member; the higher (epoch, incarnation) is newer, and of equals the worse state."""
+    """The state of a member; the higher (epoch, incarnation) is newer, and of equals the higher state."""
 
     name: str
     address: Address
@@ -26,48 +29,54 @@
 
 
 class Hello(msgspec.Struct, array_like=True, frozen=True, tag=1):
-    """Here I am; an answer tells your session. `known`: the highest epoch heard of the receiver's name."""
+    """Announces the sender's session; `known_epoch` is the highest known epoch of the receiver's name."""
 
-    known: int = 0
-    answer: bool = False
+    known_epoch: int = 0
+    is_answer: bool = False
 
 
 class Ping(msgspec.Struct, array_like=True, frozen=True, tag=2):
-    """Are you there? `of`: whom the receiver is to ask in place of the sender; "" for itself."""
+    """A probe of the receiver, or, on behalf of the sender, of `target` if that is not empty."""
 
     number: int
-    of: str = ""
+    target: str = ""
 
 
 class Ack(msgspec.Struct, array_like=True, frozen=True, tag=3):
+    """The answer to a Ping."""
+
     number: int
 
 
 class AnnouncementPart(msgspec.Struct, array_like=True, frozen=True, tag=4):
-    """What a member says of itself to everybody; the newest version counts."""
+    """A part of a member's announcement to all others; the newest version counts."""
 
     version: int
-    part: int
-    parts: int
-    text: bytes
+    index: int
+    count: int
+    data: bytes
 
 
 class Query(msgspec.Struct, array_like=True, frozen=True, tag=5):
+    """A query; the link does not know its content."""
+
     number: int
-    text: bytes
+    data: bytes
 
 
 class QueryReply(msgspec.Struct, array_like=True, frozen=True, tag=6):
+    """The reply to the query of this number."""
+
     number: int
-    text: bytes
+    data: bytes
 
 
 class Leave(msgspec.Struct, array_like=True, frozen=True, tag=7):
-    """This one ends as it was told to."""
+    """Announces the orderly shutdown of the sender."""
 
 
 class LeaseDatagram(msgspec.Struct, array_like=True, frozen=True, tag=8):
-    """A word about a budget (budget/manager.py)."""
+    """A message about a budget's leases; the fields are those of budget/manager.py."""
 
     budget: str
     kind: Annotated[int, msgspec.Meta(ge=0, le=4)]
@@ -85,30 +94,41 @@
 
 
 class Envelope(msgspec.Struct, array_like=True, frozen=True):
+    """A body with its sender's identity and membership updates."""
+
     name: str
-    address: Address  # where this sender is called
+    address: Address  # at which this sender is reached
     epoch: int
     session: int
-    to: int
+    to_session: int
     number: int  # of the datagrams of this session, from 1
     body: Body
-    news: tuple[MembershipUpdate, ...] = ()
+    updates: tuple[MembershipUpdate, ...] = ()
 
 
-ENCODER, DECODER = msgspec.msgpack.Encoder(), msgspec.msgpack.Decoder(Envelope)
+ENCODER = msgspec.msgpack.Encoder()
+DECODER = msgspec.msgpack.Decoder(Envelope)
 NAME_LENGTH_LIMIT = 64  # characters
 
 
 def encode(envelope: Envelope) -> bytes:
+    """Encodes an envelope."""
     return ENCODER.encode(envelope)
 
 
 def decode(data: bytes) -> Envelope:
-    """Raises RefusedError for what is no envelope."""
+    """Decodes an envelope.
+
+    Raises:
+        RefusedError: If the bytes are not a valid envelope.
+    """
     try:
-        found = DECODER.decode(data)
+        envelope = DECODER.decode(data)
     except (msgspec.DecodeError, msgspec.ValidationError, ValueError) as error:
         raise RefusedError(f"no envelope: {error}") from None
-    if not 0 < len(found.name) <= NAME_LENGTH_LIMIT or min(found.epoch, found.session, found.number) < 0:
+    if (
+        not 0 < len(envelope.name) <= NAME_LENGTH_LIMIT
+        or min(envelope.epoch, envelope.session, envelope.number) < 0
+    ):
         raise RefusedError("an envelope with figures that cannot be")
-    return found
+    return envelope
--- a/message_sender/recovery/coordinator.py
+++ b/message_sender/recovery/coordinator.py
@@ -15,8 +15,9 @@
 
 import msgspec
 
+from message_sender.fleet.announcements import Announcement
 from message_sender.fleet.members import MemberState
-from message_sender.fleet.node import Announcement, FleetNode
+from message_sender.fleet.node import FleetNode
 from message_sender.policy.events import InheritedState
 from message_sender.policy.model import FAILURES, Outcome, Settings
 from message_sender.recovery.id_inquiry import IdState, Inquiry
@@ -118,10 +119,10 @@
         self.next_turn = self.next_word = now
         self.paced: dict[int, str] = {}  # what was last told of each destination
         self.freed: dict[int, int] = {}  # and since when, us
-        node.on_bulletin = self.hear
+        node.on_announcement = self.hear
         self.inquiry = Inquiry(sender.ids())
-        node.on_ask = lambda name, text: answer_about(text, sender.known)
-        node.on_answer = self.hear_answer
+        node.on_query = lambda name, text: answer_about(text, sender.known)
+        node.on_query_reply = self.hear_answer
         self.changed: Callable[[Stage], None] = lambda stage: None
 
     # The link's side.
@@ -132,7 +133,7 @@
             log.warning("fleet: what %s says of itself cannot be read", name)
             return
         first = name not in self.stages.words
-        self.stages.heard(name, word, said.at)
+        self.stages.heard(name, word, said.received_at)
         if first and self.stages.stage > Stage.ASKING and self.clock() < self.stages.began + SLOW:
             self.borrow(name, word)
 
@@ -154,7 +155,7 @@
     def ask(self, now: float) -> None:
         others = self.node.others()
         for name, piece, text in self.inquiry.due(others, now):
-            self.node.ask(piece, [name], text)
+            self.node.send_query(piece, [name], text)
         self.stages.unanswered = self.inquiry.unanswered(others)
 
     def step(self, now: float) -> None:
@@ -305,10 +306,11 @@
         numbers = sorted(
             {*stages.owed, *stages.seen, *(n for word in stages.words.values() for n in word.seen)}
         )
-        counted, doubtful = self.node.counted, self.inquiry.elsewhere
+        counted, doubtful = self.node.counters, self.inquiry.elsewhere
         return {
-            "name": stages.me, "members": members, "behind": self.node.behind, "namesake": self.node.namesake,
-            "refused": dict(counted.refused), "sent": counted.sent, "heard": counted.heard,
+            "name": stages.me, "members": members, "behind": self.node.is_behind,
+            "namesake": self.node.duplicate_name_address,
+            "refused": dict(counted.refused), "sent": counted.sent, "heard": counted.received,
             "doubtful": {name: [by, known.name.lower()] for name, (by, known) in doubtful.items()},
             "destinations": {str(number): self.destination(number, now) for number in numbers},
             "history": [[round(at - stages.began, 3), s.name.lower(), why] for at, s, why in stages.changes],
--- a/message_sender/service/budgets.py
+++ b/message_sender/service/budgets.py
@@ -52,8 +52,8 @@
 class FleetNodePort(Protocol):
     """What is needed of the link's end (fleet/node.py)."""
 
-    on_share: Callable[[str, wire.LeaseDatagram], None]
-    epoch_raised: Callable[[int], None]
+    on_lease_datagram: Callable[[str, wire.LeaseDatagram], None]
+    on_epoch_raised: Callable[[int], None]
 
     @property
     def members(self) -> Any: ...  # noqa: ANN401
@@ -139,8 +139,8 @@
         self.noted: dict[str, float] = {}
         for each in told:
             self.add(each)
-        link.node.on_share = self.hear
-        self.raised, link.node.epoch_raised = link.node.epoch_raised, self.epoch_raised
+        link.node.on_lease_datagram = self.hear
+        self.raised, link.node.on_epoch_raised = link.node.on_epoch_raised, self.epoch_raised
 
     def bind(self) -> None:
         """From here on they bind."""
--- a/message_sender/service/membership.py
+++ b/message_sender/service/membership.py
@@ -96,7 +96,7 @@
         self.link = FleetLink(me, config.listen, config.key_file, state)
         self.view = EngineView(engine)
         self.coordinator = Coordinator(self.link.node, self.view, engine.settings, self.link.loop.time)
-        self.link.step = self.step
+        self.link.on_tick = self.step
         self.budgets: SharedBudgets | None = None
         if budgets or may_come:
             from message_sender.service import budgets as shared
@@ -122,7 +122,7 @@
                 await self.asked
         except TimeoutError:
             log.error("stage: asking did not end by itself")
-        if self.link.node.behind:
+        if self.link.node.is_behind:
             self.doubt_all()
 
     def doubt_all(self) -> None:
--- a/message_sender/service/standalone.py
+++ b/message_sender/service/standalone.py
@@ -200,7 +200,7 @@
     def keep_away(self, endpoint: str, left: float, by: str) -> None:
         """Another one keeps it out of service: that counts where this one's disk may not tell the latest."""
         assert self.membership
-        if self.beginning and self.beginning.is_latest() and not self.membership.link.node.behind:
+        if self.beginning and self.beginning.is_latest() and not self.membership.link.node.is_behind:
             return
         now = self.engine.now()
         until = now + int(min(left, MOST_AWAY) * 1e6)
--- a/tests/compatibility/test_compatibility.py
+++ b/tests/compatibility/test_compatibility.py
@@ -147,7 +147,7 @@
     seal = Seal([KEY])
     for name, data in samples.recorded(samples.fleet_datagrams).items():
         envelope = decode(seal.open(data))
-        assert (envelope.name, envelope.epoch, envelope.session, envelope.to, envelope.number) == (
+        assert (envelope.name, envelope.epoch, envelope.session, envelope.to_session, envelope.number) == (
             "s1",
             2,
             9,
@@ -155,7 +155,7 @@
             7,
         )
         assert type(envelope.body).__struct_config__.tag is not None, name
-        assert envelope.news[0].name == "s3" and envelope.news[0].incarnation == 6
+        assert envelope.updates[0].name == "s3" and envelope.updates[0].incarnation == 6
 
 
 def test_control_datagrams_are_received() -> None:
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -215,7 +215,7 @@
                 for each in cluster.members.values():
                     (each.folder / "fleet.key").write_text("\n".join(keys) + "\n")
                     cluster.signal(each, signal.SIGHUP)
-                await cluster.until(partial(told, cluster, "keys from now on", 2 * number))
+                await cluster.until(partial(told, cluster, "keys replaced: count=", 2 * number))
             before = [heard(each) for each in cluster.members.values()]
             await cluster.until(
                 lambda: all(heard(x) > y for x, y in zip(cluster.members.values(), before, strict=True))
--- a/tests/test_control_channel.py
+++ b/tests/test_control_channel.py
@@ -130,11 +130,11 @@
 
 def test_the_key_is_changed_while_the_link_goes_on() -> None:
     one, two = pair()
-    one.seal.change([bytes(32), KEY])
+    one.seal.set_keys([bytes(32), KEY])
     one.send("c1", StatusRequest(2), 0.0)
     ((_, datagram),) = one.take_datagrams()
     assert two.receive(datagram, ADDRESSES["c0"], 0.0) == []
-    two.seal.change([KEY, bytes(32)])
+    two.seal.set_keys([KEY, bytes(32)])
     assert two.receive(datagram, ADDRESSES["c0"], 0.0) == [("c0", StatusRequest(2))]
 
 
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -35,7 +35,7 @@
         for address, data in out:
             went.append(data)
             if address in by:
-                by[address].received(data, now)
+                by[address].receive(data, now)
     return went
 
 
@@ -50,15 +50,15 @@
 @given(st.binary(max_size=1500))
 def test_what_is_not_sealed_with_our_key_has_no_effect(junk: bytes) -> None:
     one = node()
-    one.received(junk, 0.0)
-    one.received(Seal([OTHER]).seal(junk[:1300]), 0.0)
-    assert not one.outbox and not one.members.others and sum(one.counted.refused.values()) == 2
+    one.receive(junk, 0.0)
+    one.receive(Seal([OTHER]).seal(junk[:1300]), 0.0)
+    assert not one.outbox and not one.members.others and sum(one.counters.refused.values()) == 2
 
 
 @given(st.binary(max_size=300))
 def test_no_content_under_our_seal_raises(content: bytes) -> None:
     one = node()
-    one.received(Seal([KEY]).seal(content), 0.0)
+    one.receive(Seal([KEY]).seal(content), 0.0)
     assert not one.members.others
 
 
@@ -84,7 +84,7 @@
 def test_keys_change_with_nobody_left_out() -> None:
     old, both, new = Seal([KEY]), Seal([KEY, OTHER]), Seal([OTHER])
     assert both.open(old.seal(b"x")) == old.open(both.seal(b"x")) == both.open(new.seal(b"x")) == b"x"
-    both.change([OTHER, KEY])
+    both.set_keys([OTHER, KEY])
     assert new.open(both.seal(b"x")) == b"x"
     with pytest.raises(RefusedError):
         new.open(old.seal(b"x"))
@@ -116,15 +116,15 @@
     acquainted(a, b)
     a.publish(b"word", 1.0)
     went = carry(a, b, now=1.0)
-    assert b.bulletins["a"].text == b"word"
-    heard = b.counted.heard
+    assert b.announcements["a"].text == b"word"
+    heard = b.counters.received
     for data in went:
-        b.received(data, 2.0)
-    assert b.counted.heard == heard
+        b.receive(data, 2.0)
+    assert b.counters.received == heard
     again = node("b", epoch=2, seed=7)
     for data in went:
-        again.received(data, 3.0)
-    assert not again.bulletins and not again.members.others, "it was said to the one before"
+        again.receive(data, 3.0)
+    assert not again.announcements and not again.members.others, "it was said to the one before"
     assert len(again.outbox) <= 20 + len(went), "all that a replay causes is a bounded number of greetings"
 
 
@@ -133,9 +133,9 @@
     acquainted(a, b)
     raised: list[int] = []
     old = node("b", epoch=3, seed=5)
-    old.epoch_raised = raised.append
+    old.on_epoch_raised = raised.append
     acquainted(a, old)
-    assert old.behind and raised == [8] and old.members.me.epoch == 8
+    assert old.is_behind and raised == [8] and old.members.me.epoch == 8
     acquainted(a, old)
     assert a.members.others["b"].epoch == 8 and a.members.others["b"].state is MemberState.ALIVE
 
@@ -145,7 +145,7 @@
     other.me = LocalMember("a", ("10.0.0.9", 1))
     other.send(one.me.address, wire.Hello())
     carry(one, other)
-    assert one.namesake == "10.0.0.9:1" and not one.members.others
+    assert one.duplicate_name_address == "10.0.0.9:1" and not one.members.others
 
 
 @pytest.mark.parametrize(("size", "loss"), [(5, 0.0), (5, 0.2), (40, 0.05)])
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -151,8 +151,8 @@
     fleet.acquaint()
     fleet.run(3.0)
     assert all(fleet.know(1, name) == 7 for name in fleet.nodes)
-    assert not any(node.members.changed for node in fleet.nodes.values())
-    assert not any(node.counted.refused for node in fleet.nodes.values())
+    assert not any(node.members.changes for node in fleet.nodes.values())
+    assert not any(node.counters.refused for node in fleet.nodes.values())
 
 
 def test_a_change_reaches_all_though_datagrams_are_lost() -> None:
