--- a/message_sender/fleet/seal.py
+++ b/message_sender/fleet/seal.py
@@ -2,9 +2,9 @@
 
 A datagram is the version, a random nonce of 96 bits and the output of ChaCha20-Poly1305 for the rest (RFC
 8439, by the library `cryptography`). A key file has one 32-byte key in base64 per line: the first one seals,
-all of them open. To change the key of a fleet, add the new one last on every member, then move it to the front, then
-remove the old one. With random nonces one key is good for 2^32 datagrams, a year at 100 per second; then it
-must be changed.
+all of them open. To change the key of a fleet, add the new one last on every member, then move it to the
+front, then remove the old one. With random nonces one key is good for 2^32 datagrams, a year at 100 per
+second; then it must be changed.
 """
 
 import base64
