--- a/message_sender/service/control_link.py
+++ b/message_sender/service/control_link.py
@@ -14,15 +14,14 @@
 from typing import Any
 
 from message_sender.configuration.general import ControlPlane, SenderConfig
-from message_sender.control.channel import BodyTooLargeError, Channel
+from message_sender.control.channel import Channel
 from message_sender.control.choice import ControlNodeAddress
-from message_sender.control.messages import Address, WatchMessage
 from message_sender.control.schema import BUDGETS, ENDPOINTS, has_kind
 from message_sender.control.watch import Watch, WatchStatus
+from message_sender.control.watch_link import WatchLink
 from message_sender.files import replace_json
 from message_sender.fleet.refused_datagrams import RefusedDatagramsLog
 from message_sender.fleet.seal import KeyFileError, Seal, read_keys, reread_keys
-from message_sender.fleet.udp_socket import UdpSocket
 from message_sender.journal.disk import Disk, SystemDisk
 from message_sender.service.control_configuration import (
     ConfigurableBudgets,
@@ -69,7 +68,7 @@
         self.watch = Watch(
             name, nodes, config.region, applier.document, applier, rng, self.loop.time()
         )  # fmt: skip
-        self.socket = UdpSocket()
+        self.connection = WatchLink(self.channel, self.watch, self.loop.time)
         self.task: asyncio.Task[None] | None = None
         self.kept_epoch = epoch
         self.keeping: asyncio.Task[None] | None = None  # of a later epoch, beside the loop
@@ -78,32 +77,14 @@
 
     async def start(self) -> None:
         """Raises OSError where the address cannot be bound."""
-        await self.socket.open(self.config.listen, self.received)
+        await self.connection.open(self.config.listen)
         self.task = self.loop.create_task(self.run())
 
-    def received(self, datagram: bytes, source: Address) -> None:
-        """Handles a datagram from the network."""
-        now = self.loop.time()
-        for name, body in self.channel.receive(datagram, source, now):
-            if name in self.channel.addresses and isinstance(body, WatchMessage):
-                self.watch.receive(name, body, now)
-        self.flush(now)
-
-    def flush(self, now: float) -> None:
-        """Sends what the watch and the channel have to say."""
-        for node, message in self.watch.take_messages():
-            try:
-                self.channel.send(node, message, now)
-            except BodyTooLargeError as error:
-                log.error("control: not said to %s: %s", node, error)
-        self.socket.send_all(self.channel.take_datagrams())
-
     async def run(self) -> None:
         """Until it is cancelled."""
         while True:
             now = self.loop.time()
-            self.watch.tick(now)
-            self.flush(now)
+            self.connection.tick(now)
             self.record(now)
             await asyncio.sleep(TICK_S)
 
@@ -147,7 +128,7 @@
         for task in (self.task, self.keeping):
             if task:
                 task.cancel()
-        self.socket.close()
+        self.connection.close()
 
 
 class SenderControl:
--- a/message_sender/testbed/control_cluster.py
+++ b/message_sender/testbed/control_cluster.py
@@ -12,7 +12,7 @@
 import signal
 import sys
 import time
-from collections.abc import Awaitable, Mapping, Sequence
+from collections.abc import Awaitable, Callable, Mapping, Sequence
 from dataclasses import dataclass, field
 from pathlib import Path
 from typing import Any, Self
@@ -22,10 +22,10 @@
 from message_sender.control.choice import ControlNodeAddress
 from message_sender.control.configuration import load
 from message_sender.control.document import Document
-from message_sender.control.messages import Address, Delta, WatchMessage
+from message_sender.control.messages import Address, Delta
 from message_sender.control.watch import Watch
+from message_sender.control.watch_link import WatchLink
 from message_sender.control_socket import ask
-from message_sender.fleet.udp_socket import UdpSocket
 from message_sender.testbed.cluster import HOST, PATIENCE, Relay
 
 WATCH_TICK_S = 0.05
@@ -105,13 +105,15 @@
 
 
 class RecordingApplier:
-    """Takes every version, and notes them."""
+    """Accepts every version, records it and calls `on_version`, right before it is in force."""
 
-    def __init__(self) -> None:
+    def __init__(self, on_version: Callable[[], None]) -> None:
         self.versions: list[int] = []
+        self.on_version = on_version
 
     def apply(self, document: Document, delta: Delta) -> None:
         self.versions.append(delta.to_version)
+        self.on_version()
 
 
 class LabWatcher:
@@ -121,17 +123,18 @@
         """`config`: of any control node, whose key it has."""
         rng = random.Random(name)
         self.loop = asyncio.get_running_loop()
-        self.name, self.region, self.applier = name, region, RecordingApplier()
+        self.name, self.region = name, region
+        self.applier = RecordingApplier(self.version_changed)
         addresses = {each.name: each.address for each in nodes}
         seal = control_process.read_seal(load(config))
-        self.channel = Channel(name, 1, rng.getrandbits(60) + 1, seal, addresses)
+        channel = Channel(name, 1, rng.getrandbits(60) + 1, seal, addresses)
         self.watch = Watch(name, nodes, region, Document(), self.applier, rng, self.loop.time())
         self.changed = asyncio.Condition()
-        self.socket = UdpSocket()
+        self.link = WatchLink(channel, self.watch, self.loop.time)
         self.tasks: set[asyncio.Task[None]] = set()
 
     async def start(self, port: int) -> None:
-        await self.socket.open((HOST, port), self.received)
+        await self.link.open((HOST, port))
         self.spawn(self.run())
 
     def spawn(self, work: Any) -> None:  # noqa: ANN401
@@ -139,14 +142,9 @@
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    def received(self, datagram: bytes, source: Address) -> None:
-        now, before = self.loop.time(), self.watch.document.version
-        for sender, body in self.channel.receive(datagram, source, now):
-            if isinstance(body, WatchMessage):
-                self.watch.receive(sender, body, now)
-        if self.watch.document.version != before:
-            self.spawn(self.tell_changed())
-        self.flush(now)
+    def version_changed(self) -> None:
+        """Notifies those that wait for a version, once the event loop goes on and it is in force."""
+        self.spawn(self.tell_changed())
 
     async def tell_changed(self) -> None:
         async with self.changed:
@@ -157,22 +155,15 @@
         async with self.changed:
             await self.changed.wait_for(lambda: self.watch.document.version >= version)
 
-    def flush(self, now: float) -> None:
-        for to, message in self.watch.take_messages():
-            self.channel.send(to, message, now)
-        self.socket.send_all(self.channel.take_datagrams())
-
     async def run(self) -> None:
         while True:
-            now = self.loop.time()
-            self.watch.tick(now)
-            self.flush(now)
+            self.link.tick(self.loop.time())
             await asyncio.sleep(WATCH_TICK_S)
 
     def close(self) -> None:
         for task in self.tasks:
             task.cancel()
-        self.socket.close()
+        self.link.close()
 
 
 class ControlCluster:
--- a/tests/test_control_link.py
+++ b/tests/test_control_link.py
@@ -229,7 +229,7 @@
             assert sender.control_plane and sender.control_plane.link
             link = sender.control_plane.link
             await node.until(lambda: sum(node.channel.refused.values()) >= 2)
-            link.received(node.channel.seal.seal(b"forged"), ("127.0.0.1", node.port))
+            link.connection.receive(node.channel.seal.seal(b"forged"), ("127.0.0.1", node.port))
             told = sender.commands()["control"]({})
             assert told["version"] == 0 and sum(told["refused_datagrams"].values()) == 1
     assert node.watcher() is None
