--- a/message_sender/control/channel.py
+++ b/message_sender/control/channel.py
@@ -21,9 +21,8 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-import msgspec
-
 from message_sender.control.messages import Address, Body, Envelope, Fragment, Hello
+from message_sender.fleet.codec import DecodingError, MessageCodec
 from message_sender.fleet.rate_limit import RateLimit
 from message_sender.fleet.seal import DATAGRAM_BYTES_LIMIT, DATAGRAM_BYTES_MIN, RefusedError, Seal
 from message_sender.fleet.session import PeerSession
@@ -40,6 +39,9 @@
 PARTIAL_BYTES_LIMIT = 4 * 1024 * 1024  # of all peers
 PARTIAL_AGE_LIMIT_S = 5.0
 
+ENVELOPE_CODEC = MessageCodec(Envelope)
+BODY_CODEC: MessageCodec[Body] = MessageCodec(Body)  # type: ignore[arg-type]
+
 
 class RefusalReason(StrEnum):
     """Why a datagram was dropped."""
@@ -129,9 +131,6 @@
         self._message_number = 0
         self._hello_limit = RateLimit(0.0)  # by name; "" for all names that are not configured
         self._outbox: list[tuple[Address, bytes]] = []
-        self._encoder = msgspec.msgpack.Encoder()
-        self._envelope_decoder = msgspec.msgpack.Decoder(Envelope)
-        self._body_decoder = msgspec.msgpack.Decoder(Body)
 
     # Sending.
 
@@ -170,7 +169,7 @@
         return datagrams
 
     def _send_body(self, address: Address, session: int, body: Body) -> None:
-        encoded = self._encoder.encode(body)
+        encoded = BODY_CODEC.encode(body)
         if len(encoded) <= FRAGMENT_BYTES:
             self._send_datagram(address, session, body)
             return
@@ -184,7 +183,7 @@
     def _send_datagram(self, address: Address, session: int, body: Body) -> None:
         self._datagram_number += 1
         envelope = Envelope(self.name, self.epoch, self.session, session, self._datagram_number, body)
-        datagram = self.seal.seal(self._encoder.encode(envelope))
+        datagram = self.seal.seal(ENVELOPE_CODEC.encode(envelope))
         assert DATAGRAM_BYTES_MIN < len(datagram) <= DATAGRAM_BYTES_LIMIT, len(datagram)
         self.sent += 1
         self.sent_bytes += len(datagram)
@@ -214,10 +213,9 @@
         except RefusedError:
             raise DroppedError(RefusalReason.SEAL) from None
         try:
-            envelope: Envelope = self._envelope_decoder.decode(plain)
-        except (msgspec.MsgspecError, ValueError, RecursionError):
+            return ENVELOPE_CODEC.decode(plain)
+        except DecodingError:
             raise DroppedError(RefusalReason.MALFORMED) from None
-        return envelope
 
     def _accept(self, envelope: Envelope, source: Address, now: float) -> Body | None:
         if envelope.name == self.name:
@@ -371,8 +369,8 @@
 
     def _decode_body(self, data: bytes) -> Body:
         try:
-            body: Body = self._body_decoder.decode(data)
-        except (msgspec.MsgspecError, ValueError, RecursionError):
+            body = BODY_CODEC.decode(data)
+        except DecodingError:
             raise DroppedError(RefusalReason.MALFORMED) from None
         if isinstance(body, Hello | Fragment):
             raise DroppedError(RefusalReason.FRAGMENT)
--- a/message_sender/fleet/wire.py
+++ b/message_sender/fleet/wire.py
@@ -12,6 +12,7 @@
 
 import msgspec
 
+from message_sender.fleet.codec import DecodingError, MessageCodec
 from message_sender.fleet.seal import RefusedError
 
 Address = tuple[str, int]
@@ -106,14 +107,13 @@
     updates: tuple[MembershipUpdate, ...] = ()
 
 
-ENCODER = msgspec.msgpack.Encoder()
-DECODER = msgspec.msgpack.Decoder(Envelope)
+CODEC = MessageCodec(Envelope)
 NAME_LENGTH_LIMIT = 64  # characters
 
 
 def encode(envelope: Envelope) -> bytes:
     """Encodes an envelope."""
-    return ENCODER.encode(envelope)
+    return CODEC.encode(envelope)
 
 
 def decode(data: bytes) -> Envelope:
@@ -123,8 +123,8 @@
         RefusedError: If the bytes are not a valid envelope.
     """
     try:
-        envelope = DECODER.decode(data)
-    except (msgspec.DecodeError, msgspec.ValidationError, ValueError) as error:
+        envelope = CODEC.decode(data)
+    except DecodingError as error:
         raise RefusedError(f"no envelope: {error}") from None
     if (
         not 0 < len(envelope.name) <= NAME_LENGTH_LIMIT
