--- /dev/null
+++ b/tests/test_control_node_disk.py
@@ -0,0 +1,314 @@
+"""Control nodes on virtual time: disks that are lost, old, damaged, full or hang."""
+
+import asyncio
+import os
+import random
+import shutil
+import stat
+from collections.abc import Callable
+from pathlib import Path
+
+import pytest
+from control_nodes import (
+    KEY,
+    VOTES,
+    Cluster,
+    no_faults,
+    play,
+)
+
+from message_sender.control import messages
+from message_sender.control.channel import Channel, KnownStart
+from message_sender.control.folder import FolderError, Identity, StateFolder
+from message_sender.control.log_file import LogFile
+from message_sender.control.messages import (
+    Outcome,
+)
+from message_sender.control.node import ControlNode
+from message_sender.control.raft import HardState, Role
+from message_sender.control.replica import Replica
+from message_sender.control.store import ConfigurationStore
+from message_sender.fleet.seal import Seal
+from message_sender.testbed.simulated_disk import MemoryDisk, SimulatedDisk
+
+
+@pytest.mark.parametrize("is_initialised", [False, True])
+def test_a_node_that_lost_its_disk_copies_the_log_and_counts_for_no_majority(
+    is_initialised: bool, tmp_path: Path
+) -> None:
+    async def story(cluster: Cluster) -> None:
+        cluster.start()
+        leader = await cluster.until_led()
+        await cluster.make(leader)
+        lost = next(name for name in ("c2", "c3") if name != leader)
+        machine = cluster.machines[lost]
+        cluster.kill(lost)
+        shutil.rmtree(machine.folder)
+        machine.platter = SimulatedDisk()
+        if is_initialised:
+            cluster.initialise(machine)
+        cluster.start(lost)
+        await cluster.until(lambda: cluster.driver(lost).node.replica.role is Role.LEARNER)
+        cluster.watch(4)
+        await cluster.until_everywhere()
+        assert (await cluster.make(lost)).version == 2
+        await cluster.until_everywhere()
+        status = (await cluster.status("c1"))[lost]
+        assert status.role == "learner"
+        assert ("older than what" if is_initialised else "not initialised") in status.fault
+        others = [name for name in VOTES if name not in ("c1", lost)]
+        cluster.kill(*others)
+        result = await cluster.make("c1")
+        assert result.outcome is Outcome.UNAVAILABLE
+        cluster.kill(lost)
+        cluster.start(lost, others[0])
+        await cluster.until_led()
+        assert cluster.driver(lost).node.replica.role is Role.LEARNER
+        # A change is made against the version of the node that is asked: the learner copies it first.
+        await cluster.until(lambda: cluster.document(lost).version >= 2)
+        assert (await cluster.make(lost)).outcome is Outcome.APPLIED
+
+    play(tmp_path, story)
+
+
+def test_a_node_whose_disk_is_old_learns_so_from_the_others(tmp_path: Path) -> None:
+    async def story(cluster: Cluster) -> None:
+        cluster.start()
+        await cluster.until_led()
+        await cluster.make("c1")
+        await cluster.until_everywhere()
+        cluster.kill("c2")
+        copy, platter = (
+            tmp_path / "copy",
+            SimulatedDisk(cluster.machines["c2"].platter.cut(random.Random(0), 1.0)),
+        )
+        shutil.copytree(cluster.machines["c2"].folder, copy)
+        cluster.start("c2")
+        await cluster.until_led()
+        await cluster.make("c1")
+        await cluster.until_everywhere()
+        cluster.kill(*VOTES)
+        shutil.rmtree(cluster.machines["c2"].folder)
+        shutil.copytree(copy, cluster.machines["c2"].folder)
+        cluster.machines["c2"].platter = platter
+        cluster.start()
+        await cluster.until(lambda: cluster.driver("c2").node.replica.role is Role.LEARNER)
+        await cluster.until_led()
+        await cluster.make("c1")
+        await cluster.until_everywhere()
+        assert not cluster.driver("c2").node.replica.is_voter
+        cluster.kill("c2")
+        cluster.start("c2")
+        assert cluster.driver("c2").node.replica.role is Role.LEARNER, "also after its next start"
+
+    play(tmp_path, story)
+
+
+def test_a_damaged_log_makes_a_learner_that_names_the_offset(tmp_path: Path) -> None:
+    async def story(cluster: Cluster) -> None:
+        cluster.start()
+        await cluster.until_led()
+        for _ in range(5):
+            await cluster.make("c1")
+        await cluster.until_everywhere()
+        cluster.kill("c3")
+        left = cluster.machines["c3"].platter.cut(random.Random(0), 1.0)
+        damaged = bytearray(left["log"])
+        damaged[len(damaged) // 2] ^= 16
+        cluster.machines["c3"].platter = SimulatedDisk({**left, "log": bytes(damaged)})
+        for _ in range(2):
+            cluster.start("c3")
+            fault = cluster.driver("c3").node.fault()
+            assert "damaged log" in fault and "at byte" in fault
+            await cluster.make("c1")
+            await cluster.until_everywhere()
+            cluster.kill("c3")
+        kept = cluster.machines["c3"].platter.cut(random.Random(0), 1.0)
+        assert kept["log.damaged"] == bytes(damaged)
+        cluster.start("c3")
+
+    play(tmp_path, story)
+
+
+@pytest.mark.parametrize("count", [1, 3])
+def test_a_full_disk_confirms_nothing_and_watches_go_on(count: int, tmp_path: Path) -> None:
+    async def story(cluster: Cluster) -> None:
+        cluster.start()
+        cluster.watch(4)
+        leader = await cluster.until_led()
+        await cluster.make(leader)
+        await cluster.until_everywhere()
+        others = [name for name in VOTES if name != leader]
+        full = [leader, *others[: count - 1]]
+        for name in full:
+            cluster.machines[name].is_full = True
+        result = await cluster.make(leader, b"2")
+        if count == 1:
+            assert result.outcome in (Outcome.UNAVAILABLE, Outcome.APPLIED)
+            while (await cluster.make(others[0], b"3")).outcome is not Outcome.APPLIED:
+                pass
+            healthy = lambda: all(  # noqa: E731
+                cluster.document(name).version == cluster.document(others[0]).version for name in others
+            )
+            await cluster.until(healthy)
+        else:
+            assert result.outcome is Outcome.UNAVAILABLE
+            assert {cluster.document(name).version for name in VOTES} == {1}
+        await asyncio.sleep(5.0)
+        status = (await cluster.status(others[-1]))[leader]
+        assert "takes no writes" in status.fault and "No space left" in status.fault
+        cluster.watch(8)
+        newest = max(cluster.confirmed.values())
+        took = await cluster.until(
+            lambda: all(each.watch.document.version >= newest for each in cluster.watchers), within=20.0
+        )
+        print(f"{len(cluster.watchers)} watchers have the newest version after {took:.1f} s")
+        if count == 3:
+            served = [cluster.driver(name).node.fanout for name in full]
+            assert any(each.watchers(cluster.driver(leader).clock()) for each in served)
+        for name in full:
+            cluster.machines[name].is_full = False
+        await cluster.until_led()
+        while (await cluster.make("c1", b"4")).outcome is not Outcome.APPLIED:
+            pass
+        await cluster.until_everywhere()
+        assert all(not cluster.driver(name).node.disk_fault for name in VOTES)
+
+    play(tmp_path, story)
+
+
+def test_a_folder_that_takes_no_writes_is_written_later(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    def refuse(*_: object) -> None:
+        raise OSError(28, "No space left on device")
+
+    async def story(cluster: Cluster) -> None:
+        with monkeypatch.context() as full:
+            full.setattr(StateFolder, "write_starts", refuse)
+            cluster.start()
+            await cluster.until_led()
+            assert (await cluster.make("c1")).outcome is Outcome.APPLIED
+            assert not StateFolder(tmp_path / "c1").read_starts()
+        known = cluster.driver("c1").node.channel.known_starts
+        assert known
+        await cluster.until(lambda: StateFolder(tmp_path / "c1").read_starts() == known)
+
+    play(tmp_path, story)
+
+
+def test_a_folder_is_initialised_once(tmp_path: Path) -> None:
+    cluster = Cluster(tmp_path)
+    with pytest.raises(FolderError, match="no empty folder"):
+        cluster.initialise(cluster.machines["c1"])
+
+
+@pytest.mark.parametrize("what", ["identity", "epoch", "starts", "learner"])
+def test_what_the_folder_keeps_is_durable_under_its_name_once_it_is_written(
+    what: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    done: list[str] = []
+    replace, sync = os.replace, os.fsync
+
+    def noted_replace(old: Path, new: Path) -> None:
+        replace(old, new)
+        done.append("name")
+
+    def noted_sync(file: int) -> None:
+        sync(file)
+        done.append("folder" if stat.S_ISDIR(os.fstat(file).st_mode) else "content")
+
+    folder = StateFolder(tmp_path / "c1")
+    folder.path.mkdir()
+    writes: dict[str, Callable[[], None]] = {
+        "identity": lambda: folder.initialise(Identity("test", "c1", "now"), MemoryDisk(SimulatedDisk())),
+        "epoch": lambda: folder.write_epoch(7),
+        "starts": lambda: folder.write_starts({}),
+        "learner": lambda: folder.mark_learner("lost"),
+    }
+    monkeypatch.setattr(os, "replace", noted_replace)
+    monkeypatch.setattr(os, "fsync", noted_sync)
+    writes[what]()
+    assert done == ["content", "name", "folder"]
+
+
+@pytest.mark.parametrize("method", [(LogFile, "store"), (StateFolder, "write_starts")], ids=["log", "folder"])
+def test_a_defect_beside_the_loop_ends_the_node(
+    method: tuple[type, str], tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    def defect(*_: object) -> None:
+        raise RuntimeError("a defect")
+
+    async def story(cluster: Cluster) -> None:
+        with monkeypatch.context() as broken:
+            broken.setattr(*method, defect)
+            cluster.start()
+            while not cluster.defects:
+                await asyncio.sleep(0.01)
+        assert str(cluster.defects[0]) == "a defect"
+        ended = [name for name in VOTES if cluster.driver(name).is_closed]
+        assert len(ended) == len(cluster.defects), "each is told of once"
+        cluster.defects.clear()
+
+    play(tmp_path, story)
+
+
+class Wire:
+    """A node between hand-made channels; what the channels are told is kept."""
+
+    def __init__(self, node: ControlNode, *others: Channel) -> None:
+        self.node, self.others = node, {each.name: each for each in others}
+        self.told: dict[str, list[messages.Body]] = {each.name: [] for each in others}
+
+    def exchange(self) -> None:
+        """Until nobody has more to say."""
+        is_busy = True
+        while is_busy:
+            is_busy = False
+            for other in self.others.values():
+                for _, datagram in other.take_datagrams():
+                    is_busy = True
+                    self.node.receive(datagram, (other.name, 7000), 0.0)
+            for address, datagram in self.node.channel.take_datagrams():
+                is_busy = True
+                found = self.others[address[0]].receive(datagram, (self.node.name, 7000), 0.0)
+                self.told[address[0]] += [body for _, body in found]
+
+
+@pytest.mark.parametrize("is_behind", [False, True])
+def test_a_vote_that_waits_for_the_disk_is_not_said_by_a_node_that_learns_that_its_disk_is_old(
+    is_behind: bool,
+) -> None:
+    seal, votes = Seal([KEY]), dict.fromkeys(("a", "b", "c"), 1)
+    addresses = {name: (name, 7000) for name in votes}
+    known = {"b": KnownStart(9, 99)} if is_behind else {}
+    candidate = Channel("a", 1, 11, seal, addresses)
+    witness = Channel("c", 1, 33, seal, addresses, known)
+    replica = Replica("b", votes, HardState(), (), random.Random(1), 0.0)
+    channel = Channel("b", 1, 22, seal, {name: addresses[name] for name in ("a", "c")})
+    node = ControlNode(channel, replica, ConfigurationStore(), no_faults, random.Random(2), 0.0)
+    wire = Wire(node, candidate, witness)
+    candidate.send("b", messages.VoteRequest(1, 0, 0, False), 0.0)
+    wire.exchange()
+    assert node.take_batch() is not None, "the vote"
+    witness.send("b", messages.StatusRequest(1), 0.0)
+    wire.exchange()
+    assert (replica.role is Role.LEARNER) is is_behind
+    node.stored(0.0)
+    wire.exchange()
+    vote = messages.VoteReply(1, True, False)
+    assert wire.told["a"] == ([] if is_behind else [vote])
+
+
+def test_what_waits_for_a_peer_is_not_said_by_one_that_learns_that_its_disk_is_old() -> None:
+    seal = Seal([KEY])
+    old = Channel("b", 1, 22, seal, {"c": ("c", 7000)})
+    witness = Channel("c", 1, 33, seal, {"b": ("b", 7000)}, {"b": KnownStart(9, 99)})
+    old.send("c", messages.VoteRequest(1, 0, 0, False), 0.0)
+    told: list[tuple[str, messages.Body]] = []
+    for _ in range(4):
+        for _, datagram in old.take_datagrams():
+            told += witness.receive(datagram, ("b", 7000), 0.0)
+        for _, datagram in witness.take_datagrams():
+            old.receive(datagram, ("c", 7000), 0.0)
+    assert old.is_behind and not told
