--- a/tests/raft_model.py
+++ b/tests/raft_model.py
@@ -11,197 +11,39 @@
 remembered; a state of the whole is a few numbers.
 """
 
-import copy
 from collections.abc import Iterator, Sequence
-from dataclasses import dataclass, field
 from random import Random
-from typing import NamedTuple
+
+from raft_state import (
+    NOW,
+    Confirmed,
+    Disk,
+    Event,
+    Global,
+    Local,
+    Result,
+    Step,
+    ViolationError,
+    World,
+    bits,
+    clone,
+    is_dead,
+    is_log_matching,
+    key,
+    settle,
+)
 
 from message_sender.control.log import ReplicatedLog
 from message_sender.control.messages import (
-    AppendReply,
-    AppendRequest,
     LogEntry,
     RaftMessage,
     TimeoutNow,
     VoteReply,
     VoteRequest,
 )
-from message_sender.control.progress import Progress
-from message_sender.control.raft import HardState, Ready, ReplicaInvariantError, Role
+from message_sender.control.raft import ReplicaInvariantError, Role
 from message_sender.control.replica import Replica
 
-NOW = 0.0  # time stands still
-NO_HARD_STATE = HardState()
-
-
-class ViolationError(Exception):
-    """An invariant does not hold."""
-
-
-@dataclass(frozen=True)
-class Disk:
-    """What a node keeps over a crash."""
-
-    hard_state: HardState = NO_HARD_STATE
-    entries: tuple[LogEntry, ...] = ()
-
-    def written(self, ready: Ready, has_hard_state: bool = True, has_entries: bool = True) -> "Disk":
-        """With all of a Ready, or with a part of it."""
-        hard_state, entries = self.hard_state, self.entries
-        if has_hard_state and ready.hard_state is not None:
-            hard_state = ready.hard_state
-        if has_entries:
-            if ready.truncate_from is not None:
-                entries = entries[: ready.truncate_from - 1]
-            entries += ready.entries
-        return Disk(hard_state, entries)
-
-
-@dataclass(frozen=True)
-class World:
-    """The bounds of an exploration."""
-
-    votes: tuple[tuple[str, int], ...] = (("a", 1), ("b", 1), ("c", 1))
-    candidates: tuple[str, ...] = ("ab", "ab")  # for each term who may stand for election
-    learners: frozenset[str] = frozenset()
-    disks: tuple[Disk, ...] = (Disk(), Disk(), Disk())
-    proposals: int = 1
-    crashes: int = 0
-    has_hand_overs: bool = False  # a leader may hand over at any time, to nodes that are no candidates too
-    is_sync_separate: bool = False
-    has_events_before_sync: bool = False  # a node takes further events before the sync of the last one
-    is_sent_before_sync: bool = False  # a planted defect: messages leave with the event
-    replica_class: type[Replica] = Replica
-    states_limit: int = 2_000_000
-
-
-class Local(NamedTuple):
-    """A node's state: the replica, its disk, and whether it has something to make durable or to send."""
-
-    replica: Replica
-    disk: Disk
-    is_dirty: bool
-
-
-class Global(NamedTuple):
-    """All by number: the nodes' local states, the messages sent (a bit each), the confirmed log.
-
-    Of history it keeps each node's last vote, which a sound node's own state holds too, and the leaders.
-    """
-
-    nodes: tuple[int, ...]
-    messages: int
-    votes: tuple[tuple[int, int], ...]  # for each node the term and the candidate
-    leaders: tuple[int, ...]  # by term
-    confirmed: int
-    proposals: int
-    crashes: int
-
-
-class Step(NamedTuple):
-    """What an event makes of a node: its local state and the messages that it sent, by their numbers."""
-
-    node: int
-    sent: tuple[int, ...] = ()
-    mask: int = 0  # the same, a bit each
-    receivers: tuple[int, ...] = ()
-
-
-Confirmed = tuple[tuple[LogEntry, int], ...]  # each entry with the term in which it was first confirmed
-Event = tuple[str, int, int]  # its kind, the node, a message's number or a variant
-
-
-@dataclass
-class Result:
-    states: int = 0
-    is_complete: bool = False
-    violation: str = ""
-    trace: list[str] = field(default_factory=list)
-    confirmed: int = 0  # entries confirmed in the state that has most
-    leaders: int = 0  # the highest term with a leader
-
-
-def clone(replica: Replica) -> Replica:
-    """A copy that shares nothing mutable but the source of chance."""
-    other = copy.copy(replica)
-    other._messages = list(replica._messages)
-    other._log = copy.copy(replica._log)
-    other._log._entries = list(replica._log._entries)
-    if replica._leadership is not None:
-        other._leadership = leadership = copy.copy(replica._leadership)
-        leadership._log = other._log
-        leadership._progress = {name: copy.copy(each) for name, each in replica._leadership._progress.items()}
-    return other
-
-
-def settle(replica: Replica) -> None:
-    """Forgets what depends on time alone, or on what was already handed to the caller."""
-    replica._delivered_index = replica.commit_index
-    replica.leader = ""
-    if replica._leadership is not None:
-        for progress in replica._leadership._progress.values():
-            progress.in_flight = 0
-            progress.answered_round = 0
-
-
-def key(replica: Replica) -> tuple[object, ...]:
-    leadership = replica._leadership
-    return (
-        replica.role,
-        replica._hard_state,
-        tuple(replica._log._entries),
-        replica.commit_index,
-        replica._durable.index,
-        replica._durable.disk_last_index,
-        replica._votes_granted,
-        tuple(replica._messages),
-        tuple(tuple(_fields(each)) for each in leadership._progress.values()) if leadership else (),
-    )
-
-
-def _fields(progress: object) -> Iterator[object]:
-    for name in type(progress).__slots__:  # type: ignore[attr-defined]
-        yield getattr(progress, name)
-
-
-def is_dead(replica: Replica, sender: str, message: RaftMessage, is_sync_separate: bool) -> bool:
-    """Whether a message can bring its receiver nothing new from now on, besides an answer that was sent."""
-    if message.term != replica.term:
-        return message.term < replica.term
-    match message:
-        case VoteRequest():
-            voted_for = replica._hard_state.voted_for
-            if replica.role is Role.LEARNER or voted_for not in ("", sender):
-                return True
-            return (voted_for == sender and not is_sync_separate) or not replica._is_log_new_enough(message)
-        case VoteReply():
-            return replica.role is not Role.CANDIDATE or not message.is_granted
-        case AppendRequest():
-            return not is_sync_separate and is_merged(replica, message)
-        case AppendReply():
-            return replica._leadership is None or is_known(replica._leadership._progress[sender], message)
-        case TimeoutNow():
-            return replica.role is Role.LEARNER
-
-
-def is_merged(replica: Replica, request: AppendRequest) -> bool:
-    last = request.previous_index + len(request.entries)
-    return (
-        replica.role in (Role.FOLLOWER, Role.LEARNER)
-        and replica._log.has(request.previous_index, request.previous_term)
-        and replica._log.between(request.previous_index + 1, last) == request.entries
-        and replica.commit_index >= min(request.commit_index, last)
-    )
-
-
-def is_known(progress: Progress, reply: AppendReply) -> bool:
-    if reply.is_voter != progress.is_voter:
-        return False
-    if reply.is_match:
-        return reply.match_index <= progress.match_index and not progress.is_probing
-    return progress.is_voter and max(reply.match_index, progress.match_index) + 1 >= progress.next_index
-
 
 class Explorer:
     """One exploration; `run` gives its result."""
@@ -543,22 +385,6 @@
         return f"{kind} {self.names[node]} {argument}"
 
 
-def is_log_matching(one: Sequence[LogEntry], other: Sequence[LogEntry]) -> bool:
-    """Where two logs have an entry of the same index and term, they are equal up to there."""
-    shared = min(len(one), len(other))
-    while shared and one[shared - 1].term != other[shared - 1].term:
-        shared -= 1
-    return one[:shared] == other[:shared]
-
-
-def bits(mask: int) -> Iterator[int]:
-    """The numbers of the bits that are set."""
-    while mask:
-        lowest = mask & -mask
-        yield lowest.bit_length() - 1
-        mask ^= lowest
-
-
 def explore(world: World) -> Result:
     return Explorer(world).run()
 
--- a/tests/raft_simulation.py
+++ b/tests/raft_simulation.py
@@ -12,7 +12,7 @@
 from itertools import count
 from random import Random
 
-from raft_model import Disk, ViolationError, is_log_matching
+from raft_state import Disk, ViolationError, is_log_matching
 
 from message_sender.control.messages import LogEntry, RaftMessage, VoteReply, VoteRequest
 from message_sender.control.raft import HardState, NotLeaderError, Ready, ReplicaInvariantError, Role
--- a/tests/test_control_replica.py
+++ b/tests/test_control_replica.py
@@ -7,8 +7,9 @@
 from typing import Any
 
 import pytest
-from raft_model import Disk, Result, ViolationError, World, explore, one_entry_a_batch
+from raft_model import explore, one_entry_a_batch
 from raft_simulation import HEALED_LIMIT_S, simulate
+from raft_state import Disk, Result, ViolationError, World
 
 from message_sender.control.leadership import Leadership
 from message_sender.control.log import ReplicatedLog
