--- a/message_sender/control/log_file.py
+++ b/message_sender/control/log_file.py
@@ -205,15 +205,16 @@
             OSError: If it cannot be read, or a torn write cannot be truncated.
         """
         data = self.disk.read(self.path)
-        content, end, damage = read_log(data)
-        torn = 0 if damage else len(data) - end
-        if damage is None:
+        scan = read_log(data)
+        torn_bytes = 0
+        if scan.damage is None:
+            torn_bytes = len(data) - scan.end
             self._file = self.disk.open(self.path)
-            self._durable_size = end
-            if torn:
-                self.disk.truncate(self._file, end)
+            self._durable_size = scan.end
+            if torn_bytes:
+                self.disk.truncate(self._file, scan.end)
             self.disk.sync(self._file)  # a killed process may have left writes without a sync
-        return LoadedLog(content.hard_state, tuple(content.entries), damage, torn)
+        return LoadedLog(scan.content.hard_state, tuple(scan.content.entries), scan.damage, torn_bytes)
 
     def store(self, batch: LogBatch) -> None:
         """Makes a batch durable, which may take long.
@@ -259,18 +260,28 @@
         self._durable_size = len(MAGIC) + len(frame)
 
 
-def read_log(data: bytes) -> tuple[LogContent, int, LogDamage | None]:
-    """Reads a log from its bytes.
+@dataclass(frozen=True, slots=True)
+class LogScan:
+    """The result of reading a log's bytes.
 
-    Returns:
-        The content of the valid frames, the offset at which they end, and the damage there, or None if the
-        rest is empty or a torn write.
+    Attributes:
+        content: The content of the valid frames.
+        end: The offset at which they end.
+        damage: The damage there, or None if the rest is empty or a torn write.
     """
+
+    content: LogContent
+    end: int
+    damage: LogDamage | None = None
+
+
+def read_log(data: bytes) -> LogScan:
+    """Reads a log from its bytes."""
     content = LogContent(HardState(), [])
     if not data:
-        return content, 0, LogDamage(0, "there is no log")
+        return LogScan(content, 0, LogDamage(0, "there is no log"))
     if not data.startswith(MAGIC):
-        return content, 0, LogDamage(0, "it does not begin as a log does")
+        return LogScan(content, 0, LogDamage(0, "it does not begin as a log does"))
     offset = len(MAGIC)
     while offset < len(data):
         try:
@@ -278,6 +289,6 @@
             content.apply(batch)
         except FrameError as error:
             damage = None if is_torn(data, offset) else LogDamage(offset, str(error))
-            return content, offset, damage
+            return LogScan(content, offset, damage)
         offset = end
-    return content, offset, None
+    return LogScan(content, offset)
--- a/message_sender/control/watch.py
+++ b/message_sender/control/watch.py
@@ -236,7 +236,8 @@
         if node == self.choice.probed and self._is_good_answer(message):
             self.choice.return_to_probed(now)
             self._restart_polling(now)
-            self._polled_at, self._poll_due = now, now + POLL_RETRY_INTERVAL_S
+            self._polled_at = now
+            self._poll_due = now + POLL_RETRY_INTERVAL_S
             self._unanswered = 1
         if node == self.node:
             self._note_answer(now)
--- a/tests/test_control_log_file.py
+++ b/tests/test_control_log_file.py
@@ -90,7 +90,7 @@
         assert (loaded.hard_state, loaded.entries) == AFTER[count if at >= len(MAGIC) else 0]
         left = platter.cut(random.Random(0), keeps=0.0)
         assert left["log.damaged"] == bytes(damaged)
-        assert read_log(left[LOG_FILE])[2] is None
+        assert read_log(left[LOG_FILE]).damage is None
 
 
 def test_a_batch_whose_sectors_never_reached_the_disk_is_a_torn_write() -> None:
