--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -1,4 +1,4 @@
-"""The link: what is believed of a datagram, and who is there, on virtual time."""
+"""The link between senders: which datagrams are accepted, and membership on virtual time."""
 
 import base64
 import json
@@ -25,26 +25,26 @@
     return FleetNode(me, seal or Seal([KEY]), epoch, 1000 + ord(name[0]) + seed, random.Random(seed), 0.0)
 
 
-def carry(*nodes: FleetNode, now: float = 0.0) -> list[bytes]:
-    """Delivers all that is out until nothing is; the datagrams."""
-    by = {each.me.address: each for each in nodes}
-    went = []
-    while out := [datagram for each in nodes for datagram in each.outbox]:
-        for each in nodes:
-            each.outbox = []
+def deliver(*nodes: FleetNode, now: float = 0.0) -> list[bytes]:
+    """Delivers all datagrams until none is left; the datagrams."""
+    by = {member.me.address: member for member in nodes}
+    datagrams = []
+    while out := [datagram for member in nodes for datagram in member.outbox]:
+        for member in nodes:
+            member.outbox = []
         for address, data in out:
-            went.append(data)
+            datagrams.append(data)
             if address in by:
                 by[address].receive(data, now)
-    return went
+    return datagrams
 
 
-def acquainted(*nodes: FleetNode) -> list[bytes]:
-    for each in nodes:
+def exchange_hellos(*nodes: FleetNode) -> list[bytes]:
+    for member in nodes:
         for other in nodes:
-            if other is not each:
-                each.send(other.me.address, wire.Hello())
-    return carry(*nodes)
+            if other is not member:
+                member.send(other.me.address, wire.Hello())
+    return deliver(*nodes)
 
 
 @given(st.binary(max_size=1500))
@@ -113,30 +113,30 @@
 
 def test_a_replay_counts_once_also_over_a_restart() -> None:
     a, b = node("a"), node("b")
-    acquainted(a, b)
+    exchange_hellos(a, b)
     a.publish(b"word", 1.0)
-    went = carry(a, b, now=1.0)
+    datagrams = deliver(a, b, now=1.0)
     assert b.announcements["a"].text == b"word"
-    heard = b.counters.received
-    for data in went:
+    received = b.counters.received
+    for data in datagrams:
         b.receive(data, 2.0)
-    assert b.counters.received == heard
+    assert b.counters.received == received
     again = node("b", epoch=2, seed=7)
-    for data in went:
+    for data in datagrams:
         again.receive(data, 3.0)
     assert not again.announcements and not again.members.others, "it was said to the one before"
-    assert len(again.outbox) <= 20 + len(went), "all that a replay causes is a bounded number of greetings"
+    assert len(again.outbox) <= 20 + len(datagrams), "a replay causes a bounded number of hellos alone"
 
 
 def test_a_start_with_an_old_disk_is_told_so() -> None:
     a, b = node("a"), node("b", epoch=7)
-    acquainted(a, b)
+    exchange_hellos(a, b)
     raised: list[int] = []
     old = node("b", epoch=3, seed=5)
     old.on_epoch_raised = raised.append
-    acquainted(a, old)
+    exchange_hellos(a, old)
     assert old.is_behind and raised == [8] and old.members.me.epoch == 8
-    acquainted(a, old)
+    exchange_hellos(a, old)
     assert a.members.others["b"].epoch == 8 and a.members.others["b"].state is MemberState.ALIVE
 
 
@@ -144,52 +144,52 @@
     one, other = node("a"), node("a", seed=3)
     other.me = LocalMember("a", ("10.0.0.9", 1))
     other.send(one.me.address, wire.Hello())
-    carry(one, other)
+    deliver(one, other)
     assert one.duplicate_name_address == "10.0.0.9:1" and not one.members.others
 
 
 @pytest.mark.parametrize(("size", "loss"), [(5, 0.0), (5, 0.2), (40, 0.05)])
 def test_all_join_none_falsely_dies_and_the_dead_are_known(size: int, loss: float) -> None:
-    hall = MemberNetwork(size, 1, loss)
+    network = MemberNetwork(size, 1, loss)
     for number in range(size):
-        hall.start(number)
-    hall.run(4.0)
-    assert all(len(each.members.alive()) == size for each in hall.nodes.values())
-    hall.run(20.0)
-    states = [x.state for each in hall.nodes.values() for x in each.members.others.values()]
+        network.start(number)
+    network.run(4.0)
+    assert all(len(member.members.alive()) == size for member in network.nodes.values())
+    network.run(20.0)
+    states = [x.state for member in network.nodes.values() for x in member.members.others.values()]
     assert MemberState.DEAD not in states
-    hall.end("n2")
-    hall.run(30.0)
-    assert all(each.members.others["n2"].state is MemberState.DEAD for each in hall.nodes.values())
-    hall.start(2)
-    hall.run(36.0)
-    assert all(len(each.members.alive()) == size for each in hall.nodes.values())
+    network.end("n2")
+    network.run(30.0)
+    assert all(member.members.others["n2"].state is MemberState.DEAD for member in network.nodes.values())
+    network.start(2)
+    network.run(36.0)
+    assert all(len(member.members.alive()) == size for member in network.nodes.values())
 
 
 def test_who_stood_still_doubts_itself_and_is_back() -> None:
-    hall = MemberNetwork(5, 2)
+    network = MemberNetwork(5, 2)
     for number in range(5):
-        hall.start(number)
-    hall.run(3.0)
-    hall.freeze("n1")
-    hall.run(13.0)
-    assert hall.nodes["n0"].members.others["n1"].state is MemberState.DEAD
-    hall.thaw("n1")
-    hall.run(18.0)
-    assert all(len(each.members.alive()) == 5 for each in hall.nodes.values())
+        network.start(number)
+    network.run(3.0)
+    network.freeze("n1")
+    network.run(13.0)
+    assert network.nodes["n0"].members.others["n1"].state is MemberState.DEAD
+    network.thaw("n1")
+    network.run(18.0)
+    assert all(len(member.members.alive()) == 5 for member in network.nodes.values())
 
 
 def test_a_split_heals() -> None:
-    hall = MemberNetwork(6, 4)
+    network = MemberNetwork(6, 4)
     for number in range(6):
-        hall.start(number)
-    hall.run(3.0)
-    hall.split(["n0", "n2", "n4"], ["n1", "n3", "n5"])
-    hall.run(20.0)
-    assert hall.nodes["n0"].members.alive() == ["n0", "n2", "n4"]
-    hall.split()
-    hall.run(35.0)
-    assert all(len(each.members.alive()) == 6 for each in hall.nodes.values())
+        network.start(number)
+    network.run(3.0)
+    network.split(["n0", "n2", "n4"], ["n1", "n3", "n5"])
+    network.run(20.0)
+    assert network.nodes["n0"].members.alive() == ["n0", "n2", "n4"]
+    network.split()
+    network.run(35.0)
+    assert all(len(member.members.alive()) == 6 for member in network.nodes.values())
 
 
 def test_people_read_what_a_sender_tells(monkeypatch: pytest.MonkeyPatch, tmp_path: Path) -> None:
