--- a/message_sender/control/requests.py
+++ b/message_sender/control/requests.py
@@ -1,19 +1,19 @@
-"""Operators' changes on their way: validated and proposed by the leader, forwarded to it by any other node.
+"""Operators' changes in progress: validated and proposed by the leader, forwarded to it by any other node.
 
 Rules:
 
-- A request waits at the node that it was made at, and is proposed or forwarded again each `RETRY_INTERVAL_S`
-  until its answer is here. After `ANSWER_TIMEOUT_S` the answer is `unavailable`: whether the change was made
-  is known once it is asked for again, under the same id.
-- The leader answers from the store where the id was applied. Otherwise it validates what the change leads to,
+- A request waits at the node that received it, and is proposed or forwarded again every `RETRY_INTERVAL_S`
+  until its answer is known. After `ANSWER_TIMEOUT_S` the answer is `unavailable`: a retry under the same
+  id finds out whether the change was made.
+- The leader answers from the store if the id was applied. Otherwise it validates the result of the change
   against the document that the change names as its base: faults and an older base are answered at once, and
   nothing is written. A leader that has not applied an entry of its own term yet does not answer: its document
   may lack changes that were confirmed.
-- A base above the leader's own version may be another leader's by now, which this one has not heard of: it
-  can't say that nothing was changed. So the question goes through the log, behind all that is applied, where
-  the store answers it with a conflict; who is cut off answers nothing.
-- In one term an id is proposed once. Where a term was lost the store's memory of ids makes it once.
-- A node answers its operator once its own document has the version, so that what is read there shows it.
+- A base above the leader's own version may come from a newer leader that this one does not know: it cannot
+  answer that nothing was changed. So the change goes through the log, after all that is applied, where
+  the store answers it with a conflict; a leader that is cut off answers nothing.
+- In one term an id is proposed once. Across terms the store, which remembers ids, applies it once.
+- A node answers its operator once its own document has the version, so that a read there shows the change.
 """
 
 from collections.abc import Callable, Mapping
@@ -35,9 +35,9 @@
 
 RETRY_INTERVAL_S = 0.3
 ANSWER_TIMEOUT_S = 3.0
-FORWARDED_LIMIT = 256  # requests of other nodes that are remembered; they ask again
-WAITING_LIMIT = 256  # requests of this node's operators at once
-FAULTS_LIMIT = 100  # that one answer names
+FORWARDED_LIMIT = 256  # requests of other nodes, which repeat them
+WAITING_LIMIT = 256  # requests of this node's operators
+FAULTS_LIMIT = 100  # in one answer
 FAULT_LENGTH_LIMIT = 400  # characters
 
 Validate = Callable[[Mapping[str, bytes]], tuple[str, ...]]
@@ -46,7 +46,7 @@
 
 @dataclass(slots=True)
 class WaitingRequest:
-    """A request of an operator at this node. `result`: known, and not yet shown by the own document."""
+    """A request of an operator at this node; a `result` waits until the own document has its version."""
 
     change: Change
     answers: list[Answer]
@@ -57,65 +57,70 @@
 
 @dataclass(slots=True)
 class ForwardedRequest:
-    """A request of other nodes that this one proposed."""
+    """A request of other nodes that this node proposed."""
 
     change: Change
-    askers: set[str] = field(default_factory=set)
+    requesters: set[str] = field(default_factory=set)
 
 
 class ChangeRequests:
-    """The changes that are under way through one node."""
+    """The changes in progress at one node."""
 
     def __init__(self, replica: Replica, store: ConfigurationStore, validate: Validate) -> None:
-        self.replica, self.store, self.validate = replica, store, validate
-        self.is_ending = False  # nothing is proposed any more
+        """Creates an empty set; `validate` returns the faults of a complete configuration."""
+        self.replica = replica
+        self.store = store
+        self.validate = validate
+        self.is_shutting_down = False  # if so, nothing is proposed any more
         self._waiting: dict[str, WaitingRequest] = {}
         self._forwarded: dict[str, ForwardedRequest] = {}
         self._proposed: dict[str, int] = {}  # by request id: the term
-        self._out: list[tuple[str, OperatorMessage]] = []
+        self._outbox: list[tuple[str, OperatorMessage]] = []
 
     def take_messages(self) -> list[tuple[str, OperatorMessage]]:
-        """What is to be sent, each with the node that it is for."""
-        out, self._out = self._out, []
-        return out
+        """Returns the messages to send now, each with its node; each message is returned once."""
+        messages = self._outbox
+        self._outbox = []
+        return messages
 
     # Requests of this node's operators.
 
     def submit(self, change: Change, answer: Answer, now: float) -> None:
         """Calls `answer` once: when the outcome is known, or after ANSWER_TIMEOUT_S."""
-        if fault := _format_fault(change):
-            answer(self._result(change, Outcome.INVALID, (fault,)))
+        fault = _find_format_fault(change)
+        if fault:
+            answer(self._make_result(change, Outcome.INVALID, (fault,)))
             return
         waiting = self._waiting.get(change.request_id)
         if waiting is not None:
             waiting.answers.append(answer)
             return
         if len(self._waiting) >= WAITING_LIMIT:
-            answer(self._result(change, Outcome.UNAVAILABLE, ("too many requests at once",)))
+            answer(self._make_result(change, Outcome.UNAVAILABLE, ("too many requests at once",)))
             return
         waiting = WaitingRequest(change, [answer], now + ANSWER_TIMEOUT_S, now)
         self._waiting[change.request_id] = waiting
-        self._try(waiting, now)
+        self._propose_or_forward(waiting, now)
 
     def tick(self, now: float) -> None:
-        """Tries again what is due, and gives up what is too late."""
+        """Retries the requests that are due, and answers those whose deadline has passed."""
         for waiting in tuple(self._waiting.values()):
             if now >= waiting.deadline:
-                late = waiting.result or self._result(waiting.change, Outcome.UNAVAILABLE)
-                self._finish(waiting, late)
+                result = waiting.result or self._make_result(waiting.change, Outcome.UNAVAILABLE)
+                self._finish(waiting, result)
             elif now >= waiting.retry_at:
-                self._try(waiting, now)
+                self._propose_or_forward(waiting, now)
 
-    def _try(self, waiting: WaitingRequest, now: float) -> None:
+    def _propose_or_forward(self, waiting: WaitingRequest, now: float) -> None:
         waiting.retry_at = now + RETRY_INTERVAL_S
         if waiting.result is not None:
             return
         if self.replica.role is Role.LEADER:
-            result = self._consider(waiting.change, now)
+            result = self._decide(waiting.change, now)
             if result is not None:
                 self._take_result(waiting, result)
         elif self.replica.leader:
-            self._out.append((self.replica.leader, ForwardedChange(waiting.change)))
+            self._outbox.append((self.replica.leader, ForwardedChange(waiting.change)))
 
     def _take_result(self, waiting: WaitingRequest, result: ChangeResult) -> None:
         waiting.result = result
@@ -130,52 +135,52 @@
     # Messages of other nodes.
 
     def receive(self, sender: str, message: ForwardedChange | ForwardedResult, now: float) -> None:
-        """Takes a change that another node forwards, or the answer to one that this node did."""
+        """Handles a change that another node forwards, or the result of one that this node forwarded."""
         if isinstance(message, ForwardedResult):
             waiting = self._waiting.get(message.result.request_id)
             if waiting is not None and waiting.result is None:
                 self._take_result(waiting, message.result)
             return
         change = message.change
-        if self.replica.role is not Role.LEADER or _format_fault(change):
+        if self.replica.role is not Role.LEADER or _find_format_fault(change):
             return
-        result = self._consider(change, now)
+        result = self._decide(change, now)
         if result is not None:
-            self._out.append((sender, ForwardedResult(result)))
+            self._outbox.append((sender, ForwardedResult(result)))
             return
         if len(self._forwarded) >= FORWARDED_LIMIT:
             del self._forwarded[next(iter(self._forwarded))]
-        self._forwarded.setdefault(change.request_id, ForwardedRequest(change)).askers.add(sender)
+        self._forwarded.setdefault(change.request_id, ForwardedRequest(change)).requesters.add(sender)
 
     # The leader's part.
 
-    def _consider(self, change: Change, now: float) -> ChangeResult | None:
-        """The answer where it is known now; otherwise the change is proposed, once a term."""
+    def _decide(self, change: Change, now: float) -> ChangeResult | None:
+        """Returns the result if it is known now; otherwise proposes the change, once per term."""
         known = self.store.known_result(change.request_id)
         if known is not None:
             return known
-        if self.is_ending or not self._is_caught_up():
+        if self.is_shutting_down or not self._has_applied_own_term():
             return None
         if self._proposed.get(change.request_id) == self.replica.term:
             return None
         version = self.store.document.version
         if change.base_version < version:
-            return self._result(change, Outcome.CONFLICT)
+            return self._make_result(change, Outcome.CONFLICT)
         if change.base_version > version:
             if self.replica.last_index != self.store.applied_index:
-                return None  # what is under way may make that version: this would count unchecked behind it
-        elif faults := self._faults(change):
-            return self._result(change, Outcome.INVALID, faults)
+                return None  # an entry in progress may make that version; this change would follow unchecked
+        elif faults := self._validate_change(change):
+            return self._make_result(change, Outcome.INVALID, faults)
         self.replica.propose(encode_change(change), now)
         self._proposed[change.request_id] = self.replica.term
         return None
 
-    def _is_caught_up(self) -> bool:
-        """Whether all that was confirmed before this leader's term is in its document."""
+    def _has_applied_own_term(self) -> bool:
+        """Returns whether the document has all that was confirmed before this leader's term."""
         applied = self.store.applied_index
         return applied > 0 and self.replica.entry(applied).term == self.replica.term
 
-    def _faults(self, change: Change) -> tuple[str, ...]:
+    def _validate_change(self, change: Change) -> tuple[str, ...]:
         document = self.store.document
         try:
             document.digest_after(change.put, change.delete)
@@ -184,24 +189,24 @@
         resources = dict(document.resources)
         for name in change.delete:
             del resources[name]
-        resources.update((each.name, each.value) for each in change.put)
+        resources.update((resource.name, resource.value) for resource in change.put)
         faults = [fault[:FAULT_LENGTH_LIMIT] for fault in self.validate(resources)]
         if len(faults) > FAULTS_LIMIT:
             faults[FAULTS_LIMIT:] = [f"and {len(faults) - FAULTS_LIMIT} more"]
         return tuple(faults)
 
-    def _result(self, change: Change, outcome: Outcome, faults: tuple[str, ...] = ()) -> ChangeResult:
+    def _make_result(self, change: Change, outcome: Outcome, faults: tuple[str, ...] = ()) -> ChangeResult:
         return ChangeResult(change.request_id, outcome, self.store.document.version, faults)
 
     # Applied entries.
 
-    def applied(self, entry: LogEntry, result: ChangeResult | None) -> None:
-        """An entry was applied here; `result` is what the store made of it."""
+    def entry_applied(self, entry: LogEntry, result: ChangeResult | None) -> None:
+        """Notes that an entry was applied to the store with this result, and answers its requests."""
         if result is not None and entry.data:
             self._proposed.pop(result.request_id, None)
             forwarded = self._forwarded.pop(result.request_id, None)
             if forwarded is not None:
-                self._out += [(asker, ForwardedResult(result)) for asker in sorted(forwarded.askers)]
+                self._outbox += [(name, ForwardedResult(result)) for name in sorted(forwarded.requesters)]
             waiting = self._waiting.get(result.request_id)
             if waiting is not None:
                 waiting.result = result
@@ -210,13 +215,13 @@
                 self._take_result(waiting, waiting.result)
 
     def term_changed(self) -> None:
-        """What was proposed or forwarded in another term may be lost; it is asked for again."""
+        """Drops the proposals of the previous term, which may be lost; their requesters repeat them."""
         self._proposed.clear()
         self._forwarded.clear()
 
 
-def _format_fault(change: Change) -> str:
-    """Why a change cannot be an entry of the log; empty if it can."""
+def _find_format_fault(change: Change) -> str:
+    """Returns why a change cannot be an entry of the log; empty if it can."""
     try:
         decode_change(encode_change(change))
     except ChangeFormatError as error:
