--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -83,7 +83,7 @@
 
     async def part_of_a_body(self) -> None:
         self.client.send(WHOLE[:-5])
-        await until(lambda: any(each.request for each in self.sender.server.connections))
+        await until(lambda: any(each.reader.request for each in self.sender.server.connections))
 
     async def unread(self) -> None:
         await self.connected()
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -237,7 +237,7 @@
             connection.since -= READ_LIMIT + 0.1
         (dripping,) = [each for each in server.connections if each.began]
         half.writer.write(message("m")[30:40])
-        while len(dripping.codec.trailing_data[0]) < 40:
+        while len(dripping.reader.codec.trailing_data[0]) < 40:
             await turn()
         server.expire()
         assert (await read_reply(half.reader)).status == 408
@@ -290,7 +290,7 @@
         held.writer.write(message("n", b"x" * 60_000) * 200)
         while connection.transport.is_reading():
             await turn()
-        assert len(connection.codec.trailing_data[0]) <= 1024 * 1024
+        assert len(connection.reader.codec.trailing_data[0]) <= 1024 * 1024
         server.submit = lambda _, connection: connection.answer(202)
         connection.answer(202)
         for _n in range(201):
--- a/tests/test_storms.py
+++ b/tests/test_storms.py
@@ -101,7 +101,7 @@
 
     async def half_a_body(self, client: Client, own: ServerConnection) -> None:
         client.sock.sendall(message("m", b"x" * 1000)[:-500])
-        await until(lambda: own.request is not None)
+        await until(lambda: own.reader.request is not None)
 
     async def queued(self, client: Client, own: ServerConnection) -> None:
         self.server.read_queue.run = lambda: None  # type: ignore[method-assign]
