--- a/message_sender/http/__init__.py
+++ b/message_sender/http/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1: the door for clients, the transport to receivers, and the platform's watch and notices."""
+"""HTTP/1.1: the server for clients, the transport to receivers, discovery with its notices."""
--- a/message_sender/http/call.py
+++ b/message_sender/http/call.py
@@ -8,11 +8,11 @@
 from typing import Any, Protocol
 
 from message_sender.core.ports import AttemptResult
+from message_sender.http.client_connection import ClientConnection
 from message_sender.http.codec import (
     BODY_LIMIT,
     BROKEN,
     Address,
-    ClientConnection,
     IncompleteHeadError,
     MalformedMessageError,
     header,
@@ -43,7 +43,7 @@
     """
 
     dials: Callable[[], Mapping[str, Address]]
-    out: dict[ClientConnection, str]
+    awaiting_answer: dict[ClientConnection, str]
     unsent: set[asyncio.Task[Any]]
     closing: bool
     opens: Callable[[str, str], Callable[[], None] | None]
@@ -54,22 +54,24 @@
     def take_idle(self, endpoint: str) -> ClientConnection | None:
         """An idle connection to the endpoint."""
 
-    async def open_counted(self, address: Address, closed: Callable[[], None]) -> ClientConnection:
+    async def open_connection(self, address: Address, closed: Callable[[], None]) -> ClientConnection:
         """A new connection."""
 
     def keep(self, endpoint: str, connection: ClientConnection) -> bool:
         """Keeps a connection for the next call; False: it may not be kept."""
 
-    def finish(self, endpoint: str, connection: ClientConnection) -> bool:
+    def keep_if_whole(self, endpoint: str, connection: ClientConnection) -> bool:
         """Keeps a connection once its answer is here to its end."""
 
-    def read_rest(self, endpoint: str, connection: ClientConnection, rest: Coroutine[Any, Any, None]) -> bool:
+    def keep_after_rest(
+        self, endpoint: str, connection: ClientConnection, rest: Coroutine[Any, Any, None]
+    ) -> bool:
         """Reads the rest of an answer in the background, and keeps the connection then."""
 
-    def lying(self, endpoint: str, connection: ClientConnection) -> AttemptResult | None:
+    def unread_result(self, endpoint: str, connection: ClientConnection) -> AttemptResult | None:
         """The answer that has come and is not read yet."""
 
-    def ahead(self, endpoint: str, connection: ClientConnection) -> AttemptResult | None:
+    def early_result(self, endpoint: str, connection: ClientConnection) -> AttemptResult | None:
         """The answer that came before the request was written whole."""
 
     def drop(self, connection: ClientConnection) -> None:
@@ -120,8 +122,7 @@
         self.owner.unsent.add(task)
         try:
             async with asyncio.timeout_at(self.deadline):
-                result = await self._exchange(task)
-            return result
+                return await self._exchange(task)
         except asyncio.CancelledError:
             if result_at_hand := self._result_of_cancelled(task):
                 return result_at_hand
@@ -149,7 +150,7 @@
         await connection.send("POST", TARGET, self._headers(), self.message.body)
         self.is_written = True
         self.owner.sent()
-        self.owner.out[connection] = self.endpoint
+        self.owner.awaiting_answer[connection] = self.endpoint
         response = await connection.response()
         if self.loop.time() >= self.deadline:
             raise TimeoutError  # the loop was late: whether this still was a delivery is not known
@@ -168,7 +169,7 @@
             closed = self.owner.opens(self.endpoint, self.message.id)
             if closed is None:
                 return None
-            self.connection = await self.owner.open_counted(address, closed)
+            self.connection = await self.owner.open_connection(address, closed)
         return self.connection
 
     def _headers(self) -> dict[str, str]:
@@ -193,7 +194,7 @@
 
     async def _finish_answer(self, connection: ClientConnection, result: AttemptResult) -> None:
         if result.outcome not in NEVER_RAN:
-            self.is_kept = self.owner.finish(self.endpoint, connection)
+            self.is_kept = self.owner.keep_if_whole(self.endpoint, connection)
             return
         # A malformed answer has run, whatever it says: only a whole one proves that it has not.
         async with asyncio.timeout(BODY_PATIENCE):
@@ -206,14 +207,14 @@
         """The result that is known although the call is cancelled."""
         if self.owner.closing and task in self.owner.unsent:
             return AttemptResult(Outcome.NOT_SENT)
-        if self.connection and (result := self.owner.lying(self.endpoint, self.connection)):
+        if self.connection and (result := self.owner.unread_result(self.endpoint, self.connection)):
             return result
         self.is_given_up = self.is_written
         return None
 
     def _timed_out(self) -> AttemptResult:
         self.is_given_up = self.is_written
-        unread = self.owner.lying(self.endpoint, self.connection) if self.connection else None
+        unread = self.owner.unread_result(self.endpoint, self.connection) if self.connection else None
         retry_after_us = unread.retry_after_us if unread else self.retry_after_us
         outcome = Outcome.TIMEOUT if self.is_written else Outcome.CONNECT_FAILED
         return AttemptResult(outcome, retry_after_us=retry_after_us)
@@ -224,7 +225,7 @@
             return AttemptResult(Outcome.MALFORMED, retry_after_us=self.retry_after_us)
         if isinstance(error, IncompleteHeadError) and self.connection:
             rest = self.connection.skip_answer()
-            self.is_kept = self.owner.read_rest(self.endpoint, self.connection, rest)
+            self.is_kept = self.owner.keep_after_rest(self.endpoint, self.connection, rest)
         return AttemptResult(Outcome.OK, is_final=True)
 
     def _broken(self) -> AttemptResult:
@@ -236,12 +237,12 @@
             return AttemptResult(Outcome.RESET, retry_after_us=self.retry_after_us)
         if self.connection is None:
             return AttemptResult(Outcome.CONNECT_FAILED, retry_after_us=self.retry_after_us)
-        early_answer = self.owner.ahead(self.endpoint, self.connection)
+        early_answer = self.owner.early_result(self.endpoint, self.connection)
         return early_answer or AttemptResult(Outcome.CONNECT_FAILED)
 
     def _release_connection(self) -> None:
         if self.connection:
-            self.owner.out.pop(self.connection, None)
+            self.owner.awaiting_answer.pop(self.connection, None)
             # A timeout or a cancel gives the call up: only closing the connection tells the receiver.
             if not self.is_kept:
                 self.owner.drop(self.connection)
--- a/message_sender/http/client.py
+++ b/message_sender/http/client.py
@@ -1,4 +1,4 @@
-"""Calls to receivers: a pool of kept connections for each endpoint, and what came back as an Outcome."""
+"""Calls to receivers: a pool of idle connections for each endpoint."""
 
 import asyncio
 import contextlib
@@ -11,29 +11,50 @@
 from message_sender.core.traffic_observer import ObservedConnection, TrafficObserver
 from message_sender.http import fast_path
 from message_sender.http.call import BODY_PATIENCE, HttpCall
-from message_sender.http.codec import (
-    BROKEN,
-    Address,
-    ClientConnection,
-)
+from message_sender.http.client_connection import ClientConnection, nothing
+from message_sender.http.codec import BROKEN, Address
 from message_sender.http.response_mapping import answer_from
 from message_sender.http.unread_sockets import UnreadSockets
 from message_sender.message import Message
 from message_sender.policy.model import NEVER_RAN, Outcome
 
-IDLE_SHARE = 0.8  # of the receiver's idle limit: a kept connection is dropped that much earlier
-SHORTAGE_PAUSE = 0.05  # s until the next try to open a connection where no descriptor or port was left
+IDLE_SHARE = 0.8  # of the receiver's idle limit: an idle connection is closed that much earlier
+SHORTAGE_RETRY_S = 0.05  # to open a connection where no descriptor or port was left
 
 
-def nothing() -> None:
-    """What is to be done where nobody counts connections."""
+def ignore_retry_after(endpoint: str, delay_us: int) -> None:
+    """For a transport without an engine."""
+
+
+def allow_connection(endpoint: str, message_id: str) -> Callable[[], None]:
+    """Where connections are not limited."""
+    return nothing
+
+
+def never_retires(endpoint: str) -> float:
+    """Where connections are not limited."""
+    return math.inf
 
 
 class HttpTransport:
-    """`dials` is discovery's: an endpoint that is no longer in it, or at another address, keeps nothing.
-    `most` bounds the connections open at once; to open one more, the one idle for longest is closed."""
+    """Implements the port `Transport` of the core.
 
-    reads_late = False  # it looks
+    `dials` is discovery's: an endpoint that is no longer in it, or at another address, keeps no connection.
+    `most` bounds the connections open at once; to open one more, the one idle for longest is closed.
+
+    Attributes:
+        sent: Called once a message's last byte is written.
+        pool: Idle connections by endpoint, not by address: a new receiver may stand where another one has
+        gone. idle: The same connections with their endpoints, the one idle for longest first. connections:
+        All open connections. awaiting_answer: Connections whose answer is waited for, with their endpoints.
+        unsent: Calls whose first byte has not gone. closing: No call begins any more. observer: Hears of the
+        traffic of connections that are opened from now on. opens: Asked as a connection is about to open to
+        an endpoint for a message: what to call once it is closed; None: it may not be opened. retires:
+        Seconds after which a connection to the endpoint takes no more calls. limit_told: Hears of a limit
+        that an answer announces: so many calls in so many microseconds.
+    """
+
+    reads_late = False
 
     def __init__(
         self,
@@ -41,30 +62,39 @@
         connect_timeout: float,
         most: int,
         dials: Callable[[], Mapping[str, Address]],
-        retry_after_received: Callable[[str, int], None] = lambda endpoint, wait: None,
+        retry_after_received: Callable[[str, int], None] = ignore_retry_after,
     ) -> None:
+        """Opens nothing yet.
+
+        Args:
+            conn_idle: Seconds after which receivers close idle connections.
+            connect_timeout: Seconds.
+            most: Connections open at once.
+            dials: Addresses of the listed endpoints.
+            retry_after_received: Hears of a Retry-After of an endpoint, in microseconds.
+
+        Raises:
+            OSError: No descriptor is left.
+        """
         self.idle_limit = conn_idle * IDLE_SHARE
-        self.connect_timeout, self.most, self.dials = connect_timeout, most, dials
+        self.connect_timeout = connect_timeout
+        self.most = most
+        self.dials = dials
         self.retry_after_received = retry_after_received
-        self.sent: Callable[[], None] = lambda: None  # a message's last byte is written
-        # By endpoint, not by address: a new receiver may stand where another one has gone.
+        self.sent: Callable[[], None] = nothing
         self.pool: dict[str, list[ClientConnection]] = {}
-        self.idle: dict[ClientConnection, str] = {}  # the same, the one idle for longest first
-        self.open: set[ClientConnection] = set()
-        self.out: dict[ClientConnection, str] = {}  # whose answer is waited for, and the endpoint
+        self.idle: dict[ClientConnection, str] = {}
+        self.connections: set[ClientConnection] = set()
+        self.awaiting_answer: dict[ClientConnection, str] = {}
         self.unread = UnreadSockets()
         self.connecting = 0
-        self.unsent: set[asyncio.Task[Any]] = set()  # calls whose first byte has not gone
-        self.closing = False  # no call begins any more
-        self.draining: set[asyncio.Task[None]] = set()
+        self.unsent: set[asyncio.Task[Any]] = set()
+        self.closing = False
+        self.rest_tasks: set[asyncio.Task[None]] = set()
         self.reports = ErrorReports()
-        self.observer: TrafficObserver | None = None  # of connections that are opened from now on
-        #: Of budgets that a fleet shares. Asked as a connection to an endpoint is about to open for a
-        #: message: what to call once it is closed, or None: it may not.
-        self.opens: Callable[[str, str], Callable[[], None] | None] = lambda endpoint, name: nothing
-        #: s after which one takes no more calls.
-        self.retires: Callable[[str], float] = lambda endpoint: math.inf
-        #: Hears what an answer says of a limit: so many calls in so many us.
+        self.observer: TrafficObserver | None = None
+        self.opens: Callable[[str, str], Callable[[], None] | None] = allow_connection
+        self.retires: Callable[[str], float] = never_retires
         self.limit_told: Callable[[str, int, int], None] | None = None
 
     async def call(
@@ -74,27 +104,31 @@
         deadline = asyncio.get_running_loop().time() + timeout
         return await HttpCall(self, endpoint, message, deadline, may_go).run()
 
-    def hold_back(self) -> None:
-        """Calls whose first byte has not gone never go; those that are out come to their ends."""
+    def cancel_unsent(self) -> None:
+        """Calls whose first byte has not gone never go; those in flight come to their results."""
         self.closing = True
         for task in list(self.unsent):
             task.cancel()
 
     def close_all_idle(self) -> None:
+        """Closes all idle connections."""
         for connection in list(self.idle):
             self.close_one(connection)
 
     def poll_unread(self) -> None:
-        """What lies unread in the sockets of calls out binds now: a wait that an answer tells, and the end of
-        a kept connection. Guards calls that are about to go from a loop that comes late to hear of it."""
+        """Reads what lies unread in the sockets of calls in flight.
+
+        A Retry-After and the end of an idle connection bind at once, for calls that are about to go from a
+        loop that comes late to hear of them.
+        """
         for connection in self.unread.ready():
             if connection in self.idle:
                 self.close_one(connection)
-            elif (endpoint := self.out.get(connection)) and connection.look():
-                self.heard(endpoint, connection)
+            elif (endpoint := self.awaiting_answer.get(connection)) and connection.poll():
+                self.result_at_hand(endpoint, connection)
 
-    def heard(self, endpoint: str, connection: ClientConnection) -> AttemptResult | None:
-        """The answer, as far as its head says it; none where no head has come that can be read."""
+    def result_at_hand(self, endpoint: str, connection: ClientConnection) -> AttemptResult | None:
+        """The result, as far as the head of the answer tells it; None where no head has come."""
         if not isinstance(response := connection.head(), fast_path.ResponseHead):
             return None
         answer = answer_from(response)
@@ -102,29 +136,40 @@
             self.retry_after_received(endpoint, answer.retry_after_us)
         return answer
 
-    def lying(self, endpoint: str, connection: ClientConnection) -> AttemptResult | None:
-        """The answer of a call that is being given up, where it has come and nobody has read it yet. What
-        says that it never ran is believed only whole, as ever."""
-        if connection not in self.out:
+    def unread_result(self, endpoint: str, connection: ClientConnection) -> AttemptResult | None:
+        """The result of a call that is being given up, where its answer has come and nobody has read it yet.
+
+        An answer that says that the call never ran counts only if it is whole.
+        """
+        if connection not in self.awaiting_answer:
             return None
         with contextlib.suppress(OSError):
             connection.read_some()  # nobody waits for it any more
-        if (answer := self.heard(endpoint, connection)) and answer.outcome in NEVER_RAN:
+        if (answer := self.result_at_hand(endpoint, connection)) and answer.outcome in NEVER_RAN:
             try:
-                return answer if connection.whole() else None
+                return answer if connection.is_answer_whole() else None
             except BROKEN:
                 return None
         return answer
 
-    def ahead(self, endpoint: str, connection: ClientConnection) -> AttemptResult | None:
-        """What turned a call away before its last byte was written, and then broke it: its wait binds."""
+    def early_result(self, endpoint: str, connection: ClientConnection) -> AttemptResult | None:
+        """What rejected a call before its last byte was written, and then broke it."""
         with contextlib.suppress(OSError):
             connection.read_some()
-        answer = self.heard(endpoint, connection)
+        answer = self.result_at_hand(endpoint, connection)
         return answer if answer and answer.outcome is Outcome.FULL else None
 
-    async def open_counted(self, address: Address, closed: Callable[[], None]) -> ClientConnection:
-        """`closed` is called once it is, also where it never opened."""
+    async def open_connection(self, address: Address, closed: Callable[[], None]) -> ClientConnection:
+        """Opens a connection.
+
+        Args:
+            address: Of the endpoint.
+            closed: Called once it is closed, also where it never opened.
+
+        Raises:
+            OSError: It could not be opened.
+            TimeoutError: It took too long.
+        """
         try:
             connection = await self.connect(address)
         except BaseException:
@@ -134,7 +179,8 @@
         return connection
 
     async def connect(self, address: Address) -> ClientConnection:
-        if len(self.open) + self.connecting >= self.most and self.idle:
+        """A new connection, for which one that is idle makes room. Raises as `open_connection`."""
+        if len(self.connections) + self.connecting >= self.most and self.idle:
             self.close_one(next(iter(self.idle)))
         self.connecting += 1
         try:
@@ -142,7 +188,7 @@
                 connection = await self.open_one(address)
         finally:
             self.connecting -= 1
-        connection.quick = True
+        connection.is_fast = True
         if self.observer:
             connection.observed = ObservedConnection(self.observer, connection.sock.getsockname(), address)
         try:
@@ -150,12 +196,14 @@
         except OSError:
             connection.close()
             raise
-        self.open.add(connection)
+        self.connections.add(connection)
         return connection
 
     async def open_one(self, address: Address) -> ClientConnection:
-        """Guards destinations from the blame for a shortage of our own descriptors, ports or memory: it
-        passes, and the connection that has stood idle for longest makes room."""
+        """Opens a socket, and waits out a shortage of our own descriptors, ports or memory.
+
+        No destination is to blame for a shortage: it passes, and the connection idle for longest makes room.
+        """
         while True:
             try:
                 return await ClientConnection.open(address)
@@ -165,31 +213,38 @@
                 self.reports.report(error, "opening a connection")
             if self.idle:
                 self.close_one(next(iter(self.idle)))
-            await asyncio.sleep(SHORTAGE_PAUSE)
+            await asyncio.sleep(SHORTAGE_RETRY_S)
 
     def drop(self, connection: ClientConnection) -> None:
-        self.open.discard(connection)
+        """Closes a connection that is not idle."""
+        self.connections.discard(connection)
         self.unread.discard(connection)
         connection.close()
         connection.closed()
 
-    def finish(self, endpoint: str, connection: ClientConnection) -> bool:
-        """Keeps the connection once the answer is here to its end; the outcome need not wait for that."""
+    def keep_if_whole(self, endpoint: str, connection: ClientConnection) -> bool:
+        """Keeps the connection once its answer is here to its end; the result need not wait for that.
+
+        Returns:
+            Whether the connection goes on without the call.
+        """
         try:
-            if connection.whole():
+            if connection.is_answer_whole():
                 return connection.next_cycle() and self.keep(endpoint, connection)
         except BROKEN:
             return False
-        return self.read_rest(endpoint, connection, connection.skip_body())
+        return self.keep_after_rest(endpoint, connection, connection.skip_body())
 
-    def read_rest(self, endpoint: str, connection: ClientConnection, rest: Coroutine[Any, Any, None]) -> bool:
-        """In a task of its own; whatever becomes of it, the connection is in its hands."""
-        task = asyncio.get_running_loop().create_task(self.drain(endpoint, connection, rest))
-        self.draining.add(task)
-        task.add_done_callback(self.draining.discard)
+    def keep_after_rest(
+        self, endpoint: str, connection: ClientConnection, rest: Coroutine[Any, Any, None]
+    ) -> bool:
+        """Reads the rest of an answer in a task of its own, which keeps or closes the connection."""
+        task = asyncio.get_running_loop().create_task(self._read_rest(endpoint, connection, rest))
+        self.rest_tasks.add(task)
+        task.add_done_callback(self.rest_tasks.discard)
         return True
 
-    async def drain(
+    async def _read_rest(
         self, endpoint: str, connection: ClientConnection, rest: Coroutine[Any, Any, None]
     ) -> None:
         kept = False
@@ -206,22 +261,24 @@
     # The pool.
 
     def take_idle(self, endpoint: str) -> ClientConnection | None:
-        """The connection used last. Guards against one that the receiver closes as the request goes."""
+        """The idle connection used last, unless the receiver has closed it or soon will."""
         while kept := self.pool.get(endpoint):
             connection = kept[-1]
-            self.leave_pool(connection)
-            if not connection.ended() and not self.too_old(connection):
+            self.remove_idle(connection)
+            if not connection.has_ended() and not self.is_too_old(connection):
                 return connection
             self.drop(connection)
         return None
 
-    def leave_pool(self, connection: ClientConnection) -> None:
+    def remove_idle(self, connection: ClientConnection) -> None:
+        """A connection is idle no more."""
         endpoint = self.idle.pop(connection)
         self.pool[endpoint].remove(connection)
         if not self.pool[endpoint]:
             del self.pool[endpoint]
 
     def keep(self, endpoint: str, connection: ClientConnection) -> bool:
+        """Keeps a connection for the next call; False: it is retired, or the endpoint has moved."""
         now = asyncio.get_running_loop().time()
         retired = now - connection.opened_at >= self.retires(endpoint)
         if retired or self.dials().get(endpoint) != connection.address:
@@ -231,31 +288,35 @@
         self.idle[connection] = endpoint
         return True
 
-    def too_old(self, connection: ClientConnection) -> bool:
+    def is_too_old(self, connection: ClientConnection) -> bool:
+        """Whether an idle connection takes no more calls."""
         now = asyncio.get_running_loop().time()
         return now - connection.idle_since >= self.idle_limit or now >= connection.retires_at
 
     def close_expired(self) -> None:
-        """Called now and then, so that what nobody uses holds no descriptor."""
-        for connection in [each for each in self.idle if self.too_old(each) or each.ended()]:
+        """Closes idle connections that nobody will use; called now and then."""
+        for connection in [each for each in self.idle if self.is_too_old(each) or each.has_ended()]:
             self.close_one(connection)
 
     def endpoints_changed(self) -> None:
-        """After each line of discovery: what is kept for an endpoint closes with it."""
+        """Closes idle connections to endpoints that are gone or moved."""
         for connection, endpoint in list(self.idle.items()):
             if self.dials().get(endpoint) != connection.address:
                 self.close_one(connection)
 
     def close_one(self, connection: ClientConnection) -> None:
-        self.leave_pool(connection)
+        """Closes an idle connection."""
+        self.remove_idle(connection)
         self.drop(connection)
 
     def close_idle(self, endpoint: str) -> None:
+        """Closes the idle connections to an endpoint."""
         for connection in list(self.pool.get(endpoint, ())):
             self.close_one(connection)
 
     def close(self) -> None:
-        for task in self.draining:
+        """Closes everything at once."""
+        for task in self.rest_tasks:
             task.cancel()
         self.close_all_idle()
         self.unread.close()
--- a/message_sender/http/discovery.py
+++ b/message_sender/http/discovery.py
@@ -1,4 +1,4 @@
-"""The platform: the list of receivers by a watch, and the notices that end messages."""
+"""The platform's discovery service: the list of endpoints by a watch, and notices of completions."""
 
 import asyncio
 import json
@@ -11,48 +11,62 @@
 import h11
 
 from message_sender.core.ports import Completion, CompletionState
-from message_sender.http.codec import BROKEN, Address, ClientConnection, address_from
+from message_sender.http.client_connection import ClientConnection
+from message_sender.http.codec import BROKEN, Address, address_from
 from message_sender.http.json_stream import JsonStream
 from message_sender.policy.events import EndpointsUpdated
 from message_sender.policy.model import Endpoint, EndpointState, ListingKind
 
-# What discovery has had for 6 s, and could be reached for, counts as told, whatever call failed before
-# (schedule.ListCalls). A watch may fall silent right behind a line: that takes SILENCE to see, and a call.
-# Discovery may come back right behind the beginning of a call that hangs: that takes two calls.
-SILENCE = 2.6  # s with no whole line, empty ones come every 2 s: the watch is dead, though TCP says nothing
-CALL = 2.4  # s from a call's beginning to its list, or to the head of a watch; discovery gives up after 2 s
-CALL_AT_HAND = 0.25  # s of an agent beside the sender: what it has counts at once, also while a call hangs
-LINE_LIMIT = 4 * 1024 * 1024
-NOTICE_TIMEOUT = 0.1  # s for a first try, answers took 4 ms at most: a hung kept connection must leave time
-NOTICE_DOUBLINGS = 2  # for another within the 300 ms that a notice has; and for new ones behind a late one
-NOTICE_PAUSE = 0.05  # s between tries
+# What discovery has had for 6 s, and could be reached for, counts as known, whatever call failed before
+# (policy/schedule.py). A watch may fall silent right behind a line: that takes SILENCE_TIMEOUT_S to see, and
+# a call. Discovery may come back right behind the beginning of a call that hangs: that takes two calls.
+SILENCE_TIMEOUT_S = 2.6  # with no whole line; empty ones come every 2 s
+CALL_TIMEOUT_S = 2.4  # to a call's list, or to the head of a watch; discovery gives up after 2 s
+LOCAL_CALL_TIMEOUT_S = 0.25  # of an agent beside the sender, whose news counts also while a call hangs
+LINE_LIMIT = 4 * 1024 * 1024  # bytes
+NOTICE_TIMEOUT_S = 0.1  # for a first try; a notice has 0.3 s, and a hung connection must leave time
+NOTICE_DOUBLINGS = 2  # of that, after tries that failed
+NOTICE_RETRY_S = 0.05
 NOTICES_AT_ONCE = 100
-MOVE_PAUSE = (
-    0.2  # s between tries to hear a new address's list: what it tells counts as told 4 s after SIGHUP
-)
-STATES = {CompletionState.REFUSED: "returned", CompletionState.FAILED: "failed"}
+MOVE_RETRY_S = 0.2  # for a new address's list, which counts as known 4 s after SIGHUP
+BAD_REQUEST = 400
+NOTICE_STATES = {CompletionState.REFUSED: "returned", CompletionState.FAILED: "failed"}
 UNREADABLE = (ValueError, KeyError, TypeError, AttributeError, ArithmeticError, RecursionError)
 
 log = logging.getLogger(__name__)
 
 
 async def expect_ok(connection: ClientConnection) -> None:
+    """Raises ConnectionError unless the answer has status 200."""
     if (status := (await connection.response()).status_code) != 200:
         raise ConnectionError(f"discovery answered {status}")
 
 
-def text(told: object) -> str:
-    """Guards the module's tables from names that are no text, which no table can hold."""
-    if not isinstance(told, str):
-        raise TypeError(f"{told!r} is not a text")
-    return told
+def text(value: object) -> str:
+    """Checks that a name is a text, since tables of the policy can hold nothing else. Raises TypeError."""
+    if not isinstance(value, str):
+        raise TypeError(f"{value!r} is not a text")
+    return value
 
 
 class EndpointList:
-    """One line of discovery: a version and the endpoints in it."""
+    """One line of discovery: a version and the endpoints in it.
+
+    Attributes:
+        version: Of the list.
+        is_complete: The line holds all endpoints; else it holds those that changed.
+        dials: Addresses by endpoint.
+        endpoints: As the policy takes them.
+    """
 
     def __init__(self, told: dict[str, Any]) -> None:
-        self.seq, self.whole = int(told["seq"]), bool(told["whole"])
+        """Reads a line.
+
+        Raises:
+            ValueError, KeyError, TypeError, AttributeError, ArithmeticError: It cannot be read.
+        """
+        self.version = int(told["seq"])
+        self.is_complete = bool(told["whole"])
         self.dials: dict[str, Address] = {each["host"]: address_from(each["dial"]) for each in told["hosts"]}
         self.endpoints = tuple(
             Endpoint(
@@ -68,66 +82,98 @@
 
 
 class Discovery:
+    """Implements the ports `Directory` and `CompletionListener` of the core.
+
+    Attributes:
+        version: Of the list that is held; None where it is another service's, whose versions mean nothing
+        here. dials: Addresses of the listed endpoints. destinations: All that a list ever named.
+        has_read_line: Whether a line has come in this process. watch_connection: The watch that is up.
+        next_line_due: When the watch counts as broken unless a line comes; seconds on the loop's clock.
+        poll_error: What `poll_unread` met on the watch. notices: Notices by message, until they are
+        acknowledged.
+    """
+
     def __init__(
         self,
         address: Address,
         known: EndpointList,
         listed: Callable[[EndpointsUpdated], None],
         answered: Callable[[str], None],
-        call: float = CALL,
+        call: float = CALL_TIMEOUT_S,
     ) -> None:
-        """`call`: s that one may take."""
-        self.call = call
-        self.address, self.listed, self.answered = address, listed, answered
-        #: The version held; none when it is another service's, whose versions mean nothing to this one.
-        self.seq: int | None = known.seq
+        """Does not connect yet.
+
+        Args:
+            address: Of the service.
+            known: The list as it was last known.
+            listed: Hears updates of the list.
+            answered: Hears of each message whose notice was acknowledged.
+            call: Seconds that a call may take.
+        """
+        self.call_timeout_s = call
+        self.address = address
+        self.on_update = listed
+        self.on_acknowledged = answered
+        self.version: int | None = known.version
         self.dials = dict(known.dials)
-        self.destinations = {each.destination for each in known.endpoints}  # all that a list ever named
-        self.heard = False  # whether a line has come in this process
-        self.line: ClientConnection | None = None  # the watch that is up
-        self.objects = JsonStream(LINE_LIMIT)  # of it
-        self.line_due = 0.0  # s, the loop's: its next line comes before, or it is dead
-        self.trouble: Exception | None = None  # what a look at it met
+        self.destinations = {each.destination for each in known.endpoints}
+        self.has_read_line = False
+        self.watch_connection: ClientConnection | None = None
+        self.stream = JsonStream(LINE_LIMIT)
+        self.next_line_due = 0.0
+        self.poll_error: Exception | None = None
         self.notices: dict[str, str] = {}
         self.has_notices = asyncio.Event()
+        self._notice_connection: ClientConnection | None = None
+        self._failed_posts = 0
 
     def move(self, address: Address) -> None:
-        """From now on discovery is there. The caller starts a watch; the one before goes on until that one
-        has its first list, and notices under way are answered where they are or told again over there."""
-        self.address, self.seq = address, None
+        """From now on discovery is at another address.
+
+        The caller starts a watch; the one before goes on until the new one has its first list. Notices under
+        way are acknowledged where they are, or posted again at the new address.
+        """
+        self.address = address
+        self.version = None
 
     async def watch(self) -> None:
-        """One watch, to its end. However it ends, the module is told and decides when to ask again; but the
-        first list of a new address is asked for until it comes: nobody else tells of a drain meanwhile."""
+        """One watch, to its end; the policy then gets a FAILED update and decides when to subscribe again.
+
+        The first list of a new address is fetched until it comes: nobody else tells of a drain meanwhile.
+        """
         address = self.address
         while True:
             try:
                 await self.watch_once(address)
             except BROKEN as error:
-                log.warning("the watch ended: %s", str(error) or type(error).__name__)
+                log.warning("discovery watch ended: error=%s", str(error) or type(error).__name__)
             except UNREADABLE as error:
-                log.warning("the watch told what cannot be read: %r", error)
+                log.warning("discovery watch ended: malformed line error=%r", error)
             if address != self.address:
                 return
-            if self.seq is not None:
+            if self.version is not None:
                 break
-            await asyncio.sleep(MOVE_PAUSE)
-        self.listed(EndpointsUpdated(ListingKind.FAILED))
+            await asyncio.sleep(MOVE_RETRY_S)
+        self.on_update(EndpointsUpdated(ListingKind.FAILED))
 
     async def watch_once(self, address: Address) -> None:
-        """Returns once another address has told its list; any other end raises."""
-        if self.seq is None:
-            whole = await self.ask(address, "/registry/instances")
+        """Returns once another address has sent its list; any other end raises."""
+        if self.version is None:
+            whole = await self.fetch(address, "/registry/instances")
             if address != self.address:
                 return
             self.read(EndpointList(json.loads(whole)))
-        async with self.calling(address, f"/registry/instances?watch=1&after={self.seq}") as connection:
+        async with self.open_call(address, f"/registry/instances?watch=1&after={self.version}") as connection:
             await self.read_lines(connection, address)
 
     @asynccontextmanager
-    async def calling(self, address: Address, target: str) -> AsyncIterator[ClientConnection]:
-        """A call that was answered with 200, within its time from here on; what follows is the caller's."""
-        async with asyncio.timeout(self.call):
+    async def open_call(self, address: Address, target: str) -> AsyncIterator[ClientConnection]:
+        """A call that was answered with 200, within its time from here on; what follows is the caller's.
+
+        Raises:
+            OSError, MalformedMessageError: It failed.
+        """
+        async with asyncio.timeout(self.call_timeout_s):
             connection = await ClientConnection.open(address)
             try:
                 await connection.send("GET", target, {})
@@ -140,10 +186,10 @@
         finally:
             connection.close()
 
-    async def ask(self, address: Address, target: str) -> bytes:
-        """The whole answer, which may come in pieces without end."""
+    async def fetch(self, address: Address, target: str) -> bytes:
+        """The body of an answer. Raises as `open_call`, and ValueError where it is too long."""
         body = bytearray()
-        async with asyncio.timeout(self.call), self.calling(address, target) as connection:
+        async with asyncio.timeout(self.call_timeout_s), self.open_call(address, target) as connection:
             while not isinstance(event := await connection.next_event(), h11.EndOfMessage):
                 body += event.data if isinstance(event, h11.Data) else b""
                 if len(body) > LINE_LIMIT:
@@ -151,49 +197,58 @@
         return bytes(body)
 
     async def read_lines(self, connection: ClientConnection, address: Address) -> None:
-        self.line, self.objects, self.trouble = connection, JsonStream(LINE_LIMIT), None
-        self.line_came()
+        """Reads the lines of a watch, until another address has sent its list."""
+        self.watch_connection = connection
+        self.stream = JsonStream(LINE_LIMIT)
+        self.poll_error = None
+        self.note_line()
         try:
-            while not self.replaced(address):
+            while not self.is_replaced(address):
                 self.read_ready(connection, address)
-                async with asyncio.timeout_at(self.line_due):
+                async with asyncio.timeout_at(self.next_line_due):
                     await connection.receive()
-                if self.trouble:
-                    raise self.trouble
+                if self.poll_error:
+                    raise self.poll_error
         finally:
-            if self.line is connection:
-                self.line = None
+            if self.watch_connection is connection:
+                self.watch_connection = None
 
-    def replaced(self, address: Address) -> bool:
-        """Whether another address has told its list."""
-        return address != self.address and self.seq is not None
+    def is_replaced(self, address: Address) -> bool:
+        """Whether another address has sent its list."""
+        return address != self.address and self.version is not None
 
     def poll_unread(self) -> None:
-        """Reads what the watch has told and the loop has not come to hear yet."""
-        if (connection := self.line) and connection.look():
+        """Reads what the watch has sent and the loop has not come to read yet."""
+        if (connection := self.watch_connection) and connection.poll():
             try:
                 self.read_ready(connection, connection.address)
             except (*BROKEN, *UNREADABLE) as error:
-                self.trouble = error
+                self.poll_error = error
 
-    def line_came(self) -> None:
-        self.line_due = asyncio.get_running_loop().time() + SILENCE
+    def note_line(self) -> None:
+        """A line has come: the watch is up."""
+        self.next_line_due = asyncio.get_running_loop().time() + SILENCE_TIMEOUT_S
 
     def read_ready(self, connection: ClientConnection, address: Address) -> None:
-        """The lines that have come whole."""
+        """Reads the lines that have come whole."""
         while (event := connection.read_event()) is not None:
             if isinstance(event, h11.EndOfMessage):
-                raise ConnectionError("discovery ended it")
-            for told in self.objects.feed(bytes(event.data)) if isinstance(event, h11.Data) else ():
-                if self.replaced(address):
+                raise ConnectionError("discovery ended the watch")
+            for told in self.stream.feed(bytes(event.data)) if isinstance(event, h11.Data) else ():
+                if self.is_replaced(address):
                     return
-                self.line_came()
+                self.note_line()
                 if told is not None:
                     self.read(EndpointList(told), address)
 
     def read(self, told: EndpointList, address: Address | None = None) -> None:
-        """One line, whole or not at all: what cannot be read has raised before anything is changed."""
-        if told.whole:
+        """Takes one line, whole or not at all: what cannot be read has raised before anything is changed.
+
+        Args:
+            told: The line.
+            address: Where it came from; None: the present address.
+        """
+        if told.is_complete:
             self.dials = {}
         self.dials.update(told.dials)  # in place: a change costs what it names, however long the list is
         for each in told.endpoints:
@@ -201,23 +256,26 @@
                 self.dials.pop(each.id, None)
         self.destinations |= {each.destination for each in told.endpoints}
         if address in (None, self.address):  # else it is a line of the address before
-            self.seq = told.seq
-        self.heard = True
-        listing = ListingKind.FULL if told.whole else ListingKind.CHANGES
-        self.listed(EndpointsUpdated(listing, told.endpoints))
+            self.version = told.version
+        self.has_read_line = True
+        listing = ListingKind.FULL if told.is_complete else ListingKind.CHANGES
+        self.on_update(EndpointsUpdated(listing, told.endpoints))
 
     def knows(self, destination: int) -> bool:
-        """Whether there ever was such a destination; one whose endpoints are all gone may come back."""
+        """Whether there ever was such a destination; its endpoints may have left for now."""
         return destination in self.destinations
 
     def remember(self, destination: int) -> None:
+        """A message for this destination was restored from the journal."""
         self.destinations.add(destination)
 
+    # Notices: the completions of messages that no client waits for.
+
     def notify(self, message: str, end: Completion) -> bool:
-        """The end of a message; told again and again until it is answered. A delivery is no news here."""
-        if end.state not in STATES:
+        """Takes a completion, which is posted until it is acknowledged. A delivery needs no notice."""
+        if end.state not in NOTICE_STATES:
             return False
-        notice: dict[str, Any] = {"id": message, "state": STATES[end.state]}
+        notice: dict[str, Any] = {"id": message, "state": NOTICE_STATES[end.state]}
         if end.retry_after_us:
             notice["after_ms"] = -(-end.retry_after_us // 1000)
         self.notices[message] = json.dumps(notice)
@@ -225,49 +283,73 @@
         return True
 
     async def run(self) -> None:
-        """Posts what notices there are, forever; a connection that failed is not used again."""
-        connection, tries, most = None, 0, NOTICES_AT_ONCE
+        """Posts what notices there are, until it is cancelled."""
+        self._failed_posts = 0
+        try:
+            await self._post_notices()
+        finally:
+            self._close_notice_connection()
+
+    async def _post_notices(self) -> None:
+        batch_limit = NOTICES_AT_ONCE
         while True:
             await self.has_notices.wait()
-            sent, began = dict(list(self.notices.items())[:most]), time.monotonic()
-            try:
-                async with asyncio.timeout(NOTICE_TIMEOUT * 2 ** min(tries, NOTICE_DOUBLINGS)):
-                    if connection and (connection.address != self.address or connection.ended()):
-                        connection.close()
-                        connection = None
-                    connection = connection or await ClientConnection.open(self.address)
-                    status = await self.post(connection, "\n".join(sent.values()) + "\n")
-                if not connection.next_cycle():
-                    connection.close()
-                    connection = None
-            except BROKEN as error:
-                log.warning("notices not answered: %s", str(error) or type(error).__name__)
-                status = 0
-                if connection:
-                    connection.close()
-                    connection = None
-            if status == 400 and len(sent) > 1:
-                most = 1  # guards the others against one that cannot be read
-                continue
-            if 200 <= status < 300 or status == 400:
-                if status == 400:
-                    log.error("a notice was not understood: %s", *sent.values())
-                tries = 0
-                if (took := time.monotonic() - began) > NOTICE_TIMEOUT / 2:
-                    log.info("%d notices answered in %.0f ms", len(sent), took * 1e3)
-                for message in sent:
-                    del self.notices[message]
-                    self.answered(message)
+            batch = dict(list(self.notices.items())[:batch_limit])
+            began = time.monotonic()
+            status = await self._try_to_post(batch)
+            is_refused = status == BAD_REQUEST
+            if is_refused and len(batch) > 1:
+                batch_limit = 1  # protects the others from one that cannot be read
+            elif is_refused or 200 <= status < 300:
+                self._acknowledge(batch, is_refused, time.monotonic() - began)
                 if not self.notices:
-                    most = NOTICES_AT_ONCE
+                    batch_limit = NOTICES_AT_ONCE
                     self.has_notices.clear()
-                continue
-            tries += 1
-            await asyncio.sleep(NOTICE_PAUSE)
+            else:
+                self._failed_posts += 1
+                await asyncio.sleep(NOTICE_RETRY_S)
+
+    async def _try_to_post(self, batch: dict[str, str]) -> int:
+        """The status of the answer; 0 where none came. A connection that failed is not used again."""
+        timeout_s = NOTICE_TIMEOUT_S * 2 ** min(self._failed_posts, NOTICE_DOUBLINGS)
+        try:
+            async with asyncio.timeout(timeout_s):
+                connection = await self._notice_connection_to_use()
+                status = await self._post(connection, "\n".join(batch.values()) + "\n")
+            if not connection.next_cycle():
+                self._close_notice_connection()
+        except BROKEN as error:
+            log.warning("notices not acknowledged: error=%s", str(error) or type(error).__name__)
+            self._close_notice_connection()
+            return 0
+        return status
+
+    async def _notice_connection_to_use(self) -> ClientConnection:
+        connection = self._notice_connection
+        if connection and (connection.address != self.address or connection.has_ended()):
+            self._close_notice_connection()
+        if self._notice_connection is None:
+            self._notice_connection = await ClientConnection.open(self.address)
+        return self._notice_connection
 
-    async def post(self, connection: ClientConnection, body: str) -> int:
+    def _close_notice_connection(self) -> None:
+        if self._notice_connection:
+            self._notice_connection.close()
+            self._notice_connection = None
+
+    async def _post(self, connection: ClientConnection, body: str) -> int:
         data = body.encode()
         await connection.send("POST", "/v1/notices", {"Content-Length": str(len(data))}, data)
         status = (await connection.response()).status_code
         await connection.skip_body()
         return status
+
+    def _acknowledge(self, batch: dict[str, str], is_refused: bool, took_s: float) -> None:
+        if is_refused:
+            log.error("notice refused: notice=%s", *batch.values())
+        self._failed_posts = 0
+        if took_s > NOTICE_TIMEOUT_S / 2:
+            log.info("notices acknowledged late: notices=%d took_ms=%.0f", len(batch), took_s * 1e3)
+        for message in batch:
+            del self.notices[message]
+            self.on_acknowledged(message)
--- a/message_sender/http/fast_path.py
+++ b/message_sender/http/fast_path.py
@@ -1,9 +1,9 @@
 """The usual request and the usual answer, read whole without a state machine; anything else is h11's.
 
-Nearly all that comes is one plain message that lies there whole and alone. For those, and only for those,
-the reading here is as strict as the codec's: what it takes, h11 takes too and reads alike
-(tests/test_usual.py holds the two against each other). None means: not usual, let the codec say what it is.
-Framing after RFC 9112, sections 2 to 6.
+Nearly all that comes is one plain message that lies there whole and alone. For those, and only for those, the
+reading here is as strict as the codec's: what it takes, h11 takes too and reads alike (tests/test_usual.py
+compares the two). None means: not usual, let the codec say what it is. Framing after RFC 9112, sections 2 to
+6.
 
 Left to the codec on purpose: every framing but one Content-Length in digits, `Expect`, `Connection`,
 `Upgrade`, HTTP/1.0, folded lines, a head in parts, two messages at once, interim answers.
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FastRequest:
-    """As h11's event of the same name; names of fields are in small letters."""
+    """Stands for h11's event of requests; names of headers are in small letters."""
 
     target: bytes
     headers: Fields
@@ -45,8 +45,11 @@
 
 
 def fields_of(lines: bytes) -> tuple[Fields, dict[bytes, bytes]] | None:
-    """All of them, and those that frame a message; None where one of these stands there twice, or is one that
-    the codec has to judge."""
+    """All headers, and those that frame a message.
+
+    Returns:
+        None: one of these stands there twice, or is one that the codec has to judge.
+    """
     found: Fields = []
     framing: dict[bytes, bytes] = {}
     for line in lines.split(b"\r\n")[:-1]:
--- a/message_sender/http/server_connection.py
+++ b/message_sender/http/server_connection.py
@@ -31,10 +31,7 @@
 DRAINED_BYTES_LIMIT = 1024 * 1024  # read and dropped behind a last answer; then the other side has to wait
 UNREAD_ANSWERS_LIMIT = 64 * 1024  # bytes that a client leaves unread before it is cut off
 
-ACCEPTED = 202
-REQUEST_TIMEOUT = 408
-TOO_MANY_REQUESTS = 429
-UNAVAILABLE = 503
+ACCEPTED, REQUEST_TIMEOUT, TOO_MANY_REQUESTS, UNAVAILABLE = 202, 408, 429, 503  # HTTP statuses
 
 
 class ServerConnection(asyncio.BufferedProtocol):
--- a/message_sender/http/unread_sockets.py
+++ b/message_sender/http/unread_sockets.py
@@ -7,11 +7,14 @@
 
 import select
 
-from message_sender.http.codec import ClientConnection
+from message_sender.http.client_connection import ClientConnection
 
 
 class UnreadSockets:
-    """Connections are added once they are up, and taken out before their sockets close."""
+    """Sockets that are asked for unread bytes.
+
+    Connections are added once they are up, and taken out before their sockets close.
+    """
 
     def __init__(self) -> None:
         """Raises OSError where no descriptor is left."""
@@ -19,23 +22,29 @@
         self.watched: dict[int, ClientConnection] = {}
 
     def add(self, connection: ClientConnection) -> None:
-        """Raises OSError where the system takes no more of them (EPERM, ENOSPC, ENOMEM of epoll_ctl(2))."""
+        """Adds a connection.
+
+        Raises:
+            OSError: The system takes no more of them (EPERM, ENOSPC, ENOMEM of epoll_ctl(2)).
+        """
         number = connection.sock.fileno()
         self.epoll.register(number, select.EPOLLIN)
         self.watched[number] = connection
 
     def discard(self, connection: ClientConnection) -> None:
+        """Takes a connection out, if it is there."""
         number = connection.sock.fileno()
         if number >= 0 and number in self.watched:
             del self.watched[number]
             self.epoll.unregister(number)
 
     def ready(self) -> list[ClientConnection]:
-        """Those with unread bytes, an end or an error. Never waits."""
+        """Connections with unread bytes, an end or an error. Never waits."""
         if not self.watched:
             return []
         return [self.watched[number] for number, _ in self.epoll.poll(0) if number in self.watched]
 
     def close(self) -> None:
+        """Closes the descriptor of its own."""
         self.watched.clear()
         self.epoll.close()
--- a/message_sender/service/daemon.py
+++ b/message_sender/service/daemon.py
@@ -20,7 +20,12 @@
 from message_sender.handover.takeover import OwnershipHandover
 from message_sender.http.client import HttpTransport
 from message_sender.http.codec import Address
-from message_sender.http.discovery import CALL, CALL_AT_HAND, Discovery, EndpointList
+from message_sender.http.discovery import (
+    CALL_TIMEOUT_S,
+    LOCAL_CALL_TIMEOUT_S,
+    Discovery,
+    EndpointList,
+)
 from message_sender.http.server import ACCEPTS, Server
 from message_sender.management import server as manage
 from message_sender.policy.events import EndpointsUpdated, Stopping
@@ -218,10 +223,10 @@
             ),
             self.clock.now,
         )  # fmt: skip
-        call = CALL_AT_HAND if config.settings.has_local_list else CALL
+        call = LOCAL_CALL_TIMEOUT_S if config.settings.has_local_list else CALL_TIMEOUT_S
         self.discovery = Discovery(config.discovery, known, self.listed, engine.completion_acknowledged, call)
         if told:
-            self.discovery.seq = told.seq
+            self.discovery.version = told.seq
             self.discovery.destinations |= {*told.destinations}
         super().__init__(engine, config.listen, config.sockets - sockets)
         self.plug(self.discovery, self.discovery)
--- a/message_sender/service/process_handover.py
+++ b/message_sender/service/process_handover.py
@@ -141,7 +141,7 @@
         sender = self.sender
         sender.server.freeze()
         sender.engine.freeze()
-        sender.transport.hold_back()
+        sender.transport.cancel_unsent()
         return json.dumps(self.state())
 
     def state(self) -> dict[str, Any]:
@@ -151,7 +151,7 @@
             "version": VERSION,
             "clock": sender.clock.base,
             "engine": engine_text(sender.engine.export_state()),
-            "seq": discovery.seq,
+            "seq": discovery.version,
             "hosts": [
                 host_text(each, discovery.dials[name])
                 for name, each in maintenance.listed.items()
--- a/tests/compatibility/samples.py
+++ b/tests/compatibility/samples.py
@@ -35,7 +35,7 @@
 from message_sender.fleet import wire as fleet
 from message_sender.fleet.seal import Seal
 from message_sender.grpc.route import from_metadata, pairs
-from message_sender.http.codec import ClientConnection
+from message_sender.http.client_connection import ClientConnection
 from message_sender.http.discovery import Discovery, EndpointList
 from message_sender.http.server import Server
 from message_sender.journal.answer_store import AnswerStore
@@ -281,7 +281,7 @@
     ]  # fmt: skip
     listed = EndpointList({"seq": 41, "whole": True, "hosts": hosts})
     engine = SimpleNamespace(export_state=handed_state)
-    discovery = SimpleNamespace(seq=41, dials=listed.dials, destinations={4, 3, 9})
+    discovery = SimpleNamespace(version=41, dials=listed.dials, destinations={4, 3, 9})
     maintenance = SimpleNamespace(
         listed={each.id: each for each in listed.endpoints}, back={"hub-9", "hub-2"}
     )
@@ -415,7 +415,7 @@
     async def make(quick: bool, method: str, target: str, headers: dict[str, str], body: bytes) -> bytes:
         heard = Heard()
         connection = ClientConnection(heard, ("10.0.0.1", 80))  # type: ignore[arg-type]
-        connection.quick = quick
+        connection.is_fast = quick
         await connection.send(method, target, headers, body)
         return heard.data
 
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -15,9 +15,10 @@
 from message_sender.core.ports import AttemptResult
 from message_sender.http import call as call_module
 from message_sender.http import client as module
-from message_sender.http import codec as http
+from message_sender.http import client_connection as http
 from message_sender.http.client import HttpTransport
-from message_sender.http.codec import Address, ClientConnection
+from message_sender.http.client_connection import ClientConnection
+from message_sender.http.codec import Address
 from message_sender.http.response_mapping import answer_from
 from message_sender.policy.model import NEVER_RAN, Outcome
 
@@ -174,7 +175,7 @@
             assert await soon(going) == answer
             if "x" * 20_000 not in text:
                 await soon(receiver.ends.get())
-                assert not client.pool and not client.open
+                assert not client.pool and not client.connections
 
     play(test)(Path())
 
@@ -234,7 +235,7 @@
         request.write(head("200 OK", "Content-Length: 4") + "ha")
         assert await soon(going) == DELIVERED and not client.pool
         request.write("lf")
-        await soon(asyncio.gather(*client.draining))
+        await soon(asyncio.gather(*client.rest_tasks))
         assert list(client.pool) == ["r"]
 
 
@@ -273,7 +274,7 @@
         request.answer(200)
         assert await soon(going) == DELIVERED and receiver.accepted == 2
         await soon(receiver.ends.get())
-        assert not client.pool and not client.open
+        assert not client.pool and not client.connections
 
 
 @play
@@ -286,7 +287,7 @@
             (await receiver.next()).answer(200)
             await soon(going)
         await soon(receiver.ends.get())
-        assert list(client.pool) == ["b", "c"] and len(client.open) == 2
+        assert list(client.pool) == ["b", "c"] and len(client.connections) == 2
         client.close()
 
 
@@ -336,7 +337,7 @@
             each.cancel()
         for _n in range(2):
             await soon(receiver.ends.get())
-        assert not client.pool and not client.open and second.id == "m1"
+        assert not client.pool and not client.connections and second.id == "m1"
 
 
 @play
@@ -421,7 +422,7 @@
             for part in rest:
                 request.write(part)
                 await turn()
-            while client.draining:
+            while client.rest_tasks:
                 await turn()
             assert receiver.accepted == 1 and list(client.idle.values()) == ["r"]
 
@@ -438,7 +439,7 @@
                 request.write("HTTP/1.1 200 It\r\n" + rest)
                 assert await soon(going) == DELIVERED
                 await soon(receiver.ends.get())
-                assert not (client.idle or client.draining or client.open)
+                assert not (client.idle or client.rest_tasks or client.connections)
 
     play(test)(Path())
 
@@ -461,7 +462,7 @@
         self.client.dials = lambda: {"r": self.listener.getsockname()}
         answer: AttemptResult = await soon(self.client.call("r", handed_in(), 10, may_go))
         self.listener.close()
-        assert not self.client.idle and not self.client.open
+        assert not self.client.idle and not self.client.connections
         return answer
 
 
@@ -522,7 +523,7 @@
         assert (await soon(going)).outcome is Outcome.OK
         (kept,) = client.idle
         request.write("HTTP/1.1 5")
-        while not kept.ended():
+        while not kept.has_ended():
             await turn()
         again = call(client, receiver.address)
         (await receiver.next()).answer(200)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -21,7 +21,8 @@
 from test_closing import Client
 
 from message_sender.handover.drain import GRACE
-from message_sender.http.codec import Address, ClientConnection
+from message_sender.http.client_connection import ClientConnection
+from message_sender.http.codec import Address
 from message_sender.policy.events import EndpointsUpdated, WakeUp
 from message_sender.policy.model import Endpoint, EndpointState, ListingKind
 
@@ -105,7 +106,7 @@
         await self.written()
         assert self.request
         self.request.write("HTTP/1.1 20")
-        (connection,) = self.sender.transport.out
+        (connection,) = self.sender.transport.awaiting_answer
         await until(lambda: bool(connection.codec.trailing_data[0]))
 
     async def answer_unread(self) -> None:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -73,7 +73,7 @@
             assert (await soon(heard.get())).listing is ListingKind.FAILED
             assert not watch.writer.is_closing()
 
-    monkeypatch.setattr(module, "SILENCE", 0.05)
+    monkeypatch.setattr(module, "SILENCE_TIMEOUT_S", 0.05)
     play(test)(Path())
 
 
@@ -138,7 +138,7 @@
             watch = await soon(platform.watches.get())
             tell(watch, 42, host(NEW, "new"), host(OLD) | bad)
             assert (await soon(heard.get())).listing is ListingKind.FAILED
-            assert (discovery.seq, discovery.dials) == (41, {"r": ("127.0.0.1", 1)})
+            assert (discovery.version, discovery.dials) == (41, {"r": ("127.0.0.1", 1)})
 
     play(test)(Path())
 
@@ -149,7 +149,7 @@
         watch = await soon(platform.watches.get())
         tell(watch, 42, host(OLD, "never seen", health="gone"), host(NEW, "new"))
         assert (await soon(heard.get())).listing is ListingKind.CHANGES
-        assert discovery.seq == 42 and list(discovery.dials) == ["r", "new"]
+        assert discovery.version == 42 and list(discovery.dials) == ["r", "new"]
 
 
 @play
@@ -179,7 +179,7 @@
         assert (await soon(new.watches.get())).target.endswith("after=7")
         tell(watch, 100, host(OLD))
         await soon(old.ends.get())  # the old watch ends without a word, and what it told last is not heard
-        assert heard.empty() and discovery.seq == 7 and list(discovery.dials) == ["new"]
+        assert heard.empty() and discovery.version == 7 and list(discovery.dials) == ["new"]
         moved.cancel()
 
 
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -16,7 +16,7 @@
 
 from message_sender.core.ports import AttemptResult
 from message_sender.http import client, discovery, server
-from message_sender.http.codec import ClientConnection
+from message_sender.http.client_connection import ClientConnection
 from message_sender.policy.events import WakeUp
 from message_sender.policy.model import NEVER_RAN, Outcome
 
@@ -126,7 +126,7 @@
                 each.since -= PATIENCE
             await turn()
         await until(lambda: self.faults.open("client") == 0)
-        await until(lambda: self.faults.open("receiver") == len(self.sender.transport.open))
+        await until(lambda: self.faults.open("receiver") == len(self.sender.transport.connections))
         assert self.faults.open("platform") <= 2
 
 
@@ -149,8 +149,8 @@
 ) -> None:
     for module, pause in (
         (server, "ACCEPT_RETRY_S"),
-        (discovery, "NOTICE_PAUSE"),
-        (client, "SHORTAGE_PAUSE"),
+        (discovery, "NOTICE_RETRY_S"),
+        (client, "SHORTAGE_RETRY_S"),
     ):
         monkeypatch.setattr(module, pause, 0.0)
 
--- a/tests/test_manage.py
+++ b/tests/test_manage.py
@@ -163,7 +163,7 @@
         assert figures(await call(address, "GET", "/stats"))["cluster_unhealthy"] == 1
         tell(watch, 42, host(world.receiver.dial, health="gone"))
         tell(watch, 43, host(world.receiver.dial))
-        while world.sender.discovery.seq != 43:
+        while world.sender.discovery.version != 43:
             await turn()
         assert (await world.hand_in("m1")).status == 202
         await turn()
--- a/tests/test_storms.py
+++ b/tests/test_storms.py
@@ -421,7 +421,7 @@
     await until(receiver.accepts)
 
     def stuck() -> bool:
-        return any(each.unsent for each in transport.open)
+        return any(each.unsent for each in transport.connections)
 
     await until(stuck)
     while not receiver.read() and stuck():  # makes room, so that the loop can write the rest
