--- a/tests/test_control_node_disk.py
+++ b/tests/test_control_node_disk.py
@@ -5,7 +5,8 @@
 import random
 import shutil
 import stat
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
+from functools import partial
 from pathlib import Path
 
 import pytest
@@ -130,6 +131,14 @@
     play(tmp_path, story)
 
 
+def have_one_version(cluster: Cluster, names: Sequence[str]) -> bool:
+    return len({cluster.document(name).version for name in names}) == 1
+
+
+def have_watchers_version(cluster: Cluster, version: int) -> bool:
+    return all(watcher.watch.document.version >= version for watcher in cluster.watchers)
+
+
 @pytest.mark.parametrize("count", [1, 3])
 def test_a_full_disk_confirms_nothing_and_watches_go_on(count: int, tmp_path: Path) -> None:
     async def story(cluster: Cluster) -> None:
@@ -147,10 +156,7 @@
             assert result.outcome in (Outcome.UNAVAILABLE, Outcome.APPLIED)
             while (await cluster.make(others[0], b"3")).outcome is not Outcome.APPLIED:
                 pass
-            healthy = lambda: all(  # noqa: E731
-                cluster.document(name).version == cluster.document(others[0]).version for name in others
-            )
-            await cluster.until(healthy)
+            await cluster.until(partial(have_one_version, cluster, others))
         else:
             assert result.outcome is Outcome.UNAVAILABLE
             assert {cluster.document(name).version for name in VOTES} == {1}
@@ -159,13 +165,11 @@
         assert "takes no writes" in status.fault and "No space left" in status.fault
         cluster.watch(8)
         newest = max(cluster.confirmed.values())
-        took = await cluster.until(
-            lambda: all(each.watch.document.version >= newest for each in cluster.watchers), within=20.0
-        )
+        took = await cluster.until(partial(have_watchers_version, cluster, newest), within=20.0)
         print(f"{len(cluster.watchers)} watchers have the newest version after {took:.1f} s")
         if count == 3:
             served = [cluster.driver(name).node.fanout for name in full]
-            assert any(each.watchers(cluster.driver(leader).clock()) for each in served)
+            assert any(fanout.watchers(cluster.driver(leader).clock()) for fanout in served)
         for name in full:
             cluster.machines[name].is_full = False
         await cluster.until_led()
--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -14,7 +14,9 @@
 from message_sender.configuration.tables import ConfigError
 from message_sender.control import process
 from message_sender.control.configuration import load
-from message_sender.testbed.control_cluster import HOST, ControlCluster, address_of
+from message_sender.control.messages import Address
+from message_sender.testbed.cluster import HOST
+from message_sender.testbed.control_cluster import ControlCluster, address_of
 
 IN_FORCE_WITHIN_S = 4.0  # the operators' allowance
 HEALED_WITHIN_S = 10.0  # after a fault, for the node that it befell
@@ -144,6 +146,18 @@
     play(tmp_path, story)
 
 
+def send_forged(count: int, address: Address) -> None:
+    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as forger:
+        for _ in range(count):
+            forger.sendto(b"EL1" + bytes(90), address)
+
+
+async def count_refused_for_their_key(cluster: ControlCluster, name: str) -> int:
+    status = await cluster.ask(name, {"do": "status"})
+    own = next(node for node in status["nodes"] if node["name"] == name)
+    return sum(count for reason, count in own["refused_datagrams"].items() if "key" in reason)
+
+
 def test_bad_requests_forged_datagrams_keys_and_ends(tmp_path: Path) -> None:
     async def story(cluster: ControlCluster, operator: Operator) -> None:
         await cluster.leader()
@@ -155,17 +169,10 @@
         assert len(told["faults"]) >= 3, told
         with pytest.raises(ValueError, match="base_version"):
             await cluster.ask("c2", {"do": "set", "request_id": "x"})
-        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as forger:
-            for _ in range(5):
-                forger.sendto(b"EL1" + bytes(90), address_of(cluster.members["c2"]))
-        refused: dict[str, int] = {}
+        send_forged(5, address_of(cluster.members["c2"]))
         async with asyncio.timeout(5.0):
-            while sum(refused.values()) < 5:
-                status = await cluster.ask("c2", {"do": "status"})
-                own = next(each for each in status["nodes"] if each["name"] == "c2")
-                refused = {
-                    reason: count for reason, count in own["refused_datagrams"].items() if "key" in reason
-                }
+            while await count_refused_for_their_key(cluster, "c2") < 5:
+                pass
         # A key is changed in three rounds: the new one last, then first, then alone.
         old, new = (base64.b64encode(key).decode() for key in (cluster.key, bytes(range(32))))
         for keys in ((old, new), (new, old)):
