--- a/message_sender/budget/division.py
+++ b/message_sender/budget/division.py
@@ -9,7 +9,7 @@
 
 from collections.abc import Mapping
 
-CALM = 8  # a change of less than a part's eighth is none
+CHANGE_THRESHOLD_DIVISOR = 8  # a change of less than a part's eighth is none
 
 
 def divide(whole: int, needs: Mapping[str, int], turn: int = 0) -> dict[str, int]:
@@ -28,16 +28,16 @@
             parts[name] += more
             left -= more
         open_ones = [name for name in open_ones if parts[name] < needs[name]]
-    return spread(left // 2, parts)
+    return spread_spare(left // 2, parts)
 
 
-def spread(spare: int, parts: dict[str, int]) -> dict[str, int]:
+def spread_spare(spare: int, parts: dict[str, int]) -> dict[str, int]:
     """Adds what is to spare evenly to the parts of those that have one."""
     there = [name for name, part in parts.items() if part]
     return {name: part + spare // len(there) if part else 0 for name, part in parts.items()}
 
 
-def calm(part: int, before: int, need: int) -> int:
+def damp_change(part: int, before: int, need: int) -> int:
     """A part that is changed only where it matters: one that covers the need stays, if nobody is short of
     what it has above its part."""
-    return before if part and before >= need and abs(part - before) * CALM <= before else part
+    return before if part and before >= need and abs(part - before) * CHANGE_THRESHOLD_DIVISOR <= before else part
--- a/message_sender/budget/enforcer.py
+++ b/message_sender/budget/enforcer.py
@@ -7,7 +7,7 @@
 
 from collections import deque
 
-NEVER = 10**18
+NEVER_US = 10**18
 
 
 class LimitEnforcer:
@@ -60,5 +60,5 @@
         if excess < 0:
             return now
         if self.span is None or part <= 0 or excess >= len(self.times):
-            return NEVER
+            return NEVER_US
         return self.times[excess] + self.span
--- a/message_sender/budget/lease.py
+++ b/message_sender/budget/lease.py
@@ -30,7 +30,7 @@
 from typing import NamedTuple
 
 LONG_AGO = -(10**15)
-NOBODY = -1
+NO_MEMBER = -1
 
 
 class Terms(NamedTuple):
@@ -47,11 +47,11 @@
 
 
 class LeaseMessageKind(IntEnum):
-    ELECT = 0  # keep me
+    VOTE_REQUEST = 0
     PROMISE = 1
-    ASK = 2
+    LEASE_REQUEST = 2
     GRANT = 3
-    BACK = 4
+    RELEASE = 4
 
 
 class LeaseMessage(NamedTuple):
@@ -78,7 +78,7 @@
     session: int
     clock: int
     since: int  # when it started
-    promised: int = NOBODY  # to whom
+    promised: int = NO_MEMBER  # to whom
     promised_until: int = LONG_AGO
     elected_at: int = LONG_AGO  # when it asked to be kept
     votes: tuple[int, ...] = ()
@@ -90,84 +90,84 @@
     held_asked: int = LONG_AGO  # of these the latest; nothing asked for so early is believed any more
 
 
-Step = tuple[Member, tuple[LeaseMessage, ...]]
+Transition = tuple[Member, tuple[LeaseMessage, ...]]
 
 
-def started(name: int, session: int, clock: int = 0) -> Member:
+def new_member(name: int, session: int, clock: int = 0) -> Member:
     return Member(name, session, clock, clock)
 
 
-def at(member: Member, clock: int) -> Member:
+def advance_clock(member: Member, clock: int) -> Member:
     """The same one as its clock goes on: what has run out is gone."""
     return member._replace(
         clock=clock,
-        promised=member.promised if clock < member.promised_until else NOBODY,
+        promised=member.promised if clock < member.promised_until else NO_MEMBER,
         given=tuple(each for each in member.given if clock < each.until),
         held=member.held if clock < member.held_until else 0,
     )
 
 
-def spendable(member: Member, terms: Terms) -> int:
+def spendable_amount(member: Member, terms: Terms) -> int:
     """What it may spend at this moment of its clock."""
-    if not is_rested(member, terms):
+    if not has_previous_usage_expired(member, terms):
         return 0
     return terms.floor + (member.held if member.clock < member.held_until else 0)
 
 
-def is_rested(member: Member, terms: Terms) -> bool:
+def has_previous_usage_expired(member: Member, terms: Terms) -> bool:
     """Whether nothing that the life before spent still counts."""
     return member.clock >= member.since + terms.after
 
 
-def is_settled(member: Member, terms: Terms) -> bool:
+def has_previous_promise_expired(member: Member, terms: Terms) -> bool:
     """Whether no promise of a life before can still stand."""
     return member.clock >= member.since + terms.term + terms.margin
 
 
-def keeps(member: Member) -> bool:
+def is_grantor(member: Member) -> bool:
     return member.clock < member.keeps_until
 
 
 # Who keeps it.
 
 
-def elect(member: Member, terms: Terms) -> Step:
+def request_votes(member: Member, terms: Terms) -> Transition:
     """Asks to be keeper, or to stay it. One that was not chosen lets its own promise run out first: two that
     went on asking would stand in each other's way for ever. Whom to ask for is the caller's: the first of
     those that are there, by an order that all know."""
-    if not is_settled(member, terms) or (member.promised != NOBODY and not is_own_keeper(member)):
+    if not has_previous_promise_expired(member, terms) or (member.promised != NO_MEMBER and not is_own_grantor(member)):
         return member, ()
-    member = promise(member, terms, member.name)._replace(elected_at=member.clock, votes=())
+    member = record_promise(member, terms, member.name)._replace(elected_at=member.clock, votes=())
     others = (each for each in range(terms.size) if each != member.name)
     words = tuple(
-        LeaseMessage(LeaseMessageKind.ELECT, member.name, each, member.session, member.clock)
+        LeaseMessage(LeaseMessageKind.VOTE_REQUEST, member.name, each, member.session, member.clock)
         for each in others
     )
     return count_vote(member, terms, member.name), words
 
 
-def is_own_keeper(member: Member) -> bool:
-    return member.promised == member.name and keeps(member)
+def is_own_grantor(member: Member) -> bool:
+    return member.promised == member.name and is_grantor(member)
 
 
-def abandon(member: Member) -> Member:
+def abandon_election(member: Member) -> Member:
     """Asks no more, if it was not chosen: its own promise is nobody else's concern, and answers that come
     late are to a question that it has forgotten."""
-    if member.promised != member.name or keeps(member):
+    if member.promised != member.name or is_grantor(member):
         return member
-    return member._replace(promised=NOBODY, promised_until=member.clock, elected_at=LONG_AGO, votes=())
+    return member._replace(promised=NO_MEMBER, promised_until=member.clock, elected_at=LONG_AGO, votes=())
 
 
-def promise(member: Member, terms: Terms, to: int) -> Member:
+def record_promise(member: Member, terms: Terms, to: int) -> Member:
     until = member.clock + terms.term + terms.margin
     return member._replace(promised=to, promised_until=max(until, member.promised_until))
 
 
-def hear_elect(member: Member, terms: Terms, word: LeaseMessage) -> Step:
-    if not is_settled(member, terms) or member.promised not in (NOBODY, word.by):
+def handle_vote_request(member: Member, terms: Terms, word: LeaseMessage) -> Transition:
+    if not has_previous_promise_expired(member, terms) or member.promised not in (NO_MEMBER, word.by):
         return member, ()
     answer = LeaseMessage(LeaseMessageKind.PROMISE, member.name, word.by, word.session, word.asked)
-    return promise(member, terms, word.by), (answer,)
+    return record_promise(member, terms, word.by), (answer,)
 
 
 def count_vote(member: Member, terms: Terms, by: int) -> Member:
@@ -175,12 +175,12 @@
     until = member.elected_at + terms.term
     if 2 * len(member.votes) <= terms.size or member.clock >= until:
         return member
-    if not keeps(member):
-        member = member._replace(given=(), gives_from=member.clock + longest(terms))
+    if not is_grantor(member):
+        member = member._replace(given=(), gives_from=member.clock + max_usage_duration(terms))
     return member._replace(keeps_until=max(until, member.keeps_until))
 
 
-def longest(terms: Terms) -> int:
+def max_usage_duration(terms: Terms) -> int:
     """For how long what another keeper gave may still be spent, or count as spent."""
     return terms.lease + terms.margin + terms.after
 
@@ -188,68 +188,68 @@
 # What is given.
 
 
-def ask(member: Member, terms: Terms, keeper: int, need: int) -> Step:
+def request_lease(member: Member, terms: Terms, keeper: int, need: int) -> Transition:
     """Asks for so much in all, in place of what it has."""
-    word = LeaseMessage(LeaseMessageKind.ASK, member.name, keeper, member.session, member.clock, need)
+    word = LeaseMessage(LeaseMessageKind.LEASE_REQUEST, member.name, keeper, member.session, member.clock, need)
     if keeper != member.name:
         return member, (word,)
-    member, answers = hear_ask(member, terms, word)
+    member, answers = handle_lease_request(member, terms, word)
     for each in answers:
-        member = hear_grant(member, terms, each)
+        member = handle_grant(member, terms, each)
     return member, ()
 
 
-def out(member: Member, but: int) -> int:
+def granted_to_others(member: Member, but: int) -> int:
     """The most that all others may spend by its list."""
     others = {each.to for each in member.given} - {but}
     return sum(max(each.amount for each in member.given if each.to == name) for name in others)
 
 
-def hear_ask(member: Member, terms: Terms, word: LeaseMessage) -> Step:
-    if not keeps(member) or member.clock < member.gives_from:
+def handle_lease_request(member: Member, terms: Terms, word: LeaseMessage) -> Transition:
+    if not is_grantor(member) or member.clock < member.gives_from:
         return member, ()
-    amount = min(word.amount, terms.divisible() - out(member, word.by))
+    amount = min(word.amount, terms.divisible() - granted_to_others(member, word.by))
     if amount <= 0:
         return member, ()
-    return record(member, terms, word, amount), (
+    return record_grant(member, terms, word, amount), (
         LeaseMessage(LeaseMessageKind.GRANT, member.name, word.by, word.session, word.asked, amount),
     )
 
 
-def record(member: Member, terms: Terms, word: LeaseMessage, amount: int) -> Member:
-    fresh = Grant(word.by, word.session, word.asked, amount, member.clock + longest(terms))
+def record_grant(member: Member, terms: Terms, word: LeaseMessage, amount: int) -> Member:
+    fresh = Grant(word.by, word.session, word.asked, amount, member.clock + max_usage_duration(terms))
     return member._replace(given=tuple(sorted({*member.given, fresh})))
 
 
-def is_mine(member: Member, word: LeaseMessage) -> bool:
+def is_for_current_session(member: Member, word: LeaseMessage) -> bool:
     """Whether it answers what this session asked."""
     return word.session == member.session
 
 
-def hear_grant(member: Member, terms: Terms, word: LeaseMessage) -> Member:
+def handle_grant(member: Member, terms: Terms, word: LeaseMessage) -> Member:
     """Refuses one over the whole, an old one, and one whose time is up."""
     until = word.asked + terms.lease
-    if not is_mine(member, word) or word.asked <= member.held_asked or word.amount > terms.divisible():
+    if not is_for_current_session(member, word) or word.asked <= member.held_asked or word.amount > terms.divisible():
         return member
     if member.clock >= until:
         return member
     return member._replace(held=word.amount, held_until=until, held_asked=word.asked)
 
 
-def give_back(member: Member, terms: Terms, keeper: int) -> Step:
+def release_lease(member: Member, terms: Terms, keeper: int) -> Transition:
     """Spends none of it from now on, nor of anything it has asked for so far."""
     member = member._replace(held=0, held_until=LONG_AGO, held_asked=member.clock)
-    word = LeaseMessage(LeaseMessageKind.BACK, member.name, keeper, member.session, member.clock)
-    return member, (word,) if is_rested(member, terms) else ()
+    word = LeaseMessage(LeaseMessageKind.RELEASE, member.name, keeper, member.session, member.clock)
+    return member, (word,) if has_previous_usage_expired(member, terms) else ()
 
 
-def settle(member: Member, terms: Terms, keeper: int) -> tuple[LeaseMessage, ...]:
+def release_superseded(member: Member, terms: Terms, keeper: int) -> tuple[LeaseMessage, ...]:
     """Of all that it asked for before what it holds nothing is in use, which is the caller's to know."""
-    word = LeaseMessage(LeaseMessageKind.BACK, member.name, keeper, member.session, member.held_asked - 1)
-    return (word,) if is_rested(member, terms) else ()
+    word = LeaseMessage(LeaseMessageKind.RELEASE, member.name, keeper, member.session, member.held_asked - 1)
+    return (word,) if has_previous_usage_expired(member, terms) else ()
 
 
-def hear_back(member: Member, word: LeaseMessage) -> Member:
+def handle_release(member: Member, word: LeaseMessage) -> Member:
     """What was asked for by then is over, of this session and, as it is gone, of those before."""
     kept = (
         each
@@ -259,18 +259,18 @@
     return member._replace(given=tuple(kept))
 
 
-def hear(member: Member, terms: Terms, word: LeaseMessage) -> Step:
+def handle_message(member: Member, terms: Terms, word: LeaseMessage) -> Transition:
     """Whatever comes, late, twice or in another order."""
     match word.kind:
-        case LeaseMessageKind.ELECT:
-            return hear_elect(member, terms, word)
+        case LeaseMessageKind.VOTE_REQUEST:
+            return handle_vote_request(member, terms, word)
         case LeaseMessageKind.PROMISE:
-            if is_mine(member, word) and word.asked == member.elected_at:
+            if is_for_current_session(member, word) and word.asked == member.elected_at:
                 return count_vote(member, terms, word.by), ()
-        case LeaseMessageKind.ASK:
-            return hear_ask(member, terms, word)
+        case LeaseMessageKind.LEASE_REQUEST:
+            return handle_lease_request(member, terms, word)
         case LeaseMessageKind.GRANT:
-            return hear_grant(member, terms, word), ()
-        case LeaseMessageKind.BACK:
-            return hear_back(member, word), ()
+            return handle_grant(member, terms, word), ()
+        case LeaseMessageKind.RELEASE:
+            return handle_release(member, word), ()
     return member, ()
--- a/message_sender/budget/manager.py
+++ b/message_sender/budget/manager.py
@@ -9,7 +9,7 @@
   several that ask, those behind abandon it, and all do for one that keeps it.
 - A member asks four times a lease for what it needs: what is in use, and what is held for it. A need falls by
   an eighth each time only, so that a pause of a moment moves nothing.
-- A need that has grown past what is held is asked for at once, but not more often than each `RUSH`; so is
+- A need that has grown past what is held is asked for at once, but not more often than each `MIN_REQUEST_INTERVAL_US`; so is
   what was not answered.
 - Members may have different figures under one name while a change goes round: the smallest whole and the
   largest floor that a keeper heard of within two of its leases bind, by whatever word. The largest size that
@@ -31,16 +31,16 @@
 from functools import cached_property
 
 from message_sender.budget import division, lease
-from message_sender.budget.enforcer import NEVER, LimitEnforcer
+from message_sender.budget.enforcer import NEVER_US, LimitEnforcer
 from message_sender.budget.lease import LeaseMessage, LeaseMessageKind, Member, Terms
 from message_sender.fleet.wire import LeaseDatagram
 
-FAST = 1.0102  # by a clock that is 1% fast, how long a true time takes, with something over
-APART = 0.021  # what two clocks may differ by, 1% each
-RUSH = 100_000  # us
-IDLE = 60_000_000  # us
-WARM = 1000  # thousandths of the whole
-MINE = 0  # this member, to the machine
+FAST_CLOCK_FACTOR = 1.0102  # by a clock that is 1% fast, how long a true time takes, with something over
+MAX_CLOCK_DRIFT = 0.021  # what two clocks may differ by, 1% each
+MIN_REQUEST_INTERVAL_US = 100_000  # us
+IDLE_TIMEOUT_US = 60_000_000  # us
+FULLY_WARM_PERMILLE = 1000  # thousandths of the whole
+OWN_NUMBER = 0  # this member, to the machine
 
 
 @dataclass(frozen=True)
@@ -66,12 +66,12 @@
     @cached_property
     def counted(self) -> int:
         """us for which a spender counts what it spent; `slack` goes with a rate's alone."""
-        return int(FAST * ((self.span or self.hold) + (self.slack if self.span else 0))) + 1
+        return int(FAST_CLOCK_FACTOR * ((self.span or self.hold) + (self.slack if self.span else 0))) + 1
 
     @cached_property
     def terms(self) -> Terms:
         after = self.counted
-        margin = int(APART * (self.lease + after)) + 1
+        margin = int(MAX_CLOCK_DRIFT * (self.lease + after)) + 1
         return Terms(self.whole, self.size, self.lease, self.lease, margin, self.floor, after)
 
 
@@ -82,7 +82,7 @@
     need: int
     at: int
     part: int = 0
-    warm: int = WARM
+    warm: int = FULLY_WARM_PERMILLE
 
 
 @dataclass(frozen=True, slots=True)
@@ -111,11 +111,11 @@
     warm: Callable[[], int]  # thousandths of the whole that may be spent, by its own eyes
     numbers: dict[str, int]  # of names, to the machine
     passing: bool = False
-    needed_at: int = -NEVER  # when somebody needed some of it last, as far as is known here
-    asked_at: int = -NEVER
-    fell_at: int = -NEVER  # when the need last fell
-    elected_at: int = -NEVER
-    free_since: int = -NEVER  # when somebody was promised last
+    needed_at: int = -NEVER_US  # when somebody needed some of it last, as far as is known here
+    asked_at: int = -NEVER_US
+    fell_at: int = -NEVER_US  # when the need last fell
+    elected_at: int = -NEVER_US
+    free_since: int = -NEVER_US  # when somebody was promised last
     wanted: int = 0  # the need that falls slowly
     unsettled: bool = False  # what it had above its part may still be in use
     askers: dict[str, Requester] = field(default_factory=dict)
@@ -139,18 +139,18 @@
         self,
         budget: Budget,
         need: Callable[[], int],
-        warm: Callable[[], int] = lambda: WARM,
+        warm: Callable[[], int] = lambda: FULLY_WARM_PERMILLE,
         passing: bool = False,
     ) -> Ledger:
         spender = LimitEnforcer(budget.counted if budget.span else None)
-        numbers, now = {self.name: MINE}, self.clock()
+        numbers, now = {self.name: OWN_NUMBER}, self.clock()
         book = Ledger(budget, self.fresh(), spender, need, warm, numbers, passing, now)
         self.books[budget.name] = book
         return book
 
     def fresh(self) -> Member:
         """Before a book was opened nothing was promised or spent of it in this life."""
-        return lease.started(MINE, self.session, self.born)
+        return lease.new_member(OWN_NUMBER, self.session, self.born)
 
     def change(self, budget: Budget) -> None:
         """Other figures under the same name: what is held above them is held no more. The largest size that
@@ -174,7 +174,7 @@
 
     def part(self, book: Ledger) -> int:
         member = book.member._replace(clock=self.clock())  # what has run out is not spendable by its own time
-        return min(lease.spendable(member, book.budget.terms), max(book.budget.whole, 0))
+        return min(lease.spendable_amount(member, book.budget.terms), max(book.budget.whole, 0))
 
     def free_at(self, name: str) -> int:
         """us of the clock at which one more may be spent; NEVER: not before a part grows or a thing ends."""
@@ -196,7 +196,7 @@
         """Several times a second; `there`: the others that are alive."""
         others = sorted(there)
         for book in self.books.values():
-            book.member = lease.at(book.member, self.clock())
+            book.member = lease.advance_clock(book.member, self.clock())
             if not self.rests(book):
                 self.elect(book, others)
                 self.ask(book)
@@ -211,7 +211,7 @@
         asked = any(each.need > 0 and each.at > since for each in book.askers.values())
         if asked or book.wanted > 0 or self.wants(book) > 0:
             book.needed_at = now
-        return now >= book.needed_at + IDLE
+        return now >= book.needed_at + IDLE_TIMEOUT_US
 
     def forget_idle(self) -> list[str]:
         """Names of passing budgets that rest with nothing out, promised or spent; they are gone."""
@@ -221,30 +221,30 @@
         return gone
 
     def is_empty(self, book: Ledger) -> bool:
-        member, now = lease.at(book.member, self.clock()), self.clock()
-        out = member.promised != lease.NOBODY or lease.keeps(member) or member.given or member.held
+        member, now = lease.advance_clock(book.member, self.clock()), self.clock()
+        out = member.promised != lease.NO_MEMBER or lease.is_grantor(member) or member.given or member.held
         asked = now < book.asked_at + book.budget.lease
         return not (out or asked or book.spender.used(now))
 
     def elect(self, book: Ledger, others: list[str]) -> None:
         budget, now = book.budget, self.clock()
-        if book.member.promised != lease.NOBODY:
+        if book.member.promised != lease.NO_MEMBER:
             book.free_since = now
-            if not lease.is_own_keeper(book.member):
+            if not lease.is_own_grantor(book.member):
                 return
         if now < book.elected_at + budget.lease // 4:
             return
-        keeping = lease.keeps(book.member)
+        keeping = lease.is_grantor(book.member)
         if not keeping:
-            place = sum(rank(budget.name, each) < rank(budget.name, self.name) for each in others)
+            place = sum(grantor_rank(budget.name, each) < grantor_rank(budget.name, self.name) for each in others)
             if now < book.free_since + place * (budget.lease // 8):
                 return
-        book.member, words = lease.elect(book.member, budget.terms)
+        book.member, words = lease.request_votes(book.member, budget.terms)
         if words:
             book.elected_at = now
             for each in others:
                 self.say(
-                    book, each, LeaseMessageKind.ELECT, self.session, book.member.elected_at, int(keeping)
+                    book, each, LeaseMessageKind.VOTE_REQUEST, self.session, book.member.elected_at, int(keeping)
                 )
 
     def keeper(self, book: Ledger) -> str:
@@ -258,47 +258,47 @@
     def ask(self, book: Ledger) -> None:
         now, keeper, fresh = self.clock(), self.keeper(book), self.wants(book)
         answered = book.member.held_asked >= book.asked_at
-        due = now >= book.asked_at + (book.budget.lease // 4 if answered else RUSH)
-        short = fresh > max(book.member.held, book.wanted) and now >= book.asked_at + RUSH
+        due = now >= book.asked_at + (book.budget.lease // 4 if answered else MIN_REQUEST_INTERVAL_US)
+        short = fresh > max(book.member.held, book.wanted) and now >= book.asked_at + MIN_REQUEST_INTERVAL_US
         if not keeper or not (due or short):
             return
         if now >= book.fell_at + book.budget.lease // 4:
             book.wanted, book.fell_at = book.wanted - max(book.wanted // 8, 1), now
         book.wanted, book.asked_at = max(fresh, book.wanted), now
         if keeper == self.name:
-            word = LeaseMessage(LeaseMessageKind.ASK, MINE, MINE, self.session, now, book.wanted)
+            word = LeaseMessage(LeaseMessageKind.LEASE_REQUEST, OWN_NUMBER, OWN_NUMBER, self.session, now, book.wanted)
             granted = self.answer(book, self.name, word, book.warm())
             if granted:
                 self.granted(book, granted)
         else:
-            self.say(book, keeper, LeaseMessageKind.ASK, self.session, now, book.wanted)
+            self.say(book, keeper, LeaseMessageKind.LEASE_REQUEST, self.session, now, book.wanted)
 
     def settle(self, book: Ledger) -> None:
         """Once what is in use is within its part, the rest is over."""
         keeper = self.keeper(book)
         if not book.unsettled or not keeper or book.spender.used(self.clock()) > self.part(book):
             return
-        for word in lease.settle(book.member, book.budget.terms, book.numbers[keeper]):
+        for word in lease.release_superseded(book.member, book.budget.terms, book.numbers[keeper]):
             book.unsettled = False
             if keeper == self.name:
-                book.member = lease.hear_back(book.member, word)
+                book.member = lease.handle_release(book.member, word)
             else:
-                self.say(book, keeper, LeaseMessageKind.BACK, self.session, word.asked)
+                self.say(book, keeper, LeaseMessageKind.RELEASE, self.session, word.asked)
 
     def leave(self) -> None:
         """What is not in use is given back at once; the rest runs out."""
         for book in self.books.values():
             keeper = self.keeper(book)
-            terms, number = book.budget.terms, book.numbers.get(keeper, MINE)
-            book.member, words = lease.give_back(book.member, terms, number)
+            terms, number = book.budget.terms, book.numbers.get(keeper, OWN_NUMBER)
+            book.member, words = lease.release_lease(book.member, terms, number)
             if words and keeper not in ("", self.name) and book.spender.used(self.clock()) <= self.part(book):
-                self.say(book, keeper, LeaseMessageKind.BACK, self.session, words[0].asked)
+                self.say(book, keeper, LeaseMessageKind.RELEASE, self.session, words[0].asked)
 
     def say(
         self, book: Ledger, to: str, kind: LeaseMessageKind, session: int, asked: int, amount: int = 0
     ) -> None:
         budget = book.budget
-        warm = book.warm() if kind is LeaseMessageKind.ASK else WARM
+        warm = book.warm() if kind is LeaseMessageKind.LEASE_REQUEST else FULLY_WARM_PERMILLE
         figures = budget.whole, budget.floor, budget.size, budget.form, warm
         self.out.append((to, LeaseDatagram(budget.name, kind, session, asked, amount, *figures)))
 
@@ -314,26 +314,26 @@
         if said.size > book.budget.size:
             book.budget = replace(book.budget, size=said.size)
             self.note(book, f"up to {said.size} members, says {by}")
-        if said.kind == LeaseMessageKind.ELECT and said.size < book.budget.size:
+        if said.kind == LeaseMessageKind.VOTE_REQUEST and said.size < book.budget.size:
             self.refuse(book, f"{by} counts on {said.size} members alone")
             return
         number = book.numbers.setdefault(by, len(book.numbers))
         book.figures[by] = ReportedTerms(said.whole, said.floor, self.clock())
         kind = LeaseMessageKind(said.kind)
-        book.member = lease.at(book.member, self.clock())
-        word = LeaseMessage(kind, number, MINE, said.session, said.asked, said.amount)
-        if kind is LeaseMessageKind.ASK:
+        book.member = lease.advance_clock(book.member, self.clock())
+        word = LeaseMessage(kind, number, OWN_NUMBER, said.session, said.asked, said.amount)
+        if kind is LeaseMessageKind.LEASE_REQUEST:
             if answer := self.answer(book, by, word, said.warm):
                 self.say(book, by, LeaseMessageKind.GRANT, said.session, said.asked, answer.amount)
         elif kind is LeaseMessageKind.GRANT:
             self.granted(book, word)
-        elif kind is LeaseMessageKind.BACK:
-            book.member = lease.hear_back(book.member, word)
+        elif kind is LeaseMessageKind.RELEASE:
+            book.member = lease.handle_release(book.member, word)
         else:
-            behind = said.amount or rank(said.budget, by) < rank(said.budget, self.name)
-            if kind is LeaseMessageKind.ELECT and behind:
-                book.member = lease.abandon(book.member)
-            book.member, answers = lease.hear(book.member, book.budget.terms, word)
+            behind = said.amount or grantor_rank(said.budget, by) < grantor_rank(said.budget, self.name)
+            if kind is LeaseMessageKind.VOTE_REQUEST and behind:
+                book.member = lease.abandon_election(book.member)
+            book.member, answers = lease.handle_message(book.member, book.budget.terms, word)
             for each in answers:
                 self.say(book, by, each.kind, each.session, each.asked)
 
@@ -344,7 +344,7 @@
             self.refuse(book, why)
             return
         held = book.member.held
-        book.member = lease.hear_grant(book.member, terms, word)
+        book.member = lease.handle_grant(book.member, terms, word)
         book.unsettled = book.unsettled or book.member.held < held
         if self.part(book) > before:
             self.grew(book.budget.name)
@@ -363,18 +363,18 @@
         book.askers = {
             name: each for name, each in book.askers.items() if now < each.at + 2 * book.budget.lease
         }
-        if not lease.keeps(book.member) or now < book.member.gives_from:
+        if not lease.is_grantor(book.member) or now < book.member.gives_from:
             return None  # by then it knows what all need
         terms = self.terms(book)
         needs = {name: each.need for name, each in sorted(book.askers.items())}
-        warmth = sorted(each.warm for each in book.askers.values() if each.need > 0) or [WARM]
-        most = -(-terms.divisible() * warmth[(len(warmth) - 1) // 2] // WARM)
+        warmth = sorted(each.warm for each in book.askers.values() if each.need > 0) or [FULLY_WARM_PERMILLE]
+        most = -(-terms.divisible() * warmth[(len(warmth) - 1) // 2] // FULLY_WARM_PERMILLE)
         parts = division.divide(most, needs, now // (2 * book.budget.lease))
-        part = division.calm(parts[by], asker.part, asker.need)
+        part = division.damp_change(parts[by], asker.part, asker.need)
         if part <= 0:
             asker.part = 0
-            return LeaseMessage(LeaseMessageKind.GRANT, MINE, word.by, word.session, word.asked, 0)
-        book.member, answers = lease.hear_ask(book.member, terms, word._replace(amount=part))
+            return LeaseMessage(LeaseMessageKind.GRANT, OWN_NUMBER, word.by, word.session, word.asked, 0)
+        book.member, answers = lease.handle_lease_request(book.member, terms, word._replace(amount=part))
         asker.part = answers[0].amount if answers else 0
         return answers[0] if answers else None
 
@@ -403,6 +403,6 @@
         book.changes = [*book.changes[-31:], Change(self.clock(), text)]
 
 
-def rank(budget: str, name: str) -> bytes:
+def grantor_rank(budget: str, name: str) -> bytes:
     """The lowest keeps a budget: rendezvous hashing, so that a member that goes moves its own ones alone."""
     return hashlib.blake2b(f"{budget}\0{name}".encode(), digest_size=8).digest()
--- a/message_sender/budget/retry_allowance.py
+++ b/message_sender/budget/retry_allowance.py
@@ -11,7 +11,7 @@
 
 from collections import deque
 
-from message_sender.budget.enforcer import NEVER
+from message_sender.budget.enforcer import NEVER_US
 
 
 class RetryAllowance:
@@ -38,7 +38,7 @@
             return self.rests_until
         if self.left(now) - len(self.reserved) >= 1:
             return now
-        return self.repeats[0] + self.span if self.repeats else NEVER
+        return self.repeats[0] + self.span if self.repeats else NEVER_US
 
     def reserve(self, name: str) -> None:
         self.reserved.add(name)
--- a/message_sender/emulator/explore.py
+++ b/message_sender/emulator/explore.py
@@ -58,7 +58,7 @@
 def first(terms: Terms) -> World:
     """All have been up for long."""
     members = tuple(
-        lease.started(name, 0)._replace(since=-(terms.term + terms.margin)) for name in range(terms.size)
+        lease.new_member(name, 0)._replace(since=-(terms.term + terms.margin)) for name in range(terms.size)
     )
     return World(
         tuple(from_now(each, terms, members) for each in members),
@@ -87,7 +87,7 @@
 
 def renamed(world: World, order: Sequence[int]) -> World:
     """`order`: the members' names by their new ones."""
-    now = {old: new for new, old in enumerate(order)} | {lease.NOBODY: lease.NOBODY}
+    now = {old: new for new, old in enumerate(order)} | {lease.NO_MEMBER: lease.NO_MEMBER}
     members = tuple(
         each._replace(
             name=new,
@@ -136,14 +136,14 @@
 def sum_spent(world: World, terms: Terms) -> int:
     if world.lately:
         return sum(map(max, world.lately))
-    return sum(lease.spendable(each, terms) for each in world.members)
+    return sum(lease.spendable_amount(each, terms) for each in world.members)
 
 
 def noted(world: World, terms: Terms) -> World:
     """What each might spend now is added to what it might before."""
     if not terms.after:
         return world
-    now = (lease.spendable(each, terms) for each in world.members)
+    now = (lease.spendable_amount(each, terms) for each in world.members)
     own, ended = world.lately[: terms.size], world.lately[terms.size :]
     lately = ((old, max(new, each)) for (old, new), each in zip(own, now, strict=True))
     return world._replace(lately=(*lately, *ended))
@@ -159,7 +159,7 @@
 
 def in_use(world: World, number: int, terms: Terms) -> bool:
     """Whether more than its part may have been spent in the two ticks."""
-    return bool(terms.after) and max(world.lately[number]) > lease.spendable(world.members[number], terms)
+    return bool(terms.after) and max(world.lately[number]) > lease.spendable_amount(world.members[number], terms)
 
 
 def long_over(terms: Terms) -> int:
@@ -215,7 +215,7 @@
     for word in world.words:
         rest = world._replace(words=world.words - {word})
         yield f"{told(word)} is lost", rest
-        member, out = lease.hear(world.members[word.to], told_terms(world, terms), word)
+        member, out = lease.handle_message(world.members[word.to], told_terms(world, terms), word)
         for how, before in (("", rest), (", and may come again", world)):
             if after_it := changed(before, word.to, member, out, limits):
                 yield f"{told(word)} is heard{how}", after_it
@@ -225,7 +225,7 @@
 
 def tick(world: World, terms: Terms, late: int) -> World:
     members = tuple(
-        each if number == late else lease.at(each, 1) for number, each in enumerate(world.members)
+        each if number == late else lease.advance_clock(each, 1) for number, each in enumerate(world.members)
     )
     old = long_over(terms)
     words = (x._replace(asked=max(x.asked - members[owner(x)].clock, old)) for x in world.words)
@@ -240,21 +240,21 @@
 def member_acts(world: World, number: int, terms: Terms, limits: Limits) -> Iterator[tuple[str, World]]:
     member = world.members[number]
     if world.restarts < limits.restarts:
-        fresh = lease.started(number, member.session + 1)
+        fresh = lease.new_member(number, member.session + 1)
         found = changed(world, number, from_now(fresh, terms, world.members), (), limits)
         if found:
             yield f"{number} starts anew", forgotten(found, number)._replace(restarts=world.restarts + 1)
-    steps = [("elects itself", lease.elect(member, terms)), ("abandons it", (lease.abandon(member), ()))]
+    steps = [("elects itself", lease.request_votes(member, terms)), ("abandons it", (lease.abandon_election(member), ()))]
     for keeper, other in enumerate(world.members):
-        if lease.keeps(other):
+        if lease.is_grantor(other):
             wants = (terms.whole, 1) if terms.after and terms.whole > 1 else (terms.whole,)
-            steps += [(f"asks {keeper} for {want}", lease.ask(member, terms, keeper, want)) for want in wants]
+            steps += [(f"asks {keeper} for {want}", lease.request_lease(member, terms, keeper, want)) for want in wants]
             if member.held:
-                after, out = lease.give_back(member, terms, keeper)
+                after, out = lease.release_lease(member, terms, keeper)
                 at_once = not terms.after or max(world.lately[number]) <= terms.floor
                 steps.append((f"gives back to {keeper}", (after, out if at_once else ())))
                 if terms.after and not in_use(world, number, terms):
-                    steps.append((f"settles with {keeper}", (member, lease.settle(member, terms, keeper))))
+                    steps.append((f"settles with {keeper}", (member, lease.release_superseded(member, terms, keeper))))
     for what, (after, out) in steps:
         if (after is not member or out) and (found := changed(world, number, after, out, limits)):
             yield f"{number} {what}", found
@@ -308,20 +308,20 @@
     """What this member comes to hold once all faults are over: all words arrive, and nobody else wants
     any."""
     members = list(world.members)
-    for _ in range(3 * (terms.term + terms.margin) + 2 * lease.longest(terms) + 4):
-        members = [lease.at(each, each.clock + 1) for each in members]
-        first_one = next((number for number, each in enumerate(members) if lease.keeps(each)), 0)
-        members[first_one], out = lease.elect(members[first_one], terms)
+    for _ in range(3 * (terms.term + terms.margin) + 2 * lease.max_usage_duration(terms) + 4):
+        members = [lease.advance_clock(each, each.clock + 1) for each in members]
+        first_one = next((number for number, each in enumerate(members) if lease.is_grantor(each)), 0)
+        members[first_one], out = lease.request_votes(members[first_one], terms)
         deliver(members, terms, list(out))
-        keeper = next((number for number, each in enumerate(members) if lease.keeps(each)), None)
+        keeper = next((number for number, each in enumerate(members) if lease.is_grantor(each)), None)
         if keeper is not None:
-            members[wants], out = lease.ask(members[wants], terms, keeper, terms.whole)
+            members[wants], out = lease.request_lease(members[wants], terms, keeper, terms.whole)
             deliver(members, terms, list(out))
-    return lease.spendable(members[wants], terms)
+    return lease.spendable_amount(members[wants], terms)
 
 
 def deliver(members: list[Member], terms: Terms, words: list[LeaseMessage]) -> None:
     while words:
         word = words.pop(0)
-        members[word.to], out = lease.hear(members[word.to], terms, word)
+        members[word.to], out = lease.handle_message(members[word.to], terms, word)
         words += out
--- a/message_sender/service/budgets.py
+++ b/message_sender/service/budgets.py
@@ -11,8 +11,8 @@
 from itertools import count, islice
 from typing import Any, NamedTuple, Protocol
 
-from message_sender.budget.enforcer import NEVER
-from message_sender.budget.manager import WARM, Budget, LeaseManager
+from message_sender.budget.enforcer import NEVER_US
+from message_sender.budget.manager import FULLY_WARM_PERMILLE, Budget, LeaseManager
 from message_sender.budget.retry_allowance import RetryAllowance
 from message_sender.configuration.resources import SharedBudget
 from message_sender.core.engine import Engine
@@ -283,12 +283,12 @@
         counts: of a crowd each sees few, and the middle one of all is believed (budget/manager.py)."""
         at = self.engine.dispatcher.destinations.get(value) if isinstance(value, int) else None
         if told.of != "calls" or told.by != "destination" or at is None or not at.breakers:
-            return WARM
+            return FULLY_WARM_PERMILLE
         now, settings = self.engine.now(), self.engine.settings
         if any(each.is_open() or each.failures >= 1 for each in at.breakers):
             self.failing[at.number] = now
         since = (now - self.failing.get(at.number, -math.inf)) / settings.slow_start
-        return int(WARM * (settings.slow_start_from + (1 - settings.slow_start_from) * min(since, 1.0)))
+        return int(FULLY_WARM_PERMILLE * (settings.slow_start_from + (1 - settings.slow_start_from) * min(since, 1.0)))
 
     def bound(self, by: str, value: Value) -> list[str]:
         """Those of each are opened as they are needed."""
@@ -337,9 +337,9 @@
         at, clock = max(free, default=0), self.clock()  # what is free now is not later than now
         if at <= clock:
             return now
-        if any(clock < each < NEVER and self.is_apart(name) for name, each in zip(names, free, strict=True)):
-            self.denied[listed.destination] = min(at, self.denied.get(listed.destination, NEVER))
-        return math.inf if at >= NEVER else now + at - clock
+        if any(clock < each < NEVER_US and self.is_apart(name) for name, each in zip(names, free, strict=True)):
+            self.denied[listed.destination] = min(at, self.denied.get(listed.destination, NEVER_US))
+        return math.inf if at >= NEVER_US else now + at - clock
 
     def is_apart(self, name: str) -> bool:
         """Whether the module does not look again by itself when this one has room: it knows of a
@@ -426,7 +426,7 @@
                 continue
             self.turned.setdefault(name, deque(maxlen=ASKED)).append(now)
             at = self.desk.free_at(name)
-            return AGAIN if at >= NEVER else max(at - now, 1000)
+            return AGAIN if at >= NEVER_US else max(at - now, 1000)
         return 0
 
     # The transport's side.
--- a/message_sender/service/membership.py
+++ b/message_sender/service/membership.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
-from message_sender.budget.status import status as budget_status
+from message_sender.budget.status import describe_budgets as budget_status
 from message_sender.configuration.general import FleetConfig
 from message_sender.configuration.resources import SharedBudget
 from message_sender.core.engine import Engine
--- a/tests/compatibility/samples.py
+++ b/tests/compatibility/samples.py
@@ -17,7 +17,7 @@
 import msgspec
 
 from message_sender.budget.manager import Budget, LeaseManager
-from message_sender.budget.status import status as budget_status
+from message_sender.budget.status import describe_budgets as budget_status
 from message_sender.cli import root_command as command_table
 from message_sender.control import messages as control
 from message_sender.control.channel import Channel, KnownStart
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -63,17 +63,17 @@
 def keeps_what_it_gives_back(
     member: Member, terms: Terms, keeper: int
 ) -> tuple[Member, tuple[LeaseMessage, ...]]:
-    return member, (LeaseMessage(LeaseMessageKind.BACK, member.name, keeper, member.session, member.clock),)
+    return member, (LeaseMessage(LeaseMessageKind.RELEASE, member.name, keeper, member.session, member.clock),)
 
 
 @pytest.mark.parametrize(
     ("what", "defect", "terms", "limits"),
     [
         ("", None, TWO._replace(margin=0), Limits(words=1, restarts=0)),
-        ("record", forgets, TWO, Limits(words=1, restarts=0, lags=0)),
-        ("give_back", keeps_what_it_gives_back, TWO, Limits(words=1, restarts=0, lags=0)),
-        ("is_rested", lambda member, terms: True, SPENT, Limits(words=1, restarts=1, lags=0)),
-        ("longest", lambda terms: terms.lease + terms.margin, SPENT, Limits(words=1, restarts=0, lags=1)),
+        ("record_grant", forgets, TWO, Limits(words=1, restarts=0, lags=0)),
+        ("release_lease", keeps_what_it_gives_back, TWO, Limits(words=1, restarts=0, lags=0)),
+        ("has_previous_usage_expired", lambda member, terms: True, SPENT, Limits(words=1, restarts=1, lags=0)),
+        ("max_usage_duration", lambda terms: terms.lease + terms.margin, SPENT, Limits(words=1, restarts=0, lags=1)),
         (
             "message_sender.emulator.explore.in_use",
             lambda world, number, terms: False,
@@ -81,7 +81,7 @@
             Limits(words=1, restarts=0, lags=0),
         ),
         (
-            "Terms.divisible",
+            "Terms.leasable_amount",
             lambda terms: terms.whole,
             TWO._replace(whole=2, floor=1),
             Limits(words=1, restarts=0),
@@ -93,7 +93,7 @@
             Limits(words=1, restarts=0, lags=0, falls=True),
         ),
         pytest.param(
-            "is_settled",
+            "has_previous_promise_expired",
             lambda member, terms: True,
             TWO._replace(size=3, term=3),
             Limits(words=2, lags=0),
@@ -131,16 +131,16 @@
 def test_nothing_that_comes_gives_more_than_the_whole(
     asked: int, amount: int, session: int, kind: LeaseMessageKind
 ) -> None:
-    member = lease.at(lease.started(0, 1), 150)
-    after, out = lease.hear(member, TERMS, LeaseMessage(kind, 1, 0, session, asked, amount))
-    assert lease.spendable(after, TERMS) <= TERMS.whole
+    member = lease.advance_clock(lease.new_member(0, 1), 150)
+    after, out = lease.handle_message(member, TERMS, LeaseMessage(kind, 1, 0, session, asked, amount))
+    assert lease.spendable_amount(after, TERMS) <= TERMS.whole
     assert all(each.kind is LeaseMessageKind.PROMISE for each in out), "who is no keeper gives nothing"
     if session != 1 or asked + TERMS.lease <= 150:
-        assert lease.spendable(after, TERMS) == 0
+        assert lease.spendable_amount(after, TERMS) == 0
 
 
 def test_what_is_held_runs_out_by_the_holders_own_clock() -> None:
-    member, _ = lease.hear(
-        lease.at(lease.started(0, 1), 10), TERMS, LeaseMessage(LeaseMessageKind.GRANT, 1, 0, 1, 10, 3)
+    member, _ = lease.handle_message(
+        lease.advance_clock(lease.new_member(0, 1), 10), TERMS, LeaseMessage(LeaseMessageKind.GRANT, 1, 0, 1, 10, 3)
     )
-    assert [lease.spendable(lease.at(member, now), TERMS) for now in (10, 109, 110, 500)] == [3, 3, 0, 0]
+    assert [lease.spendable_amount(lease.advance_clock(member, now), TERMS) for now in (10, 109, 110, 500)] == [3, 3, 0, 0]
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -16,7 +16,7 @@
 
 from message_sender.budget import division, lease
 from message_sender.budget import manager as desks
-from message_sender.budget.enforcer import NEVER, LimitEnforcer
+from message_sender.budget.enforcer import NEVER_US, LimitEnforcer
 from message_sender.budget.lease import LeaseMessageKind
 from message_sender.budget.manager import Budget, LeaseManager
 from message_sender.budget.retry_allowance import RetryAllowance
@@ -73,9 +73,9 @@
             Budget, "terms", property(lambda self: plain.func(self)._replace(after=0))
         ),
         "a start spends at once": lambda: monkeypatch.setattr(
-            lease, "spendable", lambda member, terms: terms.floor + member.held
+            lease, "spendable_amount", lambda member, terms: terms.floor + member.held
         ),
-        "settled while in use": lambda: monkeypatch.setattr(LimitEnforcer, "used", lambda self, now: 0),
+        "settled while in use": lambda: monkeypatch.setattr(LimitEnforcer, "usage", lambda self, now: 0),
     }
     for what, plant in planted.items():
         plant()
@@ -172,7 +172,7 @@
     [
         ({"amount": 31}, "more than the whole"),
         ({"form": 1}, "other times"),
-        ({"kind": LeaseMessageKind.ELECT, "size": 2}, "2 members alone"),
+        ({"kind": LeaseMessageKind.VOTE_REQUEST, "size": 2}, "2 members alone"),
     ],
 )
 def test_what_cannot_be_is_refused_by_name_and_changes_nothing(what: dict[str, Any], why: str) -> None:
@@ -187,16 +187,16 @@
         "floor": 0,
         "size": 3,
         "form": budget(3).form,
-        "warm": desks.WARM,
+        "warm": desks.FULLY_WARM_PERMILLE,
     }
     desk.hear("b", LeaseDatagram("hub", **figures | what))
-    assert desk.free_at("hub") == NEVER and any(why in each for each in desk.books["hub"].refused)
+    assert desk.free_at("hub") == NEVER_US and any(why in each for each in desk.books["hub"].refused)
 
 
 def test_what_is_held_ends_or_counts() -> None:
     held = LimitEnforcer(None)
     held.reserve("a")
-    assert held.begins("a", 5, 1) and not held.begins("b", 5, 1) and held.free_at(9, 1) == NEVER
+    assert held.begins("a", 5, 1) and not held.begins("b", 5, 1) and held.free_at(9, 1) == NEVER_US
     held.ended("a")
     assert held.used(9) == 0 and held.free_at(9, 1) == 9
 
@@ -256,7 +256,7 @@
 
 def test_keepers_are_spread_over_members() -> None:
     names = [f"n{each}" for each in range(10)]
-    assert len({min(names, key=lambda x: desks.rank(str(each), x)) for each in range(30)}) > 6
+    assert len({min(names, key=lambda x: desks.grantor_rank(str(each), x)) for each in range(30)}) > 6
 
 
 @given(st.lists(st.tuples(st.integers(0, 40), st.booleans()), max_size=80), st.integers(0, 2))
@@ -308,7 +308,7 @@
         self.what, self.reserved = what, list[tuple[str, bool, bool]]()
 
     def free_at(self, listed: Endpoint, now: int, trial: bool = False, again: bool = False) -> float:
-        return NEVER if {"trials": trial, "repeats": again}[self.what] else now
+        return NEVER_US if {"trials": trial, "repeats": again}[self.what] else now
 
     def reserve(self, listed: Endpoint, message: str, trial: bool = False, again: bool = False) -> None:
         self.reserved.append((message, trial, again))
@@ -347,7 +347,7 @@
 def test_a_larger_size_that_was_heard_of_outlasts_a_change_of_the_whole() -> None:
     desk = LeaseManager("a", 1, lambda: 0)
     book = desk.open(budget(3), lambda: 0)
-    desk.hear("b", LeaseDatagram("hub", LeaseMessageKind.ASK, 1, 0, 1, 30, 0, 7, book.budget.form, 1000))
+    desk.hear("b", LeaseDatagram("hub", LeaseMessageKind.LEASE_REQUEST, 1, 0, 1, 30, 0, 7, book.budget.form, 1000))
     desk.change(budget(3, whole=12))
     assert (book.budget.whole, book.budget.size) == (12, 7)
 
