--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -31,7 +31,7 @@
 
     def __init__(self, budget: Budget, members: int, seed: int, works: Iterable[float], loss: float) -> None:
         super().__init__(budget, members, seed, works, "hands", loss=loss)
-        each, rest = divmod(budget.whole, members)
+        each, rest = divmod(budget.limit, members)
         self.tokens = {f"n{number}": each + (number < rest) for number in range(members)}
         for number in range(members):
             self.hall.later(self.rng.uniform(0, TAKES), partial(self.beg, number))
@@ -41,7 +41,7 @@
         super().start(number, epoch)
         name = f"n{number}"
         for _ in range(getattr(self, "tokens", {}).get(name, 0)):
-            self.spenders[name].times.append(self.clock(number))
+            self.spenders[name].spent_at_us.append(self.clock(number))
 
     def beg(self, number: int) -> None:
         name, other = f"n{number}", self.rng.choice(sorted(self.tokens))
@@ -49,8 +49,8 @@
         apart = self.hall.sides and not any({name, other} <= side for side in self.hall.sides)
         lost = self.rng.random() < 1 - (1 - self.hall.loss) ** 2
         if there and not apart and not lost and self.held[name] > self.tokens[name]:
-            used = self.spenders[other].used(self.clock(int(other[1:])))
-            needs = min(self.held[other] + used, self.budget.whole)
+            used = self.spenders[other].usage(self.clock(int(other[1:])))
+            needs = min(self.held[other] + used, self.budget.limit)
             spare = self.tokens[other] - max(int(needs), used)
             most = min(spare, int(self.held[name]), self.tokens[other])
             if most > 0:
@@ -63,7 +63,7 @@
             self.tokens[name] += most
 
     def may_spend(self, number: int, name: str) -> bool:
-        return self.spenders[name].begins("", self.clock(number), self.tokens[name])
+        return self.spenders[name].try_spend("", self.clock(number), self.tokens[name])
 
 
 def calm(fleet: Fleet) -> None: ...
@@ -118,7 +118,7 @@
     whole, found = 4 * members + 40, []
     act, loss = TROUBLES[trouble]
     for seed in range(draws):
-        budget = Budget("hub", "calls", whole, members, US, lease=lease)
+        budget = Budget("hub", "calls", whole, members, US, lease_us=lease)
         told = works(kind, members, whole)
         if how == "hands":
             fleet: Fleet = Hands(budget, members, seed, told, loss)
@@ -163,15 +163,15 @@
 
 def back(members: int, seed: int, lease: int, keeper: bool) -> float:
     whole = 12 * members
-    budget = Budget("hub", "calls", whole, members, US, lease=lease)
+    budget = Budget("hub", "calls", whole, members, US, lease_us=lease)
     fleet = Fleet(budget, members, seed, works("even", members, whole))
     fleet.hall.run(20.0)
     desk = fleet.desks["n0"]
-    kept = int(desk.keeper(desk.books["hub"])[1:])
+    kept = int(desk.grantor_of(desk.ledgers["hub"])[1:])
     fleet.end(kept if keeper else (kept + 1) % members)
     for tenth in range(1, 300):
         fleet.hall.run(20.0 + tenth / 10)
-        if sum(each.part(each.books["hub"]) for each in fleet.desks.values()) >= whole * (1 - 0.1 / members):
+        if sum(each.share_of(each.ledgers["hub"]) for each in fleet.desks.values()) >= whole * (1 - 0.1 / members):
             return tenth / 10
     return float("inf")
 
@@ -180,7 +180,7 @@
     """A hold, a look, a reservation and the last check, beside a bare loop."""
     now = time.monotonic_ns
     desk = LeaseManager("a", 1, lambda: now() // 1000)
-    book = desk.open(Budget("hub", "calls", 1000, 1, 1000, lease=10_000), lambda: 9)
+    book = desk.open(Budget("hub", "calls", 1000, 1, 1000, lease_us=10_000), lambda: 9)
     count, until = 0, time.perf_counter() + 0.1
     while time.perf_counter() < until:
         desk.tick(())
@@ -189,10 +189,10 @@
         if count % 500 == 0:
             desk.tick(())
         desk.free_at("hub")
-        book.spender.reserve("m")
-        desk.begins(["hub"], "m")
+        book.enforcer.reserve("m")
+        desk.try_spend(["hub"], "m")
         count += 1
-    print(f"{(time.perf_counter() - began) / count * 1e6:.1f} us a message; spent {book.spender.spent}")
+    print(f"{(time.perf_counter() - began) / count * 1e6:.1f} us a message; spent {book.enforcer.spent_total}")
 
 
 def main() -> None:
--- a/message_sender/budget/division.py
+++ b/message_sender/budget/division.py
@@ -40,4 +40,8 @@
 def damp_change(part: int, before: int, need: int) -> int:
     """A part that is changed only where it matters: one that covers the need stays, if nobody is short of
     what it has above its part."""
-    return before if part and before >= need and abs(part - before) * CHANGE_THRESHOLD_DIVISOR <= before else part
+    return (
+        before
+        if part and before >= need and abs(part - before) * CHANGE_THRESHOLD_DIVISOR <= before
+        else part
+    )
--- a/message_sender/budget/enforcer.py
+++ b/message_sender/budget/enforcer.py
@@ -13,52 +13,52 @@
 class LimitEnforcer:
     def __init__(self, span: int | None) -> None:
         """`span`: us of a rate's; None: things are held."""
-        self.span = span
-        self.times: deque[int] = deque()
+        self.window_us = span
+        self.spent_at_us: deque[int] = deque()
         self.reserved: set[str] = set()
-        self.held: set[str] = set()
-        self.spent = 0  # ever
+        self.active: set[str] = set()
+        self.spent_total = 0  # ever
 
-    def lately(self, now: int) -> int:
+    def count_spent(self, now: int) -> int:
         """What counts as spent."""
-        if self.span is None:
-            return len(self.held)
-        while self.times and self.times[0] <= now - self.span:
-            self.times.popleft()
-        return len(self.times)
+        if self.window_us is None:
+            return len(self.active)
+        while self.spent_at_us and self.spent_at_us[0] <= now - self.window_us:
+            self.spent_at_us.popleft()
+        return len(self.spent_at_us)
 
-    def used(self, now: int) -> int:
-        return self.lately(now) + len(self.reserved)
+    def usage(self, now: int) -> int:
+        return self.count_spent(now) + len(self.reserved)
 
     def reserve(self, name: str) -> None:
         self.reserved.add(name)
 
-    def begins(self, name: str, now: int, part: int) -> bool:
+    def try_spend(self, name: str, now: int, part: int) -> bool:
         """Whether it may go now, as its first byte is about to; then it is spent."""
-        if room := self.has_room(now, part):
-            self.take(name, now)
+        if room := self.has_capacity(now, part):
+            self.spend(name, now)
         return room
 
-    def has_room(self, now: int, part: int) -> bool:
-        return self.lately(now) < part
+    def has_capacity(self, now: int, part: int) -> bool:
+        return self.count_spent(now) < part
 
-    def take(self, name: str, now: int) -> None:
+    def spend(self, name: str, now: int) -> None:
         self.reserved.discard(name)
-        self.spent += 1
-        if self.span is None:
-            self.held.add(name)
+        self.spent_total += 1
+        if self.window_us is None:
+            self.active.add(name)
         else:
-            self.times.append(now)
+            self.spent_at_us.append(now)
 
-    def ended(self, name: str) -> None:
+    def release(self, name: str) -> None:
         self.reserved.discard(name)
-        self.held.discard(name)
+        self.active.discard(name)
 
     def free_at(self, now: int, part: int) -> int:
         """When one more may go if the part stays as it is: now, later, or NEVER."""
-        excess = self.used(now) - part
+        excess = self.usage(now) - part
         if excess < 0:
             return now
-        if self.span is None or part <= 0 or excess >= len(self.times):
+        if self.window_us is None or part <= 0 or excess >= len(self.spent_at_us):
             return NEVER_US
-        return self.times[excess] + self.span
+        return self.spent_at_us[excess] + self.window_us
--- a/message_sender/budget/lease.py
+++ b/message_sender/budget/lease.py
@@ -34,16 +34,16 @@
 
 
 class Terms(NamedTuple):
-    whole: int
-    size: int  # the most members
-    lease: int
-    term: int
+    limit: int
+    max_members: int  # the most members
+    lease_duration: int
+    grantor_term: int
     margin: int
     floor: int = 0
-    after: int = 0  # for how long what was spent counts
+    usage_window: int = 0  # for how long what was spent counts
 
-    def divisible(self) -> int:
-        return self.whole - self.size * self.floor
+    def leasable_amount(self) -> int:
+        return self.limit - self.max_members * self.floor
 
 
 class LeaseMessageKind(IntEnum):
@@ -58,36 +58,36 @@
     """`session` and `asked` are of whoever elects or asks: by these an answer is known."""
 
     kind: LeaseMessageKind
-    by: int
-    to: int
+    sender: int
+    receiver: int
     session: int
-    asked: int
+    requested_at: int
     amount: int = 0
 
 
 class Grant(NamedTuple):
-    to: int
+    holder: int
     session: int
-    asked: int  # the holder's clock
+    requested_at: int  # the holder's clock
     amount: int
-    until: int  # the keeper's
+    expires_at: int  # the keeper's
 
 
 class Member(NamedTuple):
-    name: int
+    number: int
     session: int
     clock: int
-    since: int  # when it started
-    promised: int = NO_MEMBER  # to whom
+    started_at: int  # when it started
+    promised_to: int = NO_MEMBER  # to whom
     promised_until: int = LONG_AGO
-    elected_at: int = LONG_AGO  # when it asked to be kept
+    votes_requested_at: int = LONG_AGO  # when it asked to be kept
     votes: tuple[int, ...] = ()
-    keeps_until: int = LONG_AGO
-    gives_from: int = LONG_AGO
-    given: tuple[Grant, ...] = ()
-    held: int = 0
-    held_until: int = LONG_AGO
-    held_asked: int = LONG_AGO  # of these the latest; nothing asked for so early is believed any more
+    grantor_until: int = LONG_AGO
+    grants_from: int = LONG_AGO
+    grants: tuple[Grant, ...] = ()
+    leased: int = 0
+    leased_until: int = LONG_AGO
+    lease_requested_at: int = LONG_AGO  # of these the latest; nothing asked for so early is believed any more
 
 
 Transition = tuple[Member, tuple[LeaseMessage, ...]]
@@ -101,9 +101,9 @@
     """The same one as its clock goes on: what has run out is gone."""
     return member._replace(
         clock=clock,
-        promised=member.promised if clock < member.promised_until else NO_MEMBER,
-        given=tuple(each for each in member.given if clock < each.until),
-        held=member.held if clock < member.held_until else 0,
+        promised_to=member.promised_to if clock < member.promised_until else NO_MEMBER,
+        grants=tuple(each for each in member.grants if clock < each.expires_at),
+        leased=member.leased if clock < member.leased_until else 0,
     )
 
 
@@ -111,21 +111,21 @@
     """What it may spend at this moment of its clock."""
     if not has_previous_usage_expired(member, terms):
         return 0
-    return terms.floor + (member.held if member.clock < member.held_until else 0)
+    return terms.floor + (member.leased if member.clock < member.leased_until else 0)
 
 
 def has_previous_usage_expired(member: Member, terms: Terms) -> bool:
     """Whether nothing that the life before spent still counts."""
-    return member.clock >= member.since + terms.after
+    return member.clock >= member.started_at + terms.usage_window
 
 
 def has_previous_promise_expired(member: Member, terms: Terms) -> bool:
     """Whether no promise of a life before can still stand."""
-    return member.clock >= member.since + terms.term + terms.margin
+    return member.clock >= member.started_at + terms.grantor_term + terms.margin
 
 
 def is_grantor(member: Member) -> bool:
-    return member.clock < member.keeps_until
+    return member.clock < member.grantor_until
 
 
 # Who keeps it.
@@ -135,54 +135,60 @@
     """Asks to be keeper, or to stay it. One that was not chosen lets its own promise run out first: two that
     went on asking would stand in each other's way for ever. Whom to ask for is the caller's: the first of
     those that are there, by an order that all know."""
-    if not has_previous_promise_expired(member, terms) or (member.promised != NO_MEMBER and not is_own_grantor(member)):
+    if not has_previous_promise_expired(member, terms) or (
+        member.promised_to != NO_MEMBER and not is_own_grantor(member)
+    ):
         return member, ()
-    member = record_promise(member, terms, member.name)._replace(elected_at=member.clock, votes=())
-    others = (each for each in range(terms.size) if each != member.name)
+    member = record_promise(member, terms, member.number)._replace(votes_requested_at=member.clock, votes=())
+    others = (each for each in range(terms.max_members) if each != member.number)
     words = tuple(
-        LeaseMessage(LeaseMessageKind.VOTE_REQUEST, member.name, each, member.session, member.clock)
+        LeaseMessage(LeaseMessageKind.VOTE_REQUEST, member.number, each, member.session, member.clock)
         for each in others
     )
-    return count_vote(member, terms, member.name), words
+    return count_vote(member, terms, member.number), words
 
 
 def is_own_grantor(member: Member) -> bool:
-    return member.promised == member.name and is_grantor(member)
+    return member.promised_to == member.number and is_grantor(member)
 
 
 def abandon_election(member: Member) -> Member:
     """Asks no more, if it was not chosen: its own promise is nobody else's concern, and answers that come
     late are to a question that it has forgotten."""
-    if member.promised != member.name or is_grantor(member):
+    if member.promised_to != member.number or is_grantor(member):
         return member
-    return member._replace(promised=NO_MEMBER, promised_until=member.clock, elected_at=LONG_AGO, votes=())
+    return member._replace(
+        promised_to=NO_MEMBER, promised_until=member.clock, votes_requested_at=LONG_AGO, votes=()
+    )
 
 
 def record_promise(member: Member, terms: Terms, to: int) -> Member:
-    until = member.clock + terms.term + terms.margin
-    return member._replace(promised=to, promised_until=max(until, member.promised_until))
+    until = member.clock + terms.grantor_term + terms.margin
+    return member._replace(promised_to=to, promised_until=max(until, member.promised_until))
 
 
 def handle_vote_request(member: Member, terms: Terms, word: LeaseMessage) -> Transition:
-    if not has_previous_promise_expired(member, terms) or member.promised not in (NO_MEMBER, word.by):
+    if not has_previous_promise_expired(member, terms) or member.promised_to not in (NO_MEMBER, word.sender):
         return member, ()
-    answer = LeaseMessage(LeaseMessageKind.PROMISE, member.name, word.by, word.session, word.asked)
-    return record_promise(member, terms, word.by), (answer,)
+    answer = LeaseMessage(
+        LeaseMessageKind.PROMISE, member.number, word.sender, word.session, word.requested_at
+    )
+    return record_promise(member, terms, word.sender), (answer,)
 
 
 def count_vote(member: Member, terms: Terms, by: int) -> Member:
     member = member._replace(votes=tuple(sorted({*member.votes, by})))
-    until = member.elected_at + terms.term
-    if 2 * len(member.votes) <= terms.size or member.clock >= until:
+    until = member.votes_requested_at + terms.grantor_term
+    if 2 * len(member.votes) <= terms.max_members or member.clock >= until:
         return member
     if not is_grantor(member):
-        member = member._replace(given=(), gives_from=member.clock + max_usage_duration(terms))
-    return member._replace(keeps_until=max(until, member.keeps_until))
+        member = member._replace(grants=(), grants_from=member.clock + max_usage_duration(terms))
+    return member._replace(grantor_until=max(until, member.grantor_until))
 
 
 def max_usage_duration(terms: Terms) -> int:
     """For how long what another keeper gave may still be spent, or count as spent."""
-    return terms.lease + terms.margin + terms.after
+    return terms.lease_duration + terms.margin + terms.usage_window
 
 
 # What is given.
@@ -190,8 +196,10 @@
 
 def request_lease(member: Member, terms: Terms, keeper: int, need: int) -> Transition:
     """Asks for so much in all, in place of what it has."""
-    word = LeaseMessage(LeaseMessageKind.LEASE_REQUEST, member.name, keeper, member.session, member.clock, need)
-    if keeper != member.name:
+    word = LeaseMessage(
+        LeaseMessageKind.LEASE_REQUEST, member.number, keeper, member.session, member.clock, need
+    )
+    if keeper != member.number:
         return member, (word,)
     member, answers = handle_lease_request(member, terms, word)
     for each in answers:
@@ -201,24 +209,28 @@
 
 def granted_to_others(member: Member, but: int) -> int:
     """The most that all others may spend by its list."""
-    others = {each.to for each in member.given} - {but}
-    return sum(max(each.amount for each in member.given if each.to == name) for name in others)
+    others = {each.holder for each in member.grants} - {but}
+    return sum(max(each.amount for each in member.grants if each.holder == name) for name in others)
 
 
 def handle_lease_request(member: Member, terms: Terms, word: LeaseMessage) -> Transition:
-    if not is_grantor(member) or member.clock < member.gives_from:
+    if not is_grantor(member) or member.clock < member.grants_from:
         return member, ()
-    amount = min(word.amount, terms.divisible() - granted_to_others(member, word.by))
+    amount = min(word.amount, terms.leasable_amount() - granted_to_others(member, word.sender))
     if amount <= 0:
         return member, ()
     return record_grant(member, terms, word, amount), (
-        LeaseMessage(LeaseMessageKind.GRANT, member.name, word.by, word.session, word.asked, amount),
+        LeaseMessage(
+            LeaseMessageKind.GRANT, member.number, word.sender, word.session, word.requested_at, amount
+        ),
     )
 
 
 def record_grant(member: Member, terms: Terms, word: LeaseMessage, amount: int) -> Member:
-    fresh = Grant(word.by, word.session, word.asked, amount, member.clock + max_usage_duration(terms))
-    return member._replace(given=tuple(sorted({*member.given, fresh})))
+    fresh = Grant(
+        word.sender, word.session, word.requested_at, amount, member.clock + max_usage_duration(terms)
+    )
+    return member._replace(grants=tuple(sorted({*member.grants, fresh})))
 
 
 def is_for_current_session(member: Member, word: LeaseMessage) -> bool:
@@ -228,24 +240,30 @@
 
 def handle_grant(member: Member, terms: Terms, word: LeaseMessage) -> Member:
     """Refuses one over the whole, an old one, and one whose time is up."""
-    until = word.asked + terms.lease
-    if not is_for_current_session(member, word) or word.asked <= member.held_asked or word.amount > terms.divisible():
+    until = word.requested_at + terms.lease_duration
+    if (
+        not is_for_current_session(member, word)
+        or word.requested_at <= member.lease_requested_at
+        or word.amount > terms.leasable_amount()
+    ):
         return member
     if member.clock >= until:
         return member
-    return member._replace(held=word.amount, held_until=until, held_asked=word.asked)
+    return member._replace(leased=word.amount, leased_until=until, lease_requested_at=word.requested_at)
 
 
 def release_lease(member: Member, terms: Terms, keeper: int) -> Transition:
     """Spends none of it from now on, nor of anything it has asked for so far."""
-    member = member._replace(held=0, held_until=LONG_AGO, held_asked=member.clock)
-    word = LeaseMessage(LeaseMessageKind.RELEASE, member.name, keeper, member.session, member.clock)
+    member = member._replace(leased=0, leased_until=LONG_AGO, lease_requested_at=member.clock)
+    word = LeaseMessage(LeaseMessageKind.RELEASE, member.number, keeper, member.session, member.clock)
     return member, (word,) if has_previous_usage_expired(member, terms) else ()
 
 
 def release_superseded(member: Member, terms: Terms, keeper: int) -> tuple[LeaseMessage, ...]:
     """Of all that it asked for before what it holds nothing is in use, which is the caller's to know."""
-    word = LeaseMessage(LeaseMessageKind.RELEASE, member.name, keeper, member.session, member.held_asked - 1)
+    word = LeaseMessage(
+        LeaseMessageKind.RELEASE, member.number, keeper, member.session, member.lease_requested_at - 1
+    )
     return (word,) if has_previous_usage_expired(member, terms) else ()
 
 
@@ -253,10 +271,10 @@
     """What was asked for by then is over, of this session and, as it is gone, of those before."""
     kept = (
         each
-        for each in member.given
-        if each.to != word.by or (each.session, each.asked) > (word.session, word.asked)
+        for each in member.grants
+        if each.holder != word.sender or (each.session, each.requested_at) > (word.session, word.requested_at)
     )
-    return member._replace(given=tuple(kept))
+    return member._replace(grants=tuple(kept))
 
 
 def handle_message(member: Member, terms: Terms, word: LeaseMessage) -> Transition:
@@ -265,8 +283,8 @@
         case LeaseMessageKind.VOTE_REQUEST:
             return handle_vote_request(member, terms, word)
         case LeaseMessageKind.PROMISE:
-            if is_for_current_session(member, word) and word.asked == member.elected_at:
-                return count_vote(member, terms, word.by), ()
+            if is_for_current_session(member, word) and word.requested_at == member.votes_requested_at:
+                return count_vote(member, terms, word.sender), ()
         case LeaseMessageKind.LEASE_REQUEST:
             return handle_lease_request(member, terms, word)
         case LeaseMessageKind.GRANT:
--- a/message_sender/budget/manager.py
+++ b/message_sender/budget/manager.py
@@ -48,55 +48,61 @@
     """One whole, as this member's configuration has it. Times in us."""
 
     name: str
-    of: str  # calls or in_flight
-    whole: int
-    size: int
-    span: int | None  # of a rate; None: things that are held
-    hold: int = 30_000_000  # the longest that a thing is held
+    resource: str  # calls or in_flight
+    limit: int
+    max_members: int
+    window_us: int | None  # of a rate; None: things that are held
+    max_hold_us: int = 30_000_000  # the longest that a thing is held
     floor: int = 0
-    lease: int = 2_000_000
-    slack: int = 10_000  # by which the way of two calls may differ
+    lease_us: int = 2_000_000
+    slack_us: int = 10_000  # by which the way of two calls may differ
 
     @cached_property
-    def form(self) -> int:
+    def timing_checksum(self) -> int:
         """Tells two whose times cannot be reckoned together."""
-        told = f"{self.of} {self.span} {self.hold} {self.lease} {self.slack}"
+        told = f"{self.resource} {self.window_us} {self.max_hold_us} {self.lease_us} {self.slack_us}"
         return zlib.crc32(told.encode())
 
     @cached_property
-    def counted(self) -> int:
+    def usage_window_us(self) -> int:
         """us for which a spender counts what it spent; `slack` goes with a rate's alone."""
-        return int(FAST_CLOCK_FACTOR * ((self.span or self.hold) + (self.slack if self.span else 0))) + 1
+        return (
+            int(
+                FAST_CLOCK_FACTOR
+                * ((self.window_us or self.max_hold_us) + (self.slack_us if self.window_us else 0))
+            )
+            + 1
+        )
 
     @cached_property
     def terms(self) -> Terms:
-        after = self.counted
-        margin = int(MAX_CLOCK_DRIFT * (self.lease + after)) + 1
-        return Terms(self.whole, self.size, self.lease, self.lease, margin, self.floor, after)
+        after = self.usage_window_us
+        margin = int(MAX_CLOCK_DRIFT * (self.lease_us + after)) + 1
+        return Terms(self.limit, self.max_members, self.lease_us, self.lease_us, margin, self.floor, after)
 
 
 @dataclass(slots=True)
 class Requester:
     """What a keeper heard last of a member's need."""
 
-    need: int
-    at: int
-    part: int = 0
-    warm: int = FULLY_WARM_PERMILLE
+    demand: int
+    requested_at_us: int
+    share: int = 0
+    warm_permille: int = FULLY_WARM_PERMILLE
 
 
 @dataclass(frozen=True, slots=True)
 class ReportedTerms:
     """What another member has under the same name."""
 
-    whole: int
+    limit: int
     floor: int
-    at: int
+    reported_at_us: int
 
 
 @dataclass
 class Change:
-    at: int
+    at_us: int
     text: str
 
 
@@ -106,23 +112,23 @@
 
     budget: Budget
     member: Member
-    spender: LimitEnforcer
-    need: Callable[[], int]  # what is held for it, besides what is in use
-    warm: Callable[[], int]  # thousandths of the whole that may be spent, by its own eyes
-    numbers: dict[str, int]  # of names, to the machine
-    passing: bool = False
-    needed_at: int = -NEVER_US  # when somebody needed some of it last, as far as is known here
-    asked_at: int = -NEVER_US
-    fell_at: int = -NEVER_US  # when the need last fell
-    elected_at: int = -NEVER_US
-    free_since: int = -NEVER_US  # when somebody was promised last
-    wanted: int = 0  # the need that falls slowly
-    unsettled: bool = False  # what it had above its part may still be in use
-    askers: dict[str, Requester] = field(default_factory=dict)
-    figures: dict[str, ReportedTerms] = field(default_factory=dict)
+    enforcer: LimitEnforcer
+    pending_demand: Callable[[], int]  # what is held for it, besides what is in use
+    warm_permille: Callable[[], int]  # thousandths of the whole that may be spent, by its own eyes
+    member_numbers: dict[str, int]  # of names, to the machine
+    is_transient: bool = False
+    last_needed_us: int = -NEVER_US  # when somebody needed some of it last, as far as is known here
+    last_request_us: int = -NEVER_US
+    demand_lowered_us: int = -NEVER_US  # when the need last fell
+    last_vote_request_us: int = -NEVER_US
+    last_promised_us: int = -NEVER_US  # when somebody was promised last
+    requested_amount: int = 0  # the need that falls slowly
+    has_superseded_leases: bool = False  # what it had above its part may still be in use
+    requesters: dict[str, Requester] = field(default_factory=dict)
+    reported_terms: dict[str, ReportedTerms] = field(default_factory=dict)
     changes: list[Change] = field(default_factory=list)
-    refused: dict[str, int] = field(default_factory=dict)
-    was: tuple[int, str] = (0, "")  # part and keeper, as last noted
+    rejections: dict[str, int] = field(default_factory=dict)
+    last_noted: tuple[int, str] = (0, "")  # part and keeper, as last noted
 
 
 class LeaseManager:
@@ -130,10 +136,10 @@
         """`clock`: us, one that goes on while the machine sleeps; `session`: above that of each start
         before of this name."""
         self.name, self.session, self.clock = name, session, clock
-        self.books: dict[str, Ledger] = {}
-        self.out: list[tuple[str, LeaseDatagram]] = []  # to whom
-        self.grew: Callable[[str], None] = lambda budget: None
-        self.began = self.born = clock()
+        self.ledgers: dict[str, Ledger] = {}
+        self.outbox: list[tuple[str, LeaseDatagram]] = []  # to whom
+        self.share_increased: Callable[[str], None] = lambda budget: None
+        self.created_at_us = self.session_started_us = clock()
 
     def open(
         self,
@@ -142,52 +148,52 @@
         warm: Callable[[], int] = lambda: FULLY_WARM_PERMILLE,
         passing: bool = False,
     ) -> Ledger:
-        spender = LimitEnforcer(budget.counted if budget.span else None)
+        spender = LimitEnforcer(budget.usage_window_us if budget.window_us else None)
         numbers, now = {self.name: OWN_NUMBER}, self.clock()
-        book = Ledger(budget, self.fresh(), spender, need, warm, numbers, passing, now)
-        self.books[budget.name] = book
+        book = Ledger(budget, self.new_member(), spender, need, warm, numbers, passing, now)
+        self.ledgers[budget.name] = book
         return book
 
-    def fresh(self) -> Member:
+    def new_member(self) -> Member:
         """Before a book was opened nothing was promised or spent of it in this life."""
-        return lease.new_member(OWN_NUMBER, self.session, self.born)
+        return lease.new_member(OWN_NUMBER, self.session, self.session_started_us)
 
-    def change(self, budget: Budget) -> None:
+    def update_budget(self, budget: Budget) -> None:
         """Other figures under the same name: what is held above them is held no more. The largest size that
         was ever heard of goes on to bind."""
-        book = self.books[budget.name]
-        budget = replace(budget, size=max(budget.size, book.budget.size))
+        book = self.ledgers[budget.name]
+        budget = replace(budget, max_members=max(budget.max_members, book.budget.max_members))
         if budget == book.budget:
             return
-        most = budget.terms.divisible()
-        book.member = book.member._replace(held=min(book.member.held, max(most, 0)))
+        most = budget.terms.leasable_amount()
+        book.member = book.member._replace(leased=min(book.member.leased, max(most, 0)))
         book.budget = budget
-        self.note(book, f"the whole is {budget.whole} from now on")
+        self.note_change(book, f"the whole is {budget.limit} from now on")
 
-    def start_anew(self, session: int) -> None:
+    def restart_session(self, session: int) -> None:
         """Others know a later start of this name."""
-        self.session, self.born = session, self.clock()
-        for book in self.books.values():
-            book.member, book.askers = self.fresh(), {}
+        self.session, self.session_started_us = session, self.clock()
+        for book in self.ledgers.values():
+            book.member, book.requesters = self.new_member(), {}
 
     # What may be spent.
 
-    def part(self, book: Ledger) -> int:
+    def share_of(self, book: Ledger) -> int:
         member = book.member._replace(clock=self.clock())  # what has run out is not spendable by its own time
-        return min(lease.spendable_amount(member, book.budget.terms), max(book.budget.whole, 0))
+        return min(lease.spendable_amount(member, book.budget.terms), max(book.budget.limit, 0))
 
     def free_at(self, name: str) -> int:
         """us of the clock at which one more may be spent; NEVER: not before a part grows or a thing ends."""
-        book = self.books[name]
-        return book.spender.free_at(self.clock(), self.part(book))
+        book = self.ledgers[name]
+        return book.enforcer.free_at(self.clock(), self.share_of(book))
 
-    def begins(self, names: Iterable[str], spent_by: str) -> bool:
+    def try_spend(self, names: Iterable[str], spent_by: str) -> bool:
         """Asked as the first byte goes; each of these budgets must have room."""
-        books, now = [self.books[name] for name in names], self.clock()
-        if not all(book.spender.has_room(now, self.part(book)) for book in books):
+        books, now = [self.ledgers[name] for name in names], self.clock()
+        if not all(book.enforcer.has_capacity(now, self.share_of(book)) for book in books):
             return False
         for book in books:
-            book.spender.take(spent_by, now)
+            book.enforcer.spend(spent_by, now)
         return True
 
     # What is said.
@@ -195,138 +201,175 @@
     def tick(self, there: Iterable[str]) -> None:
         """Several times a second; `there`: the others that are alive."""
         others = sorted(there)
-        for book in self.books.values():
+        for book in self.ledgers.values():
             book.member = lease.advance_clock(book.member, self.clock())
-            if not self.rests(book):
-                self.elect(book, others)
-                self.ask(book)
-            self.settle(book)
-            self.look(book)
-
-    def rests(self, book: Ledger) -> bool:
-        if not book.passing:
+            if not self.is_idle(book):
+                self.request_votes(book, others)
+                self.request_lease(book)
+            self.release_superseded(book)
+            self.note_transition(book)
+
+    def is_idle(self, book: Ledger) -> bool:
+        if not book.is_transient:
             return False
         now = self.clock()
-        since = now - 2 * book.budget.lease
-        asked = any(each.need > 0 and each.at > since for each in book.askers.values())
-        if asked or book.wanted > 0 or self.wants(book) > 0:
-            book.needed_at = now
-        return now >= book.needed_at + IDLE_TIMEOUT_US
+        since = now - 2 * book.budget.lease_us
+        asked = any(each.demand > 0 and each.requested_at_us > since for each in book.requesters.values())
+        if asked or book.requested_amount > 0 or self.demand_of(book) > 0:
+            book.last_needed_us = now
+        return now >= book.last_needed_us + IDLE_TIMEOUT_US
 
-    def forget_idle(self) -> list[str]:
+    def close_idle(self) -> list[str]:
         """Names of passing budgets that rest with nothing out, promised or spent; they are gone."""
-        gone = [name for name, book in self.books.items() if self.rests(book) and self.is_empty(book)]
+        gone = [name for name, book in self.ledgers.items() if self.is_idle(book) and self.is_unused(book)]
         for name in gone:
-            del self.books[name]
+            del self.ledgers[name]
         return gone
 
-    def is_empty(self, book: Ledger) -> bool:
+    def is_unused(self, book: Ledger) -> bool:
         member, now = lease.advance_clock(book.member, self.clock()), self.clock()
-        out = member.promised != lease.NO_MEMBER or lease.is_grantor(member) or member.given or member.held
-        asked = now < book.asked_at + book.budget.lease
-        return not (out or asked or book.spender.used(now))
-
-    def elect(self, book: Ledger, others: list[str]) -> None:
+        out = (
+            member.promised_to != lease.NO_MEMBER
+            or lease.is_grantor(member)
+            or member.grants
+            or member.leased
+        )
+        asked = now < book.last_request_us + book.budget.lease_us
+        return not (out or asked or book.enforcer.usage(now))
+
+    def request_votes(self, book: Ledger, others: list[str]) -> None:
         budget, now = book.budget, self.clock()
-        if book.member.promised != lease.NO_MEMBER:
-            book.free_since = now
+        if book.member.promised_to != lease.NO_MEMBER:
+            book.last_promised_us = now
             if not lease.is_own_grantor(book.member):
                 return
-        if now < book.elected_at + budget.lease // 4:
+        if now < book.last_vote_request_us + budget.lease_us // 4:
             return
         keeping = lease.is_grantor(book.member)
         if not keeping:
-            place = sum(grantor_rank(budget.name, each) < grantor_rank(budget.name, self.name) for each in others)
-            if now < book.free_since + place * (budget.lease // 8):
+            place = sum(
+                grantor_rank(budget.name, each) < grantor_rank(budget.name, self.name) for each in others
+            )
+            if now < book.last_promised_us + place * (budget.lease_us // 8):
                 return
         book.member, words = lease.request_votes(book.member, budget.terms)
         if words:
-            book.elected_at = now
+            book.last_vote_request_us = now
             for each in others:
-                self.say(
-                    book, each, LeaseMessageKind.VOTE_REQUEST, self.session, book.member.elected_at, int(keeping)
+                self.send(
+                    book,
+                    each,
+                    LeaseMessageKind.VOTE_REQUEST,
+                    self.session,
+                    book.member.votes_requested_at,
+                    int(keeping),
                 )
 
-    def keeper(self, book: Ledger) -> str:
-        return next((name for name, number in book.numbers.items() if number == book.member.promised), "")
+    def grantor_of(self, book: Ledger) -> str:
+        return next(
+            (name for name, number in book.member_numbers.items() if number == book.member.promised_to), ""
+        )
 
-    def wants(self, book: Ledger) -> int:
+    def demand_of(self, book: Ledger) -> int:
         now = self.clock()
-        all_of_it = book.spender.used(now) + book.need() - book.budget.floor
-        return max(min(all_of_it, book.budget.terms.divisible()), 0)
-
-    def ask(self, book: Ledger) -> None:
-        now, keeper, fresh = self.clock(), self.keeper(book), self.wants(book)
-        answered = book.member.held_asked >= book.asked_at
-        due = now >= book.asked_at + (book.budget.lease // 4 if answered else MIN_REQUEST_INTERVAL_US)
-        short = fresh > max(book.member.held, book.wanted) and now >= book.asked_at + MIN_REQUEST_INTERVAL_US
+        all_of_it = book.enforcer.usage(now) + book.pending_demand() - book.budget.floor
+        return max(min(all_of_it, book.budget.terms.leasable_amount()), 0)
+
+    def request_lease(self, book: Ledger) -> None:
+        now, keeper, fresh = self.clock(), self.grantor_of(book), self.demand_of(book)
+        answered = book.member.lease_requested_at >= book.last_request_us
+        due = now >= book.last_request_us + (
+            book.budget.lease_us // 4 if answered else MIN_REQUEST_INTERVAL_US
+        )
+        short = (
+            fresh > max(book.member.leased, book.requested_amount)
+            and now >= book.last_request_us + MIN_REQUEST_INTERVAL_US
+        )
         if not keeper or not (due or short):
             return
-        if now >= book.fell_at + book.budget.lease // 4:
-            book.wanted, book.fell_at = book.wanted - max(book.wanted // 8, 1), now
-        book.wanted, book.asked_at = max(fresh, book.wanted), now
+        if now >= book.demand_lowered_us + book.budget.lease_us // 4:
+            book.requested_amount, book.demand_lowered_us = (
+                book.requested_amount - max(book.requested_amount // 8, 1),
+                now,
+            )
+        book.requested_amount, book.last_request_us = max(fresh, book.requested_amount), now
         if keeper == self.name:
-            word = LeaseMessage(LeaseMessageKind.LEASE_REQUEST, OWN_NUMBER, OWN_NUMBER, self.session, now, book.wanted)
-            granted = self.answer(book, self.name, word, book.warm())
+            word = LeaseMessage(
+                LeaseMessageKind.LEASE_REQUEST,
+                OWN_NUMBER,
+                OWN_NUMBER,
+                self.session,
+                now,
+                book.requested_amount,
+            )
+            granted = self.grant_lease(book, self.name, word, book.warm_permille())
             if granted:
-                self.granted(book, granted)
+                self.apply_grant(book, granted)
         else:
-            self.say(book, keeper, LeaseMessageKind.LEASE_REQUEST, self.session, now, book.wanted)
+            self.send(book, keeper, LeaseMessageKind.LEASE_REQUEST, self.session, now, book.requested_amount)
 
-    def settle(self, book: Ledger) -> None:
+    def release_superseded(self, book: Ledger) -> None:
         """Once what is in use is within its part, the rest is over."""
-        keeper = self.keeper(book)
-        if not book.unsettled or not keeper or book.spender.used(self.clock()) > self.part(book):
+        keeper = self.grantor_of(book)
+        if (
+            not book.has_superseded_leases
+            or not keeper
+            or book.enforcer.usage(self.clock()) > self.share_of(book)
+        ):
             return
-        for word in lease.release_superseded(book.member, book.budget.terms, book.numbers[keeper]):
-            book.unsettled = False
+        for word in lease.release_superseded(book.member, book.budget.terms, book.member_numbers[keeper]):
+            book.has_superseded_leases = False
             if keeper == self.name:
                 book.member = lease.handle_release(book.member, word)
             else:
-                self.say(book, keeper, LeaseMessageKind.RELEASE, self.session, word.asked)
+                self.send(book, keeper, LeaseMessageKind.RELEASE, self.session, word.requested_at)
 
-    def leave(self) -> None:
+    def release_all(self) -> None:
         """What is not in use is given back at once; the rest runs out."""
-        for book in self.books.values():
-            keeper = self.keeper(book)
-            terms, number = book.budget.terms, book.numbers.get(keeper, OWN_NUMBER)
+        for book in self.ledgers.values():
+            keeper = self.grantor_of(book)
+            terms, number = book.budget.terms, book.member_numbers.get(keeper, OWN_NUMBER)
             book.member, words = lease.release_lease(book.member, terms, number)
-            if words and keeper not in ("", self.name) and book.spender.used(self.clock()) <= self.part(book):
-                self.say(book, keeper, LeaseMessageKind.RELEASE, self.session, words[0].asked)
-
-    def say(
+            if (
+                words
+                and keeper not in ("", self.name)
+                and book.enforcer.usage(self.clock()) <= self.share_of(book)
+            ):
+                self.send(book, keeper, LeaseMessageKind.RELEASE, self.session, words[0].requested_at)
+
+    def send(
         self, book: Ledger, to: str, kind: LeaseMessageKind, session: int, asked: int, amount: int = 0
     ) -> None:
         budget = book.budget
-        warm = book.warm() if kind is LeaseMessageKind.LEASE_REQUEST else FULLY_WARM_PERMILLE
-        figures = budget.whole, budget.floor, budget.size, budget.form, warm
-        self.out.append((to, LeaseDatagram(budget.name, kind, session, asked, amount, *figures)))
+        warm = book.warm_permille() if kind is LeaseMessageKind.LEASE_REQUEST else FULLY_WARM_PERMILLE
+        figures = budget.limit, budget.floor, budget.max_members, budget.timing_checksum, warm
+        self.outbox.append((to, LeaseDatagram(budget.name, kind, session, asked, amount, *figures)))
 
     # What is heard.
 
-    def hear(self, by: str, said: LeaseDatagram) -> None:
+    def handle_datagram(self, by: str, said: LeaseDatagram) -> None:
         """Whatever comes. Of a budget that is not known here nothing is believed."""
-        if (book := self.books.get(said.budget)) is None:
+        if (book := self.ledgers.get(said.budget)) is None:
             return
-        if said.form != book.budget.form:
-            self.refuse(book, f"other times under its name, by {by}")
+        if said.form != book.budget.timing_checksum:
+            self.record_rejection(book, f"other times under its name, by {by}")
             return
-        if said.size > book.budget.size:
-            book.budget = replace(book.budget, size=said.size)
-            self.note(book, f"up to {said.size} members, says {by}")
-        if said.kind == LeaseMessageKind.VOTE_REQUEST and said.size < book.budget.size:
-            self.refuse(book, f"{by} counts on {said.size} members alone")
+        if said.size > book.budget.max_members:
+            book.budget = replace(book.budget, max_members=said.size)
+            self.note_change(book, f"up to {said.size} members, says {by}")
+        if said.kind == LeaseMessageKind.VOTE_REQUEST and said.size < book.budget.max_members:
+            self.record_rejection(book, f"{by} counts on {said.size} members alone")
             return
-        number = book.numbers.setdefault(by, len(book.numbers))
-        book.figures[by] = ReportedTerms(said.whole, said.floor, self.clock())
+        number = book.member_numbers.setdefault(by, len(book.member_numbers))
+        book.reported_terms[by] = ReportedTerms(said.whole, said.floor, self.clock())
         kind = LeaseMessageKind(said.kind)
         book.member = lease.advance_clock(book.member, self.clock())
         word = LeaseMessage(kind, number, OWN_NUMBER, said.session, said.asked, said.amount)
         if kind is LeaseMessageKind.LEASE_REQUEST:
-            if answer := self.answer(book, by, word, said.warm):
-                self.say(book, by, LeaseMessageKind.GRANT, said.session, said.asked, answer.amount)
+            if answer := self.grant_lease(book, by, word, said.warm):
+                self.send(book, by, LeaseMessageKind.GRANT, said.session, said.asked, answer.amount)
         elif kind is LeaseMessageKind.GRANT:
-            self.granted(book, word)
+            self.apply_grant(book, word)
         elif kind is LeaseMessageKind.RELEASE:
             book.member = lease.handle_release(book.member, word)
         else:
@@ -335,71 +378,81 @@
                 book.member = lease.abandon_election(book.member)
             book.member, answers = lease.handle_message(book.member, book.budget.terms, word)
             for each in answers:
-                self.say(book, by, each.kind, each.session, each.asked)
+                self.send(book, by, each.kind, each.session, each.requested_at)
 
-    def granted(self, book: Ledger, word: LeaseMessage) -> None:
-        terms, before = book.budget.terms, self.part(book)
-        if word.amount > terms.divisible() or word.amount < 0:
+    def apply_grant(self, book: Ledger, word: LeaseMessage) -> None:
+        terms, before = book.budget.terms, self.share_of(book)
+        if word.amount > terms.leasable_amount() or word.amount < 0:
             why = "a grant of more than the whole" if word.amount > 0 else "a grant below nothing"
-            self.refuse(book, why)
+            self.record_rejection(book, why)
             return
-        held = book.member.held
+        held = book.member.leased
         book.member = lease.handle_grant(book.member, terms, word)
-        book.unsettled = book.unsettled or book.member.held < held
-        if self.part(book) > before:
-            self.grew(book.budget.name)
+        book.has_superseded_leases = book.has_superseded_leases or book.member.leased < held
+        if self.share_of(book) > before:
+            self.share_increased(book.budget.name)
 
     @staticmethod
-    def refuse(book: Ledger, why: str) -> None:
-        book.refused[why] = book.refused.get(why, 0) + 1
+    def record_rejection(book: Ledger, why: str) -> None:
+        book.rejections[why] = book.rejections.get(why, 0) + 1
 
-    def answer(self, book: Ledger, by: str, word: LeaseMessage, warm: int) -> LeaseMessage | None:
+    def grant_lease(self, book: Ledger, by: str, word: LeaseMessage, warm: int) -> LeaseMessage | None:
         """The keeper's: a grant, which is on its list; of nothing it need not be."""
         now = self.clock()
         if word.amount < 0:
             return None
-        before = book.askers[by].part if by in book.askers else 0
-        book.askers[by] = asker = Requester(min(word.amount, book.budget.whole), now, before, warm)
-        book.askers = {
-            name: each for name, each in book.askers.items() if now < each.at + 2 * book.budget.lease
+        before = book.requesters[by].share if by in book.requesters else 0
+        book.requesters[by] = asker = Requester(min(word.amount, book.budget.limit), now, before, warm)
+        book.requesters = {
+            name: each
+            for name, each in book.requesters.items()
+            if now < each.requested_at_us + 2 * book.budget.lease_us
         }
-        if not lease.is_grantor(book.member) or now < book.member.gives_from:
+        if not lease.is_grantor(book.member) or now < book.member.grants_from:
             return None  # by then it knows what all need
-        terms = self.terms(book)
-        needs = {name: each.need for name, each in sorted(book.askers.items())}
-        warmth = sorted(each.warm for each in book.askers.values() if each.need > 0) or [FULLY_WARM_PERMILLE]
-        most = -(-terms.divisible() * warmth[(len(warmth) - 1) // 2] // FULLY_WARM_PERMILLE)
-        parts = division.divide(most, needs, now // (2 * book.budget.lease))
-        part = division.damp_change(parts[by], asker.part, asker.need)
+        terms = self.effective_terms(book)
+        needs = {name: each.demand for name, each in sorted(book.requesters.items())}
+        warmth = sorted(each.warm_permille for each in book.requesters.values() if each.demand > 0) or [
+            FULLY_WARM_PERMILLE
+        ]
+        most = -(-terms.leasable_amount() * warmth[(len(warmth) - 1) // 2] // FULLY_WARM_PERMILLE)
+        parts = division.divide(most, needs, now // (2 * book.budget.lease_us))
+        part = division.damp_change(parts[by], asker.share, asker.demand)
         if part <= 0:
-            asker.part = 0
-            return LeaseMessage(LeaseMessageKind.GRANT, OWN_NUMBER, word.by, word.session, word.asked, 0)
+            asker.share = 0
+            return LeaseMessage(
+                LeaseMessageKind.GRANT, OWN_NUMBER, word.sender, word.session, word.requested_at, 0
+            )
         book.member, answers = lease.handle_lease_request(book.member, terms, word._replace(amount=part))
-        asker.part = answers[0].amount if answers else 0
+        asker.share = answers[0].amount if answers else 0
         return answers[0] if answers else None
 
-    def terms(self, book: Ledger) -> Terms:
+    def effective_terms(self, book: Ledger) -> Terms:
         """The keeper's: the smallest whole and the largest floor that it has heard of."""
-        since = self.clock() - 2 * book.budget.lease
-        book.figures = {name: each for name, each in book.figures.items() if each.at > since}
-        whole = min([book.budget.whole, *(each.whole for each in book.figures.values())])
-        floor = max([book.budget.floor, *(each.floor for each in book.figures.values())])
-        return replace(book.budget, whole=whole, floor=floor).terms
+        since = self.clock() - 2 * book.budget.lease_us
+        book.reported_terms = {
+            name: each for name, each in book.reported_terms.items() if each.reported_at_us > since
+        }
+        whole = min([book.budget.limit, *(each.limit for each in book.reported_terms.values())])
+        floor = max([book.budget.floor, *(each.floor for each in book.reported_terms.values())])
+        return replace(book.budget, limit=whole, floor=floor).terms
 
     # For people.
 
-    def look(self, book: Ledger) -> None:
-        part, keeper = self.part(book), self.keeper(book)
-        if (part, keeper) == book.was:
+    def note_transition(self, book: Ledger) -> None:
+        part, keeper = self.share_of(book), self.grantor_of(book)
+        if (part, keeper) == book.last_noted:
             return
-        before, kept_by = book.was
-        book.was = part, keeper
+        before, kept_by = book.last_noted
+        book.last_noted = part, keeper
         if keeper != kept_by:
-            self.note(book, f"kept by {keeper}" if keeper else f"{kept_by} keeps it no more, as far as known")
+            self.note_change(
+                book, f"kept by {keeper}" if keeper else f"{kept_by} keeps it no more, as far as known"
+            )
         if part != before:
-            self.note(book, f"from {before} to {part}, {book.wanted} needed")
+            self.note_change(book, f"from {before} to {part}, {book.requested_amount} needed")
 
-    def note(self, book: Ledger, text: str) -> None:
+    def note_change(self, book: Ledger, text: str) -> None:
         book.changes = [*book.changes[-31:], Change(self.clock(), text)]
 
 
--- a/message_sender/budget/retry_allowance.py
+++ b/message_sender/budget/retry_allowance.py
@@ -17,38 +17,38 @@
 class RetryAllowance:
     def __init__(self, share: float, span: int, least: int, since: int) -> None:
         """`span`: us; `since`: when this life began."""
-        self.share, self.span, self.least, self.rests_until = share, span, least, since + span
-        self.firsts: deque[int] = deque()
-        self.repeats: deque[int] = deque()
+        self.share, self.window_us, self.minimum, self.blocked_until_us = share, span, least, since + span
+        self.first_attempts_us: deque[int] = deque()
+        self.retries_us: deque[int] = deque()
         self.reserved: set[str] = set()
 
-    def first(self, now: int) -> None:
-        self.firsts.append(now)
+    def record_first_attempt(self, now: int) -> None:
+        self.first_attempts_us.append(now)
 
-    def left(self, now: int) -> float:
+    def remaining(self, now: int) -> float:
         """Repeats that may go now, besides those that are reserved."""
-        for times in (self.firsts, self.repeats):
-            while times and times[0] <= now - self.span:
+        for times in (self.first_attempts_us, self.retries_us):
+            while times and times[0] <= now - self.window_us:
                 times.popleft()
-        return self.least + self.share * len(self.firsts) - len(self.repeats)
+        return self.minimum + self.share * len(self.first_attempts_us) - len(self.retries_us)
 
     def free_at(self, now: int) -> int:
         """When one more is to be asked for again; NEVER: not before there are more first attempts."""
-        if now < self.rests_until:
-            return self.rests_until
-        if self.left(now) - len(self.reserved) >= 1:
+        if now < self.blocked_until_us:
+            return self.blocked_until_us
+        if self.remaining(now) - len(self.reserved) >= 1:
             return now
-        return self.repeats[0] + self.span if self.repeats else NEVER_US
+        return self.retries_us[0] + self.window_us if self.retries_us else NEVER_US
 
     def reserve(self, name: str) -> None:
         self.reserved.add(name)
 
-    def ended(self, name: str) -> None:
+    def release(self, name: str) -> None:
         self.reserved.discard(name)
 
-    def has_room(self, now: int) -> bool:
-        return now >= self.rests_until and self.left(now) >= 1
+    def has_capacity(self, now: int) -> bool:
+        return now >= self.blocked_until_us and self.remaining(now) >= 1
 
-    def take(self, name: str, now: int) -> None:
+    def spend(self, name: str, now: int) -> None:
         self.reserved.discard(name)
-        self.repeats.append(now)
+        self.retries_us.append(now)
--- a/message_sender/emulator/explore.py
+++ b/message_sender/emulator/explore.py
@@ -58,28 +58,29 @@
 def first(terms: Terms) -> World:
     """All have been up for long."""
     members = tuple(
-        lease.new_member(name, 0)._replace(since=-(terms.term + terms.margin)) for name in range(terms.size)
+        lease.new_member(name, 0)._replace(started_at=-(terms.grantor_term + terms.margin))
+        for name in range(terms.max_members)
     )
     return World(
         tuple(from_now(each, terms, members) for each in members),
-        lately=((terms.floor, terms.floor),) * terms.size if terms.after else (),
+        lately=((terms.floor, terms.floor),) * terms.max_members if terms.usage_window else (),
     )
 
 
 def falls_within(terms: Terms, limits: Limits) -> int:
     """Ticks from a fall of the whole until it has to hold: leases that were given before it, what was spent
     of them, and a tick for each clock that is behind."""
-    return terms.lease + terms.after + limits.lags
+    return terms.lease_duration + terms.usage_window + limits.lags
 
 
 def whole_of(world: World, terms: Terms, limits: Limits) -> int:
     """What all may spend at the most."""
-    return terms.whole - (world.lowered >= falls_within(terms, limits))
+    return terms.limit - (world.lowered >= falls_within(terms, limits))
 
 
 def told_terms(world: World, terms: Terms) -> Terms:
     """What members go by."""
-    return terms._replace(whole=terms.whole - 1) if world.lowered >= 0 else terms
+    return terms._replace(limit=terms.limit - 1) if world.lowered >= 0 else terms
 
 
 Form = tuple[object, ...]
@@ -90,17 +91,17 @@
     now = {old: new for new, old in enumerate(order)} | {lease.NO_MEMBER: lease.NO_MEMBER}
     members = tuple(
         each._replace(
-            name=new,
-            promised=now[each.promised],
+            number=new,
+            promised_to=now[each.promised_to],
             votes=tuple(sorted(now[x] for x in each.votes)),
-            given=tuple(sorted(x._replace(to=now[x.to]) for x in each.given)),
+            grants=tuple(sorted(x._replace(holder=now[x.holder]) for x in each.grants)),
         )
         for new, each in enumerate(world.members[old] for old in order)
     )
     ended = tuple(sorted(world.lately[len(order) :]))
     return world._replace(
         members=members,
-        words=frozenset(x._replace(by=now[x.by], to=now[x.to]) for x in world.words),
+        words=frozenset(x._replace(sender=now[x.sender], receiver=now[x.receiver]) for x in world.words),
         lagged=frozenset(now[x] for x in world.lagged),
         lately=(*(world.lately[old] for old in order), *ended) if world.lately else (),
     )
@@ -109,8 +110,8 @@
 def nameless(world: World, number: int) -> Form:
     """What tells members apart whatever they are called."""
     each = world.members[number]
-    given = sorted(x[1:] for x in each.given)
-    own = each._replace(name=0, promised=min(each.promised, 0), votes=(), given=())
+    given = sorted(x[1:] for x in each.grants)
+    own = each._replace(number=0, promised_to=min(each.promised_to, 0), votes=(), grants=())
     lately = world.lately[number] if world.lately else ()
     return own, len(each.votes), given, lately, number in world.lagged
 
@@ -141,10 +142,10 @@
 
 def noted(world: World, terms: Terms) -> World:
     """What each might spend now is added to what it might before."""
-    if not terms.after:
+    if not terms.usage_window:
         return world
     now = (lease.spendable_amount(each, terms) for each in world.members)
-    own, ended = world.lately[: terms.size], world.lately[terms.size :]
+    own, ended = world.lately[: terms.max_members], world.lately[terms.max_members :]
     lately = ((old, max(new, each)) for (old, new), each in zip(own, now, strict=True))
     return world._replace(lately=(*lately, *ended))
 
@@ -159,12 +160,14 @@
 
 def in_use(world: World, number: int, terms: Terms) -> bool:
     """Whether more than its part may have been spent in the two ticks."""
-    return bool(terms.after) and max(world.lately[number]) > lease.spendable_amount(world.members[number], terms)
+    return bool(terms.usage_window) and max(world.lately[number]) > lease.spendable_amount(
+        world.members[number], terms
+    )
 
 
 def long_over(terms: Terms) -> int:
     """From when on it is alike how long ago a thing was asked for."""
-    return -max(terms.lease, terms.term) - 1
+    return -max(terms.lease_duration, terms.grantor_term) - 1
 
 
 def from_now(member: Member, terms: Terms, all_of: tuple[Member, ...]) -> Member:
@@ -172,19 +175,22 @@
     started, once it is settled."""
     clock, old = member.clock, long_over(terms)
     given = (
-        x._replace(until=x.until - clock, asked=max(x.asked - all_of[x.to].clock, old)) for x in member.given
+        x._replace(
+            expires_at=x.expires_at - clock, requested_at=max(x.requested_at - all_of[x.holder].clock, old)
+        )
+        for x in member.grants
     )
     return member._replace(
         clock=0,
-        since=max(member.since - clock, -(terms.term + terms.margin + terms.after)),
+        started_at=max(member.started_at - clock, -(terms.grantor_term + terms.margin + terms.usage_window)),
         promised_until=max(member.promised_until - clock, 0),
-        elected_at=max(member.elected_at - clock, old),
-        votes=member.votes if member.elected_at - clock > old else (),
-        keeps_until=max(member.keeps_until - clock, 0),
-        gives_from=max(member.gives_from - clock, 0) if clock < member.keeps_until else 0,
-        held_until=max(member.held_until - clock, 0),
-        held_asked=max(member.held_asked - clock, old),
-        given=tuple(sorted(given)),
+        votes_requested_at=max(member.votes_requested_at - clock, old),
+        votes=member.votes if member.votes_requested_at - clock > old else (),
+        grantor_until=max(member.grantor_until - clock, 0),
+        grants_from=max(member.grants_from - clock, 0) if clock < member.grantor_until else 0,
+        leased_until=max(member.leased_until - clock, 0),
+        lease_requested_at=max(member.lease_requested_at - clock, old),
+        grants=tuple(sorted(given)),
     )
 
 
@@ -200,7 +206,7 @@
 
 def owner(word: LeaseMessage) -> int:
     """By whose clock it was asked."""
-    return word.to if word.kind in (LeaseMessageKind.PROMISE, LeaseMessageKind.GRANT) else word.by
+    return word.receiver if word.kind in (LeaseMessageKind.PROMISE, LeaseMessageKind.GRANT) else word.sender
 
 
 def nexts(world: World, terms: Terms, limits: Limits) -> Iterator[tuple[str, World]]:
@@ -208,18 +214,18 @@
         yield "the whole falls by one", world._replace(lowered=0)
     later = min(world.lowered + 1, falls_within(terms, limits)) if world.lowered >= 0 else -1
     yield "time goes on", tick(world, terms, -1)._replace(lowered=later)
-    for number in range(terms.size):
+    for number in range(terms.max_members):
         if len(world.lagged) < limits.lags and number not in world.lagged:
             after = tick(world, terms, number)._replace(lagged=world.lagged | {number}, lowered=later)
             yield f"time goes on, the clock of {number} falls behind", after
     for word in world.words:
         rest = world._replace(words=world.words - {word})
         yield f"{told(word)} is lost", rest
-        member, out = lease.handle_message(world.members[word.to], told_terms(world, terms), word)
+        member, out = lease.handle_message(world.members[word.receiver], told_terms(world, terms), word)
         for how, before in (("", rest), (", and may come again", world)):
-            if after_it := changed(before, word.to, member, out, limits):
+            if after_it := changed(before, word.receiver, member, out, limits):
                 yield f"{told(word)} is heard{how}", after_it
-    for number in range(terms.size):
+    for number in range(terms.max_members):
         yield from member_acts(world, number, told_terms(world, terms), limits)
 
 
@@ -228,11 +234,11 @@
         each if number == late else lease.advance_clock(each, 1) for number, each in enumerate(world.members)
     )
     old = long_over(terms)
-    words = (x._replace(asked=max(x.asked - members[owner(x)].clock, old)) for x in world.words)
+    words = (x._replace(requested_at=max(x.requested_at - members[owner(x)].clock, old)) for x in world.words)
     after = world._replace(
         members=tuple(from_now(each, terms, members) for each in members), words=frozenset(words)
     )
-    own, ended = world.lately[: terms.size], world.lately[terms.size :]
+    own, ended = world.lately[: terms.max_members], world.lately[terms.max_members :]
     lately = (*((new, 0) for _, new in own), *((new, 0) for _, new in ended if new))
     return noted(after._replace(lately=lately), terms)
 
@@ -244,17 +250,25 @@
         found = changed(world, number, from_now(fresh, terms, world.members), (), limits)
         if found:
             yield f"{number} starts anew", forgotten(found, number)._replace(restarts=world.restarts + 1)
-    steps = [("elects itself", lease.request_votes(member, terms)), ("abandons it", (lease.abandon_election(member), ()))]
+    steps = [
+        ("elects itself", lease.request_votes(member, terms)),
+        ("abandons it", (lease.abandon_election(member), ())),
+    ]
     for keeper, other in enumerate(world.members):
         if lease.is_grantor(other):
-            wants = (terms.whole, 1) if terms.after and terms.whole > 1 else (terms.whole,)
-            steps += [(f"asks {keeper} for {want}", lease.request_lease(member, terms, keeper, want)) for want in wants]
-            if member.held:
+            wants = (terms.limit, 1) if terms.usage_window and terms.limit > 1 else (terms.limit,)
+            steps += [
+                (f"asks {keeper} for {want}", lease.request_lease(member, terms, keeper, want))
+                for want in wants
+            ]
+            if member.leased:
                 after, out = lease.release_lease(member, terms, keeper)
-                at_once = not terms.after or max(world.lately[number]) <= terms.floor
+                at_once = not terms.usage_window or max(world.lately[number]) <= terms.floor
                 steps.append((f"gives back to {keeper}", (after, out if at_once else ())))
-                if terms.after and not in_use(world, number, terms):
-                    steps.append((f"settles with {keeper}", (member, lease.release_superseded(member, terms, keeper))))
+                if terms.usage_window and not in_use(world, number, terms):
+                    steps.append(
+                        (f"settles with {keeper}", (member, lease.release_superseded(member, terms, keeper)))
+                    )
     for what, (after, out) in steps:
         if (after is not member or out) and (found := changed(world, number, after, out, limits)):
             yield f"{number} {what}", found
@@ -262,7 +276,7 @@
 
 def told(word: LeaseMessage) -> str:
     amount = f" of {word.amount}" if word.amount else ""
-    return f"{word.kind.name.lower()}{amount} from {word.by} to {word.to}, asked at {word.asked},"
+    return f"{word.kind.name.lower()}{amount} from {word.sender} to {word.receiver}, asked at {word.requested_at},"
 
 
 def explore(terms: Terms, limits: Limits | None = None) -> Found:
@@ -308,14 +322,14 @@
     """What this member comes to hold once all faults are over: all words arrive, and nobody else wants
     any."""
     members = list(world.members)
-    for _ in range(3 * (terms.term + terms.margin) + 2 * lease.max_usage_duration(terms) + 4):
+    for _ in range(3 * (terms.grantor_term + terms.margin) + 2 * lease.max_usage_duration(terms) + 4):
         members = [lease.advance_clock(each, each.clock + 1) for each in members]
         first_one = next((number for number, each in enumerate(members) if lease.is_grantor(each)), 0)
         members[first_one], out = lease.request_votes(members[first_one], terms)
         deliver(members, terms, list(out))
         keeper = next((number for number, each in enumerate(members) if lease.is_grantor(each)), None)
         if keeper is not None:
-            members[wants], out = lease.request_lease(members[wants], terms, keeper, terms.whole)
+            members[wants], out = lease.request_lease(members[wants], terms, keeper, terms.limit)
             deliver(members, terms, list(out))
     return lease.spendable_amount(members[wants], terms)
 
@@ -323,5 +337,5 @@
 def deliver(members: list[Member], terms: Terms, words: list[LeaseMessage]) -> None:
     while words:
         word = words.pop(0)
-        members[word.to], out = lease.handle_message(members[word.to], terms, word)
+        members[word.receiver], out = lease.handle_message(members[word.receiver], terms, word)
         words += out
--- a/message_sender/emulator/shared.py
+++ b/message_sender/emulator/shared.py
@@ -68,9 +68,9 @@
         delay: float = 0.002,
     ) -> None:
         """`works`: calls a second that come at each; `guess`: the members that each believes in."""
-        self.hall = MemberNetwork(max(budget.size, members), seed, loss, delay)
+        self.hall = MemberNetwork(max(budget.max_members, members), seed, loss, delay)
         self.budget, self.how, self.guess = budget, how, guess or members
-        self.whole = budget.whole  # the receiver's
+        self.whole = budget.limit  # the receiver's
         self.rng = random.Random(f"shared {seed}")
         self.works = dict(enumerate(works))
         self.desks: dict[str, LeaseManager] = {}
@@ -79,7 +79,7 @@
         self.held: dict[str, float] = {}
         self.read: dict[int, int] = {}
         self.spenders: dict[str, LimitEnforcer] = {}
-        self.ledger = Ledger((budget.span or US) / US)
+        self.ledger = Ledger((budget.window_us or US) / US)
         self.counter: deque[float] = deque()
         self.hall.step = self.step
         for number in range(members):
@@ -141,9 +141,9 @@
         name = node.me.name
         desk.open(self.budget, lambda: int(self.held[name]))
         self.held.setdefault(name, 0.0)
-        self.spenders[name] = LimitEnforcer(self.budget.counted)
+        self.spenders[name] = LimitEnforcer(self.budget.usage_window_us)
         node.on_share = lambda by, share: self.hear(name, desk, by, share)
-        node.epoch_raised = lambda epoch: desk.start_anew(epoch)
+        node.epoch_raised = lambda epoch: desk.restart_session(epoch)
         self.hall.later(self.rng.uniform(0, STEP), lambda: self.work(number, node))
 
     def end(self, number: int) -> None:
@@ -153,7 +153,7 @@
 
     def hear(self, name: str, desk: LeaseManager, by: str, share: wire.LeaseDatagram) -> None:
         if self.desks.get(name) is desk:
-            desk.hear(by, share)
+            desk.handle_datagram(by, share)
             self.post(name)
 
     def step(self, name: str) -> None:
@@ -165,14 +165,14 @@
     def post(self, name: str) -> None:
         """What its desk says."""
         node, desk = self.hall.nodes[name], self.desks[name]
-        out, desk.out = desk.out, []
+        out, desk.outbox = desk.outbox, []
         for to, said in out:
             node.send_to(to, said)
         self.hall.flush(name)
 
     def look(self) -> None:
         """Who stands still may spend as much as its clock lets it when it wakes."""
-        there = (desk.part(desk.books[self.budget.name]) for desk in self.desks.values())
+        there = (desk.share_of(desk.ledgers[self.budget.name]) for desk in self.desks.values())
         self.ledger.most_parts = max(self.ledger.most_parts, sum(there))
 
     def work(self, number: int, node: FleetNode) -> None:
@@ -188,10 +188,12 @@
 
     def may_spend(self, number: int, name: str) -> bool:
         if self.how == "budget":
-            return self.desks[name].begins([self.budget.name], "")
+            return self.desks[name].try_spend([self.budget.name], "")
         now, span = self.hall.now, self.ledger.span
         if self.how == "guess":
-            return self.spenders[name].begins("", self.clock(number), max(self.budget.whole // self.guess, 1))
+            return self.spenders[name].try_spend(
+                "", self.clock(number), max(self.budget.limit // self.guess, 1)
+            )
         while self.counter and self.counter[0] <= now - span - WAY:
             self.counter.popleft()
         if len(self.counter) >= self.whole:
@@ -201,7 +203,7 @@
 
     def lower(self, whole: int) -> None:
         """All are told another whole, and the receiver takes it from now on."""
-        self.budget = replace(self.budget, whole=whole)
+        self.budget = replace(self.budget, limit=whole)
         for desk in self.desks.values():
-            desk.change(self.budget)
+            desk.update_budget(self.budget)
         self.whole = whole
--- a/message_sender/service/budgets.py
+++ b/message_sender/service/budgets.py
@@ -117,7 +117,7 @@
         self.told: dict[str, SharedBudget] = {}
         me = link.node.members.me
         self.desk = LeaseManager(me.name, me.epoch, clock)
-        self.desk.grew = self.grew
+        self.desk.share_increased = self.grew
         self.opened: dict[str, tuple[SharedBudget, Value]] = {}  # by name; what it is bound to
         self.earned: dict[
             str, RetryAllowance
@@ -165,7 +165,9 @@
         self.by.setdefault((told.by, value), []).append(name)
         if told.share is not None:
             # One at least: where all that is held has gone before, nothing else would find out what is up.
-            self.earned[name] = RetryAllowance(told.share, told.span or 0, max(told.floor, 1), self.desk.born)
+            self.earned[name] = RetryAllowance(
+                told.share, told.span or 0, max(told.floor, 1), self.desk.session_started_us
+            )
             return
         self.desk.open(
             self.budget(told, name, value),
@@ -194,7 +196,7 @@
             now = self.told[was.name]
             self.opened[name] = now, value
             if now.share is None:
-                self.desk.change(self.budget(now, name, value))
+                self.desk.update_budget(self.budget(now, name, value))
         for name in self.told.keys() - {each.name for each in told}:
             log.warning("budget %s: it is gone from the configuration: it binds until the next start", name)
         self.bind()  # what is new may be the first that asks the transport
@@ -219,7 +221,7 @@
             self.open(told, told.value)
 
     def close_idle(self) -> None:
-        for name in self.desk.forget_idle():
+        for name in self.desk.close_idle():
             told, value = self.opened.pop(name)
             self.known.clear()
             self.noted.pop(name, None)
@@ -288,7 +290,10 @@
         if any(each.is_open() or each.failures >= 1 for each in at.breakers):
             self.failing[at.number] = now
         since = (now - self.failing.get(at.number, -math.inf)) / settings.slow_start
-        return int(FULLY_WARM_PERMILLE * (settings.slow_start_from + (1 - settings.slow_start_from) * min(since, 1.0)))
+        return int(
+            FULLY_WARM_PERMILLE
+            * (settings.slow_start_from + (1 - settings.slow_start_from) * min(since, 1.0))
+        )
 
     def bound(self, by: str, value: Value) -> list[str]:
         """Those of each are opened as they are needed."""
@@ -327,7 +332,7 @@
         return self.earned[name].free_at(self.clock()) if name in self.earned else self.desk.free_at(name)
 
     def spender(self, name: str) -> Any:  # noqa: ANN401
-        return self.earned.get(name) or self.desk.books[name].spender
+        return self.earned.get(name) or self.desk.ledgers[name].enforcer
 
     def free_at(self, listed: Endpoint, now: int, trial: bool = False, again: bool = False) -> float:
         names = self.counted(listed, trial, again)
@@ -337,7 +342,9 @@
         at, clock = max(free, default=0), self.clock()  # what is free now is not later than now
         if at <= clock:
             return now
-        if any(clock < each < NEVER_US and self.is_apart(name) for name, each in zip(names, free, strict=True)):
+        if any(
+            clock < each < NEVER_US and self.is_apart(name) for name, each in zip(names, free, strict=True)
+        ):
             self.denied[listed.destination] = min(at, self.denied.get(listed.destination, NEVER_US))
         return math.inf if at >= NEVER_US else now + at - clock
 
@@ -378,13 +385,13 @@
         earned = [self.earned[name] for name in going.names if name in self.earned]
         shared = [name for name in going.names if name not in self.earned]
         self.unclaim(going)
-        if not all(each.has_room(now) for each in earned) or not self.desk.begins(shared, message):
+        if not all(each.has_capacity(now) for each in earned) or not self.desk.try_spend(shared, message):
             return False
         for each in earned:
-            each.take(message, now)
+            each.spend(message, now)
         for name in () if going.again else self.of(known.listed).repeats:
             if name in self.earned:
-                self.earned[name].first(now)
+                self.earned[name].record_first_attempt(now)
                 self.grew(name)
         self.out[message] = going
         return True
@@ -403,8 +410,8 @@
             if name not in self.opened:  # forgotten while a call was out for longer than that takes
                 continue
             spender = self.spender(name)
-            held = message in getattr(spender, "held", ())
-            spender.ended(message)
+            held = message in getattr(spender, "active", ())
+            spender.release(message)
             if held:
                 self.grew(name)
 
@@ -412,8 +419,12 @@
         """us that a call may take: what is held at once counts as over after that."""
         known, going = self.engine.dispatcher.endpoints.get(endpoint), self.out.get(message)
         names = (going.names if going else []) + (self.of(known.listed).ways if known else [])
-        books = [self.desk.books[name].budget for name in names if name not in self.earned]
-        holds = (each.hold / (2 if each.of == "connections" else 1) for each in books if each.span is None)
+        books = [self.desk.ledgers[name].budget for name in names if name not in self.earned]
+        holds = (
+            each.max_hold_us / (2 if each.resource == "connections" else 1)
+            for each in books
+            if each.window_us is None
+        )
         return min(holds, default=math.inf)
 
     def admits(self, message: Message) -> int:
@@ -422,7 +433,7 @@
         names = self.bound("tenant", message.tenant) if known else self.by.get(("tenant", message.tenant), [])
         for name in names:
             now = self.clock()
-            if self.desk.begins([name], ""):
+            if self.desk.try_spend([name], ""):
                 continue
             self.turned.setdefault(name, deque(maxlen=ASKED)).append(now)
             at = self.desk.free_at(name)
@@ -440,29 +451,29 @@
         if going := self.out.get(message):
             self.unclaim(going)
             for name in going.ways:
-                self.spender(name).ended(message)
+                self.spender(name).release(message)
             going.ways = []
-        return partial(self.closed, names, token) if self.desk.begins(names, token) else None
+        return partial(self.closed, names, token) if self.desk.try_spend(names, token) else None
 
     def closed(self, names: list[str], token: str) -> None:
         for name in names:
-            if name in self.desk.books:
-                self.desk.books[name].spender.ended(token)
+            if name in self.desk.ledgers:
+                self.desk.ledgers[name].enforcer.release(token)
                 self.grew(name)
 
     def retires(self, endpoint: str) -> float:
         """s after which a connection takes no more calls: half of the longest that it may be held, as the
         other half is for the call that it may have out then."""
         known = self.engine.dispatcher.endpoints.get(endpoint)
-        books = [self.desk.books[name].budget for name in (self.of(known.listed).ways if known else ())]
-        holds = [each.hold / 2e6 - BODY_PATIENCE for each in books if each.span is None]
+        books = [self.desk.ledgers[name].budget for name in (self.of(known.listed).ways if known else ())]
+        holds = [each.max_hold_us / 2e6 - BODY_PATIENCE for each in books if each.window_us is None]
         return min(holds, default=math.inf)
 
     def shed(self) -> None:
         """Closes kept connections that are more than a part which has shrunk."""
-        for name, book in list(self.desk.books.items()):
+        for name, book in list(self.desk.ledgers.items()):
             told, _ = self.opened[name]
-            excess = book.spender.used(self.clock()) - self.desk.part(book)
+            excess = book.enforcer.usage(self.clock()) - self.desk.share_of(book)
             if told.of != "connections" or excess <= 0 or not self.transport:
                 continue
             there = self.engine.dispatcher.endpoints
@@ -486,7 +497,7 @@
             value = self.value_of(told, text)
             if value is not None:
                 self.open(told, value)
-        self.desk.hear(by, share)
+        self.desk.handle_datagram(by, share)
         self.post()
 
     def value_of(self, told: SharedBudget, text: str) -> Value:
@@ -503,7 +514,7 @@
 
     def epoch_raised(self, epoch: int) -> None:
         self.raised(epoch)
-        self.desk.start_anew(epoch)
+        self.desk.restart_session(epoch)
 
     def step(self, now: float) -> None:
         """Several times a second."""
@@ -524,23 +535,23 @@
     def follow_told(self) -> None:
         for name, (told, value) in self.opened.items():
             if told.whole is None and told.share is None:
-                self.desk.change(self.budget(told, name, value))
+                self.desk.update_budget(self.budget(told, name, value))
 
     def record(self) -> None:
-        for name, book in self.desk.books.items():
+        for name, book in self.desk.ledgers.items():
             for each in book.changes:
-                if each.at > self.noted.get(name, 0):
+                if each.at_us > self.noted.get(name, 0):
                     log.info("budget %s: %s", name, each.text)
             if book.changes:
-                self.noted[name] = book.changes[-1].at
+                self.noted[name] = book.changes[-1].at_us
 
     def post(self) -> None:
-        out, self.desk.out = self.desk.out, []
+        out, self.desk.outbox = self.desk.outbox, []
         for to, said in out:
             self.link.node.send_to(to, said)
         self.link.flush()
 
     def close(self) -> None:
         """What is not in use goes back at once."""
-        self.desk.leave()
+        self.desk.release_all()
         self.post()
--- a/tests/test_control_sender.py
+++ b/tests/test_control_sender.py
@@ -170,7 +170,7 @@
         document = configuration.document
         put = tuple(Resource(*each) for each in resources.items())
         configuration.apply(document, Delta(0, 1, put, (), document.digest_after(put, ())))
-        assert sender.membership.budgets.desk.books["out"].budget.whole == 8
+        assert sender.membership.budgets.desk.ledgers["out"].budget.limit == 8
         assert [*sender.membership.budgets.of(sender.directory.endpoints()[0]).plain] == ["out"]
 
 
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -35,7 +35,7 @@
 
 
 def budget(size: int, whole: int = 30, floor: int = 0, lease_s: float = 1.0) -> Budget:
-    return Budget("hub", "calls", whole, size, US, floor=floor, lease=int(lease_s * US))
+    return Budget("hub", "calls", whole, size, US, floor=floor, lease_us=int(lease_s * US))
 
 
 def drawn(seed: int) -> Fleet:
@@ -49,7 +49,7 @@
 
 
 def harm(fleet: Fleet) -> str:
-    ledger, whole = fleet.ledger, fleet.budget.whole
+    ledger, whole = fleet.ledger, fleet.budget.limit
     if ledger.most() > whole or ledger.most_parts > whole:
         return f"{ledger.most()} in a span and {ledger.most_parts} at one instant, of {whole}"
     used = ledger.used(20, 20 + 6 * 1.0203, whole)  # whole spans, with their slack
@@ -70,10 +70,10 @@
     plain = Budget.terms
     planted: dict[str, Callable[[], None]] = {
         "what ran out counts no longer": lambda: monkeypatch.setattr(
-            Budget, "terms", property(lambda self: plain.func(self)._replace(after=0))
+            Budget, "terms", property(lambda self: plain.func(self)._replace(usage_window=0))
         ),
         "a start spends at once": lambda: monkeypatch.setattr(
-            lease, "spendable_amount", lambda member, terms: terms.floor + member.held
+            lease, "spendable_amount", lambda member, terms: terms.floor + member.leased
         ),
         "settled while in use": lambda: monkeypatch.setattr(LimitEnforcer, "usage", lambda self, now: 0),
     }
@@ -99,7 +99,7 @@
 def test_a_dead_members_part_is_in_use_again_within_its_leases() -> None:
     fleet = Fleet(budget(5, 60), 5, 2, [60.0] * 5)
     fleet.hall.run(12.0)
-    keeper = fleet.desks["n0"].keeper(fleet.desks["n0"].books["hub"])
+    keeper = fleet.desks["n0"].grantor_of(fleet.desks["n0"].ledgers["hub"])
     fleet.end(next(each for each in range(5) if f"n{each}" != keeper))
     fleet.hall.run(20.0)
     assert fleet.ledger.used(12, 14, 60) < 0.9 < fleet.ledger.used(15.9, 20, 60)
@@ -138,7 +138,7 @@
 
 def test_the_smaller_of_two_wholes_under_one_name_binds() -> None:
     fleet = Fleet(budget(4, 40), 4, 6, [40.0] * 4)
-    fleet.desks["n2"].change(budget(4, 20))
+    fleet.desks["n2"].update_budget(budget(4, 20))
     fleet.whole = 20
     fleet.hall.run(20.0)
     assert fleet.ledger.most() <= 20 and fleet.ledger.used(14, 20, 20) > 0.9
@@ -147,12 +147,12 @@
 def test_a_passing_budget_that_nobody_needs_is_forgotten_and_comes_again() -> None:
     fleet = Fleet(budget(3, 30), 3, 7, [20.0] * 3)
     for desk in fleet.desks.values():
-        desk.books["hub"].passing = True
+        desk.ledgers["hub"].is_transient = True
     fleet.hall.run(8.0)
     fleet.works = dict.fromkeys(fleet.works, 0.0)
     fleet.hall.run(90.0)
     quiet = fleet.hall.sent
-    assert [desk.forget_idle() for desk in fleet.desks.values()] == [["hub"]] * 3
+    assert [desk.close_idle() for desk in fleet.desks.values()] == [["hub"]] * 3
     for name, desk in fleet.desks.items():
         desk.open(fleet.budget, lambda name=name: int(fleet.held[name]))  # type: ignore[misc]
     fleet.works = dict.fromkeys(fleet.works, 20.0)
@@ -186,24 +186,24 @@
         "whole": 30,
         "floor": 0,
         "size": 3,
-        "form": budget(3).form,
+        "form": budget(3).timing_checksum,
         "warm": desks.FULLY_WARM_PERMILLE,
     }
-    desk.hear("b", LeaseDatagram("hub", **figures | what))
-    assert desk.free_at("hub") == NEVER_US and any(why in each for each in desk.books["hub"].refused)
+    desk.handle_datagram("b", LeaseDatagram("hub", **figures | what))
+    assert desk.free_at("hub") == NEVER_US and any(why in each for each in desk.ledgers["hub"].rejections)
 
 
 def test_what_is_held_ends_or_counts() -> None:
     held = LimitEnforcer(None)
     held.reserve("a")
-    assert held.begins("a", 5, 1) and not held.begins("b", 5, 1) and held.free_at(9, 1) == NEVER_US
-    held.ended("a")
-    assert held.used(9) == 0 and held.free_at(9, 1) == 9
+    assert held.try_spend("a", 5, 1) and not held.try_spend("b", 5, 1) and held.free_at(9, 1) == NEVER_US
+    held.release("a")
+    assert held.usage(9) == 0 and held.free_at(9, 1) == 9
 
 
 def test_a_rate_is_free_when_enough_of_it_is_past_its_span() -> None:
     rate = LimitEnforcer(100)
-    assert [rate.begins("", at, 2) for at in (0, 30, 60, 100)] == [True, True, False, True]
+    assert [rate.try_spend("", at, 2) for at in (0, 30, 60, 100)] == [True, True, False, True]
     assert (rate.free_at(110, 2), rate.free_at(110, 1), rate.free_at(110, 3)) == (130, 200, 110)
 
 
@@ -249,7 +249,7 @@
     for second in range(20, 100):
         time["now"] = float(second)
         budgets.step(time["now"])
-    assert not budgets.desk.books
+    assert not budgets.desk.ledgers
     engine.hooks.release_limits("m")
     assert not budgets.out and budgets.free_at(listed, 0) > 0, "opened anew, and asked for"
 
@@ -266,21 +266,21 @@
     for passed, again in steps:
         now += passed
         if not again:
-            earned.first(now)
+            earned.record_first_attempt(now)
             firsts.append(now)
             continue
         counted = [sum(now - 100 < each for each in times) for times in (firsts, repeats)]
         goes = counted[1] + 1 <= least + 0.4 * counted[0]
-        assert earned.has_room(now) is goes
+        assert earned.has_capacity(now) is goes
         assert (earned.free_at(now) == now) is goes
         if goes:
-            earned.take("", now)
+            earned.spend("", now)
             repeats.append(now)
 
 
 def test_a_life_that_begins_repeats_nothing_for_a_span() -> None:
     earned = RetryAllowance(1.0, 100, 5, 50)
-    assert earned.free_at(149) == 150 and not earned.has_room(149) and earned.has_room(150)
+    assert earned.free_at(149) == 150 and not earned.has_capacity(149) and earned.has_capacity(150)
 
 
 @pytest.mark.parametrize(
@@ -347,9 +347,14 @@
 def test_a_larger_size_that_was_heard_of_outlasts_a_change_of_the_whole() -> None:
     desk = LeaseManager("a", 1, lambda: 0)
     book = desk.open(budget(3), lambda: 0)
-    desk.hear("b", LeaseDatagram("hub", LeaseMessageKind.LEASE_REQUEST, 1, 0, 1, 30, 0, 7, book.budget.form, 1000))
-    desk.change(budget(3, whole=12))
-    assert (book.budget.whole, book.budget.size) == (12, 7)
+    desk.handle_datagram(
+        "b",
+        LeaseDatagram(
+            "hub", LeaseMessageKind.LEASE_REQUEST, 1, 0, 1, 30, 0, 7, book.budget.timing_checksum, 1000
+        ),
+    )
+    desk.update_budget(budget(3, whole=12))
+    assert (book.budget.limit, book.budget.max_members) == (12, 7)
 
 
 def test_a_configuration_that_is_read_anew_changes_wholes_and_opens_what_is_new(
@@ -371,8 +376,8 @@
     budgets.configure((*was, calls, out), 1)
     assert sorted(budgets.of(listed).plain) == ["calls", "out/3", "rate/3"]
     budgets.configure((*was, replace(calls, whole=4), replace(out, lease=2 * US)), 1)
-    assert budgets.desk.books["calls"].budget.whole == 4
-    assert budgets.desk.books["out/3"].budget.lease == US and "more than its whole" in caplog.text
+    assert budgets.desk.ledgers["calls"].budget.limit == 4
+    assert budgets.desk.ledgers["out/3"].budget.lease_us == US and "more than its whole" in caplog.text
     engine.transport = transport = HttpTransport(10, 10, 4, dict)
     budgets.configure((*was, replace(calls, name="new ones", of="handshakes")), 1)
     assert transport.opens == budgets.opens and budgets.of(listed).ways == ["new ones"]
