--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -16,7 +16,8 @@
 from collections.abc import Callable, Iterable
 from functools import partial
 
-from message_sender.budget.manager import Budget, LeaseManager
+from message_sender.budget.definition import Budget
+from message_sender.budget.manager import LeaseManager
 from message_sender.emulator.shared import Fleet
 
 US = 1_000_000
@@ -167,11 +168,11 @@
     fleet = Fleet(budget, members, seed, works("even", members, whole))
     fleet.hall.run(20.0)
     desk = fleet.desks["n0"]
-    kept = int(desk.grantor_of(desk.ledgers["hub"])[1:])
+    kept = int(desk.ledgers["hub"].grantor()[1:])
     fleet.end(kept if keeper else (kept + 1) % members)
     for tenth in range(1, 300):
         fleet.hall.run(20.0 + tenth / 10)
-        if sum(each.share_of(each.ledgers["hub"]) for each in fleet.desks.values()) >= whole * (1 - 0.1 / members):
+        if sum(each.ledgers["hub"].share() for each in fleet.desks.values()) >= whole * (1 - 0.1 / members):
             return tenth / 10
     return float("inf")
 
@@ -192,7 +193,9 @@
         book.enforcer.reserve("m")
         desk.try_spend(["hub"], "m")
         count += 1
-    print(f"{(time.perf_counter() - began) / count * 1e6:.1f} us a message; spent {book.enforcer.spent_total}")
+    print(
+        f"{(time.perf_counter() - began) / count * 1e6:.1f} us a message; spent {book.enforcer.spent_total}"
+    )
 
 
 def main() -> None:
--- a/message_sender/budget/__init__.py
+++ b/message_sender/budget/__init__.py
@@ -1,1 +1,1 @@
-"""What many senders spend from one whole."""
+"""Limits that all senders of a fleet share: leases, their division and their enforcement."""
--- a/message_sender/budget/division.py
+++ b/message_sender/budget/division.py
@@ -1,47 +1,58 @@
-"""Who is to have how much of what a keeper gives out. It decides about use alone: whatever it says, the sum
-stays within the whole (budget/lease.py).
+"""How a grantor divides a limit among the members that request leases of it. Pure.
 
-By need and not by head: whoever needs less than an even part gets what it needs, and the others share what
-is left evenly, whole by whole; what does not divide goes round, a turn for each. Half of what nobody needs is
-spread over those that need something, so that a little more need at once finds it there; the other half is
-at hand for who asks next. A part that would change by less than an eighth stays as it was.
+Division concerns utilization alone: whatever it returns, the lease protocol (budget/lease.py) keeps the sum
+of all leases within the limit.
+
+It is max-min fair: a member whose demand is below an even share gets its demand, and the others divide the
+rest evenly. A remainder goes to one member each, in rotation. Half of what nobody demands is spread over the
+members with demand, so that a small increase needs no new lease; the other half stays free for new requests.
+A share that would change by less than an eighth stays as it was.
 """
 
 from collections.abc import Mapping
 
-CHANGE_THRESHOLD_DIVISOR = 8  # a change of less than a part's eighth is none
-
-
-def divide(whole: int, needs: Mapping[str, int], turn: int = 0) -> dict[str, int]:
-    """Parts by name, of `whole` at the most in all. `turn` says with whom what does not divide begins."""
-    parts = dict.fromkeys(needs, 0)
-    left, open_ones = max(whole, 0), sorted(name for name, need in needs.items() if need > 0)
-    while left and open_ones:
-        even, rest = divmod(left, len(open_ones))
-        if not even:
-            start = turn * rest % len(open_ones)
-            for name in (open_ones[start:] + open_ones[:start])[:rest]:
-                parts[name] += 1
-            return parts
-        for name in open_ones:
-            more = min(even, needs[name] - parts[name])
-            parts[name] += more
-            left -= more
-        open_ones = [name for name in open_ones if parts[name] < needs[name]]
-    return spread_spare(left // 2, parts)
-
-
-def spread_spare(spare: int, parts: dict[str, int]) -> dict[str, int]:
-    """Adds what is to spare evenly to the parts of those that have one."""
-    there = [name for name, part in parts.items() if part]
-    return {name: part + spare // len(there) if part else 0 for name, part in parts.items()}
-
-
-def damp_change(part: int, before: int, need: int) -> int:
-    """A part that is changed only where it matters: one that covers the need stays, if nobody is short of
-    what it has above its part."""
-    return (
-        before
-        if part and before >= need and abs(part - before) * CHANGE_THRESHOLD_DIVISOR <= before
-        else part
-    )
+CHANGE_THRESHOLD_DIVISOR = 8  # a change below one eighth of the share is suppressed
+
+
+def divide(limit: int, demands: Mapping[str, int], rotation: int = 0) -> dict[str, int]:
+    """Divides at most `limit` among the members.
+
+    Args:
+        limit: What there is to divide.
+        demands: The demand of each member, by name.
+        rotation: Determines which member is the first to get one unit of a remainder.
+
+    Returns:
+        The share of each member, by name.
+    """
+    shares = dict.fromkeys(demands, 0)
+    remaining = max(limit, 0)
+    unsatisfied = sorted(name for name, demand in demands.items() if demand > 0)
+    while remaining and unsatisfied:
+        even_share, remainder = divmod(remaining, len(unsatisfied))
+        if not even_share:
+            start = rotation * remainder % len(unsatisfied)
+            rotated = unsatisfied[start:] + unsatisfied[:start]
+            for name in rotated[:remainder]:
+                shares[name] += 1
+            return shares
+        for name in unsatisfied:
+            increase = min(even_share, demands[name] - shares[name])
+            shares[name] += increase
+            remaining -= increase
+        unsatisfied = [name for name in unsatisfied if shares[name] < demands[name]]
+    return spread_spare(remaining // 2, shares)
+
+
+def spread_spare(spare: int, shares: dict[str, int]) -> dict[str, int]:
+    """Adds spare units evenly to the shares that are not 0."""
+    members = sum(1 for share in shares.values() if share)
+    return {name: share + spare // members if share else 0 for name, share in shares.items()}
+
+
+def damp_change(share: int, previous_share: int, demand: int) -> int:
+    """Returns the previous share if it covers the demand and differs by less than the threshold."""
+    if not share or previous_share < demand:
+        return share
+    is_small_change = abs(share - previous_share) * CHANGE_THRESHOLD_DIVISOR <= previous_share
+    return previous_share if is_small_change else share
--- a/message_sender/budget/lease.py
+++ b/message_sender/budget/lease.py
@@ -1,29 +1,31 @@
-"""One budget of one member: who keeps it, what is given out, what may be spent. Pure: each function takes a
-member as it is and gives it back as it becomes, with the words to be sent. Times are whole units of the
-member's own clock, which counts on from its start and is compared with nobody's.
-
-The rules:
-
-- **One keeper.** A member keeps the budget for `term` once more than half of `size` have promised it; it
-  counts from its asking, they count from their answer and `margin` longer. Until then they promise nobody
-  else. One that was not chosen waits until its own promise has run out, or abandons it for another one.
-- **Nothing is remembered over a start, and nothing needs to be.** For `term` and `margin` after it a member
-  promises nobody, so that a promise of the life before cannot be broken. What it held is gone with its
-  session: a grant to the session before is not believed.
-- **A keeper knows all that is out.** One that was not keeper without a break gives nothing for the longest
-  lease and `margin`: by then all that anybody gave before it has run out. A grant is on its list before it is
-  sent.
-- **A lease counts from the asking** for who holds it, from the giving and `margin` longer for who gave it. Of
-  what a holder was given it spends the one it asked for last, so that the largest of them is what counts.
-- **Given back early** is what is named by its asking: the holder believes no grant that it asked for so early
-  any more, and only then says so.
-- **Spent counts on** for `after`: the span of a rate, or the longest that a thing is held. A keeper counts
-  what ran out for so long; who starts spends nothing for so long, as the life before it may have spent.
-- **Less than before** binds at once; the rest is said to be over (`settle`) by who has no more in use, and
-  whose life before has none.
-- **The floor** is everybody's without asking; what is given out is the whole less the floors of `size`.
-
-`margin` covers the rate of two clocks: at 1% each, 2.1% of the longer of lease and term, and a unit.
+"""The lease protocol of one budget at one member: a pure state machine.
+
+Each function takes the state of a member and returns its next state, with the messages to be sent. Times are
+integers in any unit, of the member's own clock, which is never set back and is compared with no other clock.
+
+Rules:
+
+- **One grantor.** A member is the grantor for `grantor_term` once more than half of `max_members` have
+  promised to support it. It counts the term from its vote request; the voters count from their promise, and
+  `margin` longer. Until then they promise nobody else. A candidate that is not elected waits until its
+  promise to itself has run out, or abandons its election in favour of another candidate.
+- **No state survives a restart.** For `grantor_term` and `margin` after its start a member promises nobody,
+  so that it cannot break a promise of its previous session. Its leases end with its session: a grant to an
+  earlier session is ignored.
+- **A grantor knows all valid grants.** A new grantor grants nothing for the longest usage of a lease and
+  `margin`: by then all grants of its predecessors have run out. It records a grant before it sends it.
+- **A lease lasts from the request** for its holder, and from the grant and `margin` longer for its grantor.
+  Of several grants a holder uses the one that it requested last; the grantor counts the largest.
+- **An early release** names a request time: the holder ignores all grants that it requested up to then, and
+  sends the release afterwards.
+- **Usage counts on** for `usage_window`: the window of a rate, or the longest hold. The grantor counts a
+  lease that ran out for so long; a member that starts spends nothing for so long, because its previous
+  session may have spent.
+- **A smaller lease** binds at once. The larger ones before it are released (`release_superseded`) once the
+  usage is within the smaller one, and the usage of the previous session has expired.
+- **The floor** is available to each member without a lease. Leases share the limit less `max_members` floors.
+
+`margin` covers the drift between two clocks: at 1% each, 2.1% of the lease and the term, and one unit.
 """
 
 from enum import IntEnum
@@ -34,19 +36,34 @@
 
 
 class Terms(NamedTuple):
+    """The figures of a budget; durations are in units of the members' clocks.
+
+    Attributes:
+        limit: The most that all members may spend together.
+        max_members: The largest number of members.
+        lease_duration: How long a lease is valid.
+        grantor_term: How long a grantor stays in office without renewal.
+        margin: Allowance for the drift of clocks.
+        floor: What each member may spend without a lease.
+        usage_window: How long usage counts.
+    """
+
     limit: int
-    max_members: int  # the most members
+    max_members: int
     lease_duration: int
     grantor_term: int
     margin: int
     floor: int = 0
-    usage_window: int = 0  # for how long what was spent counts
+    usage_window: int = 0
 
     def leasable_amount(self) -> int:
+        """The limit less the floors of all members."""
         return self.limit - self.max_members * self.floor
 
 
 class LeaseMessageKind(IntEnum):
+    """Kinds of messages; the values are part of the wire format."""
+
     VOTE_REQUEST = 0
     PROMISE = 1
     LEASE_REQUEST = 2
@@ -55,7 +72,10 @@
 
 
 class LeaseMessage(NamedTuple):
-    """`session` and `asked` are of whoever elects or asks: by these an answer is known."""
+    """A message between two members.
+
+    `session` and `requested_at` belong to the member that requested votes or a lease; a reply repeats them.
+    """
 
     kind: LeaseMessageKind
     sender: int
@@ -66,39 +86,64 @@
 
 
 class Grant(NamedTuple):
+    """A lease on the grantor's record.
+
+    `requested_at` is on the holder's clock, `expires_at` on the grantor's.
+    """
+
     holder: int
     session: int
-    requested_at: int  # the holder's clock
+    requested_at: int
     amount: int
-    expires_at: int  # the keeper's
+    expires_at: int
 
 
 class Member(NamedTuple):
+    """The state of one member. All times are on its own clock.
+
+    Attributes:
+        number: The member's number.
+        session: Above the sessions of its earlier starts.
+        clock: The current time.
+        started_at: When the session started.
+        promised_to: The candidate that it supports, or NO_MEMBER.
+        promised_until: When its promise ends.
+        votes_requested_at: When it last requested votes.
+        votes: The members that support it.
+        grantor_until: When its term as grantor ends.
+        grants_from: From when on it may grant leases.
+        grants: The leases on its record.
+        leased: The amount that it holds.
+        leased_until: When its lease ends.
+        lease_requested_at: When it requested its lease; grants that it requested up to then are ignored.
+    """
+
     number: int
     session: int
     clock: int
-    started_at: int  # when it started
-    promised_to: int = NO_MEMBER  # to whom
+    started_at: int
+    promised_to: int = NO_MEMBER
     promised_until: int = LONG_AGO
-    votes_requested_at: int = LONG_AGO  # when it asked to be kept
+    votes_requested_at: int = LONG_AGO
     votes: tuple[int, ...] = ()
     grantor_until: int = LONG_AGO
     grants_from: int = LONG_AGO
     grants: tuple[Grant, ...] = ()
     leased: int = 0
     leased_until: int = LONG_AGO
-    lease_requested_at: int = LONG_AGO  # of these the latest; nothing asked for so early is believed any more
+    lease_requested_at: int = LONG_AGO
 
 
 Transition = tuple[Member, tuple[LeaseMessage, ...]]
 
 
-def new_member(name: int, session: int, clock: int = 0) -> Member:
-    return Member(name, session, clock, clock)
+def new_member(number: int, session: int, clock: int = 0) -> Member:
+    """Returns a member whose session starts now."""
+    return Member(number, session, clock, clock)
 
 
 def advance_clock(member: Member, clock: int) -> Member:
-    """The same one as its clock goes on: what has run out is gone."""
+    """Sets the member's clock and drops what has expired."""
     return member._replace(
         clock=clock,
         promised_to=member.promised_to if clock < member.promised_until else NO_MEMBER,
@@ -108,53 +153,59 @@
 
 
 def spendable_amount(member: Member, terms: Terms) -> int:
-    """What it may spend at this moment of its clock."""
+    """Returns what the member may spend at this moment of its clock."""
     if not has_previous_usage_expired(member, terms):
         return 0
-    return terms.floor + (member.leased if member.clock < member.leased_until else 0)
+    leased = member.leased if member.clock < member.leased_until else 0
+    return terms.floor + leased
 
 
 def has_previous_usage_expired(member: Member, terms: Terms) -> bool:
-    """Whether nothing that the life before spent still counts."""
+    """Whether nothing that the previous session spent still counts."""
     return member.clock >= member.started_at + terms.usage_window
 
 
 def has_previous_promise_expired(member: Member, terms: Terms) -> bool:
-    """Whether no promise of a life before can still stand."""
+    """Whether no promise of the previous session can still be valid."""
     return member.clock >= member.started_at + terms.grantor_term + terms.margin
 
 
 def is_grantor(member: Member) -> bool:
+    """Whether the member's term as grantor lasts."""
     return member.clock < member.grantor_until
 
 
-# Who keeps it.
+# Election of the grantor.
 
 
 def request_votes(member: Member, terms: Terms) -> Transition:
-    """Asks to be keeper, or to stay it. One that was not chosen lets its own promise run out first: two that
-    went on asking would stand in each other's way for ever. Whom to ask for is the caller's: the first of
-    those that are there, by an order that all know."""
-    if not has_previous_promise_expired(member, terms) or (
-        member.promised_to != NO_MEMBER and not is_own_grantor(member)
-    ):
+    """Starts an election, or renews the member's term as grantor.
+
+    A candidate that was not elected waits until its promise to itself has run out, since two candidates that
+    renewed theirs would block each other for ever. The caller chooses who becomes a candidate: the first of
+    the live members in an order that all of them know.
+    """
+    if not has_previous_promise_expired(member, terms):
+        return member, ()
+    if member.promised_to != NO_MEMBER and not is_own_grantor(member):
         return member, ()
-    member = record_promise(member, terms, member.number)._replace(votes_requested_at=member.clock, votes=())
-    others = (each for each in range(terms.max_members) if each != member.number)
-    words = tuple(
-        LeaseMessage(LeaseMessageKind.VOTE_REQUEST, member.number, each, member.session, member.clock)
-        for each in others
+    member = record_promise(member, terms, member.number)
+    member = member._replace(votes_requested_at=member.clock, votes=())
+    requests = tuple(
+        LeaseMessage(LeaseMessageKind.VOTE_REQUEST, member.number, other, member.session, member.clock)
+        for other in range(terms.max_members)
+        if other != member.number
     )
-    return count_vote(member, terms, member.number), words
+    return count_vote(member, terms, member.number), requests
 
 
 def is_own_grantor(member: Member) -> bool:
+    """Whether the member is grantor and supports itself."""
     return member.promised_to == member.number and is_grantor(member)
 
 
 def abandon_election(member: Member) -> Member:
-    """Asks no more, if it was not chosen: its own promise is nobody else's concern, and answers that come
-    late are to a question that it has forgotten."""
+    """Withdraws the candidacy of a member that was not elected; late votes for it are ignored."""
     if member.promised_to != member.number or is_grantor(member):
         return member
     return member._replace(
@@ -162,22 +213,27 @@
     )
 
 
-def record_promise(member: Member, terms: Terms, to: int) -> Member:
+def record_promise(member: Member, terms: Terms, candidate: int) -> Member:
+    """Records that the member supports the candidate for a term and the margin."""
     until = member.clock + terms.grantor_term + terms.margin
-    return member._replace(promised_to=to, promised_until=max(until, member.promised_until))
+    return member._replace(promised_to=candidate, promised_until=max(until, member.promised_until))
 
 
-def handle_vote_request(member: Member, terms: Terms, word: LeaseMessage) -> Transition:
-    if not has_previous_promise_expired(member, terms) or member.promised_to not in (NO_MEMBER, word.sender):
+def handle_vote_request(member: Member, terms: Terms, request: LeaseMessage) -> Transition:
+    """Promises to support the sender, unless an earlier promise to another member may be valid."""
+    if not has_previous_promise_expired(member, terms):
         return member, ()
-    answer = LeaseMessage(
-        LeaseMessageKind.PROMISE, member.number, word.sender, word.session, word.requested_at
+    if member.promised_to not in (NO_MEMBER, request.sender):
+        return member, ()
+    promise = LeaseMessage(
+        LeaseMessageKind.PROMISE, member.number, request.sender, request.session, request.requested_at
     )
-    return record_promise(member, terms, word.sender), (answer,)
+    return record_promise(member, terms, request.sender), (promise,)
 
 
-def count_vote(member: Member, terms: Terms, by: int) -> Member:
-    member = member._replace(votes=tuple(sorted({*member.votes, by})))
+def count_vote(member: Member, terms: Terms, voter: int) -> Member:
+    """Counts a vote for the member, which becomes grantor with a majority of `max_members`."""
+    member = member._replace(votes=tuple(sorted({*member.votes, voter})))
     until = member.votes_requested_at + terms.grantor_term
     if 2 * len(member.votes) <= terms.max_members or member.clock >= until:
         return member
@@ -187,108 +243,109 @@
 
 
 def max_usage_duration(terms: Terms) -> int:
-    """For how long what another keeper gave may still be spent, or count as spent."""
+    """How long a grant of another grantor may be spent, or count as spent."""
     return terms.lease_duration + terms.margin + terms.usage_window
 
 
-# What is given.
+# Leases.
 
 
-def request_lease(member: Member, terms: Terms, keeper: int, need: int) -> Transition:
-    """Asks for so much in all, in place of what it has."""
-    word = LeaseMessage(
-        LeaseMessageKind.LEASE_REQUEST, member.number, keeper, member.session, member.clock, need
+def request_lease(member: Member, terms: Terms, grantor: int, amount: int) -> Transition:
+    """Requests a lease of `amount` in place of the one that the member holds."""
+    request = LeaseMessage(
+        LeaseMessageKind.LEASE_REQUEST, member.number, grantor, member.session, member.clock, amount
     )
-    if keeper != member.number:
-        return member, (word,)
-    member, answers = handle_lease_request(member, terms, word)
-    for each in answers:
-        member = handle_grant(member, terms, each)
+    if grantor != member.number:
+        return member, (request,)
+    member, grants = handle_lease_request(member, terms, request)
+    for grant in grants:
+        member = handle_grant(member, terms, grant)
     return member, ()
 
 
-def granted_to_others(member: Member, but: int) -> int:
-    """The most that all others may spend by its list."""
-    others = {each.holder for each in member.grants} - {but}
-    return sum(max(each.amount for each in member.grants if each.holder == name) for name in others)
+def granted_to_others(member: Member, requester: int) -> int:
+    """Returns the most that all members but the requester may spend by the grantor's record."""
+    holders = {each.holder for each in member.grants} - {requester}
+    return sum(max(each.amount for each in member.grants if each.holder == holder) for holder in holders)
 
 
-def handle_lease_request(member: Member, terms: Terms, word: LeaseMessage) -> Transition:
+def handle_lease_request(member: Member, terms: Terms, request: LeaseMessage) -> Transition:
+    """Grants what is requested as far as the other members' leases leave it."""
     if not is_grantor(member) or member.clock < member.grants_from:
         return member, ()
-    amount = min(word.amount, terms.leasable_amount() - granted_to_others(member, word.sender))
+    amount = min(request.amount, terms.leasable_amount() - granted_to_others(member, request.sender))
     if amount <= 0:
         return member, ()
-    return record_grant(member, terms, word, amount), (
-        LeaseMessage(
-            LeaseMessageKind.GRANT, member.number, word.sender, word.session, word.requested_at, amount
-        ),
+    grant = LeaseMessage(
+        LeaseMessageKind.GRANT, member.number, request.sender, request.session, request.requested_at, amount
     )
+    return record_grant(member, terms, request, amount), (grant,)
 
 
-def record_grant(member: Member, terms: Terms, word: LeaseMessage, amount: int) -> Member:
-    fresh = Grant(
-        word.sender, word.session, word.requested_at, amount, member.clock + max_usage_duration(terms)
-    )
-    return member._replace(grants=tuple(sorted({*member.grants, fresh})))
+def record_grant(member: Member, terms: Terms, request: LeaseMessage, amount: int) -> Member:
+    """Adds a grant to the grantor's record."""
+    expires_at = member.clock + max_usage_duration(terms)
+    grant = Grant(request.sender, request.session, request.requested_at, amount, expires_at)
+    return member._replace(grants=tuple(sorted({*member.grants, grant})))
 
 
-def is_for_current_session(member: Member, word: LeaseMessage) -> bool:
-    """Whether it answers what this session asked."""
-    return word.session == member.session
+def is_for_current_session(member: Member, reply: LeaseMessage) -> bool:
+    """Whether the message replies to a request of the member's current session."""
+    return reply.session == member.session
 
 
-def handle_grant(member: Member, terms: Terms, word: LeaseMessage) -> Member:
-    """Refuses one over the whole, an old one, and one whose time is up."""
-    until = word.requested_at + terms.lease_duration
-    if (
-        not is_for_current_session(member, word)
-        or word.requested_at <= member.lease_requested_at
-        or word.amount > terms.leasable_amount()
-    ):
+def handle_grant(member: Member, terms: Terms, grant: LeaseMessage) -> Member:
+    """Takes a lease; ignores one above the limit, a superseded one and one that has expired."""
+    until = grant.requested_at + terms.lease_duration
+    if not is_for_current_session(member, grant) or grant.requested_at <= member.lease_requested_at:
         return member
-    if member.clock >= until:
+    if grant.amount > terms.leasable_amount() or member.clock >= until:
         return member
-    return member._replace(leased=word.amount, leased_until=until, lease_requested_at=word.requested_at)
+    return member._replace(leased=grant.amount, leased_until=until, lease_requested_at=grant.requested_at)
 
 
-def release_lease(member: Member, terms: Terms, keeper: int) -> Transition:
-    """Spends none of it from now on, nor of anything it has asked for so far."""
+def release_lease(member: Member, terms: Terms, grantor: int) -> Transition:
+    """Gives up the lease and all grants that the member has requested so far."""
     member = member._replace(leased=0, leased_until=LONG_AGO, lease_requested_at=member.clock)
-    word = LeaseMessage(LeaseMessageKind.RELEASE, member.number, keeper, member.session, member.clock)
-    return member, (word,) if has_previous_usage_expired(member, terms) else ()
+    release = LeaseMessage(LeaseMessageKind.RELEASE, member.number, grantor, member.session, member.clock)
+    return member, (release,) if has_previous_usage_expired(member, terms) else ()
+
 
+def release_superseded(member: Member, terms: Terms, grantor: int) -> tuple[LeaseMessage, ...]:
+    """Releases all leases before the current one.
 
-def release_superseded(member: Member, terms: Terms, keeper: int) -> tuple[LeaseMessage, ...]:
-    """Of all that it asked for before what it holds nothing is in use, which is the caller's to know."""
-    word = LeaseMessage(
-        LeaseMessageKind.RELEASE, member.number, keeper, member.session, member.lease_requested_at - 1
+    The caller makes sure that the usage is within the current lease.
+    """
+    release = LeaseMessage(
+        LeaseMessageKind.RELEASE, member.number, grantor, member.session, member.lease_requested_at - 1
     )
-    return (word,) if has_previous_usage_expired(member, terms) else ()
+    return (release,) if has_previous_usage_expired(member, terms) else ()
 
 
-def handle_release(member: Member, word: LeaseMessage) -> Member:
-    """What was asked for by then is over, of this session and, as it is gone, of those before."""
-    kept = (
+def handle_release(member: Member, release: LeaseMessage) -> Member:
+    """Removes the sender's grants that were requested up to the release, or in an earlier session."""
+    remaining = (
         each
         for each in member.grants
-        if each.holder != word.sender or (each.session, each.requested_at) > (word.session, word.requested_at)
+        if each.holder != release.sender
+        or (each.session, each.requested_at) > (release.session, release.requested_at)
     )
-    return member._replace(grants=tuple(kept))
+    return member._replace(grants=tuple(remaining))
 
 
-def handle_message(member: Member, terms: Terms, word: LeaseMessage) -> Transition:
-    """Whatever comes, late, twice or in another order."""
-    match word.kind:
+def handle_message(member: Member, terms: Terms, message: LeaseMessage) -> Transition:
+    """Handles any message, which may be late, repeated or out of order."""
+    match message.kind:
         case LeaseMessageKind.VOTE_REQUEST:
-            return handle_vote_request(member, terms, word)
+            return handle_vote_request(member, terms, message)
         case LeaseMessageKind.PROMISE:
-            if is_for_current_session(member, word) and word.requested_at == member.votes_requested_at:
-                return count_vote(member, terms, word.sender), ()
+            is_current = message.requested_at == member.votes_requested_at
+            if is_for_current_session(member, message) and is_current:
+                return count_vote(member, terms, message.sender), ()
         case LeaseMessageKind.LEASE_REQUEST:
-            return handle_lease_request(member, terms, word)
+            return handle_lease_request(member, terms, message)
         case LeaseMessageKind.GRANT:
-            return handle_grant(member, terms, word), ()
+            return handle_grant(member, terms, message), ()
         case LeaseMessageKind.RELEASE:
-            return handle_release(member, word), ()
+            return handle_release(member, message), ()
     return member, ()
--- a/message_sender/budget/manager.py
+++ b/message_sender/budget/manager.py
@@ -1,461 +1,365 @@
-"""All budgets of one member: whom it asks, what it says, what it may spend. Pure: the machine that keeps the
-sum within the whole is budget/lease.py; this drives it, and decides about use alone.
-
-The rules:
-
-- Each budget has a keeper of its own, chosen by a hash of its name among those that are there, so that the
-  work is spread. One that keeps it goes on as long as it is there. The first of them asks to be chosen as
-  soon as nobody is promised, each next one an eighth of a lease later: the first may be gone unnoticed. Of
-  several that ask, those behind abandon it, and all do for one that keeps it.
-- A member asks four times a lease for what it needs: what is in use, and what is held for it. A need falls by
-  an eighth each time only, so that a pause of a moment moves nothing.
-- A need that has grown past what is held is asked for at once, but not more often than each `MIN_REQUEST_INTERVAL_US`; so is
-  what was not answered.
-- Members may have different figures under one name while a change goes round: the smallest whole and the
-  largest floor that a keeper heard of within two of its leases bind, by whatever word. The largest size that
-  was ever heard of binds, and whoever counts on a smaller one is promised nothing. With another form (what
-  is spent, span, lease) nothing is believed.
-- Each asks with how warm it believes what is spent from to be, by its own eyes. A keeper divides the share of
-  the whole that the middle one of those in need believes in: one of few that has lost its way there binds
-  nobody, and what comes back cold is not given all at once.
-- A passing budget, one of many that come and go with destinations, is let rest once nobody has needed any of
-  it for `IDLE`: its keeper renews nothing, nobody asks. What has nothing out any more can be forgotten, and
-  opened anew as if it had never been there.
-- Names are known to the machine as numbers of this member's own; a start, or another epoch, begins anew.
+"""All budgets of one member: which leases it requests and grants, and what it may spend.
+
+The lease protocol (lease.py) keeps the sum of all shares within the limit whatever happens here; this module
+drives it and decides about utilization alone. It does no I/O: datagrams are queued in `LeaseManager.outbox`.
+
+Rules:
+
+- Each budget has its own grantor, chosen by rendezvous hashing among the live members, so that the load is
+  spread. A grantor stays in office as long as it lives. When no grantor is known, the first member in the
+  order of the hash becomes a candidate at once, and each next one an eighth of a lease later, because the
+  first may have failed unnoticed. A candidate withdraws for one before it, and for a grantor that renews.
+- A member requests a lease four times in a lease's duration, for its usage and its pending demand. The
+  requested amount decays by an eighth each time, so that a short pause changes nothing.
+- A demand above the current lease is requested at once, but at most once in `MIN_REQUEST_INTERVAL_US`; so is
+  a request that was not answered.
+- While a change of configuration spreads, members may have different figures for a budget: the smallest limit
+  and the largest floor that the grantor received within two leases apply, and so does the largest number of
+  members ever reported; a candidate with a smaller number gets no promise. Datagrams with other timing
+  (resource, window, lease) are rejected.
+- Each request carries an estimate of how much of the limit can be spent while its endpoint recovers. The
+  grantor divides the share that the median of the members with demand allows: one member whose connections
+  fail limits nobody, and an endpoint that recovers does not get its full rate at once.
+- A transient budget, one of many that come and go with destinations, is idle once no member has had demand
+  for `IDLE_TIMEOUT_US`: nobody renews or requests anything. It is closed when it is unused, and can be opened
+  again at any time.
+- The lease protocol knows members by numbers that are local to this process; a new session begins anew.
 """
 
 import hashlib
-import zlib
 from collections.abc import Callable, Iterable
-from dataclasses import dataclass, field, replace
-from functools import cached_property
-
-from message_sender.budget import division, lease
-from message_sender.budget.enforcer import NEVER_US, LimitEnforcer
-from message_sender.budget.lease import LeaseMessage, LeaseMessageKind, Member, Terms
+from dataclasses import dataclass, replace
+from typing import Protocol
+
+from message_sender.budget import lease
+from message_sender.budget.definition import Budget
+from message_sender.budget.enforcer import LimitEnforcer
+from message_sender.budget.granting import grant_lease
+from message_sender.budget.lease import LeaseMessage, LeaseMessageKind, Member
+from message_sender.budget.ledger import FULLY_WARM_PERMILLE, Ledger, ReportedTerms
 from message_sender.fleet.wire import LeaseDatagram
 
-FAST_CLOCK_FACTOR = 1.0102  # by a clock that is 1% fast, how long a true time takes, with something over
-MAX_CLOCK_DRIFT = 0.021  # what two clocks may differ by, 1% each
-MIN_REQUEST_INTERVAL_US = 100_000  # us
-IDLE_TIMEOUT_US = 60_000_000  # us
-FULLY_WARM_PERMILLE = 1000  # thousandths of the whole
-OWN_NUMBER = 0  # this member, to the machine
-
-
-@dataclass(frozen=True)
-class Budget:
-    """One whole, as this member's configuration has it. Times in us."""
-
-    name: str
-    resource: str  # calls or in_flight
-    limit: int
-    max_members: int
-    window_us: int | None  # of a rate; None: things that are held
-    max_hold_us: int = 30_000_000  # the longest that a thing is held
-    floor: int = 0
-    lease_us: int = 2_000_000
-    slack_us: int = 10_000  # by which the way of two calls may differ
-
-    @cached_property
-    def timing_checksum(self) -> int:
-        """Tells two whose times cannot be reckoned together."""
-        told = f"{self.resource} {self.window_us} {self.max_hold_us} {self.lease_us} {self.slack_us}"
-        return zlib.crc32(told.encode())
-
-    @cached_property
-    def usage_window_us(self) -> int:
-        """us for which a spender counts what it spent; `slack` goes with a rate's alone."""
-        return (
-            int(
-                FAST_CLOCK_FACTOR
-                * ((self.window_us or self.max_hold_us) + (self.slack_us if self.window_us else 0))
-            )
-            + 1
-        )
+MIN_REQUEST_INTERVAL_US = 100_000
+REQUESTS_PER_LEASE = 4
+CANDIDATE_DELAYS_PER_LEASE = 8
+DEMAND_DECAY_DIVISOR = 8
+OWN_NUMBER = 0  # of this member in the lease protocol
 
-    @cached_property
-    def terms(self) -> Terms:
-        after = self.usage_window_us
-        margin = int(MAX_CLOCK_DRIFT * (self.lease_us + after)) + 1
-        return Terms(self.limit, self.max_members, self.lease_us, self.lease_us, margin, self.floor, after)
 
+class ShareListener(Protocol):
+    """Is called when this member's share of a budget has grown."""
 
-@dataclass(slots=True)
-class Requester:
-    """What a keeper heard last of a member's need."""
-
-    demand: int
-    requested_at_us: int
-    share: int = 0
-    warm_permille: int = FULLY_WARM_PERMILLE
+    def __call__(self, budget: str, /) -> None:
+        """Takes the budget's name."""
 
 
 @dataclass(frozen=True, slots=True)
-class ReportedTerms:
-    """What another member has under the same name."""
-
-    limit: int
-    floor: int
-    reported_at_us: int
-
-
-@dataclass
-class Change:
-    at_us: int
-    text: str
-
-
-@dataclass
-class Ledger:
-    """One budget."""
-
-    budget: Budget
-    member: Member
-    enforcer: LimitEnforcer
-    pending_demand: Callable[[], int]  # what is held for it, besides what is in use
-    warm_permille: Callable[[], int]  # thousandths of the whole that may be spent, by its own eyes
-    member_numbers: dict[str, int]  # of names, to the machine
-    is_transient: bool = False
-    last_needed_us: int = -NEVER_US  # when somebody needed some of it last, as far as is known here
-    last_request_us: int = -NEVER_US
-    demand_lowered_us: int = -NEVER_US  # when the need last fell
-    last_vote_request_us: int = -NEVER_US
-    last_promised_us: int = -NEVER_US  # when somebody was promised last
-    requested_amount: int = 0  # the need that falls slowly
-    has_superseded_leases: bool = False  # what it had above its part may still be in use
-    requesters: dict[str, Requester] = field(default_factory=dict)
-    reported_terms: dict[str, ReportedTerms] = field(default_factory=dict)
-    changes: list[Change] = field(default_factory=list)
-    rejections: dict[str, int] = field(default_factory=dict)
-    last_noted: tuple[int, str] = (0, "")  # part and keeper, as last noted
+class OutgoingDatagram:
+    """A datagram that waits to be sent to a member."""
+
+    receiver: str
+    datagram: LeaseDatagram
+
+
+def ignore_share_increase(budget: str) -> None:
+    """The listener that does nothing."""
+
+
+def fully_warm() -> int:
+    """The estimate that the whole limit can be spent, in thousandths."""
+    return FULLY_WARM_PERMILLE
 
 
 class LeaseManager:
+    """The budgets of one member.
+
+    Attributes:
+        name: The member's name.
+        session: Its number of this session, above those of all earlier ones.
+        clock: Returns microseconds of a clock that goes on while the machine sleeps.
+        ledgers: The open budgets, by name.
+        outbox: Datagrams to be sent; the caller takes them out.
+        share_increased: Is called when a share has grown.
+        created_at_us: When the manager was created.
+        session_started_us: When the session started.
+    """
+
     def __init__(self, name: str, session: int, clock: Callable[[], int]) -> None:
-        """`clock`: us, one that goes on while the machine sleeps; `session`: above that of each start
-        before of this name."""
-        self.name, self.session, self.clock = name, session, clock
+        """Begins without budgets; see the class for the arguments."""
+        self.name = name
+        self.session = session
+        self.clock = clock
         self.ledgers: dict[str, Ledger] = {}
-        self.outbox: list[tuple[str, LeaseDatagram]] = []  # to whom
-        self.share_increased: Callable[[str], None] = lambda budget: None
-        self.created_at_us = self.session_started_us = clock()
+        self.outbox: list[OutgoingDatagram] = []
+        self.share_increased: ShareListener = ignore_share_increase
+        self.created_at_us = clock()
+        self.session_started_us = self.created_at_us
 
     def open(
         self,
         budget: Budget,
-        need: Callable[[], int],
-        warm: Callable[[], int] = lambda: FULLY_WARM_PERMILLE,
-        passing: bool = False,
+        pending_demand: Callable[[], int],
+        warm_permille: Callable[[], int] = fully_warm,
+        is_transient: bool = False,
     ) -> Ledger:
-        spender = LimitEnforcer(budget.usage_window_us if budget.window_us else None)
-        numbers, now = {self.name: OWN_NUMBER}, self.clock()
-        book = Ledger(budget, self.new_member(), spender, need, warm, numbers, passing, now)
-        self.ledgers[budget.name] = book
-        return book
+        """Opens a budget.
+
+        Args:
+            budget: Its definition.
+            pending_demand: Returns what waits for it, besides what is in use.
+            warm_permille: Returns an estimate of how much of the limit can be spent, in thousandths.
+            is_transient: Whether `close_idle` may close it.
+
+        Returns:
+            The budget's ledger.
+        """
+        ledger = Ledger(
+            budget=budget,
+            member=self.new_member(),
+            enforcer=LimitEnforcer(budget.usage_window_us if budget.window_us else None),
+            clock=self.clock,
+            pending_demand=pending_demand,
+            warm_permille=warm_permille,
+            member_numbers={self.name: OWN_NUMBER},
+            is_transient=is_transient,
+            last_needed_us=self.clock(),
+        )
+        self.ledgers[budget.name] = ledger
+        return ledger
 
     def new_member(self) -> Member:
-        """Before a book was opened nothing was promised or spent of it in this life."""
+        """Returns the state of a member that has promised and spent nothing in this session."""
         return lease.new_member(OWN_NUMBER, self.session, self.session_started_us)
 
     def update_budget(self, budget: Budget) -> None:
-        """Other figures under the same name: what is held above them is held no more. The largest size that
-        was ever heard of goes on to bind."""
-        book = self.ledgers[budget.name]
-        budget = replace(budget, max_members=max(budget.max_members, book.budget.max_members))
-        if budget == book.budget:
-            return
-        most = budget.terms.leasable_amount()
-        book.member = book.member._replace(leased=min(book.member.leased, max(most, 0)))
-        book.budget = budget
-        self.note_change(book, f"the whole is {budget.limit} from now on")
+        """Changes the figures of an open budget."""
+        self.ledgers[budget.name].update_budget(budget)
 
     def restart_session(self, session: int) -> None:
-        """Others know a later start of this name."""
-        self.session, self.session_started_us = session, self.clock()
-        for book in self.ledgers.values():
-            book.member, book.requesters = self.new_member(), {}
-
-    # What may be spent.
+        """Begins a new session, because another member knows a later one of this name."""
+        self.session = session
+        self.session_started_us = self.clock()
+        for ledger in self.ledgers.values():
+            ledger.member = self.new_member()
+            ledger.requesters = {}
 
-    def share_of(self, book: Ledger) -> int:
-        member = book.member._replace(clock=self.clock())  # what has run out is not spendable by its own time
-        return min(lease.spendable_amount(member, book.budget.terms), max(book.budget.limit, 0))
+    # Spending.
 
     def free_at(self, name: str) -> int:
-        """us of the clock at which one more may be spent; NEVER: not before a part grows or a thing ends."""
-        book = self.ledgers[name]
-        return book.enforcer.free_at(self.clock(), self.share_of(book))
+        """Returns when one more unit is free, in us of the clock.
+
+        NEVER_US: not before the share grows or a thing that is held ends.
+        """
+        ledger = self.ledgers[name]
+        return ledger.enforcer.free_at(self.clock(), ledger.share())
 
     def try_spend(self, names: Iterable[str], spent_by: str) -> bool:
-        """Asked as the first byte goes; each of these budgets must have room."""
-        books, now = [self.ledgers[name] for name in names], self.clock()
-        if not all(book.enforcer.has_capacity(now, self.share_of(book)) for book in books):
+        """Spends one unit of each of the budgets, as the first byte goes; False: one of them has none."""
+        ledgers = [self.ledgers[name] for name in names]
+        now_us = self.clock()
+        if not all(each.enforcer.has_capacity(now_us, each.share()) for each in ledgers):
             return False
-        for book in books:
-            book.enforcer.spend(spent_by, now)
+        for ledger in ledgers:
+            ledger.enforcer.spend(spent_by, now_us)
         return True
 
-    # What is said.
-
-    def tick(self, there: Iterable[str]) -> None:
-        """Several times a second; `there`: the others that are alive."""
-        others = sorted(there)
-        for book in self.ledgers.values():
-            book.member = lease.advance_clock(book.member, self.clock())
-            if not self.is_idle(book):
-                self.request_votes(book, others)
-                self.request_lease(book)
-            self.release_superseded(book)
-            self.note_transition(book)
-
-    def is_idle(self, book: Ledger) -> bool:
-        if not book.is_transient:
-            return False
-        now = self.clock()
-        since = now - 2 * book.budget.lease_us
-        asked = any(each.demand > 0 and each.requested_at_us > since for each in book.requesters.values())
-        if asked or book.requested_amount > 0 or self.demand_of(book) > 0:
-            book.last_needed_us = now
-        return now >= book.last_needed_us + IDLE_TIMEOUT_US
+    # Periodic work.
+
+    def tick(self, live_members: Iterable[str]) -> None:
+        """Renews what is due; called several times a second with the names of the other live members."""
+        others = sorted(live_members)
+        for ledger in self.ledgers.values():
+            ledger.member = lease.advance_clock(ledger.member, self.clock())
+            if not ledger.is_idle():
+                self.request_votes(ledger, others)
+                self.request_lease(ledger)
+            self.release_superseded(ledger)
+            ledger.note_status()
 
     def close_idle(self) -> list[str]:
-        """Names of passing budgets that rest with nothing out, promised or spent; they are gone."""
-        gone = [name for name, book in self.ledgers.items() if self.is_idle(book) and self.is_unused(book)]
-        for name in gone:
+        """Closes the transient budgets that are idle and unused, and returns their names."""
+        closed = [name for name, ledger in self.ledgers.items() if ledger.is_idle() and ledger.is_unused()]
+        for name in closed:
             del self.ledgers[name]
-        return gone
-
-    def is_unused(self, book: Ledger) -> bool:
-        member, now = lease.advance_clock(book.member, self.clock()), self.clock()
-        out = (
-            member.promised_to != lease.NO_MEMBER
-            or lease.is_grantor(member)
-            or member.grants
-            or member.leased
-        )
-        asked = now < book.last_request_us + book.budget.lease_us
-        return not (out or asked or book.enforcer.usage(now))
-
-    def request_votes(self, book: Ledger, others: list[str]) -> None:
-        budget, now = book.budget, self.clock()
-        if book.member.promised_to != lease.NO_MEMBER:
-            book.last_promised_us = now
-            if not lease.is_own_grantor(book.member):
+        return closed
+
+    def request_votes(self, ledger: Ledger, others: list[str]) -> None:
+        """Becomes a candidate, or renews this member's term as grantor, when that is due."""
+        budget = ledger.budget
+        now_us = self.clock()
+        if ledger.member.promised_to != lease.NO_MEMBER:
+            ledger.last_promised_us = now_us
+            if not lease.is_own_grantor(ledger.member):
                 return
-        if now < book.last_vote_request_us + budget.lease_us // 4:
+        if now_us < ledger.last_vote_request_us + budget.lease_us // REQUESTS_PER_LEASE:
             return
-        keeping = lease.is_grantor(book.member)
-        if not keeping:
-            place = sum(
-                grantor_rank(budget.name, each) < grantor_rank(budget.name, self.name) for each in others
-            )
-            if now < book.last_promised_us + place * (budget.lease_us // 8):
-                return
-        book.member, words = lease.request_votes(book.member, budget.terms)
-        if words:
-            book.last_vote_request_us = now
-            for each in others:
-                self.send(
-                    book,
-                    each,
-                    LeaseMessageKind.VOTE_REQUEST,
-                    self.session,
-                    book.member.votes_requested_at,
-                    int(keeping),
-                )
-
-    def grantor_of(self, book: Ledger) -> str:
-        return next(
-            (name for name, number in book.member_numbers.items() if number == book.member.promised_to), ""
-        )
-
-    def demand_of(self, book: Ledger) -> int:
-        now = self.clock()
-        all_of_it = book.enforcer.usage(now) + book.pending_demand() - book.budget.floor
-        return max(min(all_of_it, book.budget.terms.leasable_amount()), 0)
-
-    def request_lease(self, book: Ledger) -> None:
-        now, keeper, fresh = self.clock(), self.grantor_of(book), self.demand_of(book)
-        answered = book.member.lease_requested_at >= book.last_request_us
-        due = now >= book.last_request_us + (
-            book.budget.lease_us // 4 if answered else MIN_REQUEST_INTERVAL_US
-        )
-        short = (
-            fresh > max(book.member.leased, book.requested_amount)
-            and now >= book.last_request_us + MIN_REQUEST_INTERVAL_US
+        is_renewal = lease.is_grantor(ledger.member)
+        if not is_renewal and now_us < ledger.last_promised_us + self.candidate_delay_us(budget, others):
+            return
+        ledger.member, requests = lease.request_votes(ledger.member, budget.terms)
+        if requests:
+            ledger.last_vote_request_us = now_us
+            for name in others:
+                self.send(ledger, name, requests[0]._replace(amount=int(is_renewal)))
+
+    def candidate_delay_us(self, budget: Budget, others: list[str]) -> int:
+        """How long this member leaves the candidacy to the members before it in the order of the hash."""
+        own_rank = grantor_rank(budget.name, self.name)
+        position = sum(grantor_rank(budget.name, name) < own_rank for name in others)
+        return position * (budget.lease_us // CANDIDATE_DELAYS_PER_LEASE)
+
+    def request_lease(self, ledger: Ledger) -> None:
+        """Requests a lease when one is due or the demand has grown."""
+        now_us = self.clock()
+        grantor = ledger.grantor()
+        demand = ledger.demand()
+        if not grantor or not is_request_due(ledger, demand, now_us):
+            return
+        if now_us >= ledger.demand_lowered_us + ledger.budget.lease_us // REQUESTS_PER_LEASE:
+            ledger.requested_amount -= max(ledger.requested_amount // DEMAND_DECAY_DIVISOR, 1)
+            ledger.demand_lowered_us = now_us
+        ledger.requested_amount = max(demand, ledger.requested_amount)
+        ledger.last_request_us = now_us
+        request = LeaseMessage(
+            LeaseMessageKind.LEASE_REQUEST,
+            OWN_NUMBER,
+            ledger.member_numbers[grantor],
+            self.session,
+            now_us,
+            ledger.requested_amount,
         )
-        if not keeper or not (due or short):
+        if grantor != self.name:
+            self.send(ledger, grantor, request)
             return
-        if now >= book.demand_lowered_us + book.budget.lease_us // 4:
-            book.requested_amount, book.demand_lowered_us = (
-                book.requested_amount - max(book.requested_amount // 8, 1),
-                now,
-            )
-        book.requested_amount, book.last_request_us = max(fresh, book.requested_amount), now
-        if keeper == self.name:
-            word = LeaseMessage(
-                LeaseMessageKind.LEASE_REQUEST,
-                OWN_NUMBER,
-                OWN_NUMBER,
-                self.session,
-                now,
-                book.requested_amount,
-            )
-            granted = self.grant_lease(book, self.name, word, book.warm_permille())
-            if granted:
-                self.apply_grant(book, granted)
-        else:
-            self.send(book, keeper, LeaseMessageKind.LEASE_REQUEST, self.session, now, book.requested_amount)
-
-    def release_superseded(self, book: Ledger) -> None:
-        """Once what is in use is within its part, the rest is over."""
-        keeper = self.grantor_of(book)
-        if (
-            not book.has_superseded_leases
-            or not keeper
-            or book.enforcer.usage(self.clock()) > self.share_of(book)
-        ):
+        grant = grant_lease(ledger, self.name, request, ledger.warm_permille())
+        if grant:
+            self.apply_grant(ledger, grant)
+
+    def release_superseded(self, ledger: Ledger) -> None:
+        """Releases earlier, larger leases once the usage is within the current one."""
+        grantor = ledger.grantor()
+        if not ledger.has_superseded_leases or not grantor:
             return
-        for word in lease.release_superseded(book.member, book.budget.terms, book.member_numbers[keeper]):
-            book.has_superseded_leases = False
-            if keeper == self.name:
-                book.member = lease.handle_release(book.member, word)
+        if ledger.enforcer.usage(self.clock()) > ledger.share():
+            return
+        number = ledger.member_numbers[grantor]
+        for release in lease.release_superseded(ledger.member, ledger.budget.terms, number):
+            ledger.has_superseded_leases = False
+            if grantor == self.name:
+                ledger.member = lease.handle_release(ledger.member, release)
             else:
-                self.send(book, keeper, LeaseMessageKind.RELEASE, self.session, word.requested_at)
+                self.send(ledger, grantor, release)
 
     def release_all(self) -> None:
-        """What is not in use is given back at once; the rest runs out."""
-        for book in self.ledgers.values():
-            keeper = self.grantor_of(book)
-            terms, number = book.budget.terms, book.member_numbers.get(keeper, OWN_NUMBER)
-            book.member, words = lease.release_lease(book.member, terms, number)
-            if (
-                words
-                and keeper not in ("", self.name)
-                and book.enforcer.usage(self.clock()) <= self.share_of(book)
-            ):
-                self.send(book, keeper, LeaseMessageKind.RELEASE, self.session, words[0].requested_at)
-
-    def send(
-        self, book: Ledger, to: str, kind: LeaseMessageKind, session: int, asked: int, amount: int = 0
-    ) -> None:
-        budget = book.budget
-        warm = book.warm_permille() if kind is LeaseMessageKind.LEASE_REQUEST else FULLY_WARM_PERMILLE
-        figures = budget.limit, budget.floor, budget.max_members, budget.timing_checksum, warm
-        self.outbox.append((to, LeaseDatagram(budget.name, kind, session, asked, amount, *figures)))
-
-    # What is heard.
-
-    def handle_datagram(self, by: str, said: LeaseDatagram) -> None:
-        """Whatever comes. Of a budget that is not known here nothing is believed."""
-        if (book := self.ledgers.get(said.budget)) is None:
-            return
-        if said.form != book.budget.timing_checksum:
-            self.record_rejection(book, f"other times under its name, by {by}")
-            return
-        if said.size > book.budget.max_members:
-            book.budget = replace(book.budget, max_members=said.size)
-            self.note_change(book, f"up to {said.size} members, says {by}")
-        if said.kind == LeaseMessageKind.VOTE_REQUEST and said.size < book.budget.max_members:
-            self.record_rejection(book, f"{by} counts on {said.size} members alone")
-            return
-        number = book.member_numbers.setdefault(by, len(book.member_numbers))
-        book.reported_terms[by] = ReportedTerms(said.whole, said.floor, self.clock())
-        kind = LeaseMessageKind(said.kind)
-        book.member = lease.advance_clock(book.member, self.clock())
-        word = LeaseMessage(kind, number, OWN_NUMBER, said.session, said.asked, said.amount)
-        if kind is LeaseMessageKind.LEASE_REQUEST:
-            if answer := self.grant_lease(book, by, word, said.warm):
-                self.send(book, by, LeaseMessageKind.GRANT, said.session, said.asked, answer.amount)
-        elif kind is LeaseMessageKind.GRANT:
-            self.apply_grant(book, word)
-        elif kind is LeaseMessageKind.RELEASE:
-            book.member = lease.handle_release(book.member, word)
-        else:
-            behind = said.amount or grantor_rank(said.budget, by) < grantor_rank(said.budget, self.name)
-            if kind is LeaseMessageKind.VOTE_REQUEST and behind:
-                book.member = lease.abandon_election(book.member)
-            book.member, answers = lease.handle_message(book.member, book.budget.terms, word)
-            for each in answers:
-                self.send(book, by, each.kind, each.session, each.requested_at)
-
-    def apply_grant(self, book: Ledger, word: LeaseMessage) -> None:
-        terms, before = book.budget.terms, self.share_of(book)
-        if word.amount > terms.leasable_amount() or word.amount < 0:
-            why = "a grant of more than the whole" if word.amount > 0 else "a grant below nothing"
-            self.record_rejection(book, why)
+        """Releases the leases that are not in use, before the process ends; the others run out."""
+        for ledger in self.ledgers.values():
+            grantor = ledger.grantor()
+            number = ledger.member_numbers.get(grantor, OWN_NUMBER)
+            ledger.member, releases = lease.release_lease(ledger.member, ledger.budget.terms, number)
+            if not releases or grantor in ("", self.name):
+                continue
+            if ledger.enforcer.usage(self.clock()) <= ledger.share():
+                self.send(ledger, grantor, releases[0])
+
+    def send(self, ledger: Ledger, receiver: str, message: LeaseMessage) -> None:
+        """Queues a message with this member's figures of the budget."""
+        is_request = message.kind is LeaseMessageKind.LEASE_REQUEST
+        budget = ledger.budget
+        datagram = LeaseDatagram(
+            budget.name,
+            message.kind,
+            message.session,
+            message.requested_at,
+            message.amount,
+            budget.limit,
+            budget.floor,
+            budget.max_members,
+            budget.timing_checksum,
+            ledger.warm_permille() if is_request else FULLY_WARM_PERMILLE,
+        )
+        self.outbox.append(OutgoingDatagram(receiver, datagram))
+
+    # Received datagrams.
+
+    def handle_datagram(self, sender: str, datagram: LeaseDatagram) -> None:
+        """Handles a datagram of another member; one of an unknown budget is ignored."""
+        ledger = self.ledgers.get(datagram.budget)
+        if ledger is None or not check_terms(ledger, sender, datagram):
             return
-        held = book.member.leased
-        book.member = lease.handle_grant(book.member, terms, word)
-        book.has_superseded_leases = book.has_superseded_leases or book.member.leased < held
-        if self.share_of(book) > before:
-            self.share_increased(book.budget.name)
-
-    @staticmethod
-    def record_rejection(book: Ledger, why: str) -> None:
-        book.rejections[why] = book.rejections.get(why, 0) + 1
-
-    def grant_lease(self, book: Ledger, by: str, word: LeaseMessage, warm: int) -> LeaseMessage | None:
-        """The keeper's: a grant, which is on its list; of nothing it need not be."""
-        now = self.clock()
-        if word.amount < 0:
-            return None
-        before = book.requesters[by].share if by in book.requesters else 0
-        book.requesters[by] = asker = Requester(min(word.amount, book.budget.limit), now, before, warm)
-        book.requesters = {
-            name: each
-            for name, each in book.requesters.items()
-            if now < each.requested_at_us + 2 * book.budget.lease_us
-        }
-        if not lease.is_grantor(book.member) or now < book.member.grants_from:
-            return None  # by then it knows what all need
-        terms = self.effective_terms(book)
-        needs = {name: each.demand for name, each in sorted(book.requesters.items())}
-        warmth = sorted(each.warm_permille for each in book.requesters.values() if each.demand > 0) or [
-            FULLY_WARM_PERMILLE
-        ]
-        most = -(-terms.leasable_amount() * warmth[(len(warmth) - 1) // 2] // FULLY_WARM_PERMILLE)
-        parts = division.divide(most, needs, now // (2 * book.budget.lease_us))
-        part = division.damp_change(parts[by], asker.share, asker.demand)
-        if part <= 0:
-            asker.share = 0
-            return LeaseMessage(
-                LeaseMessageKind.GRANT, OWN_NUMBER, word.sender, word.session, word.requested_at, 0
+        number = ledger.member_numbers.setdefault(sender, len(ledger.member_numbers))
+        ledger.reported_terms[sender] = ReportedTerms(datagram.whole, datagram.floor, self.clock())
+        ledger.member = lease.advance_clock(ledger.member, self.clock())
+        kind = LeaseMessageKind(datagram.kind)
+        message = LeaseMessage(kind, number, OWN_NUMBER, datagram.session, datagram.asked, datagram.amount)
+        match kind:
+            case LeaseMessageKind.LEASE_REQUEST:
+                if grant := grant_lease(ledger, sender, message, datagram.warm):
+                    self.send(ledger, sender, grant)
+            case LeaseMessageKind.GRANT:
+                self.apply_grant(ledger, message)
+            case LeaseMessageKind.RELEASE:
+                ledger.member = lease.handle_release(ledger.member, message)
+            case LeaseMessageKind.VOTE_REQUEST:
+                self.handle_vote_request(ledger, sender, message)
+            case LeaseMessageKind.PROMISE:
+                ledger.member, _ = lease.handle_message(ledger.member, ledger.budget.terms, message)
+
+    def handle_vote_request(self, ledger: Ledger, sender: str, request: LeaseMessage) -> None:
+        """Withdraws this member's candidacy if the sender's has precedence, and votes."""
+        budget = ledger.budget
+        is_renewal = request.amount != 0
+        if is_renewal or grantor_rank(budget.name, sender) < grantor_rank(budget.name, self.name):
+            ledger.member = lease.abandon_election(ledger.member)
+        ledger.member, promises = lease.handle_message(ledger.member, budget.terms, request)
+        for promise in promises:
+            self.send(ledger, sender, promise)
+
+    def apply_grant(self, ledger: Ledger, grant: LeaseMessage) -> None:
+        """Takes a lease, unless its amount is impossible."""
+        terms = ledger.budget.terms
+        previous_share = ledger.share()
+        if grant.amount > terms.leasable_amount() or grant.amount < 0:
+            is_excessive = grant.amount > 0
+            ledger.record_rejection(
+                "a grant of more than the whole" if is_excessive else "a grant below nothing"
             )
-        book.member, answers = lease.handle_lease_request(book.member, terms, word._replace(amount=part))
-        asker.share = answers[0].amount if answers else 0
-        return answers[0] if answers else None
-
-    def effective_terms(self, book: Ledger) -> Terms:
-        """The keeper's: the smallest whole and the largest floor that it has heard of."""
-        since = self.clock() - 2 * book.budget.lease_us
-        book.reported_terms = {
-            name: each for name, each in book.reported_terms.items() if each.reported_at_us > since
-        }
-        whole = min([book.budget.limit, *(each.limit for each in book.reported_terms.values())])
-        floor = max([book.budget.floor, *(each.floor for each in book.reported_terms.values())])
-        return replace(book.budget, limit=whole, floor=floor).terms
-
-    # For people.
-
-    def note_transition(self, book: Ledger) -> None:
-        part, keeper = self.share_of(book), self.grantor_of(book)
-        if (part, keeper) == book.last_noted:
             return
-        before, kept_by = book.last_noted
-        book.last_noted = part, keeper
-        if keeper != kept_by:
-            self.note_change(
-                book, f"kept by {keeper}" if keeper else f"{kept_by} keeps it no more, as far as known"
-            )
-        if part != before:
-            self.note_change(book, f"from {before} to {part}, {book.requested_amount} needed")
+        previously_leased = ledger.member.leased
+        ledger.member = lease.handle_grant(ledger.member, terms, grant)
+        if ledger.member.leased < previously_leased:
+            ledger.has_superseded_leases = True
+        if ledger.share() > previous_share:
+            self.share_increased(ledger.budget.name)
+
+
+def is_request_due(ledger: Ledger, demand: int, now_us: int) -> bool:
+    """Whether the lease is to be renewed, the last request was not answered, or the demand has grown."""
+    elapsed_us = now_us - ledger.last_request_us
+    is_answered = ledger.member.lease_requested_at >= ledger.last_request_us
+    if is_answered and elapsed_us >= ledger.budget.lease_us // REQUESTS_PER_LEASE:
+        return True
+    is_unanswered_or_short = not is_answered or demand > max(ledger.member.leased, ledger.requested_amount)
+    return is_unanswered_or_short and elapsed_us >= MIN_REQUEST_INTERVAL_US
 
-    def note_change(self, book: Ledger, text: str) -> None:
-        book.changes = [*book.changes[-31:], Change(self.clock(), text)]
+
+def check_terms(ledger: Ledger, sender: str, datagram: LeaseDatagram) -> bool:
+    """Compares a datagram's figures with this member's; False: it is rejected."""
+    if datagram.form != ledger.budget.timing_checksum:
+        ledger.record_rejection(f"other times under its name, by {sender}")
+        return False
+    if datagram.size > ledger.budget.max_members:
+        ledger.budget = replace(ledger.budget, max_members=datagram.size)
+        ledger.note_change(f"up to {datagram.size} members, says {sender}")
+    is_vote_request = datagram.kind == LeaseMessageKind.VOTE_REQUEST
+    if is_vote_request and datagram.size < ledger.budget.max_members:
+        ledger.record_rejection(f"{sender} counts on {datagram.size} members alone")
+        return False
+    return True
 
 
 def grantor_rank(budget: str, name: str) -> bytes:
-    """The lowest keeps a budget: rendezvous hashing, so that a member that goes moves its own ones alone."""
+    """Returns the member's rank for a budget; the lowest becomes grantor.
+
+    This is rendezvous hashing: when a member fails, only its own budgets move.
+    """
     return hashlib.blake2b(f"{budget}\0{name}".encode(), digest_size=8).digest()
--- a/message_sender/emulator/explore.py
+++ b/message_sender/emulator/explore.py
@@ -276,7 +276,8 @@
 
 def told(word: LeaseMessage) -> str:
     amount = f" of {word.amount}" if word.amount else ""
-    return f"{word.kind.name.lower()}{amount} from {word.sender} to {word.receiver}, asked at {word.requested_at},"
+    way = f"from {word.sender} to {word.receiver}"
+    return f"{word.kind.name.lower()}{amount} {way}, asked at {word.requested_at},"
 
 
 def explore(terms: Terms, limits: Limits | None = None) -> Found:
--- a/message_sender/emulator/shared.py
+++ b/message_sender/emulator/shared.py
@@ -14,8 +14,9 @@
 from dataclasses import dataclass, field, replace
 from functools import partial
 
+from message_sender.budget.definition import Budget
 from message_sender.budget.enforcer import LimitEnforcer
-from message_sender.budget.manager import Budget, LeaseManager
+from message_sender.budget.manager import LeaseManager
 from message_sender.emulator.member_network import MemberNetwork
 from message_sender.fleet import wire
 from message_sender.fleet.node import FleetNode
@@ -166,13 +167,13 @@
         """What its desk says."""
         node, desk = self.hall.nodes[name], self.desks[name]
         out, desk.outbox = desk.outbox, []
-        for to, said in out:
-            node.send_to(to, said)
+        for each in out:
+            node.send_to(each.receiver, each.datagram)
         self.hall.flush(name)
 
     def look(self) -> None:
         """Who stands still may spend as much as its clock lets it when it wakes."""
-        there = (desk.share_of(desk.ledgers[self.budget.name]) for desk in self.desks.values())
+        there = (desk.ledgers[self.budget.name].share() for desk in self.desks.values())
         self.ledger.most_parts = max(self.ledger.most_parts, sum(there))
 
     def work(self, number: int, node: FleetNode) -> None:
--- a/message_sender/service/budgets.py
+++ b/message_sender/service/budgets.py
@@ -11,8 +11,10 @@
 from itertools import count, islice
 from typing import Any, NamedTuple, Protocol
 
+from message_sender.budget.definition import Budget
 from message_sender.budget.enforcer import NEVER_US
-from message_sender.budget.manager import FULLY_WARM_PERMILLE, Budget, LeaseManager
+from message_sender.budget.ledger import FULLY_WARM_PERMILLE
+from message_sender.budget.manager import LeaseManager
 from message_sender.budget.retry_allowance import RetryAllowance
 from message_sender.configuration.resources import SharedBudget
 from message_sender.core.engine import Engine
@@ -173,7 +175,7 @@
             self.budget(told, name, value),
             partial(self.need, told, name, value),
             partial(self.warm, told, value),
-            passing=told.is_each(),
+            is_transient=told.is_each(),
         )
 
     def configure(self, told: tuple[SharedBudget, ...], size: int) -> None:
@@ -473,7 +475,7 @@
         """Closes kept connections that are more than a part which has shrunk."""
         for name, book in list(self.desk.ledgers.items()):
             told, _ = self.opened[name]
-            excess = book.enforcer.usage(self.clock()) - self.desk.share_of(book)
+            excess = book.enforcer.usage(self.clock()) - book.share()
             if told.of != "connections" or excess <= 0 or not self.transport:
                 continue
             there = self.engine.dispatcher.endpoints
@@ -547,8 +549,8 @@
 
     def post(self) -> None:
         out, self.desk.outbox = self.desk.outbox, []
-        for to, said in out:
-            self.link.node.send_to(to, said)
+        for each in out:
+            self.link.node.send_to(each.receiver, each.datagram)
         self.link.flush()
 
     def close(self) -> None:
--- a/tests/compatibility/samples.py
+++ b/tests/compatibility/samples.py
@@ -16,7 +16,8 @@
 import click
 import msgspec
 
-from message_sender.budget.manager import Budget, LeaseManager
+from message_sender.budget.definition import Budget
+from message_sender.budget.manager import LeaseManager
 from message_sender.budget.status import describe_budgets as budget_status
 from message_sender.cli import root_command as command_table
 from message_sender.control import messages as control
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -15,10 +15,11 @@
 from hypothesis import strategies as st
 
 from message_sender.budget import division, lease
-from message_sender.budget import manager as desks
+from message_sender.budget.definition import Budget
 from message_sender.budget.enforcer import NEVER_US, LimitEnforcer
 from message_sender.budget.lease import LeaseMessageKind
-from message_sender.budget.manager import Budget, LeaseManager
+from message_sender.budget.ledger import FULLY_WARM_PERMILLE
+from message_sender.budget.manager import LeaseManager, grantor_rank
 from message_sender.budget.retry_allowance import RetryAllowance
 from message_sender.cli.chart import Run
 from message_sender.configuration.resources import SharedBudget
@@ -99,7 +100,7 @@
 def test_a_dead_members_part_is_in_use_again_within_its_leases() -> None:
     fleet = Fleet(budget(5, 60), 5, 2, [60.0] * 5)
     fleet.hall.run(12.0)
-    keeper = fleet.desks["n0"].grantor_of(fleet.desks["n0"].ledgers["hub"])
+    keeper = fleet.desks["n0"].ledgers["hub"].grantor()
     fleet.end(next(each for each in range(5) if f"n{each}" != keeper))
     fleet.hall.run(20.0)
     assert fleet.ledger.used(12, 14, 60) < 0.9 < fleet.ledger.used(15.9, 20, 60)
@@ -187,7 +188,7 @@
         "floor": 0,
         "size": 3,
         "form": budget(3).timing_checksum,
-        "warm": desks.FULLY_WARM_PERMILLE,
+        "warm": FULLY_WARM_PERMILLE,
     }
     desk.handle_datagram("b", LeaseDatagram("hub", **figures | what))
     assert desk.free_at("hub") == NEVER_US and any(why in each for each in desk.ledgers["hub"].rejections)
@@ -256,7 +257,7 @@
 
 def test_keepers_are_spread_over_members() -> None:
     names = [f"n{each}" for each in range(10)]
-    assert len({min(names, key=lambda x: desks.grantor_rank(str(each), x)) for each in range(30)}) > 6
+    assert len({min(names, key=lambda x: grantor_rank(str(each), x)) for each in range(30)}) > 6
 
 
 @given(st.lists(st.tuples(st.integers(0, 40), st.booleans()), max_size=80), st.integers(0, 2))
