--- a/message_sender/service/membership.py
+++ b/message_sender/service/membership.py
@@ -154,7 +154,7 @@
         return self.budgets.waits_for_start(budgets)
 
     def told_budgets(self) -> dict[str, object]:
-        return budget_status(self.budgets.desk) if self.budgets else {}
+        return budget_status(self.budgets.manager) if self.budgets else {}
 
     def destination(self, endpoint: str) -> int | None:
         known = self.engine.dispatcher.endpoints.get(endpoint)
@@ -183,7 +183,7 @@
     def admission_delay_us(self, message: Message) -> int:
         if after := self.coordinator.admits(message.destination, message.message_class):
             return after
-        if self.budgets and (after := self.budgets.admits(message)):
+        if self.budgets and (after := self.budgets.tenant_delay_us(message)):
             return after
         self.coordinator.comes(message.destination)
         return 0
--- a/tests/test_control_sender.py
+++ b/tests/test_control_sender.py
@@ -170,8 +170,9 @@
         document = configuration.document
         put = tuple(Resource(*each) for each in resources.items())
         configuration.apply(document, Delta(0, 1, put, (), document.digest_after(put, ())))
-        assert sender.membership.budgets.desk.ledgers["out"].budget.limit == 8
-        assert [*sender.membership.budgets.of(sender.directory.endpoints()[0]).plain] == ["out"]
+        assert sender.membership.budgets.manager.ledgers["out"].budget.limit == 8
+        endpoint = sender.directory.endpoints()[0]
+        assert sender.membership.budgets.registry.budgets_of(endpoint).calls == ["out"]
 
 
 def test_what_waits_for_a_start_is_what_configure_would_leave(caplog: pytest.LogCaptureFixture) -> None:
@@ -185,7 +186,7 @@
     links = LinkHub(lambda: 0.0, lambda *told: None, 1, US, 0.0, 1)
     links.join("n0", engine, 1)
     _, budgets = links.ends["n0"]
-    was = tuple(budgets.told.values())
+    was = tuple(budgets.registry.definitions.values())
     calls = SharedBudget("calls", "calls", "destination", 3, 10, None, US, 0, US, 0, 0)
     budgets.configure((*was, calls), 1)
 
@@ -194,7 +195,8 @@
         found = budgets.waits_for_start((*was, *told))
         caplog.clear()
         budgets.configure((*was, *told), 1)
-        is_left = "that waits for a start" in caplog.text or "until the next start" in caplog.text
+        is_changed = "budget change waits for the next start: budget=" in caplog.text
+        is_left = is_changed or "removed budget applies until the next start: budget=" in caplog.text
         assert bool(found) == is_left
         return found
 
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -242,17 +242,19 @@
     for second in range(200):
         time["now"] = second / 10
         budgets.step(time["now"])
-        if budgets.free_at(listed, 0) <= 0 and not budgets.out:
-            budgets.reserve(listed, "m")
-            assert budgets.reserve_limits("e", "m")
-    assert budgets.out["m"].names == ["rate/3"]
+        if budgets.reservations.free_at(listed, 0) <= 0 and not budgets.reservations.calls:
+            budgets.reservations.reserve(listed, "m")
+            assert budgets.reservations.reserve_limits("e", "m")
+    assert budgets.reservations.calls["m"].names == ["rate/3"]
     at.held = {}
     for second in range(20, 100):
         time["now"] = float(second)
         budgets.step(time["now"])
-    assert not budgets.desk.ledgers
+    assert not budgets.manager.ledgers
     engine.hooks.release_limits("m")
-    assert not budgets.out and budgets.free_at(listed, 0) > 0, "opened anew, and asked for"
+    assert not budgets.reservations.calls and budgets.reservations.free_at(listed, 0) > 0, (
+        "opened anew, and asked for"
+    )
 
 
 def test_keepers_are_spread_over_members() -> None:
@@ -373,15 +375,18 @@
     _, budgets = links.ends["n0"]
     calls = SharedBudget("calls", "calls", "destination", 3, 10, None, US, 0, US, 0, 0)
     out = replace(calls, name="out", of="in_flight", value=None, span=None)
-    was = tuple(budgets.told.values())
+    was = tuple(budgets.registry.definitions.values())
     budgets.configure((*was, calls, out), 1)
-    assert sorted(budgets.of(listed).plain) == ["calls", "out/3", "rate/3"]
+    assert sorted(budgets.registry.budgets_of(listed).calls) == ["calls", "out/3", "rate/3"]
     budgets.configure((*was, replace(calls, whole=4), replace(out, lease=2 * US)), 1)
-    assert budgets.desk.ledgers["calls"].budget.limit == 4
-    assert budgets.desk.ledgers["out/3"].budget.lease_us == US and "more than its whole" in caplog.text
+    assert budgets.manager.ledgers["calls"].budget.limit == 4
+    assert budgets.manager.ledgers["out/3"].budget.lease_us == US
+    assert "budget change waits for the next start: budget=out fields=lease_ms" in caplog.text
     engine.transport = transport = HttpTransport(10, 10, 4, dict)
     budgets.configure((*was, replace(calls, name="new ones", of="handshakes")), 1)
-    assert transport.opens == budgets.opens and budgets.of(listed).ways == ["new ones"]
+    assert transport.opens == budgets.connections.open_connection and budgets.registry.budgets_of(
+        listed
+    ).connections == ["new ones"]
     transport.close()
     budgets.configure(was, 1)
-    assert "it binds until the next start" in caplog.text
+    assert "removed budget applies until the next start: budget=calls" in caplog.text
