--- a/message_sender/management/__init__.py
+++ b/message_sender/management/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' calls: their listener and the figures' lines. It asks the core and decides nothing."""
+"""The operators' management API: its listener, its calls and the text format of its metrics."""
--- a/message_sender/management/calls.py
+++ b/message_sender/management/calls.py
@@ -1,49 +1,77 @@
-"""The operators' calls, as a table: method and path to what is asked. Pure."""
+"""The calls of the management API: a table from method and path to an operation. Pure."""
 
 from dataclasses import dataclass
 from enum import Enum
+from http import HTTPStatus
 from urllib.parse import unquote
 
 
 class Operation(Enum):
-    TAKES_CLIENTS = "is it taking clients"
-    FIGURES = "the figures"
-    TAKE_OUT = "take a receiver out"
-    PUT_BACK = "put a receiver back"
-    SEND_AWAY = "send clients away"
-    COME_BACK = "back to work"
+    """What an operator can ask for; the values are for log lines."""
+
+    READINESS = "readiness"
+    METRICS = "metrics"
+    START_MAINTENANCE = "start maintenance"
+    END_MAINTENANCE = "end maintenance"
+    DRAIN = "drain"
+    RESUME = "resume"
 
 
 @dataclass(frozen=True, slots=True)
 class ManagementCall:
-    ask: Operation
-    receiver: str = ""
+    """One call.
+
+    Attributes:
+        operation: What is asked for.
+        endpoint: The endpoint's id, for maintenance; else empty.
+    """
+
+    operation: Operation
+    endpoint: str = ""
 
 
 @dataclass(frozen=True, slots=True)
 class ManagementReply:
-    """`status` 2xx is yes, 4xx and 5xx no. What is said is for people, but for the figures."""
+    """The response to a call.
+
+    Attributes:
+        status: The HTTP status; 2xx means that the operation was done.
+        text: The body: the metrics, or a text for people.
+    """
 
     status: int
     text: str = ""
 
 
-PATHS = {
-    ("healthcheck",): ("GET", Operation.TAKES_CLIENTS),
-    ("stats",): ("GET", Operation.FIGURES),
-    ("healthcheck", "fail"): ("POST", Operation.SEND_AWAY),
-    ("healthcheck", "ok"): ("POST", Operation.COME_BACK),
+#: The method and the operation of each path without a parameter.
+OPERATIONS_BY_PATH = {
+    ("healthcheck",): ("GET", Operation.READINESS),
+    ("stats",): ("GET", Operation.METRICS),
+    ("healthcheck", "fail"): ("POST", Operation.DRAIN),
+    ("healthcheck", "ok"): ("POST", Operation.RESUME),
 }
-OF_RECEIVERS = {"maint": Operation.TAKE_OUT, "ready": Operation.PUT_BACK}
+#: The operations on /receivers/ID/...
+ENDPOINT_OPERATIONS = {"maint": Operation.START_MAINTENANCE, "ready": Operation.END_MAINTENANCE}
+ENDPOINT_METHOD = "POST"
 
 
-def read(method: str, target: str) -> ManagementCall | ManagementReply:
-    """The call, or the reply that refuses what is none."""
-    parts = target.partition("?")[0].removeprefix("/").split("/")
-    if len(parts) == 3 and parts[0] == "receivers" and parts[1] and parts[2] in OF_RECEIVERS:
-        wanted, call = "POST", ManagementCall(OF_RECEIVERS[parts[2]], unquote(parts[1]))
-    elif found := PATHS.get(tuple(parts)):
-        wanted, call = found[0], ManagementCall(found[1])
+def parse_call(method: str, target: str) -> ManagementCall | ManagementReply:
+    """Returns the call of a request, or the reply that rejects the request."""
+    path = tuple(target.partition("?")[0].removeprefix("/").split("/"))
+    if call := parse_endpoint_call(path):
+        expected_method = ENDPOINT_METHOD
+    elif path in OPERATIONS_BY_PATH:
+        expected_method, operation = OPERATIONS_BY_PATH[path]
+        call = ManagementCall(operation)
     else:
-        return ManagementReply(404, "there is no such call")
-    return call if method == wanted else ManagementReply(405, f"this call is made with {wanted}")
+        return ManagementReply(HTTPStatus.NOT_FOUND, "there is no such call")
+    if method != expected_method:
+        return ManagementReply(HTTPStatus.METHOD_NOT_ALLOWED, f"this call is made with {expected_method}")
+    return call
+
+
+def parse_endpoint_call(path: tuple[str, ...]) -> ManagementCall | None:
+    """Returns the call of a path that names an endpoint; None: it does not."""
+    if len(path) != 3 or path[0] != "receivers" or not path[1] or path[2] not in ENDPOINT_OPERATIONS:
+        return None
+    return ManagementCall(ENDPOINT_OPERATIONS[path[2]], unquote(path[1]))
--- a/message_sender/management/server.py
+++ b/message_sender/management/server.py
@@ -1,70 +1,105 @@
-"""The operators' listener: one call to a connection, none of which can hold up another.
+"""The listener of the management API: one call to a connection, and no connection can block another.
 
-The rules:
+Rules:
 
-- At most `MOST` connections are open. One more closes the oldest that has not asked whole, or, where all
-  have, the oldest: who sends nothing or half a call keeps nobody out.
-- A connection is read as it is accepted: a call that lies there whole is answered in that very callback.
-- A call that is not here whole `PATIENCE` after it connected hears 408. Nothing is done on half a call.
-- After the answer its connection is ended; whoever does not end the other side is cut off `LINGER` later.
-- Whatever is sent, and whatever a socket does, ends one connection. An answer that cannot be given is 500.
+- At most `MAX_CONNECTIONS` are open. One more closes the oldest one whose request is incomplete, or, where
+  all are complete, the oldest: clients that send nothing or half a request keep nobody out.
+- A connection is read as it is accepted: a request that has arrived is answered in the same callback.
+- A request that is incomplete `REQUEST_TIMEOUT_S` after the connection opened gets 408, and no effect.
+- After the reply the connection is shut down; a client that does not close its side is cut off `LINGER_S`
+  later.
+- Whatever a client sends, and whatever its socket does, ends one connection at most. A call whose handler
+  fails gets 500.
 """
 
 import asyncio
 import logging
 import socket
-from collections.abc import Callable
 from functools import partial
+from http import HTTPStatus
+from typing import Protocol
 
 import h11
 
 from message_sender.core.socket_errors import Cause, ErrorReports, cause_of, describe
-from message_sender.management.calls import ManagementCall, ManagementReply, read
+from message_sender.management.calls import ManagementCall, ManagementReply, parse_call
 
-MOST = 16
-PATIENCE = 2.0  # s
-LINGER = 0.5  # s
-HEAD_LIMIT = 8 * 1024  # bytes
-BODY_LIMIT = 4 * 1024  # bytes, read and dropped: no call has one
+MAX_CONNECTIONS = 16
+REQUEST_TIMEOUT_S = 2.0
+LINGER_S = 0.5
+SWEEP_INTERVAL_S = 0.25
+ACCEPT_RETRY_DELAY_S = 0.05
+MAX_HEAD_BYTES = 8 * 1024
+MAX_BODY_BYTES = 4 * 1024  # bodies are read and ignored
 BACKLOG = 128
-SWEEP = 0.25  # s
-SHORTAGE_PAUSE = 0.05  # s
-DESCRIPTORS = MOST + 2  # the listener, and one that was accepted before another gave way
+#: The listener, and a connection that was accepted before another one is closed.
+MAX_DESCRIPTORS = MAX_CONNECTIONS + 2
 
 log = logging.getLogger(__name__)
 
 
+class CallHandler(Protocol):
+    """Executes a call at once."""
+
+    def __call__(self, call: ManagementCall, /) -> ManagementReply:
+        """Returns the reply to the call."""
+
+
 class ManagementConnection:
-    """One connection: its socket, how far its call has come, and until when it may stand."""
+    """One connection.
+
+    Attributes:
+        sock: Its socket.
+        deadline: When it is answered with 408 or cut off, on the loop's clock.
+        codec: The state of HTTP on it.
+        request: The head of the request, once it has arrived.
+        body_bytes: How much of the body has arrived.
+        is_answered: Whether the reply has been sent.
+    """
 
-    def __init__(self, sock: socket.socket, until: float) -> None:
-        self.sock, self.until = sock, until
-        self.codec = h11.Connection(h11.SERVER, max_incomplete_event_size=HEAD_LIMIT)
+    def __init__(self, sock: socket.socket, deadline: float) -> None:
+        """Begins without a request."""
+        self.sock = sock
+        self.deadline = deadline
+        self.codec = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
         self.request: h11.Request | None = None
-        self.dropped = 0  # bytes of the body
-        self.answered = False
+        self.body_bytes = 0
+        self.is_answered = False
 
-    def asked(self) -> ManagementCall | ManagementReply | None:
-        """The call that has come whole, or the reply that refuses it; None: more has to come."""
+    def read_call(self) -> ManagementCall | ManagementReply | None:
+        """Returns the call that has arrived, or the reply that rejects it; None: it is incomplete."""
         try:
             while (event := self.codec.next_event()) is not h11.NEED_DATA:
-                if isinstance(event, h11.Request):
-                    self.request = event
-                elif isinstance(event, h11.Data):
-                    self.dropped += len(event.data)
-                    if self.dropped > BODY_LIMIT:
-                        return ManagementReply(413, "the body is too long")
-                elif isinstance(event, h11.EndOfMessage):
-                    assert self.request is not None
-                    return read(self.request.method.decode(), self.request.target.decode("latin-1"))
-                else:
-                    return ManagementReply(400, "the call is not whole")
+                if call := self.handle_event(event):
+                    return call
         except h11.RemoteProtocolError as error:
             return ManagementReply(error.error_status_hint, str(error))
         return None
 
-    def reply_text(self, reply: ManagementReply) -> bytes:
-        """As bytes; the codec is left as it is where it cannot write any more."""
+    def handle_event(self, event: object) -> ManagementCall | ManagementReply | None:
+        """Takes one event of the codec; returns the call, or the reply that rejects it, when it is known."""
+        if isinstance(event, h11.Request):
+            self.request = event
+            return None
+        if isinstance(event, h11.Data):
+            self.body_bytes += len(event.data)
+            is_too_long = self.body_bytes > MAX_BODY_BYTES
+            return (
+                ManagementReply(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too long")
+                if is_too_long
+                else None
+            )
+        if isinstance(event, h11.EndOfMessage):
+            assert self.request is not None
+            return parse_call(self.request.method.decode(), self.request.target.decode("latin-1"))
+        return ManagementReply(HTTPStatus.BAD_REQUEST, "the call is not whole")
+
+    def encode_reply(self, reply: ManagementReply) -> bytes:
+        """Returns the reply as bytes.
+
+        Raises:
+            h11.LocalProtocolError: The connection is in a state in which no reply can be sent.
+        """
         body = reply.text.encode() + b"\n" if reply.text else b""
         headers = [
             ("Content-Type", "text/plain; charset=utf-8"),
@@ -78,40 +113,56 @@
 
 
 class ManagementServer:
-    """`act` answers a call, at once."""
+    """Listens for the operators' calls.
+
+    Attributes:
+        handler: Executes the calls.
+        connections: The open connections, the oldest first.
+        listener: The listening socket; None: it does not listen.
+    """
 
-    def __init__(self, act: Callable[[ManagementCall], ManagementReply]) -> None:
-        self.act = act
+    def __init__(self, handler: CallHandler) -> None:
+        """Belongs to the running loop; `listen` opens the listener."""
+        self.handler = handler
         self.loop = asyncio.get_running_loop()
         self.listener: socket.socket | None = None
-        self.callers: dict[ManagementConnection, None] = {}  # the oldest first
+        self.connections: dict[ManagementConnection, None] = {}
         self.reports = ErrorReports()
         self.timer: asyncio.TimerHandle | None = None
 
     def listen(self, host: str, port: int) -> None:
-        """Raises OSError where the address cannot be used."""
+        """Begins to accept connections.
+
+        Raises:
+            OSError: The address cannot be used.
+        """
         self.listener = socket.create_server((host, port), backlog=BACKLOG)
         self.listener.setblocking(False)
         self.loop.add_reader(self.listener, self.accept)
-        self.sweep()
+        self.close_expired()
 
     def address(self) -> tuple[str, int]:
+        """Returns the host and the port where it listens."""
         assert self.listener is not None
         host, port = self.listener.getsockname()[:2]
         return host, port
 
     def close(self) -> None:
+        """Closes the listener and all connections."""
         if self.timer:
             self.timer.cancel()
-        for caller in list(self.callers):
-            self.end(caller)
+        for connection in list(self.connections):
+            self.close_connection(connection)
         if self.listener:
             self.loop.remove_reader(self.listener)
             self.listener.close()
             self.listener = None
 
+    # New connections.
+
     def accept(self) -> None:
-        for _ in range(MOST):
+        """Accepts the connections that wait."""
+        for _ in range(MAX_CONNECTIONS):
             try:
                 if self.listener is None:
                     return
@@ -120,87 +171,110 @@
                 return
             except OSError as error:
                 if cause_of(error) is not Cause.PEER:
-                    self.pause(error)
+                    self.pause_accepting(error)
                     return
                 continue
-            self.take_in(sock)
+            self.add_connection(sock)
 
-    def pause(self, error: OSError) -> None:
-        """No descriptor is left: what lies in the backlog waits, and the loop does not spin on it."""
-        log.error("no operator's call could be taken: %s", error)
+    def pause_accepting(self, error: OSError) -> None:
+        """Stops accepting for a while, because no descriptor is left: the loop must not spin."""
+        log.error("management connections are not accepted: retry_s=%s error=%s", ACCEPT_RETRY_DELAY_S, error)
         assert self.listener is not None
         self.loop.remove_reader(self.listener)
-        self.loop.call_later(SHORTAGE_PAUSE, self.accept_again)
+        self.loop.call_later(ACCEPT_RETRY_DELAY_S, self.resume_accepting)
 
-    def accept_again(self) -> None:
+    def resume_accepting(self) -> None:
+        """Accepts connections again."""
         if self.listener:
             self.loop.add_reader(self.listener, self.accept)
 
-    def take_in(self, sock: socket.socket) -> None:
-        if len(self.callers) >= MOST:
-            self.end(next((each for each in self.callers if not each.answered), next(iter(self.callers))))
-        caller = ManagementConnection(sock, self.loop.time() + PATIENCE)
-        self.callers[caller] = None
+    def add_connection(self, sock: socket.socket) -> None:
+        """Takes a new connection and reads what has arrived on it."""
+        if len(self.connections) >= MAX_CONNECTIONS:
+            self.close_connection(self.select_victim())
+        connection = ManagementConnection(sock, self.loop.time() + REQUEST_TIMEOUT_S)
+        self.connections[connection] = None
         try:
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            self.loop.add_reader(sock, partial(self.came, caller))
+            self.loop.add_reader(sock, partial(self.handle_readable, connection))
         except OSError as error:
-            self.broke(caller, error)
+            self.connection_failed(connection, error)
             return
-        self.came(caller)
+        self.handle_readable(connection)
+
+    def select_victim(self) -> ManagementConnection:
+        """Returns the connection that makes room: the oldest without a reply, else the oldest."""
+        for connection in self.connections:
+            if not connection.is_answered:
+                return connection
+        return next(iter(self.connections))
 
-    def came(self, caller: ManagementConnection) -> None:
+    # Requests and replies.
+
+    def handle_readable(self, connection: ManagementConnection) -> None:
+        """Reads what has arrived, and answers a complete request."""
         try:
-            data = caller.sock.recv(HEAD_LIMIT)
+            data = connection.sock.recv(MAX_HEAD_BYTES)
         except (BlockingIOError, InterruptedError):
             return
         except OSError as error:
-            self.broke(caller, error)
+            self.connection_failed(connection, error)
+            return
+        if not data:
+            self.close_connection(connection)
             return
-        if caller.answered or not data:
-            if not data:
-                self.end(caller)
+        if connection.is_answered:
             return
-        caller.codec.receive_data(data)
-        if (asked := caller.asked()) is not None:
-            self.answer(caller, self.reply_to(asked))
+        connection.codec.receive_data(data)
+        call = connection.read_call()
+        if call is not None:
+            self.send_reply(connection, self.execute(call))
 
-    def reply_to(self, asked: ManagementCall | ManagementReply) -> ManagementReply:
-        if isinstance(asked, ManagementReply):
-            return asked
+    def execute(self, call: ManagementCall | ManagementReply) -> ManagementReply:
+        """Returns the handler's reply, or the one that rejects the request."""
+        if isinstance(call, ManagementReply):
+            return call
         try:
-            return self.act(asked)
-        except Exception as error:
-            log.error("an operator's call failed: %s", describe(error, asked.ask.value))
-            return ManagementReply(500, "it failed; the log says why")
+            return self.handler(call)
+        except Exception as error:  # the boundary of the handler: a defect in it ends one call only
+            log.error("management call failed: %s", describe(error, call.operation.value))
+            return ManagementReply(HTTPStatus.INTERNAL_SERVER_ERROR, "it failed; the log says why")
 
-    def answer(self, caller: ManagementConnection, reply: ManagementReply) -> None:
-        caller.answered, caller.until = True, self.loop.time() + LINGER
+    def send_reply(self, connection: ManagementConnection, reply: ManagementReply) -> None:
+        """Sends the reply and shuts the connection down."""
+        connection.is_answered = True
+        connection.deadline = self.loop.time() + LINGER_S
         try:
-            data = caller.reply_text(reply)
-            if caller.sock.send(data) < len(data):
+            data = connection.encode_reply(reply)
+            if connection.sock.send(data) < len(data):
                 raise ConnectionAbortedError("the caller does not read")
-            caller.sock.shutdown(socket.SHUT_WR)
+            connection.sock.shutdown(socket.SHUT_WR)
         except (OSError, h11.LocalProtocolError) as error:
-            self.broke(caller, error)
+            self.connection_failed(connection, error)
+
+    # Ends of connections.
 
-    def broke(self, caller: ManagementConnection, error: Exception) -> None:
-        self.reports.tell(error, "an operator's call")
-        self.end(caller)
+    def connection_failed(self, connection: ManagementConnection, error: Exception) -> None:
+        """Reports an error of a connection and closes it."""
+        self.reports.tell(error, "management call")
+        self.close_connection(connection)
 
-    def end(self, caller: ManagementConnection) -> None:
-        if caller in self.callers:
-            del self.callers[caller]
-            self.loop.remove_reader(caller.sock)
-            caller.sock.close()
+    def close_connection(self, connection: ManagementConnection) -> None:
+        """Closes a connection, unless it is closed."""
+        if connection in self.connections:
+            del self.connections[connection]
+            self.loop.remove_reader(connection.sock)
+            connection.sock.close()
 
-    def sweep(self) -> None:
-        """Ends what has stood for too long."""
+    def close_expired(self) -> None:
+        """Ends the connections whose deadline has passed, periodically."""
         now = self.loop.time()
-        for caller in [each for each in self.callers if each.until <= now]:
-            if caller.answered:
-                self.end(caller)
+        for connection in [each for each in self.connections if each.deadline <= now]:
+            if connection.is_answered:
+                self.close_connection(connection)
             else:
-                self.answer(caller, ManagementReply(408, "the call did not come in time"))
-        self.timer = self.loop.call_later(SWEEP, self.sweep)
+                self.send_reply(
+                    connection, ManagementReply(HTTPStatus.REQUEST_TIMEOUT, "the call did not come in time")
+                )
+        self.timer = self.loop.call_later(SWEEP_INTERVAL_S, self.close_expired)
--- a/message_sender/service/daemon.py
+++ b/message_sender/service/daemon.py
@@ -210,7 +210,7 @@
         self.clock = Clock(told.clock if told else None)
         known = told.known if told else config.known
         listed = self.maintenance.hear(EndpointsUpdated(ListingKind.CACHED, known.endpoints))
-        room, sockets = (ROOM, manage.DESCRIPTORS) if config.management else (0, 0)
+        room, sockets = (ROOM, manage.MAX_DESCRIPTORS) if config.management else (0, 0)
         engine = Engine(
             EngineConfig(
                 config.name, config.state, config.seed, config.disk_bytes - room, config.settings,
@@ -227,7 +227,7 @@
         self.plug(self.discovery, self.discovery)
         self.desk = desk or (manage.ManagementServer(self.orders.asked) if config.management else None)
         if self.desk:
-            self.desk.act = self.orders.asked
+            self.desk.handler = self.orders.asked
         self.succession = ProcessHandover(self, seat) if seat else None
 
     async def start(self) -> None:
--- a/message_sender/service/operator_commands.py
+++ b/message_sender/service/operator_commands.py
@@ -23,12 +23,12 @@
         """`away`: clients are to be sent away, by an order to an earlier process."""
         self.sender, self.record, self.away = sender, record, away
         self.calls = {
-            Operation.TAKES_CLIENTS: self.takes_clients,
-            Operation.FIGURES: self.figures,
-            Operation.TAKE_OUT: self.take_out,
-            Operation.PUT_BACK: self.put_back,
-            Operation.SEND_AWAY: self.send_away,
-            Operation.COME_BACK: self.come_back,
+            Operation.READINESS: self.takes_clients,
+            Operation.METRICS: self.figures,
+            Operation.START_MAINTENANCE: self.take_out,
+            Operation.END_MAINTENANCE: self.put_back,
+            Operation.DRAIN: self.send_away,
+            Operation.RESUME: self.come_back,
         }
 
     @property
@@ -36,12 +36,12 @@
         return self.sender.maintenance
 
     def asked(self, call: ManagementCall) -> ManagementReply:
-        if self.sender.engine.is_handed_over and call.ask not in (
-            Operation.TAKES_CLIENTS,
-            Operation.FIGURES,
+        if self.sender.engine.is_handed_over and call.operation not in (
+            Operation.READINESS,
+            Operation.METRICS,
         ):
             return ManagementReply(503, "another process takes over: ask there")
-        return self.calls[call.ask](call)
+        return self.calls[call.operation](call)
 
     def takes_clients(self, call: ManagementCall) -> ManagementReply:
         return (
@@ -65,21 +65,21 @@
         return known is None or opened or known.bad_until > self.sender.engine.now()
 
     def take_out(self, call: ManagementCall) -> ManagementReply:
-        if not self.maintenance.knows(call.receiver):
+        if not self.maintenance.knows(call.endpoint):
             return ManagementReply(404, "no receiver of this id is known")
-        if len(self.maintenance.out) >= MOST_OUT or len(json.dumps(call.receiver)) > MOST_ID:
+        if len(self.maintenance.out) >= MOST_OUT or len(json.dumps(call.endpoint)) > MOST_ID:
             return ManagementReply(503, "no room for one more that is out")
-        if not self.recorded(self.maintenance.out | {call.receiver}, self.away):
+        if not self.recorded(self.maintenance.out | {call.endpoint}, self.away):
             return NOT_RECORDED
-        self.changed(call.receiver, self.maintenance.take_out(call.receiver))
+        self.changed(call.endpoint, self.maintenance.take_out(call.endpoint))
         return ManagementReply(200, "out")
 
     def put_back(self, call: ManagementCall) -> ManagementReply:
-        if not self.maintenance.knows(call.receiver):
+        if not self.maintenance.knows(call.endpoint):
             return ManagementReply(404, "no receiver of this id is known")
-        if not self.recorded(self.maintenance.out - {call.receiver}, self.away):
+        if not self.recorded(self.maintenance.out - {call.endpoint}, self.away):
             return NOT_RECORDED
-        self.changed(call.receiver, self.maintenance.put_back(call.receiver))
+        self.changed(call.endpoint, self.maintenance.put_back(call.endpoint))
         return ManagementReply(200, "back")
 
     def changed(self, receiver: str, news: EndpointsUpdated | None) -> None:
--- a/tests/test_manage.py
+++ b/tests/test_manage.py
@@ -30,9 +30,14 @@
 
 from message_sender.handover.drain import GRACE
 from message_sender.http.codec import Address
-from message_sender.management.calls import ManagementCall, Operation, read
-from message_sender.management.calls import ManagementReply as Said
-from message_sender.management.server import HEAD_LIMIT, LINGER, MOST, PATIENCE, ManagementServer
+from message_sender.management.calls import ManagementCall, ManagementReply, Operation, parse_call
+from message_sender.management.server import (
+    LINGER_S,
+    MAX_CONNECTIONS,
+    MAX_HEAD_BYTES,
+    REQUEST_TIMEOUT_S,
+    ManagementServer,
+)
 from message_sender.start import StartupConfigError, config_from
 
 
@@ -62,12 +67,12 @@
 @pytest.mark.parametrize(
     ("method", "target", "said"),
     [
-        ("GET", "/healthcheck", ManagementCall(Operation.TAKES_CLIENTS)),
-        ("GET", "/stats?now", ManagementCall(Operation.FIGURES)),
-        ("POST", "/receivers/s-1/maint", ManagementCall(Operation.TAKE_OUT, "s-1")),
-        ("POST", "/receivers/a%2Fb/ready", ManagementCall(Operation.PUT_BACK, "a/b")),
-        ("POST", "/healthcheck/fail", ManagementCall(Operation.SEND_AWAY)),
-        ("POST", "/healthcheck/ok", ManagementCall(Operation.COME_BACK)),
+        ("GET", "/healthcheck", ManagementCall(Operation.READINESS)),
+        ("GET", "/stats?now", ManagementCall(Operation.METRICS)),
+        ("POST", "/receivers/s-1/maint", ManagementCall(Operation.START_MAINTENANCE, "s-1")),
+        ("POST", "/receivers/a%2Fb/ready", ManagementCall(Operation.END_MAINTENANCE, "a/b")),
+        ("POST", "/healthcheck/fail", ManagementCall(Operation.DRAIN)),
+        ("POST", "/healthcheck/ok", ManagementCall(Operation.RESUME)),
         ("GET", "/healthcheck/fail", 405),
         ("POST", "/stats", 405),
         ("GET", "/receivers/s-1/maint", 405),
@@ -78,11 +83,11 @@
     ],
 )
 def test_each_call_and_what_is_none(method: str, target: str, said: ManagementCall | int) -> None:
-    found = read(method, target)
+    found = parse_call(method, target)
     assert (
         found == said
         if isinstance(said, ManagementCall)
-        else isinstance(found, Said) and found.status == said
+        else isinstance(found, ManagementReply) and found.status == said
     )
 
 
@@ -93,7 +98,7 @@
         for bad, status in (
             (b"GET /nothing HTTP/1.1\r\nHost: x\r\n\r\n", 404),
             (b"no call\r\n\r\n", 400),
-            (b"GET /stats HTTP/1.1\r\nHost: x\r\nX: " + b"x" * 2 * HEAD_LIMIT, 431),
+            (b"GET /stats HTTP/1.1\r\nHost: x\r\nX: " + b"x" * 2 * MAX_HEAD_BYTES, 431),
             (
                 b"POST /healthcheck/fail HTTP/1.1\r\nHost: x\r\nContent-Length: 9999\r\n\r\n" + b"x" * 6000,
                 413,
@@ -214,7 +219,7 @@
         assert reply.status == 202 and reply.headers["connection"] == "close"
         world.sender.drain.ordered_at -= GRACE
         for each in list(server.connections):
-            each.since -= LINGER
+            each.since -= LINGER_S
         world.sender.grace_over()
         assert await kept.ended() == await silent.ended() == b""
         assert (await ask(world.running.address, READY)).status == 503
@@ -246,14 +251,14 @@
         self.listener = listener
 
     def pass_by(self, seconds: float) -> None:
-        for caller in self.listener.callers:
-            caller.until -= seconds
-        self.listener.sweep()
+        for caller in self.listener.connections:
+            caller.deadline -= seconds
+        self.listener.close_expired()
 
 
 @play
 async def test_a_hundred_half_calls_keep_nobody_out(tmp_path: Path) -> None:
-    listener = ManagementServer(lambda asked: Said(200, "yes"))
+    listener = ManagementServer(lambda asked: ManagementReply(200, "yes"))
     listener.listen("127.0.0.1", 0)
     halves = []
     for at in range(100):
@@ -262,8 +267,8 @@
         halves.append((reader, writer))
         if at % 10 == 9:
             assert (await call(listener.address(), "GET", "/healthcheck")).status == 200
-    assert len(listener.callers) <= MOST
-    Clock(listener).pass_by(PATIENCE)
+    assert len(listener.connections) <= MAX_CONNECTIONS
+    Clock(listener).pass_by(REQUEST_TIMEOUT_S)
     assert (await read_reply(halves[-1][0])).status == 408
     for _, writer in halves:
         writer.close()
@@ -274,7 +279,7 @@
 async def test_a_call_in_pieces_is_heard_and_a_defect_is_a_no(tmp_path: Path) -> None:
     asked: list[ManagementCall] = []
 
-    def act(call: ManagementCall) -> Said:
+    def act(call: ManagementCall) -> ManagementReply:
         asked.append(call)
         raise RuntimeError("nobody foresaw this")
 
@@ -287,7 +292,7 @@
         writer.write(bytes([byte]))
         await turn()
     assert (await read_reply(reader)).status == 500
-    assert await soon(reader.read()) == b"" and asked == [ManagementCall(Operation.FIGURES)]
+    assert await soon(reader.read()) == b"" and asked == [ManagementCall(Operation.METRICS)]
     writer.close()
     listener.close()
 
