--- a/message_sender/budget/manager.py
+++ b/message_sender/budget/manager.py
@@ -1,408 +1,365 @@
-"""All budgets of one member: whom it asks, what it says, what it may spend. Pure: the machine that keeps the
-sum within the whole is budget/lease.py; this drives it, and decides about use alone.
-
-The rules:
-
-- Each budget has a keeper of its own, chosen by a hash of its name among those that are there, so that the
-  work is spread. One that keeps it goes on as long as it is there. The first of them asks to be chosen as
-  soon as nobody is promised, each next one an eighth of a lease later: the first may be gone unnoticed. Of
-  several that ask, those behind abandon it, and all do for one that keeps it.
-- A member asks four times a lease for what it needs: what is in use, and what is held for it. A need falls by
-  an eighth each time only, so that a pause of a moment moves nothing.
-- A need that has grown past what is held is asked for at once, but not more often than each `RUSH`; so is
-  what was not answered.
-- Members may have different figures under one name while a change goes round: the smallest whole and the
-  largest floor that a keeper heard of within two of its leases bind, by whatever word. The largest size that
-  was ever heard of binds, and whoever counts on a smaller one is promised nothing. With another form (what
-  is spent, span, lease) nothing is believed.
-- Each asks with how warm it believes what is spent from to be, by its own eyes. A keeper divides the share of
-  the whole that the middle one of those in need believes in: one of few that has lost its way there binds
-  nobody, and what comes back cold is not given all at once.
-- A passing budget, one of many that come and go with destinations, is let rest once nobody has needed any of
-  it for `IDLE`: its keeper renews nothing, nobody asks. What has nothing out any more can be forgotten, and
-  opened anew as if it had never been there.
-- Names are known to the machine as numbers of this member's own; a start, or another epoch, begins anew.
+"""All budgets of one member: which leases it requests and grants, and what it may spend.
+
+The lease protocol (lease.py) keeps the sum of all shares within the limit whatever happens here; this module
+drives it and decides about utilization alone. It does no I/O: datagrams are queued in `LeaseManager.outbox`.
+
+Rules:
+
+- Each budget has its own grantor, chosen by rendezvous hashing among the live members, so that the load is
+  spread. A grantor stays in office as long as it lives. When no grantor is known, the first member in the
+  order of the hash becomes a candidate at once, and each next one an eighth of a lease later, because the
+  first may have failed unnoticed. A candidate withdraws for one before it, and for a grantor that renews.
+- A member requests a lease four times in a lease's duration, for its usage and its pending demand. The
+  requested amount decays by an eighth each time, so that a short pause changes nothing.
+- A demand above the current lease is requested at once, but at most once in `MIN_REQUEST_INTERVAL_US`; so is
+  a request that was not answered.
+- While a change of configuration spreads, members may have different figures for a budget: the smallest limit
+  and the largest floor that the grantor received within two leases apply, and so does the largest number of
+  members ever reported; a candidate with a smaller number gets no promise. Datagrams with other timing
+  (resource, window, lease) are rejected.
+- Each request carries an estimate of how much of the limit can be spent while its endpoint recovers. The
+  grantor divides the share that the median of the members with demand allows: one member whose connections
+  fail limits nobody, and an endpoint that recovers does not get its full rate at once.
+- A transient budget, one of many that come and go with destinations, is idle once no member has had demand
+  for `IDLE_TIMEOUT_US`: nobody renews or requests anything. It is closed when it is unused, and can be opened
+  again at any time.
+- The lease protocol knows members by numbers that are local to this process; a new session begins anew.
 """
 
 import hashlib
-import zlib
 from collections.abc import Callable, Iterable
-from dataclasses import dataclass, field, replace
-from functools import cached_property
-
-from message_sender.budget import division, lease
-from message_sender.budget.enforcer import NEVER, LimitEnforcer
-from message_sender.budget.lease import LeaseMessage, LeaseMessageKind, Member, Terms
+from dataclasses import dataclass, replace
+from typing import Protocol
+
+from message_sender.budget import lease
+from message_sender.budget.definition import Budget
+from message_sender.budget.enforcer import LimitEnforcer
+from message_sender.budget.granting import grant_lease
+from message_sender.budget.lease import LeaseMessage, LeaseMessageKind, Member
+from message_sender.budget.ledger import FULLY_WARM_PERMILLE, Ledger, ReportedTerms
 from message_sender.fleet.wire import LeaseDatagram
 
-FAST = 1.0102  # by a clock that is 1% fast, how long a true time takes, with something over
-APART = 0.021  # what two clocks may differ by, 1% each
-RUSH = 100_000  # us
-IDLE = 60_000_000  # us
-WARM = 1000  # thousandths of the whole
-MINE = 0  # this member, to the machine
+MIN_REQUEST_INTERVAL_US = 100_000
+REQUESTS_PER_LEASE = 4
+CANDIDATE_DELAYS_PER_LEASE = 8
+DEMAND_DECAY_DIVISOR = 8
+OWN_NUMBER = 0  # of this member in the lease protocol
 
 
-@dataclass(frozen=True)
-class Budget:
-    """One whole, as this member's configuration has it. Times in us."""
+class ShareListener(Protocol):
+    """Is called when this member's share of a budget has grown."""
 
-    name: str
-    of: str  # calls or in_flight
-    whole: int
-    size: int
-    span: int | None  # of a rate; None: things that are held
-    hold: int = 30_000_000  # the longest that a thing is held
-    floor: int = 0
-    lease: int = 2_000_000
-    slack: int = 10_000  # by which the way of two calls may differ
+    def __call__(self, budget: str, /) -> None:
+        """Takes the budget's name."""
 
-    @cached_property
-    def form(self) -> int:
-        """Tells two whose times cannot be reckoned together."""
-        told = f"{self.of} {self.span} {self.hold} {self.lease} {self.slack}"
-        return zlib.crc32(told.encode())
 
-    @cached_property
-    def counted(self) -> int:
-        """us for which a spender counts what it spent; `slack` goes with a rate's alone."""
-        return int(FAST * ((self.span or self.hold) + (self.slack if self.span else 0))) + 1
+@dataclass(frozen=True, slots=True)
+class OutgoingDatagram:
+    """A datagram that waits to be sent to a member."""
 
-    @cached_property
-    def terms(self) -> Terms:
-        after = self.counted
-        margin = int(APART * (self.lease + after)) + 1
-        return Terms(self.whole, self.size, self.lease, self.lease, margin, self.floor, after)
+    receiver: str
+    datagram: LeaseDatagram
 
 
-@dataclass(slots=True)
-class Requester:
-    """What a keeper heard last of a member's need."""
+def ignore_share_increase(budget: str) -> None:
+    """The listener that does nothing."""
 
-    need: int
-    at: int
-    part: int = 0
-    warm: int = WARM
 
-
-@dataclass(frozen=True, slots=True)
-class ReportedTerms:
-    """What another member has under the same name."""
-
-    whole: int
-    floor: int
-    at: int
-
-
-@dataclass
-class Change:
-    at: int
-    text: str
-
-
-@dataclass
-class Ledger:
-    """One budget."""
-
-    budget: Budget
-    member: Member
-    spender: LimitEnforcer
-    need: Callable[[], int]  # what is held for it, besides what is in use
-    warm: Callable[[], int]  # thousandths of the whole that may be spent, by its own eyes
-    numbers: dict[str, int]  # of names, to the machine
-    passing: bool = False
-    needed_at: int = -NEVER  # when somebody needed some of it last, as far as is known here
-    asked_at: int = -NEVER
-    fell_at: int = -NEVER  # when the need last fell
-    elected_at: int = -NEVER
-    free_since: int = -NEVER  # when somebody was promised last
-    wanted: int = 0  # the need that falls slowly
-    unsettled: bool = False  # what it had above its part may still be in use
-    askers: dict[str, Requester] = field(default_factory=dict)
-    figures: dict[str, ReportedTerms] = field(default_factory=dict)
-    changes: list[Change] = field(default_factory=list)
-    refused: dict[str, int] = field(default_factory=dict)
-    was: tuple[int, str] = (0, "")  # part and keeper, as last noted
+def fully_warm() -> int:
+    """The estimate that the whole limit can be spent, in thousandths."""
+    return FULLY_WARM_PERMILLE
 
 
 class LeaseManager:
+    """The budgets of one member.
+
+    Attributes:
+        name: The member's name.
+        session: Its number of this session, above those of all earlier ones.
+        clock: Returns microseconds of a clock that goes on while the machine sleeps.
+        ledgers: The open budgets, by name.
+        outbox: Datagrams to be sent; the caller takes them out.
+        share_increased: Is called when a share has grown.
+        created_at_us: When the manager was created.
+        session_started_us: When the session started.
+    """
+
     def __init__(self, name: str, session: int, clock: Callable[[], int]) -> None:
-        """`clock`: us, one that goes on while the machine sleeps; `session`: above that of each start
-        before of this name."""
-        self.name, self.session, self.clock = name, session, clock
-        self.books: dict[str, Ledger] = {}
-        self.out: list[tuple[str, LeaseDatagram]] = []  # to whom
-        self.grew: Callable[[str], None] = lambda budget: None
-        self.began = self.born = clock()
+        """Begins without budgets; see the class for the arguments."""
+        self.name = name
+        self.session = session
+        self.clock = clock
+        self.ledgers: dict[str, Ledger] = {}
+        self.outbox: list[OutgoingDatagram] = []
+        self.share_increased: ShareListener = ignore_share_increase
+        self.created_at_us = clock()
+        self.session_started_us = self.created_at_us
 
     def open(
         self,
         budget: Budget,
-        need: Callable[[], int],
-        warm: Callable[[], int] = lambda: WARM,
-        passing: bool = False,
+        pending_demand: Callable[[], int],
+        warm_permille: Callable[[], int] = fully_warm,
+        is_transient: bool = False,
     ) -> Ledger:
-        spender = LimitEnforcer(budget.counted if budget.span else None)
-        numbers, now = {self.name: MINE}, self.clock()
-        book = Ledger(budget, self.fresh(), spender, need, warm, numbers, passing, now)
-        self.books[budget.name] = book
-        return book
-
-    def fresh(self) -> Member:
-        """Before a book was opened nothing was promised or spent of it in this life."""
-        return lease.started(MINE, self.session, self.born)
-
-    def change(self, budget: Budget) -> None:
-        """Other figures under the same name: what is held above them is held no more. The largest size that
-        was ever heard of goes on to bind."""
-        book = self.books[budget.name]
-        budget = replace(budget, size=max(budget.size, book.budget.size))
-        if budget == book.budget:
-            return
-        most = budget.terms.divisible()
-        book.member = book.member._replace(held=min(book.member.held, max(most, 0)))
-        book.budget = budget
-        self.note(book, f"the whole is {budget.whole} from now on")
-
-    def start_anew(self, session: int) -> None:
-        """Others know a later start of this name."""
-        self.session, self.born = session, self.clock()
-        for book in self.books.values():
-            book.member, book.askers = self.fresh(), {}
-
-    # What may be spent.
-
-    def part(self, book: Ledger) -> int:
-        member = book.member._replace(clock=self.clock())  # what has run out is not spendable by its own time
-        return min(lease.spendable(member, book.budget.terms), max(book.budget.whole, 0))
+        """Opens a budget.
+
+        Args:
+            budget: Its definition.
+            pending_demand: Returns what waits for it, besides what is in use.
+            warm_permille: Returns an estimate of how much of the limit can be spent, in thousandths.
+            is_transient: Whether `close_idle` may close it.
+
+        Returns:
+            The budget's ledger.
+        """
+        ledger = Ledger(
+            budget=budget,
+            member=self.new_member(),
+            enforcer=LimitEnforcer(budget.usage_window_us if budget.window_us else None),
+            clock=self.clock,
+            pending_demand=pending_demand,
+            warm_permille=warm_permille,
+            member_numbers={self.name: OWN_NUMBER},
+            is_transient=is_transient,
+            last_needed_us=self.clock(),
+        )
+        self.ledgers[budget.name] = ledger
+        return ledger
+
+    def new_member(self) -> Member:
+        """Returns the state of a member that has promised and spent nothing in this session."""
+        return lease.new_member(OWN_NUMBER, self.session, self.session_started_us)
+
+    def update_budget(self, budget: Budget) -> None:
+        """Changes the figures of an open budget."""
+        self.ledgers[budget.name].update_budget(budget)
+
+    def restart_session(self, session: int) -> None:
+        """Begins a new session, because another member knows a later one of this name."""
+        self.session = session
+        self.session_started_us = self.clock()
+        for ledger in self.ledgers.values():
+            ledger.member = self.new_member()
+            ledger.requesters = {}
+
+    # Spending.
 
     def free_at(self, name: str) -> int:
-        """us of the clock at which one more may be spent; NEVER: not before a part grows or a thing ends."""
-        book = self.books[name]
-        return book.spender.free_at(self.clock(), self.part(book))
-
-    def begins(self, names: Iterable[str], spent_by: str) -> bool:
-        """Asked as the first byte goes; each of these budgets must have room."""
-        books, now = [self.books[name] for name in names], self.clock()
-        if not all(book.spender.has_room(now, self.part(book)) for book in books):
+        """Returns when one more unit is free, in us of the clock.
+
+        NEVER_US: not before the share grows or a thing that is held ends.
+        """
+        ledger = self.ledgers[name]
+        return ledger.enforcer.free_at(self.clock(), ledger.share())
+
+    def try_spend(self, names: Iterable[str], spent_by: str) -> bool:
+        """Spends one unit of each of the budgets, as the first byte goes; False: one of them has none."""
+        ledgers = [self.ledgers[name] for name in names]
+        now_us = self.clock()
+        if not all(each.enforcer.has_capacity(now_us, each.share()) for each in ledgers):
             return False
-        for book in books:
-            book.spender.take(spent_by, now)
+        for ledger in ledgers:
+            ledger.enforcer.spend(spent_by, now_us)
         return True
 
-    # What is said.
-
-    def tick(self, there: Iterable[str]) -> None:
-        """Several times a second; `there`: the others that are alive."""
-        others = sorted(there)
-        for book in self.books.values():
-            book.member = lease.at(book.member, self.clock())
-            if not self.rests(book):
-                self.elect(book, others)
-                self.ask(book)
-            self.settle(book)
-            self.look(book)
-
-    def rests(self, book: Ledger) -> bool:
-        if not book.passing:
-            return False
-        now = self.clock()
-        since = now - 2 * book.budget.lease
-        asked = any(each.need > 0 and each.at > since for each in book.askers.values())
-        if asked or book.wanted > 0 or self.wants(book) > 0:
-            book.needed_at = now
-        return now >= book.needed_at + IDLE
-
-    def forget_idle(self) -> list[str]:
-        """Names of passing budgets that rest with nothing out, promised or spent; they are gone."""
-        gone = [name for name, book in self.books.items() if self.rests(book) and self.is_empty(book)]
-        for name in gone:
-            del self.books[name]
-        return gone
-
-    def is_empty(self, book: Ledger) -> bool:
-        member, now = lease.at(book.member, self.clock()), self.clock()
-        out = member.promised != lease.NOBODY or lease.keeps(member) or member.given or member.held
-        asked = now < book.asked_at + book.budget.lease
-        return not (out or asked or book.spender.used(now))
-
-    def elect(self, book: Ledger, others: list[str]) -> None:
-        budget, now = book.budget, self.clock()
-        if book.member.promised != lease.NOBODY:
-            book.free_since = now
-            if not lease.is_own_keeper(book.member):
+    # Periodic work.
+
+    def tick(self, live_members: Iterable[str]) -> None:
+        """Renews what is due; called several times a second with the names of the other live members."""
+        others = sorted(live_members)
+        for ledger in self.ledgers.values():
+            ledger.member = lease.advance_clock(ledger.member, self.clock())
+            if not ledger.is_idle():
+                self.request_votes(ledger, others)
+                self.request_lease(ledger)
+            self.release_superseded(ledger)
+            ledger.note_status()
+
+    def close_idle(self) -> list[str]:
+        """Closes the transient budgets that are idle and unused, and returns their names."""
+        closed = [name for name, ledger in self.ledgers.items() if ledger.is_idle() and ledger.is_unused()]
+        for name in closed:
+            del self.ledgers[name]
+        return closed
+
+    def request_votes(self, ledger: Ledger, others: list[str]) -> None:
+        """Becomes a candidate, or renews this member's term as grantor, when that is due."""
+        budget = ledger.budget
+        now_us = self.clock()
+        if ledger.member.promised_to != lease.NO_MEMBER:
+            ledger.last_promised_us = now_us
+            if not lease.is_own_grantor(ledger.member):
                 return
-        if now < book.elected_at + budget.lease // 4:
+        if now_us < ledger.last_vote_request_us + budget.lease_us // REQUESTS_PER_LEASE:
             return
-        keeping = lease.keeps(book.member)
-        if not keeping:
-            place = sum(rank(budget.name, each) < rank(budget.name, self.name) for each in others)
-            if now < book.free_since + place * (budget.lease // 8):
-                return
-        book.member, words = lease.elect(book.member, budget.terms)
-        if words:
-            book.elected_at = now
-            for each in others:
-                self.say(
-                    book, each, LeaseMessageKind.ELECT, self.session, book.member.elected_at, int(keeping)
-                )
-
-    def keeper(self, book: Ledger) -> str:
-        return next((name for name, number in book.numbers.items() if number == book.member.promised), "")
-
-    def wants(self, book: Ledger) -> int:
-        now = self.clock()
-        all_of_it = book.spender.used(now) + book.need() - book.budget.floor
-        return max(min(all_of_it, book.budget.terms.divisible()), 0)
-
-    def ask(self, book: Ledger) -> None:
-        now, keeper, fresh = self.clock(), self.keeper(book), self.wants(book)
-        answered = book.member.held_asked >= book.asked_at
-        due = now >= book.asked_at + (book.budget.lease // 4 if answered else RUSH)
-        short = fresh > max(book.member.held, book.wanted) and now >= book.asked_at + RUSH
-        if not keeper or not (due or short):
+        is_renewal = lease.is_grantor(ledger.member)
+        if not is_renewal and now_us < ledger.last_promised_us + self.candidate_delay_us(budget, others):
             return
-        if now >= book.fell_at + book.budget.lease // 4:
-            book.wanted, book.fell_at = book.wanted - max(book.wanted // 8, 1), now
-        book.wanted, book.asked_at = max(fresh, book.wanted), now
-        if keeper == self.name:
-            word = LeaseMessage(LeaseMessageKind.ASK, MINE, MINE, self.session, now, book.wanted)
-            granted = self.answer(book, self.name, word, book.warm())
-            if granted:
-                self.granted(book, granted)
-        else:
-            self.say(book, keeper, LeaseMessageKind.ASK, self.session, now, book.wanted)
-
-    def settle(self, book: Ledger) -> None:
-        """Once what is in use is within its part, the rest is over."""
-        keeper = self.keeper(book)
-        if not book.unsettled or not keeper or book.spender.used(self.clock()) > self.part(book):
+        ledger.member, requests = lease.request_votes(ledger.member, budget.terms)
+        if requests:
+            ledger.last_vote_request_us = now_us
+            for name in others:
+                self.send(ledger, name, requests[0]._replace(amount=int(is_renewal)))
+
+    def candidate_delay_us(self, budget: Budget, others: list[str]) -> int:
+        """How long this member leaves the candidacy to the members before it in the order of the hash."""
+        own_rank = grantor_rank(budget.name, self.name)
+        position = sum(grantor_rank(budget.name, name) < own_rank for name in others)
+        return position * (budget.lease_us // CANDIDATE_DELAYS_PER_LEASE)
+
+    def request_lease(self, ledger: Ledger) -> None:
+        """Requests a lease when one is due or the demand has grown."""
+        now_us = self.clock()
+        grantor = ledger.grantor()
+        demand = ledger.demand()
+        if not grantor or not is_request_due(ledger, demand, now_us):
             return
-        for word in lease.settle(book.member, book.budget.terms, book.numbers[keeper]):
-            book.unsettled = False
-            if keeper == self.name:
-                book.member = lease.hear_back(book.member, word)
-            else:
-                self.say(book, keeper, LeaseMessageKind.BACK, self.session, word.asked)
-
-    def leave(self) -> None:
-        """What is not in use is given back at once; the rest runs out."""
-        for book in self.books.values():
-            keeper = self.keeper(book)
-            terms, number = book.budget.terms, book.numbers.get(keeper, MINE)
-            book.member, words = lease.give_back(book.member, terms, number)
-            if words and keeper not in ("", self.name) and book.spender.used(self.clock()) <= self.part(book):
-                self.say(book, keeper, LeaseMessageKind.BACK, self.session, words[0].asked)
-
-    def say(
-        self, book: Ledger, to: str, kind: LeaseMessageKind, session: int, asked: int, amount: int = 0
-    ) -> None:
-        budget = book.budget
-        warm = book.warm() if kind is LeaseMessageKind.ASK else WARM
-        figures = budget.whole, budget.floor, budget.size, budget.form, warm
-        self.out.append((to, LeaseDatagram(budget.name, kind, session, asked, amount, *figures)))
-
-    # What is heard.
-
-    def hear(self, by: str, said: LeaseDatagram) -> None:
-        """Whatever comes. Of a budget that is not known here nothing is believed."""
-        if (book := self.books.get(said.budget)) is None:
+        if now_us >= ledger.demand_lowered_us + ledger.budget.lease_us // REQUESTS_PER_LEASE:
+            ledger.requested_amount -= max(ledger.requested_amount // DEMAND_DECAY_DIVISOR, 1)
+            ledger.demand_lowered_us = now_us
+        ledger.requested_amount = max(demand, ledger.requested_amount)
+        ledger.last_request_us = now_us
+        request = LeaseMessage(
+            LeaseMessageKind.LEASE_REQUEST,
+            OWN_NUMBER,
+            ledger.member_numbers[grantor],
+            self.session,
+            now_us,
+            ledger.requested_amount,
+        )
+        if grantor != self.name:
+            self.send(ledger, grantor, request)
             return
-        if said.form != book.budget.form:
-            self.refuse(book, f"other times under its name, by {by}")
+        grant = grant_lease(ledger, self.name, request, ledger.warm_permille())
+        if grant:
+            self.apply_grant(ledger, grant)
+
+    def release_superseded(self, ledger: Ledger) -> None:
+        """Releases earlier, larger leases once the usage is within the current one."""
+        grantor = ledger.grantor()
+        if not ledger.has_superseded_leases or not grantor:
             return
-        if said.size > book.budget.size:
-            book.budget = replace(book.budget, size=said.size)
-            self.note(book, f"up to {said.size} members, says {by}")
-        if said.kind == LeaseMessageKind.ELECT and said.size < book.budget.size:
-            self.refuse(book, f"{by} counts on {said.size} members alone")
+        if ledger.enforcer.usage(self.clock()) > ledger.share():
             return
-        number = book.numbers.setdefault(by, len(book.numbers))
-        book.figures[by] = ReportedTerms(said.whole, said.floor, self.clock())
-        kind = LeaseMessageKind(said.kind)
-        book.member = lease.at(book.member, self.clock())
-        word = LeaseMessage(kind, number, MINE, said.session, said.asked, said.amount)
-        if kind is LeaseMessageKind.ASK:
-            if answer := self.answer(book, by, word, said.warm):
-                self.say(book, by, LeaseMessageKind.GRANT, said.session, said.asked, answer.amount)
-        elif kind is LeaseMessageKind.GRANT:
-            self.granted(book, word)
-        elif kind is LeaseMessageKind.BACK:
-            book.member = lease.hear_back(book.member, word)
-        else:
-            behind = said.amount or rank(said.budget, by) < rank(said.budget, self.name)
-            if kind is LeaseMessageKind.ELECT and behind:
-                book.member = lease.abandon(book.member)
-            book.member, answers = lease.hear(book.member, book.budget.terms, word)
-            for each in answers:
-                self.say(book, by, each.kind, each.session, each.asked)
-
-    def granted(self, book: Ledger, word: LeaseMessage) -> None:
-        terms, before = book.budget.terms, self.part(book)
-        if word.amount > terms.divisible() or word.amount < 0:
-            why = "a grant of more than the whole" if word.amount > 0 else "a grant below nothing"
-            self.refuse(book, why)
+        number = ledger.member_numbers[grantor]
+        for release in lease.release_superseded(ledger.member, ledger.budget.terms, number):
+            ledger.has_superseded_leases = False
+            if grantor == self.name:
+                ledger.member = lease.handle_release(ledger.member, release)
+            else:
+                self.send(ledger, grantor, release)
+
+    def release_all(self) -> None:
+        """Releases the leases that are not in use, before the process ends; the others run out."""
+        for ledger in self.ledgers.values():
+            grantor = ledger.grantor()
+            number = ledger.member_numbers.get(grantor, OWN_NUMBER)
+            ledger.member, releases = lease.release_lease(ledger.member, ledger.budget.terms, number)
+            if not releases or grantor in ("", self.name):
+                continue
+            if ledger.enforcer.usage(self.clock()) <= ledger.share():
+                self.send(ledger, grantor, releases[0])
+
+    def send(self, ledger: Ledger, receiver: str, message: LeaseMessage) -> None:
+        """Queues a message with this member's figures of the budget."""
+        is_request = message.kind is LeaseMessageKind.LEASE_REQUEST
+        budget = ledger.budget
+        datagram = LeaseDatagram(
+            budget.name,
+            message.kind,
+            message.session,
+            message.requested_at,
+            message.amount,
+            budget.limit,
+            budget.floor,
+            budget.max_members,
+            budget.timing_checksum,
+            ledger.warm_permille() if is_request else FULLY_WARM_PERMILLE,
+        )
+        self.outbox.append(OutgoingDatagram(receiver, datagram))
+
+    # Received datagrams.
+
+    def handle_datagram(self, sender: str, datagram: LeaseDatagram) -> None:
+        """Handles a datagram of another member; one of an unknown budget is ignored."""
+        ledger = self.ledgers.get(datagram.budget)
+        if ledger is None or not check_terms(ledger, sender, datagram):
             return
-        held = book.member.held
-        book.member = lease.hear_grant(book.member, terms, word)
-        book.unsettled = book.unsettled or book.member.held < held
-        if self.part(book) > before:
-            self.grew(book.budget.name)
-
-    @staticmethod
-    def refuse(book: Ledger, why: str) -> None:
-        book.refused[why] = book.refused.get(why, 0) + 1
-
-    def answer(self, book: Ledger, by: str, word: LeaseMessage, warm: int) -> LeaseMessage | None:
-        """The keeper's: a grant, which is on its list; of nothing it need not be."""
-        now = self.clock()
-        if word.amount < 0:
-            return None
-        before = book.askers[by].part if by in book.askers else 0
-        book.askers[by] = asker = Requester(min(word.amount, book.budget.whole), now, before, warm)
-        book.askers = {
-            name: each for name, each in book.askers.items() if now < each.at + 2 * book.budget.lease
-        }
-        if not lease.keeps(book.member) or now < book.member.gives_from:
-            return None  # by then it knows what all need
-        terms = self.terms(book)
-        needs = {name: each.need for name, each in sorted(book.askers.items())}
-        warmth = sorted(each.warm for each in book.askers.values() if each.need > 0) or [WARM]
-        most = -(-terms.divisible() * warmth[(len(warmth) - 1) // 2] // WARM)
-        parts = division.divide(most, needs, now // (2 * book.budget.lease))
-        part = division.calm(parts[by], asker.part, asker.need)
-        if part <= 0:
-            asker.part = 0
-            return LeaseMessage(LeaseMessageKind.GRANT, MINE, word.by, word.session, word.asked, 0)
-        book.member, answers = lease.hear_ask(book.member, terms, word._replace(amount=part))
-        asker.part = answers[0].amount if answers else 0
-        return answers[0] if answers else None
-
-    def terms(self, book: Ledger) -> Terms:
-        """The keeper's: the smallest whole and the largest floor that it has heard of."""
-        since = self.clock() - 2 * book.budget.lease
-        book.figures = {name: each for name, each in book.figures.items() if each.at > since}
-        whole = min([book.budget.whole, *(each.whole for each in book.figures.values())])
-        floor = max([book.budget.floor, *(each.floor for each in book.figures.values())])
-        return replace(book.budget, whole=whole, floor=floor).terms
-
-    # For people.
-
-    def look(self, book: Ledger) -> None:
-        part, keeper = self.part(book), self.keeper(book)
-        if (part, keeper) == book.was:
+        number = ledger.member_numbers.setdefault(sender, len(ledger.member_numbers))
+        ledger.reported_terms[sender] = ReportedTerms(datagram.whole, datagram.floor, self.clock())
+        ledger.member = lease.advance_clock(ledger.member, self.clock())
+        kind = LeaseMessageKind(datagram.kind)
+        message = LeaseMessage(kind, number, OWN_NUMBER, datagram.session, datagram.asked, datagram.amount)
+        match kind:
+            case LeaseMessageKind.LEASE_REQUEST:
+                if grant := grant_lease(ledger, sender, message, datagram.warm):
+                    self.send(ledger, sender, grant)
+            case LeaseMessageKind.GRANT:
+                self.apply_grant(ledger, message)
+            case LeaseMessageKind.RELEASE:
+                ledger.member = lease.handle_release(ledger.member, message)
+            case LeaseMessageKind.VOTE_REQUEST:
+                self.handle_vote_request(ledger, sender, message)
+            case LeaseMessageKind.PROMISE:
+                ledger.member, _ = lease.handle_message(ledger.member, ledger.budget.terms, message)
+
+    def handle_vote_request(self, ledger: Ledger, sender: str, request: LeaseMessage) -> None:
+        """Withdraws this member's candidacy if the sender's has precedence, and votes."""
+        budget = ledger.budget
+        is_renewal = request.amount != 0
+        if is_renewal or grantor_rank(budget.name, sender) < grantor_rank(budget.name, self.name):
+            ledger.member = lease.abandon_election(ledger.member)
+        ledger.member, promises = lease.handle_message(ledger.member, budget.terms, request)
+        for promise in promises:
+            self.send(ledger, sender, promise)
+
+    def apply_grant(self, ledger: Ledger, grant: LeaseMessage) -> None:
+        """Takes a lease, unless its amount is impossible."""
+        terms = ledger.budget.terms
+        previous_share = ledger.share()
+        if grant.amount > terms.leasable_amount() or grant.amount < 0:
+            is_excessive = grant.amount > 0
+            ledger.record_rejection(
+                "a grant of more than the whole" if is_excessive else "a grant below nothing"
+            )
             return
-        before, kept_by = book.was
-        book.was = part, keeper
-        if keeper != kept_by:
-            self.note(book, f"kept by {keeper}" if keeper else f"{kept_by} keeps it no more, as far as known")
-        if part != before:
-            self.note(book, f"from {before} to {part}, {book.wanted} needed")
-
-    def note(self, book: Ledger, text: str) -> None:
-        book.changes = [*book.changes[-31:], Change(self.clock(), text)]
-
-
-def rank(budget: str, name: str) -> bytes:
-    """The lowest keeps a budget: rendezvous hashing, so that a member that goes moves its own ones alone."""
+        previously_leased = ledger.member.leased
+        ledger.member = lease.handle_grant(ledger.member, terms, grant)
+        if ledger.member.leased < previously_leased:
+            ledger.has_superseded_leases = True
+        if ledger.share() > previous_share:
+            self.share_increased(ledger.budget.name)
+
+
+def is_request_due(ledger: Ledger, demand: int, now_us: int) -> bool:
+    """Whether the lease is to be renewed, the last request was not answered, or the demand has grown."""
+    elapsed_us = now_us - ledger.last_request_us
+    is_answered = ledger.member.lease_requested_at >= ledger.last_request_us
+    if is_answered and elapsed_us >= ledger.budget.lease_us // REQUESTS_PER_LEASE:
+        return True
+    is_unanswered_or_short = not is_answered or demand > max(ledger.member.leased, ledger.requested_amount)
+    return is_unanswered_or_short and elapsed_us >= MIN_REQUEST_INTERVAL_US
+
+
+def check_terms(ledger: Ledger, sender: str, datagram: LeaseDatagram) -> bool:
+    """Compares a datagram's figures with this member's; False: it is rejected."""
+    if datagram.form != ledger.budget.timing_checksum:
+        ledger.record_rejection(f"other times under its name, by {sender}")
+        return False
+    if datagram.size > ledger.budget.max_members:
+        ledger.budget = replace(ledger.budget, max_members=datagram.size)
+        ledger.note_change(f"up to {datagram.size} members, says {sender}")
+    is_vote_request = datagram.kind == LeaseMessageKind.VOTE_REQUEST
+    if is_vote_request and datagram.size < ledger.budget.max_members:
+        ledger.record_rejection(f"{sender} counts on {datagram.size} members alone")
+        return False
+    return True
+
+
+def grantor_rank(budget: str, name: str) -> bytes:
+    """Returns the member's rank for a budget; the lowest becomes grantor.
+
+    This is rendezvous hashing: when a member fails, only its own budgets move.
+    """
     return hashlib.blake2b(f"{budget}\0{name}".encode(), digest_size=8).digest()
--- a/tests/test_control_link.py
+++ b/tests/test_control_link.py
@@ -170,7 +170,7 @@
         async with running(sender):
             await node.acknowledged(2)
             assert sender.membership and sender.membership.budgets
-            assert sender.membership.budgets.told["out"].floor == 2
+            assert sender.membership.budgets.registry.definitions["out"].floor == 2
 
 
 @play
