--- a/benchmarks/scale/held.py
+++ b/benchmarks/scale/held.py
@@ -20,7 +20,8 @@
 from benchmarks.scale.results import Allowance, Effort, Figure, Measured, Point, Quantity, Source
 from message_sender.journal.disk import SystemDisk
 from message_sender.journal.durable import DurableJournal
-from message_sender.journal.process_journal import FILE, AttemptRecord
+from message_sender.journal.entries import AttemptRecord
+from message_sender.journal.process_journal import JOURNAL_FILE
 from message_sender.message import Message
 from message_sender.policy.events import PolicyEvent
 from message_sender.policy.model import Outcome
@@ -110,7 +111,7 @@
     journal = open_journal(folder)
     fill(journal, count)
     journal.release()
-    return (folder / FILE).stat().st_size
+    return (folder / JOURNAL_FILE).stat().st_size
 
 
 async def policy_memory(count: int, folder: Path) -> int:
--- a/message_sender/cli/journal.py
+++ b/message_sender/cli/journal.py
@@ -10,7 +10,7 @@
 
 from message_sender.cli.basic import FOLDER, complaints
 from message_sender.journal.inspection import InspectedJournal
-from message_sender.journal.process_journal import FILE
+from message_sender.journal.process_journal import JOURNAL_FILE
 
 
 @click.group()
@@ -34,18 +34,18 @@
 def verify(ctx: click.Context, folder: Path) -> None:
     """Exit 0 if every record in the state folder DIR is whole, 1 if any is damaged."""
     found = inspected(folder)
-    if not found.checked:
+    if not found.has_checksums:
         click.echo("the old form, whose records have no checksum: nothing can be said of them")
     reading = found.reading
-    for hole in (*reading.holes, *reading.unwritten):
-        click.echo(f"damaged: {hole.size} bytes at byte {hole.at}, which {hole.kind.value}")
-    if reading.tail:
-        click.echo(f"damaged: {reading.tail} bytes at the end, which were never durable")
-    doubtful = sum(each.doubtful for each in found.entries.values())
+    for hole in (*reading.gaps, *reading.unwritten_gaps):
+        click.echo(f"damaged: {hole.size_bytes} bytes at byte {hole.offset}, which {hole.kind.value}")
+    if reading.tail_bytes:
+        click.echo(f"damaged: {reading.tail_bytes} bytes at the end, which were never durable")
+    doubtful = sum(each.is_doubtful for each in found.entries.values())
     click.echo(
         f"{len(reading.records)} records are whole; {len(found.entries)} messages owed, {doubtful} doubtful"
     )
-    whole = found.checked and not (reading.holes or reading.unwritten or reading.tail)
+    whole = found.has_checksums and not (reading.gaps or reading.unwritten_gaps or reading.tail_bytes)
     ctx.exit(0 if whole else 1)
 
 
@@ -56,10 +56,10 @@
 def show(folder: Path, as_json: bool, most: int) -> None:
     """What is owed in the state folder DIR."""
     found = inspected(folder)
-    before = found.before
+    before = found.previous_run
     if not as_json:
-        how = "closed cleanly" if before.clean else "not closed: it runs, or ended without a word"
-        click.echo(f"{len(found.entries)} messages owed; {how}; latest time on record {at(before.last)}")
+        how = "closed cleanly" if before.was_closed else "not closed: it runs, or ended without a word"
+        click.echo(f"{len(found.entries)} messages owed; {how}; latest time on record {at(before.latest_us)}")
     for number, (name, entry) in enumerate(found.entries.items()):
         told = {
             "id": name,
@@ -68,15 +68,15 @@
             "key": entry.message.key,
             "until": at(entry.message.deadline_us),
             "attempts": len(entry.attempts),
-            "may_have_run": entry.first_risk() is not None,
-            "doubtful": entry.doubtful,
-            "end": entry.verdict[0] if entry.verdict else "delivered" if entry.delivered() else "",
+            "may_have_run": entry.first_risky_attempt() is not None,
+            "doubtful": entry.is_doubtful,
+            "end": entry.completion[0] if entry.completion else "delivered" if entry.is_delivered() else "",
         }
         if as_json:
             click.echo(json.dumps(told))
         elif number < most:
             risk = "may have run" if told["may_have_run"] else "has not run"
-            state = "doubtful" if entry.doubtful else told["end"] or risk
+            state = "doubtful" if entry.is_doubtful else told["end"] or risk
             click.echo(f"{name}  {told['class']}  to {told['destination']}  until {told['until']}  {state}")
     if not as_json and len(found.entries) > most:
         click.echo(f"and {len(found.entries) - most} more; --most shows them")
@@ -92,20 +92,22 @@
     A message that was held where records are damaged counts as one that may have run. Exit 1 if anything
     could not be saved."""
     found = inspected(folder)
-    if not found.checked:
+    if not found.has_checksums:
         raise click.ClickException("the old form has no checksums to go by; a start carries it over")
     with complaints():
         to.mkdir(parents=True)
         found.save(to)
     reading = found.reading
-    for hole in (*reading.holes, *reading.unwritten):
-        click.echo(f"not saved: {hole.size} bytes at byte {hole.at}, which {hole.kind.value}")
-    if reading.tail:
-        click.echo(f"not saved: {reading.tail} bytes at the end, which were never durable")
-    for name in found.lost:
+    for hole in (*reading.gaps, *reading.unwritten_gaps):
+        click.echo(f"not saved: {hole.size_bytes} bytes at byte {hole.offset}, which {hole.kind.value}")
+    if reading.tail_bytes:
+        click.echo(f"not saved: {reading.tail_bytes} bytes at the end, which were never durable")
+    for name in found.lost_ids:
         click.echo(f"lost: {name}, whose own record cannot be read")
     for name, entry in found.entries.items():
-        if entry.doubtful:
+        if entry.is_doubtful:
             click.echo(f"doubtful: {name}, which may have run")
-    click.echo(f"{to / FILE}: {len(found.entries)} messages owed, {len(found.over_ids)} known to be over")
-    ctx.exit(1 if reading.holes else 0)
+    click.echo(
+        f"{to / JOURNAL_FILE}: {len(found.entries)} messages owed, {len(found.finished)} known to be over"
+    )
+    ctx.exit(1 if reading.gaps else 0)
--- a/message_sender/core/attempts.py
+++ b/message_sender/core/attempts.py
@@ -18,7 +18,7 @@
 from message_sender.core.hooks import EngineHooks
 from message_sender.core.message_table import MessageTable
 from message_sender.core.ports import AttemptResult, CompletionState, Directory, Transport
-from message_sender.journal.process_journal import AttemptRecord
+from message_sender.journal.entries import AttemptRecord
 from message_sender.message import Message
 from message_sender.policy.actions import Send
 from message_sender.policy.dispatcher import Dispatcher
@@ -110,7 +110,7 @@
         endpoint = action.endpoint
         may_go = partial(self.may_go, endpoint, message.id)
         timeout_s = min(action.timeout, self.hooks.call_timeout_us(endpoint, message.id)) / 1e6
-        if self.table.journal.durable and not self._is_idempotent(message):
+        if self.table.journal.is_durable and not self._is_idempotent(message):
             return self._call_once_durable(endpoint, message, timeout_s, may_go)
         return self.transport.call(endpoint, message, timeout_s, may_go)
 
--- a/message_sender/core/engine.py
+++ b/message_sender/core/engine.py
@@ -30,7 +30,8 @@
     Transport,
 )
 from message_sender.core.socket_errors import describe
-from message_sender.journal.process_journal import Journal, JournalEntry
+from message_sender.journal.entries import JournalEntry
+from message_sender.journal.process_journal import Journal
 from message_sender.message import Message
 from message_sender.policy.actions import (
     CancelAttempt,
@@ -164,10 +165,10 @@
         """A message of the journal: it is completed, or the policy hears of it."""
         message_id = entry.message.id
         self.directory.remember(entry.message.destination)
-        if entry.delivered():
+        if entry.is_delivered():
             self.table.finish_delivered(message_id)
-        elif entry.verdict:
-            self.table.notify_again(message_id, *entry.verdict)
+        elif entry.completion:
+            self.table.notify_again(message_id, *entry.completion)
         elif handed_over:
             self.post(self._restored_in_flight(entry, handed_over))
         else:
@@ -193,11 +194,11 @@
 
     def restored(self, entry: JournalEntry, in_flight: int = -1) -> MessageRestored:
         """The event for a message of the journal. `in_flight`: the attempt whose result will still come."""
-        risk = entry.first_risk(in_flight)
+        risk = entry.first_risky_attempt(in_flight)
         return MessageRestored(
             taken=self._accepted(entry.message),
             attempts=max(entry.attempts, default=-1) + 1,
-            risky_since=min(risk.at, self.now()) if risk else None,
+            risky_since=min(risk.started_us, self.now()) if risk else None,
             risky_zone=risk.zone if risk else "",
             outcomes=tuple((each.endpoint, each.outcome) for each in entry.attempts.values() if each.outcome),
         )
--- a/message_sender/core/lock.py
+++ b/message_sender/core/lock.py
@@ -1,5 +1,5 @@
 """The lock on a state folder, under the name by which the parts above the core know it."""
 
-from message_sender.journal.lock import FILE, Lock, LockTakenError, holder
+from message_sender.journal.lock import LOCK_FILE, Lock, LockTakenError, read_holder_pid
 
-__all__ = ["FILE", "Lock", "LockTakenError", "holder"]
+__all__ = ["LOCK_FILE", "Lock", "LockTakenError", "read_holder_pid"]
--- a/message_sender/core/message_table.py
+++ b/message_sender/core/message_table.py
@@ -155,10 +155,10 @@
         caller = self.take_caller(message_id)
         if caller is None and self.completion_listener.notify(message_id, completion):
             return
-        if caller and self.journal.durable:
+        if caller and self.journal.is_durable:
             caller.completed(completion)
         self.acknowledge(message_id)
-        if caller and not self.journal.durable:
+        if caller and not self.journal.is_durable:
             caller.completed(completion)
 
     def acknowledge(self, message_id: str) -> None:
@@ -198,10 +198,10 @@
         caller = self.take_caller(message_id)
         if caller is None and not is_withdrawn:
             self.completion_listener.notify(message_id, completion)  # before the journal forgets it
-        if caller and self.journal.durable:
+        if caller and self.journal.is_durable:
             caller.completed(completion)
         self.forget(message_id, completion.state)
-        if caller and not self.journal.durable:
+        if caller and not self.journal.is_durable:
             caller.completed(completion)
 
     def forget(self, message_id: str, state: CompletionState) -> None:
--- a/message_sender/emulator/fleet.py
+++ b/message_sender/emulator/fleet.py
@@ -539,8 +539,8 @@
                     each.deaf_until = self.time() + incident.for_s
             case "full_disk":
                 for each in chosen:
-                    limit, each.engine.journal.limit = each.engine.journal.limit, 0
-                    self.later(incident.for_s, setattr, each.engine.journal, "limit", limit)
+                    limit, each.engine.journal.limit_bytes = each.engine.journal.limit_bytes, 0
+                    self.later(incident.for_s, setattr, each.engine.journal, "limit_bytes", limit)
             case "pause":
                 self.loop.pause(incident.for_s)
             case "clock":
--- a/message_sender/grpc/channel.py
+++ b/message_sender/grpc/channel.py
@@ -230,7 +230,7 @@
     # The engine's completion_listener: what nobody waits for is kept until it is collected.
 
     def notify(self, message: str, end: Completion) -> bool:
-        self.answers.keep(message, end.state.value, end.retry_after, end.reply, end.status)
+        self.answers.add(message, end.state.value, end.retry_after, end.reply, end.status)
         return False
 
     async def run(self) -> None:
--- a/message_sender/handover/takeover.py
+++ b/message_sender/handover/takeover.py
@@ -24,7 +24,7 @@
 from typing import Any, Protocol
 
 from message_sender.control_socket import may_ask
-from message_sender.core.lock import Lock, LockTakenError, holder
+from message_sender.core.lock import Lock, LockTakenError, read_holder_pid
 from message_sender.handover.link import HandoverLink, Packet, connect, listen
 from message_sender.handover.ownership import Ownership, OwnershipState
 
@@ -203,12 +203,12 @@
 
     def end_holder(self) -> None:
         """Guards all rules from an owner that stands still and would go on when it wakes."""
-        if (number := holder(self.folder)) is None or number == os.getpid():
+        if (number := read_holder_pid(self.folder)) is None or number == os.getpid():
             return
         with contextlib.suppress(OSError):
             process = os.pidfd_open(number)
             try:
-                if not self.locked() and holder(self.folder) == number:
+                if not self.locked() and read_holder_pid(self.folder) == number:
                     log.error("the process %d does not answer and is ended", number)
                     signal.pidfd_send_signal(process, signal.SIGKILL)
             finally:
--- a/message_sender/journal/__init__.py
+++ b/message_sender/journal/__init__.py
@@ -1,1 +1,1 @@
-"""What the sender has taken on, in files that outlast its process."""
+"""Write-ahead log of accepted messages: record format, files, replay and compaction."""
--- a/message_sender/journal/durable.py
+++ b/message_sender/journal/durable.py
@@ -1,307 +1,227 @@
-"""The journal that survives the machine: checked records, synced before anything is done on their strength.
-
-The rules:
+"""The journal that survives a power loss: checked records, synced before anything is done on their strength.
 
 - *What a sync guards.* `when_durable` calls back once all that was written before is on the disk, and the
   engine does then, and not before, what rests on it: the 202 (`taken`), the first byte of an attempt whose
-  effect is not safe (`sent`), the telling of an end (`outcome`, `verdict`). An end's own record and an
-  outcome that nobody waits for go with the next sync: lost, the message is told its recorded end again, or
-  counts as may have run.
-- *One sync at a time*, away from the loop. What comes while one is out shares the next one. `gather` is the
-  least time from the beginning of one to that of the next: the first one after a rest waits for nobody.
-- *A finished sync leaves its proof*, a record whose mark says how much of the file is durable, before anybody
-  hears of the sync. So what was answered is proven also after the process has ended; a power loss can take
-  the proof until the next sync, `LAZY` s later at the latest. A sync that covers nothing but a proof leaves
-  none: a journal at rest is written and synced no more.
-- *A failed sync is never tried again on the same pages*: the system may have dropped them and call the next
-  one good. Everything is written anew from memory; while that fails too, nothing new is taken on.
+  effect is not safe (`sent`), the delivery of a completion (`outcome`, `verdict`). An end's own record and an
+  outcome that nobody waits for go with the next sync: lost, the recorded completion is delivered again, or
+  the attempt counts as may have run.
 - *Room for ends.* A ballast is given up where the disk is full, so that ends still go on record.
 
-What the records mean is in contents.py, how the file is written anew in rewriting.py.
+When syncs begin is in syncing.py, what the records mean in contents.py, compaction in compaction.py.
 """
 
-import asyncio
 import logging
-import math
-from collections import deque
 from collections.abc import Callable
 from contextlib import suppress
-from functools import partial
 from pathlib import Path
 
 from message_sender.journal import records
-from message_sender.journal.checkpoints import proof_record
-from message_sender.journal.compaction import CompactingJournal, ReplacementFile
+from message_sender.journal.compaction import ReplacementFile
 from message_sender.journal.disk import Disk, SystemDisk
-from message_sender.journal.payloads import FinishedMessage, over_text, verdict_line
-from message_sender.journal.process_journal import FILE, AttemptRecord, attempt_line, end_line, outcome_line
+from message_sender.journal.entries import AttemptRecord, FinishedMessage, RecordedCompletion
+from message_sender.journal.payloads import attempt_line, completion_line, end_line, outcome_line
+from message_sender.journal.process_journal import JOURNAL_FILE
+from message_sender.journal.syncing import MAX_SYNC_DELAY_S, SyncingJournal
 from message_sender.policy.model import Outcome
 
-DAMAGED = "journal.damaged"
-LAZY = 0.05  # s after which what nobody waits for is synced all the same
-AGAIN = 1.0  # s between tries to write the journal anew where the disk fails
+DAMAGED_FILE = "journal.damaged"
 
 log = logging.getLogger(__name__)
 
 
-class DurableJournal(CompactingJournal):
-    durable = True
+def unknown_time_us() -> int:
+    """A wall clock that is not known."""
+    return 0
+
+
+def trust_everything(journal: "DurableJournal") -> None:
+    """Leaves what was replayed as it is."""
+
+
+class DurableJournal(SyncingJournal):
+    """A journal on a disk that is synced.
+
+    Attributes:
+        boot_id: Names the machine's boot.
+        clock: The wall clock, us.
+        on_replayed: Changes what was read to what is believed of it, before that is put on record.
+    """
+
+    is_durable = True
 
     def __init__(
         self,
         folder: Path,
-        limit: int,
-        gather: float | None = 0.005,
+        limit_bytes: int,
+        sync_interval_s: float | None = 0.005,
         disk: Disk | None = None,
-        boot: str = "",
-        now: Callable[[], int] = lambda: 0,
-        trust: Callable[["DurableJournal"], None] = lambda journal: None,
+        boot_id: str = "",
+        clock: Callable[[], int] = unknown_time_us,
+        on_replayed: Callable[["DurableJournal"], None] = trust_everything,
     ) -> None:
-        """`gather`: s between the beginnings of two syncs, None: nothing is ever synced; `boot` names the
-        machine's run, `now` tells the wall clock in us. `trust` changes what was read to what is believed of
-        it, before that is put on record. Raises OSError where the folder cannot be used."""
-        self.disk, self.gather, self.boot, self.now = disk or SystemDisk(), gather, boot, now
-        self.trust = trust
-        self.begin_contents()
-        self.begin_syncs()
-        super().__init__(folder, limit)
-
-    def begin_syncs(self) -> None:
-        self.mark = 0
-        self.tally = None
-        self.written = self.synced = 0  # records, ever, without proofs
-        self.proof_waits = False  # one was written since the last sync began
-        self.waiting: deque[tuple[int, Callable[[bool], None]]] = deque()
-        self.anew = None
-        self.timer: asyncio.TimerHandle | None = None
-        self.task = None
-        self.failed_at: float | None = None  # s, the loop's clock: when the journal could not be written anew
-        self.began_at = -math.inf  # s, the loop's clock: of the last sync
-        self.failing = False  # the last sync failed: the next one is of a file that is written anew
-
-    def open(self) -> int:
-        return self.disk.open(self.folder / FILE)
+        """Opens and replays the journal, and writes it into a new file.
+
+        Args:
+            folder: The state folder.
+            limit_bytes: What its files may take on the disk.
+            sync_interval_s: Between the beginnings of two syncs at least; None: nothing is ever synced.
+            disk: The file layer; None: the operating system's.
+            boot_id: Names the machine's boot.
+            clock: The wall clock, us.
+            on_replayed: Changes what was read to what is believed of it, before that is put on record.
+
+        Raises:
+            OSError: The folder cannot be used.
+        """
+        self.disk = disk or SystemDisk()
+        self.sync_interval_s = sync_interval_s
+        self.boot_id = boot_id
+        self.clock = clock
+        self.on_replayed = on_replayed
+        self.clear_contents()
+        self.clear_sync_state()
+        super().__init__(folder, limit_bytes)
+
+    def open_file(self) -> int:
+        """Opens the file."""
+        return self.disk.open(self.folder / JOURNAL_FILE)
 
     def replay(self) -> None:
-        data = self.disk.read(self.folder / FILE)
+        """Reads the file in either format, and writes what is believed of it into a new one.
+
+        Raises:
+            OSError: The file cannot be read, or has the process format and cannot be converted.
+        """
+        data = self.disk.read(self.folder / JOURNAL_FILE)
         if data.startswith(b"{"):
-            self.replay_old(data)
+            self.replay_process_format(data)
         else:
-            self.replay_checked(data)
-        if self.before.damage:
-            with suppress(OSError):  # for who looks into it
-                (self.folder / DAMAGED).write_bytes(data)
-        self.trust(self)
-        self.marks.append({"began": self.boot, "at": max(self.now(), self.last)})
-        if self.rewrite() or (self.give_up_ballast() and self.rewrite()):
+            self.replay_checksummed(data)
+        if self.previous_run.damage:
+            with suppress(OSError):  # a copy for people; the start goes on without it
+                (self.folder / DAMAGED_FILE).write_bytes(data)
+        self.on_replayed(self)
+        self.run_records.append({"began": self.boot_id, "at": max(self.clock(), self.latest_us)})
+        if self.rewrite_now() or (self.release_ballast() and self.rewrite_now()):
             return
         if not data.startswith(b"2"):
-            raise OSError(f"the journal in {self.folder} cannot be written anew")
-        self.size = len(data) - self.before.dropped  # it goes on as it is; nothing new may fit
-        self.disk.truncate(self.file, self.size)
+            raise OSError(f"the journal in {self.folder} cannot be rewritten")
+        self.size_bytes = (
+            len(data) - self.previous_run.dropped_bytes
+        )  # it goes on as it is; nothing new may fit
+        self.disk.truncate(self.file, self.size_bytes)
 
     # Append.
 
-    def append(self, record: bytes, last: bool = False, of: str = "", decisive: bool = False) -> bool:
-        """`last`: the end of a message, for which the ballast goes where there is no other room. `of`: the
-        message, where it has been held for a while. `decisive`: lost, the message could run again
-        (tally.py)."""
-        if self.failed_at is not None:
+    def append(
+        self, record: bytes, is_end: bool = False, message_id: str = "", is_decisive: bool = False
+    ) -> bool:
+        """Appends a record to the file, and to the replacement while one is written.
+
+        Args:
+            record: Its payload, with a line end.
+            is_end: It belongs to the end of a message, for which the ballast is given up.
+            message_id: The message, where it has been on record for a while.
+            is_decisive: Lost, the message could run again (checkpoints.py).
+        """
+        if self.failed_at_s is not None:
             return False
-        framed = records.frame(record[:-1], self.mark)
-        if self.over(self.size + len(framed)):
+        framed = records.frame_record(record[:-1], self.durable_bytes)
+        if self.exceeds_limit(self.size_bytes + len(framed)):
             self.compact()
-            if not last:
-                log.error("journal: no room for %d bytes", len(framed))
+            if not is_end:
+                log.error("journal full: record_bytes=%d", len(framed))
                 return False
-        if not self.write(framed, last):
+        if not self.write_framed(framed, is_end):
             return False
-        if decisive and self.tally:
-            self.tally.add(of)
-        if (anew := self.anew) and of not in anew.left:
-            # Nothing of that file has been durable yet, as its marks would say.
-            if self.add_to_anew(anew, records.frame(record[:-1], 0)) and decisive:
-                anew.tally.add(of)
-        self.written += 1
-        self.want(LAZY)
+        if is_decisive and self.digest:
+            self.digest.add(message_id)
+        if (replacement := self.replacement) and message_id not in replacement.pending_ids:
+            self._copy_to_replacement(replacement, record, message_id, is_decisive)
+        self.written_records += 1
+        self.schedule_sync(MAX_SYNC_DELAY_S)
         return True
 
-    def write(self, framed: bytes, last: bool) -> bool:
-        try:
-            self.disk.write(self.file, framed)
-        except OSError as error:
-            log.error("journal: not written: %s", error)
-            if not (last and self.give_up_ballast()):
-                return False
-            return self.write(framed, False)
-        self.size += len(framed)
-        return True
-
-    def record_attempt(self, name: str, number: int, attempt: AttemptRecord) -> bool:
-        self.last = max(self.last, attempt.at)
-        record = attempt_line(name, number, attempt)
-        if not self.append(record, of=name, decisive=True):
+    def _copy_to_replacement(
+        self, replacement: ReplacementFile, record: bytes, message_id: str, is_decisive: bool
+    ) -> None:
+        # Nothing of that file has been durable yet, and its marks say so.
+        framed = records.frame_record(record[:-1], 0)
+        if self.append_to_replacement(replacement, framed) and is_decisive:
+            replacement.digest.add(message_id)
+
+    def record_attempt(self, message_id: str, number: int, attempt: AttemptRecord) -> bool:
+        """Puts the start of an attempt on record."""
+        self.latest_us = max(self.latest_us, attempt.started_us)
+        record = attempt_line(message_id, number, attempt)
+        if not self.append(record, message_id=message_id, is_decisive=True):
             return False
-        self.entries[name].attempts[number] = attempt
-        self.grow(name, len(record) + records.WIDTH)
+        self.entries[message_id].attempts[number] = attempt
+        self.add_record_size(message_id, len(record) + records.FRAME_BYTES)
         return True
 
-    def record_outcome(self, name: str, number: int, outcome: Outcome) -> None:
-        entry = self.entries[name]
+    def record_outcome(self, message_id: str, number: int, outcome: Outcome) -> None:
+        """Puts the outcome of an attempt on record."""
+        entry = self.entries[message_id]
         if attempt := entry.attempts.get(number):
             attempt.outcome = outcome
-            record = outcome_line(name, number, outcome)
-            if self.append(record, last=True, of=name):
-                self.grow(name, len(record) + records.WIDTH)
-
-    def record_completion(self, name: str, state: str, retry_after: int) -> None:
-        if entry := self.entries.get(name):
-            entry.verdict = state, retry_after
-            record = verdict_line(name, state, retry_after)
-            if self.append(record, last=True, of=name, decisive=True):
-                self.grow(name, len(record) + records.WIDTH)
-
-    def record_end(self, name: str, state: str = "") -> None:
-        entry = self.entries.pop(name)
-        self.live -= entry.size
-        over = FinishedMessage(self.now(), state, entry.message.key)
-        self.know_over(name, over)
-        if self.anew:
-            self.anew.left.pop(name, None)  # its turn need not come: its end tells all
-        self.append(end_line(name)[:-2] + over_text(over) + b"\n", last=True)
-        if self.size > 2 * self.live + self.spare:
-            self.compact()
-
-    # Syncs.
-
-    def when_durable(self, then: Callable[[bool], None]) -> None:
-        if self.failed_at is not None:
-            then(False)
-        elif self.gather is None or self.synced >= self.written:
-            then(True)
-        else:
-            self.waiting.append((self.written, then))
-            self.want(self.pause())
-
-    def pause(self) -> float:
-        """s until the next sync may begin: `gather` after the one before began, so that the first one after a
-        rest waits for nobody."""
-        return max(self.began_at + (self.gather or 0.0) - asyncio.get_running_loop().time(), 0.0)
-
-    def want(self, within: float) -> None:
-        """A sync begins after so many seconds at the latest."""
-        if self.gather is None or self.task or self.file < 0:
-            return  # the end of the one that is out begins the next
-        loop = asyncio.get_running_loop()
-        due = loop.time() + within
-        if self.timer:
-            if self.timer.when() <= due:
-                return
-            self.timer.cancel()
-        self.timer = loop.call_at(due, self.begin)
-
-    def begin(self) -> None:
-        self.timer = None
-        if self.task is None and self.file >= 0:
-            self.began_at = asyncio.get_running_loop().time()
-            self.task = asyncio.get_running_loop().create_task(self.sync())
-
-    async def sync(self) -> None:
-        anew = self.anew if self.anew and self.anew.whole else None
-        written, size = self.written, anew.size if anew else self.size
-        self.proof_waits = False
-        job = partial(self.name_anew, anew) if anew else partial(self.disk.sync, self.file)
-        if anew:
-            anew.naming = True
-        try:
-            await self.disk.run(job)
-            if anew and anew.incomplete:
-                raise OSError("a record is missing from the file that was written anew")
-        except OSError as error:
-            self.task = None
-            self.sync_failed(anew, error)
-            return
-        self.task = None
-        if anew:
-            self.take_place(anew, size)
-        self.mark, self.failing = size, False
-        if anew or written > self.synced:
-            self.prove()
-        self.synced = max(self.synced, written)
-        while self.waiting and self.waiting[0][0] <= written:
-            self.waiting.popleft()[1](True)
-        if self.synced < self.written or self.proof_waits or (self.anew and self.anew.whole):
-            self.want(self.pause() if self.waiting else LAZY)
-
-    def prove(self) -> None:
-        """Says on record how much of the file is durable. Without room it is left out: then the next record's
-        mark says it."""
-        proof = proof_record(self.mark, self.tally)
-        if not self.over(self.size + len(proof)):
-            self.proof_waits = self.write(proof, last=False)
-
-    def sync_failed(self, anew: ReplacementFile | None, error: OSError) -> None:
-        """The same pages are not synced again: what is written anew from memory is another file."""
-        log.error("journal: a sync failed: %s", error)
-        if anew and anew.named:
-            self.take_place(anew, 0)
-        elif anew:
-            self.drop_anew()
-        if self.failing or not self.start_anew():
-            self.give_up()
-            return
-        self.failing = True
-        self.begin()
-
-    def give_up(self) -> None:
-        """No disk takes it: nothing new is taken on, and nothing unsafe goes out, until it is written
-        anew."""
-        loop = asyncio.get_running_loop()
-        self.failed_at, self.failing = loop.time(), False
-        self.drop_anew()
-        log.error("journal: it cannot be made durable: nothing new is taken on for %.0f s", AGAIN)
-        waiting, self.waiting = self.waiting, deque()
-        for _, then in waiting:
-            then(False)
-        self.timer = loop.call_later(AGAIN, self.try_again)
-
-    def try_again(self) -> None:
-        self.timer, self.failed_at = None, None
-        if self.file < 0:
-            return
-        if not self.start_anew():
-            self.give_up()
-            return
-        self.failing = True
-        self.begin()
-
-    def fits(self, size: int) -> bool:
-        return self.failed_at is None and super().fits(size + records.WIDTH)
+            record = outcome_line(message_id, number, outcome)
+            if self.append(record, is_end=True, message_id=message_id):
+                self.add_record_size(message_id, len(record) + records.FRAME_BYTES)
+
+    def record_completion(self, message_id: str, state: str, retry_after_us: int) -> None:
+        """Puts a completion on record before it is delivered."""
+        if entry := self.entries.get(message_id):
+            entry.completion = RecordedCompletion(state, retry_after_us)
+            record = completion_line(message_id, state, retry_after_us)
+            if self.append(record, is_end=True, message_id=message_id, is_decisive=True):
+                self.add_record_size(message_id, len(record) + records.FRAME_BYTES)
+
+    def record_end(self, message_id: str, state: str = "") -> None:
+        """Puts on record that a message is over, and keeps its id for a while."""
+        entry = self.entries.pop(message_id)
+        self.live_bytes -= entry.size_bytes
+        finished = FinishedMessage(self.clock(), state, entry.message.key)
+        self.remember_finished(message_id, finished)
+        if self.replacement:
+            self.replacement.pending_ids.pop(message_id, None)  # the record of its end tells all
+        self.append(end_line(message_id, finished), is_end=True)
+        self.compact_if_worthwhile()
+
+    def has_room_for(self, record_bytes: int) -> bool:
+        """Whether a new message fits, and the disk takes it."""
+        return self.failed_at_s is None and super().has_room_for(record_bytes + records.FRAME_BYTES)
+
+    # The end.
 
     def release(self) -> None:
+        """Lets go of the file as the end of the process would."""
         if self.file >= 0:
             self.disk.close(self.file)
         self.file = -1
 
     def close(self) -> None:
-        """A clean stop says so, durably."""
+        """Puts a clean stop on record, durably."""
         if self.file < 0:
             return
         self.disk.finish()
-        complete = True
-        if (anew := self.anew) and anew.named:
-            self.take_place(anew, 0)
-            complete = not anew.incomplete or self.rewrite()
-        self.drop_anew()
-        if complete and self.failed_at is None:
-            self.prove()  # its counts tell what was not synced yet
+        is_complete = True
+        if (replacement := self.replacement) and replacement.is_installed:
+            self.switch_to(replacement, 0)
+            is_complete = not replacement.misses_record or self.rewrite_now()
+        self.discard_replacement()
+        if is_complete and self.failed_at_s is None:
+            self._record_clean_stop()
+        if self.sync_task:
+            self.sync_task.cancel()
+        if self.sync_timer:
+            self.sync_timer.cancel()
+        self.release()
+
+    def _record_clean_stop(self) -> None:
+        self.write_proof()  # its digest covers what was not synced yet
         try:
-            if complete and self.failed_at is None and self.append(b'{"closed":1,"at":%d}\n' % self.now()):
+            if self.append(b'{"closed":1,"at":%d}\n' % self.clock()):
                 self.disk.sync(self.file)
         except OSError as error:
-            log.error("journal: not closed cleanly: %s", error)
-        if self.task:
-            self.task.cancel()
-        if self.timer:
-            self.timer.cancel()
-        self.release()
+            log.error("journal not closed cleanly: reason=%s", error)
--- a/message_sender/journal/lock.py
+++ b/message_sender/journal/lock.py
@@ -4,7 +4,7 @@
 import os
 from pathlib import Path
 
-FILE = "lock"
+LOCK_FILE = "lock"
 
 
 class LockTakenError(OSError):
@@ -12,11 +12,16 @@
 
 
 class Lock:
-    """Held until `release`, or until the process ends however it ends (flock(2) goes with the descriptor)."""
+    """An exclusive lock on a folder, until `release` or the end of the process (flock(2))."""
 
     def __init__(self, folder: Path) -> None:
-        """Raises LockTakenError if another one holds it, and OSError if the folder cannot be used."""
-        self.file = os.open(folder / FILE, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
+        """Takes the lock and writes this process' number into its file.
+
+        Raises:
+            LockTakenError: Another one has it.
+            OSError: The folder cannot be used.
+        """
+        self.file = os.open(folder / LOCK_FILE, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
             fcntl.flock(self.file, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError:
@@ -26,12 +31,13 @@
         os.pwrite(self.file, str(os.getpid()).encode(), 0)
 
     def release(self) -> None:
+        """Lets go of the lock; to be called once."""
         os.close(self.file)
 
 
-def holder(folder: Path) -> int | None:
-    """The number of the process that holds the folder, as it wrote it; None where none is there."""
+def read_holder_pid(folder: Path) -> int | None:
+    """Returns the number of the process that has the folder, as it wrote it; None: there is none."""
     try:
-        return int((folder / FILE).read_text())
+        return int((folder / LOCK_FILE).read_text())
     except (OSError, ValueError):
         return None
--- a/message_sender/journal/process_journal.py
+++ b/message_sender/journal/process_journal.py
@@ -1,124 +1,81 @@
-"""What the sender has taken on, in a file that outlasts its process: append, replay, compact.
+"""The journal that outlasts its process: append, replay, compact.
 
-One JSON object a line. `os.write` hands each record to the system at once; that outlasts SIGKILL without
-a sync, and what a sync would add, surviving the machine, is not owed.
+One JSON object a line. `os.write` hands each record to the system at once; that outlasts SIGKILL without a
+sync, and surviving a power loss is not asked of this journal.
 """
 
-import base64
 import json
 import logging
 import os
-from collections.abc import Callable, Iterator
-from dataclasses import dataclass, field
+from collections.abc import Callable
 from pathlib import Path
 from typing import Any
 
+from message_sender.journal.entries import AttemptRecord, JournalEntry
+from message_sender.journal.payloads import (
+    accepted_line,
+    attempt_line,
+    end_line,
+    entry_lines,
+    outcome_line,
+    parse_message,
+)
 from message_sender.message import Message
-from message_sender.policy.model import NEVER_RAN, Outcome
-
-FILE, COMPACTED = "journal", "journal.new"
-BLOCK = 512  # a file counts in whole blocks
-#: Fields of a message that are texts and whole numbers, by their names in a record.
-RECORDED_FIELDS = {
-    "id": "id",
-    "message_class": "message_class",
-    "destination": "destination",
-    "until": "deadline_us",
-    "tenant": "tenant",
-    "key": "key",
-    "idempotency_key": "idempotency_key",
-}
-#: Names in a record that differ from those of the fields.
-FIELDS = {"again": "is_repeat", "until": "deadline_us"}
-ENCODER = json.JSONEncoder(separators=(",", ":"), check_circular=False)
-quoted = json.encoder.encode_basestring_ascii  # a text as JSON; the encoder itself costs five times as much
-SPARE = 8  # one part in so many is kept free of new messages, for the attempts and ends of those held
-
-log = logging.getLogger(__name__)
-
-
-@dataclass(slots=True)
-class AttemptRecord:
-    at: int  # us, wall clock
-    endpoint: str
-    zone: str
-    outcome: Outcome | None = None  # none yet; after a restart: it was out when the process ended
-
-    def may_have_run(self) -> bool:
-        return self.outcome not in NEVER_RAN
-
-
-@dataclass(slots=True)
-class JournalEntry:
-    message: Message
-    attempts: dict[int, AttemptRecord] = field(default_factory=dict)
-    size: int = 0  # bytes of its records
-    #: A record that may have been its own cannot be read: an attempt that nobody knows of may have run.
-    doubtful: bool = False
-    verdict: tuple[str, int] | None = None  # its end is decided: state, and us after which to come again
-
-    def delivered(self) -> bool:
-        return any(each.outcome is Outcome.OK for each in self.attempts.values())
-
-    def first_risk(self, but: int = -1) -> AttemptRecord | None:
-        """The first attempt that may have run; `but`: the one that is still out, whose end will be told."""
-        if self.doubtful:
-            return UNKNOWN
-        return next((each for at, each in self.attempts.items() if at != but and each.may_have_run()), None)
-
-
-UNKNOWN = AttemptRecord(0, "", "")  # one that may have run, long ago
-
-
-def taken_line(message: Message) -> bytes:
-    values = [(name, getattr(message, field)) for name, field in RECORDED_FIELDS.items()]
-    told = ",".join([f'"{k}":{v if isinstance(v, int) else quoted(v)}' for k, v in values])
-    again = "true" if message.is_repeat else "false"
-    # What most messages lack takes no room.
-    extras = f',"extras":{ENCODER.encode(message.extras)}' if message.extras else ""
-    body = base64.b64encode(message.body).decode()
-    return f'{{"taken":{{{told},"again":{again},"body":"{body}"{extras}}}}}\n'.encode()
-
-
-def attempt_line(message: str, number: int, attempt: AttemptRecord) -> bytes:
-    where = f'"endpoint":{quoted(attempt.endpoint)},"zone":{quoted(attempt.zone)}'
-    return f'{{"sent":{quoted(message)},"number":{number},"at":{attempt.at},{where}}}\n'.encode()
+from message_sender.policy.model import Outcome
 
+JOURNAL_FILE = "journal"
+COMPACTED_FILE = "journal.new"
+BLOCK_BYTES = 512  # a file counts in whole blocks
+RESERVE_DIVISOR = 8  # this part of the limit is kept free of new messages, for records of accepted ones
 
-def outcome_line(message: str, number: int, outcome: Outcome) -> bytes:
-    return f'{{"outcome":"{outcome.value}","of":{quoted(message)},"number":{number}}}\n'.encode()
+#: What reading a record raises where it is none.
+RECORD_ERRORS = (ValueError, KeyError, TypeError, AttributeError)
 
-
-def end_line(message: str) -> bytes:
-    return f'{{"end":{quoted(message)}}}\n'.encode()
-
-
-def lines_of(entry: JournalEntry) -> Iterator[bytes]:
-    yield taken_line(entry.message)
-    for number, attempt in entry.attempts.items():
-        yield attempt_line(entry.message.id, number, attempt)
-        if attempt.outcome:
-            yield outcome_line(entry.message.id, number, attempt.outcome)
+log = logging.getLogger(__name__)
 
 
 class Journal:
-    #: Whether it survives the machine: then what a record stands for happens only after `when_durable`.
-    durable = False
-
-    def __init__(self, folder: Path, limit: int) -> None:
-        """Opens the file and replays it. `entries` then holds what is still owed, in the order taken."""
-        self.folder, self.limit, self.spare = folder, limit, limit // SPARE
+    """Accepted messages that are not over, and their file.
+
+    The methods that record something return whether the record is written; if it is not, what it stands for
+    must not happen.
+
+    Attributes:
+        is_durable: Whether it survives a power loss: then what a record stands for happens only after
+            `when_durable`.
+        folder: The state folder.
+        limit_bytes: What its files may take on the disk.
+        reserve_bytes: Of these, kept free of new messages.
+        entries: Messages that are not over, in the order in which they were accepted.
+        size_bytes: Of the file.
+        live_bytes: Of the records of `entries`.
+        file: Descriptor of the file; -1 once it is closed.
+    """
+
+    is_durable = False
+
+    def __init__(self, folder: Path, limit_bytes: int) -> None:
+        """Opens the file and replays it.
+
+        Raises:
+            OSError: The file cannot be opened or read.
+        """
+        self.folder = folder
+        self.limit_bytes = limit_bytes
+        self.reserve_bytes = limit_bytes // RESERVE_DIVISOR
         self.entries: dict[str, JournalEntry] = {}
-        self.size = self.live = 0  # bytes of the file, and of the records of what is still owed
-        self.file = self.open()
+        self.size_bytes = 0
+        self.live_bytes = 0
+        self.file = self.open_file()
         self.replay()
 
-    def open(self) -> int:
-        (self.folder / COMPACTED).unlink(missing_ok=True)  # left by a process that ended while compacting
-        return os.open(self.folder / FILE, os.O_RDWR | os.O_CREAT | os.O_APPEND, 0o600)
+    def open_file(self) -> int:
+        """Opens the file, and removes what a process left that ended while it compacted."""
+        (self.folder / COMPACTED_FILE).unlink(missing_ok=True)
+        return os.open(self.folder / JOURNAL_FILE, os.O_RDWR | os.O_CREAT | os.O_APPEND, 0o600)
 
     def close(self) -> None:
-        """A second time does nothing."""
+        """Closes the journal; a second time does nothing."""
         self.release()
 
     def release(self) -> None:
@@ -130,133 +87,164 @@
     # Replay.
 
     def replay(self) -> None:
-        """A record that SIGKILL tore is the last one: nothing was done on its strength, so it is cut off."""
-        with open(self.folder / FILE, "rb") as file:
-            for text in file:
+        """Reads the file, and cuts off a record at its end that SIGKILL tore: nothing rests on it."""
+        with open(self.folder / JOURNAL_FILE, "rb") as file:
+            for line in file:
+                is_complete = line.endswith(b"\n")
                 try:
-                    if not text.endswith(b"\n"):
+                    if not is_complete:
                         raise ValueError("no end of line")
-                    self.apply(json.loads(text), len(text))
-                except (ValueError, KeyError, TypeError, AttributeError) as error:
-                    log.warning("journal: a record at byte %d is dropped: %s", self.size, error)
-                    if not text.endswith(b"\n"):
+                    self.apply_record(json.loads(line), len(line))
+                except RECORD_ERRORS as error:
+                    log.warning("journal record dropped: offset=%d reason=%s", self.size_bytes, error)
+                    if not is_complete:
                         break
-                self.size += len(text)
-        os.ftruncate(self.file, self.size)
-        if self.size > self.live:
+                self.size_bytes += len(line)
+        os.ftruncate(self.file, self.size_bytes)
+        if self.size_bytes > self.live_bytes:
             self.compact()
 
-    def apply(self, record: dict[str, Any], size: int) -> None:
-        if told := record.get("taken"):
-            extras = tuple((str(name), str(text)) for name, text in told.get("extras", ()))
-            values = {FIELDS.get(name, name): value for name, value in told.items()}
-            body = base64.b64decode(told["body"])
-            message = Message(**values | {"body": body, "extras": extras})
+    def apply_record(self, record: dict[str, Any], record_bytes: int) -> None:
+        """Applies a record of the file to `entries`.
+
+        Raises:
+            ValueError, KeyError, TypeError, AttributeError: It is no record of this format.
+        """
+        if fields := record.get("taken"):
+            message = parse_message(fields)
             self.entries[message.id] = JournalEntry(message)
-            self.grow(message.id, size)
-        elif name := record.get("sent"):
+            self.add_record_size(message.id, record_bytes)
+        elif message_id := record.get("sent"):
             attempt = AttemptRecord(record["at"], record["endpoint"], record["zone"])
-            self.entries[name].attempts[record["number"]] = attempt
-            self.grow(name, size)
+            self.entries[message_id].attempts[record["number"]] = attempt
+            self.add_record_size(message_id, record_bytes)
         elif "outcome" in record:
             # An outcome may come after the end, from an attempt at a message that was over.
             if entry := self.entries.get(record["of"]):
                 entry.attempts[record["number"]].outcome = Outcome(record["outcome"])
-                self.grow(record["of"], size)
+                self.add_record_size(record["of"], record_bytes)
         elif entry := self.entries.pop(record["end"], None):
-            self.live -= entry.size
+            self.live_bytes -= entry.size_bytes
 
-    def grow(self, name: str, size: int) -> None:
-        self.entries[name].size += size
-        self.live += size
+    def add_record_size(self, message_id: str, record_bytes: int) -> None:
+        """Counts a record of a message."""
+        self.entries[message_id].size_bytes += record_bytes
+        self.live_bytes += record_bytes
 
-    # Append. Each answers whether the record is written; if not, what it stands for must not happen.
+    # Append.
 
     def record_accepted(self, message: Message) -> bool:
-        record = taken_line(message)
-        if not self.fits(len(record)) or not self.append(record):
+        """Puts a message on record, if there is room for a new one."""
+        record = accepted_line(message)
+        if not self.has_room_for(len(record)) or not self.append(record):
             return False
         self.entries[message.id] = JournalEntry(message)
-        self.grow(message.id, len(record))
+        self.add_record_size(message.id, len(record))
         return True
 
-    def record_attempt(self, name: str, number: int, attempt: AttemptRecord) -> bool:
-        record = attempt_line(name, number, attempt)
+    def record_attempt(self, message_id: str, number: int, attempt: AttemptRecord) -> bool:
+        """Puts the start of an attempt on record."""
+        record = attempt_line(message_id, number, attempt)
         if not self.append(record):
             return False
-        self.entries[name].attempts[number] = attempt
-        self.grow(name, len(record))
+        self.entries[message_id].attempts[number] = attempt
+        self.add_record_size(message_id, len(record))
         return True
 
-    def record_outcome(self, name: str, number: int, outcome: Outcome) -> None:
-        """Lost, it reads as a reset after a restart: more careful than needed, never less."""
-        record = outcome_line(name, number, outcome)
-        if attempt := self.entries[name].attempts.get(number):
+    def record_outcome(self, message_id: str, number: int, outcome: Outcome) -> None:
+        """Puts the outcome of an attempt on record.
+
+        If the record is lost, it reads as a reset after a restart: more careful than needed, never less.
+        """
+        record = outcome_line(message_id, number, outcome)
+        if attempt := self.entries[message_id].attempts.get(number):
             attempt.outcome = outcome
         if attempt and self.append(record):
-            self.grow(name, len(record))
+            self.add_record_size(message_id, len(record))
 
-    def record_completion(self, name: str, state: str, retry_after: int) -> None:
-        """The end of a message is decided, and told next. What only has to survive the process needs none."""
+    def record_completion(self, message_id: str, state: str, retry_after_us: int) -> None:
+        """Puts a completion on record before it is delivered. What only outlasts its process needs none."""
 
-    def resting_keys(self, quiet: int) -> set[str]:
-        """Keys that may rest still, of messages that are over. What only survives the process knows none."""
+    def resting_keys(self, quiet_us: int) -> set[str]:
+        """Returns ordering keys whose last message was over less than `quiet_us` before.
+
+        What only outlasts its process knows none.
+        """
         return set()
 
-    def when_durable(self, then: Callable[[bool], None]) -> None:
-        """Calls `then` once what was written so far is as durable as is asked: here, at once. False: it could
-        not be made so, and what it stands for must not happen."""
-        then(True)
+    def when_durable(self, callback: Callable[[bool], None]) -> None:
+        """Calls `callback` once what was written so far is durable; here that is at once.
 
-    def record_end(self, name: str, state: str = "") -> None:
-        """Lost, the message is tried or told once more after a restart, which does no harm."""
-        self.live -= self.entries.pop(name).size
-        self.append(end_line(name))
-        if self.size > 2 * self.live + self.spare:
-            self.compact()
+        Args:
+            callback: Gets False if that failed; what the records stand for must not happen then.
+        """
+        callback(True)
+
+    def record_end(self, message_id: str, state: str = "") -> None:
+        """Puts on record that a message is over, and forgets it.
+
+        If the record is lost, the message is tried or its completion delivered once more after a restart,
+        which does no harm.
+        """
+        self.live_bytes -= self.entries.pop(message_id).size_bytes
+        self.append(end_line(message_id))
+        self.compact_if_worthwhile()
 
     def append(self, record: bytes) -> bool:
-        if self.over(self.size + len(record)) and not self.compact():
-            log.error("journal: no room for %d bytes", len(record))
+        """Appends a record; False: it could not be written."""
+        if self.exceeds_limit(self.size_bytes + len(record)) and not self.compact():
+            log.error("journal full: record_bytes=%d", len(record))
             return False
         try:
             written = os.write(self.file, record)
             if written < len(record):
-                os.ftruncate(self.file, self.size)
+                os.ftruncate(self.file, self.size_bytes)
                 raise OSError("a short write")
         except OSError as error:
-            log.error("journal: not written: %s", error)
+            log.error("journal write failed: reason=%s", error)
             return False
-        self.size += len(record)
+        self.size_bytes += len(record)
         return True
 
     # Room.
 
-    def over(self, size: int, other: int = 0) -> bool:
-        return sum(-(-each // BLOCK) * BLOCK for each in (size, other)) > self.limit
+    def exceeds_limit(self, file_bytes: int, other_file_bytes: int = 0) -> bool:
+        """Whether files of these sizes take more than the limit."""
+        blocks = -(-file_bytes // BLOCK_BYTES) + -(-other_file_bytes // BLOCK_BYTES)
+        return blocks * BLOCK_BYTES > self.limit_bytes
 
-    def fits(self, size: int) -> bool:
-        """Room for a new message such that the file can still be copied to compact it."""
-        if not self.over(self.size + size, self.live + size + self.spare):
+    def has_room_for(self, record_bytes: int) -> bool:
+        """Whether a new message fits such that the file can still be copied to compact it."""
+        if self._fits_with_copy(record_bytes):
             return True
-        return self.compact() and not self.over(self.size + size, self.live + size + self.spare)
+        return self.compact() and self._fits_with_copy(record_bytes)
+
+    def _fits_with_copy(self, record_bytes: int) -> bool:
+        copy_bytes = self.live_bytes + record_bytes + self.reserve_bytes
+        return not self.exceeds_limit(self.size_bytes + record_bytes, copy_bytes)
+
+    def compact_if_worthwhile(self) -> None:
+        """Compacts the file once most of it is records of messages that are over."""
+        if self.size_bytes > 2 * self.live_bytes + self.reserve_bytes:
+            self.compact()
 
     def compact(self) -> bool:
-        """Writes what is still owed to a second file and puts that in the first one's place in one step."""
-        if self.size <= self.live or self.over(self.size, self.live):
+        """Replaces the file in one step by one that holds only `entries`; returns whether it did."""
+        if self.size_bytes <= self.live_bytes or self.exceeds_limit(self.size_bytes, self.live_bytes):
             return False
-        path = self.folder / COMPACTED
+        new_path = self.folder / COMPACTED_FILE
         try:
-            with open(path, "wb") as file:
+            with open(new_path, "wb") as file:
                 for entry in self.entries.values():
-                    for each in lines_of(entry):
-                        file.write(each)
-            os.replace(path, self.folder / FILE)
-            fresh = os.open(self.folder / FILE, os.O_RDWR | os.O_APPEND)
+                    for line in entry_lines(entry):
+                        file.write(line)
+            os.replace(new_path, self.folder / JOURNAL_FILE)
+            new_file = os.open(self.folder / JOURNAL_FILE, os.O_RDWR | os.O_APPEND)
         except OSError as error:
-            log.error("journal: not compacted: %s", error)
-            path.unlink(missing_ok=True)
+            log.error("journal not compacted: reason=%s", error)
+            new_path.unlink(missing_ok=True)
             return False
         os.close(self.file)
-        self.file, self.size = fresh, os.fstat(fresh).st_size
+        self.file = new_file
+        self.size_bytes = os.fstat(new_file).st_size
         return True
--- a/message_sender/recovery/learned_snapshot.py
+++ b/message_sender/recovery/learned_snapshot.py
@@ -48,17 +48,19 @@
 
 def encode(at: int, breakers: Breakers) -> bytes:
     told = [[number, route, finite(values)] for number, route, values in breakers]
-    return records.frame(json.dumps({"learned": 1, "at": at, "breakers": told}).encode(), 0)
+    return records.frame_record(json.dumps({"learned": 1, "at": at, "breakers": told}).encode(), 0)
 
 
 def decode(data: bytes) -> tuple[int, Breakers] | None:
     """When it was made, us, and what it tells; None: it cannot be read."""
-    record = records.one(data, 0)
-    if record is None or record.told.get("learned") != 1:
+    record = records.parse_record(data, 0)
+    if record is None or record.payload.get("learned") != 1:
         return None
     try:
-        told = [(int(n), str(r), {k: float(v) for k, v in x.items()}) for n, r, x in record.told["breakers"]]
-        return int(record.told["at"]), tuple(told)
+        told = [
+            (int(n), str(r), {k: float(v) for k, v in x.items()}) for n, r, x in record.payload["breakers"]
+        ]
+        return int(record.payload["at"]), tuple(told)
     except (KeyError, TypeError, ValueError, AttributeError):
         return None
 
--- a/message_sender/recovery/startup.py
+++ b/message_sender/recovery/startup.py
@@ -54,7 +54,7 @@
         return DurableJournal(folder, limit, self.gather, self.disk, self.boot, self.now, self.trust)
 
     def trust(self, journal: DurableJournal) -> None:
-        self.start = trust.judge(journal.before, self.boot, self.clock())
+        self.start = trust.judge(journal.previous_run, self.boot, self.clock())
         deadlines = {each.name: each.deadline for each in self.settings.classes}
         trust.owed(journal.entries, self.start, self.now(), deadlines)
         if self.start.ended is not PreviousEnd.FIRST:
@@ -62,7 +62,7 @@
                 "the life before: %s; %d messages are owed, %d of them doubtful; %s",
                 self.start.ended.value,
                 len(journal.entries),
-                sum(each.doubtful for each in journal.entries.values()),
+                sum(each.is_doubtful for each in journal.entries.values()),
                 "nobody knows how much time has passed"
                 if self.start.passed is None
                 else f"{self.start.passed / 1e6:.3f} s have passed",
--- a/message_sender/recovery/trust.py
+++ b/message_sender/recovery/trust.py
@@ -21,7 +21,7 @@
 from enum import Enum
 
 from message_sender.journal.contents import PreviousRun
-from message_sender.journal.process_journal import JournalEntry
+from message_sender.journal.entries import JournalEntry
 
 SECOND = 1_000_000  # us
 NEVER = float("inf")
@@ -91,18 +91,18 @@
 
 def judge(before: PreviousRun, boot: str, now: int) -> StartConditions:
     """`boot` names the machine's run, `now` is its wall clock in us."""
-    if not before.last:
+    if not before.latest_us:
         return StartConditions(PreviousEnd.FIRST)
-    behind = max(before.last - now, 0)
+    behind = max(before.latest_us - now, 0)
     ended = (
         PreviousEnd.CLEAN
-        if before.clean
+        if before.was_closed
         else PreviousEnd.PROCESS
-        if before.boot == boot
+        if before.boot_id == boot
         else PreviousEnd.POWER
     )
     unknown = ended is PreviousEnd.POWER or behind > 0
-    return StartConditions(ended, behind, None if unknown else now - before.last)
+    return StartConditions(ended, behind, None if unknown else now - before.latest_us)
 
 
 def owed(
@@ -118,4 +118,4 @@
         if start.passed is None:
             for attempt in entry.attempts.values():
                 if attempt.may_have_run():
-                    attempt.at = 0
+                    attempt.started_us = 0
--- a/message_sender/service/membership.py
+++ b/message_sender/service/membership.py
@@ -60,18 +60,18 @@
         ]
 
     def ids(self) -> list[str]:
-        return [name for name, each in self.engine.journal.entries.items() if not each.verdict]
+        return [name for name, each in self.engine.journal.entries.items() if not each.completion]
 
     def known(self, name: str) -> IdState | None:
         journal = self.engine.journal
         if entry := journal.entries.get(name):
             return IdState.OUT if entry.attempts else IdState.TAKEN
-        over = name in self.engine.table.completed or name in getattr(journal, "over_ids", ())
+        over = name in self.engine.table.completed or name in getattr(journal, "finished", ())
         return IdState.ENDED if over else None
 
     def doubt(self, name: str) -> None:
         if entry := self.engine.journal.entries.get(name):
-            entry.doubtful = True
+            entry.is_doubtful = True
 
     def is_open(self, number: int) -> bool:
         at = self.engine.dispatcher.destinations.get(number)
@@ -131,7 +131,7 @@
         held = self.engine.journal.entries.values()
         log.error("fleet: this disk is old or empty; %d messages on it are doubtful", len(held))
         for entry in held:
-            entry.doubtful = True
+            entry.is_doubtful = True
 
     def stage_changed(self, stage: Stage) -> None:
         if stage > Stage.ASKING and not self.asked.done():
--- a/message_sender/service/standalone.py
+++ b/message_sender/service/standalone.py
@@ -27,7 +27,7 @@
 from message_sender.discovery.static import Dial, StaticDirectory
 from message_sender.journal.disk import Disk
 from message_sender.journal.lock import Lock
-from message_sender.journal.process_journal import FILE, Journal
+from message_sender.journal.process_journal import JOURNAL_FILE, Journal
 from message_sender.message import Message
 from message_sender.policy.events import EndpointsUpdated
 from message_sender.policy.model import EndpointState, ListingKind, Outcome
@@ -82,7 +82,7 @@
 def is_checked(state: Path) -> bool:
     """Whether the journal there has the form that survives the machine."""
     try:
-        with (state / FILE).open("rb") as file:
+        with (state / JOURNAL_FILE).open("rb") as file:
             return file.read(1) == b"2"
     except OSError:
         return False
--- a/tests/compatibility/samples.py
+++ b/tests/compatibility/samples.py
@@ -41,7 +41,8 @@
 from message_sender.journal.answer_store import AnswerStore
 from message_sender.journal.disk import SystemDisk
 from message_sender.journal.durable import DurableJournal
-from message_sender.journal.process_journal import AttemptRecord, Journal
+from message_sender.journal.entries import AttemptRecord
+from message_sender.journal.process_journal import Journal
 from message_sender.management.metrics import Metrics
 from message_sender.message import Message
 from message_sender.policy.events import CallInFlight, InheritedState
@@ -159,9 +160,9 @@
 
     def make(folder: Path) -> None:
         kept = AnswerStore(folder, 3)
-        kept.keep("m1", CompletionState.DELIVERED.value, 0, b"\0reply", "")
-        kept.keep("m2", CompletionState.REFUSED.value, 1_500_000, b"", "FULL")
-        kept.keep("m3", CompletionState.FAILED.value, 0, b"", "")
+        kept.add("m1", CompletionState.DELIVERED.value, 0, b"\0reply", "")
+        kept.add("m2", CompletionState.REFUSED.value, 1_500_000, b"", "FULL")
+        kept.add("m3", CompletionState.FAILED.value, 0, b"", "")
         kept.collect("m1")
         kept.close()
 
--- a/tests/compatibility/test_compatibility.py
+++ b/tests/compatibility/test_compatibility.py
@@ -47,7 +47,8 @@
     assert second.message == samples.message("m2", is_repeat=True, key="", tenant="", extras=samples.EXTRAS)
     assert third.message == samples.message("m3", body=b"", destination=2**40)
     told = {
-        number: (each.at, each.endpoint, each.zone, each.outcome) for number, each in first.attempts.items()
+        number: (each.started_us, each.endpoint, each.zone, each.outcome)
+        for number, each in first.attempts.items()
     }
     assert told[0] == (1_600_000_000_000_001, "hub-1", "z1", samples.Outcome.FULL)
     assert told[1] == (1_600_000_000_000_002, "hub-2", "", None)
@@ -63,9 +64,13 @@
     folder = copied("durable_journal", tmp_path)
     found = InspectedJournal(folder)
     assert list(found.entries) == ["m1", "m2", "m3", "m5"]
-    assert found.before.clean and found.before.boot == "boot 1" and not found.before.damage
-    assert found.entries["m2"].verdict == ("refused", 1_500_000)
-    assert {name: (each.state, each.key) for name, each in found.over_ids.items()} == {
+    assert (
+        found.previous_run.was_closed
+        and found.previous_run.boot_id == "boot 1"
+        and not found.previous_run.damage
+    )
+    assert found.entries["m2"].completion == ("refused", 1_500_000)
+    assert {name: (each.state, each.key) for name, each in found.finished.items()} == {
         "m4": ("delivered", "k 1")
     }
     del found.entries["m5"]
--- a/tests/conformance/test_plugin.py
+++ b/tests/conformance/test_plugin.py
@@ -239,8 +239,8 @@
         await side.channel.close()
         channel = await open_channel(side.told(), state, kept=3)
         for number in range(5):
-            channel.answers.keep(f"m{number}", "delivered", 0, b"reply", "")
-        assert channel.answers.lost == 2 and channel.collect("m0") is None
+            channel.answers.add(f"m{number}", "delivered", 0, b"reply", "")
+        assert channel.answers.lost_answers == 2 and channel.collect("m0") is None
         end = channel.collect("m3")
         assert end is not None and (end.state, end.reply) == (CompletionState.DELIVERED, b"reply")
         assert channel.collect("m3") is None
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -250,8 +250,8 @@
             await over(cluster)
             assert all(len(each) == 1 for each in hub.ran.values())
             # The one lost record held no attempt, as the counts around it tell: nobody else comes into doubt.
-            assert said(cluster, "cannot be read; may have run: none") == 1
-            assert said(cluster, "may have run: n2-0") == 0
+            assert said(cluster, "reason=unreadable may_have_run=none") == 1
+            assert said(cluster, "may_have_run=n2-0") == 0
 
     asyncio.run(play())
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -207,7 +207,7 @@
         self.engine.post(WakeUp())
 
     def disk_full(self) -> None:
-        self.engine.journal.limit = 0
+        self.engine.journal.limit_bytes = 0
 
     # What follows, and what must hold.
 
@@ -223,7 +223,7 @@
         if self.stopping or self.killed:
             await self.end()
         else:
-            self.engine.journal.limit = 3_000_000
+            self.engine.journal.limit_bytes = 3_000_000
             await self.bring_back()
         await self.until_over(self.engine if not (self.stopping or self.killed) else None)
         serving.cancel()
--- a/tests/test_damage.py
+++ b/tests/test_damage.py
@@ -1,4 +1,4 @@
-"""What a damaged journal still tells: each byte of small ones flipped, holes, power losses, proofs."""
+"""What a damaged journal still tells: each byte of small ones flipped, gaps, power losses, proofs."""
 
 import asyncio
 import random
@@ -13,12 +13,13 @@
 
 from message_sender.cli.journal import journal as command
 from message_sender.journal import records
-from message_sender.journal.checkpoints import Comparison
+from message_sender.journal.checkpoints import DigestComparison
 from message_sender.journal.disk import SystemDisk
 from message_sender.journal.durable import DurableJournal
+from message_sender.journal.entries import AttemptRecord
 from message_sender.journal.inspection import InspectedJournal
-from message_sender.journal.process_journal import FILE, AttemptRecord
-from message_sender.journal.records import HoleKind
+from message_sender.journal.process_journal import JOURNAL_FILE
+from message_sender.journal.records import GapKind
 from message_sender.policy.model import Outcome
 from message_sender.testbed.simulated_disk import MemoryDisk, SimulatedDisk
 
@@ -58,11 +59,11 @@
 
 async def at_rest(journal: DurableJournal) -> None:
     """Until it has nothing more to write or to sync."""
-    while journal.task or journal.timer:
-        if journal.task is None and journal.timer:
-            journal.timer.cancel()
-            journal.begin()
-        await until(lambda: journal.task is None)
+    while journal.sync_task or journal.sync_timer:
+        if journal.sync_task is None and journal.sync_timer:
+            journal.sync_timer.cancel()
+            journal.begin_sync()
+        await until(lambda: journal.sync_task is None)
 
 
 async def burst(journal: DurableJournal, names: Iterable[str]) -> None:
@@ -88,11 +89,11 @@
     """A trickle, and a burst while all of it is written anew in steps."""
     await trickle(journal, ["a", "b", "c"])
     journal.record_end("c", "delivered")
-    journal.step_size = 1
+    journal.step_bytes = 1
     journal.compact()
-    assert journal.anew
+    assert journal.replacement
     await burst(journal, ["d", "e"])
-    await until(lambda: journal.anew is None)
+    await until(lambda: journal.replacement is None)
     await at_rest(journal)
 
 
@@ -118,7 +119,7 @@
         journal.release()
 
     asyncio.run(write())
-    return (folder / FILE).read_bytes()
+    return (folder / JOURNAL_FILE).read_bytes()
 
 
 @dataclass(frozen=True)
@@ -132,12 +133,12 @@
 def started(folder: Path, data: bytes) -> Found:
     """What the next start reads, of which it writes nothing here."""
 
-    (folder / FILE).write_bytes(data)
+    (folder / JOURNAL_FILE).write_bytes(data)
     journal = InspectedJournal(folder)
     entries = journal.entries
     return Found(
         set(entries),
-        {name for name, entry in entries.items() if entry.doubtful},
+        {name for name, entry in entries.items() if entry.is_doubtful},
         {name: sum(x.may_have_run() for x in entry.attempts.values()) for name, entry in entries.items()},
         journal,
     )
@@ -145,10 +146,13 @@
 
 def about(data: bytes, at: int) -> str | None:
     """The message of the record that holds this byte; None: of none."""
-    told = next((x.told for x in records.read(data).records if x.at <= at < x.at + x.size), {})
-    if "taken" in told:
-        return str(told["taken"]["id"])
-    name = told.get("of", told.get("sent", told.get("over", told.get("end"))))
+    payload = next(
+        (x.payload for x in records.scan_records(data).records if x.offset <= at < x.offset + x.size_bytes),
+        {},
+    )
+    if "taken" in payload:
+        return str(payload["taken"]["id"])
+    name = payload.get("of", payload.get("sent", payload.get("over", payload.get("end"))))
     return None if name is None else str(name)
 
 
@@ -187,9 +191,9 @@
         return {*journal.entries}
 
     assert asyncio.run(start()) == found.names
-    (hole,) = found.journal.before.damage
-    assert hole.kind is HoleKind.DURABLE and not found.journal.before.dropped
-    assert f"{hole.size} bytes at byte {hole.at} cannot be read; may have run: none" in caplog.text
+    (gap,) = found.journal.previous_run.damage
+    assert gap.kind is GapKind.DURABLE and not found.journal.previous_run.dropped_bytes
+    assert f"offset={gap.offset} bytes={gap.size_bytes} reason=unreadable may_have_run=none\n" in caplog.text
 
 
 def test_a_journal_at_rest_is_written_and_synced_no_more(tmp_path: Path) -> None:
@@ -201,14 +205,18 @@
         journal = opened(folder, disk)
         began = disk.syncs
         await burst(journal, [f"m{each}" for each in range(count)])
-        size = journal.size
+        size = journal.size_bytes
         await at_rest(journal)
-        proofs = [x for x in records.read((folder / FILE).read_bytes()).records if x.told == PROOF | x.told]
+        proofs = [
+            x
+            for x in records.scan_records((folder / JOURNAL_FILE).read_bytes()).records
+            if x.payload == PROOF | x.payload
+        ]
         assert len(proofs) == 2, "the header and one proof"
-        assert journal.size == size and journal.timer is None and journal.task is None
-        assert proofs[1].size < PROOF_MOST
+        assert journal.size_bytes == size and journal.sync_timer is None and journal.sync_task is None
+        assert proofs[1].size_bytes < PROOF_MOST
         journal.release()
-        return disk.syncs - began, proofs[1].mark
+        return disk.syncs - began, proofs[1].durable_bytes
 
     PROOF = {"journal": 2}  # noqa: N806
     for count in (1, 40):
@@ -218,20 +226,20 @@
 
 def test_a_file_written_anew_proves_what_came_to_it_before_it_was_named(tmp_path: Path) -> None:
     data = written(tmp_path, rewritten)
-    found = records.read(data).records
-    at = next(x.at for x in found if x.told.get("taken", {}).get("id") == "e")
-    assert max(records.durable_after(x) for x in found) > at
+    found = records.scan_records(data).records
+    at = next(x.offset for x in found if x.payload.get("taken", {}).get("id") == "e")
+    assert max(records.proven_bytes_after(x) for x in found) > at
 
 
 def records_of(data: bytes, key: str) -> list[records.Record]:
-    return [each for each in records.read(data).records if key in each.told]
+    return [each for each in records.scan_records(data).records if key in each.payload]
 
 
 def spoiled(data: bytes, *which: records.Record, junk: bytes = b"?") -> bytes:
     """These records in whole made unreadable, with their line ends."""
     found = bytearray(data)
     for each in which:
-        found[each.at : each.at + each.size] = junk * each.size
+        found[each.offset : each.offset + each.size_bytes] = junk * each.size_bytes
     return bytes(found)
 
 
@@ -240,7 +248,7 @@
     taken, sent = records_of(data, "taken"), records_of(data, "sent")
     found = started(tmp_path, spoiled(data, taken[1], sent[3]))
     assert found.names == {"a", "c", "d", "e"} and found.doubtful == {"d"}
-    assert list(found.journal.lost) == ["b"], "what is whole of it names it"
+    assert list(found.journal.lost_ids) == ["b"], "what is whole of it names it"
 
 
 def test_two_lost_attempts_between_two_proofs_put_all_that_is_held_in_doubt(tmp_path: Path) -> None:
@@ -257,7 +265,7 @@
 
 
 def test_an_attempt_whose_message_and_proof_are_damaged_is_still_in_doubt(tmp_path: Path) -> None:
-    """Without a proof behind a hole nobody knows what it held: whole records behind it are used, and all that
+    """Without a proof behind a gap nobody knows what it held: whole records behind it are used, and all that
     was held counts as may have run."""
 
     async def play(journal: DurableJournal, names: Iterable[str]) -> None:
@@ -269,7 +277,7 @@
     proof = records_of(data, "journal")[-1]
     found = started(tmp_path, spoiled(data, records_of(data, "sent")[0], proof))
     assert found.names == set("abcdef") and found.doubtful == set("abcde")
-    assert found.journal.reading.holes[0].kind is HoleKind.UNPROVEN
+    assert found.journal.reading.gaps[0].kind is GapKind.UNPROVEN
 
 
 def test_a_lost_verdict_puts_its_message_in_doubt(tmp_path: Path) -> None:
@@ -288,8 +296,8 @@
     second = records_of(data, "taken")[1]
     for digit in range(8):
         damaged = bytearray(data)
-        damaged[second.at + 2 + digit] ^= 1
-        damaged[second.at + second.size - 1] ^= 1  # and no line end leads to the next one
+        damaged[second.offset + 2 + digit] ^= 1
+        damaged[second.offset + second.size_bytes - 1] ^= 1  # and no line end leads to the next one
         assert started(tmp_path, bytes(damaged)).names == set("acde")
 
 
@@ -304,7 +312,9 @@
         journal.record_accepted(handed_in("g", until=7))
 
     data = written(folder, play)
-    last = [x for x in records.read(data).records if x.at > records_of(data, "journal")[-1].at]
+    last = [
+        x for x in records.scan_records(data).records if x.offset > records_of(data, "journal")[-1].offset
+    ]
     return started(folder, spoiled(data, *lose(last), junk=b"\0"))
 
 
@@ -322,7 +332,7 @@
         assert not found.doubtful and found.names >= set("abcde")
         assert ("f" in found.names) == (1 not in lost) and ("g" in found.names) == (3 not in lost)
         assert found.known["a"] == (0 not in lost) and found.known["b"] == (2 not in lost)
-        assert not found.journal.before.damage
+        assert not found.journal.previous_run.damage
 
 
 @pytest.mark.parametrize("play", [burst, trickle])
@@ -344,11 +354,11 @@
 
     platter, rng = asyncio.run(write()), random.Random(1)
     for _ in range(300):
-        data = platter.cut(rng)[FILE]
+        data = platter.cut(rng)[JOURNAL_FILE]
         found = started(tmp_path, data)
         assert found.names >= answered and not found.doubtful
         damaged = bytearray(data)
-        at = rng.randrange(len(platter.contents[platter.now[FILE]].stable))
+        at = rng.randrange(len(platter.contents[platter.now[JOURNAL_FILE]].stable))
         damaged[at] ^= 1 << rng.randrange(8)
         found, name = started(tmp_path, bytes(damaged)), about(data, at)
         assert answered - found.names <= {name}
@@ -358,9 +368,9 @@
 def test_a_journal_without_proofs_is_read_the_careful_way(tmp_path: Path) -> None:
     """As earlier versions wrote it: no counts, and no mark beyond the last record."""
     data = written(tmp_path, trickle)
-    told = [x for x in records.read(data).records if "journal" not in x.told]
-    plain = b"".join(data[x.at : x.at + x.size] for x in told)
-    old = records.frame(b'{"journal":2,"whole":%12d}' % 0, 0) + plain
+    others = [x for x in records.scan_records(data).records if "journal" not in x.payload]
+    plain = b"".join(data[x.offset : x.offset + x.size_bytes] for x in others)
+    old = records.frame_record(b'{"journal":2,"whole":%12d}' % 0, 0) + plain
     assert started(tmp_path, old).names == set("abcde")
     found = started(tmp_path, spoiled(old, records_of(old, "taken")[2]))
     assert found.names == set("abde") and found.doubtful == set("ab")
@@ -370,18 +380,21 @@
     """More found whole than a checkpoint says were written: no number of it is believed."""
     sent = records.Record(0, 10, 0, {"sent": "a"})
     wrong = records.Record(30, 10, 0, {"journal": 2, "decisive": 0, "names": 0})
-    assert Comparison(b"", [sent, wrong]).missing(records.Hole(10, 20)) is None
+    assert DigestComparison(b"", [sent, wrong]).missing_in(records.Gap(10, 20)) is None
 
 
 def test_people_are_told_what_is_damage_and_what_the_power_took(tmp_path: Path) -> None:
     data = written(tmp_path, trickle)
     taken = records_of(data, "taken")
-    (tmp_path / FILE).write_bytes(spoiled(data, taken[1]))
+    (tmp_path / JOURNAL_FILE).write_bytes(spoiled(data, taken[1]))
     run = CliRunner().invoke
     verified = run(command, ["verify", str(tmp_path)])
     assert verified.exit_code == 1 and "4 messages owed, 0 doubtful" in verified.output
-    assert f"damaged: {taken[1].size} bytes at byte {taken[1].at}, which were durable" in verified.output
+    assert (
+        f"damaged: {taken[1].size_bytes} bytes at byte {taken[1].offset}, which were durable"
+        in verified.output
+    )
     repaired = run(command, ["repair", str(tmp_path), "--to", str(tmp_path / "new")])
     assert repaired.exit_code == 1 and "lost: b, whose own record cannot be read" in repaired.output
-    again = started(tmp_path / "new", (tmp_path / "new" / FILE).read_bytes())
+    again = started(tmp_path / "new", (tmp_path / "new" / JOURNAL_FILE).read_bytes())
     assert again.names == set("acde") and not again.doubtful
--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -18,12 +18,13 @@
 
 from message_sender.cli.journal import journal as command
 from message_sender.journal import records
-from message_sender.journal.compaction import BALLAST, ReplacementFile
+from message_sender.journal.compaction import BALLAST_FILE, ReplacementFile
 from message_sender.journal.contents import PreviousRun
 from message_sender.journal.disk import SystemDisk
 from message_sender.journal.durable import DurableJournal
+from message_sender.journal.entries import AttemptRecord, JournalEntry
 from message_sender.journal.inspection import InspectedJournal
-from message_sender.journal.process_journal import COMPACTED, FILE, AttemptRecord, Journal, JournalEntry
+from message_sender.journal.process_journal import COMPACTED_FILE, JOURNAL_FILE, Journal
 from message_sender.policy.model import Outcome
 from message_sender.recovery import trust
 from message_sender.recovery.trust import SECOND, TABLE, Confidence, PreviousEnd, StartConditions
@@ -41,7 +42,7 @@
 
     def check(self, what: str) -> None:
         if what in self.fails:
-            raise OSError(self.error, "as told")
+            raise OSError(self.error, "injected")
 
     def write(self, file: int, data: bytes) -> None:
         self.check("write")
@@ -68,7 +69,7 @@
         journal.release()
 
     asyncio.run(write())
-    return (folder / FILE).read_bytes()
+    return (folder / JOURNAL_FILE).read_bytes()
 
 
 async def synced(journal: DurableJournal) -> bool:
@@ -88,11 +89,13 @@
 
 @given(st.lists(st.binary(min_size=0, max_size=40)), st.integers(0, 200), st.binary(max_size=30))
 def test_reading_never_raises_and_keeps_what_is_whole(texts: list[bytes], at: int, junk: bytes) -> None:
-    whole = [records.frame(b'{"x":"%s"}' % each.hex().encode(), 0) for each in texts]
+    whole = [records.frame_record(b'{"x":"%s"}' % each.hex().encode(), 0) for each in texts]
     data = b"".join(whole)
-    assert [x.told["x"] for x in records.read(data).records] == [each.hex() for each in texts]
-    found = records.read(data[:at] + junk + data[at:])
-    assert sum(x.size for x in found.records) + sum(x.size for x in found.holes) + found.tail >= len(data)
+    assert [x.payload["x"] for x in records.scan_records(data).records] == [each.hex() for each in texts]
+    found = records.scan_records(data[:at] + junk + data[at:])
+    assert sum(x.size_bytes for x in found.records) + sum(
+        x.size_bytes for x in found.gaps
+    ) + found.tail_bytes >= len(data)
 
 
 @pytest.mark.parametrize("flipped", range(0, 85, 3))
@@ -100,32 +103,32 @@
     tmp_path: Path, flipped: int, caplog: pytest.LogCaptureFixture
 ) -> None:
     data = bytearray(held(tmp_path, "a", "b"))
-    at = data.index(b'{"sent":"a"') - records.WIDTH + flipped
+    at = data.index(b'{"sent":"a"') - records.FRAME_BYTES + flipped
     data[at] ^= 1
-    (tmp_path / FILE).write_bytes(data)
+    (tmp_path / JOURNAL_FILE).write_bytes(data)
     found = reopened(tmp_path)
     assert list(found.entries) == ["a", "b"]
-    assert found.entries["a"].doubtful and found.entries["a"].first_risk() is not None
-    assert not found.entries["b"].doubtful, "it was taken after the damage"
-    hole = found.before.damage[0]
-    assert f"{hole.size} bytes at byte {hole.at} cannot be read; may have run: a" in caplog.text
-    assert reopened(tmp_path).entries["a"].doubtful, "the next start knows it too"
+    assert found.entries["a"].is_doubtful and found.entries["a"].first_risky_attempt() is not None
+    assert not found.entries["b"].is_doubtful, "it was taken after the damage"
+    gap = found.previous_run.damage[0]
+    assert f"offset={gap.offset} bytes={gap.size_bytes} reason=unreadable may_have_run=a\n" in caplog.text
+    assert reopened(tmp_path).entries["a"].is_doubtful, "the next start knows it too"
 
 
 def test_a_damaged_line_end_takes_no_record_with_it(tmp_path: Path) -> None:
     data = bytearray(held(tmp_path, "a", "b"))
     data[data.index(b"\n", data.index(b'{"sent":"a"'))] ^= 1
-    (tmp_path / FILE).write_bytes(data)
+    (tmp_path / JOURNAL_FILE).write_bytes(data)
     found = reopened(tmp_path)
-    assert list(found.entries) == ["a", "b"] and not found.before.damage
+    assert list(found.entries) == ["a", "b"] and not found.previous_run.damage
 
 
 def test_what_was_never_durable_is_dropped_and_casts_no_doubt(tmp_path: Path) -> None:
     whole = held(tmp_path, "a")
-    (tmp_path / FILE).write_bytes(whole + records.frame(b'{"end":"a"}', 0)[:-5] + bytes(700))
+    (tmp_path / JOURNAL_FILE).write_bytes(whole + records.frame_record(b'{"end":"a"}', 0)[:-5] + bytes(700))
     found = reopened(tmp_path)
-    assert list(found.entries) == ["a"] and not found.entries["a"].doubtful
-    assert found.before.dropped > 700
+    assert list(found.entries) == ["a"] and not found.entries["a"].is_doubtful
+    assert found.previous_run.dropped_bytes > 700
 
 
 def test_the_old_form_is_carried_over_and_an_older_program_refuses_the_new_one(tmp_path: Path) -> None:
@@ -136,11 +139,11 @@
     old.record_end("b")
     found = reopened(tmp_path)
     assert list(found.entries) == ["a"] and found.entries["a"].attempts == old.entries["a"].attempts
-    assert (tmp_path / FILE).read_bytes().startswith(b"2 ")
+    assert (tmp_path / JOURNAL_FILE).read_bytes().startswith(b"2 ")
     with pytest.raises(OSError):
         Journal(tmp_path, LIMIT)
     assert list(reopened(tmp_path).entries) == ["a"], "it has lost nothing by that"
-    assert (tmp_path / COMPACTED).is_dir()
+    assert (tmp_path / COMPACTED_FILE).is_dir()
 
 
 def test_a_failed_sync_is_not_repeated_on_the_same_file(tmp_path: Path) -> None:
@@ -148,7 +151,7 @@
         def sync(self, file: int) -> None:
             synced_files.append(file)
             if len(synced_files) == 2:
-                raise OSError(errno.EIO, "as told")
+                raise OSError(errno.EIO, "injected")
             super().sync(file)
 
     synced_files: list[int] = []
@@ -179,14 +182,14 @@
 
     def passes(self, at: str) -> None:
         journal = self.journal
-        if journal and journal.anew and journal.anew.whole and at == self.at:
-            self.journal, self.refused = None, journal.anew.file
+        if journal and journal.replacement and journal.replacement.is_complete and at == self.at:
+            self.journal, self.refused = None, journal.replacement.file
             assert journal.record_accepted(handed_in("b", until=7))
 
     def write(self, file: int, data: bytes) -> None:
         if file == self.refused:
             self.refused = -1
-            raise OSError(errno.EIO, "as told")
+            raise OSError(errno.EIO, "injected")
         super().write(file, data)
 
     def sync(self, file: int) -> None:
@@ -218,14 +221,14 @@
         assert await synced(journal)
         disk.journal = journal
         journal.compact()
-        assert journal.anew
+        assert journal.replacement
         journal.record_accepted(handed_in("c", until=7))
         assert await synced(journal) and disk.journal is None
         journal.release()
 
     asyncio.run(play())
     found = reopened(tmp_path)
-    assert {*found.entries} == {"a", "b", "c"} and not found.before.damage
+    assert {*found.entries} == {"a", "b", "c"} and not found.previous_run.damage
 
 
 @pytest.mark.parametrize("at", MOMENTS)
@@ -246,7 +249,7 @@
 
     asyncio.run(play())
     found = reopened(tmp_path)
-    assert {*found.entries} == {"a", "b"} and found.before.clean
+    assert {*found.entries} == {"a", "b"} and found.previous_run.was_closed
 
 
 def test_where_no_sync_works_nothing_is_taken_on_and_then_it_is_again(tmp_path: Path) -> None:
@@ -256,9 +259,9 @@
         disk.fails = {"sync"}
         journal.record_accepted(handed_in("a", until=7))
         assert not await synced(journal), "a yes that could not be kept"
-        assert not journal.fits(10) and not journal.record_accepted(handed_in("b", until=7))
+        assert not journal.has_room_for(10) and not journal.record_accepted(handed_in("b", until=7))
         disk.fails = set()
-        journal.try_again()
+        journal.retry_rewrite()
         assert journal.record_accepted(handed_in("c", until=7)) and await synced(journal)
         journal.release()
 
@@ -271,8 +274,8 @@
 
     class Full(Failing):
         def check(self, what: str) -> None:
-            if what == "write" and "write" in self.fails and (tmp_path / BALLAST).exists():
-                raise OSError(errno.ENOSPC, "as told")
+            if what == "write" and "write" in self.fails and (tmp_path / BALLAST_FILE).exists():
+                raise OSError(errno.ENOSPC, "injected")
 
     async def play() -> None:
         disk = Full()
@@ -289,7 +292,7 @@
 
 @pytest.mark.parametrize("name", ["", "2", "{", "\0" * 5000, "2 ffffffff 00000000 0000000000 {}\n"])
 def test_no_content_of_the_file_stops_a_start(tmp_path: Path, name: str) -> None:
-    (tmp_path / FILE).write_text(name)
+    (tmp_path / JOURNAL_FILE).write_text(name)
     assert not reopened(tmp_path).entries
 
 
@@ -299,13 +302,13 @@
     whole = run(command, ["verify", str(tmp_path)])
     assert whole.exit_code == 0 and "2 messages owed, 0 doubtful" in whole.output
     data[data.index(b'{"sent":"a"')] ^= 1
-    (tmp_path / FILE).write_bytes(data)
+    (tmp_path / JOURNAL_FILE).write_bytes(data)
     damaged = run(command, ["verify", str(tmp_path)])
     assert damaged.exit_code == 1 and "2 messages owed, 1 doubtful" in damaged.output
     shown = run(command, ["show", str(tmp_path), "--json"])
     assert shown.exit_code == 0 and '"b"' in shown.output
-    assert (tmp_path / FILE).read_bytes() == data, "looking changes nothing"
-    assert InspectedJournal(tmp_path).entries["a"].doubtful
+    assert (tmp_path / JOURNAL_FILE).read_bytes() == data, "looking changes nothing"
+    assert InspectedJournal(tmp_path).entries["a"].is_doubtful
 
 
 # What is believed of it.
@@ -339,8 +342,8 @@
         StartConditions(PreviousEnd.PROCESS, passed=SECOND),
         StartConditions(PreviousEnd.PROCESS, passed=7200 * SECOND),
     )
-    told = {kind: (young.belief(kind), old.belief(kind)) for kind in ("breakers", "told waits", "grants")}
-    assert told == {
+    beliefs = {kind: (young.belief(kind), old.belief(kind)) for kind in ("breakers", "told waits", "grants")}
+    assert beliefs == {
         "breakers": (Confidence.BELIEVED, Confidence.DROPPED),
         "told waits": (Confidence.BELIEVED, Confidence.BELIEVED),
         "grants": (Confidence.DROPPED, Confidence.DROPPED),
@@ -353,17 +356,17 @@
     entry = JournalEntry(replace(handed_in("a"), message_class="x", deadline_us=10**16), {0: attempt})
     start = trust.judge(PreviousRun("a", False, 1001 * SECOND), "b", clock)
     trust.owed({"a": entry}, start, clock + start.behind, {"x": 5 * SECOND})
-    assert start.passed is None and attempt.at == 0
+    assert start.passed is None and attempt.started_us == 0
     assert entry.message.deadline_us == clock + start.behind + 5 * SECOND
 
 
 class Stepped(DurableJournal):
     """Goes on with a message at a time, when it is told to."""
 
-    step_size = 1
+    step_bytes = 1
 
-    def step(self, anew: ReplacementFile, parts: Iterator[bytes]) -> None:
-        self.next = partial(super().step, anew, parts)
+    def write_step(self, replacement: ReplacementFile, parts: Iterator[bytes]) -> None:
+        self.next = partial(super().write_step, replacement, parts)
 
 
 Act = tuple[str, int]
@@ -402,30 +405,30 @@
             act(journal, plain, what, f"m{number}")
         await synced(journal)
         journal.compact()
-        assert journal.anew
+        assert journal.replacement
         for what, number in acts:
             act(journal, plain, what, f"m{number}")
             if what == "go on":
                 journal.next()
                 await loop_turn()
-        while not journal.anew.whole:
+        while not journal.replacement.is_complete:
             journal.next()
             await loop_turn()
         act(journal, plain, "taken", "last")
-        assert await synced(journal) and journal.anew is None
+        assert await synced(journal) and journal.replacement is None
         journal.release()
 
     with tempfile.TemporaryDirectory() as folder:
         asyncio.run(play(Path(folder)))
         again = reopened(Path(folder))
-        assert not again.before.damage and not again.before.dropped
-        told = {
-            name: [{number: x.outcome for number, x in entry.attempts.items()}, entry.verdict]
+        assert not again.previous_run.damage and not again.previous_run.dropped_bytes
+        replayed = {
+            name: [{number: x.outcome for number, x in entry.attempts.items()}, entry.completion]
             for name, entry in again.entries.items()
         }
-        assert told == plain
-        assert not any(each.doubtful for each in again.entries.values())
-        assert {f"m{each}" for each in range(6)} <= {*again.entries, *again.over_ids}
+        assert replayed == plain
+        assert not any(each.is_doubtful for each in again.entries.values())
+        assert {f"m{each}" for each in range(6)} <= {*again.entries, *again.finished}
 
 
 def test_what_is_taken_while_it_is_written_anew_stays_behind_what_was_taken_before(tmp_path: Path) -> None:
@@ -438,20 +441,20 @@
         journal.record_end("gone")
         assert await synced(journal)
         journal.compact()
-        anew = journal.anew
-        assert anew
+        replacement = journal.replacement
+        assert replacement
         journal.record_accepted(handed_in("c", until=7))
         journal.record_attempt("c", 0, AttemptRecord(5, "r", "z"))
-        while not anew.whole:
+        while not replacement.is_complete:
             journal.next()
         journal.record_accepted(handed_in("d", until=7))
-        assert await synced(journal) and journal.anew is None
+        assert await synced(journal) and journal.replacement is None
         journal.release()
 
     asyncio.run(play())
     found = reopened(tmp_path)
     assert list(found.entries) == ["a", "b", "c", "d"]
-    assert found.entries["c"].attempts and not found.before.damage
+    assert found.entries["c"].attempts and not found.previous_run.damage
 
 
 def test_a_damaged_journal_is_repaired_beside(tmp_path: Path) -> None:
@@ -460,14 +463,14 @@
     data = bytearray(held(old, "a", "b", "c"))
     at = data.index(b'"sent":"b"')
     data[at] ^= 1
-    (old / FILE).write_bytes(data)
+    (old / JOURNAL_FILE).write_bytes(data)
     run = CliRunner().invoke
     said = run(command, ["repair", str(old), "--to", str(new)])
     assert said.exit_code == 1 and "not saved" in said.output
     assert "doubtful: b, which may have run" in said.output
-    assert (old / FILE).read_bytes() == data, "nothing is written over"
+    assert (old / JOURNAL_FILE).read_bytes() == data, "nothing is written over"
     assert run(command, ["verify", str(new)]).exit_code == 0
     again = reopened(new)
-    assert list(again.entries) == ["a", "b", "c"] and again.entries["b"].doubtful
-    assert not again.entries["c"].doubtful and (new / COMPACTED).is_dir()
+    assert list(again.entries) == ["a", "b", "c"] and again.entries["b"].is_doubtful
+    assert not again.entries["c"].is_doubtful and (new / COMPACTED_FILE).is_dir()
     assert "exists" in run(command, ["repair", str(old), "--to", str(new)]).output
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -91,7 +91,7 @@
 
 
 def no_record_of_the_message(self: Journal, message: Any) -> bool:  # noqa: ANN401
-    from message_sender.journal.process_journal import JournalEntry
+    from message_sender.journal.entries import JournalEntry
 
     self.entries[message.id] = JournalEntry(message)
     return True
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -6,7 +6,8 @@
 from peers import handed_in
 
 from message_sender.journal import process_journal as module
-from message_sender.journal.process_journal import AttemptRecord, Journal
+from message_sender.journal.entries import AttemptRecord
+from message_sender.journal.process_journal import Journal
 from message_sender.policy.model import Outcome
 
 LIMIT = 3_000_000
@@ -29,8 +30,8 @@
     second = Journal(tmp_path, LIMIT)
     assert list(second.entries) == ["a", "c"]
     assert second.entries["a"].message == handed_in("a", body=bytes(range(256)), until=7)
-    risk = second.entries["a"].first_risk()
-    assert risk is not None and (risk.at, risk.endpoint, risk.zone) == (6, "s", "y")
+    risk = second.entries["a"].first_risky_attempt()
+    assert risk is not None and (risk.started_us, risk.endpoint, risk.zone) == (6, "s", "y")
 
 
 @pytest.mark.parametrize("cut", [1, 10, 60])
@@ -40,7 +41,7 @@
     first = Journal(tmp_path, LIMIT)
     first.record_accepted(handed_in("a"))
     first.record_accepted(handed_in("b"))
-    file = tmp_path / module.FILE
+    file = tmp_path / module.JOURNAL_FILE
     file.write_bytes(file.read_bytes()[:-cut])
     second = Journal(tmp_path, LIMIT)
     assert list(second.entries) == ["a"] and "dropped" in caplog.text
@@ -55,7 +56,7 @@
 def test_a_record_that_cannot_be_read_does_not_take_the_others_with_it(tmp_path: Path, text: bytes) -> None:
     first = Journal(tmp_path, LIMIT)
     first.record_accepted(handed_in("a"))
-    with open(tmp_path / module.FILE, "ab") as file:
+    with open(tmp_path / module.JOURNAL_FILE, "ab") as file:
         file.write(text)
     first.record_accepted(handed_in("b"))
     assert list(Journal(tmp_path, LIMIT).entries) == ["a", "b"]
@@ -103,9 +104,9 @@
 
 def test_what_a_process_left_that_died_while_compacting_is_cleared(tmp_path: Path) -> None:
     Journal(tmp_path, LIMIT).record_accepted(handed_in("a"))
-    (tmp_path / module.COMPACTED).write_bytes(b"half")
+    (tmp_path / module.COMPACTED_FILE).write_bytes(b"half")
     assert list(Journal(tmp_path, LIMIT).entries) == ["a"]
-    assert not (tmp_path / module.COMPACTED).exists()
+    assert not (tmp_path / module.COMPACTED_FILE).exists()
 
 
 def test_a_failed_or_short_write_refuses_and_leaves_the_file_whole(
--- a/tests/test_power.py
+++ b/tests/test_power.py
@@ -20,37 +20,37 @@
 
 
 class NoFolderSync(DurableJournal):
-    def name_anew(self, anew: ReplacementFile) -> None:
-        self.disk.sync(anew.file)
-        anew.named = True
+    def install_replacement(self, replacement: ReplacementFile) -> None:
+        self.disk.sync(replacement.file)
+        replacement.is_installed = True
         self.disk.replace(self.folder / "journal.next", self.folder / "journal")
 
 
 class NothingAwaited(DurableJournal):
     """The engine does not wait for `sent` to be on the disk."""
 
-    durable = False
+    is_durable = False
 
 
 class Steps(DurableJournal):
     """Written anew at every chance, a message at a time, with much happening in between."""
 
-    step_size = 1
+    step_bytes = 1
 
-    def step(self, anew: ReplacementFile, parts: Iterator[bytes]) -> None:
-        asyncio.get_running_loop().call_later(0.004, super().step, anew, parts)
+    def write_step(self, replacement: ReplacementFile, parts: Iterator[bytes]) -> None:
+        asyncio.get_running_loop().call_later(0.004, super().write_step, replacement, parts)
 
     def record_end(self, name: str, state: str = "") -> None:
-        self.spare = 0
+        self.reserve_bytes = 0
         super().record_end(name, state)
 
 
 class NamedTooEarly(Steps):
     def compact(self) -> bool:
         found = super().compact()
-        if self.anew:
-            self.anew.whole = True
-            self.want(0.0)
+        if self.replacement:
+            self.replacement.is_complete = True
+            self.schedule_sync(0.0)
         return found
 
 
--- a/tests/test_sender.py
+++ b/tests/test_sender.py
@@ -12,7 +12,8 @@
 from message_sender.handover.drain import GRACE
 from message_sender.http import server as module
 from message_sender.http.server import ACCEPTS
-from message_sender.journal.process_journal import AttemptRecord, Journal
+from message_sender.journal.entries import AttemptRecord
+from message_sender.journal.process_journal import Journal
 from message_sender.policy.actions import WakeAfter
 from message_sender.policy.model import Outcome
 from message_sender.service.daemon import DescriptorBudget, PlatformSender
@@ -86,10 +87,10 @@
 @play
 async def test_a_full_journal_refuses_and_nothing_is_sent(state: Path) -> None:
     async with World(state) as world:
-        world.sender.engine.journal.limit = 0
+        world.sender.engine.journal.limit_bytes = 0
         reply = await world.hand_in("m1")
         assert reply.status == 503 and float(reply.headers["retry-after"]) > 0
-        world.sender.engine.journal.limit = 3_000_000
+        world.sender.engine.journal.limit_bytes = 3_000_000
         assert (await world.hand_in("m2")).status == 202
         assert (await world.receiver.next()).id == "m2"
         assert journalled(state) == ["m2"] and list(world.sender.engine.dispatcher.messages) == ["m2"]
