--- a/message_sender/emulator/returning.py
+++ b/message_sender/emulator/returning.py
@@ -5,8 +5,9 @@
 
 from message_sender.emulator.member_network import MemberNetwork
 from message_sender.fleet.members import MemberState
-from message_sender.recovery.coordinator import decode, encode
-from message_sender.recovery.stages import CallPermission, Stage, Stages, spacing
+from message_sender.recovery.datagram import decode_announcement, encode_announcement
+from message_sender.recovery.stage_model import CallPermission, Stage
+from message_sender.recovery.stages import Stages, announcement_interval_s
 
 NEVER = float("inf")
 TOOK = 0.02  # s of a call
@@ -70,8 +71,8 @@
         self.members[name] = Returning(stages, left)
 
         def hear(by: str, text: bytes) -> None:
-            if word := decode(text):
-                stages.heard(by, word, self.hall.now)
+            if word := decode_announcement(text):
+                stages.receive_announcement(by, word, self.hall.now)
 
         node.on_bulletin = lambda by, said: hear(by, said.text)
 
@@ -82,12 +83,12 @@
         member.looked = now
         node, stages = self.hall.nodes[name], member.stages
         gone = {each.name for each in node.members.others.values() if each.state >= MemberState.DEAD}
-        stages.gone(gone & stages.words.keys())
+        stages.remove_members(gone & stages.announcements.keys())
         held = {number: count for number, count in member.owed.items() if count}
         before = None
         while stages.stage is not before:
             before = stages.stage
-            stages.tick(held, now)
+            stages.update(held, now)
         for number in held:
             self.consider(name, number)
         if now >= member.next_word:
@@ -95,8 +96,8 @@
 
     def say(self, name: str) -> None:
         member, now = self.members[name], self.hall.now
-        member.next_word = now + spacing(len(member.stages.words))
-        self.hall.nodes[name].publish(encode(member.stages.word(now)), now)
+        member.next_word = now + announcement_interval_s(len(member.stages.announcements))
+        self.hall.nodes[name].publish(encode_announcement(member.stages.announcement(now)), now)
 
     def consider(self, name: str, number: int) -> None:
         """Asked before each call, and again when the next one may go."""
@@ -105,11 +106,11 @@
             return
         if number in member.out or not member.owed.get(number):
             return
-        leave = member.stages.leave(number, now)
-        if not leave.calls:
+        leave = member.stages.permission(number, now)
+        if not leave.may_call:
             member.freed.pop(number, None)
             return
-        due = now if leave.trial else self.due(member, number, leave)
+        due = now if leave.is_trial else self.due(member, number, leave)
         if due <= now:
             self.call(name, number, leave)
         elif due < now + TURN:
@@ -122,17 +123,17 @@
         freed, last = member.freed.setdefault(number, now), member.last.get(number, -NEVER)
         due = now
         for _ in range(4):
-            warmed = None if leave.warm is None else leave.warm + due - now
-            gap = 1 / (there.takes(warmed) * leave.share)
-            due = max(last + gap, freed + leave.phase * gap, now)
+            warmed = None if leave.warming_for_s is None else leave.warming_for_s + due - now
+            gap = 1 / (there.takes(warmed) * leave.rate_share)
+            due = max(last + gap, freed + leave.start_phase * gap, now)
         return due
 
     def call(self, name: str, number: int, leave: CallPermission) -> None:
         now, member, there = self.hall.now, self.members[name], self.destinations[number]
         member.last[number] = now
         member.out.add(number)
-        if leave.trial:
-            member.stages.begins_trial(number, now)
+        if leave.is_trial:
+            member.stages.start_trial(number, now)
             there.trials.append((now, now + TOOK))
             self.say(name)
         up = now >= there.back
@@ -145,11 +146,14 @@
             return
         member = self.members[name]
         member.out.discard(number)
-        before, was_trial = member.stages.believed(number, self.hall.now), number in member.stages.trials
-        member.stages.saw(number, up, self.hall.now)
+        before, was_trial = (
+            member.stages.best_evidence(number, self.hall.now),
+            number in member.stages.own_trials,
+        )
+        member.stages.record_call_result(number, up, self.hall.now)
         if up:
             member.owed[number] -= 1
-        if was_trial or before is None or before.up is not up:
+        if was_trial or before is None or before.is_up is not up:
             self.say(name)
         self.consider(name, number)
 
--- a/message_sender/recovery/__init__.py
+++ b/message_sender/recovery/__init__.py
@@ -1,1 +1,1 @@
-"""After a power loss: what is trusted (pure), the stages in which service returns (pure), the snapshot."""
+"""Recovery after a restart: what is trusted, in which stages service returns, and the snapshot."""
--- /dev/null
+++ b/message_sender/recovery/datagram.py
@@ -0,0 +1,65 @@
+"""Announcements of the recovery stages as datagrams (MessagePack). Pure."""
+
+import math
+
+import msgspec
+
+from message_sender.recovery.stage_model import DestinationEvidence, Stage, StageAnnouncement
+
+DECIMALS = 3  # of times in s
+
+
+class StageDatagram(msgspec.Struct, array_like=True):
+    """A `StageAnnouncement` on the wire, as an array: the order of the fields counts, not their names."""
+
+    stage: int
+    owed_counts: dict[int, int]
+    evidence: dict[int, tuple[bool, float, float, bool, float]]
+    trial_ages_s: dict[int, float]
+    out_of_service_s: dict[str, float] = {}
+
+
+def encode_announcement(announcement: StageAnnouncement) -> bytes:
+    """Returns the datagram's content, with times in ms."""
+    evidence = {
+        number: (
+            each.is_up,
+            round(each.age_s, DECIMALS),
+            round(each.state_age_s, DECIMALS),
+            each.is_warming_up,
+            round(each.retry_after_s, DECIMALS),
+        )
+        for number, each in announcement.evidence.items()
+    }
+    datagram = StageDatagram(
+        int(announcement.stage),
+        dict(announcement.owed_counts),
+        evidence,
+        {number: round(age_s, DECIMALS) for number, age_s in announcement.trial_ages_s.items()},
+        dict(announcement.out_of_service_s),
+    )
+    return msgspec.msgpack.encode(datagram)
+
+
+def decode_announcement(content: bytes) -> StageAnnouncement | None:
+    """Reads a datagram; None for one that is malformed or has a time that none can be."""
+    try:
+        datagram = msgspec.msgpack.decode(content, type=StageDatagram)
+        if not all(math.isfinite(time_s) and time_s >= 0 for time_s in _times(datagram)):
+            return None
+        return StageAnnouncement(
+            Stage(datagram.stage),
+            datagram.owed_counts,
+            {number: DestinationEvidence(*each) for number, each in datagram.evidence.items()},
+            datagram.trial_ages_s,
+            datagram.out_of_service_s,
+        )
+    except (msgspec.DecodeError, msgspec.ValidationError, ValueError):
+        return None
+
+
+def _times(datagram: StageDatagram) -> list[float]:
+    times_s = [*datagram.trial_ages_s.values(), *datagram.out_of_service_s.values()]
+    for _, age_s, state_age_s, _, retry_after_s in datagram.evidence.values():
+        times_s += [age_s, state_age_s, retry_after_s]
+    return times_s
--- /dev/null
+++ b/message_sender/recovery/pacing.py
@@ -0,0 +1,112 @@
+"""Recovery's permissions as states of the policy's breakers.
+
+The policy is not changed for recovery. What a destination may be given reaches it as what a process before it
+hands over (`InheritedState`): a Retry-After where nothing may go, an open breaker whose trial is due where
+one call may, a warm-up as the pace where a share of the rate may.
+"""
+
+import math
+from collections.abc import Iterator
+from enum import Enum
+
+from message_sender.policy.model import Settings
+from message_sender.recovery.engine_port import EnginePort, RouteRate
+from message_sender.recovery.stage_model import CallPermission, Stage
+from message_sender.recovery.stages import Stages
+
+HOLD_US = 400_000  # for which a destination is held back, renewed at each update
+US_PER_S = 1e6
+TRIAL_FAILURES = 3.0  # of a breaker that is open
+
+BreakerState = tuple[int, str, dict[str, float]]  # destination, route, values of its breaker
+
+
+class Pace(Enum):
+    """What a destination was last given."""
+
+    HELD = "held"
+    TRIAL = "trial"
+    FREE = "free"
+
+
+class BreakerPacer:
+    """Turns the permissions of the stages into states of breakers.
+
+    Attributes:
+        paces: What each destination was last given.
+        paced_since_us: Since when, on the engine's clock.
+    """
+
+    def __init__(self, stages: Stages, engine: EnginePort, settings: Settings) -> None:
+        """Begins with nothing given."""
+        self.stages = stages
+        self.engine = engine
+        self.settings = settings
+        self.paces: dict[int, Pace] = {}
+        self.paced_since_us: dict[int, int] = {}
+
+    def breaker_states(self, destination: int, now: float) -> Iterator[BreakerState]:
+        """Yields what the policy has to be given for a destination; nothing, if that has not changed."""
+        permission = self.stages.permission(destination, now)
+        now_us = self.engine.now()
+        pace = _pace_of(permission)
+        is_open = self.stages.stage is Stage.OPEN
+        if pace is Pace.FREE and is_open and self.paces.get(destination, Pace.FREE) is Pace.FREE:
+            return
+        is_changed = self.paces.get(destination) is not pace
+        self.paces[destination] = pace
+        if is_changed:
+            self.paced_since_us[destination] = now_us
+        for route in self.engine.routes(destination):
+            if pace is Pace.HELD:
+                hold_us = max(HOLD_US, int(permission.retry_after_s * US_PER_S))
+                yield destination, route.route, {"wait_until": now_us + hold_us}
+            elif pace is Pace.FREE:
+                since_us = self.paced_since_us[destination]
+                yield destination, route.route, self._paced_values(permission, route, now_us, since_us)
+            elif self._is_trial_wanted(destination, is_changed):
+                values = {"failures": TRIAL_FAILURES, "trial_at": now_us, "wait_until": now_us}
+                yield destination, route.route, values
+
+    def _is_trial_wanted(self, destination: int, is_changed: bool) -> bool:
+        trials = self.stages.own_trials
+        return destination not in trials and (is_changed or not trials)
+
+    def _paced_values(
+        self, permission: CallPermission, route: RouteRate, now_us: int, since_us: int
+    ) -> dict[str, float]:
+        """Returns the values that pace a destination by the policy's own warm-up.
+
+        The gap of one that warms up is its usual gap over the part of its rate that it has come to. Where no
+        rate is announced, or this member is open, the policy's own pace holds from here on.
+        """
+        settings = self.settings
+        values: dict[str, float] = {"failures": 0.0, "wait_until": now_us, "unserved": 0, "sick": 0.0}
+        if not route.rate_per_s or self.stages.stage is Stage.OPEN:
+            values["cold_since"] = -math.inf
+            if permission.warming_for_s is not None:
+                values["cold_since"] = now_us - permission.warming_for_s * US_PER_S
+            return values | {"calls": 0.1, "span": 1e5 * max(settings.fleet_size / 4, 1)}
+        gap_us = US_PER_S / (route.rate_per_s * self._warm_part(permission) * permission.rate_share)
+        push = settings.fall_multiple * 0.75 * settings.slow_start_from
+        return values | {
+            "cold_since": now_us,
+            "wait_until": max(now_us, int(since_us + permission.start_phase * gap_us)),
+            "calls": 1.0,
+            "span": gap_us * push,
+            "gap": gap_us if gap_us > route.own_gap_us / push else 0.0,
+        }
+
+    def _warm_part(self, permission: CallPermission) -> float:
+        """The part of its rate that the destination has come to."""
+        if permission.warming_for_s is None:
+            return 1.0
+        start_part = self.settings.slow_start_from
+        progress = min(permission.warming_for_s * US_PER_S / self.settings.slow_start, 1.0)
+        return start_part + (1 - start_part) * progress
+
+
+def _pace_of(permission: CallPermission) -> Pace:
+    if permission.is_trial:
+        return Pace.TRIAL
+    return Pace.FREE if permission.may_call else Pace.HELD
--- a/message_sender/service/learned_state.py
+++ b/message_sender/service/learned_state.py
@@ -10,7 +10,13 @@
 from message_sender.core.hooks import EngineHooks
 from message_sender.policy.events import InheritedState
 from message_sender.policy.state_transfer import BREAKER, fields
-from message_sender.recovery.learned_snapshot import MOST, Breakers, Known, LearnedSnapshots, believed
+from message_sender.recovery.learned_snapshot import (
+    MAX_BREAKERS,
+    Breakers,
+    KnownBreaker,
+    LearnedSnapshots,
+    restore_believed,
+)
 from message_sender.recovery.startup import RecoveryStart
 
 log = logging.getLogger(__name__)
@@ -19,29 +25,29 @@
 class LearnedState(EngineHooks):
     def __init__(self, engine: Engine, beginning: RecoveryStart, state: Path) -> None:
         self.engine, self.beginning = engine, beginning
-        sync = beginning.gather is not None
+        sync = beginning.sync_interval_s is not None
         self.snapshots = LearnedSnapshots(state, beginning.disk, self.known, told, engine.now, sync)
         self.inherited = InheritedState()
         engine.periodic_tasks.append(self.chore)
         engine.hooks.add(self)
 
-    def known(self) -> list[Known]:
+    def known(self) -> list[KnownBreaker]:
         """Those that were called last, where there are too many."""
         found = [
             (at.number, route, each)
             for at in self.engine.dispatcher.destinations.values()
             for route, each in (at.own or {}).items()
         ]
-        if len(found) <= MOST:
+        if len(found) <= MAX_BREAKERS:
             return found
-        return heapq.nlargest(MOST, found, key=lambda each: each[2].last_sent)
+        return heapq.nlargest(MAX_BREAKERS, found, key=lambda each: each[2].last_sent)
 
     def read(self) -> dict[int, float]:
         """At the start; the destinations that are to be left alone, and for how long, s."""
         if (found := self.snapshots.read()) is None:
             return {}
         now = self.engine.now()
-        self.inherited = believed(*found, self.beginning.start, now)
+        self.inherited = restore_believed(*found, self.beginning.conditions, now)
         waits = waiting(self.inherited.breakers, now)
         log.info("learned before: %d breakers, %d waits", len(self.inherited.breakers), len(waits))
         return waits
@@ -53,10 +59,10 @@
 
     def retry_after_received(self, endpoint: str, delay_us: int) -> None:
         """Waits are put down at the next chance: nobody else could tell them after a power loss."""
-        self.snapshots.next_at = 0
+        self.snapshots.next_at_us = 0
 
     def chore(self) -> None:
-        if job := self.snapshots.tick():
+        if job := self.snapshots.step():
             self.engine.spawn(self.write(job))
 
     async def write(self, job: Callable[[], None]) -> None:
@@ -64,7 +70,7 @@
             await self.beginning.disk.run(job)
         except OSError as error:
             log.error("what was learned is not written: %s", error)
-        self.snapshots.wrote()
+        self.snapshots.write_finished()
 
 
 def told(breaker: object) -> dict[str, float]:
--- a/message_sender/service/membership.py
+++ b/message_sender/service/membership.py
@@ -20,8 +20,11 @@
 from message_sender.policy.events import InheritedState
 from message_sender.policy.model import Outcome
 from message_sender.recovery.coordinator import Coordinator
+from message_sender.recovery.engine_port import RouteRate
 from message_sender.recovery.id_inquiry import IdState
-from message_sender.recovery.stages import ALONE, Stage
+from message_sender.recovery.stage_model import Stage
+from message_sender.recovery.stages import LONE_INQUIRY_TIMEOUT_S
+from message_sender.recovery.status import recovery_status
 from message_sender.service.routes import told_rates
 
 if TYPE_CHECKING:
@@ -36,44 +39,44 @@
     def __init__(self, engine: Engine) -> None:
         self.engine = engine
         #: What is kept out of service here, s left; and what another one keeps so.
-        self.away: Callable[[], dict[str, float]] = dict
-        self.keep_away: Callable[[str, float, str], None] = lambda endpoint, left, by: None
+        self.out_of_service: Callable[[], dict[str, float]] = dict
+        self.take_out_of_service: Callable[[str, float, str], None] = lambda endpoint, left, by: None
 
     def now(self) -> int:
         return self.engine.now()
 
-    def owed(self) -> dict[int, int]:
+    def owed_counts(self) -> dict[int, int]:
         """From the journal until the engine has begun, which takes over what stands there."""
         if self.engine.listener_task is None:
             return dict(Counter(each.message.destination for each in self.engine.journal.entries.values()))
         return dict(Counter(each.destination for each in self.engine.dispatcher.messages.values()))
 
-    def inherit(self, told: InheritedState) -> None:
+    def inherit_state(self, told: InheritedState) -> None:
         self.engine.post(told)
 
-    def routes(self, number: int) -> list[tuple[str, float, float]]:
+    def routes(self, number: int) -> list[RouteRate]:
         settings = self.engine.settings
         return [
-            (route, rate, 1e6 * settings.fleet_size / rate if rate else 0.0)
+            RouteRate(route, rate, 1e6 * settings.fleet_size / rate if rate else 0.0)
             for route, told in told_rates(self.engine, number).items()
             for rate in [told if settings.announces_rates else 0.0]
         ]
 
-    def ids(self) -> list[str]:
+    def restored_ids(self) -> list[str]:
         return [name for name, each in self.engine.journal.entries.items() if not each.completion]
 
-    def known(self, name: str) -> IdState | None:
+    def id_state(self, name: str) -> IdState | None:
         journal = self.engine.journal
         if entry := journal.entries.get(name):
-            return IdState.OUT if entry.attempts else IdState.TAKEN
+            return IdState.IN_FLIGHT if entry.attempts else IdState.ACCEPTED
         over = name in self.engine.table.completed or name in getattr(journal, "finished", ())
-        return IdState.ENDED if over else None
+        return IdState.COMPLETED if over else None
 
-    def doubt(self, name: str) -> None:
+    def mark_doubtful(self, name: str) -> None:
         if entry := self.engine.journal.entries.get(name):
             entry.is_doubtful = True
 
-    def is_open(self, number: int) -> bool:
+    def has_open_breaker(self, number: int) -> bool:
         at = self.engine.dispatcher.destinations.get(number)
         return at is not None and any(each.is_open() for each in (at.own or {}).values())
 
@@ -103,13 +106,13 @@
 
             self.budgets = shared.SharedBudgets(engine, self.link, budgets, config.size)
         self.asked: asyncio.Future[None] = self.link.loop.create_future()
-        self.coordinator.changed = self.stage_changed
+        self.coordinator.on_stage_changed = self.stage_changed
 
     async def start(self, waits: Mapping[int, float]) -> None:
         """Until the others have been asked: no longer than stated. `waits`: s that destinations are to be
         left alone for, as was known before."""
         for number, wait in waits.items():
-            self.coordinator.stages.waited_before(number, wait, self.link.loop.time())
+            self.coordinator.stages.restore_retry_after(number, wait, self.link.loop.time())
         await self.link.start()
         engine = self.engine
         assert self.link.task
@@ -118,7 +121,7 @@
         if self.budgets:
             self.budgets.bind()
         try:
-            async with asyncio.timeout(2 * ALONE):
+            async with asyncio.timeout(2 * LONE_INQUIRY_TIMEOUT_S):
                 await self.asked
         except TimeoutError:
             log.error("stage: asking did not end by itself")
@@ -134,9 +137,9 @@
             entry.is_doubtful = True
 
     def stage_changed(self, stage: Stage) -> None:
-        if stage > Stage.ASKING and not self.asked.done():
+        if stage > Stage.INQUIRING and not self.asked.done():
             self.asked.set_result(None)
-        self.ready(stage >= Stage.OPENING)
+        self.ready(stage >= Stage.ADMITTING)
 
     def step(self, now: float) -> None:
         self.coordinator.step(now)
@@ -156,13 +159,16 @@
     def told_budgets(self) -> dict[str, object]:
         return budget_status(self.budgets.desk) if self.budgets else {}
 
+    def status(self) -> dict[str, object]:
+        return recovery_status(self.coordinator)
+
     def destination(self, endpoint: str) -> int | None:
         known = self.engine.dispatcher.endpoints.get(endpoint)
         return known.listed.destination if known else None
 
     def messages_restored(self) -> None:
         """The messages found at the start count from now on."""
-        self.coordinator.bind(self.link.loop.time())
+        self.coordinator.apply_permissions(self.link.loop.time())
 
     def may_call(self, endpoint: str) -> bool:
         number = self.destination(endpoint)
@@ -170,27 +176,27 @@
 
     def call_started(self, endpoint: str) -> None:
         if (number := self.destination(endpoint)) is not None:
-            self.coordinator.began(number)
+            self.coordinator.call_started(number)
 
     def attempt_finished(self, endpoint: str, outcome: Outcome) -> None:
         if (number := self.destination(endpoint)) is not None:
-            self.coordinator.outcome(number, outcome)
+            self.coordinator.call_finished(number, outcome)
 
     def retry_after_received(self, endpoint: str, wait: int) -> None:
         if (number := self.destination(endpoint)) is not None:
-            self.coordinator.asked_to_wait(number, wait)
+            self.coordinator.retry_after_received(number, wait)
 
     def admission_delay_us(self, message: Message) -> int:
-        if after := self.coordinator.admits(message.destination, message.message_class):
+        if after := self.coordinator.admission_delay_us(message.destination, message.message_class):
             return after
         if self.budgets and (after := self.budgets.admits(message)):
             return after
-        self.coordinator.comes(message.destination)
+        self.coordinator.message_admitted(message.destination)
         return 0
 
     def is_open(self) -> bool:
         """Whether new messages are taken on, of some class."""
-        return self.coordinator.stages.stage >= Stage.OPENING
+        return self.coordinator.stages.stage >= Stage.ADMITTING
 
     def close(self) -> None:
         if self.budgets:
--- a/message_sender/service/standalone.py
+++ b/message_sender/service/standalone.py
@@ -148,7 +148,7 @@
         self.beginning: RecoveryStart | None = None
         if config.durability.sync != "none" or is_checked(state):
             self.beginning = beginning(config, machine)
-            clock, open_journal = self.beginning.now, self.beginning.open  # type: ignore[assignment]
+            clock, open_journal = self.beginning.now, self.beginning.open_journal  # type: ignore[assignment]
         self.control_plane = control_plane(config, state, machine.disk)
         if self.control_plane:
             config = self.control_plane.configuration.in_force()
@@ -185,7 +185,8 @@
             may_come = self.control_plane is not None
             self.membership = join(engine, config.fleet, state, self.set_ready, config.budgets, may_come)
         if self.membership:
-            self.membership.view.away, self.membership.view.keep_away = self.away, self.keep_away
+            self.membership.view.out_of_service = self.away
+            self.membership.view.take_out_of_service = self.keep_away
 
     def dials(self) -> dict[str, Dial]:
         return self.directory.dials()
@@ -200,7 +201,7 @@
     def keep_away(self, endpoint: str, left: float, by: str) -> None:
         """Another one keeps it out of service: that counts where this one's disk may not tell the latest."""
         assert self.membership
-        if self.beginning and self.beginning.is_latest() and not self.membership.link.node.behind:
+        if self.beginning and self.beginning.is_state_current() and not self.membership.link.node.behind:
             return
         now = self.engine.now()
         until = now + int(min(left, MOST_AWAY) * 1e6)
@@ -256,7 +257,7 @@
                 asked["name"], asked["until"], asked["who"], asked.get("why", "")
             ).as_json(),
             "endpoints": lambda asked: {"endpoints": self.endpoints(), "lists": self.lists()},
-            "fleet": lambda asked: self.membership.coordinator.status() if self.membership else {},
+            "fleet": lambda asked: self.membership.status() if self.membership else {},
             "budgets": lambda asked: self.membership.told_budgets() if self.membership else {},
             "control": lambda asked: self.control_plane.status() if self.control_plane else {},
             "confirm": lambda asked: isinstance(self.directory, FileDirectory) and self.directory.confirm(),
--- a/tests/compatibility/samples.py
+++ b/tests/compatibility/samples.py
@@ -368,9 +368,9 @@
 
 def questions() -> Sample:
     """What a sender asks the others of ids that it owes, and their answer."""
-    known = {"m1": id_inquiry.IdState.OUT, "m2": id_inquiry.IdState.ENDED}
-    asked = id_inquiry.questions(["m1", "m2", "m3", "x" * 600, "y" * 600])
-    reply = id_inquiry.answer(asked[0], known.get)
+    known = {"m1": id_inquiry.IdState.IN_FLIGHT, "m2": id_inquiry.IdState.COMPLETED}
+    asked = id_inquiry.encode_questions(["m1", "m2", "m3", "x" * 600, "y" * 600])
+    reply = id_inquiry.answer_question(asked[0], known.get)
     assert reply is not None
     return {f"question-{number}": each for number, each in enumerate(asked)} | {"answer": reply}
 
--- a/tests/compatibility/test_compatibility.py
+++ b/tests/compatibility/test_compatibility.py
@@ -178,8 +178,8 @@
 
 def test_questions_of_ids_are_answered_alike() -> None:
     recorded = samples.recorded(samples.questions)
-    known = {"m1": id_inquiry.IdState.OUT, "m2": id_inquiry.IdState.ENDED}
-    assert id_inquiry.answer(recorded["question-0"], known.get) == recorded["answer"]
+    known = {"m1": id_inquiry.IdState.IN_FLIGHT, "m2": id_inquiry.IdState.COMPLETED}
+    assert id_inquiry.answer_question(recorded["question-0"], known.get) == recorded["answer"]
 
 
 def test_a_sample_is_the_same_each_time() -> None:
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -15,7 +15,7 @@
 from message_sender.control_socket import ask
 from message_sender.policy.model import Effect
 from message_sender.recovery import learned_snapshot
-from message_sender.recovery.stages import TRIAL
+from message_sender.recovery.stages import TRIAL_TIMEOUT_S
 from message_sender.testbed.cluster import Cluster, Fault, Member, MemberFactory, ReceiverStub, faults
 from message_sender.testbed.history_checker import ClassRule, Rules
 
@@ -108,10 +108,10 @@
             await cluster.cut(keeps=0.0)
             hub.down, hub.takes = False, 0.3  # long enough for all to try who do not ask
             hub.calls.clear()
-            before = said(cluster, "(trial)")
+            before = said(cluster, "trial=True")
             await cluster.start()
             await over(cluster)
-            assert said(cluster, "(trial)") - before == 1
+            assert said(cluster, "trial=True") - before == 1
             assert len([each for each in hub.calls if each < hub.calls[0] + hub.takes]) == 1
             assert said(cluster, "4 of 4 others spoke, 4 are returning too") >= 5
             # Cold it takes a fifth: what any 100 ms may bring, with one call that was on its way.
@@ -301,7 +301,7 @@
             await cluster.until(lambda: any(each["by"] == "n0" for each in cluster.ends()))
             await over(cluster)
             assert len(hub.ran["m"]) == 1
-            assert said(cluster, "m is known to n1") == 1
+            assert said(cluster, "id=m member=n1 ") == 1
 
     asyncio.run(play())
 
@@ -309,8 +309,8 @@
 def waits(state: Path) -> bool:
     """Whether its snapshot tells one."""
     found = (
-        learned_snapshot.decode((state / learned_snapshot.FILE).read_bytes())
-        if (state / learned_snapshot.FILE).exists()
+        learned_snapshot.decode((state / learned_snapshot.LEARNED_FILE).read_bytes())
+        if (state / learned_snapshot.LEARNED_FILE).exists()
         else None
     )
     return found is not None and any(values["wait_until"] for _, _, values in found[1])
@@ -346,7 +346,7 @@
             (holder,) = told["tried_by"]
             await cluster.stop(holder)
             await cluster.until(lambda: len(hub.calls) >= 2)
-            assert hub.calls[1] >= hub.calls[0] + TRIAL - 0.2
+            assert hub.calls[1] >= hub.calls[0] + TRIAL_TIMEOUT_S - 0.2
             await cluster.until(lambda: len(hub.calls) >= 6)
             await cluster.wake(holder)
             await over(cluster)
@@ -375,14 +375,16 @@
             for name, (what, value) in trouble.items():
                 setattr(cluster.members[name], what, value)
             hub.down = False
-            opened = sum("stage: open:" in each for each in cluster.members["n3"].log)
+            opened = sum("stage entered: stage=open " in each for each in cluster.members["n3"].log)
             await asyncio.gather(*(cluster.start(name) for name in cluster.members), return_exceptions=True)
             well = [name for name, each in cluster.members.items() if each.alive and not each.fault]
             assert {"n3"} <= set(well)
             cluster.accepted = {name: by for name, by in cluster.accepted.items() if by in well}
             await over(cluster)
             await cluster.until(
-                lambda: sum("stage: open:" in x for x in cluster.members["n3"].log) == opened + 1
+                lambda: (
+                    sum("stage entered: stage=open " in x for x in cluster.members["n3"].log) == opened + 1
+                )
             )
             assert await cluster.hand_in("later", "keyed", 1, 8, to=["n3"]) == "n3"
             await over(cluster)
--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -27,7 +27,14 @@
 from message_sender.journal.process_journal import COMPACTED_FILE, JOURNAL_FILE, Journal
 from message_sender.policy.model import Outcome
 from message_sender.recovery import trust
-from message_sender.recovery.trust import SECOND, TABLE, Confidence, PreviousEnd, StartConditions
+from message_sender.recovery.trust import (
+    SECOND_US,
+    TRUST_RULES,
+    Confidence,
+    KnowledgeKind,
+    PreviousEnd,
+    StartConditions,
+)
 
 LIMIT = 3_000_000
 
@@ -320,44 +327,49 @@
 def test_how_a_life_ended_and_what_the_clock_is_worth(
     last: int, now: int, clean: bool, same_boot: bool
 ) -> None:
-    start = trust.judge(PreviousRun("a", clean, last), "a" if same_boot else "b", now)
-    if start.passed is not None:
-        assert (clean or same_boot) and now >= last and start.passed == now - last
-    assert now + start.behind >= last, "no time stands before what was on record"
-    assert (start.ended is PreviousEnd.POWER) == (not clean and not same_boot)
+    start = trust.judge_start(PreviousRun("a", clean, last), "a" if same_boot else "b", now)
+    if start.elapsed_us is not None:
+        assert (clean or same_boot) and now >= last and start.elapsed_us == now - last
+    assert now + start.clock_lag_us >= last, "no time stands before what was on record"
+    assert (start.previous_end is PreviousEnd.POWER) == (not clean and not same_boot)
 
 
-@given(st.sampled_from(sorted(TABLE)), st.integers(0, 10**12), st.integers(0, 10**12), st.booleans())
-def test_what_is_older_is_never_believed_more(kind: str, age: int, more: int, known: bool) -> None:
-    start = StartConditions(PreviousEnd.CLEAN if known else PreviousEnd.POWER, passed=0 if known else None)
+@given(st.sampled_from(list(TRUST_RULES)), st.integers(0, 10**12), st.integers(0, 10**12), st.booleans())
+def test_what_is_older_is_never_believed_more(kind: KnowledgeKind, age: int, more: int, known: bool) -> None:
+    start = StartConditions(
+        PreviousEnd.CLEAN if known else PreviousEnd.POWER, elapsed_us=0 if known else None
+    )
     order = [Confidence.BELIEVED, Confidence.CAREFUL, Confidence.DROPPED]
-    assert order.index(start.belief(kind, age)) <= order.index(start.belief(kind, age + more))
-    if not known and kind != "owed messages and their attempts":
-        at_once = StartConditions(PreviousEnd.CLEAN, passed=0)
-        assert order.index(at_once.belief(kind, age)) <= order.index(start.belief(kind, age))
+    assert order.index(start.confidence_in(kind, age)) <= order.index(start.confidence_in(kind, age + more))
+    if not known and kind != KnowledgeKind.OWED_MESSAGES:
+        at_once = StartConditions(PreviousEnd.CLEAN, elapsed_us=0)
+        assert order.index(at_once.confidence_in(kind, age)) <= order.index(start.confidence_in(kind, age))
 
 
 def test_each_kind_by_its_age() -> None:
     young, old = (
-        StartConditions(PreviousEnd.PROCESS, passed=SECOND),
-        StartConditions(PreviousEnd.PROCESS, passed=7200 * SECOND),
+        StartConditions(PreviousEnd.PROCESS, elapsed_us=SECOND_US),
+        StartConditions(PreviousEnd.PROCESS, elapsed_us=7200 * SECOND_US),
     )
-    beliefs = {kind: (young.belief(kind), old.belief(kind)) for kind in ("breakers", "told waits", "grants")}
+    beliefs = {
+        kind: (young.confidence_in(kind), old.confidence_in(kind))
+        for kind in (KnowledgeKind.BREAKERS, KnowledgeKind.RETRY_AFTER, KnowledgeKind.GRANTS)
+    }
     assert beliefs == {
-        "breakers": (Confidence.BELIEVED, Confidence.DROPPED),
-        "told waits": (Confidence.BELIEVED, Confidence.BELIEVED),
-        "grants": (Confidence.DROPPED, Confidence.DROPPED),
+        KnowledgeKind.BREAKERS: (Confidence.BELIEVED, Confidence.DROPPED),
+        KnowledgeKind.RETRY_AFTER: (Confidence.BELIEVED, Confidence.BELIEVED),
+        KnowledgeKind.GRANTS: (Confidence.DROPPED, Confidence.DROPPED),
     }
 
 
-@pytest.mark.parametrize("clock", [0, 10 * SECOND, 10**15])
+@pytest.mark.parametrize("clock", [0, 10 * SECOND_US, 10**15])
 def test_no_clock_gives_an_attempt_its_window_back_after_a_power_loss(clock: int) -> None:
-    attempt = AttemptRecord(1000 * SECOND, "r", "z", Outcome.RESET)
+    attempt = AttemptRecord(1000 * SECOND_US, "r", "z", Outcome.RESET)
     entry = JournalEntry(replace(handed_in("a"), message_class="x", deadline_us=10**16), {0: attempt})
-    start = trust.judge(PreviousRun("a", False, 1001 * SECOND), "b", clock)
-    trust.owed({"a": entry}, start, clock + start.behind, {"x": 5 * SECOND})
-    assert start.passed is None and attempt.started_us == 0
-    assert entry.message.deadline_us == clock + start.behind + 5 * SECOND
+    start = trust.judge_start(PreviousRun("a", False, 1001 * SECOND_US), "b", clock)
+    trust.limit_entries({"a": entry}, start, clock + start.clock_lag_us, {"x": 5 * SECOND_US})
+    assert start.elapsed_us is None and attempt.started_us == 0
+    assert entry.message.deadline_us == clock + start.clock_lag_us + 5 * SECOND_US
 
 
 class Stepped(DurableJournal):
