--- a/message_sender/handover/__init__.py
+++ b/message_sender/handover/__init__.py
@@ -1,1 +1,1 @@
-"""From one process to the next, and out of service: who owns, what is told, how clients are sent away."""
+"""Handover from one process of a sender to the next: ownership, link, listening socket, drain."""
--- a/message_sender/handover/drain.py
+++ b/message_sender/handover/drain.py
@@ -1,59 +1,72 @@
-"""Sending clients away: one machine for the operators' call and for SIGTERM. Pure.
+"""Graceful shutdown of clients' connections, by the operators' call and for SIGTERM. Pure.
 
 The rules:
 
-- **serving**: `/health/ready` says yes.
-- **leaving**, from the order on: it says no, and every answer closes its connection. Connections that come
+- **Serving**: `/health/ready` says yes.
+- **Draining**, from the order on: it says no, and every answer closes its connection. Connections that come
   are served: the front deals them out for a while after the first no.
-- **away**, `GRACE` later: what stands idle is closed too, between requests. The listener stays, since the
+- **Drained**, GRACE_S later: what stands idle is closed too, between requests. The listener stays, since the
   front goes on asking; one that asks is answered and closed.
-- The order taken back leads to serving at once, from anywhere. A second order changes nothing: its time runs
+- Cancelling the order leads to serving at once, from anywhere. A second order changes nothing: its time runs
   from the first.
-- SIGTERM orders the same and cannot be taken back; after the grace the listener is closed as well, and `STOP`
-  after it the process ends, whatever is still out.
+- SIGTERM orders the same and cannot be cancelled; after the grace the listener is closed as well, and
+  EXIT_DELAY_S after it the process ends, whatever is in flight.
 
 Times are seconds of one clock that never goes back.
 """
 
 from enum import Enum
 
-GRACE = 0.6  # s; the front asks every 0.1 s and deals out new connections for up to 0.4 s after the first no
-STOP = 3.3  # s after SIGTERM: the process ends, well before SIGKILL may come at 3.7 s
+GRACE_S = 0.6  # the front asks every 0.1 s and deals out new connections for up to 0.4 s after the first no
+EXIT_DELAY_S = 3.3  # from SIGTERM; SIGKILL may come at 3.7 s
 
 
 class DrainPhase(Enum):
+    """How clients' connections are treated."""
+
     SERVING = "serving"
-    LEAVING = "leaving"
-    AWAY = "away"
+    DRAINING = "leaving"
+    DRAINED = "away"
 
 
 class Drain:
+    """The orders to drain, and what follows from them.
+
+    Attributes:
+        ordered_at_s: When the operators ordered it; None: they did not.
+        terminated_at_s: When SIGTERM came; None: it did not.
+    """
+
     def __init__(self) -> None:
-        self.ordered_at: float | None = None  # s, by the operators
-        self.stopped_at: float | None = None  # s, by SIGTERM
+        """Begins without an order."""
+        self.ordered_at_s: float | None = None
+        self.terminated_at_s: float | None = None
 
-    def fail(self, now: float) -> None:
-        """The order to send clients away."""
-        if self.ordered_at is None:
-            self.ordered_at = now
+    def start(self, now: float) -> None:
+        """The operators order it."""
+        if self.ordered_at_s is None:
+            self.ordered_at_s = now
 
-    def ok(self) -> None:
-        """The order is taken back."""
-        self.ordered_at = None
+    def cancel(self) -> None:
+        """The operators cancel their order."""
+        self.ordered_at_s = None
 
-    def stop(self, now: float) -> None:
-        if self.stopped_at is None:
-            self.stopped_at = now
+    def terminate(self, now: float) -> None:
+        """SIGTERM came."""
+        if self.terminated_at_s is None:
+            self.terminated_at_s = now
 
     def phase(self, now: float) -> DrainPhase:
-        orders = [each for each in (self.ordered_at, self.stopped_at) if each is not None]
+        """Returns how clients' connections are treated now."""
+        orders = [at_s for at_s in (self.ordered_at_s, self.terminated_at_s) if at_s is not None]
         if not orders:
             return DrainPhase.SERVING
-        return DrainPhase.LEAVING if now < min(orders) + GRACE else DrainPhase.AWAY
+        return DrainPhase.DRAINING if now < min(orders) + GRACE_S else DrainPhase.DRAINED
 
-    def listens(self, now: float) -> bool:
-        return self.stopped_at is None or now < self.stopped_at + GRACE
+    def is_listening(self, now: float) -> bool:
+        """Whether the listener is open."""
+        return self.terminated_at_s is None or now < self.terminated_at_s + GRACE_S
 
-    def ends_at(self) -> float | None:
-        """When the process ends; None: it goes on."""
-        return None if self.stopped_at is None else self.stopped_at + STOP
+    def exit_at_s(self) -> float | None:
+        """Returns when the process ends; None: it goes on."""
+        return None if self.terminated_at_s is None else self.terminated_at_s + EXIT_DELAY_S
--- a/message_sender/handover/takeover.py
+++ b/message_sender/handover/takeover.py
@@ -1,14 +1,12 @@
-"""The owner's seat in a state folder: how a process takes it, from nobody or another one, and hands it on.
+"""Ownership of a state folder: how a process acquires it, from nobody or a predecessor, and hands it over.
 
-`ownership.py` has the owner's rules. The one that follows:
+`ownership.py` has the owner's rules. The successor's:
 
-- It has the seat when it has the lock. With nobody on it, it starts as after a crash.
-- An owner is asked over its Unix socket. What it tells is read before the lock is taken: what cannot be read
-  (of another version, say) is as if it had not answered.
-- An owner that does not answer for `PATIENCE` is ended by SIGKILL, so that none of its bytes goes later, by a
-  descriptor of its process: the one that the lock's file names, and only while the lock is held.
-- A process that has handed over is *gone* once the system says that it has ended: then its connections are
-  closed, and what it has not told will not come.
+- It owns once it has the lock. With nobody there, it starts as after a crash.
+- An owner is asked over its Unix socket. The state that it hands over is parsed before the lock is taken:
+  what cannot be read (of another version, say) is as if it had not answered.
+- An owner that does not answer for ANSWER_TIMEOUT_S is ended by SIGKILL, so that none of its bytes goes
+  later, by a descriptor of its process: the one that the lock's file names, and only while the lock is taken.
 """
 
 import asyncio
@@ -17,279 +15,231 @@
 import os
 import signal
 import socket
-import struct
-from collections import deque
 from collections.abc import Callable
 from pathlib import Path
-from typing import Any, Protocol
+from typing import Protocol, TypeVar
 
 from message_sender.control_socket import may_ask
 from message_sender.core.lock import Lock, LockTakenError, read_holder_pid
 from message_sender.handover.link import HandoverLink, Packet, connect, listen
 from message_sender.handover.ownership import Ownership, OwnershipState
+from message_sender.handover.predecessor import Predecessor
 
-PATIENCE = 2.5  # s for an owner to answer; operators expect the new process' yes within 6 s
-POLL = 0.02  # s between tries
-ENDING = 0.1  # s from the end of a link to a process' own, where the system cannot say when that is
+ANSWER_TIMEOUT_S = 2.5  # operators expect the new process to be ready within 6 s
+POLL_INTERVAL_S = 0.02
 
 log = logging.getLogger(__name__)
 
-
-def inherited(text: str) -> socket.socket:
-    """The listening socket that the platform holds, by the number of its descriptor. Raises ValueError for
-    what is none, in one line."""
-    try:
-        sock = socket.socket(fileno=int(text))
-    except (OSError, ValueError, OverflowError) as error:
-        raise ValueError(f"{text!r} names no socket: {error}") from None
-    try:
-        listens = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
-    except OSError as error:
-        sock.detach()
-        raise ValueError(f"{text!r} names no socket: {error}") from None
-    if not listens or sock.family != socket.AF_INET or sock.type != socket.SOCK_STREAM:
-        sock.detach()
-        raise ValueError(f"{text!r} names no listening TCP socket")
-    return sock
+State = TypeVar("State")
 
 
 class Owner(Protocol):
-    """What the seat asks of the sender that has it. None of it may raise."""
+    """What a handover asks of the sender that owns. None of it may raise."""
 
     def export_state(self) -> str:
-        """Freezes, and says what the one that follows has to know."""
+        """Freezes the sender, and returns what the successor has to know."""
 
     def resume(self) -> None:
         """Goes on as before `export_state`."""
 
     def release(self) -> None:
-        """Another process owns it all."""
+        """The successor owns everything."""
 
-    def message_received(self, told: Packet) -> None:
-        """What the one that follows says later."""
+    def message_received(self, packet: Packet) -> None:
+        """A later packet of the successor."""
 
     def successor_lost(self) -> None:
-        """The one that has followed is no more: calls that are out end now, with this process."""
+        """The successor has ended after it took over: calls in flight end now, with this process."""
 
     def superseded(self) -> None:
-        """Somebody else owns it all, and nobody knows who: the process ends."""
-
-
-class Predecessor:
-    """The process that had the seat before, as long as it runs."""
-
-    def __init__(self, sock: socket.socket) -> None:
-        number = struct.unpack("3i", sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, 12))[0]
-        self.loop = asyncio.get_running_loop()
-        self.process = -1
-        with contextlib.suppress(OSError):
-            self.process = os.pidfd_open(number)
-        self.told: deque[tuple[Packet, list[int]]] = deque()  # nobody has heard yet
-        self.news = asyncio.Event()
-        self.hear: Callable[[Packet, list[int]], None] | None = None
-        self.gone: Callable[[], None] = lambda: None
-        self.link = HandoverLink(sock, self.heard, self.link_ended)
-
-    def heard(self, told: Packet, descriptors: list[int]) -> None:
-        if self.hear:
-            self.hear(told, descriptors)
-        else:
-            self.told.append((told, descriptors))
-            self.news.set()
-
-    def attach(self, hear: Callable[[Packet, list[int]], None], gone: Callable[[], None]) -> None:
-        """From now on `hear` is told, first of what has come already; `gone` when no more can come."""
-        self.hear, self.gone = hear, gone
-        while self.told:
-            hear(*self.told.popleft())
-        if self.link.over:
-            self.link_ended()
-
-    async def ask(self, until: float) -> str | None:
-        """All that it tells; None where it does not, or not until then."""
-        self.link.send({"do": "take over"})
-        found = ""
-        try:
-            async with asyncio.timeout_at(until):
-                while not self.link.over:
-                    while self.told:
-                        told, _ = self.told.popleft()
-                        if told["do"] == "released":
-                            return found
-                        found += told["text"]
-                    self.news.clear()
-                    await self.news.wait()
-        except TimeoutError:
-            pass
-        return None
-
-    def link_ended(self) -> None:
-        self.news.set()
-        if self.hear is None:
-            return
-        if self.process < 0:
-            self.loop.call_later(ENDING, self.gone)
-        else:
-            self.loop.add_reader(self.process, self.process_ended)
-
-    def process_ended(self) -> None:
-        self.loop.remove_reader(self.process)
-        os.close(self.process)
-        self.process = -1
-        self.gone()
-
-    def close(self) -> None:
-        """Nothing more is heard of it."""
-        self.hear = None
-        self.link.close()
-        if self.process >= 0:
-            self.loop.remove_reader(self.process)
-            os.close(self.process)
-            self.process = -1
+        """An unknown process owns everything: this one ends."""
 
 
 class OwnershipHandover:
+    """One process' side of both handovers: from its predecessor, and to its successor.
+
+    Attributes:
+        folder: The state folder.
+        lock: Its lock, while this process has it.
+        predecessor: The process that has handed over to this one, while it runs.
+        ownership: How far this process has handed over.
+        listener: Where successors connect.
+        successor_link: To the successor.
+        owner: The sender of this process.
+    """
+
     def __init__(self, folder: Path) -> None:
+        """Begins without the lock."""
         self.folder = folder
         self.loop = asyncio.get_running_loop()
         self.lock: Lock | None = None
-        self.before: Predecessor | None = None
+        self.predecessor: Predecessor | None = None
         self.ownership = Ownership()
         self.listener: socket.socket | None = None
-        self.link: HandoverLink | None = None  # to the one that follows
+        self.successor_link: HandoverLink | None = None
         self.owner: Owner | None = None
 
-    def locked(self) -> bool:
-        """Whether this process has the lock now. Raises OSError where the folder cannot be used."""
+    def try_lock(self) -> bool:
+        """Takes the lock if it is free; returns whether this process has it.
+
+        Raises:
+            OSError: The folder cannot be used.
+        """
         if self.lock is None:
             with contextlib.suppress(LockTakenError):
                 self.lock = Lock(self.folder)
         return self.lock is not None
 
-    # The one that follows.
-
-    async def take(self, read: Callable[[str], Any]) -> Any:  # noqa: ANN401
-        """Returns once this process owns: what the one before told, as `read` has it, or None where nobody
-        did. `read` raises ValueError for what it does not understand. Raises OSError."""
-        until = self.loop.time() + PATIENCE
-        while not self.locked():
-            if (sock := connect(self.folder)) and (told := await self.follow(sock, read, until)) is not None:
-                return told
-            if self.loop.time() >= until and self.lock is None:
-                self.end_holder()
-                until = self.loop.time() + PATIENCE
-            await asyncio.sleep(POLL)
-        log.info("nobody handed over: starting from the journal")
+    # The successor.
+
+    async def acquire(self, parse: Callable[[str], State]) -> State | None:
+        """Returns once this process owns.
+
+        Args:
+            parse: Reads the state that a predecessor hands over. Raises ValueError for what it does not
+            understand.
+
+        Returns:
+            The predecessor's state; None: there was no predecessor.
+
+        Raises:
+            OSError: The folder cannot be used.
+        """
+        deadline = self.loop.time() + ANSWER_TIMEOUT_S
+        while not self.try_lock():
+            if sock := connect(self.folder):
+                state = await self.take_over_from(sock, parse, deadline)
+                if state is not None:
+                    return state
+            if self.loop.time() >= deadline and self.lock is None:
+                self.kill_holder()
+                deadline = self.loop.time() + ANSWER_TIMEOUT_S
+            await asyncio.sleep(POLL_INTERVAL_S)
+        log.info("no predecessor: starting from the journal")
         return None
 
-    async def follow(self, sock: socket.socket, read: Callable[[str], Any], until: float) -> Any:  # noqa: ANN401
+    async def take_over_from(
+        self, sock: socket.socket, parse: Callable[[str], State], deadline: float
+    ) -> State | None:
+        """Takes over from the owner at the other end of `sock`; None: that failed."""
         try:
-            before = Predecessor(sock)
+            predecessor = Predecessor(sock)
         except OSError:
             sock.close()
             return None
-        if (text := await before.ask(until)) is not None:
+        text = await predecessor.request_state(deadline)
+        if text is not None:
             try:
-                told = read(text)
+                state = parse(text)
             except ValueError as error:
-                log.error("what the process before tells cannot be read: %s", error)
+                log.error("predecessor state unreadable: reason=%s", error)
             else:
-                if self.locked():
-                    before.link.send({"do": "owned"})
-                    self.before = before
-                    return told
-        before.close()
+                if self.try_lock():
+                    predecessor.link.send({"do": "owned"})
+                    self.predecessor = predecessor
+                    return state
+        predecessor.close()
         return None
 
-    def end_holder(self) -> None:
-        """Guards all rules from an owner that stands still and would go on when it wakes."""
-        if (number := read_holder_pid(self.folder)) is None or number == os.getpid():
+    def kill_holder(self) -> None:
+        """Ends the owner: one that stands still would go on when it wakes, and break all rules."""
+        pid = read_holder_pid(self.folder)
+        if pid is None or pid == os.getpid():
             return
         with contextlib.suppress(OSError):
-            process = os.pidfd_open(number)
+            process_fd = os.pidfd_open(pid)
             try:
-                if not self.locked() and read_holder_pid(self.folder) == number:
-                    log.error("the process %d does not answer and is ended", number)
-                    signal.pidfd_send_signal(process, signal.SIGKILL)
+                if not self.try_lock() and read_holder_pid(self.folder) == pid:
+                    log.error("owner does not answer and is killed: pid=%d", pid)
+                    signal.pidfd_send_signal(process_fd, signal.SIGKILL)
             finally:
-                os.close(process)
+                os.close(process_fd)
 
     # The owner.
 
     def serve(self, owner: Owner) -> None:
-        """From now on another process may ask to follow."""
+        """Lets a successor request ownership from now on."""
         self.owner = owner
         try:
             self.listener = listen(self.folder)
         except OSError as error:
-            log.error("no process can follow this one under load: %s", error)
+            log.error("handover unavailable: reason=%s", error)
             return
-        self.loop.add_reader(self.listener, self.accept)
+        self.loop.add_reader(self.listener, self.accept_successor)
 
-    def accept(self) -> None:
+    def accept_successor(self) -> None:
+        """Accepts a connection, unless there is a successor already."""
         assert self.listener is not None
         try:
             sock = self.listener.accept()[0]
         except OSError:
             return
-        if self.link or self.ownership.side is not OwnershipState.OWNER or not may_ask(sock):
+        is_owner = self.ownership.state is OwnershipState.OWNER
+        if self.successor_link or not is_owner or not may_ask(sock):
             sock.close()
             return
-        self.link = HandoverLink(sock, self.heard, self.lost)
-
-    def heard(self, told: Packet, descriptors: list[int]) -> None:
-        assert self.owner is not None and self.link is not None
-        for each in descriptors:
-            os.close(each)
-        match told.get("do"):
-            case "take over" if self.ownership.asked():
-                log.info("handing over")
-                link = self.link
-                link.send_text("state", self.owner.export_state())
-                if link.over:
-                    return  # it was lost meanwhile, and all goes on here
-                if self.lock:
-                    self.lock.release()
-                    self.lock = None
-                link.send({"do": "released"})
-            case "owned" if self.ownership.owned():
-                log.info("handed over")
+        self.successor_link = HandoverLink(sock, self.receive_packet, self.successor_link_closed)
+
+    def receive_packet(self, packet: Packet, descriptors: list[int]) -> None:
+        """A packet of the successor."""
+        assert self.owner is not None
+        for descriptor in descriptors:
+            os.close(descriptor)
+        match packet.get("do"):
+            case "take over" if self.ownership.request_handover():
+                log.info("handover started")
+                self._offer_ownership(self.owner)
+            case "owned" if self.ownership.confirm_handover():
+                log.info("handover completed")
                 self.close_listener()
                 self.owner.release()
             case _:
-                self.owner.message_received(told)
+                self.owner.message_received(packet)
+
+    def _offer_ownership(self, owner: Owner) -> None:
+        assert self.successor_link is not None
+        link = self.successor_link
+        link.send_text("state", owner.export_state())
+        if link.is_closed:
+            return  # the successor was lost meanwhile, and all goes on here
+        if self.lock:
+            self.lock.release()
+            self.lock = None
+        link.send({"do": "released"})
 
-    def lost(self) -> None:
-        """The one that was to follow, or has followed, is no more."""
-        self.link = None
+    def successor_link_closed(self) -> None:
+        """The successor has ended."""
+        self.successor_link = None
         assert self.owner is not None
-        if self.ownership.side is OwnershipState.GONE:
-            # Guards the next one, which starts from the journal, from calls out that it cannot know.
+        if self.ownership.state is OwnershipState.HANDED_OVER:
+            # The next process starts from the journal and cannot know of calls in flight here.
             self.owner.successor_lost()
-        if self.ownership.side is not OwnershipState.OFFERED:
+        if self.ownership.state is not OwnershipState.OFFERED:
             return
         try:
-            back = self.ownership.lost(self.locked())
+            is_locked = self.try_lock()
         except OSError:
-            back = self.ownership.lost(False)
-        if back:
-            log.warning("the process that was to follow is gone: going on")
+            is_locked = False
+        if self.ownership.lose_successor(is_locked):
+            log.warning("handover aborted, the successor has ended: serving again")
             self.owner.resume()
         else:
             self.owner.superseded()
 
     def close_listener(self) -> None:
+        """Lets no successor connect."""
         if self.listener:
             self.loop.remove_reader(self.listener)
             self.listener.close()
             self.listener = None
 
     def close(self) -> None:
+        """Lets go of everything."""
         self.close_listener()
-        if self.link:
-            self.link.close()
-        if self.before:
-            self.before.close()
+        if self.successor_link:
+            self.successor_link.close()
+        if self.predecessor:
+            self.predecessor.close()
         if self.lock:
             self.lock.release()
             self.lock = None
--- a/message_sender/service/daemon.py
+++ b/message_sender/service/daemon.py
@@ -16,7 +16,7 @@
 from message_sender.core.ports import CompletionListener, CompletionState, Directory
 from message_sender.core.socket_errors import transport_in
 from message_sender.discovery.maintenance import ROOM, Maintenance, MaintenanceFile
-from message_sender.handover.drain import GRACE, STOP, Drain, DrainPhase
+from message_sender.handover.drain import EXIT_DELAY_S, GRACE_S, Drain, DrainPhase
 from message_sender.handover.takeover import OwnershipHandover
 from message_sender.http.client import HttpTransport
 from message_sender.http.codec import Address
@@ -130,7 +130,7 @@
         """Serves until it is told to stop; the answer is the exit code."""
         code = await self.engine.stopped
         try:
-            if self.drain.ends_at() is None or self.engine.defect:
+            if self.drain.exit_at_s() is None or self.engine.defect:
                 self.server.close()
             else:
                 self.engine.post(Stopping(0))  # what has come is answered, and nothing new goes
@@ -144,30 +144,35 @@
     def terminate(self) -> None:
         """SIGTERM. Clients are still answered, and what they hand in is taken on: the journal keeps it."""
         loop = asyncio.get_running_loop()
-        if self.drain.ends_at() is not None:
+        if self.drain.exit_at_s() is not None:
             return
         log.info("%s: stopping", self.engine.config.name)
-        self.drain.stop(loop.time())
-        self.engine.post(Stopping(int(STOP * 1e6)))
+        self.drain.terminate(loop.time())
+        self.engine.post(Stopping(int(EXIT_DELAY_S * 1e6)))
         self.send_away()
-        loop.call_later(STOP, self.engine.stop, 0)
+        loop.call_later(EXIT_DELAY_S, self.engine.stop, 0)
         self.stop_if_done()
 
     def send_away(self) -> None:
         self.server.send_away()
-        asyncio.get_running_loop().call_later(GRACE + TIMER_SLACK, self.grace_over)
+        asyncio.get_running_loop().call_later(GRACE_S + TIMER_SLACK, self.grace_over)
 
     def grace_over(self) -> None:
         now = asyncio.get_running_loop().time()
-        if self.drain.phase(now) is DrainPhase.AWAY:
+        if self.drain.phase(now) is DrainPhase.DRAINED:
             self.server.grace_over()
-        if not self.drain.listens(now):
+        if not self.drain.is_listening(now):
             self.server.close()
             self.stop_if_done()
 
     def stop_if_done(self) -> None:
         engine, server = self.engine, self.server
-        if self.drain.ends_at() is None or server.listener or engine.attempts.calls or engine.journal.entries:
+        if (
+            self.drain.exit_at_s() is None
+            or server.listener
+            or engine.attempts.calls
+            or engine.journal.entries
+        ):
             return
         if not server.owes():
             engine.stop(0)
@@ -235,7 +240,7 @@
             self.desk.listen(*self.config.management)
         if self.orders.away:
             since = self.told.away_since if self.told else None
-            self.drain.fail(since or asyncio.get_running_loop().time())
+            self.drain.start(since or asyncio.get_running_loop().time())
             self.send_away()
         await super().start()
         if self.succession:
--- a/message_sender/service/operator_commands.py
+++ b/message_sender/service/operator_commands.py
@@ -96,12 +96,12 @@
         if not self.away:
             log.info("%s: clients are sent away", self.sender.engine.config.name)
         self.away = True
-        self.sender.drain.fail(asyncio.get_running_loop().time())
+        self.sender.drain.start(asyncio.get_running_loop().time())
         self.sender.send_away()
         return ManagementReply(200, "clients are sent away")
 
     def come_back(self, call: ManagementCall) -> ManagementReply:
-        if self.sender.drain.ends_at() is not None:
+        if self.sender.drain.exit_at_s() is not None:
             return ManagementReply(503, "this process is ending")
         if not self.recorded(self.maintenance.out, False):
             return NOT_RECORDED
@@ -109,7 +109,7 @@
             log.info("%s: back to work", self.sender.engine.config.name)
             self.sender.server.come_back()
         self.away = False
-        self.sender.drain.ok()
+        self.sender.drain.cancel()
         return ManagementReply(200, "back to work")
 
     def recorded(self, out: set[str], away: bool) -> bool:
--- a/message_sender/service/process_handover.py
+++ b/message_sender/service/process_handover.py
@@ -96,7 +96,7 @@
     def begin(self) -> None:
         """The sender takes clients. Hears the process before, if there is one, and listens for the next."""
         self.seat.serve(self)
-        if before := self.seat.before:
+        if before := self.seat.predecessor:
             engine, transport = self.sender.engine, self.sender.transport
             engine.attempts.predecessor = self
             self.spared = min(len(engine.attempts.predecessor_calls) + SPARE, transport.most // 2)
@@ -121,14 +121,14 @@
 
     def cancel_call(self, name: str, number: int) -> None:
         """Asks the process before to cancel a call."""
-        if self.seat.before:
-            self.seat.before.link.send({"do": "call off", "message": name, "attempt": number})
+        if self.seat.predecessor:
+            self.seat.predecessor.link.send({"do": "call off", "message": name, "attempt": number})
 
     def gone(self) -> None:
         """The process before has ended. Calls whose fate it has not told ended with its connections."""
         self.sender.transport.most += self.spared
         self.spared = 0
-        self.seat.before = None
+        self.seat.predecessor = None
         engine = self.sender.engine
         if left := sorted(engine.attempts.predecessor_calls):
             log.warning("the process before has ended with %d calls out", len(left))
@@ -159,7 +159,7 @@
             ],
             "destinations": sorted(discovery.destinations),
             "back": sorted(maintenance.back),
-            "away_since": sender.drain.ordered_at,
+            "away_since": sender.drain.ordered_at_s,
         }
 
     def resume(self) -> None:
@@ -175,15 +175,15 @@
         asyncio.get_running_loop().call_later(STAYS, sender.terminate)
 
     def pass_on(self, connection: ServerConnection, read: bytes, done: Callable[[], None]) -> None:
-        assert self.seat.link is not None
+        assert self.seat.successor_link is not None
         told = {"do": "client", "read": base64.b64encode(read).decode()}
         told |= {"began": connection.began, "handed_in": connection.handed_in}  # type: ignore[dict-item]
-        self.seat.link.send(told, (connection.sock.fileno(),), done)
+        self.seat.successor_link.send(told, (connection.sock.fileno(),), done)
 
     def tell_fate(self, name: str, number: int, answer: AttemptResult) -> None:
-        if self.seat.link:
+        if self.seat.successor_link:
             told = {"do": "fate", "message": name, "attempt": number, "outcome": answer.outcome.value}
-            self.seat.link.send(told | {"finished": answer.finished, "wait": answer.wait})
+            self.seat.successor_link.send(told | {"finished": answer.finished, "wait": answer.wait})
 
     def message_received(self, told: Packet) -> None:
         if told.get("do") == "call off":
--- a/message_sender/start.py
+++ b/message_sender/start.py
@@ -12,7 +12,8 @@
 
 from message_sender.configuration.settings import settings_from
 from message_sender.core.socket_errors import describe
-from message_sender.handover.takeover import OwnershipHandover, inherited
+from message_sender.handover.listening_socket import open_listening_socket
+from message_sender.handover.takeover import OwnershipHandover
 from message_sender.http.codec import Address, address_from
 from message_sender.http.discovery import EndpointList
 from message_sender.management.calls import ManagementCall, ManagementReply
@@ -82,7 +83,7 @@
     if not (text := os.environ.get("BALANCER_SOCKET_FD")):
         return None
     try:
-        return inherited(text)
+        return open_listening_socket(text)
     except ValueError as error:
         log.error("$BALANCER_SOCKET_FD is not used: %s", error)
         return None
@@ -102,7 +103,7 @@
     if not (listener := inherited_listener()):
         return PlatformSender(config, desk=desk)
     seat = OwnershipHandover(config.state)
-    return PlatformSender(config, seat, await seat.take(read), listener, desk)
+    return PlatformSender(config, seat, await seat.acquire(read), listener, desk)
 
 
 class Reload:
--- a/tests/compatibility/samples.py
+++ b/tests/compatibility/samples.py
@@ -288,7 +288,7 @@
     )
     sender = SimpleNamespace(
         engine=engine, discovery=discovery, maintenance=maintenance, clock=SimpleNamespace(base=123_456_789),
-        drain=SimpleNamespace(ordered_at=12.5),
+        drain=SimpleNamespace(ordered_at_s=12.5),
     )  # fmt: skip
     steps = ProcessHandover(sender, None)  # type: ignore[arg-type]
     text = json.dumps(steps.state())
--- a/tests/killed.py
+++ b/tests/killed.py
@@ -15,12 +15,12 @@
 send = HandoverLink.send
 
 
-def send_and_die(self: HandoverLink, told: Packet, *rest: object) -> None:
+def send_and_die(self: HandoverLink, packet: Packet, *rest: object) -> None:
     for when in ("before", "after"):
-        if (when, told["do"]) == (WHEN, STEP):
+        if (when, packet["do"]) == (WHEN, STEP):
             os.kill(os.getpid(), signal.SIGKILL)
         if when == "before":
-            send(self, told, *rest)  # type: ignore[arg-type]
+            send(self, packet, *rest)  # type: ignore[arg-type]
 
 
 HandoverLink.send = send_and_die  # type: ignore[method-assign]
--- a/tests/successors.py
+++ b/tests/successors.py
@@ -48,8 +48,8 @@
 class Platform:
     """Holds the clients' listening socket and starts `run` with it, as often as a test asks."""
 
-    def __init__(self, state: Path, told: dict[str, Any]) -> None:
-        self.state, self.told = state, told
+    def __init__(self, state: Path, config: dict[str, Any]) -> None:
+        self.state, self.config = state, config
         self.listener = socket.create_server(("127.0.0.1", 0), backlog=64)
         self.address = self.listener.getsockname()
         self.processes: list[Process] = []
@@ -65,14 +65,14 @@
         self.listener.close()
 
     async def start(self, ready: bool = True, number: str = "", killed: str = "") -> Process:
-        """`number`: what is told in place of the descriptor's; `killed`: see killed.py."""
+        """`number`: what stands in place of the descriptor's; `killed`: see killed.py."""
         with socket.create_server(("127.0.0.1", 0)) as free:
             management = free.getsockname()
-        config = self.state.parent / "config.json"
-        config.write_text(json.dumps(self.told | {"management": f"127.0.0.1:{management[1]}"}))
+        config_file = self.state.parent / "config.json"
+        config_file.write_text(json.dumps(self.config | {"management": f"127.0.0.1:{management[1]}"}))
         fd = self.listener.fileno()
         environment = os.environ | {
-            "BALANCER_CONFIG": str(config),
+            "BALANCER_CONFIG": str(config_file),
             "BALANCER_STATE": str(self.state),
             "BALANCER_SOCKET_FD": number or str(fd),
         }
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -11,7 +11,7 @@
 from peers import READY, World, ask, message, play, read_reply, soon
 from test_server import serving
 
-from message_sender.handover.drain import GRACE
+from message_sender.handover.drain import GRACE_S
 from message_sender.http.connection_state import (
     IDLE_LIMIT,
     LINGER,
@@ -187,7 +187,7 @@
         half.send(message("m1")[:40])
         await until(lambda: any(each.began for each in server.connections))
         sender.terminate()
-        sender.drain.stopped_at -= GRACE  # type: ignore[operator]  # it has passed
+        sender.drain.terminated_at_s -= GRACE_S  # type: ignore[operator]  # it has passed
         sender.grace_over()
         whole.send(message("m2", X_Route_To="dest=9"))
         sender.stop_if_done()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -20,7 +20,7 @@
 from peers import Request, Running, World, answer_notices, host, message, play, soon, tell
 from test_closing import Client
 
-from message_sender.handover.drain import GRACE
+from message_sender.handover.drain import GRACE_S
 from message_sender.http.codec import Address, ClientConnection
 from message_sender.policy.events import EndpointsUpdated, WakeUp
 from message_sender.policy.model import Endpoint, EndpointState, ListingKind
@@ -138,8 +138,8 @@
 
     def grace_over(self) -> None:
         self.sigterm()
-        assert self.sender.drain.stopped_at is not None
-        self.sender.drain.stopped_at -= GRACE
+        assert self.sender.drain.terminated_at_s is not None
+        self.sender.drain.terminated_at_s -= GRACE_S
         self.sender.grace_over()
 
     def sigkill(self) -> None:
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -20,8 +20,8 @@
 from message_sender.core.engine_config import HandoverState
 from message_sender.core.ports import Completion, CompletionState
 from message_sender.handover.link import connect
+from message_sender.handover.listening_socket import open_listening_socket
 from message_sender.handover.ownership import Ownership, OwnershipState
-from message_sender.handover.takeover import inherited
 from message_sender.policy.actions import PolicyAction
 from message_sender.policy.events import (
     CallInFlight,
@@ -50,29 +50,29 @@
     follower = ""  # asked, locked, said
     for step in steps:
         if step == "ask" and not follower:
-            if owner.asked():
+            if owner.request_handover():
                 lock, follower = "", "asked"
         elif step == "lock" and follower == "asked" and not lock:
             lock, follower = "follower", "locked"
         elif step == "own" and follower == "locked":
             follower = "said"
         elif step == "hear" and follower == "said":
-            assert owner.owned()
+            assert owner.confirm_handover()
             follower = "owner"
         elif step == "die" and follower and follower != "owner":
             if follower == "said":  # what was said is heard before the end
-                assert owner.owned()
+                assert owner.confirm_handover()
             lock = "" if lock == "follower" else lock
             free = not lock
-            if owner.lost(locked=free):
+            if owner.lose_successor(is_locked=free):
                 lock = "owner"
             follower = ""
         elif step == "other" and not lock:
             lock = "other"
         elif step == "leave" and lock == "other":
             lock = ""
-        assert (owner.side is OwnershipState.OWNER) == (lock == "owner")
-        assert owner.side is not OwnershipState.OWNER or follower not in ("locked", "said", "owner")
+        assert (owner.state is OwnershipState.OWNER) == (lock == "owner")
+        assert owner.state is not OwnershipState.OWNER or follower not in ("locked", "said", "owner")
 
 
 # What is told.
@@ -122,7 +122,7 @@
 
 
 def play_on(world: World, steps: list[tuple[str, object, int]]) -> list[tuple[list[str], list[PolicyAction]]]:
-    told = []
+    decisions = []
     for what, which, after in steps:
         out = sorted(name for name, _ in world.dispatcher.calls)
         if what == "take":
@@ -132,8 +132,8 @@
             actions = world.answer(out[0], which, after=after * MS, wait=wait)  # type: ignore[arg-type]
         else:
             actions = world.step(WakeUp(), after=after * MS)
-        told.append((sent(actions), ended(actions)))
-    return told
+        decisions.append((sent(actions), ended(actions)))
+    return decisions
 
 
 @settings(derandomize=True, max_examples=150, deadline=None)
@@ -185,7 +185,7 @@
     with socket.socket() as other:
         for bad in ("x", "99999", "-1", str(file.fileno()), str(other.fileno())):
             with pytest.raises(ValueError):
-                inherited(bad)
+                open_listening_socket(bad)
         assert other.fileno() >= 0 and not file.closed
     file.close()
 
@@ -198,15 +198,15 @@
     state = folder / "state"
     state.mkdir()
     async with Peer() as receiver, Discovery() as discovery:
-        told = config_json(discovery, host(receiver.dial), **kind)
-        async with Platform(state, told) as platform:
+        config = config_json(discovery, host(receiver.dial), **kind)
+        async with Platform(state, config) as platform:
             yield platform, receiver, discovery
 
 
 async def replaced(platform: Platform, old: Process) -> Process:
     new = await platform.start()
     assert (await new.call("GET", "/healthcheck")).status == 200
-    await old.says("handed over")
+    await old.says("handover completed")
     return new
 
 
@@ -247,11 +247,11 @@
         second = await receiver.next()
         assert second.id == "m2" and receiver.requests.empty()
         second.answer(200)
-        told = {}
-        while told.get("edge_balancer.transactions.c.answered") != "2":
+        figures: dict[str, str] = {}
+        while figures.get("edge_balancer.transactions.c.answered") != "2":
             lines = (await new.call("GET", "/stats")).body.decode().split()
-            told = dict(each.split("=") for each in lines)
-        assert told["edge_balancer.current"] == "0"
+            figures = dict(each.split("=") for each in lines)
+        assert figures["edge_balancer.current"] == "0"
         old.kill(signal.SIGTERM)
         assert await old.end() == 0
 
@@ -303,7 +303,7 @@
         client.writer.write(message("m2"))
         first.answer(200)
         sock.close()
-        await old.says("going on")
+        await old.says("handover aborted.*serving again")
         assert (await client.ask(b"")).status == 202
         assert (await receiver.next()).id == "m2"
         assert receiver.requests.empty()
@@ -319,7 +319,7 @@
         await receiver.next()
         old.kill(signal.SIGSTOP)
         new = await platform.start()
-        await new.says("does not answer and is ended")
+        await new.says("owner does not answer and is killed")
         assert await old.end() == -signal.SIGKILL
         assert (await receiver.next()).id == "m1"
 
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from message_sender.discovery.maintenance import LATELY, Maintenance, MaintenanceFile
-from message_sender.handover.drain import GRACE, STOP, Drain, DrainPhase
+from message_sender.handover.drain import EXIT_DELAY_S, GRACE_S, Drain, DrainPhase
 from message_sender.policy.events import EndpointsUpdated
 from message_sender.policy.model import EndpointState, ListingKind
 
@@ -108,22 +108,22 @@
     for what, later in steps:
         now += later
         if what == "fail":
-            drain.fail(now)
+            drain.start(now)
             ordered = now if ordered is None else ordered
         elif what == "ok":
-            drain.ok()
+            drain.cancel()
             ordered = None
         elif what == "stop":
-            drain.stop(now)
+            drain.terminate(now)
             stopped = now if stopped is None else stopped
         since = min((each for each in (ordered, stopped) if each is not None), default=None)
         wanted = (
             DrainPhase.SERVING
             if since is None
-            else DrainPhase.LEAVING
-            if now < since + GRACE
-            else DrainPhase.AWAY
+            else DrainPhase.DRAINING
+            if now < since + GRACE_S
+            else DrainPhase.DRAINED
         )
         assert drain.phase(now) is wanted
-        assert drain.listens(now) == (stopped is None or now < stopped + GRACE)
-        assert drain.ends_at() == (None if stopped is None else stopped + STOP)
+        assert drain.is_listening(now) == (stopped is None or now < stopped + GRACE_S)
+        assert drain.exit_at_s() == (None if stopped is None else stopped + EXIT_DELAY_S)
--- a/tests/test_manage.py
+++ b/tests/test_manage.py
@@ -28,7 +28,7 @@
     tell,
 )
 
-from message_sender.handover.drain import GRACE
+from message_sender.handover.drain import GRACE_S
 from message_sender.http.codec import Address
 from message_sender.management.calls import ManagementCall, Operation, read
 from message_sender.management.calls import ManagementReply as Said
@@ -212,7 +212,7 @@
         assert (await ask(world.running.address, READY)).status == 503
         reply = await ask(world.running.address, message("m2"))
         assert reply.status == 202 and reply.headers["connection"] == "close"
-        world.sender.drain.ordered_at -= GRACE
+        world.sender.drain.ordered_at_s -= GRACE_S
         for each in list(server.connections):
             each.since -= LINGER
         world.sender.grace_over()
--- a/tests/test_sender.py
+++ b/tests/test_sender.py
@@ -9,7 +9,7 @@
 from faults import turn as loop_turn
 from peers import KEYED, PATIENCE, READY, Running, World, ask, host, message, play, read_reply, soon, tell
 
-from message_sender.handover.drain import GRACE
+from message_sender.handover.drain import GRACE_S
 from message_sender.http import server as module
 from message_sender.http.server import ACCEPTS
 from message_sender.journal.entries import AttemptRecord
@@ -270,7 +270,7 @@
         assert reply.status == 202 and reply.headers["connection"] == "close"
         assert await soon(reader.read()) == b""
         assert (await ask(world.running.address, READY)).status == 503
-        world.sender.drain.stopped_at -= GRACE  # it has passed
+        world.sender.drain.terminated_at_s -= GRACE_S  # it has passed
         world.sender.grace_over()
         with pytest.raises(OSError):
             await asyncio.open_connection(*world.running.address)
