--- a/message_sender/core/restoration.py
+++ b/message_sender/core/restoration.py
@@ -8,7 +8,7 @@
 from message_sender.core.engine_config import HandoverState
 from message_sender.core.message_table import MessageTable
 from message_sender.core.ports import Directory
-from message_sender.journal.process_journal import JournalEntry
+from message_sender.journal.entries import JournalEntry
 from message_sender.policy.events import MessageRestored
 
 NO_ATTEMPT = -1
@@ -41,10 +41,10 @@
         for entry in list(self.table.journal.entries.values()):
             message_id = entry.message.id
             self.directory.remember(entry.message.destination)
-            if entry.delivered():
+            if entry.is_delivered():
                 self.table.finish_delivered(message_id)
-            elif entry.verdict:
-                self.table.notify_again(message_id, *entry.verdict)
+            elif entry.completion:
+                self.table.notify_again(message_id, *entry.completion)
             elif handed_over:
                 yield self._handed_over(entry, handed_over)
             else:
@@ -75,11 +75,11 @@
             entry: What the journal has of it.
             in_flight: The attempt whose result will still come, if any.
         """
-        risk = entry.first_risk(in_flight)
+        risk = entry.first_risky_attempt(in_flight)
         return MessageRestored(
             taken=self.arrivals.acceptance_of(entry.message),
             attempts=max(entry.attempts, default=-1) + 1,
-            risky_since=min(risk.at, self.now()) if risk else None,
+            risky_since=min(risk.started_us, self.now()) if risk else None,
             risky_zone=risk.zone if risk else "",
             outcomes=tuple((each.endpoint, each.outcome) for each in entry.attempts.values() if each.outcome),
         )
--- a/message_sender/service/standalone.py
+++ b/message_sender/service/standalone.py
@@ -27,7 +27,7 @@
 from message_sender.discovery.static import Dial, StaticDirectory
 from message_sender.journal.disk import Disk
 from message_sender.journal.lock import Lock
-from message_sender.journal.process_journal import FILE, Journal
+from message_sender.journal.process_journal import JOURNAL_FILE, Journal
 from message_sender.message import Message
 from message_sender.policy.events import EndpointsUpdated
 from message_sender.policy.model import EndpointState, ListingKind, Outcome
@@ -82,7 +82,7 @@
 def is_checked(state: Path) -> bool:
     """Whether the journal there has the form that survives the machine."""
     try:
-        with (state / FILE).open("rb") as file:
+        with (state / JOURNAL_FILE).open("rb") as file:
             return file.read(1) == b"2"
     except OSError:
         return False
@@ -148,7 +148,7 @@
         self.beginning: RecoveryStart | None = None
         if config.durability.sync != "none" or is_checked(state):
             self.beginning = beginning(config, machine)
-            clock, open_journal = self.beginning.now, self.beginning.open  # type: ignore[assignment]
+            clock, open_journal = self.beginning.now, self.beginning.open_journal  # type: ignore[assignment]
         self.control_plane = control_plane(config, state, machine.disk)
         if self.control_plane:
             config = self.control_plane.configuration.in_force()
@@ -185,7 +185,8 @@
             may_come = self.control_plane is not None
             self.membership = join(engine, config.fleet, state, self.set_ready, config.budgets, may_come)
         if self.membership:
-            self.membership.view.away, self.membership.view.keep_away = self.away, self.keep_away
+            self.membership.view.out_of_service = self.away
+            self.membership.view.take_out_of_service = self.keep_away
 
     def dials(self) -> dict[str, Dial]:
         return self.directory.dials()
@@ -200,7 +201,7 @@
     def keep_away(self, endpoint: str, left: float, by: str) -> None:
         """Another one keeps it out of service: that counts where this one's disk may not tell the latest."""
         assert self.membership
-        if self.beginning and self.beginning.is_latest() and not self.membership.link.node.is_behind:
+        if self.beginning and self.beginning.is_state_current() and not self.membership.link.node.is_behind:
             return
         now = self.engine.now()
         until = now + int(min(left, MOST_AWAY) * 1e6)
@@ -256,7 +257,7 @@
                 asked["name"], asked["until"], asked["who"], asked.get("why", "")
             ).as_json(),
             "endpoints": lambda asked: {"endpoints": self.endpoints(), "lists": self.lists()},
-            "fleet": lambda asked: self.membership.coordinator.status() if self.membership else {},
+            "fleet": lambda asked: self.membership.status() if self.membership else {},
             "budgets": lambda asked: self.membership.told_budgets() if self.membership else {},
             "control": lambda asked: self.control_plane.status() if self.control_plane else {},
             "confirm": lambda asked: isinstance(self.directory, FileDirectory) and self.directory.confirm(),
--- a/tests/compatibility/samples.py
+++ b/tests/compatibility/samples.py
@@ -42,7 +42,8 @@
 from message_sender.journal.answer_store import AnswerStore
 from message_sender.journal.disk import SystemDisk
 from message_sender.journal.durable import DurableJournal
-from message_sender.journal.process_journal import AttemptRecord, Journal
+from message_sender.journal.entries import AttemptRecord
+from message_sender.journal.process_journal import Journal
 from message_sender.management.metrics import Metrics
 from message_sender.message import Message
 from message_sender.policy.events import CallInFlight, InheritedState
@@ -160,9 +161,9 @@
 
     def make(folder: Path) -> None:
         kept = AnswerStore(folder, 3)
-        kept.keep("m1", CompletionState.DELIVERED.value, 0, b"\0reply", "")
-        kept.keep("m2", CompletionState.REFUSED.value, 1_500_000, b"", "FULL")
-        kept.keep("m3", CompletionState.FAILED.value, 0, b"", "")
+        kept.add("m1", CompletionState.DELIVERED.value, 0, b"\0reply", "")
+        kept.add("m2", CompletionState.REFUSED.value, 1_500_000, b"", "FULL")
+        kept.add("m3", CompletionState.FAILED.value, 0, b"", "")
         kept.collect("m1")
         kept.close()
 
@@ -288,7 +289,7 @@
     )
     sender = SimpleNamespace(
         engine=engine, discovery=discovery, maintenance=maintenance, clock=SimpleNamespace(base=123_456_789),
-        drain=SimpleNamespace(ordered_at=12.5),
+        drain=SimpleNamespace(ordered_at_s=12.5),
     )  # fmt: skip
     steps = ProcessHandover(sender, None)  # type: ignore[arg-type]
     text = json.dumps(steps.state())
@@ -368,9 +369,9 @@
 
 def questions() -> Sample:
     """What a sender asks the others of ids that it owes, and their answer."""
-    known = {"m1": id_inquiry.IdState.OUT, "m2": id_inquiry.IdState.ENDED}
-    asked = id_inquiry.questions(["m1", "m2", "m3", "x" * 600, "y" * 600])
-    reply = id_inquiry.answer(asked[0], known.get)
+    known = {"m1": id_inquiry.IdState.IN_FLIGHT, "m2": id_inquiry.IdState.COMPLETED}
+    asked = id_inquiry.encode_questions(["m1", "m2", "m3", "x" * 600, "y" * 600])
+    reply = id_inquiry.answer_question(asked[0], known.get)
     assert reply is not None
     return {f"question-{number}": each for number, each in enumerate(asked)} | {"answer": reply}
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -20,7 +20,7 @@
 from peers import Request, Running, World, answer_notices, host, message, play, soon, tell
 from test_closing import Client
 
-from message_sender.handover.drain import GRACE
+from message_sender.handover.drain import GRACE_S
 from message_sender.http.client_connection import ClientConnection
 from message_sender.http.codec import Address
 from message_sender.policy.events import EndpointsUpdated, WakeUp
@@ -139,8 +139,8 @@
 
     def grace_over(self) -> None:
         self.sigterm()
-        assert self.sender.drain.stopped_at is not None
-        self.sender.drain.stopped_at -= GRACE
+        assert self.sender.drain.terminated_at_s is not None
+        self.sender.drain.terminated_at_s -= GRACE_S
         self.sender.grace_over()
 
     def sigkill(self) -> None:
@@ -208,7 +208,7 @@
         self.engine.post(WakeUp())
 
     def disk_full(self) -> None:
-        self.engine.journal.limit = 0
+        self.engine.journal.limit_bytes = 0
 
     # What follows, and what must hold.
 
@@ -224,7 +224,7 @@
         if self.stopping or self.killed:
             await self.end()
         else:
-            self.engine.journal.limit = 3_000_000
+            self.engine.journal.limit_bytes = 3_000_000
             await self.bring_back()
         await self.until_over(self.engine if not (self.stopping or self.killed) else None)
         serving.cancel()
--- a/tests/test_sender.py
+++ b/tests/test_sender.py
@@ -9,10 +9,11 @@
 from peers import KEYED, PATIENCE, READY, Running, World, ask, host, message, play, read_reply, soon, tell
 
 from message_sender.core.restoration import Restoration
-from message_sender.handover.drain import GRACE
+from message_sender.handover.drain import GRACE_S
 from message_sender.http import server as module
 from message_sender.http.server import ACCEPTS
-from message_sender.journal.process_journal import AttemptRecord, Journal
+from message_sender.journal.entries import AttemptRecord
+from message_sender.journal.process_journal import Journal
 from message_sender.policy.actions import WakeAfter
 from message_sender.policy.model import Outcome
 from message_sender.service.daemon import DescriptorBudget, PlatformSender
@@ -86,10 +87,10 @@
 @play
 async def test_a_full_journal_refuses_and_nothing_is_sent(state: Path) -> None:
     async with World(state) as world:
-        world.sender.engine.journal.limit = 0
+        world.sender.engine.journal.limit_bytes = 0
         reply = await world.hand_in("m1")
         assert reply.status == 503 and float(reply.headers["retry-after"]) > 0
-        world.sender.engine.journal.limit = 3_000_000
+        world.sender.engine.journal.limit_bytes = 3_000_000
         assert (await world.hand_in("m2")).status == 202
         assert (await world.receiver.next()).id == "m2"
         assert journalled(state) == ["m2"] and list(world.sender.engine.dispatcher.messages) == ["m2"]
@@ -269,7 +270,7 @@
         assert reply.status == 202 and reply.headers["connection"] == "close"
         assert await soon(reader.read()) == b""
         assert (await ask(world.running.address, READY)).status == 503
-        world.sender.drain.stopped_at -= GRACE  # it has passed
+        world.sender.drain.terminated_at_s -= GRACE_S  # it has passed
         world.sender.grace_over()
         with pytest.raises(OSError):
             await asyncio.open_connection(*world.running.address)
