--- a/benchmarks/streams.py
+++ b/benchmarks/streams.py
@@ -34,7 +34,7 @@
 def record(stream: Any, dispatcher: Any, folder: Path, seeds: int) -> None:  # noqa: ANN401
     folder.mkdir(parents=True, exist_ok=True)
     for seed in range(seeds):
-        world = stream.StreamWorld(stream.Shape(rate=(30, 60, 120)[seed % 3]), seed)
+        world = stream.StreamWorld(stream.StreamShape(rate=(30, 60, 120)[seed % 3]), seed)
         with open(folder / f"{seed}.jsonl", "w") as out:
             made = dispatcher(world.settings, seed)
             recorder = stream.Recorder(out, world.settings, seed, made.handle)
@@ -87,9 +87,9 @@
     small = {"slots": 64, "max_open": 4_500, "announces_rates": False, "fleet_size": 1}
     calm = {"moody": 0, "lists": 0, "keys": 0, "rate": 200.0, "seconds": 24.0, "settings": small}
     shapes = {
-        "calm, 20 destinations": stream.Shape(destinations=20, **calm),
-        "100 of 120 down": stream.Shape(destinations=120, down=100, **calm | {"rate": 300.0}),
-        "beside 10,000 quiet": stream.Shape(destinations=10_000, **calm | {"seconds": 12.0}),
+        "calm, 20 destinations": stream.StreamShape(destinations=20, **calm),
+        "100 of 120 down": stream.StreamShape(destinations=120, down=100, **calm | {"rate": 300.0}),
+        "beside 10,000 quiet": stream.StreamShape(destinations=10_000, **calm | {"seconds": 12.0}),
     }
     first = None
     for name, shape in shapes.items():
--- a/message_sender/core/engine.py
+++ b/message_sender/core/engine.py
@@ -57,7 +57,7 @@
     WakeUp,
 )
 from message_sender.policy.model import ListingKind, Settings
-from message_sender.policy.state_transfer import tell
+from message_sender.policy.state_transfer import export_state
 
 PERIODIC_INTERVAL_S = 0.25  # what clients are owed within 3 s goes by it
 #: A timer must not run before its time on the policy's clock, which then sets no other one.
@@ -285,7 +285,7 @@
                 CallInFlight(listed.id, listed.zone, call.sent, is_trial, call.overdue),
             )
         return HandoverState(
-            inherited=tell(dispatcher.registry, dispatcher.pending),
+            inherited=export_state(dispatcher.registry, dispatcher.pending),
             calls=calls,
             ending=dict(self.table.pending_completions),
             shares={message_id: message.share for message_id, message in dispatcher.messages.items()},
--- a/message_sender/policy/breaker.py
+++ b/message_sender/policy/breaker.py
@@ -25,26 +25,26 @@
 from message_sender.policy.model import Effect, Endpoint, MessageClass, Outcome, Settings
 
 FAILURE_THRESHOLD = 3  # failures in a row; a small destination would take too long to show the paper's five
-RESET_TIMEOUT = 2_000_000  # us from the last failure to the trial; the design page's figure
-GAP_STEP = 100_000  # us, the smallest gap: about one call's time at a destination of usual pace
+RESET_TIMEOUT_US = 2_000_000  # us from the last failure to the trial; the design page's figure
+BASE_GAP_US = 100_000  # us, the smallest gap: about one call's time at a destination of usual pace
 #: Times the time between calls at this sender's part of the told rate: the step there; for uneven splits.
-TOLD_STEP = 1.2  # where refused calls use the limit up too, calls beyond it are lost twice
-TOLD_SHRINK = 0.03  # GAP_SHRINK up to that: many are served before one asks for what others leave
-TOLD_MOST = 4  # times that: the gap at the most; a cold destination takes a fifth, and has its own gap
-SPAN_MOST = 2_000_000  # us, the longest span of a limit: what refuses all calls for longer is shut
+ANNOUNCED_GAP_FACTOR = 1.2  # where refused calls use the limit up too, calls beyond it are lost twice
+ANNOUNCED_GAP_SHRINK = 0.03  # GAP_SHRINK up to that: many are served before one asks for what others leave
+ANNOUNCED_MAX_GAP_FACTOR = 4  # times that: the gap at the most; a cold destination takes a fifth, and has its own gap
+MAX_LIMIT_WINDOW_US = 2_000_000  # us, the longest span of a limit: what refuses all calls for longer is shut
 #: Of a crowd, whose members see few calls: us in which served calls take the gap to 1/e, above the step (a
 #: lowered limit is up again within seconds) and below it (what one asks for beyond its part, others leave).
-CROWD_SHRINK, CROWD_SHRINK_TOLD = 5_000_000, 15_000_000
-CROWD_LEAST = 8  # one part of the step at which a crowd's gap ends; at a half, all it holds would go at once
-GAP_SENDERS = 4  # senders up to which the gap ends at the reset timeout; more share a limit more thinly
+LARGE_FLEET_SHRINK_TIME_US, LARGE_FLEET_ANNOUNCED_SHRINK_TIME_US = 5_000_000, 15_000_000
+LARGE_FLEET_GAP_DIVISOR = 8  # one part of the step at which a crowd's gap ends; at a half, all it holds would go at once
+SMALL_FLEET_SIZE = 4  # senders up to which the gap ends at the reset timeout; more share a limit more thinly
 GAP_SHRINK = 0.15  # share of the gap that a served call takes off: five serve to undo most of a doubling
-SICK_SHARE = 0.4  # recent failures among calls from which a destination is doubtful: far above stray errors
-MEMORY = 0.125  # weight of the newest call in that share and in the usual time; as TCP smooths round trips
-OVERDUE_SPREADS = 4  # mean deviations above the usual time from which a call is overdue; TCP's time-out rule
-PACED = 2  # times the warm-up for which calls go at its pace, faster and faster
-COLD_PUSH = 0.75  # of fall_multiple: a returning destination is paced at that times its warm share
-ANSWERED = frozenset({Outcome.ERROR, Outcome.MALFORMED})
-STRAY = ANSWERED | {Outcome.RESET, Outcome.CONNECT_FAILED}  # one is commonly its connection's alone
+DOUBTFUL_FAILURE_RATE = 0.4  # recent failures among calls from which a destination is doubtful: far above stray errors
+SMOOTHING_WEIGHT = 0.125  # weight of the newest call in that share and in the usual time; as TCP smooths round trips
+OVERDUE_DEVIATIONS = 4  # mean deviations above the usual time from which a call is overdue; TCP's time-out rule
+WARM_UP_LENGTH_FACTOR = 2  # times the warm-up for which calls go at its pace, faster and faster
+WARM_UP_LOAD_FACTOR = 0.75  # of fall_multiple: a returning destination is paced at that times its warm share
+ANSWERED_FAILURES = frozenset({Outcome.ERROR, Outcome.MALFORMED})
+ISOLATED_FAILURES = ANSWERED_FAILURES | {Outcome.RESET, Outcome.CONNECT_FAILED}  # one is commonly its connection's alone
 #: Of a failure: an error is an answer, also a spoilt one; the paper allows a threshold for each kind.
 ERROR_WEIGHT = 1 / 3
 NEVER = math.inf
@@ -87,7 +87,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Pace:
+class BreakerContext:
     """What is the same for all breakers of a sender."""
 
     settings: Settings
@@ -96,8 +96,8 @@
     least_aim: int
 
     @classmethod
-    def of(cls, settings: Settings, rng: random.Random) -> "Pace":
-        crowd = max(settings.fleet_size / GAP_SENDERS, 1)
+    def of(cls, settings: Settings, rng: random.Random) -> "BreakerContext":
+        crowd = max(settings.fleet_size / SMALL_FLEET_SIZE, 1)
         return cls(settings, rng, crowd, min(each.latency_objective for each in settings.classes))
 
 
@@ -110,16 +110,16 @@
         "spread", "step", "stuck", "told_gap", "took", "trial", "trial_at", "unserved", "wait_until",
     )  # fmt: skip
 
-    def __init__(self, pace: Pace, destination: int) -> None:
+    def __init__(self, pace: BreakerContext, destination: int) -> None:
         self.pace, self.destination = pace, destination
         self.failures, self.trial_at, self.trial = 0.0, -NEVER, None  # type: float, float, ActiveCall | None
-        self.most_gap = RESET_TIMEOUT * pace.crowd
-        self.step, self.gap, self.gap_changed = GAP_STEP * pace.crowd, 0.0, -NEVER
+        self.most_gap = RESET_TIMEOUT_US * pace.crowd
+        self.step, self.gap, self.gap_changed = BASE_GAP_US * pace.crowd, 0.0, -NEVER
         self.out, self.last_sent, self.wait_until = 0, -NEVER, 0
         self.unserved, self.sick, self.cold_since = 0, 0.0, -NEVER  # unserved: calls since the last served
         self.served_sent = -NEVER  # sending of the newest call that was served
         self.took, self.spread, self.known = pace.least_aim / 4, pace.least_aim / 8, 1
-        self.calls, self.span, self.last_served = 0.1, RESET_TIMEOUT / 20 * pace.crowd, NEVER
+        self.calls, self.span, self.last_served = 0.1, RESET_TIMEOUT_US / 20 * pace.crowd, NEVER
         self.full_since = NEVER  # the first refusal since a call was served
         self.told_gap = NEVER  # between own calls at this sender's part of the rate that the list tells
         self.fresh: dict[ActiveCall, None] = {}  # out and not overdue, oldest first
@@ -129,8 +129,8 @@
         """Scale both bounds of the gap to the announced rate, in calls a second: no long gaps at a busy
         destination, and no more calls than a limit allows."""
         self.told_gap = 1e6 * self.pace.settings.fleet_size / rate
-        self.most_gap = min(RESET_TIMEOUT * self.pace.crowd, TOLD_MOST * self.told_gap)
-        self.step = min(TOLD_STEP * self.told_gap, self.most_gap)
+        self.most_gap = min(RESET_TIMEOUT_US * self.pace.crowd, ANNOUNCED_MAX_GAP_FACTOR * self.told_gap)
+        self.step = min(ANNOUNCED_GAP_FACTOR * self.told_gap, self.most_gap)
 
     def is_open(self) -> bool:
         return self.failures >= FAILURE_THRESHOLD
@@ -155,7 +155,7 @@
 
     def restart(self, now: int) -> None:
         """Restart the reset timeout; in a large fleet a failed trial waits out a cold destination's gap."""
-        timeout: float = RESET_TIMEOUT
+        timeout: float = RESET_TIMEOUT_US
         if self.trial and self.pace.crowd > 1:
             self.cold_since = now
             timeout = max(timeout, self.cold_gap(now) * self.pace.rng.uniform(0.5, 1.5))
@@ -166,10 +166,10 @@
         its part of the told one, times the share that is warm. The share grows on beyond the whole: guards
         one that has just become warm from all that is held for it, at once, by each of its senders."""
         settings = self.pace.settings
-        if (warm := (now - self.cold_since) / settings.slow_start) >= PACED:
+        if (warm := (now - self.cold_since) / settings.slow_start) >= WARM_UP_LENGTH_FACTOR:
             return 0.0
         share = settings.slow_start_from + (1 - settings.slow_start_from) * max(warm, 0.0)
-        push = settings.fall_multiple * COLD_PUSH * share
+        push = settings.fall_multiple * WARM_UP_LOAD_FACTOR * share
         return min(min(self.span / self.calls, self.told_gap) / push, 2 * self.most_gap)
 
     def overdue_at(self) -> float:
@@ -179,14 +179,14 @@
 
     def patience(self) -> float:
         """How long a call may take before it is overdue."""
-        return max(self.took + OVERDUE_SPREADS * self.spread, self.pace.least_aim / 4)
+        return max(self.took + OVERDUE_DEVIATIONS * self.spread, self.pace.least_aim / 4)
 
     def failed(self, now: int, outcome: Outcome = Outcome.TIMEOUT) -> None:
         """Members of a crowd see few calls of an outage, one that is no stray may be all; and all see it."""
-        self.failures += ERROR_WEIGHT if outcome in ANSWERED else 1
+        self.failures += ERROR_WEIGHT if outcome in ANSWERED_FAILURES else 1
         self.restart(now)
-        self.sick += (1 - self.sick) * MEMORY
-        self.doubt(now, max(FAILURE_THRESHOLD / self.pace.crowd, 2 if outcome in STRAY else 1))
+        self.sick += (1 - self.sick) * SMOOTHING_WEIGHT
+        self.doubt(now, max(FAILURE_THRESHOLD / self.pace.crowd, 2 if outcome in ISOLATED_FAILURES else 1))
         if self.pace.crowd > 1 and self.cold_since == now:  # not back together
             self.last_sent += self.cold_gap(now) * self.pace.rng.uniform(-0.5, 0.5)
 
@@ -197,7 +197,7 @@
         if call.sent >= self.gap_changed:  # calls sent before the gap last grew say nothing of it
             self.full_since = min(self.full_since, now)
             # A limit refuses until its span ends, which is no outage; nor does it tell a longer wait.
-            shut = max(now - self.full_since, wait) > SPAN_MOST
+            shut = max(now - self.full_since, wait) > MAX_LIMIT_WINDOW_US
             most = self.most_gap if shut or self.told_gap == NEVER or self.pace.crowd > 1 else self.step
             self.gap, self.gap_changed = min(max(2 * self.gap, self.first_gap()), most), now
             self.doubt(now, max(FAILURE_THRESHOLD / self.pace.crowd, 2) if shut else NEVER)
@@ -208,20 +208,20 @@
     def first_gap(self) -> float:
         """Where the first refusal brings the gap. Members of a crowd see unlike parts of the traffic: at the
         mean one's part, a busy one would leave unused what the others never ask for."""
-        own = max(self.span / self.calls, self.step / CROWD_LEAST)
+        own = max(self.span / self.calls, self.step / LARGE_FLEET_GAP_DIVISOR)
         return self.step if self.pace.crowd <= 1 else min(self.step, own)
 
     def doubt(self, now: int, run: float) -> None:
         """What may be an outage restarts the warm-up: a run of unserved calls, or many failures of late."""
         self.unserved += 1
-        if self.unserved >= run or self.sick >= SICK_SHARE:
+        if self.unserved >= run or self.sick >= DOUBTFUL_FAILURE_RATE:
             self.cold_since = now
 
     def served(self, now: int, call: ActiveCall) -> None:
         took = now - call.sent
         self.served_sent = max(self.served_sent, call.sent)
         self.known += 1
-        weight = max(MEMORY, 1 / self.known)  # the first guess counts as one call
+        weight = max(SMOOTHING_WEIGHT, 1 / self.known)  # the first guess counts as one call
         self.spread += (abs(took - self.took) - self.spread) * weight
         self.took += (took - self.took) * weight
         passed = now - self.last_served
@@ -234,15 +234,15 @@
         self.last_served = now
         self.failures, self.unserved, self.trial = 0, 0, None
         self.full_since = NEVER
-        self.sick *= 1 - MEMORY
+        self.sick *= 1 - SMOOTHING_WEIGHT
 
     def narrow(self, now: int, passed: float) -> None:
         """A served call takes a share off the gap; `passed`: us since the one before."""
         told = self.told_gap < NEVER
         paced, crowd = told and self.gap <= self.step, told and self.pace.crowd > 1
-        share = TOLD_SHRINK if paced else GAP_SHRINK
+        share = ANNOUNCED_GAP_SHRINK if paced else GAP_SHRINK
         if crowd and not self.is_open():
             since = min(passed, now - self.gap_changed)
-            share = 1 - math.exp(-since / (CROWD_SHRINK_TOLD if paced else CROWD_SHRINK))
+            share = 1 - math.exp(-since / (LARGE_FLEET_ANNOUNCED_SHRINK_TIME_US if paced else LARGE_FLEET_SHRINK_TIME_US))
         self.gap = max(self.gap, self.step if self.is_open() else 0) * (1 - share)
-        self.gap *= self.gap >= self.step / (CROWD_LEAST if crowd else 2)
+        self.gap *= self.gap >= self.step / (LARGE_FLEET_GAP_DIVISOR if crowd else 2)
--- a/message_sender/policy/dispatcher.py
+++ b/message_sender/policy/dispatcher.py
@@ -13,14 +13,7 @@
 from math import ceil
 
 from message_sender.policy.actions import PolicyAction, Send, Subscribe, WakeAfter
-from message_sender.policy.breaker import (
-    ANSWERED,
-    NEVER,
-    ActiveCall,
-    Breaker,
-    PendingMessage,
-    TrackedEndpoint,
-)
+from message_sender.policy.breaker import ANSWERED_FAILURES, NEVER, ActiveCall, Breaker, PendingMessage, TrackedEndpoint
 from message_sender.policy.endpoints import EndpointRegistry
 from message_sender.policy.events import (
     AttemptEnded,
@@ -38,14 +31,14 @@
 from message_sender.policy.model import FAILURES, NEVER_RAN, Endpoint, EndpointState, Outcome, Settings
 from message_sender.policy.pending import KeyQueue, PendingQueue
 from message_sender.policy.schedule import Destination, LoopState, Rank
-from message_sender.policy.state_transfer import believe
+from message_sender.policy.state_transfer import import_fields
 
-DESTINATION_SLOTS = 0.5  # share of the slots that calls to one destination may hold
-MAY_STILL_RUN = frozenset(
+DESTINATION_SLOT_FRACTION = 0.5  # share of the slots that calls to one destination may hold
+UNCERTAIN_OUTCOMES = frozenset(
     {Outcome.TIMEOUT, Outcome.RESET, Outcome.STALE, Outcome.MALFORMED, Outcome.CANCELLED}
 )
-REFUSALS_KEPT = 2  # of messages still owed, from which a destination is doubtful after a restart
-LOOKS = 256  # destinations looked at in an iteration; where more wait for a slot, the next begins with those
+RESTORED_REFUSALS_LIMIT = 2  # of messages still owed, from which a destination is doubtful after a restart
+MAX_EXAMINED = 256  # destinations looked at in an iteration; where more wait for a slot, the next begins with those
 
 
 class Dispatcher:
@@ -129,10 +122,10 @@
             if breaker and (outcome in FAILURES or outcome is Outcome.CANCELLED):
                 breaker.failed(int(self.loop.now), outcome)
                 breaker.trial_at = self.loop.now
-                if self.loop.pace.crowd > 1 and outcome not in ANSWERED:
+                if self.loop.pace.crowd > 1 and outcome not in ANSWERED_FAILURES:
                     breaker.cold_since = int(self.loop.now)
             elif breaker and outcome is Outcome.FULL:
-                breaker.doubt(int(self.loop.now), REFUSALS_KEPT)
+                breaker.doubt(int(self.loop.now), RESTORED_REFUSALS_LIMIT)
 
     def resume(self, message: PendingMessage, out: CallInFlight) -> None:
         """Adopt a call of the process before: it holds its message, key and trial until it ends."""
@@ -155,11 +148,11 @@
             own = self.registry.arouse(number).own
             assert own is not None
             breaker = own.setdefault(route, Breaker(self.loop.pace, number))
-            believe(breaker, values)
+            import_fields(breaker, values)
             self.registry.touch(breaker)
         for name, values in told.endpoints:
             if name in self.endpoints:
-                believe(self.endpoints[name], values)
+                import_fields(self.endpoints[name], values)
         for key, until in told.keys:
             self.keys.setdefault(key, KeyQueue()).quiet_until = until
             heapq.heappush(self.pending.quiet, (until, key))
@@ -175,7 +168,7 @@
         message = call.messages.pop(ended.message)
         message.out = False
         self.inflight.settle(call, ended)
-        if ended.outcome in MAY_STILL_RUN:
+        if ended.outcome in UNCERTAIN_OUTCOMES:
             self.pending.rest(message.key)
         if ended.outcome not in NEVER_RAN and message.risky_since is None:
             message.risky_since, message.risky_zone = call.sent, call.endpoint.listed.zone
@@ -191,7 +184,7 @@
         """Return the destinations that accept a call now and have a message to send."""
         for number in self.registry.freed.due(self.loop.now):
             self.registry.open[number] = None
-        found, most = [], LOOKS if len(self.out) < self.settings.slots else 0
+        found, most = [], MAX_EXAMINED if len(self.out) < self.settings.slots else 0
         for number in list(islice(self.registry.open, most)):
             self.loop.looks += 1
             at = self.destinations.get(number)
@@ -201,7 +194,7 @@
                 found.append(at)
             else:
                 self.registry.shut(at)
-        if len(self.registry.open) > LOOKS:
+        if len(self.registry.open) > MAX_EXAMINED:
             for at in found:  # those behind them come first in the next iteration
                 self.registry.open[at.number] = self.registry.open.pop(at.number)
         return found
@@ -242,7 +235,7 @@
 
     def spares_others(self, message: PendingMessage, at: Destination, aside: list[PendingMessage]) -> bool:
         """Whether the budget holds back this repeat alone: a first attempt may still be sent."""
-        if (leave := self.registry.leave) is None or not message.attempts or len(aside) >= LOOKS:
+        if (leave := self.registry.leave) is None or not message.attempts or len(aside) >= MAX_EXAMINED:
             return False
         now, ways = int(self.loop.now), [x for x in at.endpoints if x.breaker and self.may_call(x.breaker)]
         return any(leave.free_at(x.listed, now, bool(x.breaker and x.breaker.is_open())) <= now for x in ways)
@@ -305,7 +298,7 @@
         # What might be out when the process ends may have run.
         if len(self.out) >= slots or breaker.ready_at(now) > now or now + breaker.patience() > self.stops_at:
             return False
-        return breaker.out < max(2, slots * DESTINATION_SLOTS)
+        return breaker.out < max(2, slots * DESTINATION_SLOT_FRACTION)
 
     def send(
         self, message: PendingMessage, endpoint: TrackedEndpoint, batches: dict[str, ActiveCall]
--- a/message_sender/policy/endpoints.py
+++ b/message_sender/policy/endpoints.py
@@ -15,8 +15,8 @@
 from message_sender.policy.model import DestinationKind, Endpoint, EndpointState, ListingKind
 from message_sender.policy.schedule import Destination, ListPolling, LoopState, TimerQueue
 
-IDLE_AGE = 60_000_000  # us after which what is unused and unlisted is forgotten: above any outage's length
-QUIET_AGE = 3_600_000_000  # us of silence after which a listed destination is not judged by old figures
+UNUSED_BREAKER_AGE_US = 60_000_000  # us after which what is unused and unlisted is forgotten: above any outage's length
+INACTIVE_DESTINATION_AGE_US = 3_600_000_000  # us of silence after which a listed destination is not judged by old figures
 
 
 class EndpointRegistry:
@@ -41,7 +41,7 @@
             self.set_breakers(at)
             for each in at.breakers if at.silent_since is not None else ():
                 each.cold_since = self.loop.now
-            self.ages.set(number, self.loop.now + IDLE_AGE)
+            self.ages.set(number, self.loop.now + UNUSED_BREAKER_AGE_US)
         return at
 
     def all_breakers(self) -> list[Breaker]:
@@ -171,10 +171,10 @@
                 continue
             self.loop.looks += len(at.own)
             for key, each in list(at.own.items()):
-                if each not in at.breakers and self.is_unused(each, IDLE_AGE):
+                if each not in at.breakers and self.is_unused(each, UNUSED_BREAKER_AGE_US):
                     self.forget(at, key)
-            if at.held or not all(self.is_unused(each, QUIET_AGE) for each in at.own.values()):
-                self.ages.set(number, self.loop.now + IDLE_AGE)
+            if at.held or not all(self.is_unused(each, INACTIVE_DESTINATION_AGE_US) for each in at.own.values()):
+                self.ages.set(number, self.loop.now + UNUSED_BREAKER_AGE_US)
             else:
                 self.fall_asleep(at)
 
--- a/message_sender/policy/inflight.py
+++ b/message_sender/policy/inflight.py
@@ -3,16 +3,16 @@
 from itertools import takewhile
 
 from message_sender.policy.actions import CancelAttempt, CloseIdle
-from message_sender.policy.breaker import RESET_TIMEOUT, ActiveCall, PendingMessage, TrackedEndpoint
+from message_sender.policy.breaker import RESET_TIMEOUT_US, ActiveCall, PendingMessage, TrackedEndpoint
 from message_sender.policy.endpoints import EndpointRegistry
 from message_sender.policy.events import AttemptEnded
 from message_sender.policy.model import FAILURES, Outcome
 from message_sender.policy.pending import PendingQueue
 from message_sender.policy.schedule import LoopState
 
-SCARCE_TIMES = 3  # idle times for which a crowd closes its connections after use where they are scarce
-GONE_TIMES = 4  # reset timeouts for which one that may be gone comes last; the list tells of it meanwhile
-SCARCE_WITHIN = 1_000_000  # us from a refused connect to a served call: an outage's refusals last for longer
+SCARCE_IDLE_TIMES = 3  # idle times for which a crowd closes its connections after use where they are scarce
+GONE_RESET_TIMEOUTS = 4  # reset timeouts for which one that may be gone comes last; the list tells of it meanwhile
+SCARCITY_WINDOW_US = 1_000_000  # us from a refused connect to a served call: an outage's refusals last for longer
 
 
 class InFlightCalls:
@@ -56,13 +56,13 @@
         if ended.outcome is Outcome.OK:
             breaker.served(now, call)
             endpoint.bad_until = 0.0
-            if now - endpoint.refused_at < SCARCE_WITHIN:
-                endpoint.scarce_until = now + SCARCE_TIMES * self.settings.conn_idle
+            if now - endpoint.refused_at < SCARCITY_WINDOW_US:
+                endpoint.scarce_until = now + SCARCE_IDLE_TIMES * self.settings.conn_idle
         elif ended.outcome is Outcome.FULL:
             breaker.refused(now, call, ended.wait)
         elif self.speaks(call, ended.outcome):
             alone = ended.outcome is Outcome.CONNECT_FAILED and self.is_alone(call)
-            endpoint.bad_until = now + RESET_TIMEOUT * (GONE_TIMES if alone else 1)
+            endpoint.bad_until = now + RESET_TIMEOUT_US * (GONE_RESET_TIMEOUTS if alone else 1)
             if not alone:
                 breaker.failed(now, ended.outcome)
         elif call is breaker.trial:
@@ -116,7 +116,7 @@
         del call.breaker.fresh[call]
         call.breaker.stuck[call] = self.stuck[call] = None
         call.breaker.failed(int(self.loop.now))
-        call.endpoint.bad_until = self.loop.now + RESET_TIMEOUT
+        call.endpoint.bad_until = self.loop.now + RESET_TIMEOUT_US
         self.registry.touch(call.breaker)
 
     def is_hopeless(self, call: ActiveCall, short: bool) -> bool:
--- a/message_sender/policy/pending.py
+++ b/message_sender/policy/pending.py
@@ -9,16 +9,16 @@
 from collections import OrderedDict
 
 from message_sender.policy.actions import Fail, Reject
-from message_sender.policy.breaker import NEVER, RESET_TIMEOUT, PendingMessage
+from message_sender.policy.breaker import NEVER, RESET_TIMEOUT_US, PendingMessage
 from message_sender.policy.endpoints import EndpointRegistry
 from message_sender.policy.events import MessageAccepted
 from message_sender.policy.model import Effect
-from message_sender.policy.schedule import Destination, LoopState, worth
+from message_sender.policy.schedule import Destination, LoopState, weight_at_age
 
-ROUNDING = 1e-9  # of a message: a share that is whole but for the last bits of a float is whole
-CALL_SHARE = 1 / 8  # of the aim: guessed time of a call and its way
-RETURN_FROM = 0.7  # of its time: the operators price what was taken on and is returned sooner
-PROSPECT_AGE = 25  # us for each message held that their order, once made, serves: a bound on what it costs
+CREDIT_TOLERANCE = 1e-9  # of a message: a share that is whole but for the last bits of a float is whole
+CALL_TIME_FRACTION = 1 / 8  # of the aim: guessed time of a call and its way
+SHEDDING_AGE_FRACTION = 0.7  # of its time: the operators price what was taken on and is returned sooner
+SHEDDING_ORDER_AGE_US = 25  # us for each message held that their order, once made, serves: a bound on what it costs
 
 
 class KeyQueue:
@@ -64,7 +64,7 @@
             return 1.0  # no share is told; nothing is kept by a name that any client may make up
         rate, (left, since) = self.quotas[tenant], self.credit[tenant]
         left = min(left + rate * (self.loop.now - since) / 1e6, max(rate, 1.0))
-        within = left >= 1 - ROUNDING
+        within = left >= 1 - CREDIT_TOLERANCE
         self.credit[tenant] = left - within, int(self.loop.now)
         return 1.0 if within else self.settings.over_quota_weight
 
@@ -95,7 +95,7 @@
             since
             + message.kind.idempotency_window
             - 2 * self.settings.tick
-            - message.kind.latency_objective * CALL_SHARE
+            - message.kind.latency_objective * CALL_TIME_FRACTION
         )
 
     def may_repeat_at(self, now: float, message: PendingMessage, sent: int | None) -> bool:
@@ -123,7 +123,7 @@
         self.finish(message)
 
     def suggest_retry_after(self) -> int:
-        return min(RESET_TIMEOUT, self.settings.max_retry_after)
+        return min(RESET_TIMEOUT_US, self.settings.max_retry_after)
 
     def finish(self, message: PendingMessage) -> None:
         if not message.ended:
@@ -185,9 +185,9 @@
         goes. Protects new messages from a queue that is full of what cannot go soon."""
         kind = message.kind
         then = max(at.ready_at(int(self.loop.now)), self.loop.now) + kind.latency_objective * (
-            0.5 + turns * CALL_SHARE
+            0.5 + turns * CALL_TIME_FRACTION
         )
-        value = worth(kind, message.share, then - message.born, self.settings.halves_late_weight)
+        value = weight_at_age(kind, message.share, then - message.born, self.settings.halves_late_weight)
         return value, message.number, message
 
     def may_return(self, message: PendingMessage) -> bool:
@@ -196,7 +196,7 @@
         waited, life = self.loop.now - message.came, message.until - message.came
         told = [each.wait_until for each in self.registry.destinations[message.destination].breakers]
         early = self.loop.pace.crowd <= 1 or not waited or min(told, default=0) >= message.until
-        return waited >= RETURN_FROM * life or (early and not message.restored)
+        return waited >= SHEDDING_AGE_FRACTION * life or (early and not message.restored)
 
     def keep_room(self, below: float = NEVER) -> None:
         """End the least promising held messages, of a share `below` this one, when the queue is full. Their
@@ -215,7 +215,7 @@
         for line in self.keys.values():
             places |= {name: place for place, name in enumerate(line.queue)}
         self.loop.looks += len(self.messages) + len(places)
-        self.room_until = self.loop.now + max(PROSPECT_AGE * len(self.messages), 1)
+        self.room_until = self.loop.now + max(SHEDDING_ORDER_AGE_US * len(self.messages), 1)
         return sorted(
             self.prospect(each, self.registry.destinations[each.destination], places.get(each.id, 0))
             for each in self.messages.values()
--- a/message_sender/policy/schedule.py
+++ b/message_sender/policy/schedule.py
@@ -3,7 +3,7 @@
 - `TimerQueue`: items with one time each; what is due comes out, and nothing else is looked at.
 - `Destination`: its endpoints, its breakers while it is awake, and what is held for it.
 - `ListPolling`: when the list of endpoints is asked for.
-- `Group`: messages of one destination, class and share that may go next, by age. All of them lose worth by
+- `ReadyGroup`: messages of one destination, class and share that may go next, by age. All of them lose worth by
   one curve, which rises and falls between a few known ages (`cuts`): the most urgent one stands at an end
   of such a stretch, whatever the number of messages.
 """
@@ -17,16 +17,16 @@
 from typing import Generic, NamedTuple, TypeVar
 
 from message_sender.policy.actions import PolicyAction
-from message_sender.policy.breaker import GAP_SENDERS, NEVER, Breaker, Pace, PendingMessage, TrackedEndpoint
+from message_sender.policy.breaker import SMALL_FLEET_SIZE, NEVER, Breaker, BreakerContext, PendingMessage, TrackedEndpoint
 from message_sender.policy.model import MessageClass, Settings
 
-PASSED_OVER = 0.9  # guessed chance that a message passed over now is still served one aim later
-AT_HAND_AGAIN = 50_000  # us until a list at hand is asked for again: well within the grace of a drain
-LIST_PAUSE = 2_000_000  # us from one call for the list to the next at the most, where it failed at once
-LIST_SPREAD = 500_000  # us over which senders whose calls, or watches, ended at one time ask again
-LIST_START = 4_000_000  # us over which a crowd that has started at one time asks
-STALE = 64  # entries of a timer queue that may be stale, above one for each that is not
-FEW = 8  # messages that are compared one by one
+LATER_SERVICE_CHANCE = 0.9  # guessed chance that a message passed over now is still served one aim later
+LOCAL_LIST_RETRY_US = 50_000  # us until a list at hand is asked for again: well within the grace of a drain
+LIST_RETRY_PAUSE_US = 2_000_000  # us from one call for the list to the next at the most, where it failed at once
+LIST_RETRY_SPREAD_US = 500_000  # us over which senders whose calls, or watches, ended at one time ask again
+LIST_START_SPREAD_US = 4_000_000  # us over which a crowd that has started at one time asks
+MAX_STALE_ENTRIES = 64  # entries of a timer queue that may be stale, above one for each that is not
+LINEAR_SEARCH_LIMIT = 8  # messages that are compared one by one
 
 Item = TypeVar("Item", bound=Hashable)
 
@@ -35,7 +35,7 @@
     """What the parts of the policy share: the time of the iteration, random numbers, the actions so far."""
 
     def __init__(self, settings: Settings, rng: random.Random) -> None:
-        self.settings, self.random, self.pace = settings, rng, Pace.of(settings, rng)
+        self.settings, self.random, self.pace = settings, rng, BreakerContext.of(settings, rng)
         self.now, self.count = -NEVER, itertools.count()
         self.looks = 0  # items looked at, ever: what an iteration costs is counted by it
         self.actions: list[PolicyAction] = []
@@ -56,7 +56,7 @@
         elif self.times.get(item) != at:
             self.times[item] = at
             heappush(self.heap, (at, next(self.count), item))
-        if len(self.heap) > 2 * len(self.times) + STALE:
+        if len(self.heap) > 2 * len(self.times) + MAX_STALE_ENTRIES:
             self.heap = [each for each in self.heap if self.times.get(each[2]) == each[0]]
             heapify(self.heap)
 
@@ -81,19 +81,19 @@
     again at once, one that failed at once after a pause, and not by all at one time."""
 
     def __init__(self, settings: Settings, rng: random.Random) -> None:
-        self.settings, self.rng, self.pause = settings, rng, min(LIST_PAUSE, settings.poll_interval_limit)
+        self.settings, self.rng, self.pause = settings, rng, min(LIST_RETRY_PAUSE_US, settings.poll_interval_limit)
         self.at: float = -NEVER if settings.must_poll else NEVER
         self.begun: float = -NEVER  # the newest call, or watch
 
     def start(self, now: float) -> None:
         """The process has just started, as all others may have."""
-        if self.at < NEVER and self.settings.fleet_size > GAP_SENDERS and not self.settings.has_local_list:
-            self.at = now + self.rng.uniform(0, LIST_START)
+        if self.at < NEVER and self.settings.fleet_size > SMALL_FLEET_SIZE and not self.settings.has_local_list:
+            self.at = now + self.rng.uniform(0, LIST_START_SPREAD_US)
 
     def failed(self, now: float) -> None:
-        spread, pause = self.rng.uniform(0, LIST_SPREAD), self.rng.uniform(0.5, 1) * self.pause
+        spread, pause = self.rng.uniform(0, LIST_RETRY_SPREAD_US), self.rng.uniform(0.5, 1) * self.pause
         self.at = (
-            now + AT_HAND_AGAIN if self.settings.has_local_list else max(now + spread, self.begun + pause)
+            now + LOCAL_LIST_RETRY_US if self.settings.has_local_list else max(now + spread, self.begun + pause)
         )
 
     def is_due(self, now: float) -> bool:
@@ -104,7 +104,7 @@
         return True
 
 
-def worth(kind: MessageClass, share: float, age: float, halves: bool) -> float:
+def weight_at_age(kind: MessageClass, share: float, age: float, halves: bool) -> float:
     """What a message is worth at that age, in us since its full deadline began to run."""
     if age >= kind.deadline:
         return 0.0
@@ -116,12 +116,12 @@
 
 def urgency(kind: MessageClass, share: float, age: float, halves: bool) -> float:
     """What is lost by passing a message over now."""
-    return worth(kind, share, age, halves) - PASSED_OVER * worth(
+    return weight_at_age(kind, share, age, halves) - LATER_SERVICE_CHANCE * weight_at_age(
         kind, share, age + kind.latency_objective, halves
     )
 
 
-def cuts(kind: MessageClass, halves: bool) -> tuple[float, ...]:
+def urgency_breakpoints(kind: MessageClass, halves: bool) -> tuple[float, ...]:
     """The ages between which `urgency` only rises, only falls or stays. Worth begins to fall at the aim and
     ends at the deadline, halving worth stops at its least; one aim ahead the same holds."""
     ends = [float(kind.latency_objective), float(kind.deadline)]
@@ -138,11 +138,11 @@
     number: int
 
 
-class Group:
+class ReadyGroup:
     __slots__ = ("curve", "cuts", "line")
 
     def __init__(self, kind: MessageClass, share: float, halves: bool) -> None:
-        self.curve, self.cuts = (kind, share, halves), cuts(kind, halves)
+        self.curve, self.cuts = (kind, share, halves), urgency_breakpoints(kind, halves)
         self.line: list[tuple[int, int, PendingMessage]] = []  # born and number, the oldest first
 
     def add(self, message: PendingMessage) -> None:
@@ -153,7 +153,7 @@
 
     def best(self, now: int) -> tuple[Rank, PendingMessage]:
         """The message that goes first. There is one at least."""
-        if len(self.line) <= FEW:
+        if len(self.line) <= LINEAR_SEARCH_LIMIT:
             return min(self.ranked(now, range(len(self.line))))
         return min(self.ranked(now, self.ends(now)))
 
@@ -188,7 +188,7 @@
         self.own: dict[str, Breaker] | None = None
         self.breakers: tuple[Breaker, ...] = ()  # of the endpoints that are listed
         self.held: dict[str, PendingMessage] | None = None  # none as long as nothing is
-        self.groups: dict[tuple[str, float], Group] | None = None
+        self.groups: dict[tuple[str, float], ReadyGroup] | None = None
         self.weighted = False  # some of its endpoints are to get more calls than others
         self.silent_since: float | None = None  # the last call before it fell asleep
 
@@ -208,7 +208,7 @@
             self.groups = {}
         name = message.kind.name, message.share
         if name not in self.groups:
-            self.groups[name] = Group(message.kind, message.share, halves)
+            self.groups[name] = ReadyGroup(message.kind, message.share, halves)
         self.groups[name].add(message)
         message.queued = True
 
--- a/message_sender/service/learned_state.py
+++ b/message_sender/service/learned_state.py
@@ -9,7 +9,7 @@
 from message_sender.core.engine import Engine
 from message_sender.core.hooks import EngineHooks
 from message_sender.policy.events import InheritedState
-from message_sender.policy.state_transfer import BREAKER, fields
+from message_sender.policy.state_transfer import BREAKER_FIELDS, export_fields
 from message_sender.recovery.learned_snapshot import MOST, Breakers, Known, LearnedSnapshots, believed
 from message_sender.recovery.startup import RecoveryStart
 
@@ -68,7 +68,7 @@
 
 
 def told(breaker: object) -> dict[str, float]:
-    return fields(breaker, BREAKER)
+    return export_fields(breaker, BREAKER_FIELDS)
 
 
 def waiting(breakers: Breakers, now: int) -> dict[int, float]:
--- a/tests/test_breaker.py
+++ b/tests/test_breaker.py
@@ -6,7 +6,7 @@
 from helpers import MS, SECOND, World, ended, endpoint, sent
 
 from message_sender.policy.actions import CancelAttempt, PolicyAction, Subscribe
-from message_sender.policy.breaker import FAILURE_THRESHOLD, RESET_TIMEOUT
+from message_sender.policy.breaker import FAILURE_THRESHOLD, RESET_TIMEOUT_US
 from message_sender.policy.events import EndpointsUpdated, MessageAccepted, MessageRestored, WakeUp
 from message_sender.policy.model import ListingKind, Outcome
 
@@ -37,7 +37,7 @@
     world.open_breaker()
     world.take()
     world.take()
-    (trial,) = sent(world.step(WakeUp(), after=RESET_TIMEOUT))
+    (trial,) = sent(world.step(WakeUp(), after=RESET_TIMEOUT_US))
     assert sent(world.take(after=100 * MS)) == []
     actions = world.answer(trial, Outcome.OK)
     later = sent(world.step(WakeUp(), after=4 * SECOND))
@@ -48,9 +48,9 @@
     world = World()
     world.open_breaker()
     world.take()
-    (trial,) = sent(world.step(WakeUp(), after=RESET_TIMEOUT))
+    (trial,) = sent(world.step(WakeUp(), after=RESET_TIMEOUT_US))
     assert sent(world.answer(trial, Outcome.CONNECT_FAILED)) == []
-    assert sent(world.step(WakeUp(), after=RESET_TIMEOUT - 10 * MS)) == []
+    assert sent(world.step(WakeUp(), after=RESET_TIMEOUT_US - 10 * MS)) == []
     assert len(sent(world.step(WakeUp(), after=10 * MS))) == 1
 
 
@@ -264,8 +264,8 @@
 def test_a_trial_that_times_out_restarts_the_timeout() -> None:
     world = World()
     world.open_breaker()
-    trial = sent(world.step(WakeUp(), after=RESET_TIMEOUT))
+    trial = sent(world.step(WakeUp(), after=RESET_TIMEOUT_US))
     assert len(trial) == 1
     world.answer(trial[0], Outcome.TIMEOUT, after=40 * MS)
     assert not sent(world.take("safe"))
-    assert sent(world.step(WakeUp(), after=RESET_TIMEOUT))
+    assert sent(world.step(WakeUp(), after=RESET_TIMEOUT_US))
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -8,10 +8,10 @@
 from message_sender import Dispatcher
 from message_sender.configuration.settings import settings_from
 from message_sender.policy.actions import CloseIdle, Send, Subscribe
-from message_sender.policy.breaker import FAILURE_THRESHOLD, RESET_TIMEOUT
+from message_sender.policy.breaker import FAILURE_THRESHOLD, RESET_TIMEOUT_US
 from message_sender.policy.events import EndpointsUpdated, MessageAccepted, WakeUp
 from message_sender.policy.model import ListingKind, Outcome
-from message_sender.policy.schedule import LIST_PAUSE, LIST_SPREAD, LIST_START, ListPolling
+from message_sender.policy.schedule import LIST_RETRY_PAUSE_US, LIST_RETRY_SPREAD_US, LIST_START_SPREAD_US, ListPolling
 
 CROWD = 200
 
@@ -22,10 +22,10 @@
         world.take("once", after=100 * SECOND)
         world.answer(f"m{world.count}", Outcome.RESET)
     world.take()
-    (trial,) = sent(world.step(WakeUp(), after=RESET_TIMEOUT))
+    (trial,) = sent(world.step(WakeUp(), after=RESET_TIMEOUT_US))
     world.answer(trial, Outcome.CONNECT_FAILED)
     for _ in range(4):
-        assert sent(world.step(WakeUp(), after=RESET_TIMEOUT)) == []
+        assert sent(world.step(WakeUp(), after=RESET_TIMEOUT_US)) == []
 
 
 def test_two_failed_calls_start_the_warm_up_in_a_crowd_alone() -> None:
@@ -94,7 +94,7 @@
     for seed in range(1000):
         calls = ListPolling(settings(fleet_size=fleet, must_poll=True), random.Random(seed))
         calls.start(0)
-        assert 0 <= calls.at <= LIST_START
+        assert 0 <= calls.at <= LIST_START_SPREAD_US
         if seed < fleet:
             times[int(calls.at) // (100 * MS)] = times.get(int(calls.at) // (100 * MS), 0) + 1
         for tries in range(5):
@@ -102,7 +102,7 @@
             calls.at = begun
             assert calls.is_due(begun)
             calls.failed(begun + took)
-            first, last = (took, took + LIST_SPREAD) if took else (LIST_PAUSE / 2, LIST_PAUSE)
+            first, last = (took, took + LIST_RETRY_SPREAD_US) if took else (LIST_RETRY_PAUSE_US / 2, LIST_RETRY_PAUSE_US)
             assert begun + first <= calls.at <= begun + last
     assert fleet > 40 or max(times.values()) <= 5
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -32,7 +32,7 @@
 )
 from message_sender.journal.process_journal import Journal
 from message_sender.policy.breaker import Breaker
-from message_sender.policy.endpoints import QUIET_AGE
+from message_sender.policy.endpoints import INACTIVE_DESTINATION_AGE_US
 from message_sender.policy.model import Outcome
 from message_sender.policy.pending import PendingQueue
 
@@ -138,7 +138,7 @@
 
 def test_three_senders_do_not_push_over_one_that_refused_and_was_silent_for_long() -> None:
     """Breakers have fallen asleep: what was known of it is gone. It comes back cold, and refuses."""
-    long = QUIET_AGE / 1e6 * 1.2
+    long = INACTIVE_DESTINATION_AGE_US / 1e6 * 1.2
     told = small(
         seconds=long + 60.0,
         clients={"rate": 30.0, "bursts": [{"at": 20.0, "until": long, "times": 1e-9}]},
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -33,7 +33,7 @@
     WakeUp,
 )
 from message_sender.policy.model import ListingKind, Outcome
-from message_sender.policy.state_transfer import tell
+from message_sender.policy.state_transfer import export_state
 from message_sender.service.process_handover import engine_from, engine_text, read
 
 ORDER = {"semantics": "by_key", "dedup_window": 5_000_000, "key_scope": "zone", "serial_by_key": True}
@@ -81,7 +81,7 @@
 def follow(world: World, shift: int = 0) -> World:
     """A world whose decisions were handed over from another one, as a process does it."""
     there = world.dispatcher
-    inherited = tell(there.registry, there.pending)
+    inherited = export_state(there.registry, there.pending)
     next_one = World(*[each.listed for each in there.endpoints.values()])
     next_one.now, next_one.attempts = world.now + shift, dict(world.attempts)
     next_one.dispatcher = Dispatcher(there.settings, seed=7)
--- a/tests/test_inventory.py
+++ b/tests/test_inventory.py
@@ -10,7 +10,7 @@
 
 from message_sender.cli import main
 from message_sender.core import inventory
-from message_sender.policy.endpoints import IDLE_AGE, QUIET_AGE
+from message_sender.policy.endpoints import UNUSED_BREAKER_AGE_US, INACTIVE_DESTINATION_AGE_US
 from message_sender.policy.events import WakeUp
 from message_sender.policy.model import Outcome
 from message_sender.service.standalone import CompletionWriter, StandaloneSender, tell_destinations
@@ -22,7 +22,7 @@
     world.take(destination=4)
     world.answer("m1", Outcome.OK)
     for _ in range(3):
-        world.step(WakeUp(), after=QUIET_AGE + IDLE_AGE)
+        world.step(WakeUp(), after=INACTIVE_DESTINATION_AGE_US + UNUSED_BREAKER_AGE_US)
     for _ in range(3):
         world.take("once", destination=1)
         world.answer(f"m{world.count}", Outcome.RESET)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -4,8 +4,8 @@
 from helpers import MS, SECOND, World, ended, endpoint, sent
 
 from message_sender.policy.actions import Fail, Reject, Send
-from message_sender.policy.breaker import COLD_PUSH
-from message_sender.policy.endpoints import IDLE_AGE
+from message_sender.policy.breaker import WARM_UP_LOAD_FACTOR
+from message_sender.policy.endpoints import UNUSED_BREAKER_AGE_US
 from message_sender.policy.events import (
     EndAcknowledged,
     EndpointsUpdated,
@@ -231,7 +231,7 @@
     gone = [endpoint("a", state=EndpointState.GONE), endpoint("b", state=EndpointState.GONE)]
     world.step(EndpointsUpdated(ListingKind.CHANGES, tuple(gone)), after=5 * SECOND)
     assert len(world.dispatcher.registry.all_breakers()) == 2
-    world.step(WakeUp(), after=IDLE_AGE)
+    world.step(WakeUp(), after=UNUSED_BREAKER_AGE_US)
     assert [each.destination for each in world.dispatcher.registry.all_breakers()] == [2]
     assert list(world.dispatcher.destinations) == [2]
 
@@ -265,7 +265,7 @@
         for _ in range(3):
             breaker.failed(world.now)
         gaps.append(breaker.cold_gap(world.now))
-    assert gaps[1] == 2 / 40 * SECOND / (2.0 * COLD_PUSH * 0.2) < gaps[0]
+    assert gaps[1] == 2 / 40 * SECOND / (2.0 * WARM_UP_LOAD_FACTOR * 0.2) < gaps[0]
 
 
 def test_a_told_wait_binds_calls_about_to_go_before_its_events_are_handled() -> None:
--- a/tests/test_schedule.py
+++ b/tests/test_schedule.py
@@ -17,12 +17,12 @@
 from message_sender.policy.actions import CancelAttempt, PolicyAction, Send, WakeAfter
 from message_sender.policy.breaker import NEVER, ActiveCall, PendingMessage
 from message_sender.policy.dispatcher import Dispatcher
-from message_sender.policy.endpoints import IDLE_AGE, QUIET_AGE
+from message_sender.policy.endpoints import UNUSED_BREAKER_AGE_US, INACTIVE_DESTINATION_AGE_US
 from message_sender.policy.events import EndpointsUpdated, MessageAccepted, PolicyEvent, WakeUp
 from message_sender.policy.inflight import InFlightCalls
 from message_sender.policy.model import Effect, EndpointState, ListingKind, MessageClass, Outcome, Settings
 from message_sender.policy.pending import PendingQueue
-from message_sender.policy.schedule import Destination, Group, TimerQueue, urgency
+from message_sender.policy.schedule import Destination, ReadyGroup, TimerQueue, urgency
 from message_sender.testbed.event_stream import Recorder, StreamShape, StreamWorld, read
 
 
@@ -113,7 +113,7 @@
 @pytest.mark.parametrize("name", SHAPES)
 def test_schedule_and_walk_decide_alike(name: str, seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
     """On what the schedule's own wakes bring about; and it never sleeps past what a walk finds due."""
-    monkeypatch.setattr(pending, "PROSPECT_AGE", 0)  # else the order of what makes room may be some ms old
+    monkeypatch.setattr(pending, "SHEDDING_ORDER_AGE_US", 0)  # else the order of what makes room may be some ms old
     world = StreamWorld(SHAPES[name], seed)
     module, plain = Dispatcher(world.settings, seed), Plain(world.settings, seed)
 
@@ -161,7 +161,7 @@
 def test_the_best_of_a_group_stands_at_an_end_of_a_stretch(
     kind: MessageClass, halves: bool, shares: list[float], base: int
 ) -> None:
-    now, group, all_of_them = base + 2 * kind.deadline, Group(kind, 0.1, halves), []
+    now, group, all_of_them = base + 2 * kind.deadline, ReadyGroup(kind, 0.1, halves), []
     for number, share in enumerate(shares):
         age = int(share * kind.deadline)
         taken = MessageAccepted(f"m{number}", kind.name, 1, kind.deadline)
@@ -193,7 +193,7 @@
         timers.set(item, at)
         table[item] = at
         assert timers.next() == min((x for x in table.values()), default=math.inf)
-        assert len(timers.heap) <= 2 * len(timers.times) + schedule.STALE + 1
+        assert len(timers.heap) <= 2 * len(timers.times) + schedule.MAX_STALE_ENTRIES + 1
     due = list(timers.due(now))
     assert sorted(due) == sorted(item for item, at in table.items() if at <= now)
     assert [table[x] for x in due] == sorted(table[x] for x in due)
@@ -262,7 +262,7 @@
 
 
 def test_more_destinations_than_a_turn_looks_at_all_get_their_turn() -> None:
-    many = dispatcher.LOOKS * 2 + 40
+    many = dispatcher.MAX_EXAMINED * 2 + 40
     world = World(*(endpoint(f"e{each}", each) for each in range(many)), slots=1, max_open=10**6)
     for each in range(many):
         world.take(destination=each)
@@ -272,7 +272,7 @@
         gone.append(out)
         before = world.dispatcher.loop.looks
         world.answer(out, Outcome.OK, after=MS)
-        assert world.dispatcher.loop.looks - before <= 2 * dispatcher.LOOKS + 10
+        assert world.dispatcher.loop.looks - before <= 2 * dispatcher.MAX_EXAMINED + 10
     assert sorted(gone) == sorted(f"m{each + 1}" for each in range(many))
 
 
@@ -312,7 +312,7 @@
     world.step(WakeUp(), after=25 * SECOND)
     assert len(world.dispatcher.registry.all_breakers()) == MANY
     for _ in range(3):
-        world.step(WakeUp(), after=QUIET_AGE + IDLE_AGE)
+        world.step(WakeUp(), after=INACTIVE_DESTINATION_AGE_US + UNUSED_BREAKER_AGE_US)
     assert not world.dispatcher.registry.all_breakers() and not world.dispatcher.pending.deadlines
     assert len(world.dispatcher.destinations) == MANY and not world.dispatcher.registry.overdue.times
 
@@ -324,7 +324,7 @@
         if sent(world.take("once", after=SECOND)):
             world.answer(f"m{world.count}", outcome)
     while silence > 0:
-        step = min(silence, QUIET_AGE // 2)
+        step = min(silence, INACTIVE_DESTINATION_AGE_US // 2)
         world.step(WakeUp(), after=step)
         silence -= step
     return world
@@ -354,7 +354,7 @@
 
 
 def test_one_that_is_asked_again_soon_keeps_its_figures() -> None:
-    world = asleep(QUIET_AGE // 2, Outcome.RESET)
+    world = asleep(INACTIVE_DESTINATION_AGE_US // 2, Outcome.RESET)
     (breaker,) = world.dispatcher.registry.all_breakers()
     assert breaker.is_open() and len(sent(world.take())) == 1 and breaker.trial is not None
 
