--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -18,7 +18,14 @@
 from pathlib import Path
 
 HERE = Path(__file__).resolve().parent.parent
-DECISIONS = ("policy/dispatcher.py", "policy/breaker.py", "policy/schedule.py")
+DECISIONS = (
+    "policy/dispatcher.py",
+    "policy/breaker.py",
+    "policy/timers.py",
+    "policy/list_polling.py",
+    "policy/urgency.py",
+    "policy/destination.py",
+)
 FIGURES = ("goodput", "worst_10_s", "refused_calls", "falls")
 
 
--- a/benchmarks/streams.py
+++ b/benchmarks/streams.py
@@ -23,7 +23,9 @@
 
 def load_stream() -> Any:  # noqa: ANN401
     """This checkout's streams, over the interface of the module that is measured."""
-    spec = importlib.util.spec_from_file_location("stream", HERE / "message_sender" / "testbed" / "event_stream.py")
+    spec = importlib.util.spec_from_file_location(
+        "stream", HERE / "message_sender" / "testbed" / "event_stream.py"
+    )
     assert spec and spec.loader
     module = importlib.util.module_from_spec(spec)
     sys.modules["stream"] = module
--- a/message_sender/adapter.py
+++ b/message_sender/adapter.py
@@ -225,7 +225,7 @@
                     message=line.text("ref"),
                     message_class=line.text("service"),
                     destination=line.number_of("dest"),
-                    time_left=line.number_of("time_left"),
+                    time_left_us=line.number_of("time_left"),
                     tenant=line.text("customer", ""),
                     key=line.text("path_key", ""),
                     is_repeat=bool(line.number_of("bitmap", "0") & AGAIN_BIT),
--- a/message_sender/configuration/general.py
+++ b/message_sender/configuration/general.py
@@ -324,7 +324,7 @@
         limits, rules = self.limits, self.rules
         return Settings(
             classes=tuple(each.told(name) for name, each in self.classes.items()),
-            kinds=(("plain", DestinationKind()), ("apart", DestinationKind(apart=True))),
+            kinds=(("plain", DestinationKind()), ("apart", DestinationKind(has_separate_routes=True))),
             slots=limits.slots,
             max_open=limits.max_open,
             max_attempts=limits.max_attempts,
--- a/message_sender/configuration/settings.py
+++ b/message_sender/configuration/settings.py
@@ -27,7 +27,7 @@
         for each in info["services"]
     )
     kinds = tuple(
-        (name, DestinationKind(batch=batch, apart=apart))
+        (name, DestinationKind(batch_size=batch, has_separate_routes=apart))
         for name, batch, apart in zip(
             info["models"], special["batch_by_kind"], special["own_limits"], strict=False
         )
--- a/message_sender/core/attempts.py
+++ b/message_sender/core/attempts.py
@@ -109,7 +109,7 @@
     def _call(self, action: Send, message: Message) -> Coroutine[Any, Any, AttemptResult]:
         endpoint = action.endpoint
         may_go = partial(self.may_go, endpoint, message.id)
-        timeout_s = min(action.timeout, self.hooks.call_timeout_us(endpoint, message.id)) / 1e6
+        timeout_s = min(action.timeout_us, self.hooks.call_timeout_us(endpoint, message.id)) / 1e6
         if self.table.journal.durable and not self._is_idempotent(message):
             return self._call_once_durable(endpoint, message, timeout_s, may_go)
         return self.transport.call(endpoint, message, timeout_s, may_go)
@@ -146,7 +146,7 @@
             return False
         if endpoint in self.leaving:
             return False
-        if not self.dispatcher.may_still_go(endpoint, self.owner.now(), message_id):
+        if not self.dispatcher.may_start_call(endpoint, self.owner.now(), message_id):
             return False
         return self.hooks.reserve_limits(endpoint, message_id)
 
--- a/message_sender/core/engine.py
+++ b/message_sender/core/engine.py
@@ -185,20 +185,20 @@
         return replace(
             self.restored(entry, number),
             outcomes=(),
-            handed=True,
+            is_handed_over=True,
             call=call,
-            ended=completion is not None,
-            share=handed_over.shares.get(message_id),
+            is_completed=completion is not None,
+            weight_factor=handed_over.shares.get(message_id),
         )
 
     def restored(self, entry: JournalEntry, in_flight: int = -1) -> MessageRestored:
         """The event for a message of the journal. `in_flight`: the attempt whose result will still come."""
         risk = entry.first_risk(in_flight)
         return MessageRestored(
-            taken=self._accepted(entry.message),
+            accepted=self._accepted(entry.message),
             attempts=max(entry.attempts, default=-1) + 1,
-            risky_since=min(risk.at, self.now()) if risk else None,
-            risky_zone=risk.zone if risk else "",
+            uncertain_since=min(risk.at, self.now()) if risk else None,
+            uncertain_zone=risk.zone if risk else "",
             outcomes=tuple((each.endpoint, each.outcome) for each in entry.attempts.values() if each.outcome),
         )
 
@@ -282,13 +282,13 @@
             is_trial = call.breaker.trial is call
             calls[message_id] = (
                 number,
-                CallInFlight(listed.id, listed.zone, call.sent, is_trial, call.overdue),
+                CallInFlight(listed.id, listed.zone, call.sent_at, is_trial, call.is_overdue),
             )
         return HandoverState(
             inherited=export_state(dispatcher.registry, dispatcher.pending),
             calls=calls,
             ending=dict(self.table.pending_completions),
-            shares={message_id: message.share for message_id, message in dispatcher.messages.items()},
+            shares={message_id: message.weight_factor for message_id, message in dispatcher.messages.items()},
             ended=tuple(self.table.completed),
         )
 
@@ -355,7 +355,7 @@
             message=message.id,
             message_class=message.message_class,
             destination=message.destination,
-            time_left=message.deadline_us - self.now(),
+            time_left_us=message.deadline_us - self.now(),
             tenant=message.tenant,
             key=message.key,
             is_repeat=message.is_repeat,
@@ -452,7 +452,7 @@
     def _reject_new(self, action: Reject | Fail, message: Message, caller: Caller) -> None:
         """The final answer of a message that was never accepted. Nothing of it has run."""
         if isinstance(action, Reject):
-            retry_after_us = action.retry_after
+            retry_after_us = action.retry_after_us
         else:
             retry_after_us = self.dispatcher.suggest_retry_after()
         self.table.reject(message, caller, RejectReason.REFUSED, retry_after_us)
--- a/message_sender/core/explain.py
+++ b/message_sender/core/explain.py
@@ -5,9 +5,10 @@
 from typing import Any
 
 from message_sender.core.inventory import breaker_state
-from message_sender.policy.breaker import NEVER, PendingMessage, TrackedEndpoint
+from message_sender.policy.breaker import NEVER, TrackedEndpoint
 from message_sender.policy.dispatcher import Dispatcher
 from message_sender.policy.events import MessageAccepted
+from message_sender.policy.pending_message import PendingMessage
 
 
 @dataclass(frozen=True, slots=True)
@@ -34,7 +35,7 @@
 
 def seen(each: TrackedEndpoint, now: int) -> EndpointView:
     listed, breaker = each.listed, each.breaker
-    ready = breaker.free_at(now) if breaker else now
+    ready = breaker.earliest_ready_at(now) if breaker else now
     return EndpointView(
         id=listed.id,
         destination=listed.destination,
@@ -42,9 +43,9 @@
         weight=listed.weight,
         state=breaker_state(breaker, now) if breaker else "asleep",
         ready_ms=None if ready == NEVER else round(max(ready - now, 0) / 1e3, 3),
-        gap_ms=round(max(breaker.gap, breaker.cold_gap(now)) / 1e3, 3) if breaker else 0.0,
+        gap_ms=round(max(breaker.gap, breaker.warm_up_gap(now)) / 1e3, 3) if breaker else 0.0,
         wait_ms=round(max(breaker.wait_until - now, 0) / 1e3, 3) if breaker else 0.0,
-        out=each.out,
+        out=each.in_flight,
         rate=listed.scale,
     )
 
@@ -60,9 +61,13 @@
     reasons = {each.listed.id: why_not(dispatcher, each, now) for each in at.endpoints}
     line = dispatcher.keys.get(key) if key else None
     free = [name for name, why in reasons.items() if not why]
-    chosen = dispatcher.choose(message, {}) if free and all(each.breaker for each in at.endpoints) else None
-    held = len(at.held or ())
-    waits = f"{len(line.queue)} of its key are before it" if line and line.queue else ""
+    chosen = (
+        dispatcher.choose_endpoint(message, {})
+        if free and all(each.breaker for each in at.endpoints)
+        else None
+    )
+    held = len(at.pending or ())
+    waits = f"{len(line.messages)} of its key are before it" if line and line.messages else ""
     return {
         "destination": destination,
         "goes_to": chosen.listed.id if chosen and not waits else (free[0] if free and not waits else None),
@@ -74,7 +79,7 @@
 
 def why_not(dispatcher: Dispatcher, each: TrackedEndpoint, now: int) -> str:
     """Empty: it may be called now."""
-    if len(dispatcher.out) >= dispatcher.settings.slots:
+    if len(dispatcher.active_calls) >= dispatcher.settings.slots:
         return f"all {dispatcher.settings.slots} slots are taken"
     if (breaker := each.breaker) is None:
         return ""  # asleep: the first message wakes it
@@ -85,8 +90,11 @@
     if breaker.wait_until > now:
         return f"it told to wait for {(breaker.wait_until - now) / 1e6:.3f} s"
     if (ready := breaker.ready_at(now)) > now:
-        what = "it warms up" if breaker.cold_gap(now) > breaker.gap else "its gap"
+        what = "it warms up" if breaker.warm_up_gap(now) > breaker.gap else "its gap"
         return f"{what}: the next call in {(ready - now) / 1e6:.3f} s"
-    if dispatcher.registry.leave and dispatcher.registry.leave.free_at(each.listed, now) > now:
+    if (
+        dispatcher.registry.shared_limits
+        and dispatcher.registry.shared_limits.free_at(each.listed, now) > now
+    ):
         return "its part of a budget that the fleet shares is in use"
     return "" if dispatcher.may_call(breaker) else "it has as many calls out as one destination may"
--- a/message_sender/core/inventory.py
+++ b/message_sender/core/inventory.py
@@ -13,8 +13,8 @@
 
 from message_sender.files import replace_json
 from message_sender.policy.breaker import NEVER, Breaker
+from message_sender.policy.destination import Destination
 from message_sender.policy.dispatcher import Dispatcher
-from message_sender.policy.schedule import Destination
 
 FILE = "destinations.json"
 
@@ -37,17 +37,17 @@
 
 
 def kept(at: Destination, now: int) -> DestinationRecord:
-    own = list((at.own or {}).values())
+    own = list((at.breakers_by_route or {}).values())
     used = max((each.last_sent for each in own), default=-NEVER)
-    if used == -NEVER and at.silent_since is not None:
-        used = at.silent_since
-    gaps = [max(each.gap, each.cold_gap(now)) for each in own]
+    if used == -NEVER and at.inactive_since is not None:
+        used = at.inactive_since
+    gaps = [max(each.gap, each.warm_up_gap(now)) for each in own]
     return DestinationRecord(
         number=at.number,
         state=state_of(at, now),
         endpoints=len(at.endpoints),
-        held=len(at.held or ()),
-        out=sum(each.out for each in own),
+        held=len(at.pending or ()),
+        out=sum(each.in_flight for each in own),
         silent_s=None if used == -NEVER else round((now - used) / 1e6, 3),
         gap_ms=round(max(gaps, default=0.0) / 1e3, 1),
         bytes=sum(sys.getsizeof(each) for each in objects(at)),
@@ -56,9 +56,9 @@
 
 def state_of(at: Destination, now: int) -> str:
     """Of several routes the most troubled speaks."""
-    if at.own is None:
-        return "listed" if at.silent_since is None else "asleep"
-    states = [breaker_state(each, now) for each in at.own.values()]
+    if at.breakers_by_route is None:
+        return "listed" if at.inactive_since is None else "asleep"
+    states = [breaker_state(each, now) for each in at.breakers_by_route.values()]
     return min(states, key=ORDER.index, default="closed")
 
 
@@ -70,21 +70,21 @@
         return "half-open" if breaker.trial else "open"
     if breaker.wait_until > now:
         return "waits"
-    return "warming" if breaker.cold_gap(now) else "closed"
+    return "warming" if breaker.warm_up_gap(now) else "closed"
 
 
 def objects(at: Destination) -> Iterator[object]:
     yield at
-    for part in (at.endpoints, at.own, at.breakers, at.held, at.groups):
+    for part in (at.endpoints, at.breakers_by_route, at.breakers, at.pending, at.ready_groups):
         if part is not None:
             yield part
     for endpoint in at.endpoints:
         yield from (endpoint, endpoint.listed)
-    for breaker in (at.own or {}).values():
-        yield from (breaker, breaker.fresh, breaker.stuck)
-    yield from (at.held or {}).values()
-    for group in (at.groups or {}).values():
-        yield from (group, group.line)
+    for breaker in (at.breakers_by_route or {}).values():
+        yield from (breaker, breaker.on_time_calls, breaker.overdue_calls)
+    yield from (at.pending or {}).values()
+    for group in (at.ready_groups or {}).values():
+        yield from (group, group.messages)
 
 
 def write(dispatcher: Dispatcher, now: int, folder: Path) -> Path:
--- a/message_sender/emulator/policies.py
+++ b/message_sender/emulator/policies.py
@@ -110,7 +110,7 @@
 
     def retry_after_received(self, endpoint: str, until: int) -> None: ...
 
-    def may_still_go(self, endpoint: str, now: int, message: str = "") -> bool:
+    def may_start_call(self, endpoint: str, now: int, message: str = "") -> bool:
         return endpoint in self.endpoints
 
     # Events.
@@ -130,7 +130,7 @@
 
     def take(self, taken: MessageAccepted, calls: int, ran: bool) -> None:
         kind = self.classes[taken.message_class]
-        held = Held(taken, kind, self.now + taken.time_left, calls, ran=ran)
+        held = Held(taken, kind, self.now + taken.time_left_us, calls, ran=ran)
         self.messages[taken.message] = held
         heapq.heappush(self.due, (held.until - 2 * self.settings.tick, next(self.count), taken.message, True))
         if len(self.messages) > self.settings.max_open or (calls and not self.may_repeat(held)):
--- a/message_sender/emulator/scenario.py
+++ b/message_sender/emulator/scenario.py
@@ -278,7 +278,7 @@
         )  # fmt: skip
         return Settings(
             classes=classes,
-            kinds=(("plain", DestinationKind()), ("apart", DestinationKind(apart=True))),
+            kinds=(("plain", DestinationKind()), ("apart", DestinationKind(has_separate_routes=True))),
             slots=fleet.slots,
             max_open=fleet.max_open,
             max_attempts=fleet.max_attempts,
--- a/message_sender/emulator/simulated_run.py
+++ b/message_sender/emulator/simulated_run.py
@@ -131,7 +131,8 @@
         for name, kind in KINDS.items()
     )  # fmt: skip
     return Settings(
-        classes=classes, kinds=(("plain", DestinationKind()), ("apart", DestinationKind(apart=True))),
+        classes=classes,
+        kinds=(("plain", DestinationKind()), ("apart", DestinationKind(has_separate_routes=True))),
         slots=12, max_open=200, max_attempts=6, zone="x", tick=5_000, max_retry_after=SECOND,
         slow_start=int(COLD * SECOND), key_pause=int(QUIET * SECOND), drain_grace=SECOND // 2,
         acknowledges_completions=True,
--- a/message_sender/policy/actions.py
+++ b/message_sender/policy/actions.py
@@ -1,4 +1,4 @@
-"""Actions: what the delivery policy tells this sender to do, in this order.
+"""Actions: what the delivery policy orders, to be carried out in this order.
 
 Durations are whole microseconds.
 """
@@ -8,36 +8,54 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
+    """Send an attempt of a message to an endpoint.
+
+    Attributes:
+        message: Id of the message.
+        endpoint: Id of the endpoint.
+        timeout_us: How long the attempt may take.
+        attempt: Number of the attempt, from 0.
+    """
+
     message: str
     endpoint: str
-    timeout: int
+    timeout_us: int
     attempt: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """End a message; the client may safely hand it in again."""
+    """Complete a message that the client may safely submit again.
+
+    Attributes:
+        message: Id of the message.
+        retry_after_us: The wait that the client is told; 0 for none.
+    """
 
     message: str
-    retry_after: int = 0
+    retry_after_us: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """End a message for good, with no promise about its effect."""
+    """Complete a message whose effect is unknown."""
 
     message: str
 
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
+    """Cancel an attempt in flight."""
+
     message: str
     attempt: int
 
 
 @dataclass(frozen=True, slots=True)
 class WakeAfter:
-    delay: int
+    """Send the event `WakeUp` after this time."""
+
+    delay_us: int
 
 
 @dataclass(frozen=True, slots=True)
--- a/message_sender/policy/breaker.py
+++ b/message_sender/policy/breaker.py
@@ -1,248 +1,390 @@
 """The circuit breaker of a destination, or of each endpoint where these are separate routes.
 
-Its states, and what moves it between them:
-
-- **closed**: `failures` is under the threshold. Calls go, at least `gap` apart. A served call zeroes the
-  count and takes a share off the gap; a refusal as full doubles the gap; a failure adds to the count.
-  Where the list tells rates, a refusal brings the gap to this sender's part of the told one. It grows
-  further where all calls are refused for longer than a limit's span: then the destination is shut; and in
-  a crowd, whose limit may have been lowered: there the share grows with the time since the last change.
-- **open**: the threshold is reached. Nothing goes until `trial_at`, the reset timeout after the last
+States and transitions:
+
+- **closed**: `failures` is below the threshold. Calls may go, at least `gap` apart. A served call resets
+  the count and shrinks the gap; a refusal (the destination is at capacity) doubles the gap; a failure adds
+  to the count. Where the endpoint list announces rates, a refusal raises the gap to this sender's part of
+  the announced rate. It grows beyond that where all calls are refused for longer than the window of a rate
+  limit, since the destination is then out of service; and in a large fleet, whose limit may have been
+  lowered: there the gap shrinks by the time since its last change.
+- **open**: the threshold is reached. No call goes until `trial_at`, the reset timeout after the last
   failure.
-- **half-open**: one call is out as `trial`. Served, it closes the breaker, with a gap from its small step;
-  anything that speaks against it restarts the timeout.
+- **half-open**: one call is in flight as `trial`. A success closes the breaker, with a gap that begins at
+  the smallest step; any failure or refusal restarts the timeout.
 
-Across these lie a told wait (`wait_until`: nothing goes before, in any state) and the warm-up of one that
-may have been out (`cold_since`: calls go at most at a stated multiple of what a cold destination can do).
-Pure: times are whole microseconds that the caller tells.
+Independently of these states, `wait_until` is the end of a Retry-After that the destination announced (no
+call goes before it), and `warm_up_since` starts the slow start of a destination that may have been down
+(calls go at most at a stated multiple of what a cold destination can serve).
+
+The algorithm is pure: all times are whole microseconds that the caller passes in.
 """
 
 import math
 import random
 from dataclasses import dataclass
 
-from message_sender.policy.events import MessageAccepted
-from message_sender.policy.model import Effect, Endpoint, MessageClass, Outcome, Settings
-
-FAILURE_THRESHOLD = 3  # failures in a row; a small destination would take too long to show the paper's five
-RESET_TIMEOUT_US = 2_000_000  # us from the last failure to the trial; the design page's figure
-BASE_GAP_US = 100_000  # us, the smallest gap: about one call's time at a destination of usual pace
-#: Times the time between calls at this sender's part of the told rate: the step there; for uneven splits.
-ANNOUNCED_GAP_FACTOR = 1.2  # where refused calls use the limit up too, calls beyond it are lost twice
-ANNOUNCED_GAP_SHRINK = 0.03  # GAP_SHRINK up to that: many are served before one asks for what others leave
-ANNOUNCED_MAX_GAP_FACTOR = 4  # times that: the gap at the most; a cold destination takes a fifth, and has its own gap
-MAX_LIMIT_WINDOW_US = 2_000_000  # us, the longest span of a limit: what refuses all calls for longer is shut
-#: Of a crowd, whose members see few calls: us in which served calls take the gap to 1/e, above the step (a
-#: lowered limit is up again within seconds) and below it (what one asks for beyond its part, others leave).
-LARGE_FLEET_SHRINK_TIME_US, LARGE_FLEET_ANNOUNCED_SHRINK_TIME_US = 5_000_000, 15_000_000
-LARGE_FLEET_GAP_DIVISOR = 8  # one part of the step at which a crowd's gap ends; at a half, all it holds would go at once
-SMALL_FLEET_SIZE = 4  # senders up to which the gap ends at the reset timeout; more share a limit more thinly
-GAP_SHRINK = 0.15  # share of the gap that a served call takes off: five serve to undo most of a doubling
-DOUBTFUL_FAILURE_RATE = 0.4  # recent failures among calls from which a destination is doubtful: far above stray errors
-SMOOTHING_WEIGHT = 0.125  # weight of the newest call in that share and in the usual time; as TCP smooths round trips
-OVERDUE_DEVIATIONS = 4  # mean deviations above the usual time from which a call is overdue; TCP's time-out rule
-WARM_UP_LENGTH_FACTOR = 2  # times the warm-up for which calls go at its pace, faster and faster
-WARM_UP_LOAD_FACTOR = 0.75  # of fall_multiple: a returning destination is paced at that times its warm share
-ANSWERED_FAILURES = frozenset({Outcome.ERROR, Outcome.MALFORMED})
-ISOLATED_FAILURES = ANSWERED_FAILURES | {Outcome.RESET, Outcome.CONNECT_FAILED}  # one is commonly its connection's alone
-#: Of a failure: an error is an answer, also a spoilt one; the paper allows a threshold for each kind.
-ERROR_WEIGHT = 1 / 3
+from message_sender.policy.model import Effect, Endpoint, Outcome, Settings
+from message_sender.policy.pending_message import PendingMessage
+
 NEVER = math.inf
 
+# Opening and closing.
+FAILURE_THRESHOLD = 3  # consecutive failures
+ERROR_WEIGHT = 1 / 3  # of an answer in error, against 1 for a failure without an answer
+RESET_TIMEOUT_US = 2_000_000  # from the last failure to the trial call
+
+# The gap between calls, where the list announces no rate.
+BASE_GAP_US = 100_000  # the smallest gap
+GAP_SHRINK = 0.15  # fraction of the gap that a served call takes off
+
+# The gap where the list announces a rate. Factors of the time between calls at this sender's part of it.
+ANNOUNCED_GAP_FACTOR = 1.2  # first gap: refused calls count against the limit too
+ANNOUNCED_GAP_SHRINK = 0.03  # replaces GAP_SHRINK up to the first gap
+ANNOUNCED_MAX_GAP_FACTOR = 4  # the longest gap
+MAX_LIMIT_WINDOW_US = 2_000_000  # a rate limit refuses all calls for at most so long
+
+# Large fleets, each of whose members sees few calls.
+SMALL_FLEET_SIZE = 4  # up to so many senders the longest gap is the reset timeout
+LARGE_FLEET_SHRINK_TIME_US = 5_000_000  # served calls shrink the gap to 1/e in it, above the first gap
+LARGE_FLEET_ANNOUNCED_SHRINK_TIME_US = 15_000_000  # the same, below the first gap
+LARGE_FLEET_GAP_DIVISOR = 8  # the gap ends at this part of the first gap
+
+# Health and latency.
+DOUBTFUL_FAILURE_RATE = 0.4  # recent failures per call from which a destination is in doubt
+SMOOTHING_WEIGHT = 0.125  # of the newest call in moving averages, as for round-trip times in TCP (RFC 6298)
+OVERDUE_DEVIATIONS = 4  # mean deviations above the mean latency from which a call is overdue (RFC 6298)
+
+# Warm-up.
+WARM_UP_LENGTH_FACTOR = 2  # warm-up times for which calls are paced
+WARM_UP_LOAD_FACTOR = 0.75  # of Settings.fall_multiple: the load on a destination that warms up
+
+#: Failures in which the destination answered.
+ANSWERED_FAILURES = frozenset({Outcome.ERROR, Outcome.MALFORMED})
+#: Failures that commonly concern one connection alone.
+ISOLATED_FAILURES = ANSWERED_FAILURES | {Outcome.RESET, Outcome.CONNECT_FAILED}
+
 
 class TrackedEndpoint:
-    __slots__ = ("bad_until", "breaker", "last_sent", "listed", "out", "refused_at", "scarce_until", "turns")
+    """An endpoint that is listed as ready.
+
+    Attributes:
+        listed: Its entry in the endpoint list.
+        in_flight: Number of calls.
+        suspect_until: Other endpoints are preferred until then.
+        last_sent: When the newest call was sent.
+        connect_refused_at: When a connection was last refused.
+        connections_scarce_until: Until then other senders need the connections that this one holds idle.
+        weighted_calls: Calls divided by the endpoint's weight, since its destination's list changed.
+        breaker: None while its destination is inactive.
+    """
+
+    __slots__ = (
+        "breaker", "connect_refused_at", "connections_scarce_until", "in_flight", "last_sent", "listed",
+        "suspect_until", "weighted_calls",
+    )  # fmt: skip
 
     def __init__(self, listed: Endpoint) -> None:
-        self.listed, self.out = listed, 0
-        self.bad_until, self.last_sent = 0.0, -NEVER
-        self.refused_at, self.scarce_until = -NEVER, -NEVER  # a connect was refused; others need ours
-        self.turns = 0.0  # calls over its weight, since the list of its destination changed
-        self.breaker: Breaker | None = None  # while its destination is asleep
-
-
-class PendingMessage:
-    def __init__(self, taken: MessageAccepted, kind: MessageClass, now: int, share: float) -> None:
-        self.id, self.kind, self.destination = taken.message, kind, taken.destination
-        self.key, self.pinned = taken.key if kind.is_ordered else "", taken.pinned_endpoint
-        self.until, self.born, self.came = now + taken.time_left, now + taken.time_left - kind.deadline, now
-        self.share = share  # 1, or what is left of its worth over its tenant's share
-        self.attempts, self.out, self.ended, self.restored = 0, False, False, False
-        self.risky_since: int | None = None  # sending of the first attempt that may have run
-        self.risky_zone = ""
-        self.number = 0  # the order in which it came to be held
-        self.queued = False  # among those of its destination that may go next
+        """Creates an endpoint that has not been called."""
+        self.listed = listed
+        self.in_flight = 0
+        self.suspect_until = 0.0
+        self.last_sent = -NEVER
+        self.connect_refused_at = -NEVER
+        self.connections_scarce_until = -NEVER
+        self.weighted_calls = 0.0
+        self.breaker: Breaker | None = None
 
 
 class ActiveCall:
-    """One call at a destination; several messages share it where they travel as a batch."""
-
-    def __init__(self, breaker: "Breaker", endpoint: TrackedEndpoint, now: int, number: int) -> None:
-        self.breaker, self.endpoint, self.sent, self.number = breaker, endpoint, now, number
+    """A call in flight; several messages share it where they travel as a batch.
+
+    Attributes:
+        sent_at: When it was sent.
+        sequence: Order among all calls.
+        messages: Its messages that have no result yet, by id.
+        is_settled: Its first result has been counted.
+        is_overdue: It takes so long that it has been counted as a failure.
+        is_cancelled: It has been asked to stop.
+    """
+
+    def __init__(self, breaker: "Breaker", endpoint: TrackedEndpoint, now: int, sequence: int) -> None:
+        """Creates a call that is sent now, still without messages."""
+        self.breaker = breaker
+        self.endpoint = endpoint
+        self.sent_at = now
+        self.sequence = sequence
         self.messages: dict[str, PendingMessage] = {}
-        self.settled = self.overdue = self.called_off = False  # settled: its result has been counted
+        self.is_settled = False
+        self.is_overdue = False
+        self.is_cancelled = False
 
-    def risks(self) -> bool:
-        return any(each.kind.effect is not Effect.IDEMPOTENT for each in self.messages.values())
+    def has_effects(self) -> bool:
+        """Whether a repeat of one of its messages may do harm."""
+        return any(each.message_class.effect is not Effect.IDEMPOTENT for each in self.messages.values())
 
 
 @dataclass(frozen=True, slots=True)
 class BreakerContext:
-    """What is the same for all breakers of a sender."""
+    """What all breakers of a sender share.
+
+    Attributes:
+        settings: The settings of the policy.
+        rng: Spreads calls over time.
+        fleet_factor: Fleet size over `SMALL_FLEET_SIZE`; 1 in a small fleet, above 1 in a large one.
+        min_latency_objective: The shortest of all classes, us.
+    """
 
     settings: Settings
     rng: random.Random
-    crowd: float  # as many times more senders share a limit than the gap reckons with
-    least_aim: int
+    fleet_factor: float
+    min_latency_objective: int
 
     @classmethod
-    def of(cls, settings: Settings, rng: random.Random) -> "BreakerContext":
-        crowd = max(settings.fleet_size / SMALL_FLEET_SIZE, 1)
-        return cls(settings, rng, crowd, min(each.latency_objective for each in settings.classes))
+    def from_settings(cls, settings: Settings, rng: random.Random) -> "BreakerContext":
+        """Derives the context from the settings."""
+        fleet_factor = max(settings.fleet_size / SMALL_FLEET_SIZE, 1)
+        return cls(settings, rng, fleet_factor, min(each.latency_objective for each in settings.classes))
 
 
 class Breaker:
-    """The paper's breaker, with the gap, told waits and the warm-up after an outage."""
+    """A circuit breaker with pacing, Retry-After and a warm-up; see the module's description.
+
+    Attributes:
+        failures: Weighted failures since the last success.
+        trial_at: From when a trial may go while the breaker is open.
+        trial: The trial call in flight.
+        gap: Time between calls; `base_gap` is its smallest step, `max_gap` its bound.
+        gap_changed: When the gap last grew.
+        announced_gap: Time between calls at this sender's part of the announced rate; NEVER without one.
+        in_flight: Number of calls.
+        last_sent: When the newest call was sent.
+        wait_until: End of an announced Retry-After.
+        calls_since_success: Failed and refused calls since the last success.
+        failure_rate: Recent failures per call, a moving average.
+        warm_up_since: Start of the warm-up.
+        newest_success_sent_at: When the newest successful call was sent.
+        mean_latency: Moving average over successful calls; `latency_deviation` is the mean deviation and
+            `latency_samples` the number of calls, where the initial guess counts as one.
+        success_count: Successful calls, faded by age; `success_time` is the time between them.
+        last_success: When a call last succeeded.
+        refused_since: The first refusal since a success.
+        on_time_calls: Calls in flight that are not overdue, oldest first.
+        overdue_calls: Calls in flight that are.
+    """
 
     __slots__ = (
-        "calls", "cold_since", "destination", "failures", "fresh", "full_since", "gap", "gap_changed",
-        "known", "last_sent", "last_served", "most_gap", "out", "pace", "served_sent", "sick", "span",
-        "spread", "step", "stuck", "told_gap", "took", "trial", "trial_at", "unserved", "wait_until",
+        "announced_gap", "base_gap", "calls_since_success", "context", "destination", "failure_rate",
+        "failures", "gap", "gap_changed", "in_flight", "last_sent", "last_success", "latency_deviation",
+        "latency_samples", "max_gap", "mean_latency", "newest_success_sent_at", "on_time_calls",
+        "overdue_calls", "refused_since", "success_count", "success_time", "trial", "trial_at",
+        "wait_until", "warm_up_since",
     )  # fmt: skip
 
-    def __init__(self, pace: BreakerContext, destination: int) -> None:
-        self.pace, self.destination = pace, destination
-        self.failures, self.trial_at, self.trial = 0.0, -NEVER, None  # type: float, float, ActiveCall | None
-        self.most_gap = RESET_TIMEOUT_US * pace.crowd
-        self.step, self.gap, self.gap_changed = BASE_GAP_US * pace.crowd, 0.0, -NEVER
-        self.out, self.last_sent, self.wait_until = 0, -NEVER, 0
-        self.unserved, self.sick, self.cold_since = 0, 0.0, -NEVER  # unserved: calls since the last served
-        self.served_sent = -NEVER  # sending of the newest call that was served
-        self.took, self.spread, self.known = pace.least_aim / 4, pace.least_aim / 8, 1
-        self.calls, self.span, self.last_served = 0.1, RESET_TIMEOUT_US / 20 * pace.crowd, NEVER
-        self.full_since = NEVER  # the first refusal since a call was served
-        self.told_gap = NEVER  # between own calls at this sender's part of the rate that the list tells
-        self.fresh: dict[ActiveCall, None] = {}  # out and not overdue, oldest first
-        self.stuck: dict[ActiveCall, None] = {}  # out and overdue
-
-    def told_rate(self, rate: float) -> None:
-        """Scale both bounds of the gap to the announced rate, in calls a second: no long gaps at a busy
-        destination, and no more calls than a limit allows."""
-        self.told_gap = 1e6 * self.pace.settings.fleet_size / rate
-        self.most_gap = min(RESET_TIMEOUT_US * self.pace.crowd, ANNOUNCED_MAX_GAP_FACTOR * self.told_gap)
-        self.step = min(ANNOUNCED_GAP_FACTOR * self.told_gap, self.most_gap)
+    def __init__(self, context: BreakerContext, destination: int) -> None:
+        """Creates a closed breaker for the destination of that number."""
+        self.context = context
+        self.destination = destination
+        self.failures = 0.0
+        self.trial_at: float = -NEVER
+        self.trial: ActiveCall | None = None
+        self.max_gap = RESET_TIMEOUT_US * context.fleet_factor
+        self.base_gap = BASE_GAP_US * context.fleet_factor
+        self.gap = 0.0
+        self.gap_changed = -NEVER
+        self.announced_gap = NEVER
+        self.in_flight = 0
+        self.last_sent = -NEVER
+        self.wait_until = 0
+        self.calls_since_success = 0
+        self.failure_rate = 0.0
+        self.warm_up_since = -NEVER
+        self.newest_success_sent_at = -NEVER
+        self.mean_latency = context.min_latency_objective / 4
+        self.latency_deviation = context.min_latency_objective / 8
+        self.latency_samples = 1
+        self.success_count = 0.1
+        self.success_time = RESET_TIMEOUT_US / 20 * context.fleet_factor
+        self.last_success = NEVER
+        self.refused_since = NEVER
+        self.on_time_calls: dict[ActiveCall, None] = {}
+        self.overdue_calls: dict[ActiveCall, None] = {}
+
+    def set_announced_rate(self, rate: float) -> None:
+        """Scales both bounds of the gap to the announced rate.
+
+        Busy destinations get no long gaps, and no destination gets more calls than its limit allows.
+
+        Args:
+            rate: Calls a second that the destination takes from all senders; above 0.
+        """
+        self.announced_gap = 1e6 * self.context.settings.fleet_size / rate
+        self.max_gap = min(
+            RESET_TIMEOUT_US * self.context.fleet_factor, ANNOUNCED_MAX_GAP_FACTOR * self.announced_gap
+        )
+        self.base_gap = min(ANNOUNCED_GAP_FACTOR * self.announced_gap, self.max_gap)
 
     def is_open(self) -> bool:
+        """Whether the breaker is open or half-open."""
         return self.failures >= FAILURE_THRESHOLD
 
     def ready_at(self, now: int) -> float:
-        """When the next call may go, as seen now; NEVER while a trial's result decides it."""
+        """Returns when the next call may go, estimated from the gap now; NEVER while a trial is in flight."""
         if self.is_open():
             return NEVER if self.trial else max(self.wait_until, self.trial_at)
-        return max(self.wait_until, self.last_sent + max(self.gap, self.cold_gap(now)))
-
-    def free_at(self, now: int) -> float:
-        """The same, and right: where the gap shrinks while a destination warms up, `ready_at` comes nearer as
-        time goes. The first microsecond from which the call may go, if nothing happens until then."""
-        late = self.ready_at(now)
-        if late <= now or late == NEVER or self.is_open() or self.cold_gap(now) <= self.gap:
-            return late
-        early, most = now, math.ceil(late)
-        while most - early > 1:
-            middle = (early + most) // 2
-            early, most = (early, middle) if self.ready_at(middle) <= middle else (middle, most)
-        return float(most)
-
-    def restart(self, now: int) -> None:
-        """Restart the reset timeout; in a large fleet a failed trial waits out a cold destination's gap."""
+        return max(self.wait_until, self.last_sent + max(self.gap, self.warm_up_gap(now)))
+
+    def earliest_ready_at(self, now: int) -> float:
+        """Returns the first microsecond from which a call may go if nothing happens until then.
+
+        While a destination warms up the gap shrinks with time, so the call may go before `ready_at(now)`.
+        """
+        estimate = self.ready_at(now)
+        if estimate <= now or estimate == NEVER or self.is_open() or self.warm_up_gap(now) <= self.gap:
+            return estimate
+        early = now
+        late = math.ceil(estimate)
+        while late - early > 1:
+            middle = (early + late) // 2
+            if self.ready_at(middle) <= middle:
+                late = middle
+            else:
+                early = middle
+        return float(late)
+
+    def restart_timeout(self, now: int) -> None:
+        """Restarts the reset timeout; in a large fleet a failed trial adds the gap of a cold destination."""
         timeout: float = RESET_TIMEOUT_US
-        if self.trial and self.pace.crowd > 1:
-            self.cold_since = now
-            timeout = max(timeout, self.cold_gap(now) * self.pace.rng.uniform(0.5, 1.5))
-        self.trial, self.trial_at = None, now + timeout
-
-    def cold_gap(self, now: int) -> float:
-        """Rule: a returning destination is not overloaded. Own usual rate, or for one that was started again
-        its part of the told one, times the share that is warm. The share grows on beyond the whole: guards
-        one that has just become warm from all that is held for it, at once, by each of its senders."""
-        settings = self.pace.settings
-        if (warm := (now - self.cold_since) / settings.slow_start) >= WARM_UP_LENGTH_FACTOR:
+        if self.trial and self.context.fleet_factor > 1:
+            self.warm_up_since = now
+            timeout = max(timeout, self.warm_up_gap(now) * self.context.rng.uniform(0.5, 1.5))
+        self.trial = None
+        self.trial_at = now + timeout
+
+    def warm_up_gap(self, now: int) -> float:
+        """Returns the time between calls while the destination warms up; 0 after that.
+
+        The load is this sender's usual rate (or, in a new process, its part of the announced rate) times
+        the warm fraction of the capacity. That fraction goes on to grow beyond 1 for some time, so that the
+        senders do not send all pending messages together the moment the destination is warm.
+        """
+        settings = self.context.settings
+        progress = (now - self.warm_up_since) / settings.slow_start
+        if progress >= WARM_UP_LENGTH_FACTOR:
             return 0.0
-        share = settings.slow_start_from + (1 - settings.slow_start_from) * max(warm, 0.0)
-        push = settings.fall_multiple * WARM_UP_LOAD_FACTOR * share
-        return min(min(self.span / self.calls, self.told_gap) / push, 2 * self.most_gap)
+        warm_fraction = settings.slow_start_from + (1 - settings.slow_start_from) * max(progress, 0.0)
+        load = settings.fall_multiple * WARM_UP_LOAD_FACTOR * warm_fraction
+        return min(min(self.success_time / self.success_count, self.announced_gap) / load, 2 * self.max_gap)
 
     def overdue_at(self) -> float:
-        """When the oldest call that is not overdue is; NEVER with none out. The patience is one for all."""
-        oldest = next(iter(self.fresh), None)
-        return oldest.sent + self.patience() if oldest else NEVER
-
-    def patience(self) -> float:
-        """How long a call may take before it is overdue."""
-        return max(self.took + OVERDUE_DEVIATIONS * self.spread, self.pace.least_aim / 4)
-
-    def failed(self, now: int, outcome: Outcome = Outcome.TIMEOUT) -> None:
-        """Members of a crowd see few calls of an outage, one that is no stray may be all; and all see it."""
+        """Returns when the oldest call that is on time becomes overdue; NEVER with none in flight."""
+        oldest = next(iter(self.on_time_calls), None)
+        return oldest.sent_at + self.overdue_after() if oldest else NEVER
+
+    def overdue_after(self) -> float:
+        """Returns how long a call may take before it is overdue, us."""
+        return max(
+            self.mean_latency + OVERDUE_DEVIATIONS * self.latency_deviation,
+            self.context.min_latency_objective / 4,
+        )
+
+    def record_failure(self, now: int, outcome: Outcome = Outcome.TIMEOUT) -> None:
+        """Counts a failure.
+
+        Members of a large fleet see few calls of an outage, so one failure that is not commonly isolated
+        is enough for doubt; and as all of them see the outage, their calls are spread apart.
+        """
         self.failures += ERROR_WEIGHT if outcome in ANSWERED_FAILURES else 1
-        self.restart(now)
-        self.sick += (1 - self.sick) * SMOOTHING_WEIGHT
-        self.doubt(now, max(FAILURE_THRESHOLD / self.pace.crowd, 2 if outcome in ISOLATED_FAILURES else 1))
-        if self.pace.crowd > 1 and self.cold_since == now:  # not back together
-            self.last_sent += self.cold_gap(now) * self.pace.rng.uniform(-0.5, 0.5)
-
-    def refused(self, now: int, call: ActiveCall, wait: int = 0) -> None:
-        """`wait`: the one that it told, 0 for none."""
+        self.restart_timeout(now)
+        self.failure_rate += (1 - self.failure_rate) * SMOOTHING_WEIGHT
+        least_calls = 2 if outcome in ISOLATED_FAILURES else 1
+        self.record_unserved(now, max(FAILURE_THRESHOLD / self.context.fleet_factor, least_calls))
+        if self.context.fleet_factor > 1 and self.warm_up_since == now:
+            self.last_sent += self.warm_up_gap(now) * self.context.rng.uniform(-0.5, 0.5)
+
+    def record_refusal(self, now: int, call: ActiveCall, retry_after_us: int = 0) -> None:
+        """Counts a refusal by a destination at capacity.
+
+        Args:
+            now: The time.
+            call: The refused call. One sent before the gap last grew leaves the gap as it is.
+            retry_after_us: The wait that the destination announced; 0 for none.
+        """
         if call is self.trial:
-            self.restart(now)
-        if call.sent >= self.gap_changed:  # calls sent before the gap last grew say nothing of it
-            self.full_since = min(self.full_since, now)
-            # A limit refuses until its span ends, which is no outage; nor does it tell a longer wait.
-            shut = max(now - self.full_since, wait) > MAX_LIMIT_WINDOW_US
-            most = self.most_gap if shut or self.told_gap == NEVER or self.pace.crowd > 1 else self.step
-            self.gap, self.gap_changed = min(max(2 * self.gap, self.first_gap()), most), now
-            self.doubt(now, max(FAILURE_THRESHOLD / self.pace.crowd, 2) if shut else NEVER)
-            # Told alike, back apart.
-            late = self.pace.rng.uniform(0, 2 * self.gap) * (1 - 1 / self.pace.crowd)
-            self.wait_until = max(self.wait_until, now) + math.ceil(late)
-
-    def first_gap(self) -> float:
-        """Where the first refusal brings the gap. Members of a crowd see unlike parts of the traffic: at the
-        mean one's part, a busy one would leave unused what the others never ask for."""
-        own = max(self.span / self.calls, self.step / LARGE_FLEET_GAP_DIVISOR)
-        return self.step if self.pace.crowd <= 1 else min(self.step, own)
-
-    def doubt(self, now: int, run: float) -> None:
-        """What may be an outage restarts the warm-up: a run of unserved calls, or many failures of late."""
-        self.unserved += 1
-        if self.unserved >= run or self.sick >= DOUBTFUL_FAILURE_RATE:
-            self.cold_since = now
-
-    def served(self, now: int, call: ActiveCall) -> None:
-        took = now - call.sent
-        self.served_sent = max(self.served_sent, call.sent)
-        self.known += 1
-        weight = max(SMOOTHING_WEIGHT, 1 / self.known)  # the first guess counts as one call
-        self.spread += (abs(took - self.took) - self.spread) * weight
-        self.took += (took - self.took) * weight
-        passed = now - self.last_served
-        if self.unserved == 0 and self.cold_gap(now) == 0 and passed >= 0:
-            fade = math.exp(-passed / self.pace.settings.slow_start)
-            self.calls, self.span = self.calls * fade + 1, self.span * fade + passed
-        self.narrow(now, passed if passed >= 0 else NEVER)
-        if self.failures and self.pace.crowd > 1:  # it came back between the two
-            self.cold_since = max((self.cold_since + call.sent) / 2, self.cold_since)
-        self.last_served = now
-        self.failures, self.unserved, self.trial = 0, 0, None
-        self.full_since = NEVER
-        self.sick *= 1 - SMOOTHING_WEIGHT
-
-    def narrow(self, now: int, passed: float) -> None:
-        """A served call takes a share off the gap; `passed`: us since the one before."""
-        told = self.told_gap < NEVER
-        paced, crowd = told and self.gap <= self.step, told and self.pace.crowd > 1
-        share = ANNOUNCED_GAP_SHRINK if paced else GAP_SHRINK
-        if crowd and not self.is_open():
-            since = min(passed, now - self.gap_changed)
-            share = 1 - math.exp(-since / (LARGE_FLEET_ANNOUNCED_SHRINK_TIME_US if paced else LARGE_FLEET_SHRINK_TIME_US))
-        self.gap = max(self.gap, self.step if self.is_open() else 0) * (1 - share)
-        self.gap *= self.gap >= self.step / (LARGE_FLEET_GAP_DIVISOR if crowd else 2)
+            self.restart_timeout(now)
+        if call.sent_at < self.gap_changed:
+            return
+        self.refused_since = min(self.refused_since, now)
+        # A rate limit refuses until its window ends and announces no longer wait; beyond, it is an outage.
+        is_out_of_service = max(now - self.refused_since, retry_after_us) > MAX_LIMIT_WINDOW_US
+        may_exceed_base = is_out_of_service or self.announced_gap == NEVER or self.context.fleet_factor > 1
+        bound = self.max_gap if may_exceed_base else self.base_gap
+        self.gap = min(max(2 * self.gap, self.initial_gap()), bound)
+        self.gap_changed = now
+        doubt_from = max(FAILURE_THRESHOLD / self.context.fleet_factor, 2) if is_out_of_service else NEVER
+        self.record_unserved(now, doubt_from)
+        # Senders that are told the same wait do not return together.
+        delay = self.context.rng.uniform(0, 2 * self.gap) * (1 - 1 / self.context.fleet_factor)
+        self.wait_until = max(self.wait_until, now) + math.ceil(delay)
+
+    def initial_gap(self) -> float:
+        """Returns the gap after the first refusal.
+
+        Members of a large fleet have unequal parts of the traffic. One with more than the mean would leave
+        unused, at the mean gap, what the others never ask for.
+        """
+        usual_gap = max(self.success_time / self.success_count, self.base_gap / LARGE_FLEET_GAP_DIVISOR)
+        return self.base_gap if self.context.fleet_factor <= 1 else min(self.base_gap, usual_gap)
+
+    def record_unserved(self, now: int, doubt_from: float) -> None:
+        """Counts a call that was not served; what may be an outage restarts the warm-up.
+
+        Args:
+            now: The time.
+            doubt_from: Consecutive unserved calls from which the destination may have been down.
+        """
+        self.calls_since_success += 1
+        if self.calls_since_success >= doubt_from or self.failure_rate >= DOUBTFUL_FAILURE_RATE:
+            self.warm_up_since = now
+
+    def record_success(self, now: int, call: ActiveCall) -> None:
+        """Counts a served call: closes the breaker, shrinks the gap and updates the averages."""
+        self.newest_success_sent_at = max(self.newest_success_sent_at, call.sent_at)
+        latency = now - call.sent_at
+        self.latency_samples += 1
+        weight = max(SMOOTHING_WEIGHT, 1 / self.latency_samples)
+        self.latency_deviation += (abs(latency - self.mean_latency) - self.latency_deviation) * weight
+        self.mean_latency += (latency - self.mean_latency) * weight
+        since_success = now - self.last_success
+        if self.calls_since_success == 0 and self.warm_up_gap(now) == 0 and since_success >= 0:
+            fading = math.exp(-since_success / self.context.settings.slow_start)
+            self.success_count = self.success_count * fading + 1
+            self.success_time = self.success_time * fading + since_success
+        self.shrink_gap(now, since_success if since_success >= 0 else NEVER)
+        if self.failures and self.context.fleet_factor > 1:  # it returned between the failure and this call
+            self.warm_up_since = max((self.warm_up_since + call.sent_at) / 2, self.warm_up_since)
+        self.last_success = now
+        self.failures = 0
+        self.calls_since_success = 0
+        self.trial = None
+        self.refused_since = NEVER
+        self.failure_rate *= 1 - SMOOTHING_WEIGHT
+
+    def shrink_gap(self, now: int, since_success: float) -> None:
+        """Takes the share of a served call off the gap; one that has become small ends.
+
+        Args:
+            now: The time.
+            since_success: Time since the successful call before, us.
+        """
+        has_rate = self.announced_gap < NEVER
+        is_in_large_fleet = has_rate and self.context.fleet_factor > 1
+        is_below_base = has_rate and self.gap <= self.base_gap
+        shrink = ANNOUNCED_GAP_SHRINK if is_below_base else GAP_SHRINK
+        if is_in_large_fleet and not self.is_open():
+            elapsed = min(since_success, now - self.gap_changed)
+            time = LARGE_FLEET_ANNOUNCED_SHRINK_TIME_US if is_below_base else LARGE_FLEET_SHRINK_TIME_US
+            shrink = 1 - math.exp(-elapsed / time)
+        self.gap = max(self.gap, self.base_gap if self.is_open() else 0) * (1 - shrink)
+        if self.gap < self.base_gap / (LARGE_FLEET_GAP_DIVISOR if is_in_large_fleet else 2):
+            self.gap = 0.0
--- a/message_sender/policy/endpoints.py
+++ b/message_sender/policy/endpoints.py
@@ -1,202 +1,273 @@
-"""Registry of the listed endpoints, of destinations and their breakers, and of when to check each.
+"""The registry of listed endpoints, of destinations with their breakers, and of when to check each of them.
 
-Changes are recorded where they happen, so that the cost of an iteration depends on what changed alone:
-- `open`: destinations that may accept a call now, as far as is known; checked while slots are free. One
-  that accepts none moves to `freed`, until its gap, wait or timeout ends.
-- `changed`: breakers that had an event; `overdue`: when the oldest call of one is overdue;
-  `ages`: when a destination may have been idle for long enough.
+Changes are recorded where they happen, so that the cost of an iteration depends only on what changed:
+
+- `available`: destinations that may accept a call now; checked while slots are free. One that turns out to
+  accept none moves to `reopenings`, until its gap, wait or timeout ends.
+- `changed_breakers`: breakers that had an event.
+- `overdue_checks`: when the oldest call of a breaker becomes overdue.
+- `idle_checks`: when a destination may have been unused for long enough to drop its breakers.
 """
 
 from collections import defaultdict
 
 from message_sender.policy.breaker import NEVER, Breaker, TrackedEndpoint
+from message_sender.policy.destination import Destination
 from message_sender.policy.events import EndpointsUpdated
 from message_sender.policy.limits import SharedLimits
+from message_sender.policy.list_polling import ListPolling
+from message_sender.policy.loop_state import LoopState
 from message_sender.policy.model import DestinationKind, Endpoint, EndpointState, ListingKind
-from message_sender.policy.schedule import Destination, ListPolling, LoopState, TimerQueue
+from message_sender.policy.timers import TimerQueue
 
-UNUSED_BREAKER_AGE_US = 60_000_000  # us after which what is unused and unlisted is forgotten: above any outage's length
-INACTIVE_DESTINATION_AGE_US = 3_600_000_000  # us of silence after which a listed destination is not judged by old figures
+UNUSED_BREAKER_AGE_US = 60_000_000  # a breaker without listed endpoint is dropped: above any outage's length
+INACTIVE_DESTINATION_AGE_US = 3_600_000_000  # a listed destination becomes inactive
 
 
 class EndpointRegistry:
+    """Endpoints and destinations.
+
+    Attributes:
+        endpoints: Endpoints that are listed as ready, by id.
+        destinations: All that are listed, active or remembered, by number.
+        shared_limits: The limits that the fleet shares; None where there are none.
+    """
+
     def __init__(self, loop: LoopState) -> None:
-        self.loop, self.settings = loop, loop.settings
+        """Creates an empty registry."""
+        self.loop = loop
+        self.settings = loop.settings
         self.kinds = defaultdict(DestinationKind, loop.settings.kinds)
         self.endpoints: dict[str, TrackedEndpoint] = {}
         self.destinations: dict[int, Destination] = {}
-        self.open: dict[int, None] = {}
-        self.freed, self.ages = TimerQueue[int](), TimerQueue[int]()
-        self.overdue = TimerQueue[Breaker]()
-        self.changed: dict[Breaker, None] = {}
-        self.list_calls = ListPolling(loop.settings, loop.random)
-        self.leave: SharedLimits | None = None  # of a budget that a fleet shares
-
-    def arouse(self, number: int) -> Destination:
-        """Return a destination, awake. One that was idle for long is warmed up like one that was down."""
-        if (at := self.destinations.get(number)) is None:
-            at = self.destinations[number] = Destination(number)
-        if at.own is None:
-            at.own = {}
-            self.set_breakers(at)
-            for each in at.breakers if at.silent_since is not None else ():
-                each.cold_since = self.loop.now
-            self.ages.set(number, self.loop.now + UNUSED_BREAKER_AGE_US)
-        return at
+        self.available: dict[int, None] = {}
+        self.reopenings = TimerQueue[int]()
+        self.idle_checks = TimerQueue[int]()
+        self.overdue_checks = TimerQueue[Breaker]()
+        self.changed_breakers: dict[Breaker, None] = {}
+        self.list_polling = ListPolling(loop.settings, loop.random)
+        self.shared_limits: SharedLimits | None = None
+
+    def activate(self, number: int) -> Destination:
+        """Returns a destination, active; one that was inactive warms up like one that was down."""
+        if (destination := self.destinations.get(number)) is None:
+            destination = self.destinations[number] = Destination(number)
+        if destination.breakers_by_route is None:
+            destination.breakers_by_route = {}
+            self.assign_breakers(destination)
+            if destination.inactive_since is not None:
+                for breaker in destination.breakers:
+                    breaker.warm_up_since = self.loop.now
+            self.idle_checks.schedule(number, self.loop.now + UNUSED_BREAKER_AGE_US)
+        return destination
 
     def all_breakers(self) -> list[Breaker]:
-        return [each for at in self.destinations.values() for each in (at.own or {}).values()]
+        """Returns the breakers of all active destinations."""
+        return [
+            breaker
+            for destination in self.destinations.values()
+            for breaker in (destination.breakers_by_route or {}).values()
+        ]
+
+    # The endpoint list.
+
+    def update_endpoints(self, update: EndpointsUpdated) -> None:
+        """Applies a list or a change of it.
 
-    def list_endpoints(self, listed: EndpointsUpdated) -> None:
-        """Apply a list. Rule: drains count once they are announced, so only ready endpoints are kept here."""
-        if listed.listing is ListingKind.FAILED:
-            self.list_calls.failed(self.loop.now)
+        A drain takes effect once it is announced, so only endpoints that are ready are kept.
+        """
+        if update.listing is ListingKind.FAILED:
+            self.list_polling.poll_failed(self.loop.now)
             return
-        if listed.listing is ListingKind.CACHED:
-            self.list_calls.start(self.loop.now)
+        if update.listing is ListingKind.CACHED:
+            self.list_polling.process_started(self.loop.now)
         known = self.endpoints
-        touched: dict[int, None] = {}  # destinations, in the order in which they were named
-        if listed.listing is not ListingKind.CHANGES:
+        changed: dict[int, None] = {}  # destinations, in the order in which they were named
+        if update.listing is not ListingKind.CHANGES:
             known = self.endpoints.copy()
             self.endpoints.clear()
-            for each in known.values():
-                self.destinations[each.listed.destination].endpoints.clear()
-                each.breaker = None
-                touched[each.listed.destination] = None
-        for told in listed.endpoints:
-            self.list_one(told, known, touched)
-        for destination in touched:
-            self.relist(self.destinations[destination])
-        self.warm(frozenset(listed.returned))
-
-    def list_one(self, told: Endpoint, known: dict[str, TrackedEndpoint], touched: dict[int, None]) -> None:
-        endpoint = known.get(told.id) or self.endpoints.get(told.id) or TrackedEndpoint(told)
-        if endpoint.listed.destination != told.destination and told.id in self.endpoints:
-            self.unlist(endpoint)
-            touched[endpoint.listed.destination] = None
-        endpoint.listed = told
-        if told.state is not EndpointState.READY:
-            if told.id in self.endpoints:
-                self.unlist(endpoint)
-                touched[told.destination] = None
+            for endpoint in known.values():
+                self.destinations[endpoint.listed.destination].endpoints.clear()
+                endpoint.breaker = None
+                changed[endpoint.listed.destination] = None
+        for listed in update.endpoints:
+            self.update_endpoint(listed, known, changed)
+        for number in changed:
+            self.refresh_destination(self.destinations[number])
+        self.warm_up_returned(frozenset(update.returned))
+
+    def update_endpoint(
+        self, listed: Endpoint, known: dict[str, TrackedEndpoint], changed: dict[int, None]
+    ) -> None:
+        """Applies one entry of a list.
+
+        Args:
+            listed: The entry.
+            known: The endpoints before the update.
+            changed: Collects the numbers of changed destinations.
+        """
+        endpoint = known.get(listed.id) or self.endpoints.get(listed.id) or TrackedEndpoint(listed)
+        if endpoint.listed.destination != listed.destination and listed.id in self.endpoints:
+            self.remove_endpoint(endpoint)
+            changed[endpoint.listed.destination] = None
+        endpoint.listed = listed
+        if listed.state is not EndpointState.READY:
+            if listed.id in self.endpoints:
+                self.remove_endpoint(endpoint)
+                changed[listed.destination] = None
             return
-        touched[told.destination] = None
-        if told.id not in self.endpoints:
-            self.endpoints[told.id] = endpoint
-            if told.destination not in self.destinations:
-                self.destinations[told.destination] = Destination(told.destination)
-            self.destinations[told.destination].endpoints.append(endpoint)
-
-    def unlist(self, endpoint: TrackedEndpoint) -> None:
+        changed[listed.destination] = None
+        if listed.id not in self.endpoints:
+            self.endpoints[listed.id] = endpoint
+            if listed.destination not in self.destinations:
+                self.destinations[listed.destination] = Destination(listed.destination)
+            self.destinations[listed.destination].endpoints.append(endpoint)
+
+    def remove_endpoint(self, endpoint: TrackedEndpoint) -> None:
+        """Removes an endpoint that is no longer ready."""
         del self.endpoints[endpoint.listed.id]
         self.destinations[endpoint.listed.destination].endpoints.remove(endpoint)
         endpoint.breaker = None
 
-    def warm(self, returned: frozenset[str]) -> None:
-        """Warm up what was out of service with all its endpoints, as messages were held for it meanwhile."""
-        found = {self.endpoints[name].listed.destination: None for name in returned if name in self.endpoints}
-        for at in map(self.destinations.__getitem__, found):
-            before = [each.breaker for each in at.endpoints if each.listed.id not in returned]
-            for breaker in at.breakers:
-                if breaker not in before:
-                    breaker.cold_since = int(self.loop.now)
-            if at.own is None and not before:
-                at.silent_since = self.loop.now
-
-    def relist(self, at: Destination) -> None:
-        """Update what derives from the endpoints of one destination; the others cost nothing."""
-        at.weighted = any(each.listed.weight != 1 for each in at.endpoints)
-        for each in at.endpoints:
-            each.turns = 0.0
-        if at.own is not None:
-            self.set_breakers(at)
-        elif not at.endpoints:
-            del self.destinations[at.number]
-
-    def set_breakers(self, at: Destination) -> None:
-        for endpoint in at.endpoints:
-            endpoint.breaker = breaker = self.breaker_of(at, endpoint.listed)
+    def warm_up_returned(self, returned: frozenset[str]) -> None:
+        """Warms up destinations whose endpoints all were out of service: messages wait for them.
+
+        Args:
+            returned: Ids of the endpoints that were out of service.
+        """
+        numbers = {
+            self.endpoints[name].listed.destination: None for name in returned if name in self.endpoints
+        }
+        for destination in map(self.destinations.__getitem__, numbers):
+            in_service = [each.breaker for each in destination.endpoints if each.listed.id not in returned]
+            for breaker in destination.breakers:
+                if breaker not in in_service:
+                    breaker.warm_up_since = int(self.loop.now)
+            if destination.breakers_by_route is None and not in_service:
+                destination.inactive_since = self.loop.now
+
+    def refresh_destination(self, destination: Destination) -> None:
+        """Updates what derives from the endpoints of one destination."""
+        destination.is_weighted = any(each.listed.weight != 1 for each in destination.endpoints)
+        for endpoint in destination.endpoints:
+            endpoint.weighted_calls = 0.0
+        if destination.breakers_by_route is not None:
+            self.assign_breakers(destination)
+        elif not destination.endpoints:
+            del self.destinations[destination.number]
+
+    def assign_breakers(self, destination: Destination) -> None:
+        """Gives each listed endpoint of an active destination its breaker."""
+        for endpoint in destination.endpoints:
+            endpoint.breaker = breaker = self.breaker_for(destination, endpoint.listed)
             if self.settings.announces_rates and endpoint.listed.scale > 0:
-                breaker.told_rate(endpoint.listed.scale)
-        at.breakers = tuple(dict.fromkeys(each.breaker for each in at.endpoints if each.breaker))
-        self.open[at.number] = None
-
-    def breaker_of(self, at: Destination, listed: Endpoint) -> Breaker:
-        assert at.own is not None
-        key = listed.id if self.kinds[listed.kind].apart else ""
-        if key not in at.own:
-            at.own[key] = Breaker(self.loop.pace, at.number)
-        return at.own[key]
-
-    def spread(self, number: int) -> None:
-        """Delay the first call after a restart at random, by a mean member's time between calls at the most:
-        a fleet that restarts at one time would send all that it found together."""
-        for each in self.destinations[number].breakers if self.loop.pace.crowd > 1 else ():
-            if each.last_sent == -NEVER and not each.wait_until:
-                gap = min(each.told_gap, each.most_gap)
-                each.wait_until = int(self.loop.now + self.loop.random.uniform(0, gap))
-
-    def touch(self, breaker: Breaker) -> None:
-        """Record an event of a breaker: it may be free now, and its calls may be overdue at another time."""
-        self.changed[breaker] = None
-        self.open[breaker.destination] = None
-
-    def set_overdue(self) -> dict[Breaker, None]:
-        """Return the breakers that had an event, each due again when its oldest call is overdue."""
-        changed, self.changed = self.changed, {}
+                breaker.set_announced_rate(endpoint.listed.scale)
+        breakers = (each.breaker for each in destination.endpoints if each.breaker)
+        destination.breakers = tuple(dict.fromkeys(breakers))
+        self.available[destination.number] = None
+
+    def breaker_for(self, destination: Destination, listed: Endpoint) -> Breaker:
+        """Returns the breaker of an endpoint of an active destination."""
+        assert destination.breakers_by_route is not None
+        route = listed.id if self.kinds[listed.kind].has_separate_routes else ""
+        if route not in destination.breakers_by_route:
+            destination.breakers_by_route[route] = Breaker(self.loop.context, destination.number)
+        return destination.breakers_by_route[route]
+
+    # Timing of calls.
+
+    def delay_first_call(self, number: int) -> None:
+        """Delays the first call after a restart at random.
+
+        A large fleet that restarts together would otherwise send all restored messages together. The delay
+        is at most a mean member's time between calls.
+        """
+        if self.loop.context.fleet_factor <= 1:
+            return
+        for breaker in self.destinations[number].breakers:
+            if breaker.last_sent == -NEVER and not breaker.wait_until:
+                gap = min(breaker.announced_gap, breaker.max_gap)
+                breaker.wait_until = int(self.loop.now + self.loop.random.uniform(0, gap))
+
+    def mark_changed(self, breaker: Breaker) -> None:
+        """Records an event of a breaker: it may accept a call, and its next overdue call may be another."""
+        self.changed_breakers[breaker] = None
+        self.available[breaker.destination] = None
+
+    def schedule_overdue_checks(self) -> dict[Breaker, None]:
+        """Schedules a check of each changed breaker for when its oldest call is overdue.
+
+        Returns:
+            The changed breakers.
+        """
+        changed = self.changed_breakers
+        self.changed_breakers = {}
         for breaker in changed:
-            self.overdue.set(breaker, breaker.overdue_at())
+            self.overdue_checks.schedule(breaker, breaker.overdue_at())
         return changed
 
-    def shut(self, at: Destination) -> None:
-        """Mark a destination that accepts no call before its time, or before it has an event."""
-        self.open.pop(at.number, None)
-        free = at.free_at(int(self.loop.now))
-        if self.leave and at.endpoints:
+    def mark_unavailable(self, destination: Destination) -> None:
+        """Records that a destination accepts no call before a time, or before it has an event."""
+        self.available.pop(destination.number, None)
+        ready_at = destination.earliest_ready_at(int(self.loop.now))
+        if self.shared_limits and destination.endpoints:
             now = int(self.loop.now)
-            free = max(free, min(self.leave.free_at(each.listed, now) for each in at.endpoints))
-        self.freed.set(at.number, free if free > self.loop.now else NEVER)
+            ready_at = max(
+                ready_at, min(self.shared_limits.free_at(each.listed, now) for each in destination.endpoints)
+            )
+        self.reopenings.schedule(destination.number, ready_at if ready_at > self.loop.now else NEVER)
 
-    def leave_grew(self, number: int) -> None:
-        """A share of a budget has grown: the next iteration checks its destination."""
+    def limits_raised(self, number: int) -> None:
+        """Makes the next iteration check a destination whose part of a shared limit has grown."""
         if number in self.destinations:
-            self.open[number] = None
-
-    def age_out(self) -> None:
-        """Forget breakers that are not used: bounds the memory of a process that runs for long, and
-        keeps idle destinations from being judged by old figures."""
-        for number in self.ages.due(self.loop.now):
-            self.loop.looks += 1
-            if (at := self.destinations.get(number)) is None or at.own is None:
+            self.available[number] = None
+
+    # Expiry.
+
+    def expire_unused(self) -> None:
+        """Drops unused breakers.
+
+        This bounds the memory of a long-lived process, and no destination is judged by old statistics.
+        """
+        for number in self.idle_checks.pop_due(self.loop.now):
+            self.loop.examined_items += 1
+            destination = self.destinations.get(number)
+            if destination is None or destination.breakers_by_route is None:
                 continue
-            self.loop.looks += len(at.own)
-            for key, each in list(at.own.items()):
-                if each not in at.breakers and self.is_unused(each, UNUSED_BREAKER_AGE_US):
-                    self.forget(at, key)
-            if at.held or not all(self.is_unused(each, INACTIVE_DESTINATION_AGE_US) for each in at.own.values()):
-                self.ages.set(number, self.loop.now + UNUSED_BREAKER_AGE_US)
+            by_route = destination.breakers_by_route
+            self.loop.examined_items += len(by_route)
+            for route, breaker in list(by_route.items()):
+                if breaker not in destination.breakers and self.is_unused(breaker, UNUSED_BREAKER_AGE_US):
+                    self.drop_breaker(destination, route)
+            if destination.pending or not all(
+                self.is_unused(breaker, INACTIVE_DESTINATION_AGE_US) for breaker in by_route.values()
+            ):
+                self.idle_checks.schedule(number, self.loop.now + UNUSED_BREAKER_AGE_US)
             else:
-                self.fall_asleep(at)
+                self.deactivate(destination)
 
-    def is_unused(self, breaker: Breaker, age: int) -> bool:
-        return not breaker.out and max(breaker.last_sent, breaker.wait_until) + age <= self.loop.now
+    def is_unused(self, breaker: Breaker, age_us: int) -> bool:
+        """Whether the breaker has no call in flight and had none, nor a wait, for this time."""
+        return not breaker.in_flight and max(breaker.last_sent, breaker.wait_until) + age_us <= self.loop.now
 
-    def forget(self, at: Destination, key: str) -> None:
-        """Drop a breaker that is not used; of it only the time of its last use is kept."""
-        assert at.own is not None
-        breaker = at.own.pop(key)
+    def drop_breaker(self, destination: Destination, route: str) -> None:
+        """Drops an unused breaker; only the time of its last use is kept."""
+        assert destination.breakers_by_route is not None
+        breaker = destination.breakers_by_route.pop(route)
         if breaker.last_sent > -NEVER:
-            at.silent_since = max(breaker.last_sent, at.silent_since or 0)
-        self.overdue.set(breaker, NEVER)
-        self.changed.pop(breaker, None)
-
-    def fall_asleep(self, at: Destination) -> None:
-        for key in list(at.own or ()):
-            self.forget(at, key)
-        self.freed.set(at.number, NEVER)
-        self.open.pop(at.number, None)
-        at.own, at.breakers = None, ()
-        for endpoint in at.endpoints:
+            destination.inactive_since = max(breaker.last_sent, destination.inactive_since or 0)
+        self.overdue_checks.schedule(breaker, NEVER)
+        self.changed_breakers.pop(breaker, None)
+
+    def deactivate(self, destination: Destination) -> None:
+        """Drops all breakers of a destination, and the destination itself if it is not listed."""
+        for route in list(destination.breakers_by_route or ()):
+            self.drop_breaker(destination, route)
+        self.reopenings.schedule(destination.number, NEVER)
+        self.available.pop(destination.number, None)
+        destination.breakers_by_route = None
+        destination.breakers = ()
+        for endpoint in destination.endpoints:
             endpoint.breaker = None
-        if not at.endpoints:
-            del self.destinations[at.number]
+        if not destination.endpoints:
+            del self.destinations[destination.number]
--- a/message_sender/policy/inflight.py
+++ b/message_sender/policy/inflight.py
@@ -1,151 +1,210 @@
-"""The calls in flight: what their results say of their destinations, and which of them take too long."""
-
-from itertools import takewhile
+"""The calls in flight: the evidence of their results on the destinations, and which calls take too long."""
 
 from message_sender.policy.actions import CancelAttempt, CloseIdle
-from message_sender.policy.breaker import RESET_TIMEOUT_US, ActiveCall, PendingMessage, TrackedEndpoint
+from message_sender.policy.breaker import RESET_TIMEOUT_US, ActiveCall, TrackedEndpoint
 from message_sender.policy.endpoints import EndpointRegistry
 from message_sender.policy.events import AttemptEnded
+from message_sender.policy.loop_state import LoopState
 from message_sender.policy.model import FAILURES, Outcome
 from message_sender.policy.pending import PendingQueue
-from message_sender.policy.schedule import LoopState
+from message_sender.policy.pending_message import PendingMessage
 
-SCARCE_IDLE_TIMES = 3  # idle times for which a crowd closes its connections after use where they are scarce
-GONE_RESET_TIMEOUTS = 4  # reset timeouts for which one that may be gone comes last; the list tells of it meanwhile
-SCARCITY_WINDOW_US = 1_000_000  # us from a refused connect to a served call: an outage's refusals last for longer
+SCARCE_IDLE_TIMES = 3  # Settings.conn_idle times for which a large fleet closes scarce connections after use
+SCARCITY_WINDOW_US = 1_000_000  # from a refused connection to a success: outages last longer
+GONE_RESET_TIMEOUTS = 4  # reset timeouts for which an endpoint that may be gone is avoided
+CANCEL_OVERDUE_FACTOR = 1.5  # times the overdue limit from which a call may be cancelled for its slot
 
 
 class InFlightCalls:
+    """The calls in flight.
+
+    Attributes:
+        calls: By message id and number of the attempt.
+        active: Distinct calls, oldest first.
+        overdue: Of these, the overdue ones.
+        just_idle: Endpoints with a call that ended in this iteration, by id.
+    """
+
     def __init__(self, loop: LoopState, registry: EndpointRegistry, pending: PendingQueue) -> None:
-        self.loop, self.settings, self.registry, self.pending = loop, loop.settings, registry, pending
+        """Creates an empty set of calls."""
+        self.loop = loop
+        self.settings = loop.settings
+        self.registry = registry
+        self.pending = pending
         self.calls: dict[tuple[str, int], ActiveCall] = {}
-        self.idle: dict[str, TrackedEndpoint] = {}  # with a call just ended
-        self.out: dict[ActiveCall, None] = {}  # distinct calls, oldest first
-        self.stuck: dict[ActiveCall, None] = {}  # of these, the overdue ones
-
-    def begin(self, call: ActiveCall, message: PendingMessage, attempt: int) -> None:
-        """From now on the message is out with this call."""
-        if call not in self.out:
-            self.out[call] = call.breaker.fresh[call] = None
-            call.breaker.out += 1
-            call.endpoint.out += 1
-            self.registry.touch(call.breaker)
+        self.just_idle: dict[str, TrackedEndpoint] = {}
+        self.active: dict[ActiveCall, None] = {}
+        self.overdue: dict[ActiveCall, None] = {}
+
+    def add(self, call: ActiveCall, message: PendingMessage, attempt: int) -> None:
+        """Records that an attempt of the message is in flight with this call."""
+        if call not in self.active:
+            self.active[call] = call.breaker.on_time_calls[call] = None
+            call.breaker.in_flight += 1
+            call.endpoint.in_flight += 1
+            self.registry.mark_changed(call.breaker)
         call.messages[message.id] = message
         self.calls[message.id, attempt] = call
-        message.out = True
-        self.registry.destinations[message.destination].release(message)
+        message.is_in_flight = True
+        self.registry.destinations[message.destination].remove_pending(message)
+
+    # Results.
 
     def settle(self, call: ActiveCall, ended: AttemptEnded) -> None:
-        """The first result of a call speaks for all its messages."""
-        breaker, endpoint, now = call.breaker, call.endpoint, int(self.loop.now)
-        self.registry.touch(breaker)
-        if ended.wait:  # rule: told waits are heeded, from each answer that tells one
+        """Records a result; the first one of a call counts for all its messages."""
+        breaker = call.breaker
+        endpoint = call.endpoint
+        now = int(self.loop.now)
+        self.registry.mark_changed(breaker)
+        if ended.wait:  # every announced Retry-After is honoured
             breaker.wait_until = max(breaker.wait_until, now + ended.wait)
         if not call.messages:
-            breaker.out -= 1
-            endpoint.out -= 1
-            self.idle[endpoint.listed.id] = endpoint
-            if ended.outcome is Outcome.CONNECT_FAILED and not call.overdue:
-                endpoint.refused_at = now
-            for kind in (self.out, self.stuck, breaker.fresh, breaker.stuck):
-                kind.pop(call, None)
-        if call.settled:
-            return  # a batch has one fate
-        call.settled = True
-        breaker.fresh.pop(call, None)
+            self._remove(call, ended.outcome)
+        if call.is_settled:
+            return
+        call.is_settled = True
+        breaker.on_time_calls.pop(call, None)
         if ended.outcome is Outcome.OK:
-            breaker.served(now, call)
-            endpoint.bad_until = 0.0
-            if now - endpoint.refused_at < SCARCITY_WINDOW_US:
-                endpoint.scarce_until = now + SCARCE_IDLE_TIMES * self.settings.conn_idle
+            breaker.record_success(now, call)
+            endpoint.suspect_until = 0.0
+            if now - endpoint.connect_refused_at < SCARCITY_WINDOW_US:
+                endpoint.connections_scarce_until = now + SCARCE_IDLE_TIMES * self.settings.conn_idle
         elif ended.outcome is Outcome.FULL:
-            breaker.refused(now, call, ended.wait)
-        elif self.speaks(call, ended.outcome):
-            alone = ended.outcome is Outcome.CONNECT_FAILED and self.is_alone(call)
-            endpoint.bad_until = now + RESET_TIMEOUT_US * (GONE_RESET_TIMEOUTS if alone else 1)
-            if not alone:
-                breaker.failed(now, ended.outcome)
+            breaker.record_refusal(now, call, ended.wait)
+        elif self.is_evidence(call, ended.outcome):
+            is_alone = ended.outcome is Outcome.CONNECT_FAILED and self.is_endpoint_fault(call)
+            endpoint.suspect_until = now + RESET_TIMEOUT_US * (GONE_RESET_TIMEOUTS if is_alone else 1)
+            if not is_alone:
+                breaker.record_failure(now, ended.outcome)
         elif call is breaker.trial:
             breaker.trial = None
 
-    def speaks(self, call: ActiveCall, outcome: Outcome) -> bool:
-        """Whether this result counts against the destination, and has not before. A timeout that is not
-        overdue came from a message with little time left, and does not. In a large fleet, whose members see
-        few calls, each counts: a returning destination is not to be overloaded."""
-        if outcome not in FAILURES or call.overdue:
+    def _remove(self, call: ActiveCall, outcome: Outcome) -> None:
+        """Removes a call whose messages all have their result."""
+        breaker = call.breaker
+        endpoint = call.endpoint
+        breaker.in_flight -= 1
+        endpoint.in_flight -= 1
+        self.just_idle[endpoint.listed.id] = endpoint
+        if outcome is Outcome.CONNECT_FAILED and not call.is_overdue:
+            endpoint.connect_refused_at = int(self.loop.now)
+        for calls in (self.active, self.overdue, breaker.on_time_calls, breaker.overdue_calls):
+            calls.pop(call, None)
+
+    def is_evidence(self, call: ActiveCall, outcome: Outcome) -> bool:
+        """Whether a result counts against the destination and has not been counted before.
+
+        A timeout before the call is overdue is that of a message with little time left, and is no evidence.
+        In a large fleet it counts all the same: its members see few calls, and a destination that returns
+        must not be overloaded.
+        """
+        if outcome not in FAILURES or call.is_overdue:
             return False
-        return outcome is not Outcome.TIMEOUT or call is call.breaker.trial or self.loop.pace.crowd > 1
+        is_trial = call is call.breaker.trial
+        return outcome is not Outcome.TIMEOUT or is_trial or self.loop.context.fleet_factor > 1
+
+    def is_endpoint_fault(self, call: ActiveCall) -> bool:
+        """Whether a refused connection counts against its endpoint alone.
 
-    def is_alone(self, call: ActiveCall) -> bool:
-        """Whether a refused connect counts against its endpoint alone, as another one is not known to be bad:
-        a large fleet, whose list may be old, must not hold back what that one would accept."""
-        if self.loop.pace.crowd <= 1 or call is call.breaker.trial:
+        It does in a large fleet, whose endpoint list may be old, if another endpoint is not known to be bad.
+        """
+        if self.loop.context.fleet_factor <= 1 or call is call.breaker.trial:
             return False
-        at = self.registry.destinations[call.breaker.destination]
-        others = [each for each in at.endpoints if each.breaker is call.breaker and each is not call.endpoint]
-        return any(each.bad_until <= self.loop.now for each in others)
-
-    def find_overdue(self) -> None:
-        """Count calls that are far too slow as failures at once, and cancel hopeless ones. With no slot free
-        the oldest far overdue one is cancelled, harmless ones first; this may lose a heavy message. Where
-        later calls were served the call or its connection counts as lost, and what may be repeated is."""
-        changed, now = self.registry.set_overdue(), self.loop.now
-        late: list[ActiveCall] = []
-        for breaker in self.registry.overdue.due(now):
-            self.registry.touch(breaker)
-            patience = breaker.patience()
-            late += takewhile(lambda call, p=patience: now >= call.sent + p, breaker.fresh)  # type: ignore[misc]
-        for call in sorted(late, key=lambda each: each.number):
-            self.is_overdue(call)
-        if not self.settings.may_cancel:
-            return
-        changed |= self.registry.set_overdue()
-        short = len(self.out) >= self.settings.slots
-        # Nothing else can have become hopeless; but where slots are short, time alone tells.
-        stuck = self.stuck if short else [call for breaker in changed for call in breaker.stuck]
-        for call in sorted(stuck, key=lambda each: (each.risks(), each.number)):
-            self.loop.looks += 1
-            if not call.called_off and self.is_hopeless(call, short):
-                call.called_off, short = True, False
-                for each in call.messages.values():
-                    self.loop.actions.append(CancelAttempt(each.id, each.attempts - 1))
-
-    def is_overdue(self, call: ActiveCall) -> None:
-        self.loop.looks += 1
-        call.overdue = True
-        del call.breaker.fresh[call]
-        call.breaker.stuck[call] = self.stuck[call] = None
-        call.breaker.failed(int(self.loop.now))
-        call.endpoint.bad_until = self.loop.now + RESET_TIMEOUT_US
-        self.registry.touch(call.breaker)
-
-    def is_hopeless(self, call: ActiveCall, short: bool) -> bool:
-        """Whether an overdue call is cancelled."""
-        lost = self.loop.now - call.sent > 1.5 * call.breaker.patience()
-        alone = call.breaker.served_sent > call.sent and self.may_repeat(call)
-        harmless = not call.risks() and call.breaker.is_open()
-        return alone or harmless or (short and lost)
-
-    def may_repeat(self, call: ActiveCall) -> bool:
-        """Whether all its messages may go once more, though this call may have run."""
-        return all(
-            each.attempts < self.settings.max_attempts
-            and self.pending.may_repeat_at(self.loop.now, each, call.sent)
-            for each in call.messages.values()
+        return any(
+            endpoint.suspect_until <= self.loop.now
+            for endpoint in self.registry.destinations[call.breaker.destination].endpoints
+            if endpoint.breaker is call.breaker and endpoint is not call.endpoint
         )
 
     def retry_after_received(self, endpoint: str, until: int) -> None:
-        """Rule: waits are kept. This one applies to calls that go before the next loop iteration too."""
-        told = {call.breaker for call in self.out if call.endpoint.listed.id == endpoint}
-        if known := self.registry.endpoints.get(endpoint):  # else it drains or has gone: that one waits on
-            self.registry.arouse(known.listed.destination)
+        """Applies a Retry-After at once, also to calls that begin before the next iteration.
+
+        Args:
+            endpoint: Id of the endpoint that announced it.
+            until: End of the wait.
+        """
+        breakers = {call.breaker for call in self.active if call.endpoint.listed.id == endpoint}
+        if known := self.registry.endpoints.get(endpoint):  # None: it drains or is gone
+            self.registry.activate(known.listed.destination)
             assert known.breaker is not None
-            told.add(known.breaker)
-        for breaker in told:
+            breakers.add(known.breaker)
+        for breaker in breakers:
             breaker.wait_until = max(breaker.wait_until, until)
 
-    def close_scarce(self) -> None:
-        """In a large fleet, close idle connections to endpoints that accept no more of them."""
-        idle, self.idle = self.idle if self.loop.pace.crowd > 1 else {}, {}
-        scarce = [name for name, each in idle.items() if not each.out and self.loop.now < each.scarce_until]
-        self.loop.actions += map(CloseIdle, scarce)
+    # Overdue calls.
+
+    def process_overdue(self) -> None:
+        """Counts overdue calls as failures at once, and cancels hopeless ones.
+
+        With no slot free the oldest call that is far overdue is cancelled, calls without effects first.
+        A call that was overtaken by a later successful one counts as lost, and is cancelled if its messages
+        may be repeated.
+        """
+        changed = self.registry.schedule_overdue_checks()
+        now = self.loop.now
+        newly_overdue: list[ActiveCall] = []
+        for breaker in self.registry.overdue_checks.pop_due(now):
+            self.registry.mark_changed(breaker)
+            limit = breaker.overdue_after()
+            for call in breaker.on_time_calls:
+                if now < call.sent_at + limit:
+                    break
+                newly_overdue.append(call)
+        for call in sorted(newly_overdue, key=lambda call: call.sequence):
+            self.mark_overdue(call)
+        if not self.settings.may_cancel:
+            return
+        changed |= self.registry.schedule_overdue_checks()
+        needs_slot = len(self.active) >= self.settings.slots
+        # Without need of a slot, only calls of breakers that had an event can have become hopeless.
+        overdue = (
+            self.overdue if needs_slot else [call for breaker in changed for call in breaker.overdue_calls]
+        )
+        for call in sorted(overdue, key=lambda call: (call.has_effects(), call.sequence)):
+            self.loop.examined_items += 1
+            if not call.is_cancelled and self.should_cancel(call, needs_slot):
+                call.is_cancelled = True
+                needs_slot = False
+                for message in call.messages.values():
+                    self.loop.actions.append(CancelAttempt(message.id, message.attempts - 1))
+
+    def mark_overdue(self, call: ActiveCall) -> None:
+        """Counts a call as a failure because it takes too long."""
+        self.loop.examined_items += 1
+        call.is_overdue = True
+        del call.breaker.on_time_calls[call]
+        call.breaker.overdue_calls[call] = self.overdue[call] = None
+        call.breaker.record_failure(int(self.loop.now))
+        call.endpoint.suspect_until = self.loop.now + RESET_TIMEOUT_US
+        self.registry.mark_changed(call.breaker)
+
+    def should_cancel(self, call: ActiveCall, needs_slot: bool) -> bool:
+        """Whether an overdue call is cancelled.
+
+        Args:
+            call: The call.
+            needs_slot: No slot is free.
+        """
+        age = self.loop.now - call.sent_at
+        is_far_overdue = age > CANCEL_OVERDUE_FACTOR * call.breaker.overdue_after()
+        is_lost = call.breaker.newest_success_sent_at > call.sent_at and self.may_retry(call)
+        is_useless = not call.has_effects() and call.breaker.is_open()
+        return is_lost or is_useless or (needs_slot and is_far_overdue)
+
+    def may_retry(self, call: ActiveCall) -> bool:
+        """Whether all messages of the call may be sent again although it may have run."""
+        return all(
+            message.attempts < self.settings.max_attempts
+            and self.pending.may_repeat_at(self.loop.now, message, call.sent_at)
+            for message in call.messages.values()
+        )
+
+    def close_scarce_connections(self) -> None:
+        """In a large fleet, closes idle connections to endpoints that accept no more of them."""
+        idle = self.just_idle
+        self.just_idle = {}
+        if self.loop.context.fleet_factor <= 1:
+            return
+        for name, endpoint in idle.items():
+            if not endpoint.in_flight and self.loop.now < endpoint.connections_scarce_until:
+                self.loop.actions.append(CloseIdle(name))
--- a/message_sender/policy/limits.py
+++ b/message_sender/policy/limits.py
@@ -6,12 +6,26 @@
 
 
 class SharedLimits(Protocol):
-    """What a budget that the fleet shares leaves this sender. Nothing here decides anything: the module asks,
-    and reserves what it is about to use."""
+    """What the limits that the fleet shares leave to this sender.
+
+    The implementation decides nothing: the policy queries it, and reserves what it is about to use.
+    """
 
     def free_at(self, listed: Endpoint, now: int, trial: bool = False, again: bool = False) -> float:
-        """When one more call may go there: now, later, or not before a part grows or a call ends; what was
-        denied is made known then (`EndpointRegistry.leave_grew`). `trial`: of a destination that is in doubt;
-        `again`: of a message that went before."""
+        """Returns when one more call may go to an endpoint.
+
+        Args:
+            listed: The endpoint.
+            now: The time, us.
+            trial: The call is a trial of a destination in doubt.
+            again: The call is a retry.
+
+        Returns:
+            `now` if the call may go, a later time, or infinity if this sender's part must grow or a call
+            must end first. For a call that was denied, `EndpointRegistry.limits_raised` announces the change.
+        """
+        ...
 
-    def reserve(self, listed: Endpoint, message: str, trial: bool = False, again: bool = False) -> None: ...
+    def reserve(self, listed: Endpoint, message: str, trial: bool = False, again: bool = False) -> None:
+        """Reserves what a call to the endpoint uses; arguments as for `free_at`."""
+        ...
--- a/message_sender/policy/pending.py
+++ b/message_sender/policy/pending.py
@@ -1,7 +1,10 @@
-"""The messages of a sender: what each may still do, order within a key, limit on their number, their end.
+"""The messages of a sender: what each may still do, order within a key, limit on their number, completion.
 
-`examined`: held messages that may be the next of their key; `quiet`: when the pause of a key ends;
-`deadlines`: when a message may have to end.
+Rules that hold here:
+
+- A message is never run twice with an effect: `may_retry`, `may_reject`.
+- Messages of one key go one at a time, in the order in which they were accepted: `KeyQueue`.
+- No message is lost: each is completed before its deadline, see `expire_due`.
 """
 
 import heapq
@@ -9,215 +12,309 @@
 from collections import OrderedDict
 
 from message_sender.policy.actions import Fail, Reject
-from message_sender.policy.breaker import NEVER, RESET_TIMEOUT_US, PendingMessage
+from message_sender.policy.breaker import NEVER, RESET_TIMEOUT_US
+from message_sender.policy.destination import Destination
 from message_sender.policy.endpoints import EndpointRegistry
 from message_sender.policy.events import MessageAccepted
+from message_sender.policy.loop_state import LoopState
 from message_sender.policy.model import Effect
-from message_sender.policy.schedule import Destination, LoopState, weight_at_age
+from message_sender.policy.pending_message import PendingMessage
+from message_sender.policy.urgency import weight_at_age
+
+CREDIT_TOLERANCE = 1e-9  # messages; absorbs rounding errors of a credit that should be 1
+CALL_TIME_FRACTION = 1 / 8  # of the latency objective: the expected time of a call
+SHEDDING_AGE_FRACTION = 0.7  # of its lifetime: from then a message may be shed
+SHEDDING_ORDER_AGE_US = 25  # lifetime of the shedding order for each message: bounds what sorting costs
 
-CREDIT_TOLERANCE = 1e-9  # of a message: a share that is whole but for the last bits of a float is whole
-CALL_TIME_FRACTION = 1 / 8  # of the aim: guessed time of a call and its way
-SHEDDING_AGE_FRACTION = 0.7  # of its time: the operators price what was taken on and is returned sooner
-SHEDDING_ORDER_AGE_US = 25  # us for each message held that their order, once made, serves: a bound on what it costs
+#: A message in the shedding order: its expected weight, its sequence number, the message.
+SheddingRank = tuple[float, int, PendingMessage]
 
 
 class KeyQueue:
-    """Rule: messages of one key go one at a time, as taken, and pause after an attempt of unknown result."""
+    """The messages of one key; the key pauses after an attempt of unknown result.
+
+    Attributes:
+        messages: By id, in the order in which they were accepted.
+        paused_until: End of the pause.
+    """
 
     def __init__(self) -> None:
-        self.queue, self.quiet_until = OrderedDict(), 0  # type: OrderedDict[str, PendingMessage], int
+        """Creates an empty queue without a pause."""
+        self.messages: OrderedDict[str, PendingMessage] = OrderedDict()
+        self.paused_until = 0
 
     def head(self) -> PendingMessage:
-        return next(iter(self.queue.values()))
+        """Returns the message that goes next; the queue must not be empty."""
+        return next(iter(self.messages.values()))
 
 
 class PendingQueue:
+    """All messages of a sender.
+
+    Attributes:
+        quotas: Messages a second that this sender may accept of each tenant.
+        credit: Unused quota of each tenant in messages, and as of when.
+        messages: Messages that are not completed, by id.
+        unacknowledged: Completed messages whose completion is not acknowledged.
+        keys: The queue of each key.
+        deadlines: A heap: when a message may have to be completed.
+        key_pauses: A heap: when the pause of a key ends.
+        to_examine: Pending messages that may be the next of their key.
+        shedding_order: Messages that may be shed, the least promising first.
+        shedding_order_until: When that order is too old.
+    """
+
     def __init__(self, loop: LoopState, registry: EndpointRegistry) -> None:
-        self.loop, self.settings, self.registry = loop, (settings := loop.settings), registry
+        """Creates an empty queue."""
+        settings = loop.settings
+        self.loop = loop
+        self.settings = settings
+        self.registry = registry
         self.classes = {each.name: each for each in settings.classes}
         self.quotas = {name: rate / settings.fleet_size for name, rate in settings.tenants if rate > 0}
-        self.credit = {name: (rate, 0) for name, rate in self.quotas.items()}  # left, and when
+        self.credit = {name: (rate, 0) for name, rate in self.quotas.items()}
         self.messages: dict[str, PendingMessage] = {}
-        self.unanswered: dict[str, PendingMessage] = {}  # ended, but not over yet
+        self.unacknowledged: dict[str, PendingMessage] = {}
         self.keys: dict[str, KeyQueue] = {}
-        self.deadlines: list[tuple[float, int, PendingMessage]] = []  # a heap: when a message may have to end
-        self.quiet: list[tuple[int, str]] = []  # a heap: when a key has rested
-        self.examined: list[PendingMessage] = []
-        self.room: list[tuple[float, int, PendingMessage]] = []  # what makes room, the least promising first
-        self.room_until = -NEVER  # when that order is too old
-
-    def take(self, taken: MessageAccepted, share: float | None = None) -> None:
-        if taken.message_class not in self.classes:
-            raise ValueError(f"unknown class {taken.message_class}")
-        if taken.message in self.messages:
-            raise ValueError(f"message {taken.message} was taken before")
-        share = self.within_share(taken.tenant) if share is None else share
-        message = PendingMessage(taken, self.classes[taken.message_class], int(self.loop.now), share)
+        self.deadlines: list[tuple[float, int, PendingMessage]] = []
+        self.key_pauses: list[tuple[int, str]] = []
+        self.to_examine: list[PendingMessage] = []
+        self.shedding_order: list[SheddingRank] = []
+        self.shedding_order_until = -NEVER
+
+    def accept(self, accepted: MessageAccepted, weight_factor: float | None = None) -> None:
+        """Adds a message.
+
+        Args:
+            accepted: The message.
+            weight_factor: As determined by an earlier process; None: determine it from the quota.
+
+        Raises:
+            ValueError: The class is unknown, or the message was accepted before.
+        """
+        if accepted.message_class not in self.classes:
+            raise ValueError(f"unknown class {accepted.message_class}")
+        if accepted.message in self.messages:
+            raise ValueError(f"message {accepted.message} was taken before")
+        if weight_factor is None:
+            weight_factor = self.weight_factor_for(accepted.tenant)
+        message_class = self.classes[accepted.message_class]
+        message = PendingMessage(accepted, message_class, int(self.loop.now), weight_factor)
         self.messages[message.id] = message
-        heapq.heappush(self.deadlines, (message.until, next(self.loop.count), message))
+        heapq.heappush(self.deadlines, (message.deadline, next(self.loop.sequence), message))
         if message.key:
-            self.keys.setdefault(message.key, KeyQueue()).queue[message.id] = message
-        self.hold(message)
+            self.keys.setdefault(message.key, KeyQueue()).messages[message.id] = message
+        self.enqueue(message)
 
-    def within_share(self, tenant: str) -> float:
+    def weight_factor_for(self, tenant: str) -> float:
+        """Returns the weight factor of a new message, which uses the tenant's quota up if there is some."""
         if tenant not in self.quotas:
-            return 1.0  # no share is told; nothing is kept by a name that any client may make up
-        rate, (left, since) = self.quotas[tenant], self.credit[tenant]
-        left = min(left + rate * (self.loop.now - since) / 1e6, max(rate, 1.0))
-        within = left >= 1 - CREDIT_TOLERANCE
-        self.credit[tenant] = left - within, int(self.loop.now)
-        return 1.0 if within else self.settings.over_quota_weight
-
-    def hold(self, message: PendingMessage) -> None:
-        at = self.registry.arouse(message.destination)
-        message.number = next(self.loop.count)
-        at.hold(message)
-        self.examined.append(message)
-        if self.room_until > self.loop.now and self.may_refuse(message):
-            turns = len(self.keys[message.key].queue) - 1 if message.key and not message.attempts else 0
-            insort(self.room, self.prospect(message, at, turns))
-
-    def rest(self, key: str) -> None:
-        if line := self.keys.get(key):
-            line.quiet_until = int(self.loop.now) + self.settings.key_pause
-            heapq.heappush(self.quiet, (line.quiet_until, key))
-
-    def watch_window(self, message: PendingMessage) -> None:
-        """A held message that may be repeated only for a while is looked at again when that is over."""
-        if message.risky_since is not None and message.kind.effect is Effect.KEYED:
-            last = self.repeat_until(message, message.risky_since) + self.settings.tick
-            heapq.heappush(self.deadlines, (last, next(self.loop.count), message))
-
-    def repeat_until(self, message: PendingMessage, sent: int) -> float:
-        """Until when a repeat may go; `sent` is when an attempt went that may have run."""
-        since = sent if message.risky_since is None else message.risky_since
+            return 1.0  # no state is kept under names that clients can invent
+        rate = self.quotas[tenant]
+        credit, since = self.credit[tenant]
+        credit = min(credit + rate * (self.loop.now - since) / 1e6, max(rate, 1.0))
+        is_within_quota = credit >= 1 - CREDIT_TOLERANCE
+        self.credit[tenant] = credit - is_within_quota, int(self.loop.now)
+        return 1.0 if is_within_quota else self.settings.over_quota_weight
+
+    def enqueue(self, message: PendingMessage) -> None:
+        """Makes a message pending: it waits to be sent."""
+        destination = self.registry.activate(message.destination)
+        message.sequence = next(self.loop.sequence)
+        destination.add_pending(message)
+        self.to_examine.append(message)
+        if self.shedding_order_until > self.loop.now and self.may_reject(message):
+            is_behind_others = message.key and not message.attempts
+            position = len(self.keys[message.key].messages) - 1 if is_behind_others else 0
+            insort(self.shedding_order, self.shedding_rank(message, destination, position))
+
+    def pause_key(self, key: str) -> None:
+        """Pauses a key after an attempt of unknown result."""
+        if queue := self.keys.get(key):
+            queue.paused_until = int(self.loop.now) + self.settings.key_pause
+            heapq.heappush(self.key_pauses, (queue.paused_until, key))
+
+    # What a message may still do.
+
+    def schedule_window_check(self, message: PendingMessage) -> None:
+        """Schedules a check for when a pending message may no longer be repeated."""
+        if message.uncertain_since is not None and message.message_class.effect is Effect.KEYED:
+            ends = self.repeat_until(message, message.uncertain_since) + self.settings.tick
+            heapq.heappush(self.deadlines, (ends, next(self.loop.sequence), message))
+
+    def repeat_until(self, message: PendingMessage, sent_at: int) -> float:
+        """Returns until when a repeat may be sent.
+
+        Args:
+            message: A message of a class whose repeats are dropped for a while.
+            sent_at: When an attempt was sent that may have run.
+        """
+        since = sent_at if message.uncertain_since is None else message.uncertain_since
         return (
             since
-            + message.kind.idempotency_window
+            + message.message_class.idempotency_window
             - 2 * self.settings.tick
-            - message.kind.latency_objective * CALL_TIME_FRACTION
+            - message.message_class.latency_objective * CALL_TIME_FRACTION
         )
 
-    def may_repeat_at(self, now: float, message: PendingMessage, sent: int | None) -> bool:
-        """Rule: no effect twice. `sent` is when an attempt went that may have run; None: none has."""
-        if sent is None or message.kind.effect is Effect.IDEMPOTENT:
+    def may_repeat_at(self, now: float, message: PendingMessage, sent_at: int | None) -> bool:
+        """Whether a repeat has no second effect.
+
+        Args:
+            now: When the repeat would be sent.
+            message: The message.
+            sent_at: When an attempt was sent that may have run; None: there is none.
+        """
+        if sent_at is None or message.message_class.effect is Effect.IDEMPOTENT:
             return True
-        return message.kind.effect is Effect.KEYED and now < self.repeat_until(message, sent)
+        return message.message_class.effect is Effect.KEYED and now < self.repeat_until(message, sent_at)
 
-    def may_send_again(self, message: PendingMessage) -> bool:
-        """Rule: no effect twice."""
-        left = message.attempts < self.settings.max_attempts
-        return left and self.may_repeat_at(self.loop.now, message, message.risky_since)
+    def may_retry(self, message: PendingMessage) -> bool:
+        """Whether another attempt is allowed and has no second effect."""
+        has_attempts = message.attempts < self.settings.max_attempts
+        return has_attempts and self.may_repeat_at(self.loop.now, message, message.uncertain_since)
 
-    def may_refuse(self, message: PendingMessage) -> bool:
-        """Rule: no effect twice; a refusal tells the client that trying again is harmless."""
-        if message.risky_since is None or message.kind.effect is Effect.IDEMPOTENT:
+    def may_reject(self, message: PendingMessage) -> bool:
+        """Whether the client may submit the message again without a second effect."""
+        message_class = message.message_class
+        if message.uncertain_since is None or message_class.effect is Effect.IDEMPOTENT:
             return True
-        return message.kind.effect is Effect.KEYED and not message.kind.is_window_zonal
+        return message_class.effect is Effect.KEYED and not message_class.is_window_zonal
+
+    # Completion.
 
-    def end(self, message: PendingMessage) -> None:
-        refusal = Reject(message.id, self.suggest_retry_after())
-        self.loop.actions.append(refusal if self.may_refuse(message) else Fail(message.id))
+    def complete(self, message: PendingMessage) -> None:
+        """Rejects or fails a message."""
+        rejection = Reject(message.id, self.suggest_retry_after())
+        self.loop.actions.append(rejection if self.may_reject(message) else Fail(message.id))
         if self.settings.acknowledges_completions:
-            self.unanswered[message.id] = message
-        self.finish(message)
+            self.unacknowledged[message.id] = message
+        self.remove(message)
 
     def suggest_retry_after(self) -> int:
+        """Returns the Retry-After that clients are told, us; 0 for none."""
         return min(RESET_TIMEOUT_US, self.settings.max_retry_after)
 
-    def finish(self, message: PendingMessage) -> None:
-        if not message.ended:
-            message.ended = True
+    def remove(self, message: PendingMessage) -> None:
+        """Removes a completed message; the next one of its key may go once nothing is outstanding."""
+        if not message.is_completed:
+            message.is_completed = True
             del self.messages[message.id]
-            self.registry.destinations[message.destination].release(message)
-        if message.id in self.unanswered:
-            return  # rule: order; nothing for its key goes before its notice is answered
-        if (line := self.keys.get(message.key)) and not message.out and message.id in line.queue:
-            del line.queue[message.id]
-            if line.queue:
-                self.examined.append(line.head())
-            elif line.quiet_until <= self.loop.now:
+            self.registry.destinations[message.destination].remove_pending(message)
+        if message.id in self.unacknowledged:
+            return  # order: nothing of its key goes before the acknowledgement
+        queue = self.keys.get(message.key)
+        if queue and not message.is_in_flight and message.id in queue.messages:
+            del queue.messages[message.id]
+            if queue.messages:
+                self.to_examine.append(queue.head())
+            elif queue.paused_until <= self.loop.now:
                 del self.keys[message.key]
 
-    def end_due(self) -> None:
-        """Rule: no message is lost. Held ones are ended a tick ahead of their time, or when no more attempt
-        is allowed them; one that is out is looked at again when its attempt ends."""
+    def expire_due(self) -> None:
+        """Completes messages a tick before their deadline, and those that may not be attempted again.
+
+        A message in flight is checked again when its attempt ends.
+        """
         soon = self.loop.now + self.settings.tick
         while self.deadlines and self.deadlines[0][0] <= soon:
-            self.loop.looks += 1
+            self.loop.examined_items += 1
             message = heapq.heappop(self.deadlines)[2]
-            over = message.until <= soon or not self.may_send_again(message)
-            if over and not message.ended and not message.out:
-                self.end(message)
-
-    def in_turn(self, message: PendingMessage) -> bool:
-        """Rule: order per key. A message's own further attempts need no rest."""
-        line = self.keys.get(message.key)
-        rested = not line or message.attempts > 0 or self.loop.now >= line.quiet_until
-        return not line or (line.head() is message and rested)
-
-    def is_held(self, message: PendingMessage) -> bool:
-        return not (message.ended or message.out)
-
-    def find_in_turn(self) -> None:
-        """Queue what may go as the pause of its key ended, or as it or the one before it came or went."""
-        while self.quiet and self.quiet[0][0] <= self.loop.now:
-            self.loop.looks += 1
-            key = heapq.heappop(self.quiet)[1]
-            if (line := self.keys.get(key)) and line.quiet_until <= self.loop.now:
-                if line.queue:
-                    self.examined.append(line.head())
+            is_over = message.deadline <= soon or not self.may_retry(message)
+            if is_over and not message.is_completed and not message.is_in_flight:
+                self.complete(message)
+
+    # Order within a key.
+
+    def is_next_of_key(self, message: PendingMessage) -> bool:
+        """Whether it is the message's turn; a retry does not have to await the pause of its key."""
+        queue = self.keys.get(message.key)
+        has_paused = not queue or message.attempts > 0 or self.loop.now >= queue.paused_until
+        return not queue or (queue.head() is message and has_paused)
+
+    def is_pending(self, message: PendingMessage) -> bool:
+        """Whether it waits to be sent."""
+        return not (message.is_completed or message.is_in_flight)
+
+    def find_ready(self) -> None:
+        """Makes messages ready whose turn may have come: by the end of a pause or by another message's."""
+        while self.key_pauses and self.key_pauses[0][0] <= self.loop.now:
+            self.loop.examined_items += 1
+            key = heapq.heappop(self.key_pauses)[1]
+            if (queue := self.keys.get(key)) and queue.paused_until <= self.loop.now:
+                if queue.messages:
+                    self.to_examine.append(queue.head())
                 else:
                     del self.keys[key]
-        for message in self.examined:
-            self.loop.looks += 1
-            if self.is_held(message) and not message.queued and self.in_turn(message):
-                self.registry.destinations[message.destination].queue(
-                    message, self.settings.halves_late_weight
-                )
-                self.registry.open[message.destination] = None
-        self.examined = []
-
-    def prospect(
-        self, message: PendingMessage, at: Destination, turns: int
-    ) -> tuple[float, int, PendingMessage]:
-        """Worth when it is likely to be sent, behind `turns` others of its key; of equal ones the first held
-        goes. Protects new messages from a queue that is full of what cannot go soon."""
-        kind = message.kind
-        then = max(at.ready_at(int(self.loop.now)), self.loop.now) + kind.latency_objective * (
-            0.5 + turns * CALL_TIME_FRACTION
-        )
-        value = weight_at_age(kind, message.share, then - message.born, self.settings.halves_late_weight)
-        return value, message.number, message
-
-    def may_return(self, message: PendingMessage) -> bool:
-        """Whether it may be ended for room: late; or, unless a start found it, told to wait too long, in its
-        first iteration (not taken on yet), or in a small fleet, whose members can tell whose turn comes."""
-        waited, life = self.loop.now - message.came, message.until - message.came
-        told = [each.wait_until for each in self.registry.destinations[message.destination].breakers]
-        early = self.loop.pace.crowd <= 1 or not waited or min(told, default=0) >= message.until
-        return waited >= SHEDDING_AGE_FRACTION * life or (early and not message.restored)
-
-    def keep_room(self, below: float = NEVER) -> None:
-        """End the least promising held messages, of a share `below` this one, when the queue is full. Their
-        order is rebuilt only now and then, which bounds the CPU time of walking over all that is held."""
+        for message in self.to_examine:
+            self.loop.examined_items += 1
+            if self.is_pending(message) and not message.is_ready and self.is_next_of_key(message):
+                destination = self.registry.destinations[message.destination]
+                destination.add_ready(message, self.settings.halves_late_weight)
+                self.registry.available[message.destination] = None
+        self.to_examine = []
+
+    # Load shedding.
+
+    def shedding_rank(self, message: PendingMessage, destination: Destination, position: int) -> SheddingRank:
+        """Returns the place in the shedding order.
+
+        It is the message's weight at the time when it is likely to be sent; of equal ones the first to become
+        pending is shed first. This protects new messages from a queue full of what cannot be sent soon.
+
+        Args:
+            message: The message.
+            destination: Its destination.
+            position: Number of messages of its key that go before it.
+        """
+        message_class = message.message_class
+        delay = message_class.latency_objective * (0.5 + position * CALL_TIME_FRACTION)
+        sent_at = max(destination.ready_at(int(self.loop.now)), self.loop.now) + delay
+        age = sent_at - message.created_at
+        halves_late_weight = self.settings.halves_late_weight
+        weight = weight_at_age(message_class, message.weight_factor, age, halves_late_weight)
+        return weight, message.sequence, message
+
+    def may_shed(self, message: PendingMessage) -> bool:
+        """Whether a message may be completed to make room.
+
+        It may if it is late. Unless it was restored, it also may if the destination announced a wait beyond
+        its deadline, in its first iteration (the client does not have the acceptance yet), or in a small
+        fleet, whose members can tell whose turn comes.
+        """
+        age = self.loop.now - message.received_at
+        lifetime = message.deadline - message.received_at
+        breakers = self.registry.destinations[message.destination].breakers
+        wait_until = min((each.wait_until for each in breakers), default=0)
+        may_shed_early = self.loop.context.fleet_factor <= 1 or not age or wait_until >= message.deadline
+        return age >= SHEDDING_AGE_FRACTION * lifetime or (may_shed_early and not message.is_restored)
+
+    def shed_excess(self, below: float = NEVER) -> None:
+        """Completes the least promising pending messages while the queue is full.
+
+        The order is rebuilt only now and then, which bounds the CPU time of sorting all messages.
+
+        Args:
+            below: Only messages with a weight factor below this one are shed.
+        """
         excess = len(self.messages) - self.settings.max_open + 1
-        if self.loop.now >= self.room_until:
-            self.room = self.order_room() if excess > 0 else []
-        while excess > 0 and self.room and self.room[0][2].share < below:
-            message = self.room.pop(0)[2]
-            if self.is_held(message) and self.may_refuse(message) and self.may_return(message):
-                self.end(message)
+        if self.loop.now >= self.shedding_order_until:
+            self.shedding_order = self.rank_for_shedding() if excess > 0 else []
+        while excess > 0 and self.shedding_order and self.shedding_order[0][2].weight_factor < below:
+            message = self.shedding_order.pop(0)[2]
+            if self.is_pending(message) and self.may_reject(message) and self.may_shed(message):
+                self.complete(message)
                 excess -= 1
 
-    def order_room(self) -> list[tuple[float, int, PendingMessage]]:
-        places: dict[str, int] = {}
-        for line in self.keys.values():
-            places |= {name: place for place, name in enumerate(line.queue)}
-        self.loop.looks += len(self.messages) + len(places)
-        self.room_until = self.loop.now + max(SHEDDING_ORDER_AGE_US * len(self.messages), 1)
+    def rank_for_shedding(self) -> list[SheddingRank]:
+        """Returns all messages that may be rejected, the least promising first."""
+        positions: dict[str, int] = {}
+        for queue in self.keys.values():
+            positions |= {name: position for position, name in enumerate(queue.messages)}
+        self.loop.examined_items += len(self.messages) + len(positions)
+        self.shedding_order_until = self.loop.now + max(SHEDDING_ORDER_AGE_US * len(self.messages), 1)
         return sorted(
-            self.prospect(each, self.registry.destinations[each.destination], places.get(each.id, 0))
+            self.shedding_rank(each, self.registry.destinations[each.destination], positions.get(each.id, 0))
             for each in self.messages.values()
-            if self.is_held(each) and self.may_refuse(each)
+            if self.is_pending(each) and self.may_reject(each)
         )
--- a/message_sender/policy/state_transfer.py
+++ b/message_sender/policy/state_transfer.py
@@ -1,42 +1,186 @@
-"""State of the policy that the journal does not hold, handed to the process that follows. Pure.
+"""Takes up messages and state of an earlier process, and exports the state for the next one. Pure.
 
-By name of field, so that a version which knows other fields leaves those at their defaults. Calls that are
-out are not here: each goes with its message (`MessageRestored.call`).
+Breakers and endpoints are exported by recorded field names, so that another version leaves the fields that it
+does not know at their defaults. The recorded names are data: they are keys in the handover packet and in the
+file of learned state. Calls in flight are not part of it: each goes with its message
+(`MessageRestored.call`).
 """
 
-from collections.abc import Iterable, Mapping
+import heapq
+from collections.abc import Mapping
 
-from message_sender.policy.breaker import Breaker, TrackedEndpoint
+from message_sender.policy.breaker import ANSWERED_FAILURES, ActiveCall, Breaker, TrackedEndpoint
 from message_sender.policy.endpoints import EndpointRegistry
-from message_sender.policy.events import InheritedState
-from message_sender.policy.pending import PendingQueue
+from message_sender.policy.events import CallInFlight, InheritedState, MessageRestored
+from message_sender.policy.inflight import InFlightCalls
+from message_sender.policy.model import FAILURES, Endpoint, EndpointState, Outcome
+from message_sender.policy.pending import KeyQueue, PendingQueue
+from message_sender.policy.pending_message import PendingMessage
 
-BREAKER_FIELDS = (
-    "calls", "cold_since", "failures", "full_since", "gap", "gap_changed", "known", "last_sent",
-    "last_served", "served_sent", "sick", "span", "spread", "took", "trial_at", "unserved", "wait_until",
-)  # fmt: skip
-ENDPOINT_FIELDS = ("bad_until", "last_sent", "refused_at", "scarce_until")
+RESTORED_REFUSALS_LIMIT = 2  # refusals of restored messages from which a destination is in doubt
 
+#: Recorded names of a breaker's fields.
+BREAKER_FIELDS = {
+    "calls": "success_count",
+    "cold_since": "warm_up_since",
+    "failures": "failures",
+    "full_since": "refused_since",
+    "gap": "gap",
+    "gap_changed": "gap_changed",
+    "known": "latency_samples",
+    "last_sent": "last_sent",
+    "last_served": "last_success",
+    "served_sent": "newest_success_sent_at",
+    "sick": "failure_rate",
+    "span": "success_time",
+    "spread": "latency_deviation",
+    "took": "mean_latency",
+    "trial_at": "trial_at",
+    "unserved": "calls_since_success",
+    "wait_until": "wait_until",
+}
+#: Recorded names of an endpoint's fields.
+ENDPOINT_FIELDS = {
+    "bad_until": "suspect_until",
+    "last_sent": "last_sent",
+    "refused_at": "connect_refused_at",
+    "scarce_until": "connections_scarce_until",
+}
 
-def export_fields(of: object, names: Iterable[str]) -> dict[str, float]:
-    return {name: getattr(of, name) for name in names}
 
+def export_fields(source: object, names: Mapping[str, str]) -> dict[str, float]:
+    """Returns the values of an object by their recorded names."""
+    return {recorded: getattr(source, name) for recorded, name in names.items()}
 
-def import_fields(of: Breaker | TrackedEndpoint, told: Mapping[str, float]) -> None:
-    """Set the fields that are told and known here."""
-    for name in BREAKER_FIELDS if isinstance(of, Breaker) else ENDPOINT_FIELDS:
-        if name in told:
-            setattr(of, name, told[name])
+
+def import_fields(target: Breaker | TrackedEndpoint, values: Mapping[str, float]) -> None:
+    """Sets those of the recorded values that this version knows."""
+    names = BREAKER_FIELDS if isinstance(target, Breaker) else ENDPOINT_FIELDS
+    for recorded, name in names.items():
+        if recorded in values:
+            setattr(target, name, values[recorded])
 
 
 def export_state(registry: EndpointRegistry, pending: PendingQueue) -> InheritedState:
-    """Collect the state for the process that follows."""
-    found, now = list(registry.destinations.values()), pending.loop.now
-    own = [(at.number, route, each) for at in found for route, each in (at.own or {}).items()]
+    """Collects the state for the next process."""
+    destinations = list(registry.destinations.values())
+    now = pending.loop.now
     return InheritedState(
-        breakers=tuple((number, route, export_fields(each, BREAKER_FIELDS)) for number, route, each in own),
-        endpoints=tuple((name, export_fields(each, ENDPOINT_FIELDS)) for name, each in registry.endpoints.items()),
-        keys=tuple((key, line.quiet_until) for key, line in pending.keys.items() if line.quiet_until > now),
-        credit=tuple((tenant, left, since) for tenant, (left, since) in pending.credit.items()),
-        silent=tuple((at.number, at.silent_since) for at in found if at.silent_since is not None),
+        breakers=tuple(
+            (destination.number, route, export_fields(breaker, BREAKER_FIELDS))
+            for destination in destinations
+            for route, breaker in (destination.breakers_by_route or {}).items()
+        ),
+        endpoints=tuple(
+            (name, export_fields(endpoint, ENDPOINT_FIELDS)) for name, endpoint in registry.endpoints.items()
+        ),
+        keys=tuple(
+            (key, queue.paused_until) for key, queue in pending.keys.items() if queue.paused_until > now
+        ),
+        credit=tuple((tenant, credit, since) for tenant, (credit, since) in pending.credit.items()),
+        silent=tuple(
+            (destination.number, destination.inactive_since)
+            for destination in destinations
+            if destination.inactive_since is not None
+        ),
     )
+
+
+class StateImporter:
+    """Takes up what an earlier process left."""
+
+    def __init__(self, registry: EndpointRegistry, pending: PendingQueue, inflight: InFlightCalls) -> None:
+        """Creates an importer into these parts of the policy."""
+        self.loop = pending.loop
+        self.registry = registry
+        self.pending = pending
+        self.inflight = inflight
+
+    def restore_message(self, restored: MessageRestored) -> None:
+        """Takes up a message.
+
+        An attempt that was in flight when its process ended may have run, or may still run: the message's key
+        pauses.
+        """
+        self.pending.accept(restored.accepted, restored.weight_factor)
+        message = self.pending.messages[restored.accepted.message]
+        message.attempts = restored.attempts
+        message.uncertain_since = restored.uncertain_since
+        message.uncertain_zone = restored.uncertain_zone
+        message.is_restored = True
+        if restored.is_completed:
+            self.pending.unacknowledged[message.id] = message
+            self.pending.remove(message)
+            return
+        if restored.call:
+            self.adopt_call(message, restored.call)
+            return
+        if not restored.is_handed_over:
+            self.pending.pause_key(message.key)
+            self.registry.delay_first_call(message.destination)
+        self.pending.schedule_window_check(message)
+        if not self.pending.may_retry(message):
+            self.pending.complete(message)
+        for endpoint, outcome in restored.outcomes:
+            self.restore_outcome(endpoint, outcome)
+
+    def restore_outcome(self, endpoint: str, outcome: Outcome) -> None:
+        """Counts an outcome on record as if it had happened now.
+
+        This protects a destination that came back meanwhile and is cold. A cancelled attempt was far overdue.
+        In a large fleet one failure without an answer is enough for doubt, as no success is known here.
+        """
+        known = self.registry.endpoints.get(endpoint)
+        if known is None or known.breaker is None:
+            return
+        breaker = known.breaker
+        now = int(self.loop.now)
+        if outcome in FAILURES or outcome is Outcome.CANCELLED:
+            breaker.record_failure(now, outcome)
+            breaker.trial_at = self.loop.now
+            if self.loop.context.fleet_factor > 1 and outcome not in ANSWERED_FAILURES:
+                breaker.warm_up_since = now
+        elif outcome is Outcome.FULL:
+            breaker.record_unserved(now, RESTORED_REFUSALS_LIMIT)
+
+    def adopt_call(self, message: PendingMessage, inherited: CallInFlight) -> None:
+        """Takes up a call of the predecessor: it occupies message, key and trial until it ends."""
+        number = message.destination
+        destination = self.registry.activate(number)
+        endpoint = self.registry.endpoints.get(inherited.endpoint)
+        if endpoint is None:
+            endpoint = TrackedEndpoint(
+                Endpoint(inherited.endpoint, number, EndpointState.GONE, "", inherited.zone)
+            )
+        breaker = self.registry.breaker_for(destination, endpoint.listed)
+        call = ActiveCall(breaker, endpoint, inherited.sent, next(self.loop.sequence))
+        self.inflight.add(call, message, message.attempts - 1)
+        if inherited.trial:
+            breaker.trial = call
+        if inherited.overdue:
+            call.is_overdue = True
+            del breaker.on_time_calls[call]
+            breaker.overdue_calls[call] = self.inflight.overdue[call] = None
+
+    def apply_inherited(self, state: InheritedState) -> None:
+        """Takes up the state of breakers, endpoints, keys, quotas and inactive destinations."""
+        for number, route, values in state.breakers:
+            by_route = self.registry.activate(number).breakers_by_route
+            assert by_route is not None
+            breaker = by_route.setdefault(route, Breaker(self.loop.context, number))
+            import_fields(breaker, values)
+            self.registry.mark_changed(breaker)
+        for name, values in state.endpoints:
+            if name in self.registry.endpoints:
+                import_fields(self.registry.endpoints[name], values)
+        for key, until in state.keys:
+            self.pending.keys.setdefault(key, KeyQueue()).paused_until = until
+            heapq.heappush(self.pending.key_pauses, (until, key))
+        quotas = self.pending.quotas
+        self.pending.credit |= {
+            tenant: (credit, since) for tenant, credit, since in state.credit if tenant in quotas
+        }
+        for number, inactive_since in state.silent:
+            destination = self.registry.destinations.get(number)
+            if destination and destination.breakers_by_route is None:
+                destination.inactive_since = inactive_since
--- a/message_sender/service/budgets.py
+++ b/message_sender/service/budgets.py
@@ -145,7 +145,7 @@
     def bind(self) -> None:
         """From here on they bind."""
         engine = self.engine
-        engine.dispatcher.registry.leave = self
+        engine.dispatcher.registry.shared_limits = self
         engine.hooks.add(self)
         if not isinstance(transport := engine.transport, HttpTransport):
             return
@@ -266,11 +266,11 @@
         known = self.engine.dispatcher.destinations
         there = [known[number] for number in self.numbers_of(told.by, value) if number in known]
         if told.of == "trials":
-            return sum(1 for at in there if at.held and self.may_try(at.number))
+            return sum(1 for at in there if at.pending and self.may_try(at.number))
         if told.of == "repeats":
-            held = (each for at in there for each in (at.held or {}).values())
+            held = (each for at in there for each in (at.pending or {}).values())
             return sum(1 for each in islice(held, LOOKED_AT) if each.attempts)
-        return sum(len(at.held or ()) for at in there)
+        return sum(len(at.pending or ()) for at in there)
 
     def may_try(self, number: int) -> bool:
         """Whether it is in doubt, and this member one that may find out."""
@@ -363,7 +363,7 @@
 
     def look_again(self, numbers: Iterable[int]) -> None:
         for number in numbers:
-            self.engine.dispatcher.registry.leave_grew(number)
+            self.engine.dispatcher.registry.limits_raised(number)
             self.engine.post(WakeUp())
 
     # The engine's side.
--- a/message_sender/service/learned_state.py
+++ b/message_sender/service/learned_state.py
@@ -30,7 +30,7 @@
         found = [
             (at.number, route, each)
             for at in self.engine.dispatcher.destinations.values()
-            for route, each in (at.own or {}).items()
+            for route, each in (at.breakers_by_route or {}).items()
         ]
         if len(found) <= MOST:
             return found
--- a/message_sender/service/membership.py
+++ b/message_sender/service/membership.py
@@ -75,7 +75,7 @@
 
     def is_open(self, number: int) -> bool:
         at = self.engine.dispatcher.destinations.get(number)
-        return at is not None and any(each.is_open() for each in (at.own or {}).values())
+        return at is not None and any(each.is_open() for each in (at.breakers_by_route or {}).values())
 
 
 class Membership(EngineHooks):
--- a/message_sender/service/operator_commands.py
+++ b/message_sender/service/operator_commands.py
@@ -62,7 +62,7 @@
         """Whether nothing new goes to a listed endpoint: not ready, its breaker open, or marked bad."""
         known = self.sender.engine.dispatcher.endpoints.get(name)
         opened = known is not None and known.breaker is not None and known.breaker.is_open()
-        return known is None or opened or known.bad_until > self.sender.engine.now()
+        return known is None or opened or known.suspect_until > self.sender.engine.now()
 
     def take_out(self, call: ManagementCall) -> ManagementReply:
         if not self.maintenance.knows(call.receiver):
--- a/message_sender/service/routes.py
+++ b/message_sender/service/routes.py
@@ -10,7 +10,7 @@
     at = there.destinations.get(number)
     listed = [each.listed for each in at.endpoints] if at else engine.config.known
     return {
-        each.id if there.registry.kinds[each.kind].apart else "": each.scale
+        each.id if there.registry.kinds[each.kind].has_separate_routes else "": each.scale
         for each in listed
         if each.destination == number
     }
--- a/message_sender/testbed/event_stream.py
+++ b/message_sender/testbed/event_stream.py
@@ -62,22 +62,37 @@
 
 #: Fields whose name in recorded streams differs from their own.
 RECORDED_FIELDS = {
+    "accepted": "taken",
     "acknowledges_completions": "ends_answered",
     "announces_rates": "rates_told",
+    "batch_size": "batch",
+    "delay_us": "delay",
     "halves_late_weight": "halves",
     "has_local_list": "list_at_hand",
+    "has_separate_routes": "apart",
     "idempotency_window": "window",
+    "is_completed": "ended",
+    "is_handed_over": "handed",
     "is_ordered": "in_order",
+    "is_repeat": "again",
     "is_window_zonal": "window_by_zone",
     "key_pause": "key_quiet",
     "late_priority_weight": "late_worth",
     "latency_objective": "aim",
     "must_poll": "must_ask",
     "over_quota_weight": "over_share_worth",
+    "pinned_endpoint": "pinned",
     "poll_interval_limit": "ask_within",
     "priority_weight": "worth",
+    "remaining_us": "left",
+    "retry_after_us": "retry_after",
     "slow_start": "cold",
     "slow_start_from": "cold_from",
+    "time_left_us": "time_left",
+    "timeout_us": "timeout",
+    "uncertain_since": "risky_since",
+    "uncertain_zone": "risky_zone",
+    "weight_factor": "share",
 }
 FIELDS: dict[str, str] = {recorded: name for name, recorded in RECORDED_FIELDS.items()}
 TYPES: dict[str, Any] = {
@@ -128,7 +143,7 @@
         self.shape, self.rng = shape, random.Random(seed)
         told: dict[str, Any] = {
             "classes": CLASSES,
-            "kinds": (("plain", DestinationKind()), ("apart", DestinationKind(apart=True))),
+            "kinds": (("plain", DestinationKind()), ("apart", DestinationKind(has_separate_routes=True))),
             "slots": 24, "max_open": 120, "max_attempts": 6, "zone": "z0", "tick": 5 * MS, "fleet_size": 3,
             "tenants": (("t0", 40.0), ("t1", 20.0)), "over_quota_weight": 0.1, "halves_late_weight": True,
             "announces_rates": True, "max_retry_after": 2 * SECOND, "key_pause": 100 * MS,
@@ -190,7 +205,7 @@
                 message=f"m{number}",
                 message_class=kind.name,
                 destination=int(shape.destinations * rng.random() ** 2),
-                time_left=kind.deadline - rng.choice((0, rng.randrange(kind.deadline // 2))),
+                time_left_us=kind.deadline - rng.choice((0, rng.randrange(kind.deadline // 2))),
                 tenant=f"t{rng.randrange(3)}",
                 key=f"k{rng.randrange(shape.keys)}" if shape.keys else "",
             )
@@ -246,8 +261,8 @@
             outcome = rng.choice((Outcome.ERROR, Outcome.MALFORMED, Outcome.RESET, Outcome.STALE))
         elif mood is DestinationBehavior.SLOW:
             took *= 30
-        if mood is DestinationBehavior.SILENT or took >= send.timeout:
-            took, outcome = send.timeout, Outcome.TIMEOUT
+        if mood is DestinationBehavior.SILENT or took >= send.timeout_us:
+            took, outcome = send.timeout_us, Outcome.TIMEOUT
         ended = AttemptEnded(send.message, send.attempt, outcome, outcome is Outcome.OK, wait)
         self.at(took, ended)
 
--- a/tests/crowds.py
+++ b/tests/crowds.py
@@ -73,7 +73,7 @@
 
     def act(self, sender: int, action: PolicyAction) -> None:
         if isinstance(action, WakeAfter):
-            self.post(sender, self.now + action.delay, WakeUp())
+            self.post(sender, self.now + action.delay_us, WakeUp())
         elif isinstance(action, Send):
             outcome, wait = self.receiver.call(self.now + TRIP)
             self.seen[outcome.value, self.now // SECOND] += 1
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -26,7 +26,10 @@
 def settings(**changes: object) -> Settings:
     values: dict[str, object] = {
         "classes": (SAFE, KEYED, ZONED, ONCE, ORDERED),
-        "kinds": (("plain", DestinationKind()), ("apart", DestinationKind(batch=5, apart=True))),
+        "kinds": (
+            ("plain", DestinationKind()),
+            ("apart", DestinationKind(batch_size=5, has_separate_routes=True)),
+        ),
         "slots": 20,
         "max_open": 100,
         "max_attempts": 6,
@@ -62,7 +65,11 @@
 
     def take(self, kind: str = "safe", after: int = 0, **changes: object) -> list[PolicyAction]:
         self.count += 1
-        values: dict[str, object] = {"message": f"m{self.count}", "destination": 1, "time_left": 20 * SECOND}
+        values: dict[str, object] = {
+            "message": f"m{self.count}",
+            "destination": 1,
+            "time_left_us": 20 * SECOND,
+        }
         return self.step(MessageAccepted(message_class=kind, **(values | changes)), after=after)  # type: ignore[arg-type]
 
     def answer(
--- a/tests/test_arrows.py
+++ b/tests/test_arrows.py
@@ -14,7 +14,19 @@
 FLEET = {"budget", "journal", "recovery", "fleet"}  # of a sender of our own, imported where it is asked for
 #: The policy's messages, from below, and its parts, from below.
 POLICY_TYPES = {"policy.model", "policy.events", "policy.actions", "policy.limits"}
-PARTS = ("breaker", "schedule", "endpoints", "pending", "inflight", "state_transfer")
+PARTS = (
+    "pending_message",
+    "breaker",
+    "timers",
+    "loop_state",
+    "list_polling",
+    "urgency",
+    "destination",
+    "endpoints",
+    "pending",
+    "inflight",
+    "state_transfer",
+)
 ALLOWED: dict[str, set[str]] = {
     "files": set(),
     "message": set(),
@@ -24,12 +36,17 @@
     "policy.events": {"policy.model"},
     "policy.actions": set(),
     "policy.limits": {"policy.model"},
-    "policy.breaker": POLICY_TYPES,
-    "policy.schedule": {"policy.breaker", *POLICY_TYPES},
-    "policy.endpoints": {"policy.breaker", "policy.schedule", *POLICY_TYPES},
-    "policy.pending": {"policy.breaker", "policy.endpoints", "policy.schedule", *POLICY_TYPES},
-    "policy.inflight": {*(f"policy.{each}" for each in PARTS[:4]), *POLICY_TYPES},
-    "policy.state_transfer": {"policy.breaker", "policy.pending", "policy.endpoints", *POLICY_TYPES},
+    "policy.pending_message": {"policy.events", "policy.model"},
+    "policy.breaker": {"policy.pending_message", "policy.model"},
+    "policy.timers": {"policy.breaker"},
+    "policy.loop_state": {"policy.actions", "policy.breaker", "policy.model"},
+    "policy.list_polling": {"policy.breaker", "policy.model"},
+    "policy.urgency": {"policy.breaker", "policy.model", "policy.pending_message"},
+    "policy.destination": {"policy.breaker", "policy.pending_message", "policy.urgency"},
+    **{
+        f"policy.{part}": {*(f"policy.{each}" for each in PARTS[: PARTS.index(part)]), *POLICY_TYPES}
+        for part in ("endpoints", "pending", "inflight", "state_transfer")
+    },
     "policy.dispatcher": {*(f"policy.{each}" for each in PARTS), *POLICY_TYPES},
     "journal": BASE,
     "admission": BASE,
@@ -40,8 +57,9 @@
         *BASE,
         "journal",
         "policy.breaker",
+        "policy.destination",
         "policy.dispatcher",
-        "policy.schedule",
+        "policy.pending_message",
         "policy.state_transfer",
     },
     "configuration": set(),
--- a/tests/test_breaker.py
+++ b/tests/test_breaker.py
@@ -98,7 +98,7 @@
         world = World(must_poll=True, **changes)
         for _ in range(tries):
             world.step(EndpointsUpdated(ListingKind.FAILED), after=MS)
-            failed_at, asked_at = world.now, math.ceil(world.dispatcher.registry.list_calls.at)
+            failed_at, asked_at = world.now, math.ceil(world.dispatcher.registry.list_polling.next_poll_at)
             assert Subscribe() in world.step(WakeUp(), after=asked_at - failed_at)
         return asked_at - failed_at
 
@@ -139,7 +139,7 @@
 def test_gap_may_grow_further_where_more_senders_share_a_limit() -> None:
     def gap_after_refusals(fleet: int) -> float:
         world = World(fleet_size=fleet, max_attempts=99)
-        world.take(time_left=20 * SECOND)
+        world.take(time_left_us=20 * SECOND)
         (breaker,) = world.dispatcher.registry.all_breakers()
         for _ in range(30):
             world.answer("m1", Outcome.FULL, after=MS)
@@ -179,7 +179,7 @@
     assert sent(world.take("zoned", after=100 * MS)) == ["m2"]
     world.answer("m2", Outcome.OK)
     (breaker,) = world.dispatcher.registry.all_breakers()
-    actions = world.step(WakeUp(), after=int(breaker.patience()))
+    actions = world.step(WakeUp(), after=int(breaker.overdue_after()))
     assert [each for each in actions if isinstance(each, CancelAttempt)] == [CancelAttempt("m1", 0)]
     assert sent(world.answer("m1", Outcome.CANCELLED)) == ["m1"]
 
@@ -199,7 +199,7 @@
     """Seen: gaps of 2 s, grown by refusals, at a destination that takes 58 calls a second. And gaps far under
     the share, where refused calls use the limit up too: a fifth of the attempts was refused."""
     world = World(endpoint("a", scale=50.0), fleet_size=2, announces_rates=True)
-    (breaker,) = world.dispatcher.registry.arouse(1).breakers
+    (breaker,) = world.dispatcher.registry.activate(1).breakers
     gaps = []
     world.take()
     for _ in range(5):
@@ -212,7 +212,7 @@
 
 def test_a_gap_at_its_share_shrinks_slowly_and_one_that_was_shut_out_fast() -> None:
     world = World(endpoint("a", scale=1.0), announces_rates=True, max_attempts=99)
-    (breaker,) = world.dispatcher.registry.arouse(1).breakers
+    (breaker,) = world.dispatcher.registry.activate(1).breakers
 
     def shrink(gap: float) -> float:
         breaker.gap = gap
@@ -220,8 +220,8 @@
         world.answer(f"m{world.count}", Outcome.OK)
         return breaker.gap / gap
 
-    assert 0.95 < shrink(breaker.step) < 1
-    assert shrink(3 * breaker.step) < 0.9
+    assert 0.95 < shrink(breaker.base_gap) < 1
+    assert shrink(3 * breaker.base_gap) < 0.9
 
 
 @pytest.mark.parametrize(
@@ -233,31 +233,31 @@
     """Seen: three refusals above a limit in a row, and the destination was warmed for 9 s like one that was
     out. Shut ones refuse for longer than any span lasts, or tell a longer wait; those are warmed."""
     world = World(endpoint("a", scale=50.0), announces_rates=True, max_attempts=99)
-    (breaker,) = world.dispatcher.registry.arouse(1).breakers
+    (breaker,) = world.dispatcher.registry.activate(1).breakers
     world.take()
     for _ in range(FAILURE_THRESHOLD + 1):
         world.answer("m1", Outcome.FULL, wait=wait * MS)
         world.step(WakeUp(), after=max(pause, wait) * MS)
-    assert (breaker.cold_gap(world.now) > 0) is doubtful
+    assert (breaker.warm_up_gap(world.now) > 0) is doubtful
 
 
 def test_a_kept_connection_that_breaks_says_nothing_of_the_destination() -> None:
     world = World()
-    (breaker,) = world.dispatcher.registry.arouse(1).breakers
+    (breaker,) = world.dispatcher.registry.activate(1).breakers
     for _ in range(FAILURE_THRESHOLD + 1):
         world.take("once")
         world.answer(f"m{world.count}", Outcome.STALE)
-    assert breaker.failures == 0 and breaker.sick == 0
+    assert breaker.failures == 0 and breaker.failure_rate == 0
 
 
 def test_a_call_given_up_for_its_message_says_nothing_of_the_destination() -> None:
     """Messages that go with little time left time out long before a call is overdue."""
     world = World()
     for _ in range(2 * FAILURE_THRESHOLD):
-        assert sent(world.take("safe", time_left=50 * MS))
+        assert sent(world.take("safe", time_left_us=50 * MS))
         world.answer(f"m{world.count}", Outcome.TIMEOUT, after=40 * MS)
     breaker = world.dispatcher.registry.all_breakers()[0]
-    assert not breaker.failures and not breaker.sick and not breaker.cold_gap(world.now)
+    assert not breaker.failures and not breaker.failure_rate and not breaker.warm_up_gap(world.now)
     assert sent(world.take("safe"))
 
 
--- a/tests/test_control_sender.py
+++ b/tests/test_control_sender.py
@@ -177,7 +177,7 @@
 def test_what_waits_for_a_start_is_what_configure_would_leave(caplog: pytest.LogCaptureFixture) -> None:
     listed = Endpoint("e", 3, EndpointState.READY, "plain", "", 8.0)
     at = SimpleNamespace(held={}, endpoints=[SimpleNamespace(listed=listed)], breakers=())
-    registry = SimpleNamespace(kinds={"plain": DestinationKind()}, leave_grew=lambda number: None)
+    registry = SimpleNamespace(kinds={"plain": DestinationKind()}, limits_raised=lambda number: None)
     there = SimpleNamespace(endpoints={"e": at.endpoints[0]}, destinations={3: at}, registry=registry)
     engine: Any = SimpleNamespace(
         dispatcher=there, post=lambda event: None, transport=None, hooks=HookChain()
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -10,8 +10,13 @@
 from message_sender.policy.actions import CloseIdle, Send, Subscribe
 from message_sender.policy.breaker import FAILURE_THRESHOLD, RESET_TIMEOUT_US
 from message_sender.policy.events import EndpointsUpdated, MessageAccepted, WakeUp
+from message_sender.policy.list_polling import (
+    LIST_RETRY_PAUSE_US,
+    LIST_RETRY_SPREAD_US,
+    LIST_START_SPREAD_US,
+    ListPolling,
+)
 from message_sender.policy.model import ListingKind, Outcome
-from message_sender.policy.schedule import LIST_RETRY_PAUSE_US, LIST_RETRY_SPREAD_US, LIST_START_SPREAD_US, ListPolling
 
 CROWD = 200
 
@@ -35,7 +40,7 @@
             world.take("once")
             world.answer(f"m{world.count}", Outcome.RESET)
         (breaker,) = world.dispatcher.registry.all_breakers()
-        assert (breaker.cold_gap(world.now) > 0) == cold
+        assert (breaker.warm_up_gap(world.now) > 0) == cold
 
 
 def test_the_first_gap_of_a_crowd_is_wide() -> None:
@@ -93,17 +98,23 @@
     times: dict[int, int] = {}
     for seed in range(1000):
         calls = ListPolling(settings(fleet_size=fleet, must_poll=True), random.Random(seed))
-        calls.start(0)
-        assert 0 <= calls.at <= LIST_START_SPREAD_US
+        calls.process_started(0)
+        assert 0 <= calls.next_poll_at <= LIST_START_SPREAD_US
         if seed < fleet:
-            times[int(calls.at) // (100 * MS)] = times.get(int(calls.at) // (100 * MS), 0) + 1
+            times[int(calls.next_poll_at) // (100 * MS)] = (
+                times.get(int(calls.next_poll_at) // (100 * MS), 0) + 1
+            )
         for tries in range(5):
             begun, took = tries * 20 * SECOND, 2 * SECOND * (tries % 2)
-            calls.at = begun
-            assert calls.is_due(begun)
-            calls.failed(begun + took)
-            first, last = (took, took + LIST_RETRY_SPREAD_US) if took else (LIST_RETRY_PAUSE_US / 2, LIST_RETRY_PAUSE_US)
-            assert begun + first <= calls.at <= begun + last
+            calls.next_poll_at = begun
+            assert calls.take_due(begun)
+            calls.poll_failed(begun + took)
+            first, last = (
+                (took, took + LIST_RETRY_SPREAD_US)
+                if took
+                else (LIST_RETRY_PAUSE_US / 2, LIST_RETRY_PAUSE_US)
+            )
+            assert begun + first <= calls.next_poll_at <= begun + last
     assert fleet > 40 or max(times.values()) <= 5
 
 
@@ -150,7 +161,7 @@
         world.take()
         world.answer(f"m{world.count}", Outcome.OK, after=50 * MS)
     (breaker,) = world.dispatcher.registry.all_breakers()
-    assert breaker.took < 200 * MS
+    assert breaker.mean_latency < 200 * MS
 
 
 def test_a_room_full_of_messages_that_cannot_go_does_not_turn_new_ones_away() -> None:
@@ -206,7 +217,7 @@
         assert sent(world.take(after=800 * MS))
         world.answer(f"m{world.count}", Outcome.FULL)
         assert (700 * MS < breaker.gap < 900 * MS) == usual
-        assert usual or breaker.gap == breaker.step
+        assert usual or breaker.gap == breaker.base_gap
 
 
 @pytest.mark.parametrize(
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -22,9 +22,9 @@
 from message_sender.emulator.loop import LIVELOCK, DeadlockError, EmulationError, LivelockError, VirtualLoop
 from message_sender.journal.process_journal import Journal
 from message_sender.policy.breaker import Breaker
-from message_sender.policy.dispatcher import Dispatcher
 from message_sender.policy.endpoints import EndpointRegistry
 from message_sender.policy.pending import PendingQueue
+from message_sender.policy.state_transfer import StateImporter
 
 LIVES = 60
 
@@ -105,10 +105,10 @@
     return 0.0
 
 
-restored = Dispatcher.restore
+restored = StateImporter.restore_message
 
 
-def restore_alone(self: Dispatcher, kept: Any) -> None:  # noqa: ANN401
+def restore_alone(self: StateImporter, kept: Any) -> None:  # noqa: ANN401
     restored(self, dataclasses.replace(kept, outcomes=()))
 
 
@@ -118,11 +118,11 @@
 
 DEFECTS: dict[str, tuple[Any, str, Callable[..., Any], set[str]]] = {
     "what may have run is sent again": (PendingQueue, "may_repeat_at", forget_the_risk, {"no effect twice"}),
-    "what may have run is refused": (PendingQueue, "may_refuse", refuse_anything, {"no effect twice"}),
-    "a key does not rest": (PendingQueue, "rest", no_rest, {"order"}),
-    "a key's messages go at once": (PendingQueue, "in_turn", any_turn, {"order"}),
+    "what may have run is refused": (PendingQueue, "may_reject", refuse_anything, {"no effect twice"}),
+    "a key does not rest": (PendingQueue, "pause_key", no_rest, {"order"}),
+    "a key's messages go at once": (PendingQueue, "is_next_of_key", any_turn, {"order"}),
     "waits and drains do not bind while connecting": (Attempts, "may_go", go_anyway, {"waits"}),
-    "an endpoint that drains stays": (EndpointRegistry, "unlist", keep_the_endpoint, {"drains"}),
+    "an endpoint that drains stays": (EndpointRegistry, "remove_endpoint", keep_the_endpoint, {"drains"}),
     "an attempt is not on record": (
         Journal,
         "record_attempt",
@@ -131,9 +131,9 @@
     ),
     "a message is not on record": (Journal, "record_accepted", no_record_of_the_message, {"one end"}),
     "a wait binds only with the fate": (Engine, "retry_after_received", wait_binds_with_the_fate, {"waits"}),
-    "one that is back is taken for warm": (Breaker, "cold_gap", no_gap, {"cold"}),
-    "refusals are forgotten with the process": (Dispatcher, "restore", restore_alone, {"cold"}),
-    "nothing ends when its time is up": (PendingQueue, "end_due", nothing_is_due, {"one end"}),
+    "one that is back is taken for warm": (Breaker, "warm_up_gap", no_gap, {"cold"}),
+    "refusals are forgotten with the process": (StateImporter, "restore_message", restore_alone, {"cold"}),
+    "nothing ends when its time is up": (PendingQueue, "expire_due", nothing_is_due, {"one end"}),
 }
 #: Lives within which each is found.
 WITHIN = 150
@@ -245,7 +245,7 @@
 def test_a_defect_is_cut_to_a_few_happenings_that_break_the_same_rule_again(
     monkeypatch: pytest.MonkeyPatch, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    monkeypatch.setattr(PendingQueue, "rest", no_rest)
+    monkeypatch.setattr(PendingQueue, "pause_key", no_rest)
     (broken,) = itertools.islice((each for each in search.lives(0, WITHIN, 1) if each.broken()), 1)
     file, trace = tmp_path / "case.json", tmp_path / "trace"
     assert main(["emulate", "shrink", "--seed", str(broken.seed), str(file)]) == 1
@@ -269,7 +269,7 @@
 def test_a_broken_life_and_one_that_fails_are_told_and_counted(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    monkeypatch.setattr(PendingQueue, "rest", no_rest)
+    monkeypatch.setattr(PendingQueue, "pause_key", no_rest)
     assert main(["emulate", "search", "--lives", "20"]) == 1
     assert "order: " in capsys.readouterr().out
     monkeypatch.setattr(Engine, "take", lambda *_: asyncio.get_running_loop().call_soon(1 / 0))
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -109,7 +109,7 @@
 
 
 PLANTED: dict[str, tuple[type, str, Callable[..., Any], str, str]] = {
-    "it is taken for warm at once": (Breaker, "cold_gap", warm_at_once, "herd-on-return", "cold"),
+    "it is taken for warm at once": (Breaker, "warm_up_gap", warm_at_once, "herd-on-return", "cold"),
     "unsafe ones go again": (PendingQueue, "may_repeat_at", anything_goes, "resets", "no effect twice"),
     "no record of attempts": (
         Journal,
@@ -386,7 +386,7 @@
         assert main(["emulate", *words]) == 2
     assert main(["emulate", "run", str(file), "--set", "clients.rat=3"]) == 1
     assert "clients.rat: is not in the scenario" in capsys.readouterr().err
-    monkeypatch.setattr(PendingQueue, "end_due", lambda self: None)
+    monkeypatch.setattr(PendingQueue, "expire_due", lambda self: None)
     longer = ["--set", "troubles.0.what=silent", "--set", "troubles.0.until=60"]
     assert main(["emulate", "run", str(file), *longer]) == 1
     assert "broken: " in capsys.readouterr().out
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -90,21 +90,21 @@
     for each in there.messages.values():
         call = there.calls.get((each.id, each.attempts - 1))
         taken = MessageAccepted(
-            each.id, each.kind.name, each.destination, each.until - next_one.now, "", each.key
+            each.id, each.message_class.name, each.destination, each.deadline - next_one.now, "", each.key
         )
         out = None
         if call:
             listed_there, trial = call.endpoint.listed, call.breaker.trial is call
-            out = CallInFlight(listed_there.id, listed_there.zone, call.sent, trial, call.overdue)
+            out = CallInFlight(listed_there.id, listed_there.zone, call.sent_at, trial, call.is_overdue)
         events.append(
             MessageRestored(
                 taken,
                 each.attempts,
-                each.risky_since,
-                each.risky_zone,
-                handed=True,
+                each.uncertain_since,
+                each.uncertain_zone,
+                is_handed_over=True,
                 call=out,
-                share=each.share,
+                weight_factor=each.weight_factor,
             )
         )
     next_one.first = next_one.step(*events, inherited)  # type: ignore[attr-defined]
--- a/tests/test_inventory.py
+++ b/tests/test_inventory.py
@@ -10,7 +10,7 @@
 
 from message_sender.cli import main
 from message_sender.core import inventory
-from message_sender.policy.endpoints import UNUSED_BREAKER_AGE_US, INACTIVE_DESTINATION_AGE_US
+from message_sender.policy.endpoints import INACTIVE_DESTINATION_AGE_US, UNUSED_BREAKER_AGE_US
 from message_sender.policy.events import WakeUp
 from message_sender.policy.model import Outcome
 from message_sender.service.standalone import CompletionWriter, StandaloneSender, tell_destinations
--- a/tests/test_late.py
+++ b/tests/test_late.py
@@ -179,9 +179,9 @@
     s.watch.write("5\r\nnoise\r\n2\r\n\n\n\r\n")
     s.engine.attempts.poll_unread()
     tell_again = s.world.platform.watches
-    calls = s.engine.dispatcher.registry.list_calls
-    calls.at = float("inf")
-    await until(lambda: calls.at < float("inf"))  # it has failed
+    calls = s.engine.dispatcher.registry.list_polling
+    calls.next_poll_at = float("inf")
+    await until(lambda: calls.next_poll_at < float("inf"))  # it has failed
     assert s.engine.defect == "" and tell_again.empty()
 
 
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -66,13 +66,15 @@
         assert {name: each.listed for name, each in module.endpoints.items()} == plain.endpoints
         for at in module.destinations.values():
             breakers = tuple(dict.fromkeys(each.breaker for each in at.endpoints if each.breaker))
-            assert at.breakers == breakers and (at.endpoints or at.own is not None)
-            assert all((x.breaker is None) == (at.own is None) for x in at.endpoints)
+            assert at.breakers == breakers and (at.endpoints or at.breakers_by_route is not None)
+            assert all((x.breaker is None) == (at.breakers_by_route is None) for x in at.endpoints)
             own = (
-                [module.registry.breaker_of(at, x.listed) for x in at.endpoints] if at.own is not None else []
+                [module.registry.breaker_for(at, x.listed) for x in at.endpoints]
+                if at.breakers_by_route is not None
+                else []
             )
             assert all(x.breaker is each for x, each in zip(at.endpoints, own, strict=False))
-        module.registry.arouse(rng.randrange(7))
+        module.registry.activate(rng.randrange(7))
 
 
 @pytest.mark.parametrize("size", [10, 10_000])
@@ -80,10 +82,10 @@
     """Counted: the endpoints that a change looks up a breaker for, of destinations that are awake."""
     world = World(*(endpoint(f"e{each}", each // 2) for each in range(size)))
     for each in range(4):
-        world.dispatcher.registry.arouse(each)
+        world.dispatcher.registry.activate(each)
     visited: list[Any] = []
-    breaker_of = world.dispatcher.registry.breaker_of
-    world.dispatcher.registry.breaker_of = lambda at, x: (visited.append(x.id), breaker_of(at, x))[1]  # type: ignore
+    breaker_for = world.dispatcher.registry.breaker_for
+    world.dispatcher.registry.breaker_for = lambda at, x: (visited.append(x.id), breaker_for(at, x))[1]  # type: ignore
     draining = endpoint("e4", 2, state=EndpointState.DRAINING)
     world.step(EndpointsUpdated(ListingKind.CHANGES, (draining, endpoint("new", 3))))
     assert visited == ["e5", "e6", "e7", "new"]
@@ -93,12 +95,12 @@
     """Its answer's rest may take half a second to come, and only then is the attempt's fate told."""
     world = World(endpoint("a"), endpoint("b"))
     world.take()
-    (first,) = [each for each in world.dispatcher.endpoints.values() if each.out]
+    (first,) = [each for each in world.dispatcher.endpoints.values() if each.in_flight]
     name = first.listed.id
     drained = endpoint(name, state=EndpointState.DRAINING)
     world.step(EndpointsUpdated(ListingKind.CHANGES, (drained,)), after=1000)
     other = "b" if name == "a" else "a"
-    assert world.dispatcher.may_still_go(other, world.now)
+    assert world.dispatcher.may_start_call(other, world.now)
     world.dispatcher.retry_after_received(name, world.now + 500_000)
-    assert not world.dispatcher.may_still_go(other, world.now)
+    assert not world.dispatcher.may_start_call(other, world.now)
     assert not [each for each in world.take(after=1000) if isinstance(each, Send)]
--- a/tests/test_manage.py
+++ b/tests/test_manage.py
@@ -171,7 +171,7 @@
         assert (await call(address, "POST", "/receivers/r/ready")).status == 200
         assert (await world.receiver.next()).id == "m1"
         breakers = world.sender.engine.dispatcher.registry.all_breakers()
-        assert all(each.cold_gap(world.sender.engine.now()) > 0 for each in breakers)  # it is warmed
+        assert all(each.warm_up_gap(world.sender.engine.now()) > 0 for each in breakers)  # it is warmed
 
 
 @play
--- a/tests/test_overrides.py
+++ b/tests/test_overrides.py
@@ -393,7 +393,7 @@
     first = world.take(kind, pinned_endpoint="a" if change == "ran in x" else pinned)
     went = [each.endpoint for each in first if isinstance(each, Send)]
     if change == "ran in x":
-        world.dispatcher.messages["m1"].pinned = "b"
+        world.dispatcher.messages["m1"].pinned_endpoint = "b"
     elif isinstance(change, Endpoint):
         world.step(EndpointsUpdated(ListingKind.CHANGES, (change,)))
     again = world.answer("m1", Outcome.RESET, after=50 * MS) + world.step(WakeUp(), after=SECOND)
@@ -422,7 +422,7 @@
     world.step(returned, after=SECOND)
     world.take(after=MS)
     (breaker,) = world.dispatcher.registry.all_breakers()
-    assert (breaker.cold_gap(world.now) > 0) is (others == 0)
+    assert (breaker.warm_up_gap(world.now) > 0) is (others == 0)
 
 
 @play
@@ -571,7 +571,7 @@
         assert sum((await world.deliver(1)).values()) == 1  # held until the end, and then sent
         await world.until(lambda: not world.sender.overrides.book.overrides)
         (breaker,) = world.sender.engine.dispatcher.registry.all_breakers()
-        assert breaker.cold_gap(world.sender.engine.now()) > 0
+        assert breaker.warm_up_gap(world.sender.engine.now()) > 0
 
 
 @play
@@ -586,7 +586,7 @@
         assert set(world.sender.overrides.book.overrides) == {lasting["name"]} != {short["name"]}
         assert await world.deliver(1) == {"e1": 1}
         (breaker,) = world.sender.engine.dispatcher.registry.all_breakers()
-        assert breaker.cold_gap(world.sender.engine.now()) > 0  # e1 came back while no sender ran
+        assert breaker.warm_up_gap(world.sender.engine.now()) > 0  # e1 came back while no sender ran
 
 
 @pytest.mark.parametrize(
--- a/tests/test_quiet.py
+++ b/tests/test_quiet.py
@@ -90,7 +90,9 @@
             *(scene.hand_in(client, range(n, MESSAGES, CLIENTS)) for n, client in enumerate(clients))
         )
         await asyncio.wait_for(scene.ended.wait(), 2 * DEADLINE)
-        awake = sum(each.own is not None for each in sender.engine.dispatcher.destinations.values())
+        awake = sum(
+            each.breakers_by_route is not None for each in sender.engine.dispatcher.destinations.values()
+        )
         for client in clients:
             client.close()
         sender.stop(0)
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -43,7 +43,7 @@
         world.take("once")
         world.answer("m1", outcome)
         (breaker,) = world.dispatcher.registry.all_breakers()
-        assert (breaker.cold_gap(world.now) > 0) == (cold and fleet == CROWD)
+        assert (breaker.warm_up_gap(world.now) > 0) == (cold and fleet == CROWD)
 
 
 @pytest.mark.parametrize("fleet", [4, 5, CROWD])
@@ -61,7 +61,7 @@
     found[0] = MessageRestored(kept[0], 1, None, "", (("a", outcome),))
     world.step(*found)
     (breaker,) = world.dispatcher.registry.all_breakers()
-    assert (breaker.cold_gap(world.now) > 0) == (cold and fleet > 4)
+    assert (breaker.warm_up_gap(world.now) > 0) == (cold and fleet > 4)
     actions, first = world.step(WakeUp(), after=SECOND), breaker.last_sent
     if cold and fleet > 4:
         assert len(sent(actions)) <= 1 and breaker.ready_at(world.now) > first
@@ -72,7 +72,7 @@
     world.take("once")
     world.step(WakeUp(), after=3 * SECOND)
     (breaker,) = world.dispatcher.registry.all_breakers()
-    assert breaker.cold_gap(world.now) > 0
+    assert breaker.warm_up_gap(world.now) > 0
 
 
 def test_the_warm_up_of_a_crowd_counts_from_between_the_failure_and_what_is_served_next() -> None:
@@ -82,11 +82,11 @@
             world.take("safe", after=30 * SECOND)
             world.answer(f"m{world.count}", Outcome.RESET)
         (breaker,) = world.dispatcher.registry.all_breakers()
-        failed, trials = breaker.cold_since, sent(world.step(WakeUp(), after=15 * SECOND))
+        failed, trials = breaker.warm_up_since, sent(world.step(WakeUp(), after=15 * SECOND))
         assert failed > 0 and trials
         begun = world.now
         world.answer(trials[0], Outcome.OK)
-        assert breaker.cold_since == ((failed + begun) / 2 if moved else failed)
+        assert breaker.warm_up_since == ((failed + begun) / 2 if moved else failed)
 
 
 def test_members_of_a_crowd_that_saw_one_outage_do_not_come_back_together() -> None:
@@ -113,7 +113,7 @@
         actions = world.step(MessageRestored(kept, 0, None, ""))
         while not sent(actions):
             (wake,) = [each for each in actions if isinstance(each, WakeAfter)] or [WakeAfter(1000)]
-            actions = world.step(WakeUp(), after=wake.delay)
+            actions = world.step(WakeUp(), after=wake.delay_us)
         at.append(world.now)
     assert max(at) <= 4.1 * SECOND
     most = max(sum(each <= x < each + SECOND for x in at) for each in at)
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -42,4 +42,4 @@
         assert (sent(actions) == ["k"]) == goes and bool(ended(actions)) != goes
         return
     assert sent(actions) == ["k"]  # its connection takes a while: the clock is read again at the first byte
-    assert world.dispatcher.may_still_go("a", world.now + age, "k") == goes
+    assert world.dispatcher.may_start_call("a", world.now + age, "k") == goes
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -20,20 +20,20 @@
 
 def test_held_message_is_ended_before_its_time() -> None:
     world = World(endpoint("other", destination=2))
-    assert sent(world.take(time_left=SECOND)) == []
+    assert sent(world.take(time_left_us=SECOND)) == []
     assert ended(world.step(WakeUp(), after=SECOND - 5 * MS)) == [Reject("m1")]
 
 
 def test_message_turned_away_at_the_last_moment_is_still_ended() -> None:
     world = World()
-    world.take(time_left=SECOND)
+    world.take(time_left_us=SECOND)
     world.step(WakeUp(), after=SECOND - 4 * MS)
     assert ended(world.answer("m1", Outcome.FULL, after=0)) == [Reject("m1")]
 
 
 def test_last_time_out_is_answered_at_once() -> None:
     world = World()
-    world.take(time_left=SECOND)
+    world.take(time_left_us=SECOND)
     assert len(ended(world.answer("m1", Outcome.TIMEOUT, after=SECOND))) == 1
 
 
@@ -114,7 +114,7 @@
 
 def test_key_rests_after_an_unsettled_attempt() -> None:
     world = World()
-    world.take("ordered", key="k", time_left=SECOND)
+    world.take("ordered", key="k", time_left_us=SECOND)
     world.take("ordered", key="k")
     assert sent(world.answer("m1", Outcome.TIMEOUT, after=SECOND)) == []
     assert sent(world.step(WakeUp(), after=299 * MS)) == []
@@ -154,7 +154,7 @@
 def restored(
     message: str, attempts: int = 1, risky_since: int | None = 0, **changes: object
 ) -> MessageRestored:
-    values: dict[str, object] = {"message_class": "zoned", "destination": 1, "time_left": 20 * SECOND}
+    values: dict[str, object] = {"message_class": "zoned", "destination": 1, "time_left_us": 20 * SECOND}
     taken = MessageAccepted(message=message, **(values | changes))  # type: ignore[arg-type]
     return MessageRestored(taken, attempts, risky_since, "z2" if risky_since is not None else "")
 
@@ -191,7 +191,7 @@
 
 def test_key_waits_for_the_answered_end_where_ends_are_answered() -> None:
     world = World(acknowledges_completions=True)
-    world.take("ordered", key="k", destination=9, time_left=SECOND)
+    world.take("ordered", key="k", destination=9, time_left_us=SECOND)
     world.take("ordered", key="k")
     assert ended(world.step(WakeUp(), after=SECOND)) == [Reject("m1")]
     assert sent(world.step(WakeUp(), after=5 * SECOND)) == []
@@ -209,23 +209,23 @@
     world = World(endpoint("a"), endpoint("b", destination=2))
     world.take()
     world.take()
-    assert world.dispatcher.may_still_go("a", world.now)
+    assert world.dispatcher.may_start_call("a", world.now)
     world.answer("m1", Outcome.FULL, wait=SECOND)
-    assert not world.dispatcher.may_still_go("a", world.now + SECOND - 1)
-    assert world.dispatcher.may_still_go("a", world.now + SECOND)
+    assert not world.dispatcher.may_start_call("a", world.now + SECOND - 1)
+    assert world.dispatcher.may_start_call("a", world.now + SECOND)
     world.step(EndpointsUpdated(ListingKind.CHANGES, (endpoint("b", state=EndpointState.GONE),)))
-    assert not world.dispatcher.may_still_go("b", world.now)
+    assert not world.dispatcher.may_start_call("b", world.now)
 
 
 def test_what_is_past_ages_out_but_not_a_wait_that_lasts() -> None:
     """Guards a process that lasts: endpoints, keys and accounts are ever new."""
     world = World(endpoint("a"), endpoint("b", destination=2))
-    world.take("ordered", key="k", time_left=SECOND)
+    world.take("ordered", key="k", time_left_us=SECOND)
     world.answer("m1", Outcome.TIMEOUT, after=SECOND)
     assert list(world.dispatcher.keys) == ["k"]
-    world.take(destination=2, time_left=SECOND, tenant="made up")
+    world.take(destination=2, time_left_us=SECOND, tenant="made up")
     world.answer("m2", Outcome.FULL, wait=7200 * SECOND)
-    world.take(destination=77, time_left=SECOND)
+    world.take(destination=77, time_left_us=SECOND)
     world.step(WakeUp(), after=SECOND)
     assert world.dispatcher.keys == {} and world.dispatcher.pending.credit == {}
     gone = [endpoint("a", state=EndpointState.GONE), endpoint("b", state=EndpointState.GONE)]
@@ -261,17 +261,17 @@
     gaps = []
     for exact in (False, True):
         world = World(endpoint("a", scale=40.0), fleet_size=2, announces_rates=exact)
-        (breaker,) = world.dispatcher.registry.arouse(1).breakers
+        (breaker,) = world.dispatcher.registry.activate(1).breakers
         for _ in range(3):
-            breaker.failed(world.now)
-        gaps.append(breaker.cold_gap(world.now))
+            breaker.record_failure(world.now)
+        gaps.append(breaker.warm_up_gap(world.now))
     assert gaps[1] == 2 / 40 * SECOND / (2.0 * WARM_UP_LOAD_FACTOR * 0.2) < gaps[0]
 
 
 def test_a_told_wait_binds_calls_about_to_go_before_its_events_are_handled() -> None:
     world = World()
     world.dispatcher.retry_after_received("a", world.now + SECOND)
-    assert not world.dispatcher.may_still_go("a", world.now) and sent(world.take()) == []
+    assert not world.dispatcher.may_start_call("a", world.now) and sent(world.take()) == []
     assert sent(world.step(WakeUp(), after=SECOND)) == ["m1"]
 
 
@@ -284,7 +284,7 @@
         outcomes = (("a", Outcome.FULL),) * refusals
         world.step(MessageRestored(taken, refusals, None, "", outcomes))
         (breaker,) = world.dispatcher.registry.all_breakers()
-        assert (breaker.cold_gap(world.now) > 0) == cold
+        assert (breaker.warm_up_gap(world.now) > 0) == cold
 
 
 def test_a_repeat_whose_connection_took_too_long_does_not_go_after_its_window() -> None:
@@ -293,8 +293,8 @@
     world.take("keyed")
     world.answer("m1", Outcome.ERROR)
     message = world.dispatcher.messages["m1"]
-    assert message.out and message.risky_since is not None
-    last = int(world.dispatcher.pending.repeat_until(message, message.risky_since))
-    assert world.dispatcher.may_still_go("a", last - 1, "m1")
-    assert not world.dispatcher.may_still_go("a", last, "m1")
-    assert world.dispatcher.may_still_go("a", last, "another")
+    assert message.is_in_flight and message.uncertain_since is not None
+    last = int(world.dispatcher.pending.repeat_until(message, message.uncertain_since))
+    assert world.dispatcher.may_start_call("a", last - 1, "m1")
+    assert not world.dispatcher.may_start_call("a", last, "m1")
+    assert world.dispatcher.may_start_call("a", last, "another")
--- a/tests/test_schedule.py
+++ b/tests/test_schedule.py
@@ -13,49 +13,53 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from message_sender.policy import dispatcher, pending, schedule
+from message_sender.policy import dispatcher, pending
+from message_sender.policy import urgency as urgency_module
 from message_sender.policy.actions import CancelAttempt, PolicyAction, Send, WakeAfter
-from message_sender.policy.breaker import NEVER, ActiveCall, PendingMessage
+from message_sender.policy.breaker import NEVER, ActiveCall
+from message_sender.policy.destination import Destination
 from message_sender.policy.dispatcher import Dispatcher
-from message_sender.policy.endpoints import UNUSED_BREAKER_AGE_US, INACTIVE_DESTINATION_AGE_US
+from message_sender.policy.endpoints import INACTIVE_DESTINATION_AGE_US, UNUSED_BREAKER_AGE_US
 from message_sender.policy.events import EndpointsUpdated, MessageAccepted, PolicyEvent, WakeUp
 from message_sender.policy.inflight import InFlightCalls
 from message_sender.policy.model import Effect, EndpointState, ListingKind, MessageClass, Outcome, Settings
 from message_sender.policy.pending import PendingQueue
-from message_sender.policy.schedule import Destination, ReadyGroup, TimerQueue, urgency
+from message_sender.policy.pending_message import PendingMessage
+from message_sender.policy.timers import MAX_STALE_ENTRIES, TimerQueue
+from message_sender.policy.urgency import ReadyGroup, urgency
 from message_sender.testbed.event_stream import Recorder, StreamShape, StreamWorld, read
 
 
 class PlainPendingQueue(PendingQueue):
-    def find_in_turn(self) -> None:
-        super().find_in_turn()
+    def find_ready(self) -> None:
+        super().find_ready()
         for each in self.messages.values():
             at = self.registry.destinations[each.destination]
-            if self.is_held(each) and self.in_turn(each) and not each.queued:
-                at.queue(each, self.settings.halves_late_weight)
-            elif each.queued and not (self.is_held(each) and self.in_turn(each)):
-                at.leave(each)
+            if self.is_pending(each) and self.is_next_of_key(each) and not each.is_ready:
+                at.add_ready(each, self.settings.halves_late_weight)
+            elif each.is_ready and not (self.is_pending(each) and self.is_next_of_key(each)):
+                at.remove_ready(each)
 
-    def keep_room(self, below: float = NEVER) -> None:
-        self.room, self.room_until = [], -NEVER
-        super().keep_room(below)
-        self.room, self.room_until = [], -NEVER
+    def shed_excess(self, below: float = NEVER) -> None:
+        self.shedding_order, self.shedding_order_until = [], -NEVER
+        super().shed_excess(below)
+        self.shedding_order, self.shedding_order_until = [], -NEVER
 
 
 class PlainInFlightCalls(InFlightCalls):
-    def find_overdue(self) -> None:
+    def process_overdue(self) -> None:
         now = self.loop.now
-        late = [x for x in self.out if not (x.overdue or x.settled)]
+        late = [x for x in self.active if not (x.is_overdue or x.is_settled)]
         for call in late:
-            if now >= call.sent + call.breaker.patience():
-                self.is_overdue(call)
-        short = len(self.out) >= self.settings.slots
-        for call in sorted((x for x in self.out if x.overdue), key=ActiveCall.risks):
-            if not call.called_off and self.is_hopeless(call, short):
-                call.called_off, short = True, False
+            if now >= call.sent_at + call.breaker.overdue_after():
+                self.mark_overdue(call)
+        short = len(self.active) >= self.settings.slots
+        for call in sorted((x for x in self.active if x.is_overdue), key=ActiveCall.has_effects):
+            if not call.is_cancelled and self.should_cancel(call, short):
+                call.is_cancelled, short = True, False
                 off = [CancelAttempt(x.id, x.attempts - 1) for x in call.messages.values()]
                 self.loop.actions += off
-        self.registry.changed = {}
+        self.registry.changed_breakers = {}
 
 
 class Plain(Dispatcher):
@@ -65,17 +69,19 @@
         super().__init__(settings, seed)
         self.pending.__class__, self.inflight.__class__ = PlainPendingQueue, PlainInFlightCalls
 
-    def find_open(self) -> list[Destination]:
-        if len(self.out) >= self.settings.slots:
+    def find_available(self) -> list[Destination]:
+        if len(self.active_calls) >= self.settings.slots:
             return []
-        return [x for x in self.destinations.values() if x.groups and any(map(self.may_call, x.breakers))]
+        return [
+            x for x in self.destinations.values() if x.ready_groups and any(map(self.may_call, x.breakers))
+        ]
 
-    def push_best(self, heap: list[Any], at: Destination) -> None:
+    def push_most_urgent(self, heap: list[Any], at: Destination) -> None:
         now = self.loop.now
         ranked = [
-            (schedule.Rank(-urgency(*each.curve[:2], now - born, each.curve[2]), born, number), message)
-            for each in (at.groups or {}).values()
-            for born, number, message in each.line
+            (urgency_module.Rank(-urgency(*each.curve[:2], now - born, each.curve[2]), born, number), message)
+            for each in (at.ready_groups or {}).values()
+            for born, number, message in each.messages
         ]
         if ranked:
             heap.append((*min(ranked), at))
@@ -84,11 +90,15 @@
     def due(self) -> float:
         """When something is to be done next, found by a walk."""
         now = self.loop.now
-        held = [x for x in self.destinations.values() if x.groups]
-        free = len(self.out) < self.settings.slots  # else whatever ends first is heard anyway
-        due = [x.free_at(int(now)) for x in held if free]
-        due += [x.sent + x.breaker.patience() for x in self.out if not (x.overdue or x.settled)]
-        due += [x.until - self.settings.tick for x in self.messages.values() if not x.out]
+        held = [x for x in self.destinations.values() if x.ready_groups]
+        free = len(self.active_calls) < self.settings.slots  # else whatever ends first is heard anyway
+        due = [x.earliest_ready_at(int(now)) for x in held if free]
+        due += [
+            x.sent_at + x.breaker.overdue_after()
+            for x in self.active_calls
+            if not (x.is_overdue or x.is_settled)
+        ]
+        due += [x.deadline - self.settings.tick for x in self.messages.values() if not x.is_in_flight]
         return min((each for each in due if each > now), default=NEVER)
 
 
@@ -113,12 +123,13 @@
 @pytest.mark.parametrize("name", SHAPES)
 def test_schedule_and_walk_decide_alike(name: str, seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
     """On what the schedule's own wakes bring about; and it never sleeps past what a walk finds due."""
-    monkeypatch.setattr(pending, "SHEDDING_ORDER_AGE_US", 0)  # else the order of what makes room may be some ms old
+    # Else the order of what makes room may be some ms old.
+    monkeypatch.setattr(pending, "SHEDDING_ORDER_AGE_US", 0)
     world = StreamWorld(SHAPES[name], seed)
     module, plain = Dispatcher(world.settings, seed), Plain(world.settings, seed)
 
     def heard(now: int, events: list[PolicyEvent], actions: list[PolicyAction]) -> None:
-        module.pending.room_until = -NEVER
+        module.pending.shedding_order_until = -NEVER
         assert told(plain.handle(now, events)) == told(actions), (now, events)
         due = plain.due()
         assert due == NEVER or module.wake_at <= max(due, now + world.settings.tick), (now, due)
@@ -166,19 +177,19 @@
         age = int(share * kind.deadline)
         taken = MessageAccepted(f"m{number}", kind.name, 1, kind.deadline)
         message = PendingMessage(taken, kind, now - age, 0.1)
-        message.number = number
+        message.sequence = number
         group.add(message)
         all_of_them.append(message)
-    found = group.best(now)[1]
-    assert len(group.ends(now)) <= 2 * (len(group.cuts) + 1)
+    found = group.most_urgent(now)[1]
+    assert len(group.candidates(now)) <= 2 * (len(group.breakpoints) + 1)
 
     def value(each: PendingMessage) -> float:
-        return urgency(kind, 0.1, now - each.born, halves)
+        return urgency(kind, 0.1, now - each.created_at, halves)
 
     most = max(map(value, all_of_them))
     assert math.isclose(value(found), most, rel_tol=1e-12, abs_tol=1e-15)
     equal = [x for x in all_of_them if value(x) == value(found)]
-    assert found is min(equal, key=lambda x: (x.born, x.number))
+    assert found is min(equal, key=lambda x: (x.created_at, x.sequence))
 
 
 TIMES = st.integers(0, 50) | st.just(math.inf)
@@ -190,11 +201,11 @@
     timers: TimerQueue[int] = TimerQueue()
     table: dict[int, float] = {}
     for item, at in changes:
-        timers.set(item, at)
+        timers.schedule(item, at)
         table[item] = at
-        assert timers.next() == min((x for x in table.values()), default=math.inf)
-        assert len(timers.heap) <= 2 * len(timers.times) + schedule.MAX_STALE_ENTRIES + 1
-    due = list(timers.due(now))
+        assert timers.next_due() == min((x for x in table.values()), default=math.inf)
+        assert len(timers.heap) <= 2 * len(timers.times) + MAX_STALE_ENTRIES + 1
+    due = list(timers.pop_due(now))
     assert sorted(due) == sorted(item for item, at in table.items() if at <= now)
     assert [table[x] for x in due] == sorted(table[x] for x in due)
 
@@ -210,12 +221,12 @@
     def heard(now: int, events: list[PolicyEvent], actions: list[PolicyAction]) -> None:
         nonlocal heard_of, before
         if now < until * SECOND:
-            before = module.loop.looks
+            before = module.loop.examined_items
         else:
             heard_of += len(events)
 
     world.run(module.handle, heard)
-    return (module.loop.looks - before) / heard_of
+    return (module.loop.examined_items - before) / heard_of
 
 
 ROOMY = {"max_open": 10**6, "slots": 64, "announces_rates": False, "fleet_size": 1}
@@ -239,7 +250,9 @@
         world.take("ordered", key=f"k{each}", after=MS)
         world.answer(f"m{each + 1}", Outcome.OK, after=MS)
     assert (
-        not world.dispatcher.keys and not world.dispatcher.pending.examined and not world.dispatcher.messages
+        not world.dispatcher.keys
+        and not world.dispatcher.pending.to_examine
+        and not world.dispatcher.messages
     )
 
 
@@ -247,10 +260,10 @@
     world = World(max_open=10**6)
     for _ in range(3000):
         world.take("ordered", key="k")
-    before = world.dispatcher.loop.looks
+    before = world.dispatcher.loop.examined_items
     for each in range(100):
         assert sent(world.answer(f"m{each + 1}", Outcome.OK)) == [f"m{each + 2}"]
-    assert world.dispatcher.loop.looks - before <= 100 * 8
+    assert world.dispatcher.loop.examined_items - before <= 100 * 8
 
 
 def test_names_of_tenants_that_were_never_seen_leave_nothing() -> None:
@@ -270,9 +283,9 @@
     for _ in range(many):
         (out,) = [name for name, _ in world.dispatcher.calls]
         gone.append(out)
-        before = world.dispatcher.loop.looks
+        before = world.dispatcher.loop.examined_items
         world.answer(out, Outcome.OK, after=MS)
-        assert world.dispatcher.loop.looks - before <= 2 * dispatcher.MAX_EXAMINED + 10
+        assert world.dispatcher.loop.examined_items - before <= 2 * dispatcher.MAX_EXAMINED + 10
     assert sorted(gone) == sorted(f"m{each + 1}" for each in range(many))
 
 
@@ -314,7 +327,7 @@
     for _ in range(3):
         world.step(WakeUp(), after=INACTIVE_DESTINATION_AGE_US + UNUSED_BREAKER_AGE_US)
     assert not world.dispatcher.registry.all_breakers() and not world.dispatcher.pending.deadlines
-    assert len(world.dispatcher.destinations) == MANY and not world.dispatcher.registry.overdue.times
+    assert len(world.dispatcher.destinations) == MANY and not world.dispatcher.registry.overdue_checks.times
 
 
 def asleep(silence: int, outcome: Outcome, **changes: object) -> World:
@@ -341,7 +354,7 @@
     for _ in range(30):
         world.take()
     (breaker,) = world.dispatcher.registry.all_breakers()
-    assert breaker.cold_since == world.now and breaker.failures == 0
+    assert breaker.warm_up_since == world.now and breaker.failures == 0
     gone = []
     for _ in range(400):
         outs = list(world.dispatcher.calls)
@@ -374,7 +387,7 @@
     world.step(EndpointsUpdated(ListingKind.CHANGES, (endpoint("a"),)), after=MS)
     assert sent(world.answer("m1", Outcome.OK)) == ["m2"]
     world.answer("m2", Outcome.OK)
-    assert world.dispatcher.destinations[1].own[""].out == 0  # type: ignore[index]
+    assert world.dispatcher.destinations[1].breakers_by_route[""].in_flight == 0  # type: ignore[index]
 
 
 def test_two_endpoints_that_swap_destinations_take_their_messages_with_neither() -> None:
@@ -393,14 +406,14 @@
     world = World(*(endpoint(f"e{each}", each) for each in range(many)), slots=64, max_open=10**6)
     places = list(range(many))
     rng.shuffle(places)
-    before, out = world.dispatcher.loop.looks, []
+    before, out = world.dispatcher.loop.examined_items, []
     for number in places:
         out += sent(world.take(destination=number, after=6 * MS))
         if len(out) > 8:
             world.answer(out.pop(0), Outcome.OK, after=0)
     for name in out:
         world.answer(name, Outcome.OK)
-    assert not world.dispatcher.messages and (world.dispatcher.loop.looks - before) / many < 10
+    assert not world.dispatcher.messages and (world.dispatcher.loop.examined_items - before) / many < 10
 
 
 def test_a_list_sent_whole_again_and_again_changes_nothing() -> None:
@@ -423,5 +436,5 @@
         for each in range(1, steps):
             world.take(tenant="t", message=f"x{each}", after=SECOND * each // steps - world.now)
         world.take(tenant="t", message="last", after=SECOND - world.now)
-        shares.append(world.dispatcher.messages["last"].share)
+        shares.append(world.dispatcher.messages["last"].weight_factor)
     assert set(shares) == {1.0}
--- a/tests/test_sender.py
+++ b/tests/test_sender.py
@@ -217,7 +217,11 @@
         async with Running(world.told, state) as again:
             assert list(again.sender.engine.dispatcher.messages) == ["m1", "m2"]
             restored = again.sender.engine.dispatcher.messages["m1"]
-            assert restored.attempts == 2 and restored.risky_zone == "z" and restored.risky_since is not None
+            assert (
+                restored.attempts == 2
+                and restored.uncertain_zone == "z"
+                and restored.uncertain_since is not None
+            )
             request = await world.receiver.next()
             assert (request.id, request.body) == ("m1", first.body) and world.receiver.requests.empty()
             assert request.headers["idempotency-key"] == "key of m1"
@@ -319,7 +323,7 @@
             await world.running.task
             again = PlatformSender(config_from(world.told, state)).engine
             restored = again.restored(again.journal.entries["m1"])
-            assert (restored.attempts, restored.risky_since, restored.risky_zone) == (3, 1001, "z1")
+            assert (restored.attempts, restored.uncertain_since, restored.uncertain_zone) == (3, 1001, "z1")
 
     play(test)(tmp_path)
 
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -222,10 +222,10 @@
 
 def test_a_call_that_outlasts_its_budget_ends_as_any_other() -> None:
     listed = Endpoint("e", 3, EndpointState.READY, "plain", "", 8.0)
-    at = SimpleNamespace(held={"m": 1}, endpoints=[SimpleNamespace(listed=listed)], breakers=())
+    at = SimpleNamespace(pending={"m": 1}, endpoints=[SimpleNamespace(listed=listed)], breakers=())
     there = SimpleNamespace(
         endpoints={"e": at.endpoints[0]}, destinations={3: at},
-        registry=SimpleNamespace(kinds={"plain": DestinationKind()}, leave_grew=lambda number: None),
+        registry=SimpleNamespace(kinds={"plain": DestinationKind()}, limits_raised=lambda number: None),
     )  # fmt: skip
     engine: Any = SimpleNamespace(
         dispatcher=there,
@@ -245,7 +245,7 @@
             budgets.reserve(listed, "m")
             assert budgets.reserve_limits("e", "m")
     assert budgets.out["m"].names == ["rate/3"]
-    at.held = {}
+    at.pending = {}
     for second in range(20, 100):
         time["now"] = float(second)
         budgets.step(time["now"])
@@ -316,22 +316,22 @@
 
 def test_the_module_asks_leave_for_a_trial() -> None:
     world = World()
-    world.dispatcher.registry.leave = leave = Denies("trials")
+    world.dispatcher.registry.shared_limits = leave = Denies("trials")
     world.open_breaker()
     assert not sent(world.take()) and not sent(world.step(WakeUp(), after=3 * US))
     leave.what = "repeats"
-    world.dispatcher.registry.leave_grew(1)
+    world.dispatcher.registry.limits_raised(1)
     assert len(sent(world.step(WakeUp()))) == 1
     assert leave.reserved[-1][1:] == (True, False)
 
 
 def test_a_repeat_that_waits_for_its_budget_lets_first_attempts_go() -> None:
     world = World()
-    world.dispatcher.registry.leave = leave = Denies("repeats")
+    world.dispatcher.registry.shared_limits = leave = Denies("repeats")
     assert sent(world.take()) == ["m1"] and not sent(world.answer("m1", Outcome.ERROR))
     assert sent(world.take(after=US)) == ["m2"] and not sent(world.answer("m2", Outcome.OK))
     leave.what = "trials"
-    world.dispatcher.registry.leave_grew(1)
+    world.dispatcher.registry.limits_raised(1)
     assert sent(world.step(WakeUp(), after=US)) == ["m1"]
     assert leave.reserved == [("m1", False, False), ("m2", False, False), ("m1", False, True)]
 
@@ -356,8 +356,8 @@
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     listed = Endpoint("e", 3, EndpointState.READY, "plain", "", 8.0)
-    at = SimpleNamespace(held={}, endpoints=[SimpleNamespace(listed=listed)], breakers=())
-    registry = SimpleNamespace(kinds={"plain": DestinationKind()}, leave_grew=lambda number: None)
+    at = SimpleNamespace(pending={}, endpoints=[SimpleNamespace(listed=listed)], breakers=())
+    registry = SimpleNamespace(kinds={"plain": DestinationKind()}, limits_raised=lambda number: None)
     there = SimpleNamespace(endpoints={"e": at.endpoints[0]}, destinations={3: at}, registry=registry)
     engine: Any = SimpleNamespace(
         dispatcher=there, post=lambda event: None, transport=None, hooks=HookChain()
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -15,7 +15,7 @@
 
 from message_sender.emulator.loop import VirtualLoop
 from message_sender.emulator.net import HOST, REFUSED, SILENT, Net
-from message_sender.policy.schedule import ListPolling
+from message_sender.policy.list_polling import ListPolling
 from message_sender.service import daemon
 from message_sender.service.daemon import DaemonConfig, PlatformSender
 from message_sender.start import config_from
@@ -284,22 +284,22 @@
         due: list[tuple[float, int]] = []
         for number, each in enumerate(calls):
             if began == 0.0:
-                each.start(0)
+                each.process_started(0)
             else:
-                each.failed(began * SECOND)  # its watch ends
-            due.append((each.at, number))
+                each.poll_failed(began * SECOND)  # its watch ends
+            due.append((each.next_poll_at, number))
         known = {}
         while due:
             due.sort(reverse=True)
             now, number = due.pop()
-            assert calls[number].is_due(now)
+            assert calls[number].take_due(now)
             asked += 1
             at, answered = turns.call(now / SECOND)
             if answered:
                 known[number] = at
                 continue
-            calls[number].failed(at * SECOND)
-            due.append((calls[number].at, number))
+            calls[number].poll_failed(at * SECOND)
+            due.append((calls[number].next_poll_at, number))
         assert len(known) == fleet and max(known.values()) <= began + most + TOLD
     assert asked < 10 * fleet
 
@@ -307,10 +307,10 @@
 def test_a_list_call_waits_for_its_turn_and_not_longer() -> None:
     """One that discovery made wait is made again at once, one that failed at once is not."""
     calls = ListPolling(settings(must_poll=True), random.Random(1))
-    assert calls.is_due(0)
-    calls.failed(2 * SECOND)
-    assert calls.at <= 2.5 * SECOND
-    assert calls.is_due(calls.at) and not calls.is_due(100 * SECOND)
-    begun = calls.begun
-    calls.failed(begun + 1000)
-    assert begun + SECOND <= calls.at <= begun + 2 * SECOND
+    assert calls.take_due(0)
+    calls.poll_failed(2 * SECOND)
+    assert calls.next_poll_at <= 2.5 * SECOND
+    assert calls.take_due(calls.next_poll_at) and not calls.take_due(100 * SECOND)
+    begun = calls.last_poll_at
+    calls.poll_failed(begun + 1000)
+    assert begun + SECOND <= calls.next_poll_at <= begun + 2 * SECOND
