--- a/message_sender/admission/__init__.py
+++ b/message_sender/admission/__init__.py
@@ -1,1 +1,1 @@
-"""Who gets in when there is no room: decisions alone, free of I/O."""
+"""Load shedding: which requests are admitted when there is no capacity. Pure decisions, free of I/O."""
--- a/message_sender/http/server.py
+++ b/message_sender/http/server.py
@@ -243,7 +243,7 @@
         for kind in (self.server.silent, self.server.strangers, self.server.idle):
             kind.pop(self, None)
         self.server.idle[self] = None
-        self.server.backlog.turned_one_away(self.since)
+        self.server.backlog.request_rejected(self.since)
         self.server.refused_unread(header(request.headers, b"x-service-class") or "")
         try:
             self.transport.write(self.server.unread_answer())
@@ -523,7 +523,7 @@
             connection.queued = True
             if not any(self.to_read):
                 self.loop.call_soon(self.read_some)
-            self.backlog.came(self.loop.time())
+            self.backlog.request_arrived(self.loop.time())
             self.to_read[not connection.proven].append(connection)
 
     def read_some(self) -> None:
@@ -547,20 +547,20 @@
     def read_first(self, line: deque[ServerConnection]) -> None:
         connection = line.popleft()
         connection.queued = False
-        self.backlog.taken_up(self.loop.time())
+        self.backlog.request_taken(self.loop.time())
         connection.advance()
 
     def turns_away(self, data: memoryview) -> fast_path.FastRequest | None:
         """What has come, where it is a whole request that is refused unread, as the backlog decides. One that
         is taken on already hears so: a refusal would say that it may be handed in elsewhere."""
-        if not (self.ready and self.backlog.refuses(self.loop.time())):
+        if not (self.ready and self.backlog.should_reject(self.loop.time())):
             return None
         found = fast_path.request(bytes(data), BODY_LIMIT)
         name = header(found.headers, b"x-correlation-id") if found else None
         return found if name and not self.known(name) else None
 
     def unread_answer(self) -> bytes:
-        after = self.backlog.come_again(self.most_wait / 1e6)
+        after = self.backlog.retry_after_s(self.most_wait / 1e6)
         told = f"Retry-After: {after:.3f}\r\n" if after else ""
         return f"HTTP/1.1 503 \r\nContent-Length: 0\r\n{told}\r\n".encode()
 
--- a/tests/test_backlog.py
+++ b/tests/test_backlog.py
@@ -1,4 +1,4 @@
-"""Past what one core can do: refused early and honestly, and what is taken on is not the worse for it."""
+"""Overload: requests are rejected early, with a Retry-After, and accepted messages are served as before."""
 
 import asyncio
 import socket
@@ -10,54 +10,65 @@
 from hypothesis import strategies as st
 from peers import Held, World, message, play, read_reply
 
-from message_sender.admission.backlog import LEAST, MOST, SOONEST, SPAN, Backlog
+from message_sender.admission.backlog import (
+    MAX_QUEUE_DELAY_S,
+    MIN_RETRY_AFTER_S,
+    RATE_WINDOW_S,
+    TARGET_QUEUE_DELAY_S,
+    Backlog,
+)
 from message_sender.http.server import ACCEPTS, ACCEPTS_FREE
 
-STEPS = st.lists(st.tuples(st.sampled_from(["came", "read", "pass"]), st.floats(0, 0.1)), max_size=300)
+STEPS = st.lists(st.tuples(st.sampled_from(["arrival", "read", "pause"]), st.floats(0, 0.1)), max_size=300)
 
 
 @given(STEPS, st.integers(1, 12))
 @settings(max_examples=300, deadline=None, derandomize=True)
-def test_it_turns_away_between_its_two_bounds_alone(steps: list[tuple[str, float]], many: int) -> None:
-    """Where many wait, the lower one alone."""
-    backlog, now, line = Backlog(0.0, many), 0.0, []
-    for what, passed in steps:
-        now += passed
-        crowded = len(line) >= many
-        if line and now - line[0] >= (LEAST if crowded else MOST):
-            assert backlog.refuses(now)
-        if backlog.refuses(now):
-            assert line  # never while nothing waits
-        elif what == "came":
-            backlog.came(now)
-            line.append(now)
-        if what == "read" and line:
-            waited = now - line.pop(0)
-            was = backlog.turning_away
-            backlog.taken_up(now)
-            if line and waited >= MOST:
-                assert backlog.turning_away
-            if waited < LEAST or not line:
-                assert not backlog.turning_away
-            elif waited < MOST:
-                assert backlog.turning_away == was
-        assert len(backlog.waiting) == len(line)
+def test_shedding_begins_and_ends_at_its_two_bounds(
+    steps: list[tuple[str, float]], crowded_length: int
+) -> None:
+    """In a crowded backlog, at the lower bound alone."""
+    backlog, now = Backlog(0.0, crowded_length), 0.0
+    arrivals: list[float] = []
+    for step, elapsed in steps:
+        now += elapsed
+        crowded = len(arrivals) >= crowded_length
+        if arrivals and now - arrivals[0] >= (TARGET_QUEUE_DELAY_S if crowded else MAX_QUEUE_DELAY_S):
+            assert backlog.should_reject(now)
+        if backlog.should_reject(now):
+            assert arrivals  # never while nothing waits
+        elif step == "arrival":
+            backlog.request_arrived(now)
+            arrivals.append(now)
+        if step == "read" and arrivals:
+            waited = now - arrivals.pop(0)
+            was_shedding = backlog.is_shedding
+            backlog.request_taken(now)
+            if arrivals and waited >= MAX_QUEUE_DELAY_S:
+                assert backlog.is_shedding
+            if waited < TARGET_QUEUE_DELAY_S or not arrivals:
+                assert not backlog.is_shedding
+            elif waited < MAX_QUEUE_DELAY_S:
+                assert backlog.is_shedding == was_shedding
+        assert len(backlog.arrival_times) == len(arrivals)
 
 
 @pytest.mark.parametrize("times", [1.0, 2.0, 4.0])
-def test_who_is_turned_away_hears_of_a_time_that_grows_with_the_excess(times: float) -> None:
+def test_retry_after_grows_with_the_overload(times: float) -> None:
     backlog, now = Backlog(0.0), 0.0
     for each in range(2000):
         now = each / 500
-        backlog.came(now)
-        backlog.taken_up(now)
+        backlog.request_arrived(now)
+        backlog.request_taken(now)
         for _ in range(int(times) - 1):
-            backlog.turned_one_away(now)
-    assert backlog.excess == pytest.approx(times, rel=0.05)
-    assert backlog.come_again(60.0) == pytest.approx(max(SPAN * (times - 0.5), SOONEST), rel=0.1)
-    assert backlog.come_again(0.1) == 0.1 and backlog.come_again(0.0) == 0.0
-    backlog.count(now + 10 * SPAN)  # a span that nobody saw the end of tells nothing
-    assert backlog.excess == 1.0
+            backlog.request_rejected(now)
+    assert backlog.overload_ratio == pytest.approx(times, rel=0.05)
+    assert backlog.retry_after_s(60.0) == pytest.approx(
+        max(RATE_WINDOW_S * (times - 0.5), MIN_RETRY_AFTER_S), rel=0.1
+    )
+    assert backlog.retry_after_s(0.1) == 0.1 and backlog.retry_after_s(0.0) == 0.0
+    backlog.roll_window(now + 10 * RATE_WINDOW_S)  # a window that ended unobserved says nothing
+    assert backlog.overload_ratio == 1.0
 
 
 PLAIN = message("m1", b"body")
@@ -81,13 +92,13 @@
 
 
 async def crowded(world: World) -> None:
-    """From now on the door turns away what it has not begun to read."""
+    """From now on the server rejects what it has not begun to read."""
     server = world.sender.server
-    server.backlog.came(server.loop.time() - 2 * MOST)
+    server.backlog.request_arrived(server.loop.time() - 2 * MAX_QUEUE_DELAY_S)
 
 
 @play
-async def test_a_crowd_is_refused_unread_with_a_time_and_keeps_its_connections(state: Path) -> None:
+async def test_rejected_requests_have_a_retry_after_and_keep_their_connections(state: Path) -> None:
     async with World(state) as world:
         server = world.sender.server
         client = await Held.open(server, message("before"))
@@ -96,9 +107,9 @@
         for _ in range(3):
             client.writer.write(message("again"))
             reply = await read_reply(client.reader)
-            assert reply.status == 503 and SOONEST <= float(reply.headers["retry-after"]) <= 2.0
-        assert "again" not in world.sender.engine.journal.entries and server.backlog.turned_away == 3
-        server.backlog.taken_up(server.loop.time())  # the last of the crowd has been read
+            assert reply.status == 503 and MIN_RETRY_AFTER_S <= float(reply.headers["retry-after"]) <= 2.0
+        assert "again" not in world.sender.engine.journal.entries and server.backlog.rejected_total == 3
+        server.backlog.request_taken(server.loop.time())  # the last of the crowd has been read
         client.writer.write(message("after"))
         assert (await read_reply(client.reader)).status == 202
         assert {(await world.receiver.next()).id for _ in range(2)} == {"before", "after"}
@@ -106,8 +117,8 @@
 
 
 @play
-async def test_a_message_that_is_taken_on_is_never_refused_unread(state: Path) -> None:
-    """A refusal says that it may be handed in elsewhere, which would be a second one."""
+async def test_a_repeat_of_an_accepted_message_is_never_rejected_unread(state: Path) -> None:
+    """A rejection says that it may be submitted elsewhere, which would be a second delivery."""
     async with World(state) as world:
         assert (await world.hand_in("m")).status == 202
         await crowded(world)
@@ -119,8 +130,8 @@
 
 
 @pytest.mark.parametrize("name", sorted(set(UNUSUAL) - {"in part", "two at once"}))
-def test_what_is_unusual_hears_the_same_in_a_crowd(name: str, tmp_path: Path) -> None:
-    heard = []
+def test_unusual_requests_have_the_same_reply_under_overload(name: str, tmp_path: Path) -> None:
+    replies = []
     for busy in (False, True):
 
         @play
@@ -129,16 +140,16 @@
                 if busy:
                     await crowded(world)
                 client = await Held.open(world.sender.server, UNUSUAL[name])
-                heard.append(await asyncio.wait_for(client.reader.read(12), 5))
+                replies.append(await asyncio.wait_for(client.reader.read(12), 5))
                 client.writer.close()
 
         (folder := tmp_path / str(busy)).mkdir()
         test(folder)
-    assert heard[0] == heard[1] != b""
+    assert replies[0] == replies[1] != b""
 
 
 @play
-async def test_a_readiness_check_is_answered_in_a_crowd(state: Path) -> None:
+async def test_a_readiness_check_is_answered_under_overload(state: Path) -> None:
     async with World(state) as world:
         await crowded(world)
         client = await Held.open(world.sender.server, b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -147,21 +158,24 @@
 
 
 @play
-async def test_a_crowd_that_holds_many_connections_is_refused_sooner(state: Path) -> None:
-    """Else clients that find no connection left wait unheard."""
+async def test_a_crowded_backlog_sheds_sooner(state: Path) -> None:
+    """Otherwise clients wait that find no connection left."""
     async with World(state) as world:
         server = world.sender.server
         with pytest.MonkeyPatch.context() as patch:
-            patch.setattr("message_sender.admission.backlog.MOST", 1e9)
-            for most, status in ((server.backlog.many - 1, 202), (server.backlog.many, 503)):
-                while len(server.backlog.waiting) < most:
-                    server.backlog.came(server.loop.time() - 1.5 * LEAST)
+            patch.setattr("message_sender.admission.backlog.MAX_QUEUE_DELAY_S", 1e9)
+            for most, status in (
+                (server.backlog.crowded_length - 1, 202),
+                (server.backlog.crowded_length, 503),
+            ):
+                while len(server.backlog.arrival_times) < most:
+                    server.backlog.request_arrived(server.loop.time() - 1.5 * TARGET_QUEUE_DELAY_S)
                 assert (await world.hand_in(f"m{status}")).status == status
-        assert server.backlog.many < server.most / 2
+        assert server.backlog.crowded_length < server.most / 2
 
 
 @play
-async def test_a_turn_takes_many_connections_only_while_nobody_is_pushed_out(state: Path) -> None:
+async def test_an_iteration_accepts_many_connections_only_while_none_is_evicted(state: Path) -> None:
     async with World(state) as world:
         server = world.sender.server
         loop, before = server.loop, server.accepted
