--- a/benchmarks/overrides.py
+++ b/benchmarks/overrides.py
@@ -17,7 +17,8 @@
 from message_sender import Dispatcher
 from message_sender.configuration import general
 from message_sender.control_socket import ask
-from message_sender.discovery.overrides import OverrideBook, OverrideKind, OverrideLayer
+from message_sender.discovery.override_layer import OverrideLayer
+from message_sender.discovery.overrides import OverrideBook, OverrideKind
 from message_sender.policy.actions import Send
 from message_sender.policy.events import AttemptEnded, EndpointsUpdated, MessageAccepted
 from message_sender.policy.model import (
@@ -55,8 +56,8 @@
         more = {"weight": 3.0, "destination": each * (count // max(overrides, 1)) // 2}
         book.set(kind, name, "me", "bench", 0, 3600 * SECOND, 1, **more)  # type: ignore[arg-type]
     overlay = OverrideLayer(book)
-    overlay.hear(EndpointsUpdated(ListingKind.FULL, listed(count)))
-    overlay.turn(1)
+    overlay.apply_update(EndpointsUpdated(ListingKind.FULL, listed(count)))
+    overlay.refresh(1)
     return overlay
 
 
@@ -67,7 +68,7 @@
         state = EndpointState.DRAINING if each % 2 else EndpointState.READY
         one = Endpoint(f"e{(each // 2 * 37) % count}", (each // 2 * 37) % count // 2, state, "plain", "z")
         began = time.perf_counter()
-        overlay.hear(EndpointsUpdated(ListingKind.CHANGES, (one,)))
+        overlay.apply_update(EndpointsUpdated(ListingKind.CHANGES, (one,)))
         costs.append((time.perf_counter() - began) * 1e6)
     return statistics.median(costs)
 
@@ -166,10 +167,10 @@
     print(f"  a change of the list: {change_cost(overlay, count):.1f} us")
     began = time.perf_counter()
     overlay.book.set(OverrideKind.OUT, "e5", "me", "bench", 1, SECOND, 1)
-    overlay.turn(2)
+    overlay.refresh(2)
     print(f"  an override set, in the overlay: {(time.perf_counter() - began) * 1e6:.0f} us")
     plain = EndpointsUpdated(ListingKind.FULL, listed(count))
-    under = EndpointsUpdated(ListingKind.FULL, tuple(overlay.shown.values()))
+    under = EndpointsUpdated(ListingKind.FULL, tuple(overlay.published.values()))
     ratios = [choice_cost(under, count) / choice_cost(plain, count) for _ in range(5)]
     print(f"  a message's cost in the decision module, to that without: {statistics.median(ratios):.3f} "
           f"({min(ratios):.3f} to {max(ratios):.3f})")  # fmt: skip
--- a/benchmarks/scale/policy.py
+++ b/benchmarks/scale/policy.py
@@ -85,5 +85,5 @@
 
 def wake_after_us(actions: Sequence[PolicyAction]) -> int | None:
     """When the module asks to be called again; None: as it asked before, or not at all."""
-    delays = [action.delay for action in actions if isinstance(action, WakeAfter)]
+    delays = [action.delay_us for action in actions if isinstance(action, WakeAfter)]
     return delays[-1] if delays else None
--- a/message_sender/cli/override.py
+++ b/message_sender/cli/override.py
@@ -10,7 +10,7 @@
 import click
 
 from message_sender.control_socket import ask
-from message_sender.discovery.time_text import parse, show
+from message_sender.discovery.time_text import format_time, parse_time
 
 STATE = click.option(
     "--state", "folder", type=click.Path(path_type=Path), required=True, help="The sender's state folder."
@@ -33,7 +33,7 @@
         if isinstance(value, int):
             return value
         try:
-            return parse(value, now_us())
+            return parse_time(value, now_us())
         except (ValueError, OverflowError) as error:
             self.fail(str(error), param, ctx)
 
@@ -55,9 +55,9 @@
         f"{name} {each[name]}" for name in ("destination", "tenant", "key") if each[name] not in (-1, "")
     ]
     what = {"weight": f" weight {each['weight']:g}", "pin": " for " + "".join(whose)}
-    begins = f" from {show(each['begins'], now)}" if each["begins"] > now else ""
+    begins = f" from {format_time(each['begins'], now)}" if each["begins"] > now else ""
     click.echo(f"{each['name']}: {each['kind']} {each['endpoint']}{what.get(each['kind'], '')}{begins}")
-    click.echo(f"    until {show(each['until'], now)}, by {each['who']}: {each['why']}")
+    click.echo(f"    until {format_time(each['until'], now)}, by {each['who']}: {each['why']}")
     if note:
         click.echo(f"    does nothing: {note}")
 
--- a/message_sender/discovery/__init__.py
+++ b/message_sender/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Who is there: directories that need no platform."""
+"""Endpoint lists: static ones, files, and what operators change of them for a while."""
--- a/message_sender/discovery/list_merging.py
+++ b/message_sender/discovery/list_merging.py
@@ -1,13 +1,12 @@
-"""What to believe of lists that are read: several of them, old ones, and one that suddenly empties. Pure.
+"""What to accept of lists that are read: several of them, old ones, and one that suddenly shrinks. Pure.
 
-- *Merged*: of several lists the first that names an endpoint counts.
-- *Doubt*: a list from which more than a share of what was believed is missing at once may be a fault of
-  whoever wrote it. What it adds and changes is believed at once; what is missing from it is believed to be
-  there until the list has said so for a while, until someone confirms it, or until it comes back. Drains that
-  it states are never doubted.
-- *Stale*: how old what is believed is, by the last time that a list was read and was in order.
+- *Merging*: of several lists the first that names an endpoint counts.
+- *Doubt*: a list that misses more than a share of its entries at once may be a fault of its writer. What it
+  adds and changes is accepted at once; what it misses is kept until it has been missing for some time, until
+  someone confirms the list, or until it is listed again. Drains that the list states are never doubted.
+- *Age*: how long ago a list was last read that was valid.
 
-Times are us.
+Times are microseconds.
 """
 
 from collections.abc import Iterable, Mapping
@@ -15,58 +14,67 @@
 from typing import Generic, TypeVar
 
 SECOND = 1_000_000
-FEW = 4  # believed endpoints from which a list is doubted: of fewer, half is one or two
+MIN_DOUBTABLE_SIZE = 4  # entries; of fewer, half is one or two
 
 Item = TypeVar("Item")
 
 
-def merged(lists: Iterable[Mapping[str, Item]]) -> dict[str, Item]:
-    """By id; where two name one, the first list counts."""
-    found: dict[str, Item] = {}
-    for each in lists:
-        found |= {name: item for name, item in each.items() if name not in found}
-    return found
+def merge_lists(lists: Iterable[Mapping[str, Item]]) -> dict[str, Item]:
+    """Merges lists by id; the first one that names an id counts."""
+    merged: dict[str, Item] = {}
+    for entries in lists:
+        merged |= {name: item for name, item in entries.items() if name not in merged}
+    return merged
 
 
 @dataclass(slots=True)
 class MergedList(Generic[Item]):
-    """What is believed of one list. `share` may vanish at once; more is doubted for `patience` us."""
+    """What is accepted of one list.
 
-    share: float = 0.5
-    patience: int = 300 * SECOND
-    believed: dict[str, Item] = field(default_factory=dict)
-    doubted: dict[str, Item] = field(default_factory=dict)  # believed, though the list does not name them
-    since: int = 0  # when the doubt began
-    read_at: int | None = None  # when a list was last in order
+    Attributes:
+        max_missing_share: Share of the entries that may vanish at once without doubt.
+        doubt_duration_us: How long missing entries are kept.
+        entries: What is accepted, by id.
+        doubted: Of these, what the list does not name.
+        doubted_since: When the doubt began.
+        read_at: When a valid list was last read; None: never.
+    """
 
-    def hear(self, told: Mapping[str, Item], now: int) -> bool:
-        """A list has been read. True: what is believed has changed."""
-        before, self.read_at = self.believed, now
-        known = {name: item for name, item in before.items() if name not in told}
-        if not known:
-            self.doubted = {}
-        elif not self.doubted:
-            if len(before) >= FEW and len(known) > self.share * len(before):
-                self.doubted, self.since = known, now
-        else:
-            self.doubted = known
-        if self.doubted and now - self.since >= self.patience:
+    max_missing_share: float = 0.5
+    doubt_duration_us: int = 300 * SECOND
+    entries: dict[str, Item] = field(default_factory=dict)
+    doubted: dict[str, Item] = field(default_factory=dict)
+    doubted_since: int = 0
+    read_at: int | None = None
+
+    def update(self, listed: Mapping[str, Item], now: int) -> bool:
+        """Applies a list that was read, and returns whether the accepted entries have changed."""
+        before = self.entries
+        self.read_at = now
+        missing = {name: item for name, item in before.items() if name not in listed}
+        if not missing or self.doubted:
+            self.doubted = missing
+        elif len(before) >= MIN_DOUBTABLE_SIZE and len(missing) > self.max_missing_share * len(before):
+            self.doubted = missing
+            self.doubted_since = now
+        if self.doubted and now - self.doubted_since >= self.doubt_duration_us:
             self.doubted = {}
-        self.believed = dict(told) | self.doubted
-        return self.believed != before
+        self.entries = dict(listed) | self.doubted
+        return self.entries != before
 
     def confirm(self) -> bool:
-        """Someone says that the list is right. True: something was doubted."""
+        """Drops the doubted entries: the list is right. Returns whether there were any."""
         if not self.doubted:
             return False
-        self.believed = {name: item for name, item in self.believed.items() if name not in self.doubted}
+        self.entries = {name: item for name, item in self.entries.items() if name not in self.doubted}
         self.doubted = {}
         return True
 
-    def turn(self, now: int) -> bool:
-        """The doubt ends by its time. True: what is believed has changed."""
-        return bool(self.doubted) and now - self.since >= self.patience and self.confirm()
+    def expire_doubt(self, now: int) -> bool:
+        """Drops the doubted entries if their time is over; returns whether it was."""
+        is_over = bool(self.doubted) and now - self.doubted_since >= self.doubt_duration_us
+        return is_over and self.confirm()
 
     def age(self, now: int) -> int | None:
-        """us since a list was in order; None if none ever was."""
+        """Returns the time since a valid list was read; None if none ever was."""
         return None if self.read_at is None else now - self.read_at
--- a/message_sender/discovery/outlier.py
+++ b/message_sender/discovery/outlier.py
@@ -1,14 +1,14 @@
-"""Ejection of outliers: an endpoint that fails while others of its destination serve is left out for a while.
-Pure.
+"""Outlier detection: ejects an endpoint that fails while others of its destination serve. Pure.
 
-The breaker sees a destination; this sees one endpoint among others, as Envoy's outlier detection does:
+The circuit breaker judges a destination; this judges an endpoint among others, as Envoy's outlier detection:
 
-- `failures` in a row eject an endpoint, if another one of its destination has served since the first of them.
-- It is out for `base` times the number of its ejections of late, `longest` at the most; a served call takes
-  one of these off again.
-- At most `share` of a destination's endpoints are out at once by this, and never the last one in service.
+- `failures` consecutive failures eject an endpoint if another one of its destination has served a call since
+  the first of them.
+- It is ejected for `base_duration_us` times the number of its recent ejections, at most `max_duration_us`; a
+  served call takes one of these off again.
+- At most `max_share` of a destination's endpoints are ejected at once, and never the last one in service.
 
-Times are us.
+Times are microseconds.
 """
 
 from dataclasses import dataclass
@@ -16,63 +16,98 @@
 
 @dataclass(slots=True)
 class FailureRecord:
-    failures: int = 0  # in a row
-    since: int = 0  # the first of these
-    served: int = -1  # when a call was last served
-    times: int = 0  # ejections of late
-    until: int = 0  # out until then
+    """The recent results of one endpoint.
+
+    Attributes:
+        failures: Consecutive failures.
+        first_failure_at: When the first of these happened.
+        last_success_at: When a call was last served; -1: never.
+        ejections: Recent ejections.
+    """
+
+    failures: int = 0
+    first_failure_at: int = 0
+    last_success_at: int = -1
+    ejections: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class EjectionPolicy:
+    """When and for how long endpoints are ejected; see the module's description."""
+
     failures: int = 5
-    base: int = 30_000_000
-    longest: int = 300_000_000
-    share: float = 0.5
+    base_duration_us: int = 30_000_000
+    max_duration_us: int = 300_000_000
+    max_share: float = 0.5
 
 
 class OutlierDetector:
-    def __init__(self, terms: EjectionPolicy) -> None:
-        self.terms = terms
+    """Decides which endpoints are ejected.
+
+    Attributes:
+        records: Results by endpoint id.
+        ejected_until: End of each ejection, by endpoint id.
+    """
+
+    def __init__(self, policy: EjectionPolicy) -> None:
+        """Creates a detector without any results."""
+        self.policy = policy
         self.records: dict[str, FailureRecord] = {}
-        self.out: dict[str, int] = {}  # endpoint: until when
+        self.ejected_until: dict[str, int] = {}
 
-    def served(self, name: str, now: int) -> None:
+    def record_success(self, name: str, now: int) -> None:
+        """Records a served call."""
         record = self.records.setdefault(name, FailureRecord())
-        record.failures, record.served, record.times = 0, now, max(record.times - 1, 0)
+        record.failures = 0
+        record.last_success_at = now
+        record.ejections = max(record.ejections - 1, 0)
+
+    def record_failure(self, name: str, now: int, in_service: list[str], ejected_others: int) -> bool:
+        """Records a failed call.
 
-    def failed(self, name: str, now: int, in_service: list[str], others_out: int) -> bool:
-        """`in_service` are the endpoints of its destination that may be called, itself among them;
-        `others_out` those that are out by ejection. True: it is out from now on."""
+        Args:
+            name: The endpoint.
+            now: The time.
+            in_service: Endpoints of its destination that may be called, itself included.
+            ejected_others: Number of its destination's endpoints that are ejected.
+
+        Returns:
+            Whether the endpoint is ejected from now on.
+        """
         record = self.records.setdefault(name, FailureRecord())
         if not record.failures:
-            record.since = now
+            record.first_failure_at = now
         record.failures += 1
-        if record.failures < self.terms.failures or name in self.out or name not in in_service:
+        if record.failures < self.policy.failures:
+            return False
+        if name in self.ejected_until or name not in in_service:
             return False
-        if not any(self.has_served(each, record.since) for each in in_service if each != name):
-            return False  # it is the destination that fails: the breaker's matter
-        if others_out + 1 > self.terms.share * (len(in_service) + others_out):
+        if not any(self.has_served(each, record.first_failure_at) for each in in_service if each != name):
+            return False  # the destination fails, which its breaker handles
+        if ejected_others + 1 > self.policy.max_share * (len(in_service) + ejected_others):
             return False
-        record.times += 1
+        record.ejections += 1
         record.failures = 0
-        self.out[name] = now + min(self.terms.base * record.times, self.terms.longest)
+        duration = min(self.policy.base_duration_us * record.ejections, self.policy.max_duration_us)
+        self.ejected_until[name] = now + duration
         return True
 
     def has_served(self, name: str, since: int) -> bool:
-        return name in self.records and self.records[name].served >= since
+        """Whether an endpoint has served a call since then."""
+        return name in self.records and self.records[name].last_success_at >= since
 
-    def turn(self, now: int) -> list[str]:
-        """Those whose time out is over: they are back."""
-        over = [name for name, until in self.out.items() if until <= now]
-        for name in over:
-            del self.out[name]
-        return over
+    def expire(self, now: int) -> list[str]:
+        """Ends the ejections that are over, and returns their endpoints."""
+        expired = [name for name, until in self.ejected_until.items() if until <= now]
+        for name in expired:
+            del self.ejected_until[name]
+        return expired
 
     def next_change(self) -> int | None:
-        return min(self.out.values(), default=None)
+        """Returns when the next ejection ends; None without one."""
+        return min(self.ejected_until.values(), default=None)
 
     def forget(self, name: str) -> None:
-        """It is gone from the list."""
+        """Drops an endpoint that is no longer listed."""
         self.records.pop(name, None)
-        self.out.pop(name, None)
+        self.ejected_until.pop(name, None)
--- a/message_sender/discovery/slow_start.py
+++ b/message_sender/discovery/slow_start.py
@@ -1,41 +1,54 @@
-"""Slow start: an endpoint that is new, or back, among others of its destination gets a growing share. Pure.
+"""Slow start: the weight of an endpoint that is new, or back, grows for a while. Pure.
 
-Its weight grows in equal steps over a span, so that a process with cold caches is not given a full share at
-once (Envoy has the like as its slow start mode; here it is linear). Where it is alone there is nothing to
-share out: then the decision module's warm-up counts.
+It grows in equal steps, so that a process with cold caches does not get its full share at once (Envoy has a
+slow start mode of this kind; here it is linear). An endpoint that is alone at its destination has no others
+to take the rest: there the warm-up of the delivery policy applies.
 """
 
 STEPS = 8
 
 
 class SlowStart:
-    def __init__(self, span: int = 0) -> None:
-        """`span` in us; 0: there is no slow start."""
-        self.span = span
-        self.began: dict[str, int] = {}
+    """The endpoints whose weight is growing.
+
+    Attributes:
+        duration_us: How long a slow start takes; 0: there is none.
+        started_at: When each slow start began, by endpoint id.
+    """
+
+    def __init__(self, duration_us: int = 0) -> None:
+        """Creates a slow start of that duration, with no endpoint in it."""
+        self.duration_us = duration_us
+        self.started_at: dict[str, int] = {}
 
     def start(self, name: str, now: int) -> None:
-        if self.span:
-            self.began[name] = now
+        """Begins the slow start of an endpoint."""
+        if self.duration_us:
+            self.started_at[name] = now
 
     def factor(self, name: str, now: int) -> float:
-        """Of the endpoint's weight: from 1/8 to 1."""
-        if name not in self.began:
+        """Returns the factor of the endpoint's weight: 1/8 to 1."""
+        if name not in self.started_at:
             return 1.0
-        step = (now - self.began[name]) * STEPS // self.span
+        step = (now - self.started_at[name]) * STEPS // self.duration_us
         return min(max(step + 1, 1), STEPS) / STEPS
 
-    def turn(self, now: int) -> list[str]:
-        """Those that are under way; one that has ended is named a last time."""
-        found = list(self.began)
-        over = [name for name in found if now - self.began[name] >= self.span]
-        for name in over:
-            del self.began[name]
-        return found
+    def advance(self, now: int) -> list[str]:
+        """Removes the endpoints whose slow start is over.
+
+        Returns:
+            All endpoints that were in slow start, those removed included.
+        """
+        names = list(self.started_at)
+        for name in names:
+            if now - self.started_at[name] >= self.duration_us:
+                del self.started_at[name]
+        return names
 
     def next_change(self, now: int) -> int | None:
-        """When the next step is due."""
-        times = (
-            at + self.span * ((now - at) * STEPS // self.span + 1) // STEPS + 1 for at in self.began.values()
-        )
-        return min(times, default=None)
+        """Returns when the next step is due; None with no endpoint in slow start."""
+        return min((self._next_step(start, now) for start in self.started_at.values()), default=None)
+
+    def _next_step(self, start: int, now: int) -> int:
+        step = (now - start) * STEPS // self.duration_us
+        return start + self.duration_us * (step + 1) // STEPS + 1
--- a/message_sender/discovery/static.py
+++ b/message_sender/discovery/static.py
@@ -1,4 +1,4 @@
-"""A directory for who has no platform: a list that its owner gives, and may change while the sender runs."""
+"""A directory without a platform: the owner gives the list, and may change it while the sender runs."""
 
 import asyncio
 from collections.abc import Callable, Iterable
@@ -7,7 +7,11 @@
 from message_sender.policy.events import EndpointsUpdated
 from message_sender.policy.model import Endpoint, EndpointState, ListingKind
 
-Dial = tuple[str, int]
+Dial = tuple[str, int]  # host and port
+
+
+def ignore_update(update: EndpointsUpdated) -> None:
+    """Receives updates before a listener is set."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -19,48 +23,59 @@
 
 
 class StaticDirectory:
-    """Implements the port `Directory` of the core. `told` is the engine's `endpoints_updated`."""
+    """Implements the core's port `Directory`.
+
+    Attributes:
+        static_endpoints: The list, by endpoint id.
+        destinations: All destinations that were ever listed.
+        on_update: Receives the updates; the engine's `endpoints_updated`.
+    """
 
-    def __init__(self, places: Iterable[StaticEndpoint]) -> None:
-        self.places = {each.endpoint.id: each for each in places}
-        self.destinations = {each.endpoint.destination for each in self.places.values()}
-        self.told: Callable[[EndpointsUpdated], None] = lambda listed: None
+    def __init__(self, endpoints: Iterable[StaticEndpoint]) -> None:
+        """Creates a directory with that list."""
+        self.static_endpoints = {each.endpoint.id: each for each in endpoints}
+        self.destinations = {each.endpoint.destination for each in self.static_endpoints.values()}
+        self.on_update: Callable[[EndpointsUpdated], None] = ignore_update
 
     def endpoints(self) -> tuple[Endpoint, ...]:
-        return tuple(each.endpoint for each in self.places.values())
+        """Returns the listed endpoints."""
+        return tuple(each.endpoint for each in self.static_endpoints.values())
 
     def dials(self) -> dict[str, Dial]:
-        return {name: each.dial for name, each in self.places.items()}
+        """Returns the address of each endpoint, by id."""
+        return {name: each.dial for name, each in self.static_endpoints.items()}
 
-    def replace(self, places: Iterable[StaticEndpoint]) -> None:
-        """The whole list anew. What is not in it is gone from now on: no new attempt goes there."""
-        self.places = {each.endpoint.id: each for each in places}
-        self.destinations |= {each.endpoint.destination for each in self.places.values()}
-        self.told(EndpointsUpdated(ListingKind.FULL, self.endpoints()))
+    def replace(self, endpoints: Iterable[StaticEndpoint]) -> None:
+        """Replaces the complete list; no new attempt goes to an endpoint that is not in it."""
+        self.static_endpoints = {each.endpoint.id: each for each in endpoints}
+        self.destinations |= {each.endpoint.destination for each in self.static_endpoints.values()}
+        self.on_update(EndpointsUpdated(ListingKind.FULL, self.endpoints()))
 
-    def configure(self, places: Iterable[StaticEndpoint]) -> None:
-        """The configuration names these from now on."""
-        self.replace(places)
+    def configure(self, endpoints: Iterable[StaticEndpoint]) -> None:
+        """Applies the list of a changed configuration."""
+        self.replace(endpoints)
 
     def drain(self, name: str) -> None:
-        """An endpoint wants nothing new. Raises KeyError for one that is not listed."""
-        place = self.places[name]
-        endpoint = replace(place.endpoint, state=EndpointState.DRAINING)
-        self.places[name] = StaticEndpoint(endpoint, place.dial)
-        self.told(EndpointsUpdated(ListingKind.CHANGES, (endpoint,)))
+        """Marks an endpoint as draining. Raises KeyError for one that is not listed."""
+        current = self.static_endpoints[name]
+        endpoint = replace(current.endpoint, state=EndpointState.DRAINING)
+        self.static_endpoints[name] = StaticEndpoint(endpoint, current.dial)
+        self.on_update(EndpointsUpdated(ListingKind.CHANGES, (endpoint,)))
 
     # The port.
 
     def poll_unread(self) -> None:
-        """Nothing lies unread here."""
+        """Does nothing: no update can lie unread."""
 
     async def watch(self) -> None:
-        """Whoever changes the list tells it; there is nothing to wait for."""
-        self.told(EndpointsUpdated(ListingKind.FULL, self.endpoints()))
+        """Sends the complete list; later changes are sent by whoever makes them."""
+        self.on_update(EndpointsUpdated(ListingKind.FULL, self.endpoints()))
         await asyncio.get_running_loop().create_future()
 
     def knows(self, destination: int) -> bool:
+        """Whether the destination is or was listed."""
         return destination in self.destinations
 
     def remember(self, destination: int) -> None:
+        """Records a destination that an earlier process knew."""
         self.destinations.add(destination)
--- a/message_sender/discovery/time_text.py
+++ b/message_sender/discovery/time_text.py
@@ -3,47 +3,75 @@
 import re
 from datetime import UTC, datetime, timedelta, tzinfo
 
-SPAN = re.compile(r"\+(?:([0-9]{1,3})d)?(?:([0-9]{1,4})h)?(?:([0-9]{1,5})m)?(?:([0-9]{1,6})s)?")
+US_PER_SECOND = 1_000_000
+DURATION = re.compile(r"\+(?:([0-9]{1,3})d)?(?:([0-9]{1,4})h)?(?:([0-9]{1,5})m)?(?:([0-9]{1,6})s)?")
 CLOCK = re.compile(r"([01][0-9]|2[0-3]):([0-5][0-9])")
 
 
-def parse(text: str, now: int, zone: tzinfo | None = None) -> int:
-    """us since the epoch. `now` likewise; a clock time is the next one in `zone` (the machine's own). One
-    that the spring skips is an hour later, of one that the autumn has twice the first counts (PEP 495).
-    Raises ValueError for what is no time."""
-    if (span := SPAN.fullmatch(text)) and any(span.groups()):
-        days, hours, minutes, seconds = (int(each or 0) for each in span.groups())
-        return now + (((days * 24 + hours) * 60 + minutes) * 60 + seconds) * 1_000_000
-    here = datetime.fromtimestamp(now // 1_000_000, UTC).astimezone(zone)
+def parse_time(text: str, now: int, zone: tzinfo | None = None) -> int:
+    """Returns the time that a text means.
+
+    A clock time is the next one. One that is skipped in spring is an hour later; of one that occurs twice in
+    autumn the first counts (PEP 495).
+
+    Args:
+        text: A duration from now such as `+45m`, a clock time such as `22:30`, or ISO 8601.
+        now: Microseconds since the epoch.
+        zone: The time zone of the text; None: the machine's own.
+
+    Returns:
+        Microseconds since the epoch.
+
+    Raises:
+        ValueError: The text is not a time.
+    """
+    if (duration := DURATION.fullmatch(text)) and any(duration.groups()):
+        days, hours, minutes, seconds = (int(each or 0) for each in duration.groups())
+        return now + (((days * 24 + hours) * 60 + minutes) * 60 + seconds) * US_PER_SECOND
+    local_now = datetime.fromtimestamp(now // US_PER_SECOND, UTC).astimezone(zone)
     if clock := CLOCK.fullmatch(text):
-        return next_clock(here, int(clock[1]), int(clock[2]), zone)
+        return next_clock_time(local_now, int(clock[1]), int(clock[2]), zone)
     try:
-        found = datetime.fromisoformat(text)
+        moment = datetime.fromisoformat(text)
     except ValueError:
         raise ValueError(f"{text!r} is no time; write 22:30, +45m or 2026-12-24T22:30") from None
-    if found.tzinfo is None:
-        found = local(found, zone)
-    return round(found.timestamp() * 1_000_000)
+    if moment.tzinfo is None:
+        moment = localize(moment, zone)
+    return round(moment.timestamp() * US_PER_SECOND)
 
 
-def next_clock(here: datetime, hour: int, minute: int, zone: tzinfo | None) -> int:
-    day = here.replace(tzinfo=None, fold=0, second=0, microsecond=0)
-    found = local(day.replace(hour=hour, minute=minute), zone)
-    if found <= here:
-        found = local((day + timedelta(days=1)).replace(hour=hour, minute=minute), zone)
-    return round(found.timestamp() * 1_000_000)
+def next_clock_time(local_now: datetime, hour: int, minute: int, zone: tzinfo | None) -> int:
+    """Returns when it is next that time of day, in microseconds since the epoch."""
+    day = local_now.replace(tzinfo=None, fold=0, second=0, microsecond=0)
+    moment = localize(day.replace(hour=hour, minute=minute), zone)
+    if moment <= local_now:
+        moment = localize((day + timedelta(days=1)).replace(hour=hour, minute=minute), zone)
+    return round(moment.timestamp() * US_PER_SECOND)
 
 
-def local(naive: datetime, zone: tzinfo | None) -> datetime:
+def localize(naive: datetime, zone: tzinfo | None) -> datetime:
+    """Returns the time of a clock in that zone, or in the machine's own."""
     return naive.replace(tzinfo=zone) if zone else naive.astimezone()
 
 
-def show(at: int, now: int, zone: tzinfo | None = None) -> str:
-    """Both ways: the time where the reader is, and how far off it is."""
-    text = datetime.fromtimestamp(at // 1_000_000, UTC).astimezone(zone).isoformat(timespec="seconds")
-    left = (at - now) // 1_000_000
-    far, sign = abs(left), "in " if left >= 0 else ""
-    days, hours, minutes = far // 86_400, far // 3600 % 24, far // 60 % 60
-    parts = [f"{days} d"] * (days > 0) + [f"{hours} h"] * (hours > 0) + [f"{minutes} min"] * (days == 0)
-    span = " ".join(parts) if far >= 60 else f"{far} s"
-    return f"{text} ({sign}{span}{'' if left >= 0 else ' ago'})"
+def format_time(at: int, now: int, zone: tzinfo | None = None) -> str:
+    """Returns a time in the reader's zone with its distance from now; both in microseconds."""
+    text = datetime.fromtimestamp(at // US_PER_SECOND, UTC).astimezone(zone).isoformat(timespec="seconds")
+    remaining_s = (at - now) // US_PER_SECOND
+    distance = format_duration(abs(remaining_s))
+    return f"{text} (in {distance})" if remaining_s >= 0 else f"{text} ({distance} ago)"
+
+
+def format_duration(seconds: int) -> str:
+    """Returns a duration in at most two units, such as `1 d 2 h`; below a minute in seconds."""
+    if seconds < 60:
+        return f"{seconds} s"
+    days, hours, minutes = seconds // 86_400, seconds // 3600 % 24, seconds // 60 % 60
+    parts = []
+    if days > 0:
+        parts.append(f"{days} d")
+    if hours > 0:
+        parts.append(f"{hours} h")
+    if days == 0:
+        parts.append(f"{minutes} min")
+    return " ".join(parts)
--- a/message_sender/emulator/fleet.py
+++ b/message_sender/emulator/fleet.py
@@ -244,8 +244,8 @@
             return append(record, *more, **named)
 
         self.engine.journal.append = counted  # type: ignore[method-assign]
-        self.directory = StaticDirectory(self.directory.places.values())
-        self.directory.told = self.engine.endpoints_updated
+        self.directory = StaticDirectory(self.directory.static_endpoints.values())
+        self.directory.on_update = self.engine.endpoints_updated
         self.plug()
         if self.world.links:
             self.world.links.join(self.name, self.engine, self.lives)
@@ -272,10 +272,10 @@
         if not (self.alive and life == self.lives):
             return
         ready = {name for name, each in places.items() if each.endpoint.state is EndpointState.READY}
-        for name, each in self.directory.places.items():
+        for name, each in self.directory.static_endpoints.items():
             if each.endpoint.state is EndpointState.READY and name not in ready:
                 self.world.history.note(seen.EndpointDrained(self.world.time(), name, self.name))
-        for name in [x for x in places if x in ready and x not in self.directory.places]:
+        for name in [x for x in places if x in ready and x not in self.directory.static_endpoints]:
             self.world.history.note(seen.EndpointRestored(self.world.time(), name, self.name))
         self.directory.replace(places.values())
 
--- a/message_sender/emulator/simulated_run.py
+++ b/message_sender/emulator/simulated_run.py
@@ -410,7 +410,7 @@
 
         self.engine.journal.append = counted  # type: ignore[method-assign]
         self.directory = getattr(self, "directory", None) or StaticDirectory(self.places)
-        self.directory.told = self.engine.endpoints_updated
+        self.directory.on_update = self.engine.endpoints_updated
         self.engine.plug(ModelTransport(self), self.directory, ModelCompletionListener(self))
         self.engine.start()
         self.engine.endpoints_updated(EndpointsUpdated(ListingKind.FULL, self.directory.endpoints()))
--- a/message_sender/grpc/channel.py
+++ b/message_sender/grpc/channel.py
@@ -220,7 +220,7 @@
         self.transport = GrpcTransport(
             timeout, directory.dials, self.engine.retry_after_received, options, factory
         )
-        directory.told = self.engine.endpoints_updated
+        directory.on_update = self.engine.endpoints_updated
         self.engine.plug(self.transport, directory, self)
         self.waiting: set[Call] = set()
         self.closed = False
--- a/message_sender/service/daemon.py
+++ b/message_sender/service/daemon.py
@@ -15,7 +15,7 @@
 from message_sender.core.hooks import EngineHooks
 from message_sender.core.ports import CompletionListener, CompletionState, Directory
 from message_sender.core.socket_errors import transport_in
-from message_sender.discovery.maintenance import ROOM, Maintenance, MaintenanceFile
+from message_sender.discovery.maintenance import FILE_SPACE_BYTES, Maintenance, MaintenanceFile
 from message_sender.handover.drain import GRACE, STOP, Drain, DrainPhase
 from message_sender.handover.takeover import OwnershipHandover
 from message_sender.http.client import HttpTransport
@@ -209,8 +209,8 @@
         self.orders = OperatorCommands(self, record, away)
         self.clock = Clock(told.clock if told else None)
         known = told.known if told else config.known
-        listed = self.maintenance.hear(EndpointsUpdated(ListingKind.CACHED, known.endpoints))
-        room, sockets = (ROOM, manage.DESCRIPTORS) if config.management else (0, 0)
+        listed = self.maintenance.apply_update(EndpointsUpdated(ListingKind.CACHED, known.endpoints))
+        room, sockets = (FILE_SPACE_BYTES, manage.DESCRIPTORS) if config.management else (0, 0)
         engine = Engine(
             EngineConfig(
                 config.name, config.state, config.seed, config.disk_bytes - room, config.settings,
@@ -254,7 +254,7 @@
                 self.succession.seat.close()
 
     def listed(self, news: EndpointsUpdated) -> None:
-        self.engine.endpoints_updated(self.maintenance.hear(news))
+        self.engine.endpoints_updated(self.maintenance.apply_update(news))
 
     def dials(self) -> dict[str, Address]:
         return self.discovery.dials
--- a/message_sender/service/operator_commands.py
+++ b/message_sender/service/operator_commands.py
@@ -5,7 +5,12 @@
 import logging
 from typing import TYPE_CHECKING
 
-from message_sender.discovery.maintenance import MOST_ID, MOST_OUT, Maintenance, MaintenanceFile
+from message_sender.discovery.maintenance import (
+    MAX_ID_LENGTH,
+    MAX_OUT_OF_SERVICE,
+    Maintenance,
+    MaintenanceFile,
+)
 from message_sender.management.calls import ManagementCall, ManagementReply, Operation
 from message_sender.management.metrics import Metrics
 from message_sender.policy.events import EndpointsUpdated
@@ -65,21 +70,24 @@
         return known is None or opened or known.suspect_until > self.sender.engine.now()
 
     def take_out(self, call: ManagementCall) -> ManagementReply:
-        if not self.maintenance.knows(call.receiver):
+        if not self.maintenance.is_known(call.receiver):
             return ManagementReply(404, "no receiver of this id is known")
-        if len(self.maintenance.out) >= MOST_OUT or len(json.dumps(call.receiver)) > MOST_ID:
+        if (
+            len(self.maintenance.out_of_service) >= MAX_OUT_OF_SERVICE
+            or len(json.dumps(call.receiver)) > MAX_ID_LENGTH
+        ):
             return ManagementReply(503, "no room for one more that is out")
-        if not self.recorded(self.maintenance.out | {call.receiver}, self.away):
+        if not self.recorded(self.maintenance.out_of_service | {call.receiver}, self.away):
             return NOT_RECORDED
-        self.changed(call.receiver, self.maintenance.take_out(call.receiver))
+        self.changed(call.receiver, self.maintenance.take_out_of_service(call.receiver))
         return ManagementReply(200, "out")
 
     def put_back(self, call: ManagementCall) -> ManagementReply:
-        if not self.maintenance.knows(call.receiver):
+        if not self.maintenance.is_known(call.receiver):
             return ManagementReply(404, "no receiver of this id is known")
-        if not self.recorded(self.maintenance.out - {call.receiver}, self.away):
+        if not self.recorded(self.maintenance.out_of_service - {call.receiver}, self.away):
             return NOT_RECORDED
-        self.changed(call.receiver, self.maintenance.put_back(call.receiver))
+        self.changed(call.receiver, self.maintenance.return_to_service(call.receiver))
         return ManagementReply(200, "back")
 
     def changed(self, receiver: str, news: EndpointsUpdated | None) -> None:
@@ -87,11 +95,11 @@
         self.sender.transport.close_idle(receiver)
         if news:
             self.sender.engine.endpoints_updated(news)
-        now = "out" if receiver in self.maintenance.out else "in"
+        now = "out" if receiver in self.maintenance.out_of_service else "in"
         log.info("%s: %s is %s", self.sender.engine.config.name, receiver, now)
 
     def send_away(self, call: ManagementCall) -> ManagementReply:
-        if not self.recorded(self.maintenance.out, True):
+        if not self.recorded(self.maintenance.out_of_service, True):
             return NOT_RECORDED
         if not self.away:
             log.info("%s: clients are sent away", self.sender.engine.config.name)
@@ -103,7 +111,7 @@
     def come_back(self, call: ManagementCall) -> ManagementReply:
         if self.sender.drain.ends_at() is not None:
             return ManagementReply(503, "this process is ending")
-        if not self.recorded(self.maintenance.out, False):
+        if not self.recorded(self.maintenance.out_of_service, False):
             return NOT_RECORDED
         if self.away:
             log.info("%s: back to work", self.sender.engine.config.name)
@@ -114,7 +122,7 @@
 
     def recorded(self, out: set[str], away: bool) -> bool:
         """Whether the orders stand on the disk as they are to be."""
-        if (out, away) == (self.maintenance.out, self.away):
+        if (out, away) == (self.maintenance.out_of_service, self.away):
             return True
         try:
             self.record.save(out, away)
--- a/message_sender/service/process_handover.py
+++ b/message_sender/service/process_handover.py
@@ -158,7 +158,7 @@
                 if name in discovery.dials
             ],
             "destinations": sorted(discovery.destinations),
-            "back": sorted(maintenance.back),
+            "back": sorted(maintenance.returned),
             "away_since": sender.drain.ordered_at,
         }
 
--- a/message_sender/service/standalone.py
+++ b/message_sender/service/standalone.py
@@ -123,11 +123,11 @@
 
     def pinned_endpoint(self, message: Message) -> str:
         """The endpoint to which the message's key or tenant is pinned."""
-        return self.overrides.overlay.pin_of(message.tenant, message.key)
+        return self.overrides.layer.pinned_endpoint(message.tenant, message.key)
 
     def attempt_finished(self, endpoint: str, outcome: Outcome) -> None:
         """Outlier detection counts the outcome."""
-        self.overrides.outcome(endpoint, outcome)
+        self.overrides.record_outcome(endpoint, outcome)
 
 
 class StandaloneSender(HttpSender):
@@ -158,16 +158,16 @@
             self.directory, OverrideStore(state), clock, lambda listed: None, *more
         )
         whole = EndpointsUpdated(ListingKind.FULL, self.directory.endpoints())
-        listed = over.overlay.hear(whole, clock())
+        listed = over.layer.apply_update(whole, clock())
         engine = Engine(
             EngineConfig(
                 config.name, state, config.seed, config.disk_bytes, config.settings, listed.endpoints,
-                over.returned,
+                over.returned_endpoints,
             ),
             clock,
             open_journal=open_journal,
         )  # fmt: skip
-        over.told, self.directory.told = engine.endpoints_updated, over.hear
+        over.on_update, self.directory.on_update = engine.endpoints_updated, over.apply_update
         engine.hooks.add(OverrideHooks(over))
         self.control = ControlSocket(state, self.commands())
         super().__init__(engine, config.listen, config.sockets)
@@ -192,10 +192,10 @@
 
     def away(self) -> dict[str, float]:
         """Endpoints that are out of service here, by an override or as the list drains them, s left."""
-        now, overlay = self.engine.now(), self.overrides.overlay
+        now, overlay = self.engine.now(), self.overrides.layer
         listed = overlay.listed.values()
         found = {each.id: DRAINS for each in listed if each.state is EndpointState.DRAINING}
-        return found | {name: max(x.until - now, 0) / 1e6 for name, x in overlay.force.out.items()}
+        return found | {name: max(x.until - now, 0) / 1e6 for name, x in overlay.active.out.items()}
 
     def keep_away(self, endpoint: str, left: float, by: str) -> None:
         """Another one keeps it out of service: that counts where this one's disk may not tell the latest."""
@@ -223,7 +223,7 @@
         await super().start()
         if self.membership:
             self.set_ready(self.membership.is_open())
-        self.overrides.turn()
+        self.overrides.refresh()
         if self.control_plane:
             await self.control_plane.start(self.directory, self.membership, self.engine.task_ended)
         try:
@@ -271,24 +271,28 @@
             asked["until"], asked.get("weight", 1.0), asked.get("destination", -1),
             asked.get("tenant", ""), asked.get("key", ""),
         )  # fmt: skip
-        return {"override": new.as_json(), "in_vain": self.overrides.vain.get(new.name, "")}
+        return {"override": new.as_json(), "in_vain": self.overrides.ineffective.get(new.name, "")}
 
     def list_overrides(self) -> dict[str, Any]:
         found = [each.as_json() for each in self.overrides.book.overrides.values()]
-        return {"overrides": found, "in_vain": self.overrides.vain, "all_out": self.overrides.empty}
+        return {
+            "overrides": found,
+            "in_vain": self.overrides.ineffective,
+            "all_out": self.overrides.unserved_destinations,
+        }
 
     def lists(self) -> list[dict[str, object]]:
-        return self.directory.lists() if isinstance(self.directory, FileDirectory) else []
+        return self.directory.describe_lists() if isinstance(self.directory, FileDirectory) else []
 
     def endpoints(self) -> list[dict[str, Any]]:
         believed = {each["id"]: each for each in explain.endpoints(self.engine.dispatcher, self.engine.now())}
-        overlay = self.overrides.overlay
+        overlay = self.overrides.layer
         found = []
         for name, listed in overlay.listed.items():
-            shown = overlay.shown.get(name, listed)
+            shown = overlay.published.get(name, listed)
             told = {"id": name, "destination": listed.destination, "listed": listed.state.value}
-            over = overlay.force.out.get(name) or overlay.force.weights.get(name)
-            over = over or overlay.force.pins.get(listed.destination)
+            over = overlay.active.out.get(name) or overlay.active.weights.get(name)
+            over = over or overlay.active.pins.get(listed.destination)
             told |= {"told": shown.state.value, "override": over.name if over else None}
             found.append(believed.get(name, {}) | told)
         return sorted(found, key=lambda each: (each["destination"], each["id"]))
@@ -306,7 +310,7 @@
         sender.directory.configure(config.places)
         if sender.membership and config.fleet:
             sender.membership.configure(config.budgets, config.fleet.size)
-        log.info("%d endpoints from now on", len(sender.directory.places))
+        log.info("%d endpoints from now on", len(sender.directory.static_endpoints))
     except (ConfigError, OSError) as error:
         log.error("the new configuration is not used: %s", error)
 
--- a/tests/compatibility/samples.py
+++ b/tests/compatibility/samples.py
@@ -283,7 +283,7 @@
     engine = SimpleNamespace(export_state=handed_state)
     discovery = SimpleNamespace(seq=41, dials=listed.dials, destinations={4, 3, 9})
     maintenance = SimpleNamespace(
-        listed={each.id: each for each in listed.endpoints}, back={"hub-9", "hub-2"}
+        listed={each.id: each for each in listed.endpoints}, returned={"hub-9", "hub-2"}
     )
     sender = SimpleNamespace(
         engine=engine, discovery=discovery, maintenance=maintenance, clock=SimpleNamespace(base=123_456_789),
--- a/tests/compatibility/test_compatibility.py
+++ b/tests/compatibility/test_compatibility.py
@@ -99,7 +99,7 @@
 def test_overrides_and_orders_read(tmp_path: Path) -> None:
     store = OverrideStore(copied("overrides", tmp_path))
     book = store.load()
-    assert list(book.overrides) == ["o1", "o2", "o3", "o4", "o5"] and book.last == 5
+    assert list(book.overrides) == ["o1", "o2", "o3", "o4", "o5"] and book.last_number == 5
     before = (tmp_path / "overrides" / "overrides.json").read_bytes()
     store.save(book)
     assert (tmp_path / "overrides" / "overrides.json").read_bytes() == before
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -164,7 +164,7 @@
             each.break_off()
 
     def operators_drain(self) -> None:
-        self.sender.orders.changed("r", self.sender.maintenance.take_out("r"))
+        self.sender.orders.changed("r", self.sender.maintenance.take_out_of_service("r"))
         self.drained = len(self.calls)
 
     def news(self, health: str) -> EndpointsUpdated:
@@ -236,7 +236,7 @@
 
     async def bring_back(self) -> None:
         """What was drained, or lost from the list, is there again."""
-        self.sender.maintenance.out = frozenset()
+        self.sender.maintenance.out_of_service = frozenset()
         for _ in range(40):
             await turn()
         if self.drained is not None:
--- a/tests/test_directories.py
+++ b/tests/test_directories.py
@@ -13,8 +13,8 @@
 
 from message_sender.configuration.general import read, read_endpoints
 from message_sender.control_socket import ask
-from message_sender.discovery.file import COPY, STALE, FileDirectory
-from message_sender.discovery.list_merging import FEW, MergedList, merged
+from message_sender.discovery.file import LAST_GOOD_FILE, STALE_AFTER_US, FileDirectory
+from message_sender.discovery.list_merging import MIN_DOUBTABLE_SIZE, MergedList, merge_lists
 from message_sender.policy.events import EndpointsUpdated
 from message_sender.policy.model import ListingKind
 from message_sender.service.standalone import CompletionWriter, StandaloneSender
@@ -35,33 +35,33 @@
     belief, now, missing_since = MergedList[int](0.5, 30), 0, dict[str, int]()
     for told, passed in lists:
         now += passed
-        before = set(belief.believed)
-        belief.hear(names(*told), now)
-        believed = set(belief.believed)
+        before = set(belief.entries)
+        belief.update(names(*told), now)
+        believed = set(belief.entries)
         assert told <= believed and believed == told | set(belief.doubted)
         assert set(belief.doubted) <= before
         missing_since = {name: missing_since.get(name, now) for name in believed - told}
         assert all(now - since < 30 for since in missing_since.values())
-        if not belief.doubted and len(before) < FEW:
+        if not belief.doubted and len(before) < MIN_DOUBTABLE_SIZE:
             assert believed == told
 
 
 def test_a_list_that_empties_is_doubted_until_its_time_or_a_word() -> None:
     belief = MergedList[int](0.5, 60)
-    belief.hear(names("a", "b", "c", "d"), 0)
-    belief.hear(names("a"), 10)
-    assert set(belief.believed) == {"a", "b", "c", "d"} and not belief.turn(69)
-    assert belief.turn(70) and set(belief.believed) == {"a"}
-    belief.hear(names("a", "b", "c", "d"), 80)
-    belief.hear({}, 90)
-    assert belief.confirm() and not belief.believed and not belief.confirm()
-    belief.hear(names("a", "b", "c", "d"), 100)
-    belief.hear(names("a", "b", "c"), 110)
-    assert set(belief.believed) == {"a", "b", "c"}  # one of four may go
+    belief.update(names("a", "b", "c", "d"), 0)
+    belief.update(names("a"), 10)
+    assert set(belief.entries) == {"a", "b", "c", "d"} and not belief.expire_doubt(69)
+    assert belief.expire_doubt(70) and set(belief.entries) == {"a"}
+    belief.update(names("a", "b", "c", "d"), 80)
+    belief.update({}, 90)
+    assert belief.confirm() and not belief.entries and not belief.confirm()
+    belief.update(names("a", "b", "c", "d"), 100)
+    belief.update(names("a", "b", "c"), 110)
+    assert set(belief.entries) == {"a", "b", "c"}  # one of four may go
 
 
 def test_of_two_lists_the_first_counts() -> None:
-    assert merged([{"a": 1}, {"a": 2, "b": 2}, {"b": 3, "c": 3}]) == {"a": 1, "b": 2, "c": 3}
+    assert merge_lists([{"a": 1}, {"a": 2, "b": 2}, {"b": 3, "c": 3}]) == {"a": 1, "b": 2, "c": 3}
 
 
 class Files:
@@ -77,7 +77,7 @@
 
     def directory(self, **more: Any) -> FileDirectory:  # noqa: ANN401
         made = FileDirectory(self.paths, read_endpoints, self.folder, lambda: self.now, **more)
-        made.told = self.told.append
+        made.on_update = self.told.append
         return made
 
 
@@ -89,21 +89,21 @@
     files.write(1, "a", "b", port=2)
     directory = files.directory()
     assert directory.dials() == {"a": ("h", 1), "b": ("h", 2)}
-    assert not directory.look_at_files()  # nothing has changed
+    assert not directory.check_files()  # nothing has changed
     files.write(1, "b", "c", port=3)
-    assert directory.look_at_files() and directory.dials() == {"a": ("h", 1), "b": ("h", 3), "c": ("h", 3)}
+    assert directory.check_files() and directory.dials() == {"a": ("h", 1), "b": ("h", 3), "c": ("h", 3)}
     assert files.told[-1].listing is ListingKind.FULL and {each.id for each in files.told[-1].endpoints} == {
         *"abc"
     }
     files.paths[1].write_text('[[endpoints]]\nid = "b"\n')
-    assert not directory.look_at_files() and len(directory.dials()) == 3 and "dial: is missing" in caplog.text
-    files.now += STALE + 1
-    directory.look_at_files()
-    assert "has not been in order for 60 s" in caplog.text
+    assert not directory.check_files() and len(directory.dials()) == 3 and "dial: is missing" in caplog.text
+    files.now += STALE_AFTER_US + 1
+    directory.check_files()
+    assert "endpoint list is stale" in caplog.text and "age_s=60" in caplog.text
     for path in files.paths:
         path.unlink()
-    assert files.directory().dials() == directory.dials() and "from the last run" in caplog.text
-    (tmp_path / COPY).write_text("[[1]]")
+    assert files.directory().dials() == directory.dials() and "using that of the last run" in caplog.text
+    (tmp_path / LAST_GOOD_FILE).write_text("[[1]]")
     assert files.directory().dials() == {}
 
 
@@ -125,7 +125,7 @@
             }
             if number == 0:
                 files.write(0, "a")
-                assert isinstance(sender.directory, FileDirectory) and not sender.directory.look_at_files()
+                assert isinstance(sender.directory, FileDirectory) and not sender.directory.check_files()
                 rows = (await asyncio.to_thread(ask, state, {"do": "endpoints"}))["value"]
                 assert rows["lists"][0]["doubted"] == [*"bcde"] and len(rows["endpoints"]) == 5
                 files.paths[0].unlink()
@@ -137,17 +137,18 @@
     files = Files(tmp_path)
     files.write(0, "a", "b", "c", "d")
     files.write(1)
-    directory = files.directory(patience=60 * SECOND)
+    directory = files.directory(doubt_duration_us=60 * SECOND)
     files.write(0)
-    directory.look_at_files()
-    assert len(directory.dials()) == 4 and "4 that it had are missing" in caplog.text
+    directory.check_files()
+    assert len(directory.dials()) == 4
+    assert "missing endpoints are kept for now" in caplog.text and "missing=4 kept_s=60" in caplog.text
     files.now += 59 * SECOND
-    assert not directory.look_at_files()
+    assert not directory.check_files()
     files.now += SECOND
-    assert directory.look_at_files() and not directory.dials()
+    assert directory.check_files() and not directory.dials()
     files.write(0, "a", "b", "c", "d")
-    directory.look_at_files()
+    directory.check_files()
     files.write(0, "a")
-    directory.look_at_files()
+    directory.check_files()
     assert directory.confirm() and set(directory.dials()) == {"a"} and not directory.confirm()
-    assert json.loads((tmp_path / COPY).read_text())[0][0] == "a"
+    assert json.loads((tmp_path / LAST_GOOD_FILE).read_text())[0][0] == "a"
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from message_sender.discovery.maintenance import LATELY, Maintenance, MaintenanceFile
+from message_sender.discovery.maintenance import RECENT_IDS_LIMIT, Maintenance, MaintenanceFile
 from message_sender.handover.drain import GRACE, STOP, Drain, DrainPhase
 from message_sender.policy.events import EndpointsUpdated
 from message_sender.policy.model import EndpointState, ListingKind
@@ -52,16 +52,16 @@
             if what is not ListingKind.FAILED:
                 listed |= states
             news = EndpointsUpdated(what, tuple(endpoint(x, state=y) for x, y in states.items()))
-            told.hear(layer.hear(news))
+            told.hear(layer.apply_update(news))
         elif kind == "out":
             owed.discard(what)
             out.add(what)
-            told.hear(layer.take_out(what))
+            told.hear(layer.take_out_of_service(what))
         else:
             if what in out:
                 owed.add(what)
             out.discard(what)
-            told.hear(layer.put_back(what))
+            told.hear(layer.return_to_service(what))
         ready = {name for name, state in told.states.items() if state is EndpointState.READY}
         assert ready == {x for x, y in listed.items() if y is EndpointState.READY} - out
         assert set(told.warmed) <= owed
@@ -71,11 +71,11 @@
 
 def test_an_id_that_has_left_is_known_for_a_while() -> None:
     layer = Maintenance()
-    names = [f"r{at}" for at in range(LATELY + 1)]
-    layer.hear(EndpointsUpdated(ListingKind.FULL, tuple(map(endpoint, names))))
-    assert layer.knows("r0") and not layer.knows("other")
-    layer.hear(EndpointsUpdated(ListingKind.FULL, ()))
-    assert sum(map(layer.knows, names)) == LATELY
+    names = [f"r{at}" for at in range(RECENT_IDS_LIMIT + 1)]
+    layer.apply_update(EndpointsUpdated(ListingKind.FULL, tuple(map(endpoint, names))))
+    assert layer.is_known("r0") and not layer.is_known("other")
+    layer.apply_update(EndpointsUpdated(ListingKind.FULL, ()))
+    assert sum(map(layer.is_known, names)) == RECENT_IDS_LIMIT
 
 
 def test_orders_are_read_as_they_were_saved_or_not_at_all(tmp_path: Path) -> None:
--- a/tests/test_overrides.py
+++ b/tests/test_overrides.py
@@ -26,18 +26,18 @@
 from message_sender.discovery import override_store as store_module
 from message_sender.discovery.outlier import EjectionPolicy, OutlierDetector
 from message_sender.discovery.overridden import OverriddenDirectory
-from message_sender.discovery.override_store import ASIDE, LOG, OverrideStore
+from message_sender.discovery.override_layer import OverrideLayer
+from message_sender.discovery.override_store import DAMAGED_FILE, LOG_FILE, OverrideStore
 from message_sender.discovery.overrides import (
-    MOST_SPAN,
+    MAX_DURATION_US,
     Override,
     OverrideBook,
     OverrideError,
     OverrideKind,
-    OverrideLayer,
 )
 from message_sender.discovery.slow_start import SlowStart
 from message_sender.discovery.static import StaticDirectory
-from message_sender.discovery.time_text import parse, show
+from message_sender.discovery.time_text import format_time, parse_time
 from message_sender.policy.actions import Send
 from message_sender.policy.events import EndpointsUpdated, WakeUp
 from message_sender.policy.model import Endpoint, EndpointState, ListingKind, Outcome
@@ -119,10 +119,10 @@
         if what == "list":
             each = endpoint(first, second, state=third)
             listed = {k: v for k, v in (listed | {first: each}).items() if v.state is not GONE}
-            told.hear(overlay.hear(EndpointsUpdated(ListingKind.CHANGES, (each,))))
+            told.hear(overlay.apply_update(EndpointsUpdated(ListingKind.CHANGES, (each,))))
         elif what == "full":
             listed = {name: endpoint(name, second) for name in first}
-            told.hear(overlay.hear(EndpointsUpdated(ListingKind.FULL, tuple(listed.values()))))
+            told.hear(overlay.apply_update(EndpointsUpdated(ListingKind.FULL, tuple(listed.values()))))
         elif what == "set":
             weight, to, begins = third / 5, 1 + third % 2, now + (third % 3) * SECOND
             to = to if first is OverrideKind.PIN else -1
@@ -132,21 +132,21 @@
         elif what == "pass":
             now += first * SECOND
         book.expire(now)
-        told.hear(overlay.turn(now))
+        told.hear(overlay.refresh(now))
         assert told.believed == model(listed, book, now)
 
 
 def test_what_comes_back_into_service_is_named_and_a_drain_that_ends_is_not() -> None:
     book = OverrideBook()
     overlay = OverrideLayer(book)
-    overlay.hear(EndpointsUpdated(ListingKind.FULL, (endpoint("a"), endpoint("b", state=DRAINING))))
+    overlay.apply_update(EndpointsUpdated(ListingKind.FULL, (endpoint("a"), endpoint("b", state=DRAINING))))
     name = out(book, "a").name
-    turned = overlay.turn(T0)
+    turned = overlay.refresh(T0)
     assert turned and (turned.endpoints[0].state, turned.returned) == (DRAINING, ())
     book.end(name)
-    turned = overlay.turn(T0)
+    turned = overlay.refresh(T0)
     assert turned and (turned.endpoints, turned.returned) == ((endpoint("a"),), ("a",))
-    assert overlay.hear(EndpointsUpdated(ListingKind.CHANGES, (endpoint("b"),))).returned == ()
+    assert overlay.apply_update(EndpointsUpdated(ListingKind.CHANGES, (endpoint("b"),))).returned == ()
 
 
 @pytest.mark.parametrize(
@@ -166,64 +166,73 @@
     book = OverrideBook()
     overlay = OverrideLayer(book)
     out(book, "b")
-    overlay.hear(
+    overlay.apply_update(
         EndpointsUpdated(ListingKind.FULL, (endpoint("a"), endpoint("b"), endpoint("d", state=DRAINING)))
     )
     new = book.set(kind, name, "me", "why", T0, T0 + SECOND, T0, **more)
-    overlay.turn(T0)
-    assert overlay.in_vain(T0).get(new.name, "") == why
+    overlay.refresh(T0)
+    assert overlay.ineffective(T0).get(new.name, "") == why
     out(book, "a")
-    overlay.turn(T0)
-    assert overlay.all_out() == [1]
+    overlay.refresh(T0)
+    assert overlay.unserved_destinations() == [1]
 
 
 def test_what_is_new_or_back_among_others_starts_slowly() -> None:
     book, told = OverrideBook(), Told()
     overlay = OverrideLayer(book, SlowStart(8 * SECOND))
-    told.hear(overlay.hear(EndpointsUpdated(ListingKind.FULL, (endpoint("a"), endpoint("x", 2))), T0))
-    told.hear(overlay.hear(EndpointsUpdated(ListingKind.CHANGES, (endpoint("b"), endpoint("y", 3))), T0))
+    told.hear(overlay.apply_update(EndpointsUpdated(ListingKind.FULL, (endpoint("a"), endpoint("x", 2))), T0))
+    told.hear(
+        overlay.apply_update(EndpointsUpdated(ListingKind.CHANGES, (endpoint("b"), endpoint("y", 3))), T0)
+    )
     assert {name: each.weight for name, each in told.believed.items()} == {"a": 1, "x": 1, "b": 1 / 8, "y": 1}
     seen, now = [], T0
-    while (due := overlay.ramp.next_change(now)) is not None:
+    while (due := overlay.slow_start.next_change(now)) is not None:
         now = due
-        told.hear(overlay.turn(now))
+        told.hear(overlay.refresh(now))
         seen.append(told.believed["b"].weight)
     assert seen == [each / 8 for each in (2, 3, 4, 5, 6, 7, 8, 8)] and now == T0 + 8 * SECOND + 1
     over = out(book, "a", now, now + SECOND)
-    told.hear(overlay.turn(now))
+    told.hear(overlay.refresh(now))
     book.end(over.name)
-    told.hear(overlay.turn(now))
+    told.hear(overlay.refresh(now))
     assert told.believed["a"].weight == 1 / 8
 
 
 def test_an_outlier_is_ejected_for_longer_each_time_and_never_the_last_one() -> None:
-    ejector, now = OutlierDetector(EjectionPolicy(failures=3, base=10, longest=25, share=0.5)), 100
+    ejector, now = (
+        OutlierDetector(EjectionPolicy(failures=3, base_duration_us=10, max_duration_us=25, max_share=0.5)),
+        100,
+    )
 
     def fails(name: str, in_service: list[str], times: int = 3) -> bool:
-        return any([ejector.failed(name, now, in_service, len(ejector.out)) for _ in range(times)])
+        return any(
+            [ejector.record_failure(name, now, in_service, len(ejector.ejected_until)) for _ in range(times)]
+        )
 
     assert not fails("a", ["a", "b"], 9)  # nobody serves: it is the destination
-    ejector.served("b", now)
-    assert fails("a", ["a", "b"], 1) and ejector.out == {"a": 110}
+    ejector.record_success("b", now)
+    assert fails("a", ["a", "b"], 1) and ejector.ejected_until == {"a": 110}
     assert not fails("b", ["b"], 9)  # the last one in service
-    ejector.served("c", now)
+    ejector.record_success("c", now)
     assert not fails("b", ["b", "c"], 9)  # two of three are more than half
     for back in (140, 165):
         now = ejector.next_change() or 0
-        assert ejector.turn(now) == ["a"] and not ejector.out
-        ejector.served("c", now + 10 if back == 140 else now)
+        assert ejector.expire(now) == ["a"] and not ejector.ejected_until
+        ejector.record_success("c", now + 10 if back == 140 else now)
         now += 10 if back == 140 else 0
-        assert fails("a", ["a", "b", "c"]) and ejector.out == {"a": back}
-    ejector.served("a", now)
-    assert ejector.records["a"].times == 2
+        assert fails("a", ["a", "b", "c"]) and ejector.ejected_until == {"a": back}
+    ejector.record_success("a", now)
+    assert ejector.records["a"].ejections == 2
 
 
 @play
 async def test_a_sender_leaves_out_what_fails_among_others_and_takes_it_back(state: Path) -> None:
     async with service(state, {"eject": {"failures": 2, "base_s": 0.5}}) as world:
         world.endpoints[0].script.rule = lambda message: ScriptedAnswer(EndpointBehavior.ERROR)
-        ejector = world.sender.overrides.overlay.ejector
-        while ejector and "e0" not in ejector.out:  # one that has just failed is tried again after 2 s
+        ejector = world.sender.overrides.layer.outliers
+        while (
+            ejector and "e0" not in ejector.ejected_until
+        ):  # one that has just failed is tried again after 2 s
             await world.deliver(1)
         assert world.sender.engine.dispatcher.endpoints.keys() == {"e1"}
         world.endpoints[0].script.rule = lambda message: None
@@ -233,7 +242,7 @@
 
 BAD: list[tuple[dict[str, Any], str]] = [
     ({"who": " "}, "who must be"), ({"why": "w" * 300}, "why must be"), ({"until": T0}, "must end after"),
-    ({"until": T0 + MOST_SPAN + 1}, "at most 7 days"), ({"weight": 0}, "set it out"),
+    ({"until": T0 + MAX_DURATION_US + 1}, "at most 7 days"), ({"weight": 0}, "set it out"),
     ({"weight": float("nan")}, "weight must be"), ({"kind": OverrideKind.PIN}, "needs a destination"),
     ({"kind": OverrideKind.PIN, "destination": 1, "tenant": "t"}, "one of them"),
     ({"key": "k"}, "are of pins"),
@@ -247,18 +256,18 @@
     book = OverrideBook()
     with pytest.raises(OverrideError, match=text):
         book.set(**(told | {"begins": T0, "until": T0 + SECOND, "now": T0} | change))
-    assert not book.overrides and book.last == 0
+    assert not book.overrides and book.last_number == 0
 
 
 def test_a_pin_to_what_is_ejected_is_in_vain() -> None:
     """Else nothing of its destination would be left in service."""
     book, told = OverrideBook(), Told()
-    overlay = OverrideLayer(book, ejector=OutlierDetector(EjectionPolicy(failures=1)))
-    told.hear(overlay.hear(EndpointsUpdated(ListingKind.FULL, (endpoint("a"), endpoint("b")))))
-    overlay.outcome("b", True, T0)
-    assert overlay.outcome("a", False, T0)
+    overlay = OverrideLayer(book, outliers=OutlierDetector(EjectionPolicy(failures=1)))
+    told.hear(overlay.apply_update(EndpointsUpdated(ListingKind.FULL, (endpoint("a"), endpoint("b")))))
+    overlay.record_outcome("b", True, T0)
+    assert overlay.record_outcome("a", False, T0)
     book.set(OverrideKind.PIN, "a", "me", "why", T0, T0 + SECOND, T0, destination=1)
-    told.hear(overlay.turn(T0))
+    told.hear(overlay.refresh(T0))
     assert [told.believed[name].state for name in "ab"] == [DRAINING, READY]
 
 
@@ -306,18 +315,18 @@
 )
 def test_times_as_engineers_write_them(text: str, now: str, wanted: str) -> None:
     here, then = (round(datetime.fromisoformat(each).timestamp()) * SECOND for each in (now, wanted))
-    assert parse(text, here, Zurich()) == then
+    assert parse_time(text, here, Zurich()) == then
 
 
 @pytest.mark.parametrize("text", ["", "+", "25:00", "7:00", "+5", "soon", "+m", "-5m", "2026-13-01"])
 def test_what_is_no_time_says_so(text: str) -> None:
     with pytest.raises(ValueError, match="no time"):
-        parse(text, T0)
+        parse_time(text, T0)
 
 
 def test_a_time_is_shown_both_ways() -> None:
-    assert show(T0 + 5400 * SECOND, T0, Zurich()).endswith("(in 1 h 30 min)")
-    assert show(T0 - 5 * SECOND, T0, Zurich()).endswith("(5 s ago)")
+    assert format_time(T0 + 5400 * SECOND, T0, Zurich()).endswith("(in 1 h 30 min)")
+    assert format_time(T0 - 5 * SECOND, T0, Zurich()).endswith("(5 s ago)")
 
 
 # On disk.
@@ -353,7 +362,7 @@
 ) -> None:
     (tmp_path / "overrides.json").write_text(text)
     assert not OverrideStore(tmp_path).load().overrides
-    assert (tmp_path / ASIDE).read_text() == text and "cannot be read" in caplog.text
+    assert (tmp_path / DAMAGED_FILE).read_text() == text and "cannot be read" in caplog.text
 
 
 # What the decision module makes of it.
@@ -432,11 +441,11 @@
     clock = iter(range(T0, T0 + 10_000 * SECOND, 7 * SECOND))
     told: list[EndpointsUpdated] = []
     over = OverriddenDirectory(StaticDirectory(()), OverrideStore(state), lambda: next(clock), told.append)
-    over.hear(EndpointsUpdated(ListingKind.FULL, (endpoint("a"),)))
+    over.apply_update(EndpointsUpdated(ListingKind.FULL, (endpoint("a"),)))
     over.set(OverrideKind.OUT, "a", "me", "why", T0, T0 + 60 * SECOND)
     while over.book.overrides:
         assert over.next_at is not None and over.timer is not None
-        over.turn()
+        over.refresh()
     assert told[-1].returned == ("a",) and over.timer is None
 
 
@@ -457,13 +466,13 @@
         self.news = asyncio.Event()  # an end was told, or the list was
         heard = CompletionWriter(io.StringIO(), lambda name, end: self.news.set())
         self.sender = StandaloneSender(told, folder, heard)
-        tell = self.sender.overrides.told
+        tell = self.sender.overrides.on_update
 
         def told_on(listed: EndpointsUpdated) -> None:
             tell(listed)
             self.news.set()
 
-        self.sender.overrides.told = told_on
+        self.sender.overrides.on_update = told_on
 
     async def until(self, condition: Callable[[], bool]) -> None:
         while not condition():
@@ -533,13 +542,13 @@
         assert await world.deliver() == {"e0": 10}
         world.sender.directory.drain("e0")  # the pin is in vain: the drain binds
         assert await world.deliver() == {"e1": 10}
-        world.sender.overrides.checked()
+        world.sender.overrides.check_effects()
         listed = (await world.ask(do="list"))["value"]
         assert listed["in_vain"] == {pin["name"]: "its endpoint drains"}
         assert {each["name"] for each in listed["overrides"]} == {weight["name"], pin["name"]}
         rows = {each["id"]: each for each in (await world.ask(do="endpoints"))["value"]["endpoints"]}
         assert (rows["e0"]["listed"], rows["e1"]["override"]) == ("draining", weight["name"])
-        told = [json.loads(each) for each in (state / LOG).read_text().splitlines()]
+        told = [json.loads(each) for each in (state / LOG_FILE).read_text().splitlines()]
         assert [each["did"] for each in told] == ["set", "ended", "set", "set", "ended", "set"]
 
 
