--- a/message_sender/core/arrivals.py
+++ b/message_sender/core/arrivals.py
@@ -74,7 +74,7 @@
             message=message.id,
             message_class=message.message_class,
             destination=message.destination,
-            time_left=message.deadline_us - self.owner.now(),
+            time_left_us=message.deadline_us - self.owner.now(),
             tenant=message.tenant,
             key=message.key,
             is_repeat=message.is_repeat,
@@ -119,7 +119,7 @@
     def _reject_by_policy(self, action: Reject | Fail, message: Message, caller: Caller) -> None:
         """The final answer of a message that was never accepted. Nothing of it has run."""
         if isinstance(action, Reject):
-            self.table.reject(message, caller, RejectReason.REFUSED, action.retry_after)
+            self.table.reject(message, caller, RejectReason.REFUSED, action.retry_after_us)
         else:
             self.reject(message, caller, RejectReason.REFUSED)
         self.owner.post(EndAcknowledged(action.message))
--- a/message_sender/core/engine.py
+++ b/message_sender/core/engine.py
@@ -53,7 +53,7 @@
     WakeUp,
 )
 from message_sender.policy.model import ListingKind, Settings
-from message_sender.policy.state_transfer import tell
+from message_sender.policy.state_transfer import export_state
 
 PERIODIC_INTERVAL_S = 0.25  # what clients are owed within 3 s goes by it
 #: A timer must not run before its time on the policy's clock, which then sets no other one.
@@ -232,13 +232,13 @@
             is_trial = call.breaker.trial is call
             calls[message_id] = (
                 number,
-                CallInFlight(listed.id, listed.zone, call.sent, is_trial, call.overdue),
+                CallInFlight(listed.id, listed.zone, call.sent_at, is_trial, call.is_overdue),
             )
         return HandoverState(
-            inherited=tell(dispatcher.registry, dispatcher.pending),
+            inherited=export_state(dispatcher.registry, dispatcher.pending),
             calls=calls,
             ending=dict(self.table.pending_completions),
-            shares={message_id: message.share for message_id, message in dispatcher.messages.items()},
+            shares={message_id: message.weight_factor for message_id, message in dispatcher.messages.items()},
             ended=tuple(self.table.completed),
         )
 
@@ -369,7 +369,7 @@
         if action.message in rejected:
             return  # its caller has been answered
         if isinstance(action, Reject):
-            completion = Completion(CompletionState.REFUSED, action.retry_after)
+            completion = Completion(CompletionState.REFUSED, action.retry_after_us)
         else:
             completion = Completion(CompletionState.FAILED)
         self.table.complete(action.message, completion)
--- a/message_sender/core/explain.py
+++ b/message_sender/core/explain.py
@@ -4,10 +4,11 @@
 from typing import Any
 
 from message_sender.core.inventory import breaker_state
-from message_sender.policy.breaker import NEVER, PendingMessage, TrackedEndpoint
+from message_sender.policy.breaker import NEVER, TrackedEndpoint
+from message_sender.policy.destination import Destination
 from message_sender.policy.dispatcher import Dispatcher
 from message_sender.policy.events import MessageAccepted
-from message_sender.policy.schedule import Destination
+from message_sender.policy.pending_message import PendingMessage
 
 US_PER_MS = 1e3
 US_PER_S = 1e6
@@ -55,8 +56,8 @@
         state, ready_at, gap, wait = "asleep", float(now), 0.0, 0.0
     else:
         state = breaker_state(breaker, now)
-        ready_at = breaker.free_at(now)
-        gap = max(breaker.gap, breaker.cold_gap(now))
+        ready_at = breaker.earliest_ready_at(now)
+        gap = max(breaker.gap, breaker.warm_up_gap(now))
         wait = max(breaker.wait_until - now, 0)
     return EndpointView(
         id=listed.id,
@@ -67,7 +68,7 @@
         ready_ms=None if ready_at == NEVER else round(max(ready_at - now, 0) / US_PER_MS, 3),
         gap_ms=round(gap / US_PER_MS, 3),
         wait_ms=round(wait / US_PER_MS, 3),
-        out=endpoint.out,
+        out=endpoint.in_flight,
         rate=listed.scale,
     )
 
@@ -94,7 +95,7 @@
         "destination": destination,
         "goes_to": endpoint,
         "waits_for": blocker,
-        "held_there": len(found.held or ()),
+        "held_there": len(found.pending or ()),
         "why_not": {endpoint_id: reason for endpoint_id, reason in reasons.items() if reason},
     }
 
@@ -102,7 +103,7 @@
 def key_blocker(dispatcher: Dispatcher, key: str) -> str:
     """Which messages of the same key go before; empty for none."""
     queue = dispatcher.keys.get(key) if key else None
-    return f"{len(queue.queue)} of its key are before it" if queue and queue.queue else ""
+    return f"{len(queue.messages)} of its key are before it" if queue and queue.messages else ""
 
 
 def chosen_endpoint(
@@ -115,7 +116,7 @@
     if all(each.breaker for each in destination.endpoints):
         kind = dispatcher.settings.classes[0]
         event = MessageAccepted("?", kind.name, destination.number, kind.deadline, key=key)
-        chosen = dispatcher.choose(PendingMessage(event, kind, now, 1.0), {})
+        chosen = dispatcher.choose_endpoint(PendingMessage(event, kind, now, 1.0), {})
         if chosen:
             return chosen.listed.id
     return free[0]
@@ -123,7 +124,7 @@
 
 def blocking_reason(dispatcher: Dispatcher, endpoint: TrackedEndpoint, now: int) -> str:
     """Why the endpoint may not be called now; empty: it may."""
-    if len(dispatcher.out) >= dispatcher.settings.slots:
+    if len(dispatcher.active_calls) >= dispatcher.settings.slots:
         return f"all {dispatcher.settings.slots} slots are taken"
     breaker = endpoint.breaker
     if breaker is None:
@@ -136,9 +137,9 @@
         return f"it told to wait for {(breaker.wait_until - now) / US_PER_S:.3f} s"
     ready_at = breaker.ready_at(now)
     if ready_at > now:
-        cause = "it warms up" if breaker.cold_gap(now) > breaker.gap else "its gap"
+        cause = "it warms up" if breaker.warm_up_gap(now) > breaker.gap else "its gap"
         return f"{cause}: the next call in {(ready_at - now) / US_PER_S:.3f} s"
-    limits = dispatcher.registry.leave
+    limits = dispatcher.registry.shared_limits
     if limits and limits.free_at(endpoint.listed, now) > now:
         return "its part of a budget that the fleet shares is in use"
     return "" if dispatcher.may_call(breaker) else "it has as many calls out as one destination may"
--- a/message_sender/core/inventory.py
+++ b/message_sender/core/inventory.py
@@ -14,8 +14,8 @@
 
 from message_sender.files import replace_json
 from message_sender.policy.breaker import NEVER, Breaker
+from message_sender.policy.destination import Destination
 from message_sender.policy.dispatcher import Dispatcher
-from message_sender.policy.schedule import Destination
 
 FILE = "destinations.json"
 #: States of breakers, the most troubled first.
@@ -54,17 +54,17 @@
 
 def record_of(destination: Destination, now: int) -> DestinationRecord:
     """What is kept for one destination."""
-    breakers = list((destination.own or {}).values())
+    breakers = list((destination.breakers_by_route or {}).values())
     last_used = max((each.last_sent for each in breakers), default=-NEVER)
-    if last_used == -NEVER and destination.silent_since is not None:
-        last_used = destination.silent_since
-    gaps = [max(each.gap, each.cold_gap(now)) for each in breakers]
+    if last_used == -NEVER and destination.inactive_since is not None:
+        last_used = destination.inactive_since
+    gaps = [max(each.gap, each.warm_up_gap(now)) for each in breakers]
     return DestinationRecord(
         number=destination.number,
         state=state_of(destination, now),
         endpoints=len(destination.endpoints),
-        held=len(destination.held or ()),
-        out=sum(each.out for each in breakers),
+        held=len(destination.pending or ()),
+        out=sum(each.in_flight for each in breakers),
         silent_s=None if last_used == -NEVER else round((now - last_used) / 1e6, 3),
         gap_ms=round(max(gaps, default=0.0) / 1e3, 1),
         bytes=sum(sys.getsizeof(each) for each in objects_of(destination)),
@@ -73,9 +73,9 @@
 
 def state_of(destination: Destination, now: int) -> str:
     """The destination's state; of several routes the most troubled one's."""
-    if destination.own is None:
-        return "listed" if destination.silent_since is None else "asleep"
-    states = [breaker_state(each, now) for each in destination.own.values()]
+    if destination.breakers_by_route is None:
+        return "listed" if destination.inactive_since is None else "asleep"
+    states = [breaker_state(each, now) for each in destination.breakers_by_route.values()]
     return min(states, key=ORDER.index, default="closed")
 
 
@@ -85,7 +85,7 @@
         return "half-open" if breaker.trial else "open"
     if breaker.wait_until > now:
         return "waits"
-    return "warming" if breaker.cold_gap(now) else "closed"
+    return "warming" if breaker.warm_up_gap(now) else "closed"
 
 
 def objects_of(destination: Destination) -> Iterator[object]:
@@ -93,20 +93,20 @@
     yield destination
     for part in (
         destination.endpoints,
-        destination.own,
+        destination.breakers_by_route,
         destination.breakers,
-        destination.held,
-        destination.groups,
+        destination.pending,
+        destination.ready_groups,
     ):
         if part is not None:
             yield part
     for endpoint in destination.endpoints:
         yield from (endpoint, endpoint.listed)
-    for breaker in (destination.own or {}).values():
-        yield from (breaker, breaker.fresh, breaker.stuck)
-    yield from (destination.held or {}).values()
-    for group in (destination.groups or {}).values():
-        yield from (group, group.line)
+    for breaker in (destination.breakers_by_route or {}).values():
+        yield from (breaker, breaker.on_time_calls, breaker.overdue_calls)
+    yield from (destination.pending or {}).values()
+    for group in (destination.ready_groups or {}).values():
+        yield from (group, group.messages)
 
 
 def write(dispatcher: Dispatcher, now: int, folder: Path) -> Path:
--- a/message_sender/core/restoration.py
+++ b/message_sender/core/restoration.py
@@ -62,10 +62,10 @@
         return replace(
             self.restored(entry, number),
             outcomes=(),
-            handed=True,
+            is_handed_over=True,
             call=call,
-            ended=completion is not None,
-            share=handed_over.shares.get(message_id),
+            is_completed=completion is not None,
+            weight_factor=handed_over.shares.get(message_id),
         )
 
     def restored(self, entry: JournalEntry, in_flight: int = NO_ATTEMPT) -> MessageRestored:
@@ -77,9 +77,9 @@
         """
         risk = entry.first_risky_attempt(in_flight)
         return MessageRestored(
-            taken=self.arrivals.acceptance_of(entry.message),
+            accepted=self.arrivals.acceptance_of(entry.message),
             attempts=max(entry.attempts, default=-1) + 1,
-            risky_since=min(risk.started_us, self.now()) if risk else None,
-            risky_zone=risk.zone if risk else "",
+            uncertain_since=min(risk.started_us, self.now()) if risk else None,
+            uncertain_zone=risk.zone if risk else "",
             outcomes=tuple((each.endpoint, each.outcome) for each in entry.attempts.values() if each.outcome),
         )
--- a/message_sender/emulator/simulated_run.py
+++ b/message_sender/emulator/simulated_run.py
@@ -131,7 +131,8 @@
         for name, kind in KINDS.items()
     )  # fmt: skip
     return Settings(
-        classes=classes, kinds=(("plain", DestinationKind()), ("apart", DestinationKind(apart=True))),
+        classes=classes,
+        kinds=(("plain", DestinationKind()), ("apart", DestinationKind(has_separate_routes=True))),
         slots=12, max_open=200, max_attempts=6, zone="x", tick=5_000, max_retry_after=SECOND,
         slow_start=int(COLD * SECOND), key_pause=int(QUIET * SECOND), drain_grace=SECOND // 2,
         acknowledges_completions=True,
@@ -409,7 +410,7 @@
 
         self.engine.journal.append = counted  # type: ignore[method-assign]
         self.directory = getattr(self, "directory", None) or StaticDirectory(self.places)
-        self.directory.told = self.engine.endpoints_updated
+        self.directory.on_update = self.engine.endpoints_updated
         self.engine.plug(ModelTransport(self), self.directory, ModelCompletionListener(self))
         self.engine.start()
         self.engine.endpoints_updated(EndpointsUpdated(ListingKind.FULL, self.directory.endpoints()))
--- a/message_sender/http/read_queue.py
+++ b/message_sender/http/read_queue.py
@@ -31,7 +31,7 @@
         connection.is_queued = True
         if not len(self):
             self.loop.call_soon(self.run)
-        self.backlog.came(self.loop.time())
+        self.backlog.request_arrived(self.loop.time())
         (self.proven if connection.is_proven else self.others).append(connection)
 
     def run(self) -> None:
@@ -53,7 +53,7 @@
     def _read_first(self, line: deque[ServerConnection]) -> None:
         connection = line.popleft()
         connection.is_queued = False
-        self.backlog.taken_up(self.loop.time())
+        self.backlog.request_taken(self.loop.time())
         connection.advance()
 
     def freeze(self) -> None:
--- a/message_sender/http/server.py
+++ b/message_sender/http/server.py
@@ -261,7 +261,7 @@
 
         A message that is accepted already hears so: a rejection would say that it may be submitted elsewhere.
         """
-        if not (self.is_ready and self.backlog.refuses(self.loop.time())):
+        if not (self.is_ready and self.backlog.should_reject(self.loop.time())):
             return None
         request = fast_path.request(bytes(data), BODY_LIMIT)
         message_id = header(request.headers, b"x-correlation-id") if request else None
@@ -269,7 +269,7 @@
 
     def unread_answer(self) -> bytes:
         """The answer to a request that is rejected unread."""
-        retry_after_s = self.backlog.come_again(self.max_retry_after_us / 1e6)
+        retry_after_s = self.backlog.retry_after_s(self.max_retry_after_us / 1e6)
         line = f"Retry-After: {retry_after_s:.3f}\r\n" if retry_after_s else ""
         return f"HTTP/1.1 503 \r\nContent-Length: 0\r\n{line}\r\n".encode()
 
--- a/message_sender/http/server_connection.py
+++ b/message_sender/http/server_connection.py
@@ -207,7 +207,7 @@
         self.since = server.loop.time()
         server.table.mark_busy(self)
         server.table.mark_idle(self, has_submitted=True)
-        server.backlog.turned_one_away(self.since)
+        server.backlog.request_rejected(self.since)
         server.count_rejected(header(request.headers, b"x-service-class") or "")
         try:
             self.transport.write(server.unread_answer())
--- a/message_sender/service/budget_demand.py
+++ b/message_sender/service/budget_demand.py
@@ -29,7 +29,7 @@
 def wake_policy(engine: Engine, destinations: Collection[int]) -> None:
     """Makes the delivery policy look again at destinations whose limits may have grown."""
     for destination in destinations:
-        engine.dispatcher.registry.leave_grew(destination)
+        engine.dispatcher.registry.limits_raised(destination)
         engine.post(WakeUp())
 
 
@@ -61,11 +61,11 @@
         numbers = bound_destinations(self.engine, definition.by, value)
         destinations = [known[number] for number in numbers if number in known]
         if definition.of == "trials":
-            return sum(1 for each in destinations if each.held and self.may_try(each.number))
+            return sum(1 for each in destinations if each.pending and self.may_try(each.number))
         if definition.of == "repeats":
-            messages = (message for each in destinations for message in (each.held or {}).values())
+            messages = (message for each in destinations for message in (each.pending or {}).values())
             return sum(1 for message in islice(messages, MAX_MESSAGES_SCANNED) if message.attempts)
-        return sum(len(each.held or ()) for each in destinations)
+        return sum(len(each.pending or ()) for each in destinations)
 
     def count_tenant_rejections(self, name: str, since_us: int) -> int:
         """Returns how many messages of the budget's tenant were rejected since then."""
--- a/message_sender/service/budgets.py
+++ b/message_sender/service/budgets.py
@@ -106,7 +106,7 @@
 
     def bind(self) -> None:
         """Makes the budgets apply to the engine, the policy and the transport."""
-        self.engine.dispatcher.registry.leave = self.reservations
+        self.engine.dispatcher.registry.shared_limits = self.reservations
         self.engine.hooks.add(self.reservations)
         if isinstance(self.engine.transport, HttpTransport):
             self.connections.bind(self.engine.transport)
--- a/message_sender/service/learned_state.py
+++ b/message_sender/service/learned_state.py
@@ -9,7 +9,7 @@
 from message_sender.core.engine import Engine
 from message_sender.core.hooks import EngineHooks
 from message_sender.policy.events import InheritedState
-from message_sender.policy.state_transfer import BREAKER, fields
+from message_sender.policy.state_transfer import BREAKER_FIELDS, export_fields
 from message_sender.recovery.learned_snapshot import (
     MAX_BREAKERS,
     Breakers,
@@ -36,7 +36,7 @@
         found = [
             (at.number, route, each)
             for at in self.engine.dispatcher.destinations.values()
-            for route, each in (at.own or {}).items()
+            for route, each in (at.breakers_by_route or {}).items()
         ]
         if len(found) <= MAX_BREAKERS:
             return found
@@ -74,7 +74,7 @@
 
 
 def told(breaker: object) -> dict[str, float]:
-    return fields(breaker, BREAKER)
+    return export_fields(breaker, BREAKER_FIELDS)
 
 
 def waiting(breakers: Breakers, now: int) -> dict[int, float]:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -32,7 +32,7 @@
 )
 from message_sender.journal.process_journal import Journal
 from message_sender.policy.breaker import Breaker
-from message_sender.policy.endpoints import QUIET_AGE
+from message_sender.policy.endpoints import INACTIVE_DESTINATION_AGE_US
 from message_sender.policy.model import Outcome
 from message_sender.policy.pending import PendingQueue
 
@@ -109,7 +109,7 @@
 
 
 PLANTED: dict[str, tuple[type, str, Callable[..., Any], str, str]] = {
-    "it is taken for warm at once": (Breaker, "cold_gap", warm_at_once, "herd-on-return", "cold"),
+    "it is taken for warm at once": (Breaker, "warm_up_gap", warm_at_once, "herd-on-return", "cold"),
     "unsafe ones go again": (PendingQueue, "may_repeat_at", anything_goes, "resets", "no effect twice"),
     "no record of attempts": (
         Journal,
@@ -138,7 +138,7 @@
 
 def test_three_senders_do_not_push_over_one_that_refused_and_was_silent_for_long() -> None:
     """Breakers have fallen asleep: what was known of it is gone. It comes back cold, and refuses."""
-    long = QUIET_AGE / 1e6 * 1.2
+    long = INACTIVE_DESTINATION_AGE_US / 1e6 * 1.2
     told = small(
         seconds=long + 60.0,
         clients={"rate": 30.0, "bursts": [{"at": 20.0, "until": long, "times": 1e-9}]},
@@ -386,7 +386,7 @@
         assert main(["emulate", *words]) == 2
     assert main(["emulate", "run", str(file), "--set", "clients.rat=3"]) == 1
     assert "clients.rat: is not in the scenario" in capsys.readouterr().err
-    monkeypatch.setattr(PendingQueue, "end_due", lambda self: None)
+    monkeypatch.setattr(PendingQueue, "expire_due", lambda self: None)
     longer = ["--set", "troubles.0.what=silent", "--set", "troubles.0.until=60"]
     assert main(["emulate", "run", str(file), *longer]) == 1
     assert "broken: " in capsys.readouterr().out
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -33,7 +33,7 @@
     WakeUp,
 )
 from message_sender.policy.model import ListingKind, Outcome
-from message_sender.policy.state_transfer import tell
+from message_sender.policy.state_transfer import export_state
 from message_sender.service.process_handover import engine_from, engine_text, read
 
 ORDER = {"semantics": "by_key", "dedup_window": 5_000_000, "key_scope": "zone", "serial_by_key": True}
@@ -81,7 +81,7 @@
 def follow(world: World, shift: int = 0) -> World:
     """A world whose decisions were handed over from another one, as a process does it."""
     there = world.dispatcher
-    inherited = tell(there.registry, there.pending)
+    inherited = export_state(there.registry, there.pending)
     next_one = World(*[each.listed for each in there.endpoints.values()])
     next_one.now, next_one.attempts = world.now + shift, dict(world.attempts)
     next_one.dispatcher = Dispatcher(there.settings, seed=7)
@@ -90,21 +90,21 @@
     for each in there.messages.values():
         call = there.calls.get((each.id, each.attempts - 1))
         taken = MessageAccepted(
-            each.id, each.kind.name, each.destination, each.until - next_one.now, "", each.key
+            each.id, each.message_class.name, each.destination, each.deadline - next_one.now, "", each.key
         )
         out = None
         if call:
             listed_there, trial = call.endpoint.listed, call.breaker.trial is call
-            out = CallInFlight(listed_there.id, listed_there.zone, call.sent, trial, call.overdue)
+            out = CallInFlight(listed_there.id, listed_there.zone, call.sent_at, trial, call.is_overdue)
         events.append(
             MessageRestored(
                 taken,
                 each.attempts,
-                each.risky_since,
-                each.risky_zone,
-                handed=True,
+                each.uncertain_since,
+                each.uncertain_zone,
+                is_handed_over=True,
                 call=out,
-                share=each.share,
+                weight_factor=each.weight_factor,
             )
         )
     next_one.first = next_one.step(*events, inherited)  # type: ignore[attr-defined]
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -320,22 +320,22 @@
 
 def test_the_module_asks_leave_for_a_trial() -> None:
     world = World()
-    world.dispatcher.registry.leave = leave = Denies("trials")
+    world.dispatcher.registry.shared_limits = leave = Denies("trials")
     world.open_breaker()
     assert not sent(world.take()) and not sent(world.step(WakeUp(), after=3 * US))
     leave.what = "repeats"
-    world.dispatcher.registry.leave_grew(1)
+    world.dispatcher.registry.limits_raised(1)
     assert len(sent(world.step(WakeUp()))) == 1
     assert leave.reserved[-1][1:] == (True, False)
 
 
 def test_a_repeat_that_waits_for_its_budget_lets_first_attempts_go() -> None:
     world = World()
-    world.dispatcher.registry.leave = leave = Denies("repeats")
+    world.dispatcher.registry.shared_limits = leave = Denies("repeats")
     assert sent(world.take()) == ["m1"] and not sent(world.answer("m1", Outcome.ERROR))
     assert sent(world.take(after=US)) == ["m2"] and not sent(world.answer("m2", Outcome.OK))
     leave.what = "trials"
-    world.dispatcher.registry.leave_grew(1)
+    world.dispatcher.registry.limits_raised(1)
     assert sent(world.step(WakeUp(), after=US)) == ["m1"]
     assert leave.reserved == [("m1", False, False), ("m2", False, False), ("m1", False, True)]
 
