--- a/benchmarks/overrides.py
+++ b/benchmarks/overrides.py
@@ -16,7 +16,7 @@
 
 from message_sender import Dispatcher
 from message_sender.configuration import general
-from message_sender.control_socket import ask
+from message_sender.control_socket import send_request
 from message_sender.discovery.overrides import OverrideBook, OverrideKind, OverrideLayer
 from message_sender.policy.actions import Send
 from message_sender.policy.events import AttemptEnded, EndpointsUpdated, MessageAccepted
@@ -139,7 +139,7 @@
                 now, began = time.time_ns() // 1000, time.monotonic()
                 request = {"do": "set", "kind": "out", "endpoint": "e0", "who": "me", "why": "bench"}
                 await asyncio.to_thread(
-                    ask, Path(folder), request | {"begins": now, "until": now + 60 * SECOND}
+                    send_request, Path(folder), request | {"begins": now, "until": now + 60 * SECOND}
                 )
                 await asyncio.sleep(0.3)
                 stop = True
--- a/message_sender/cli/basic.py
+++ b/message_sender/cli/basic.py
@@ -47,7 +47,7 @@
     except OSError as error:
         raise click.ClickException(str(error)) from None
     classes = ", ".join(each.name for each in config.settings.classes)
-    click.echo(f"{file}: good; classes {classes}; {len(config.places)} endpoints")
+    click.echo(f"{file}: good; classes {classes}; {len(config.endpoints)} endpoints")
 
 
 @click.command()
@@ -87,7 +87,7 @@
 
     assert config.capture
     to = config.capture
-    tap = TrafficTap(to.folder, to.most_bytes, to.files, to.blank)
+    tap = TrafficTap(to.folder, to.file_bytes_limit, to.files_limit, to.blanked_headers)
     try:
         yield tap
     finally:
--- a/message_sender/cli/control_change.py
+++ b/message_sender/cli/control_change.py
@@ -17,7 +17,7 @@
 from typing import Any
 
 from message_sender.control.schema import Difference, changes_between, encode_value
-from message_sender.control_socket import ask
+from message_sender.control_socket import send_request
 
 RETRY_INTERVAL_S = 0.3
 ANSWER_PATIENCE_S = 10.0  # for one answer of a control node
@@ -82,7 +82,7 @@
 def ask_node(folder: Path, request: Mapping[str, Any], patience: float = ANSWER_PATIENCE_S) -> Any:  # noqa: ANN401
     """The value of a control node's answer. Raises ControlNodeError."""
     try:
-        told = ask(folder, request, patience)
+        told = send_request(folder, request, patience)
     except (OSError, ValueError) as error:
         raise ControlNodeError(f"no control node answers in {folder}: {error}") from None
     if not told.get("ok"):
@@ -129,7 +129,7 @@
 def attempt(folder: Path, request: ChangeRequest, patience: float, attempts: int) -> ChangeAnswer:
     """One request; a node that does not answer leaves the outcome unknown, as one without a leader does."""
     try:
-        told = ask(folder, request.as_json(), patience)
+        told = send_request(folder, request.as_json(), patience)
     except (OSError, ValueError) as error:
         reason = f"no control node answers in {folder}: {error}"
         return ChangeAnswer(CommandOutcome.UNAVAILABLE, 0, (), attempts, reason)
--- a/message_sender/cli/override.py
+++ b/message_sender/cli/override.py
@@ -9,7 +9,7 @@
 
 import click
 
-from message_sender.control_socket import ask
+from message_sender.control_socket import send_request
 from message_sender.discovery.time_text import parse, show
 
 STATE = click.option(
@@ -41,7 +41,7 @@
 def tell(folder: Path, request: Mapping[str, Any]) -> Any:  # noqa: ANN401
     """The answer's value. What was refused is a line for each fault, and exit 1."""
     try:
-        told = ask(folder, request)
+        told = send_request(folder, request)
     except (OSError, ValueError) as error:
         raise click.ClickException(f"no sender answers in {folder}: {error}") from None
     if not told.get("ok"):
--- a/message_sender/configuration/resources.py
+++ b/message_sender/configuration/resources.py
@@ -11,15 +11,17 @@
 
 from pydantic import PlainValidator, model_validator
 
-from message_sender.configuration.tables import Table, within
+from message_sender.configuration.tables import Table, number_between
 from message_sender.discovery.static import Dial, StaticEndpoint
 from message_sender.policy.model import Endpoint, EndpointState
 
-MS = 1000  # us
-MOST = 1e12  # of any figure without a bound of its own
-WHOLE = 10**9
-BY = ("destination", "endpoint", "zone", "tenant")  # what a budget may be bound to
-HELD = frozenset({"in_flight", "trials", "connections"})  # what is held at once, and has no rate
+US_PER_MS = 1000  # us
+FIGURE_LIMIT = 1e12  # of any figure without a bound of its own
+INTEGER_LIMIT = 10**9
+BUDGET_BINDINGS = ("destination", "endpoint", "zone", "tenant")  # what a budget may be bound to
+CONCURRENCY_BUDGETS = frozenset(
+    {"in_flight", "trials", "connections"}
+)  # what is held at once, and has no rate
 BUDGET_NAME = re.compile(r"[A-Za-z0-9.-]{1,48}")
 NOT_NUMERIC = "must be an IP address and a port: a name would be looked up for each datagram, on the loop"
 ADDRESS = re.compile(r"(\[[0-9a-fA-F:.]+\]|[^:\s]+):([0-9]{1,5})")
@@ -45,7 +47,7 @@
         return self.value is None
 
 
-def as_dial(value: object) -> Dial:
+def parse_address(value: object) -> Dial:
     if not isinstance(value, str):
         raise ValueError(f"must be a text, not {value!r}")
     found = ADDRESS.fullmatch(value)
@@ -54,7 +56,7 @@
     return found[1].strip("[]"), int(found[2])
 
 
-def node_list_faults(nodes: Sequence[tuple[str, Dial]]) -> list[str]:
+def find_node_faults(nodes: Sequence[tuple[str, Dial]]) -> list[str]:
     """What is wrong with a list of control nodes, names and addresses: a line for each fault."""
     wrong, names, addresses = [], set[str](), set[Dial]()
     for at, (name, address) in enumerate(nodes):
@@ -80,35 +82,39 @@
     return True
 
 
-def us(ms: float) -> int:
-    return int(ms * MS)
+def ms_to_us(ms: float) -> int:
+    return int(ms * US_PER_MS)
 
 
 def number_or_each(value: object) -> int | str:
-    if value == "each" or (isinstance(value, int) and not isinstance(value, bool) and 0 <= value <= WHOLE):
+    if value == "each" or (
+        isinstance(value, int) and not isinstance(value, bool) and 0 <= value <= INTEGER_LIMIT
+    ):
         return value
     raise ValueError(f'must be a number or "each", not {value!r}')
 
 
-def whole_or_told(value: object) -> int | str:
-    if value == "told" or (isinstance(value, int) and not isinstance(value, bool) and 1 <= value <= WHOLE):
+def integer_or_told(value: object) -> int | str:
+    if value == "told" or (
+        isinstance(value, int) and not isinstance(value, bool) and 1 <= value <= INTEGER_LIMIT
+    ):
         return value
-    raise ValueError(f'must be a whole number from 1 to {WHOLE} or "told", not {value!r}')
+    raise ValueError(f'must be a whole number from 1 to {INTEGER_LIMIT} or "told", not {value!r}')
 
 
-Address = Annotated[Dial, PlainValidator(as_dial)]
-Figure = Annotated[float, within(0, MOST)]
-Positive = Annotated[float, within(1, MOST)]
-Whole = Annotated[int, within(1, WHOLE)]
+Address = Annotated[Dial, PlainValidator(parse_address)]
+NonNegative = Annotated[float, number_between(0, FIGURE_LIMIT)]
+Positive = Annotated[float, number_between(1, FIGURE_LIMIT)]
+PositiveInt = Annotated[int, number_between(1, INTEGER_LIMIT)]
 
 
 class EndpointTable(Table):
     id: str
-    destination: Annotated[int, within(0, WHOLE)]
+    destination: Annotated[int, number_between(0, INTEGER_LIMIT)]
     dial: Address
     state: Literal["ready", "draining"] = "ready"
     zone: str = ""
-    rate: Figure = 1.0
+    rate: NonNegative = 1.0
     own_limit: bool = False
 
     @model_validator(mode="after")
@@ -117,7 +123,7 @@
             raise ValueError("id: must not be empty")
         return self
 
-    def told(self) -> StaticEndpoint:
+    def build(self) -> StaticEndpoint:
         state, kind = EndpointState(self.state), "apart" if self.own_limit else "plain"
         return StaticEndpoint(
             Endpoint(self.id, self.destination, state, kind, self.zone, self.rate), self.dial
@@ -148,22 +154,22 @@
     endpoint: str = ""
     zone: str = ""
     tenant: str = ""
-    whole: Annotated[int | str, PlainValidator(whole_or_told)] | None = None
-    share: Annotated[float, within(0.001, 100)] | None = None
-    per_ms: Annotated[float, within(10, 3_600_000)] | None = None
-    floor: Annotated[int, within(0, WHOLE)] = 0
-    lease_ms: Annotated[float, within(200, 60_000)] = 2000.0
-    slack_ms: Annotated[float, within(0, 1000)] = 10.0
-    held_ms: Annotated[float, within(100, 600_000)] = 5000.0
+    whole: Annotated[int | str, PlainValidator(integer_or_told)] | None = None
+    share: Annotated[float, number_between(0.001, 100)] | None = None
+    per_ms: Annotated[float, number_between(10, 3_600_000)] | None = None
+    floor: Annotated[int, number_between(0, INTEGER_LIMIT)] = 0
+    lease_ms: Annotated[float, number_between(200, 60_000)] = 2000.0
+    slack_ms: Annotated[float, number_between(0, 1000)] = 10.0
+    held_ms: Annotated[float, number_between(100, 600_000)] = 5000.0
 
     @model_validator(mode="after")
     def consistent(self) -> Self:
         wrong = []
         if not BUDGET_NAME.fullmatch(self.name):
             wrong.append("name: must be letters, digits, dots and dashes, 48 of them at the most")
-        if (self.of in HELD) is not (self.per_ms is None):
+        if (self.of in CONCURRENCY_BUDGETS) is not (self.per_ms is None):
             wrong.append("per_ms: must be told for what has a rate, and not for what is held at once")
-        bound = [by for by in BY if getattr(self, by) not in ("", None)]
+        bound = [by for by in BUDGET_BINDINGS if getattr(self, by) not in ("", None)]
         if len(bound) != 1 or (self.of == "tenant") is not (bound == ["tenant"]):
             of = "tenant" if self.of == "tenant" else "destination, endpoint or zone"
             wrong.append(f'{bound[-1] if bound else "destination"}: must name one {of}, or "each"')
@@ -176,16 +182,16 @@
         return self
 
     def place(self) -> tuple[str, str, object]:
-        (by,) = (by for by in BY if getattr(self, by) not in ("", None))
+        (by,) = (by for by in BUDGET_BINDINGS if getattr(self, by) not in ("", None))
         return self.of, by, getattr(self, by)
 
-    def told(self) -> SharedBudget:
+    def build(self) -> SharedBudget:
         _, by, value = self.place()
         return SharedBudget(
             self.name, self.of, by, None if value == "each" else value,  # type: ignore[arg-type]
             self.whole if isinstance(self.whole, int) else None, self.share,
-            None if self.per_ms is None else us(self.per_ms), self.floor, us(self.lease_ms),
-            us(self.slack_ms), us(self.held_ms),
+            None if self.per_ms is None else ms_to_us(self.per_ms), self.floor, ms_to_us(self.lease_ms),
+            ms_to_us(self.slack_ms), ms_to_us(self.held_ms),
         )  # fmt: skip
 
 
@@ -198,7 +204,7 @@
     text: str
 
 
-def budget_faults(budgets: Sequence[BudgetTable], size: int) -> list[BudgetFault]:
+def find_budget_faults(budgets: Sequence[BudgetTable], size: int) -> list[BudgetFault]:
     """Names given twice, two budgets over one thing, and floors that a fleet of `size` can't keep."""
     found, names, places = [], set[str](), set[tuple[str, str, object]]()
     for index, each in enumerate(budgets):
--- a/message_sender/configuration/tables.py
+++ b/message_sender/configuration/tables.py
@@ -13,7 +13,7 @@
 
 from pydantic import AfterValidator, BaseModel, ConfigDict, ValidationError
 
-KINDS = {
+TYPE_NAMES = {
     "string_type": "a text",
     "int_type": "a whole number",
     "int_from_float": "a whole number",
@@ -25,7 +25,7 @@
     "model_type": "a table",
     "model_attributes_type": "a table",
 }
-OWN_PATH = re.compile(r"([a-z_]+(?:\[\d+\])?(?:\.[a-z_]+(?:\[\d+\])?)*): (.*)", re.DOTALL)
+FAULT_LINE = re.compile(r"([a-z_]+(?:\[\d+\])?(?:\.[a-z_]+(?:\[\d+\])?)*): (.*)", re.DOTALL)
 Checked = TypeVar("Checked", bound=BaseModel)
 
 
@@ -52,25 +52,27 @@
     model_config = ConfigDict(extra="forbid", strict=True, frozen=True, validate_default=True)
 
 
-def within(low: float, high: float) -> Any:  # noqa: ANN401
+def number_between(low: float, high: float) -> Any:  # noqa: ANN401
     """A number from `low` to `high`."""
 
     def check(value: float) -> float:
         if not low <= value <= high:
-            raise ValueError(f"must be from {told(low)} to {told(high)}, not {told(value)}")
+            raise ValueError(
+                f"must be from {format_number(low)} to {format_number(high)}, not {format_number(value)}"
+            )
         return value
 
     return AfterValidator(check)
 
 
-def told(value: float) -> str:
+def format_number(value: float) -> str:
     return str(value) if isinstance(value, int) else f"{value:g}"
 
 
-Share = Annotated[float, within(0, 1)]
+Fraction = Annotated[float, number_between(0, 1)]
 
 
-def path_of(place: tuple[int | str, ...]) -> str:
+def format_path(place: tuple[int | str, ...]) -> str:
     found = ""
     for each in place:
         if isinstance(each, int):
@@ -80,7 +82,7 @@
     return found
 
 
-def words(error: Any) -> str:  # noqa: ANN401
+def describe_fault(error: Any) -> str:  # noqa: ANN401
     """What pydantic says of a fault, as this program says it."""
     kind, value = error["type"], error["input"]
     value = list(value) if isinstance(value, tuple) else value  # as the file has it
@@ -88,8 +90,8 @@
         return "is missing"
     if kind == "extra_forbidden":
         return "is not known here"
-    if kind in KINDS:
-        return f"must be {KINDS[kind]}, not {value!r}"
+    if kind in TYPE_NAMES:
+        return f"must be {TYPE_NAMES[kind]}, not {value!r}"
     if kind == "literal_error":
         choices = ", ".join(re.findall(r"'([^']*)'", error["ctx"]["expected"]))
         return f"must be one of {choices}, not {value!r}"
@@ -98,12 +100,12 @@
     return f"{error['msg'][:1].lower()}{error['msg'][1:]}, not {value!r}"
 
 
-def faults_of(error: ValidationError) -> list[ConfigFault]:
+def list_faults(error: ValidationError) -> list[ConfigFault]:
     found = []
     for each in error.errors():
-        path = path_of(each["loc"])
-        for line in words(each).split("\n"):
-            own = OWN_PATH.fullmatch(line) if each["type"] == "value_error" else None
+        path = format_path(each["loc"])
+        for line in describe_fault(each).split("\n"):
+            own = FAULT_LINE.fullmatch(line) if each["type"] == "value_error" else None
             if own:
                 found.append(ConfigFault(f"{path}.{own[1]}" if path else own[1], own[2]))
             else:
@@ -111,19 +113,19 @@
     return found
 
 
-def tuples(told: Any) -> Any:  # noqa: ANN401
+def freeze_lists(told: Any) -> Any:  # noqa: ANN401
     """TOML has arrays where the tables hold what cannot change."""
     if isinstance(told, Mapping):
-        return {name: tuples(value) for name, value in told.items()}
-    return tuple(tuples(each) for each in told) if isinstance(told, list) else told
+        return {name: freeze_lists(value) for name, value in told.items()}
+    return tuple(freeze_lists(each) for each in told) if isinstance(told, list) else told
 
 
-def check(kind: type[Checked], told: Mapping[str, Any]) -> Checked:
+def validate_table(kind: type[Checked], told: Mapping[str, Any]) -> Checked:
     """Raises ConfigError with all faults."""
     try:
-        return kind.model_validate(tuples(told))
+        return kind.model_validate(freeze_lists(told))
     except ValidationError as error:
-        raise ConfigError(faults_of(error)) from None
+        raise ConfigError(list_faults(error)) from None
 
 
 def parse(path: Path) -> dict[str, Any]:
--- a/message_sender/control/configuration.py
+++ b/message_sender/control/configuration.py
@@ -7,8 +7,8 @@
 from pydantic import AfterValidator, model_validator
 
 from message_sender.configuration.resources import Address as AddressField
-from message_sender.configuration.resources import node_list_faults
-from message_sender.configuration.tables import Table, check, parse, within
+from message_sender.configuration.resources import find_node_faults
+from message_sender.configuration.tables import Table, number_between, parse, validate_table
 from message_sender.control.messages import NAME_LENGTH_LIMIT, Address
 from message_sender.control.watch import ControlNodeAddress
 
@@ -42,7 +42,7 @@
     name: Annotated[str, AfterValidator(node_name)]
     address: AddressField
     region: str = ""
-    votes: Annotated[int, within(1, VOTES_LIMIT)] = 1
+    votes: Annotated[int, number_between(1, VOTES_LIMIT)] = 1
 
 
 class NodeFile(Table):
@@ -55,7 +55,7 @@
 
     @model_validator(mode="after")
     def consistent(self) -> Self:
-        wrong = node_list_faults([(each.name, each.address) for each in self.nodes])
+        wrong = find_node_faults([(each.name, each.address) for each in self.nodes])
         if self.name not in {each.name for each in self.nodes}:
             wrong.append(f"name: {self.name!r} is not among the nodes")
         if wrong:
@@ -65,7 +65,7 @@
 
 def load(path: Path) -> NodeConfiguration:
     """Raises ConfigError with all faults, and OSError."""
-    table = check(NodeFile, parse(path))
+    table = validate_table(NodeFile, parse(path))
     folder = path.parent
     return NodeConfiguration(
         name=table.name,
--- a/message_sender/control/schema.py
+++ b/message_sender/control/schema.py
@@ -25,9 +25,9 @@
     Endpoints,
     EndpointTable,
     SharedBudget,
-    budget_faults,
+    find_budget_faults,
 )
-from message_sender.configuration.tables import ConfigError, ConfigFault, Table, check
+from message_sender.configuration.tables import ConfigError, ConfigFault, Table, validate_table
 from message_sender.discovery.static import Dial, StaticEndpoint
 
 ENDPOINTS, BUDGETS = "endpoints", "budgets"
@@ -94,10 +94,10 @@
         told = tomllib.loads(text)
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
         raise ConfigError([ConfigFault(where, str(error))]) from None
-    table = check(ConfigurationTable, told)
+    table = validate_table(ConfigurationTable, told)
     faults = [
         ConfigFault(f"budgets[{each.index}].{each.field}", each.text)
-        for each in budget_faults(table.budgets, 1)
+        for each in find_budget_faults(table.budgets, 1)
     ]
     if faults:
         raise ConfigError(faults)
@@ -143,7 +143,7 @@
             [ConfigFault(f"{name}.{kind.key}", "is not known here: the resource's name tells it")]
         )
     try:
-        return kind, check(kind.table, {kind.key: own_name, **told})
+        return kind, validate_table(kind.table, {kind.key: own_name, **told})
     except ConfigError as error:
         faults = [ConfigFault(name if x.path == "file" else f"{name}.{x.path}", x.text) for x in error.faults]
         raise ConfigError(faults) from None
@@ -226,7 +226,7 @@
                 faults += error.faults
                 continue
             if isinstance(table, EndpointTable):
-                places[name] = table.told()
+                places[name] = table.build()
             elif isinstance(table, BudgetTable):
                 budgets[name] = table
         if faults:
@@ -238,7 +238,7 @@
         tables = [self.budgets[name] for name in sorted(self.budgets)]
         return [
             ConfigFault(f"{BUDGETS}/{tables[each.index].name}.{each.field}", each.text)
-            for each in budget_faults(tables, size)
+            for each in find_budget_faults(tables, size)
         ]
 
     def endpoints(self) -> tuple[StaticEndpoint, ...]:
@@ -247,7 +247,7 @@
 
     def shared_budgets(self) -> tuple[SharedBudget, ...]:
         """In the order of their names."""
-        return tuple(self.budgets[name].told() for name in sorted(self.budgets))
+        return tuple(self.budgets[name].build() for name in sorted(self.budgets))
 
 
 def interpret(resources: Mapping[str, bytes]) -> Interpretation:
--- a/message_sender/control_socket.py
+++ b/message_sender/control_socket.py
@@ -16,10 +16,10 @@
 from pathlib import Path
 from typing import Any
 
-FILE = "control"
-MOST = 16  # connections at once; one more is closed unheard
-LINE_MOST = 64 * 1024  # bytes of a request
-PATIENCE = 5.0  # s for a request to come
+SOCKET_NAME = "control"
+CONNECTIONS_LIMIT = 16  # connections at once; one more is closed unheard
+REQUEST_BYTES_LIMIT = 64 * 1024  # bytes of a request
+REQUEST_TIMEOUT_S = 5.0  # s for a request to come
 
 log = logging.getLogger(__name__)
 
@@ -37,8 +37,8 @@
 
 class ControlSocket:
     def __init__(self, folder: Path, commands: Mapping[str, Command]) -> None:
-        self.path, self.commands = folder / FILE, commands
-        self.open = 0
+        self.path, self.commands = folder / SOCKET_NAME, commands
+        self.open_connections = 0
         self.server: asyncio.Server | None = None
         self.tasks: set[asyncio.Task[None]] = set()
 
@@ -52,7 +52,9 @@
             sock.bind(str(self.path))
         finally:
             os.umask(before)
-        self.server = await asyncio.start_unix_server(self.connected, sock=sock, limit=LINE_MOST)
+        self.server = await asyncio.start_unix_server(
+            self.handle_connection, sock=sock, limit=REQUEST_BYTES_LIMIT
+        )
 
     def close(self) -> None:
         if self.server is None:
@@ -62,11 +64,11 @@
             task.cancel()
         self.path.unlink(missing_ok=True)
 
-    async def connected(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if self.open >= MOST or not may_ask(writer.get_extra_info("socket")):
+    async def handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        if self.open_connections >= CONNECTIONS_LIMIT or not is_authorized(writer.get_extra_info("socket")):
             writer.transport.abort()
             return
-        self.open += 1
+        self.open_connections += 1
         task = asyncio.current_task()
         assert task
         self.tasks.add(task)
@@ -74,14 +76,14 @@
             with contextlib.suppress(ConnectionError, asyncio.CancelledError):
                 await self.serve(reader, writer)
         finally:
-            self.open -= 1
+            self.open_connections -= 1
             self.tasks.discard(task)
             writer.close()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
             try:
-                async with asyncio.timeout(PATIENCE):
+                async with asyncio.timeout(REQUEST_TIMEOUT_S):
                     line = await reader.readline()
             except TimeoutError:
                 return
@@ -106,17 +108,17 @@
                 return {"ok": False, "faults": [f"do must be one of {known}"]}
             return {"ok": True, "value": self.commands[asked["do"]](asked)}
         except Exception as error:
-            return refusal(error)
+            return failure_response(error)
 
     async def answer_later(self, value: Awaitable[Any]) -> dict[str, Any]:
         """The same for a value that is awaited."""
         try:
             return {"ok": True, "value": await value}
         except Exception as error:
-            return refusal(error)
+            return failure_response(error)
 
 
-def refusal(error: Exception) -> dict[str, Any]:
+def failure_response(error: Exception) -> dict[str, Any]:
     """The answer to a request that raised `error`."""
     if isinstance(error, ValueError | RecursionError):
         return {"ok": False, "faults": getattr(error, "faults", [str(error)])}
@@ -126,18 +128,20 @@
     return {"ok": False, "faults": [f"{type(error).__name__}: {error}"]}
 
 
-def may_ask(sock: socket.socket) -> bool:
+def is_authorized(sock: socket.socket) -> bool:
     """Whether the other side is the sender's own user, or root."""
     _, user, _ = struct.unpack("3i", sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, 12))
     return user in (0, os.geteuid())
 
 
-def ask(folder: Path, request: Mapping[str, Any], patience: float = 2 * PATIENCE) -> dict[str, Any]:
+def send_request(
+    folder: Path, request: Mapping[str, Any], patience: float = 2 * REQUEST_TIMEOUT_S
+) -> dict[str, Any]:
     """One request from outside, and its answer. Raises OSError where no sender listens there, or none answers
     for `patience` seconds, and ValueError for an answer that is none."""
     with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as sock:
         sock.settimeout(patience)
-        sock.connect(str(folder / FILE))
+        sock.connect(str(folder / SOCKET_NAME))
         sock.sendall(json.dumps(request).encode() + b"\n")
         data = b""
         while not data.endswith(b"\n") and (more := sock.recv(65536)):
--- a/message_sender/emulator/scenario.py
+++ b/message_sender/emulator/scenario.py
@@ -10,14 +10,22 @@
 
 from pydantic import Field, model_validator
 
-from message_sender.configuration.tables import ConfigError, ConfigFault, Share, Table, check, parse, within
+from message_sender.configuration.tables import (
+    ConfigError,
+    ConfigFault,
+    Fraction,
+    Table,
+    number_between,
+    parse,
+    validate_table,
+)
 from message_sender.emulator.receiver import Limit, Phase, Service, Spread, Terms, Trouble
 from message_sender.policy.model import DestinationKind, Effect, MessageClass, Settings
 
-Seconds = Annotated[float, within(0, 2_592_000)]
-Positive = Annotated[float, within(1e-6, 2_592_000)]
-Rate = Annotated[float, within(1e-9, 100_000)]
-Count = Annotated[int, within(1, 100_000)]
+Seconds = Annotated[float, number_between(0, 2_592_000)]
+Positive = Annotated[float, number_between(1e-6, 2_592_000)]
+Rate = Annotated[float, number_between(1e-9, 100_000)]
+Count = Annotated[int, number_between(1, 100_000)]
 SECOND = 1_000_000  # us
 
 
@@ -28,8 +36,8 @@
     window_s: Seconds = 0.0
     in_order: bool = False
     share: Positive = 1.0  # of the messages, against the other classes
-    worth: Annotated[float, within(0, 1e12)] = 1.0
-    late_worth: Share = 0.3
+    worth: Annotated[float, number_between(0, 1e12)] = 1.0
+    late_worth: Fraction = 0.3
 
     @model_validator(mode="after")
     def consistent(self) -> Self:
@@ -42,7 +50,9 @@
 
 class TenantTable(Table):
     share: Positive = 1.0  # of the messages, against the other tenants
-    quota: Annotated[float, within(0, 1e12)] = 0.0  # messages a second within its share; 0: none is told
+    quota: Annotated[float, number_between(0, 1e12)] = (
+        0.0  # messages a second within its share; 0: no quota
+    )
 
 
 class Burst(Table):
@@ -59,25 +69,25 @@
     rate: Rate = 50.0
     bursts: tuple[Burst, ...] = ()
     patience_s: Positive = 1.0  # for an answer that says whether it is taken on
-    retries: Annotated[int, within(0, 100)] = 2  # after it was turned away, or nobody answered
+    retries: Annotated[int, number_between(0, 100)] = 2  # after it was turned away, or nobody answered
     honours: Literal["told", "ignores"] = "told"
     backoff_s: Seconds = 0.5  # where no time is told, or it is ignored
-    keys: Annotated[int, within(1, 1_000_000)] = 50
-    zipf: Annotated[float, within(0, 5)] = 0.8  # of the destinations' popularity; 0: all alike
+    keys: Annotated[int, number_between(1, 1_000_000)] = 50
+    zipf: Annotated[float, number_between(0, 5)] = 0.8  # of the destinations' popularity; 0: all alike
 
 
 class Fleet(Table):
-    senders: Annotated[int, within(1, 64)] = 1
+    senders: Annotated[int, number_between(1, 64)] = 1
     zones: tuple[str, ...] = ("a",)  # of the senders, in turn
     slots: Count = 40
     max_open: Count = 400
-    max_attempts: Annotated[int, within(1, 100)] = 6
+    max_attempts: Annotated[int, number_between(1, 100)] = 6
     disk_mb: Positive = 3.0
     told_rates: bool = False  # the list tells what each destination takes
     key_rest_s: Seconds = 0.1
     grace_s: Seconds = 0.5  # of a drain
     budget_span_s: Seconds = 0.0  # told rates are budgets that all share, over such a span; 0: no budgets
-    link_loss: Annotated[float, within(0, 1)] = 0.0  # of what senders say to one another
+    link_loss: Annotated[float, number_between(0, 1)] = 0.0  # of what senders say to one another
     max_retry_after_s: Seconds = 2.0
 
 
@@ -86,7 +96,7 @@
 
     same_zone_ms: Seconds = 1.0
     cross_zone_ms: Seconds = 8.0
-    jitter: Annotated[float, within(0, 100)] = 0.3
+    jitter: Annotated[float, number_between(0, 100)] = 0.3
 
 
 class ServiceTable(Table):
@@ -106,26 +116,26 @@
     span_s: Seconds = 0.0
     burst: Positive = 1.0
     refused_count: bool = False
-    carried: Share = 0.0
-    tells: Share = 1.0
+    carried: Fraction = 0.0
+    tells: Fraction = 1.0
 
 
 class Destinations(Table):
     """`count` destinations alike."""
 
     count: Count = 1
-    endpoints: Annotated[int, within(1, 64)] = 1
+    endpoints: Annotated[int, number_between(1, 64)] = 1
     zones: tuple[str, ...] = ("a",)  # of the endpoints, in turn
     apart: bool = False
-    popularity: Annotated[float, within(0, 1e12)] = (
+    popularity: Annotated[float, number_between(0, 1e12)] = (
         1.0  # of each, besides the clients' zipf; 0: gets no message
     )
     service: ServiceTable = ServiceTable()
     workers: Count = 4
-    queue: Annotated[int, within(0, 100_000)] = 16
+    queue: Annotated[int, number_between(0, 100_000)] = 16
     limit: LimitTable | None = None
     cold_s: Seconds = 10.0
-    cold_from: Annotated[float, within(0.01, 1)] = 0.2
+    cold_from: Annotated[float, number_between(0.01, 1)] = 0.2
     push: Positive = 2.0
     push_s: Positive = 1.5
     fallen_s: Seconds = 0.0
@@ -145,7 +155,7 @@
     what: Literal[
         "shut", "silent", "hangs", "errors", "full", "slow", "degrades", "spoilt", "resets", "limit"
     ]
-    size: Annotated[float, within(0, 1e12)] = 1.0
+    size: Annotated[float, number_between(0, 1e12)] = 1.0
     destinations: tuple[int, ...] = ()  # by number; none: all
     zone: str = ""  # only endpoints there
     seen_by: tuple[int, ...] = ()  # senders, by number; none: all
@@ -184,10 +194,10 @@
 
     at: Seconds
     what: Literal["kill", "drain", "empty", "deaf", "full_disk", "clock", "pause"]
-    sender: Annotated[int, within(0, 1e12)] | None = None
-    destination: Annotated[int, within(0, 1e12)] | None = None
+    sender: Annotated[int, number_between(0, 1e12)] | None = None
+    destination: Annotated[int, number_between(0, 1e12)] | None = None
     for_s: Seconds = 1.0
-    write: Annotated[int, within(0, 1e12)] = 0
+    write: Annotated[int, number_between(0, 1e12)] = 0
     by_s: float = 0.0
 
 
@@ -199,8 +209,8 @@
 class Expect(Table):
     """What a run of the sender in this scenario is to reach."""
 
-    goodput: Share = 0.0  # worth delivered in time over worth asked for
-    breaches: Annotated[int, within(0, 1e12)] = 0
+    goodput: Fraction = 0.0  # worth delivered in time over worth asked for
+    breaches: Annotated[int, number_between(0, 1e12)] = 0
 
 
 class Scenario(Table):
@@ -209,7 +219,7 @@
     source: str = ""  # where such a thing is described publicly
     good: str = ""  # what a good sender does
     seconds: Annotated[float, Field(gt=0, le=2_592_000)] = 30.0  # in which messages come
-    seed: Annotated[int, within(0, 1e12)] = 1
+    seed: Annotated[int, number_between(0, 1e12)] = 1
     classes: dict[str, ClassTable] = Field(default_factory=lambda: {"command": ClassTable()})
     tenants: dict[str, TenantTable] = Field(default_factory=dict)
     clients: Clients = Clients()
@@ -300,7 +310,7 @@
 
 def read(told: Mapping[str, Any]) -> Scenario:
     """Raises ConfigError with all faults."""
-    return check(Scenario, told)
+    return validate_table(Scenario, told)
 
 
 def load(path: Path) -> Scenario:
--- a/message_sender/emulator/wire.py
+++ b/message_sender/emulator/wire.py
@@ -87,7 +87,7 @@
         super().__init__(sender.engine, (sender.name, PORT), SOCKETS)
         self.transport = WireTransport(sender, self.transport)  # type: ignore[assignment]
 
-    def dials(self) -> dict[str, tuple[str, int]]:
+    def dial_addresses(self) -> dict[str, tuple[str, int]]:
         return self.sender.directory.dials()
 
 
--- a/message_sender/grpc/channel.py
+++ b/message_sender/grpc/channel.py
@@ -384,5 +384,5 @@
     if folder is None:
         raise general.ConfigError([general.ConfigFault("state", "is missing: no folder is named")])
     folder.mkdir(parents=True, exist_ok=True)
-    places = directory or StaticDirectory(told.places)
+    places = directory or StaticDirectory(told.endpoints)
     return Channel(told, folder, places, route, options, factory, kept)
--- a/message_sender/handover/takeover.py
+++ b/message_sender/handover/takeover.py
@@ -23,7 +23,7 @@
 from pathlib import Path
 from typing import Any, Protocol
 
-from message_sender.control_socket import may_ask
+from message_sender.control_socket import is_authorized
 from message_sender.core.lock import Lock, LockTakenError, holder
 from message_sender.handover.link import HandoverLink, Packet, connect, listen
 from message_sender.handover.ownership import Ownership, OwnershipState
@@ -232,7 +232,7 @@
             sock = self.listener.accept()[0]
         except OSError:
             return
-        if self.link or self.ownership.side is not OwnershipState.OWNER or not may_ask(sock):
+        if self.link or self.ownership.side is not OwnershipState.OWNER or not is_authorized(sock):
             sock.close()
             return
         self.link = HandoverLink(sock, self.heard, self.lost)
--- a/message_sender/service/budgets.py
+++ b/message_sender/service/budgets.py
@@ -22,7 +22,7 @@
 from message_sender.message import Message
 from message_sender.policy.events import WakeUp
 from message_sender.policy.model import Endpoint
-from message_sender.service.routes import told_rates
+from message_sender.service.routes import announced_rates
 
 TURN = 0.1  # s between two looks at what the list tells, and at lines for the record
 AGAIN = 500_000  # us after which to come again where nobody can say when there is room
@@ -240,7 +240,7 @@
     def told_whole(self, number: int, span: int) -> int:
         """By the list, and by an answer that told a limit: the smaller one. A list that is not said to tell
         rates yields to an answer."""
-        listed = int(sum(told_rates(self.engine, number).values()) * span / 1e6)
+        listed = int(sum(announced_rates(self.engine, number).values()) * span / 1e6)
         if number not in self.limits:
             return listed
         calls, within = self.limits[number]
--- a/message_sender/service/control_configuration.py
+++ b/message_sender/service/control_configuration.py
@@ -54,7 +54,7 @@
     """The sender's own configuration with the document's resources over it."""
     return replace(
         config,
-        places=interpretation.endpoints() or config.places,
+        endpoints=interpretation.endpoints() or config.endpoints,
         budgets=interpretation.shared_budgets() or config.budgets,
     )
 
@@ -73,7 +73,7 @@
 
     def __init__(self, config: SenderConfig, state: Path, disk: Disk) -> None:
         """`config`: the sender's own file."""
-        self.file = config
+        self.own_config = config
         self.in_force_file = DocumentFile(state / IN_FORCE_FILE, disk)
         self.next_start_file = DocumentFile(state / NEXT_START_FILE, disk)
         self.next_start_version = 0  # 0: nothing waits for a start
@@ -81,39 +81,39 @@
         self.directory: ConfigurableEndpoints | None = None
         self.budgets: ConfigurableBudgets | None = None
         self.interpretation = Interpretation({}, {})  # of the document
-        self.document = self.begin()
+        self.document = self.load_document()
 
     def bind(self, directory: ConfigurableEndpoints, budgets: ConfigurableBudgets | None) -> None:
         """From here on versions are put in force there. `budgets`: None where the sender has no fleet."""
         self.directory, self.budgets = directory, budgets
 
-    def in_force(self) -> SenderConfig:
+    def effective_config(self) -> SenderConfig:
         """The sender's own configuration with what the control plane holds over it."""
-        return overlaid(self.file, self.interpretation)
+        return overlaid(self.own_config, self.interpretation)
 
-    def reread(self, config: SenderConfig) -> SenderConfig:
+    def reload(self, config: SenderConfig) -> SenderConfig:
         """The sender's own file was read anew: what is to be in force now."""
-        self.file = config
-        return self.in_force()
+        self.own_config = config
+        return self.effective_config()
 
     # At a start.
 
-    def begin(self) -> Document:
+    def load_document(self) -> Document:
         """The document to begin with: version 0 where there is none that can be used."""
-        stored, waiting = self.loaded(self.in_force_file), self.loaded(self.next_start_file)
+        stored, waiting = self.load_file(self.in_force_file), self.load_file(self.next_start_file)
         self.newest_version = stored.version if stored else 0
         if waiting and waiting.version > self.newest_version:
             self.next_start_version = waiting.version
-            interpretation = self.usable(waiting)
-            if interpretation and self.is_kept(waiting):
+            interpretation = self.interpret_for_start(waiting)
+            if interpretation and self.store_waiting(waiting):
                 self.interpretation = interpretation
                 return waiting
-        if stored and (interpretation := self.usable(stored)):
+        if stored and (interpretation := self.interpret_for_start(stored)):
             self.interpretation = interpretation
             return stored
         return Document()
 
-    def loaded(self, file: DocumentFile) -> Document | None:
+    def load_file(self, file: DocumentFile) -> Document | None:
         """What stands in a file; what is damaged is named and put aside."""
         try:
             return file.load()
@@ -131,11 +131,11 @@
         except OSError as error:
             log.error("control: it cannot be put aside: %s", error)
 
-    def usable(self, document: Document) -> Interpretation | None:
+    def interpret_for_start(self, document: Document) -> Interpretation | None:
         """What this sender makes of it; None where it cannot begin with it: the log says why."""
         try:
             interpretation = schema.interpret(document.resources)
-            faults = faults_here(self.file, interpretation)
+            faults = faults_here(self.own_config, interpretation)
         except ConfigError as error:
             faults = [str(each) for each in error.faults]
         if faults:
@@ -144,7 +144,7 @@
             return None
         return interpretation
 
-    def is_kept(self, waiting: Document) -> bool:
+    def store_waiting(self, waiting: Document) -> bool:
         """Makes a version that waited for this start durable as the one in force."""
         try:
             self.in_force_file.store(waiting)
@@ -161,15 +161,15 @@
     def apply(self, document: Document, delta: Delta) -> None:
         """Puts in force what `delta` makes of `document`. Raises RefusedConfigurationError, or OSError where
         it cannot be made durable; nothing in force was changed then."""
-        after = self.changed(document, delta)
+        after = self.apply_delta(document, delta)
         if after.version < self.newest_version:
             raise RefusedConfigurationError(f"version {self.newest_version} was in force here")
-        interpretation = self.interpreted(document, delta)
-        if faults := faults_here(self.file, interpretation):
+        interpretation = self.interpret_delta(document, delta)
+        if faults := faults_here(self.own_config, interpretation):
             raise RefusedConfigurationError("; ".join(faults))
-        before, config = self.in_force(), overlaid(self.file, interpretation)
+        before, config = self.effective_config(), overlaid(self.own_config, interpretation)
         if reasons := self.waits_for_start(before, config):
-            self.keep_for_start(after)
+            self.store_for_start(after)
             raise RefusedConfigurationError("; ".join(reasons))
         self.in_force_file.store(after)
         self.document, self.interpretation, self.newest_version = after, interpretation, after.version
@@ -178,7 +178,7 @@
             self.forget_waiting()
 
     @staticmethod
-    def changed(document: Document, delta: Delta) -> Document:
+    def apply_delta(document: Document, delta: Delta) -> Document:
         """A copy with the delta applied."""
         after = Document()
         after.version, after.digest = document.version, document.digest
@@ -189,7 +189,7 @@
             raise RefusedConfigurationError(str(error)) from None
         return after
 
-    def interpreted(self, document: Document, delta: Delta) -> Interpretation:
+    def interpret_delta(self, document: Document, delta: Delta) -> Interpretation:
         """What a sender makes of the changed document."""
         put = {each.name: each.value for each in delta.put}
         try:
@@ -210,13 +210,13 @@
     def put_in_force(self, before: SenderConfig, after: SenderConfig) -> None:
         """Tells the sender's parts what has changed."""
         assert self.directory
-        if before.places != after.places:
-            self.directory.configure(after.places)
+        if before.endpoints != after.endpoints:
+            self.directory.configure(after.endpoints)
         if before.budgets != after.budgets:
             assert self.budgets and after.fleet
             self.budgets.configure(after.budgets, after.fleet.size)
 
-    def keep_for_start(self, document: Document) -> None:
+    def store_for_start(self, document: Document) -> None:
         """A start can have it in force."""
         if self.next_start_version == document.version:
             return
--- a/message_sender/service/control_link.py
+++ b/message_sender/service/control_link.py
@@ -69,10 +69,10 @@
         )  # fmt: skip
         self.transport: asyncio.DatagramTransport | None = None
         self.task: asyncio.Task[None] | None = None
-        self.kept_epoch = epoch
-        self.keeping: asyncio.Task[None] | None = None  # of a later epoch, beside the loop
-        self.recorded = self.watch.status(self.loop.time())
-        self.recorded_refusals, self.refusals_recorded_at = 0, -REFUSED_DATAGRAMS_INTERVAL_S
+        self.stored_epoch = epoch
+        self.epoch_task: asyncio.Task[None] | None = None  # of a later epoch, beside the loop
+        self.logged_status = self.watch.status(self.loop.time())
+        self.logged_refusals, self.refusals_logged_at = 0, -REFUSED_DATAGRAMS_INTERVAL_S
 
     async def start(self) -> None:
         """Raises OSError where the address cannot be bound."""
@@ -109,29 +109,29 @@
             now = self.loop.time()
             self.watch.tick(now)
             self.flush(now)
-            self.record(now)
+            self.log_changes(now)
             await asyncio.sleep(TICK_S)
 
     def epoch_is_behind(self, epoch: int) -> None:
         """Control nodes know a later start of this name: an old disk, or a name that is used twice."""
-        if self.keeping is None or self.keeping.done():
+        if self.epoch_task is None or self.epoch_task.done():
             log.error("control: this disk is old, or another sender has the name %s", self.channel.name)
-            self.keeping = self.loop.create_task(self.keep_epoch())
+            self.epoch_task = self.loop.create_task(self.store_epoch())
 
-    async def keep_epoch(self) -> None:
+    async def store_epoch(self) -> None:
         """A sync may take seconds, and two senders of one name outbid each other for ever. What is not kept
         is heard of again at the next start."""
         try:
-            while self.kept_epoch < (epoch := self.channel.epoch):
+            while self.stored_epoch < (epoch := self.channel.epoch):
                 await asyncio.to_thread(write_epoch, self.state, epoch)
-                self.kept_epoch = epoch
+                self.stored_epoch = epoch
         except OSError as error:
             log.error("control: the epoch %d is not kept: %s", epoch, error)
 
-    def record(self, now: float) -> None:
+    def log_changes(self, now: float) -> None:
         """Logs what has changed since the last time."""
-        status, before = self.watch.status(now), self.recorded
-        self.recorded = status
+        status, before = self.watch.status(now), self.logged_status
+        self.logged_status = status
         if status.version != before.version:
             log.info("control: version %d is in force, from %s", status.version, status.node)
         if status.refused_version and (status.refused_version, status.reason) != (
@@ -141,14 +141,14 @@
             log.error("control: version %d is refused: %s", status.refused_version, status.reason)
         if status.node != before.node:
             log.info("control: %s is watched in place of %s", status.node, before.node)
-        self.record_refused_datagrams(now)
+        self.log_refused_datagrams(now)
 
-    def record_refused_datagrams(self, now: float) -> None:
+    def log_refused_datagrams(self, now: float) -> None:
         """At most once in ten seconds."""
         count = sum(self.channel.refused.values())
-        if count == self.recorded_refusals or now - self.refusals_recorded_at < REFUSED_DATAGRAMS_INTERVAL_S:
+        if count == self.logged_refusals or now - self.refusals_logged_at < REFUSED_DATAGRAMS_INTERVAL_S:
             return
-        self.recorded_refusals, self.refusals_recorded_at = count, now
+        self.logged_refusals, self.refusals_logged_at = count, now
         reasons = "; ".join(f"{n} {reason}" for reason, n in self.channel.refused.items())
         log.warning("control: datagrams refused: %s", reasons)
 
@@ -158,7 +158,7 @@
 
     def close(self) -> None:
         """Says nothing more."""
-        for task in (self.task, self.keeping):
+        for task in (self.task, self.epoch_task):
             if task:
                 task.cancel()
         if self.transport:
@@ -174,7 +174,7 @@
         self.configuration = SenderConfiguration(config, state, disk or SystemDisk())
         self.link: ControlLink | None = None
         self.fault = ""  # why there is no link
-        self.retries: asyncio.Task[None] | None = None
+        self.retry_task: asyncio.Task[None] | None = None
 
     async def start(
         self,
@@ -187,8 +187,8 @@
         self.configuration.bind(directory, budgets)
         await self.make_link(task_ended)
         if self.link is None:
-            self.retries = asyncio.create_task(self.retry(task_ended))
-            self.retries.add_done_callback(task_ended)
+            self.retry_task = asyncio.create_task(self.retry(task_ended))
+            self.retry_task.add_done_callback(task_ended)
 
     async def make_link(self, task_ended: Callable[[asyncio.Task[None]], None]) -> None:
         """Makes the link, or notes why it cannot be made."""
@@ -212,13 +212,13 @@
             await self.make_link(task_ended)
         log.info("control: the link is made")
 
-    def reread(self, config: SenderConfig) -> SenderConfig:
+    def reload(self, config: SenderConfig) -> SenderConfig:
         """SIGHUP: the sender's own file as it is now; what is to be in force."""
         if self.link:
             self.link.reread_keys()
         if config.control != self.plane:
             log.warning("control: [control] has changed; that waits for a start")
-        return self.configuration.reread(config)
+        return self.configuration.reload(config)
 
     def status(self) -> dict[str, Any]:
         """For the control socket; ages in seconds."""
@@ -248,8 +248,8 @@
 
     def close(self) -> None:
         """The link ends; what is in force stays on the disk."""
-        if self.retries:
-            self.retries.cancel()
+        if self.retry_task:
+            self.retry_task.cancel()
         if self.link:
             self.link.close()
 
--- a/message_sender/service/daemon.py
+++ b/message_sender/service/daemon.py
@@ -28,8 +28,10 @@
 from message_sender.service.operator_commands import OperatorCommands
 from message_sender.service.process_handover import PredecessorState, ProcessHandover
 
-LAST = 0.3  # s for the last answers as the process ends, STOP after SIGTERM; SIGKILL comes 3.7 s after it
-TIMER_SLACK = 0.001  # s: a timer must not run before the time that it was set for
+FINAL_ANSWERS_S = (
+    0.3  # s for the last answers as the process ends, STOP after SIGTERM; SIGKILL comes 3.7 s after it
+)
+TIMER_SLACK_S = 0.001  # s: a timer must not run before the time that it was set for
 
 log = logging.getLogger(__name__)
 
@@ -55,18 +57,18 @@
     # The standard streams, the loop's three, the listener, the journal and its copy, the configuration, the
     # watch and the notices with their successors at a new address, the look: 15; and a turn's accepted ones,
     # which push out others that close only after it.
-    OWN: ClassVar[int] = 20 + ACCEPTS
+    OWN_DESCRIPTORS: ClassVar[int] = 20 + ACCEPTS
 
     clients: int
-    lingering: int  # clients above these that only hear that they are turned away
+    rejected_clients: int  # clients above these that only hear that they are turned away
     calls: int  # with the connections that are kept for the next ones
 
     @classmethod
-    def of(cls, sockets: int, slots: int) -> "DescriptorBudget":
+    def divide(cls, sockets: int, slots: int) -> "DescriptorBudget":
         """Clients get half; they may need a third. Calls get the rest, all slots in any case."""
         lingering = sockets // 16
-        calls = max(sockets - cls.OWN - sockets // 2, slots + 4)
-        return cls(max(sockets - cls.OWN - lingering - calls, 1), lingering, calls)
+        calls = max(sockets - cls.OWN_DESCRIPTORS - sockets // 2, slots + 4)
+        return cls(max(sockets - cls.OWN_DESCRIPTORS - lingering - calls, 1), lingering, calls)
 
 
 class HttpSender(EngineHooks):
@@ -79,36 +81,36 @@
         self.engine, self.listen = engine, listen
         self.drain = Drain()
         settings = engine.settings
-        share = DescriptorBudget.of(sockets, settings.slots)
+        share = DescriptorBudget.divide(sockets, settings.slots)
         classes = {each.name: each for each in settings.classes}
         self.server = Server(
-            classes, engine.take, engine.now, share.clients, share.lingering, self.is_named,
+            classes, engine.take, engine.now, share.clients, share.rejected_clients, self.knows_destination,
             engine.is_known, settings.max_retry_after,
         )  # fmt: skip
         self.transport = HttpTransport(
             settings.conn_idle / 1e6,
             settings.connect_timeout / 1e6,
             share.calls,
-            self.dials,
+            self.dial_addresses,
             engine.retry_after_received,
         )
         self.transport.sent = engine.table.counts.sent
         self.server.refused_unread = lambda name: engine.table.counts.ended(name, CompletionState.REFUSED)
-        engine.periodic_tasks += [self.server.expire, self.stop_if_done]
+        engine.periodic_tasks += [self.server.expire, self.stop_if_drained]
         engine.hooks.add(self)
 
     def work_finished(self) -> None:
         """A sender that is to end may be done now."""
-        self.stop_if_done()
+        self.stop_if_drained()
 
-    def dials(self) -> dict[str, Address]:
+    def dial_addresses(self) -> dict[str, Address]:
         raise NotImplementedError
 
-    def handed(self) -> HandoverState | None:
+    def inherited_state(self) -> HandoverState | None:
         """What a process that still runs has handed over."""
         return None
 
-    def is_named(self, destination: int) -> bool:
+    def knows_destination(self, destination: int) -> bool:
         return self.engine.directory.knows(destination)
 
     def plug(self, directory: Directory, completion_listener: CompletionListener) -> None:
@@ -117,10 +119,10 @@
     async def start(self) -> None:
         """Takes over what the journal holds; only then do clients hear that the sender is ready."""
         loop = asyncio.get_running_loop()
-        loop.set_exception_handler(lambda _, context: self.loop_failed(context))
+        loop.set_exception_handler(lambda _, context: self.handle_loop_exception(context))
         loop.add_signal_handler(signal.SIGTERM, self.terminate)
         loop.add_signal_handler(signal.SIGINT, self.terminate)
-        self.engine.start(self.handed())
+        self.engine.start(self.inherited_state())
         self.server.listen(*self.listen, self.inherited)
         self.server.ready = not self.server.stopping
         host, port = self.server.address()[:2]
@@ -134,7 +136,7 @@
                 self.server.close()
             else:
                 self.engine.post(Stopping(0))  # what has come is answered, and nothing new goes
-                await self.server.finish(LAST)
+                await self.server.finish(FINAL_ANSWERS_S)
         finally:
             self.engine.close()
         if self.engine.defect:
@@ -149,23 +151,23 @@
         log.info("%s: stopping", self.engine.config.name)
         self.drain.stop(loop.time())
         self.engine.post(Stopping(int(STOP * 1e6)))
-        self.send_away()
+        self.start_drain()
         loop.call_later(STOP, self.engine.stop, 0)
-        self.stop_if_done()
+        self.stop_if_drained()
 
-    def send_away(self) -> None:
+    def start_drain(self) -> None:
         self.server.send_away()
-        asyncio.get_running_loop().call_later(GRACE + TIMER_SLACK, self.grace_over)
+        asyncio.get_running_loop().call_later(GRACE + TIMER_SLACK_S, self.end_drain_grace)
 
-    def grace_over(self) -> None:
+    def end_drain_grace(self) -> None:
         now = asyncio.get_running_loop().time()
         if self.drain.phase(now) is DrainPhase.AWAY:
             self.server.grace_over()
         if not self.drain.listens(now):
             self.server.close()
-            self.stop_if_done()
+            self.stop_if_drained()
 
-    def stop_if_done(self) -> None:
+    def stop_if_drained(self) -> None:
         engine, server = self.engine, self.server
         if self.drain.ends_at() is None or server.listener or engine.attempts.calls or engine.journal.entries:
             return
@@ -175,7 +177,7 @@
     def stop(self, code: int) -> None:
         self.engine.stop(code)
 
-    def loop_failed(self, context: dict[str, Any]) -> None:
+    def handle_loop_exception(self, context: dict[str, Any]) -> None:
         """What a callback raised. Where it is one connection's own, that connection ends; an OSError of any
         other one is a defect like the rest: what it was about to do is not done."""
         error = context.get("exception")
@@ -202,13 +204,13 @@
         """With a seat it is handed on to the next process; `told` is what the one before told. `inherited`:
         the listening socket that the platform holds; `desk`: where operators call, if it is open already.
         Raises OSError where the state folder cannot be used."""
-        self.config, self.told, self.inherited = config, told, inherited
+        self.config, self.predecessor, self.inherited = config, told, inherited
         record = MaintenanceFile(config.state)
         out, away = record.load()
-        self.maintenance = Maintenance(out, told.back if told else ())
-        self.orders = OperatorCommands(self, record, away)
-        self.clock = Clock(told.clock if told else None)
-        known = told.known if told else config.known
+        self.maintenance = Maintenance(out, told.returned if told else ())
+        self.operator_commands = OperatorCommands(self, record, away)
+        self.clock = Clock(told.clock_base_ns if told else None)
+        known = told.endpoint_list if told else config.known
         listed = self.maintenance.hear(EndpointsUpdated(ListingKind.CACHED, known.endpoints))
         room, sockets = (ROOM, manage.DESCRIPTORS) if config.management else (0, 0)
         engine = Engine(
@@ -219,44 +221,48 @@
             self.clock.now,
         )  # fmt: skip
         call = CALL_AT_HAND if config.settings.has_local_list else CALL
-        self.discovery = Discovery(config.discovery, known, self.listed, engine.completion_acknowledged, call)
+        self.discovery = Discovery(
+            config.discovery, known, self.receive_endpoints, engine.completion_acknowledged, call
+        )
         if told:
-            self.discovery.seq = told.seq
+            self.discovery.seq = told.list_sequence
             self.discovery.destinations |= {*told.destinations}
         super().__init__(engine, config.listen, config.sockets - sockets)
         self.plug(self.discovery, self.discovery)
-        self.desk = desk or (manage.ManagementServer(self.orders.asked) if config.management else None)
-        if self.desk:
-            self.desk.act = self.orders.asked
-        self.succession = ProcessHandover(self, seat) if seat else None
+        self.management_server = desk or (
+            manage.ManagementServer(self.operator_commands.execute) if config.management else None
+        )
+        if self.management_server:
+            self.management_server.act = self.operator_commands.execute
+        self.process_handover = ProcessHandover(self, seat) if seat else None
 
     async def start(self) -> None:
-        if self.desk and self.config.management and not self.desk.listener:
-            self.desk.listen(*self.config.management)
-        if self.orders.away:
-            since = self.told.away_since if self.told else None
+        if self.management_server and self.config.management and not self.management_server.listener:
+            self.management_server.listen(*self.config.management)
+        if self.operator_commands.is_draining:
+            since = self.predecessor.drain_ordered_at if self.predecessor else None
             self.drain.fail(since or asyncio.get_running_loop().time())
-            self.send_away()
+            self.start_drain()
         await super().start()
-        if self.succession:
-            self.succession.begin()
+        if self.process_handover:
+            self.process_handover.start()
 
-    def handed(self) -> HandoverState | None:
-        return self.told.engine if self.told else None
+    def inherited_state(self) -> HandoverState | None:
+        return self.predecessor.engine_state if self.predecessor else None
 
     async def run(self) -> int:
         try:
             return await super().run()
         finally:
-            if self.desk:
-                self.desk.close()
-            if self.succession:
-                self.succession.seat.close()
+            if self.management_server:
+                self.management_server.close()
+            if self.process_handover:
+                self.process_handover.ownership.close()
 
-    def listed(self, news: EndpointsUpdated) -> None:
+    def receive_endpoints(self, news: EndpointsUpdated) -> None:
         self.engine.endpoints_updated(self.maintenance.hear(news))
 
-    def dials(self) -> dict[str, Address]:
+    def dial_addresses(self) -> dict[str, Address]:
         return self.discovery.dials
 
     def reconfigure(self, config: DaemonConfig) -> None:
--- a/message_sender/service/learned_state.py
+++ b/message_sender/service/learned_state.py
@@ -18,14 +18,16 @@
 
 class LearnedState(EngineHooks):
     def __init__(self, engine: Engine, beginning: RecoveryStart, state: Path) -> None:
-        self.engine, self.beginning = engine, beginning
+        self.engine, self.recovery_start = engine, beginning
         sync = beginning.gather is not None
-        self.snapshots = LearnedSnapshots(state, beginning.disk, self.known, told, engine.now, sync)
-        self.inherited = InheritedState()
-        engine.periodic_tasks.append(self.chore)
+        self.snapshots = LearnedSnapshots(
+            state, beginning.disk, self.list_breakers, encode_breaker, engine.now, sync
+        )
+        self.loaded = InheritedState()
+        engine.periodic_tasks.append(self.start_due_write)
         engine.hooks.add(self)
 
-    def known(self) -> list[Known]:
+    def list_breakers(self) -> list[Known]:
         """Those that were called last, where there are too many."""
         found = [
             (at.number, route, each)
@@ -36,42 +38,42 @@
             return found
         return heapq.nlargest(MOST, found, key=lambda each: each[2].last_sent)
 
-    def read(self) -> dict[int, float]:
+    def load(self) -> dict[int, float]:
         """At the start; the destinations that are to be left alone, and for how long, s."""
         if (found := self.snapshots.read()) is None:
             return {}
         now = self.engine.now()
-        self.inherited = believed(*found, self.beginning.start, now)
-        waits = waiting(self.inherited.breakers, now)
-        log.info("learned before: %d breakers, %d waits", len(self.inherited.breakers), len(waits))
+        self.loaded = believed(*found, self.recovery_start.start, now)
+        waits = remaining_waits(self.loaded.breakers, now)
+        log.info("learned before: %d breakers, %d waits", len(self.loaded.breakers), len(waits))
         return waits
 
     def messages_restored(self) -> None:
         """Before the engine's first turn."""
-        if self.inherited.breakers:
-            self.engine.post(self.inherited)
+        if self.loaded.breakers:
+            self.engine.post(self.loaded)
 
     def retry_after_received(self, endpoint: str, delay_us: int) -> None:
         """Waits are put down at the next chance: nobody else could tell them after a power loss."""
         self.snapshots.next_at = 0
 
-    def chore(self) -> None:
+    def start_due_write(self) -> None:
         if job := self.snapshots.tick():
             self.engine.spawn(self.write(job))
 
     async def write(self, job: Callable[[], None]) -> None:
         try:
-            await self.beginning.disk.run(job)
+            await self.recovery_start.disk.run(job)
         except OSError as error:
             log.error("what was learned is not written: %s", error)
         self.snapshots.wrote()
 
 
-def told(breaker: object) -> dict[str, float]:
+def encode_breaker(breaker: object) -> dict[str, float]:
     return fields(breaker, BREAKER)
 
 
-def waiting(breakers: Breakers, now: int) -> dict[int, float]:
+def remaining_waits(breakers: Breakers, now: int) -> dict[int, float]:
     """s for which each destination is to be left alone."""
     found: dict[int, float] = {}
     for number, _, values in breakers:
--- a/message_sender/service/membership.py
+++ b/message_sender/service/membership.py
@@ -22,7 +22,7 @@
 from message_sender.recovery.coordinator import Coordinator
 from message_sender.recovery.id_inquiry import IdState
 from message_sender.recovery.stages import ALONE, Stage
-from message_sender.service.routes import told_rates
+from message_sender.service.routes import announced_rates
 
 if TYPE_CHECKING:
     from message_sender.service.budgets import SharedBudgets
@@ -55,7 +55,7 @@
         settings = self.engine.settings
         return [
             (route, rate, 1e6 * settings.fleet_size / rate if rate else 0.0)
-            for route, told in told_rates(self.engine, number).items()
+            for route, told in announced_rates(self.engine, number).items()
             for rate in [told if settings.announces_rates else 0.0]
         ]
 
@@ -91,7 +91,7 @@
         may_come: bool = False,
     ) -> None:
         """`may_come`: the first budget may come while the sender runs."""
-        self.engine, self.ready = engine, ready
+        self.engine, self.set_ready = engine, ready
         me = LocalMember(engine.config.name, config.advertise, config.seeds, config.size)
         self.link = FleetLink(me, config.listen, config.key_file, state)
         self.view = EngineView(engine)
@@ -102,7 +102,7 @@
             from message_sender.service import budgets as shared
 
             self.budgets = shared.SharedBudgets(engine, self.link, budgets, config.size)
-        self.asked: asyncio.Future[None] = self.link.loop.create_future()
+        self.inquiry_ended: asyncio.Future[None] = self.link.loop.create_future()
         self.coordinator.changed = self.stage_changed
 
     async def start(self, waits: Mapping[int, float]) -> None:
@@ -119,13 +119,13 @@
             self.budgets.bind()
         try:
             async with asyncio.timeout(2 * ALONE):
-                await self.asked
+                await self.inquiry_ended
         except TimeoutError:
             log.error("stage: asking did not end by itself")
         if self.link.node.behind:
-            self.doubt_all()
+            self.mark_all_doubtful()
 
-    def doubt_all(self) -> None:
+    def mark_all_doubtful(self) -> None:
         """Others know a later start of this name: what stands on this disk is not the latest, and what is
         owed here may have run, or ended, since."""
         held = self.engine.journal.entries.values()
@@ -134,9 +134,9 @@
             entry.doubtful = True
 
     def stage_changed(self, stage: Stage) -> None:
-        if stage > Stage.ASKING and not self.asked.done():
-            self.asked.set_result(None)
-        self.ready(stage >= Stage.OPENING)
+        if stage > Stage.ASKING and not self.inquiry_ended.done():
+            self.inquiry_ended.set_result(None)
+        self.set_ready(stage >= Stage.OPENING)
 
     def step(self, now: float) -> None:
         self.coordinator.step(now)
@@ -153,10 +153,10 @@
         assert self.budgets
         return self.budgets.waits_for_start(budgets)
 
-    def told_budgets(self) -> dict[str, object]:
+    def describe_budgets(self) -> dict[str, object]:
         return budget_status(self.budgets.desk) if self.budgets else {}
 
-    def destination(self, endpoint: str) -> int | None:
+    def destination_of(self, endpoint: str) -> int | None:
         known = self.engine.dispatcher.endpoints.get(endpoint)
         return known.listed.destination if known else None
 
@@ -165,19 +165,19 @@
         self.coordinator.bind(self.link.loop.time())
 
     def may_call(self, endpoint: str) -> bool:
-        number = self.destination(endpoint)
+        number = self.destination_of(endpoint)
         return number is None or self.coordinator.may_call(number)
 
     def call_started(self, endpoint: str) -> None:
-        if (number := self.destination(endpoint)) is not None:
+        if (number := self.destination_of(endpoint)) is not None:
             self.coordinator.began(number)
 
     def attempt_finished(self, endpoint: str, outcome: Outcome) -> None:
-        if (number := self.destination(endpoint)) is not None:
+        if (number := self.destination_of(endpoint)) is not None:
             self.coordinator.outcome(number, outcome)
 
     def retry_after_received(self, endpoint: str, wait: int) -> None:
-        if (number := self.destination(endpoint)) is not None:
+        if (number := self.destination_of(endpoint)) is not None:
             self.coordinator.asked_to_wait(number, wait)
 
     def admission_delay_us(self, message: Message) -> int:
@@ -198,7 +198,7 @@
         self.link.close()
 
 
-def join(
+def join_fleet(
     engine: Engine,
     config: FleetConfig,
     state: Path,
--- a/message_sender/service/owner.py
+++ b/message_sender/service/owner.py
@@ -23,7 +23,7 @@
     discovery: Discovery
     maintenance: Maintenance
 
-    def send_away(self) -> None:
+    def start_drain(self) -> None:
         """Clients hear that this sender takes no more."""
 
     def terminate(self) -> None:
--- a/message_sender/service/process_handover.py
+++ b/message_sender/service/process_handover.py
@@ -23,10 +23,10 @@
 if TYPE_CHECKING:
     from message_sender.service.owner import JournalOwner
 
-VERSION = 1  # of what is told
+STATE_VERSION = 1  # of what is told
 #: s after it has handed over: a process whose SIGTERM does not come ends all the same.
-STAYS = 8.0
-SPARE = 16  # descriptors that a process which has handed over may still hold besides its calls
+RELEASED_PROCESS_END_S = 8.0
+SPARE_DESCRIPTORS = 16  # descriptors that a process which has handed over may still hold besides its calls
 
 log = logging.getLogger(__name__)
 
@@ -35,16 +35,16 @@
 class PredecessorState:
     """What the process before told."""
 
-    clock: int  # the base of its clock, ns
-    engine: HandoverState
-    known: EndpointList
-    seq: int | None  # of the list; None: it had none from the present address
+    clock_base_ns: int  # the base of its clock, ns
+    engine_state: HandoverState
+    endpoint_list: EndpointList
+    list_sequence: int | None  # of the list; None: it had none from the present address
     destinations: tuple[int, ...]  # all that a list ever named
-    back: tuple[str, ...]  # receivers put back that were not listed as ready yet
-    away_since: float | None  # s, the loop's clock: when the operators ordered clients away
+    returned: tuple[str, ...]  # receivers put back that were not listed as ready yet
+    drain_ordered_at: float | None  # s, the loop's clock: when the operators ordered clients away
 
 
-def engine_text(handed: HandoverState) -> dict[str, Any]:
+def encode_engine_state(handed: HandoverState) -> dict[str, Any]:
     return {
         "inherited": asdict(handed.inherited),
         "calls": {name: [number, asdict(call)] for name, (number, call) in handed.calls.items()},
@@ -54,7 +54,7 @@
     }
 
 
-def engine_from(told: dict[str, Any]) -> HandoverState:
+def decode_engine_state(told: dict[str, Any]) -> HandoverState:
     parts = {name: tuple(tuple(each) for each in value) for name, value in told["inherited"].items()}
     return HandoverState(
         inherited=InheritedState(**parts),
@@ -68,16 +68,16 @@
     )
 
 
-def read(text: str) -> PredecessorState:
+def decode_state(text: str) -> PredecessorState:
     """Raises ValueError for what this version does not understand, in one line."""
     try:
         told = json.loads(text)
-        if told["version"] != VERSION:
+        if told["version"] != STATE_VERSION:
             raise ValueError(f"version {told['version']!r} is not known")
         seq = told["seq"]
         known = EndpointList({"seq": seq or 0, "whole": True, "hosts": told["hosts"]})
         return PredecessorState(
-            int(told["clock"]), engine_from(told["engine"]), known, seq, tuple(told["destinations"]),
+            int(told["clock"]), decode_engine_state(told["engine"]), known, seq, tuple(told["destinations"]),
             tuple(told["back"]), told["away_since"],
         )  # fmt: skip
     except (KeyError, TypeError, AttributeError, RecursionError) as error:
@@ -88,22 +88,24 @@
     """`sender`'s side of it, as the one that follows and as the owner."""
 
     def __init__(self, sender: "JournalOwner", seat: OwnershipHandover) -> None:
-        self.sender, self.seat = sender, seat
-        self.spared = 0  # descriptors left to the process before
+        self.sender, self.ownership = sender, seat
+        self.reserved_descriptors = 0  # descriptors left to the process before
 
     # As the one that follows.
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """The sender takes clients. Hears the process before, if there is one, and listens for the next."""
-        self.seat.serve(self)
-        if before := self.seat.before:
+        self.ownership.serve(self)
+        if before := self.ownership.before:
             engine, transport = self.sender.engine, self.sender.transport
             engine.attempts.predecessor = self
-            self.spared = min(len(engine.attempts.predecessor_calls) + SPARE, transport.most // 2)
-            transport.most -= self.spared
-            before.attach(self.told, self.gone)
+            self.reserved_descriptors = min(
+                len(engine.attempts.predecessor_calls) + SPARE_DESCRIPTORS, transport.most // 2
+            )
+            transport.most -= self.reserved_descriptors
+            before.attach(self.handle_packet, self.handle_predecessor_end)
 
-    def told(self, told: Packet, descriptors: list[int]) -> None:
+    def handle_packet(self, told: Packet, descriptors: list[int]) -> None:
         """Never raises for what is told."""
         try:
             if told["do"] == "client" and len(descriptors) == 1:
@@ -121,14 +123,14 @@
 
     def cancel_call(self, name: str, number: int) -> None:
         """Asks the process before to cancel a call."""
-        if self.seat.before:
-            self.seat.before.link.send({"do": "call off", "message": name, "attempt": number})
+        if self.ownership.before:
+            self.ownership.before.link.send({"do": "call off", "message": name, "attempt": number})
 
-    def gone(self) -> None:
+    def handle_predecessor_end(self) -> None:
         """The process before has ended. Calls whose fate it has not told ended with its connections."""
-        self.sender.transport.most += self.spared
-        self.spared = 0
-        self.seat.before = None
+        self.sender.transport.most += self.reserved_descriptors
+        self.reserved_descriptors = 0
+        self.ownership.before = None
         engine = self.sender.engine
         if left := sorted(engine.attempts.predecessor_calls):
             log.warning("the process before has ended with %d calls out", len(left))
@@ -142,18 +144,18 @@
         sender.server.freeze()
         sender.engine.freeze()
         sender.transport.hold_back()
-        return json.dumps(self.state())
+        return json.dumps(self.encode_state())
 
-    def state(self) -> dict[str, Any]:
+    def encode_state(self) -> dict[str, Any]:
         sender = self.sender
         discovery, maintenance = sender.discovery, sender.maintenance
         return {
-            "version": VERSION,
+            "version": STATE_VERSION,
             "clock": sender.clock.base,
-            "engine": engine_text(sender.engine.export_state()),
+            "engine": encode_engine_state(sender.engine.export_state()),
             "seq": discovery.seq,
             "hosts": [
-                host_text(each, discovery.dials[name])
+                encode_endpoint(each, discovery.dials[name])
                 for name, each in maintenance.listed.items()
                 if name in discovery.dials
             ],
@@ -169,21 +171,21 @@
 
     def release(self) -> None:
         sender = self.sender
-        sender.engine.release(self.tell_fate)
-        sender.server.let_go(self.pass_on)
+        sender.engine.release(self.send_result)
+        sender.server.let_go(self.send_client)
         sender.transport.close_all_idle()
-        asyncio.get_running_loop().call_later(STAYS, sender.terminate)
+        asyncio.get_running_loop().call_later(RELEASED_PROCESS_END_S, sender.terminate)
 
-    def pass_on(self, connection: ServerConnection, read: bytes, done: Callable[[], None]) -> None:
-        assert self.seat.link is not None
+    def send_client(self, connection: ServerConnection, read: bytes, done: Callable[[], None]) -> None:
+        assert self.ownership.link is not None
         told = {"do": "client", "read": base64.b64encode(read).decode()}
         told |= {"began": connection.began, "handed_in": connection.handed_in}  # type: ignore[dict-item]
-        self.seat.link.send(told, (connection.sock.fileno(),), done)
+        self.ownership.link.send(told, (connection.sock.fileno(),), done)
 
-    def tell_fate(self, name: str, number: int, answer: AttemptResult) -> None:
-        if self.seat.link:
+    def send_result(self, name: str, number: int, answer: AttemptResult) -> None:
+        if self.ownership.link:
             told = {"do": "fate", "message": name, "attempt": number, "outcome": answer.outcome.value}
-            self.seat.link.send(told | {"finished": answer.finished, "wait": answer.wait})
+            self.ownership.link.send(told | {"finished": answer.finished, "wait": answer.wait})
 
     def message_received(self, told: Packet) -> None:
         if told.get("do") == "call off":
@@ -201,7 +203,7 @@
         self.sender.engine.fail("another process has taken over", None)
 
 
-def host_text(listed: Endpoint, dial: tuple[str, int]) -> dict[str, Any]:
+def encode_endpoint(listed: Endpoint, dial: tuple[str, int]) -> dict[str, Any]:
     """As discovery tells it."""
     return {
         "host": listed.id,
--- a/message_sender/service/routes.py
+++ b/message_sender/service/routes.py
@@ -3,7 +3,7 @@
 from message_sender.core.engine import Engine
 
 
-def told_rates(engine: Engine, number: int) -> dict[str, float]:
+def announced_rates(engine: Engine, number: int) -> dict[str, float]:
     """Calls a second by route: by endpoint where they are apart, else one under "". From the configuration's
     list until the engine has begun."""
     there = engine.dispatcher
--- a/message_sender/service/standalone.py
+++ b/message_sender/service/standalone.py
@@ -49,25 +49,33 @@
     def __init__(
         self, out: TextIO, heard: Callable[[str, Completion], None] = lambda name, end: None
     ) -> None:
-        self.out, self.heard = out, heard
+        self.out, self.on_notified = out, heard
 
     def notify(self, message: str, end: Completion) -> bool:
         told: dict[str, object] = {"id": message, "state": end.state.value, "at": round(time.time(), 3)}
         if end.retry_after:
             told["retry_after_ms"] = -(-end.retry_after // 1000)
         print(json.dumps(told), file=self.out, flush=True)
-        self.heard(message, end)
+        self.on_notified(message, end)
         return False
 
     async def run(self) -> None:
         await asyncio.get_running_loop().create_future()
 
 
-def directory_of(config: SenderConfig, state: Path, now: Callable[[], int]) -> StaticDirectory:
+def build_directory(config: SenderConfig, state: Path, now: Callable[[], int]) -> StaticDirectory:
     """The configuration's own list, or that and the files which it names."""
     if (lists := config.lists) is None or not lists.files:
-        return StaticDirectory(config.places)
-    return FileDirectory(lists.files, read_endpoints, state, now, config.places, lists.share, lists.patience)
+        return StaticDirectory(config.endpoints)
+    return FileDirectory(
+        lists.files,
+        read_endpoints,
+        state,
+        now,
+        config.endpoints,
+        lists.vanished_share_limit,
+        lists.vanished_patience_us,
+    )
 
 
 @dataclass
@@ -79,7 +87,7 @@
     boot: str | None = None  # names its run; None: as the system says
 
 
-def is_checked(state: Path) -> bool:
+def has_durable_journal(state: Path) -> bool:
     """Whether the journal there has the form that survives the machine."""
     try:
         with (state / FILE).open("rb") as file:
@@ -88,18 +96,18 @@
         return False
 
 
-def beginning(config: SenderConfig, machine: HostMachine) -> "RecoveryStart":
+def open_recovery(config: SenderConfig, machine: HostMachine) -> "RecoveryStart":
     """Imported only where it is asked for: it needs the extra `fleet`."""
     try:
         from message_sender.recovery.startup import RecoveryStart
     except ImportError as error:
         raise OSError(f"{error}; pip install 'message-sender[fleet]'") from None
     return RecoveryStart(
-        config.settings, config.durability.gather, machine.clock.now, machine.disk, machine.boot
+        config.settings, config.durability.sync_interval_s, machine.clock.now, machine.disk, machine.boot
     )
 
 
-def control_plane(config: SenderConfig, state: Path, disk: Disk | None) -> "SenderControl | None":
+def open_control_plane(config: SenderConfig, state: Path, disk: Disk | None) -> "SenderControl | None":
     """Imported only where it is asked for: it needs the extra `fleet`."""
     if config.control is None:
         return None
@@ -110,8 +118,10 @@
     return SenderControl(config, state, disk)
 
 
-DRAINS = 60.0  # s for which an endpoint that another one's list drains is left alone after a power loss
-MOST_AWAY = 6 * 86_400.0  # s
+DRAINED_ENDPOINT_OUT_S = (
+    60.0  # s for which an endpoint that another one's list drains is left alone after a power loss
+)
+OUT_OF_SERVICE_LIMIT_S = 6 * 86_400.0  # s
 
 
 class OverrideHooks(EngineHooks):
@@ -145,15 +155,15 @@
         self.lock = Lock(state)
         machine = machine or HostMachine()
         clock, open_journal = machine.clock.now, Journal
-        self.beginning: RecoveryStart | None = None
-        if config.durability.sync != "none" or is_checked(state):
-            self.beginning = beginning(config, machine)
-            clock, open_journal = self.beginning.now, self.beginning.open  # type: ignore[assignment]
-        self.control_plane = control_plane(config, state, machine.disk)
+        self.recovery_start: RecoveryStart | None = None
+        if config.durability.sync != "none" or has_durable_journal(state):
+            self.recovery_start = open_recovery(config, machine)
+            clock, open_journal = self.recovery_start.now, self.recovery_start.open  # type: ignore[assignment]
+        self.control_plane = open_control_plane(config, state, machine.disk)
         if self.control_plane:
-            config = self.control_plane.configuration.in_force()
-        self.directory = directory_of(config, state, clock)
-        more = (config.lists.slow_start, config.lists.eject) if config.lists else (0, None)
+            config = self.control_plane.configuration.effective_config()
+        self.directory = build_directory(config, state, clock)
+        more = (config.lists.slow_start_us, config.lists.ejection) if config.lists else (0, None)
         self.overrides = over = OverriddenDirectory(
             self.directory, OverrideStore(state), clock, lambda listed: None, *more
         )
@@ -169,41 +179,43 @@
         )  # fmt: skip
         over.told, self.directory.told = engine.endpoints_updated, over.hear
         engine.hooks.add(OverrideHooks(over))
-        self.control = ControlSocket(state, self.commands())
+        self.control_socket = ControlSocket(state, self.commands())
         super().__init__(engine, config.listen, config.sockets)
         self.plug(self.overrides, completion_listener)
         self.server.witness = self.transport.witness = witness
-        self.learned: LearnedState | None = None
-        if self.beginning:
+        self.learned_state: LearnedState | None = None
+        if self.recovery_start:
             from message_sender.service import learned_state
 
-            self.learned = learned_state.LearnedState(engine, self.beginning, state)
+            self.learned_state = learned_state.LearnedState(engine, self.recovery_start, state)
         self.membership: Membership | None = None
         if config.fleet:
-            from message_sender.service.membership import join
+            from message_sender.service.membership import join_fleet
 
             may_come = self.control_plane is not None
-            self.membership = join(engine, config.fleet, state, self.set_ready, config.budgets, may_come)
+            self.membership = join_fleet(
+                engine, config.fleet, state, self.set_ready, config.budgets, may_come
+            )
         if self.membership:
             self.membership.view.away, self.membership.view.keep_away = self.away, self.keep_away
 
-    def dials(self) -> dict[str, Dial]:
+    def dial_addresses(self) -> dict[str, Dial]:
         return self.directory.dials()
 
     def away(self) -> dict[str, float]:
         """Endpoints that are out of service here, by an override or as the list drains them, s left."""
         now, overlay = self.engine.now(), self.overrides.overlay
         listed = overlay.listed.values()
-        found = {each.id: DRAINS for each in listed if each.state is EndpointState.DRAINING}
+        found = {each.id: DRAINED_ENDPOINT_OUT_S for each in listed if each.state is EndpointState.DRAINING}
         return found | {name: max(x.until - now, 0) / 1e6 for name, x in overlay.force.out.items()}
 
     def keep_away(self, endpoint: str, left: float, by: str) -> None:
         """Another one keeps it out of service: that counts where this one's disk may not tell the latest."""
         assert self.membership
-        if self.beginning and self.beginning.is_latest() and not self.membership.link.node.behind:
+        if self.recovery_start and self.recovery_start.is_latest() and not self.membership.link.node.behind:
             return
         now = self.engine.now()
-        until = now + int(min(left, MOST_AWAY) * 1e6)
+        until = now + int(min(left, OUT_OF_SERVICE_LIMIT_S) * 1e6)
         try:
             self.overrides.set(OverrideKind.OUT, endpoint, by, "it keeps it out of service", now, until)
         except (OverrideError, OSError) as error:
@@ -213,7 +225,7 @@
         self.server.ready = ready and self.server.listener is not None and not self.server.stopping
 
     async def start(self) -> None:
-        waits = self.learned.read() if self.learned else {}
+        waits = self.learned_state.load() if self.learned_state else {}
         if self.membership:
             try:
                 await self.membership.start(waits)
@@ -227,7 +239,7 @@
         if self.control_plane:
             await self.control_plane.start(self.directory, self.membership, self.engine.task_ended)
         try:
-            await self.control.start()
+            await self.control_socket.start()
         except OSError as error:  # such as a path that is too long for a socket
             log.error("no control socket: %s", error)
 
@@ -239,7 +251,7 @@
                 self.control_plane.close()
             if self.membership:
                 self.membership.close()
-            self.control.close()
+            self.control_socket.close()
             self.overrides.close()
             self.lock.release()
 
@@ -257,7 +269,7 @@
             ).as_json(),
             "endpoints": lambda asked: {"endpoints": self.endpoints(), "lists": self.lists()},
             "fleet": lambda asked: self.membership.coordinator.status() if self.membership else {},
-            "budgets": lambda asked: self.membership.told_budgets() if self.membership else {},
+            "budgets": lambda asked: self.membership.describe_budgets() if self.membership else {},
             "control": lambda asked: self.control_plane.status() if self.control_plane else {},
             "confirm": lambda asked: isinstance(self.directory, FileDirectory) and self.directory.confirm(),
             "explain": lambda asked: explain.explain(
@@ -294,7 +306,7 @@
         return sorted(found, key=lambda each: (each["destination"], each["id"]))
 
 
-def reread(sender: StandaloneSender, path: Path) -> None:
+def reload_configuration(sender: StandaloneSender, path: Path) -> None:
     """SIGHUP: the list of endpoints is read anew, and the keys of the link, each whole or not at all, and the
     wholes of shared budgets; the rest waits for the next start."""
     if sender.membership:
@@ -302,8 +314,8 @@
     try:
         config = load(path)
         if sender.control_plane:
-            config = sender.control_plane.reread(config)
-        sender.directory.configure(config.places)
+            config = sender.control_plane.reload(config)
+        sender.directory.configure(config.endpoints)
         if sender.membership and config.fleet:
             sender.membership.configure(config.budgets, config.fleet.size)
         log.info("%d endpoints from now on", len(sender.directory.places))
@@ -311,7 +323,7 @@
         log.error("the new configuration is not used: %s", error)
 
 
-def tell_destinations(sender: StandaloneSender) -> None:
+def write_destination_inventory(sender: StandaloneSender) -> None:
     """SIGUSR1: what is kept for each destination, as a file in the state folder."""
     engine = sender.engine
     try:
@@ -331,7 +343,7 @@
 ) -> int:
     sender = StandaloneSender(config, state, CompletionWriter(out), witness, machine)
     loop = asyncio.get_running_loop()
-    loop.add_signal_handler(signal.SIGHUP, reread, sender, path)
-    loop.add_signal_handler(signal.SIGUSR1, tell_destinations, sender)
+    loop.add_signal_handler(signal.SIGHUP, reload_configuration, sender, path)
+    loop.add_signal_handler(signal.SIGUSR1, write_destination_inventory, sender)
     await sender.start()
     return await sender.run()
--- a/message_sender/start.py
+++ b/message_sender/start.py
@@ -18,9 +18,9 @@
 from message_sender.management.calls import ManagementCall, ManagementReply
 from message_sender.management.server import ManagementServer
 from message_sender.service.daemon import DaemonConfig, PlatformSender
-from message_sender.service.process_handover import read
+from message_sender.service.process_handover import decode_state
 
-MEGABYTE = 1_000_000
+BYTES_PER_MB = 1_000_000
 
 log = logging.getLogger(__name__)
 
@@ -29,7 +29,7 @@
     """The configuration cannot be used; the text says why, in one line."""
 
 
-def management_from(told: dict[str, Any]) -> Address | None:
+def decode_management_address(told: dict[str, Any]) -> Address | None:
     """Where operators call; None: nowhere. Raises ValueError."""
     text = told.get("management") or os.environ.get("BALANCER_MANAGEMENT")
     try:
@@ -38,7 +38,7 @@
         raise ValueError(f"management: {error}") from None
 
 
-def config_from(told: dict[str, Any], state: Path) -> DaemonConfig:
+def decode_config(told: dict[str, Any], state: Path) -> DaemonConfig:
     try:
         limits = told["limits"]
         return DaemonConfig(
@@ -47,11 +47,11 @@
             discovery=address_from(told["discovery"]),
             state=state,
             seed=int(told["seed"], 16),
-            disk_bytes=int(limits["disk_mb"] * MEGABYTE),
+            disk_bytes=int(limits["disk_mb"] * BYTES_PER_MB),
             sockets=int(limits["sockets"]),
             known=EndpointList(told["known"]),
             settings=settings_from(told["settings"], on_sockets=True),
-            management=management_from(told),
+            management=decode_management_address(told),
         )
     except KeyError as error:
         raise StartupConfigError(f"{error.args[0]} is missing or unknown") from None
@@ -62,14 +62,14 @@
 def read_config() -> DaemonConfig:
     try:
         text = Path(os.environ["BALANCER_CONFIG"]).read_text()
-        return config_from(json.loads(text), Path(os.environ["BALANCER_STATE"]))
+        return decode_config(json.loads(text), Path(os.environ["BALANCER_STATE"]))
     except KeyError as error:
         raise StartupConfigError(f"${error.args[0]} is not set") from None
     except (OSError, ValueError, RecursionError) as error:
         raise StartupConfigError(" ".join(str(error).split())) from None
 
 
-def reread(sender: PlatformSender) -> None:
+def reload_configuration(sender: PlatformSender) -> None:
     """SIGHUP: the configuration has been replaced. A bad one changes nothing."""
     try:
         sender.reconfigure(read_config())
@@ -88,21 +88,21 @@
         return None
 
 
-def not_yet(call: ManagementCall) -> ManagementReply:
+def reject_call(call: ManagementCall) -> ManagementReply:
     return ManagementReply(503, "not yet: this process does not take clients")
 
 
-async def build(config: DaemonConfig) -> PlatformSender:
+async def build_sender(config: DaemonConfig) -> PlatformSender:
     """A sender that owns its state folder: taken over from a process that still runs, where there is one. The
     operators' address is bound first: a start that fails must leave that process serving."""
     desk = None
     if config.management:
-        desk = ManagementServer(not_yet)
+        desk = ManagementServer(reject_call)
         desk.listen(*config.management)
     if not (listener := inherited_listener()):
         return PlatformSender(config, desk=desk)
     seat = OwnershipHandover(config.state)
-    return PlatformSender(config, seat, await seat.take(read), listener, desk)
+    return PlatformSender(config, seat, await seat.take(decode_state), listener, desk)
 
 
 class Reload:
@@ -110,26 +110,26 @@
 
     def __init__(self) -> None:
         self.sender: PlatformSender | None = None
-        self.owed = False
-        asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, self.hear)
+        self.is_pending = False
+        asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, self.request)
 
-    def hear(self) -> None:
+    def request(self) -> None:
         if self.sender:
-            reread(self.sender)
+            reload_configuration(self.sender)
         else:
-            self.owed = True
+            self.is_pending = True
 
-    def begin(self, sender: PlatformSender) -> None:
+    def bind(self, sender: PlatformSender) -> None:
         self.sender = sender
-        if self.owed:
-            self.hear()
+        if self.is_pending:
+            self.request()
 
 
 async def serve() -> int:
     reload = Reload()
-    sender = await build(read_config())
+    sender = await build_sender(read_config())
     await sender.start()
-    reload.begin(sender)
+    reload.bind(sender)
     return await sender.run()
 
 
--- a/message_sender/testbed/cluster.py
+++ b/message_sender/testbed/cluster.py
@@ -24,7 +24,7 @@
 from pathlib import Path
 from typing import Any, ClassVar, Self
 
-from message_sender.control_socket import ask
+from message_sender.control_socket import send_request
 from message_sender.testbed import simulated_disk
 from message_sender.testbed.history import (
     History,
@@ -482,7 +482,7 @@
         async with asyncio.timeout(PATIENCE):
             while True:
                 try:
-                    return ask(self.members[name].state, request)["value"]
+                    return send_request(self.members[name].state, request)["value"]
                 except OSError:
                     await asyncio.sleep(0.02)
 
--- a/message_sender/testbed/control_cluster.py
+++ b/message_sender/testbed/control_cluster.py
@@ -23,7 +23,7 @@
 from message_sender.control.document import Document
 from message_sender.control.messages import Address, Delta, WatchMessage
 from message_sender.control.watch import ControlNodeAddress, Watch
-from message_sender.control_socket import ask
+from message_sender.control_socket import send_request
 from message_sender.testbed.cluster import HOST, PATIENCE, Relay
 
 WATCH_TICK_S = 0.05
@@ -340,7 +340,7 @@
     async def ask(self, name: str, request: Mapping[str, Any]) -> Any:  # noqa: ANN401
         """The value of a node's or sender's answer. Raises OSError where it does not answer, and ValueError
         where it ends before it has."""
-        told = await asyncio.to_thread(ask, self.process_of(name).state, request)
+        told = await asyncio.to_thread(send_request, self.process_of(name).state, request)
         if not told["ok"]:
             raise ValueError(told["faults"])
         return told["value"]
--- a/tests/compatibility/samples.py
+++ b/tests/compatibility/samples.py
@@ -47,7 +47,7 @@
 from message_sender.policy.events import CallInFlight, InheritedState
 from message_sender.policy.model import Outcome
 from message_sender.recovery import id_inquiry, learned_snapshot
-from message_sender.service.process_handover import ProcessHandover, engine_text
+from message_sender.service.process_handover import ProcessHandover, encode_engine_state
 
 from helpers import SAFE, KEYED, World, endpoint  # isort: skip
 
@@ -290,8 +290,11 @@
         drain=SimpleNamespace(ordered_at=12.5),
     )  # fmt: skip
     steps = ProcessHandover(sender, None)  # type: ignore[arg-type]
-    text = json.dumps(steps.state())
-    return {"packet.json": text.encode(), "engine.json": json.dumps(engine_text(handed_state())).encode()}
+    text = json.dumps(steps.encode_state())
+    return {
+        "packet.json": text.encode(),
+        "engine.json": json.dumps(encode_engine_state(handed_state())).encode(),
+    }
 
 
 def fleet_datagrams() -> Sample:
--- a/tests/compatibility/test_compatibility.py
+++ b/tests/compatibility/test_compatibility.py
@@ -23,7 +23,7 @@
 from message_sender.journal.inspection import InspectedJournal
 from message_sender.journal.process_journal import Journal
 from message_sender.recovery import id_inquiry, learned_snapshot
-from message_sender.service.process_handover import engine_from, read
+from message_sender.service.process_handover import decode_engine_state, decode_state
 
 
 @pytest.mark.parametrize("make", SAMPLES, ids=lambda make: make.__name__)
@@ -135,12 +135,16 @@
 
 
 def test_a_hand_over_packet_reads_as_it_was_told() -> None:
-    told = read((RECORDED / "handover_packet" / "packet.json").read_text())
-    assert told.engine == samples.handed_state() and told.clock == 123_456_789
-    assert told.destinations == (3, 4, 9) and told.back == ("hub-2", "hub-9") and told.away_since == 12.5
-    assert told.known.dials == {"hub-1": ("10.0.0.1", 80), "hub-2": ("10.0.0.2", 80)}
+    told = decode_state((RECORDED / "handover_packet" / "packet.json").read_text())
+    assert told.engine_state == samples.handed_state() and told.clock_base_ns == 123_456_789
+    assert (
+        told.destinations == (3, 4, 9)
+        and told.returned == ("hub-2", "hub-9")
+        and told.drain_ordered_at == 12.5
+    )
+    assert told.endpoint_list.dials == {"hub-1": ("10.0.0.1", 80), "hub-2": ("10.0.0.2", 80)}
     text = (RECORDED / "handover_packet" / "engine.json").read_text()
-    assert engine_from(json.loads(text)) == samples.handed_state()
+    assert decode_engine_state(json.loads(text)) == samples.handed_state()
 
 
 def test_fleet_datagrams_open_and_decode() -> None:
--- a/tests/conformance/test_figures.py
+++ b/tests/conformance/test_figures.py
@@ -56,7 +56,7 @@
                 while running.sender.engine.journal.entries or running.sender.engine.attempts.calls:
                     await asyncio.sleep(0.01)
                 client.close()
-                reply = await call(running.sender.desk.address(), "GET", "/stats")
+                reply = await call(running.sender.management_server.address(), "GET", "/stats")
             task.cancel()
         lines = (each.removeprefix("edge_balancer.").split("=") for each in reply.body.decode().split())
         figures = {name.removeprefix("transactions.c."): int(value) for name, value in lines}
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -14,7 +14,7 @@
 from message_sender.http.server import Server
 from message_sender.message import Message
 from message_sender.service.daemon import PlatformSender
-from message_sender.start import config_from
+from message_sender.start import decode_config
 
 PATIENCE = 4.0  # s; only a failing test waits so long
 READY = b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"
@@ -170,7 +170,7 @@
     """A sender in this process."""
 
     def __init__(self, told: dict[str, Any], state: Path) -> None:
-        self.sender = PlatformSender(config_from(told, state))
+        self.sender = PlatformSender(decode_config(told, state))
 
     async def __aenter__(self) -> Self:
         await self.sender.start()
--- a/tests/test_budgeted.py
+++ b/tests/test_budgeted.py
@@ -15,7 +15,7 @@
 from click.testing import CliRunner
 
 from message_sender.cli import fleet as command
-from message_sender.control_socket import ask
+from message_sender.control_socket import send_request
 from message_sender.testbed.cluster import Cluster, Fault, MemberFactory, ReceiverStub, ThreadedReceiverStub
 from message_sender.testbed.history import most_in
 
@@ -100,7 +100,7 @@
 
 
 def nothing_is_held(cluster: Cluster) -> bool:
-    told = [ask(each.state, {"do": "fleet"})["value"] for each in cluster.members.values()]
+    told = [send_request(each.state, {"do": "fleet"})["value"] for each in cluster.members.values()]
     return not any(x["members"][name]["owed"] for x, name in zip(told, cluster.members, strict=True))
 
 
@@ -137,7 +137,7 @@
 
 
 def part(cluster: Cluster, name: str) -> dict[str, Any]:
-    found: dict[str, Any] = ask(cluster.members[name].state, {"do": "budgets"})["value"]["hub"]
+    found: dict[str, Any] = send_request(cluster.members[name].state, {"do": "budgets"})["value"]["hub"]
     return found
 
 
@@ -262,7 +262,7 @@
 
 
 def budget_of(cluster: Cluster, name: str) -> dict[str, Any]:
-    return dict(ask(cluster.members[name].state, {"do": "budgets"})["value"])
+    return dict(send_request(cluster.members[name].state, {"do": "budgets"})["value"])
 
 
 async def repeats(cluster: Cluster, hub: ReceiverStub) -> None:
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -188,9 +188,9 @@
         await until(lambda: any(each.began for each in server.connections))
         sender.terminate()
         sender.drain.stopped_at -= GRACE  # type: ignore[operator]  # it has passed
-        sender.grace_over()
+        sender.end_drain_grace()
         whole.send(message("m2", X_Route_To="dest=9"))
-        sender.stop_if_done()
+        sender.stop_if_drained()
         assert not sender.engine.stopped.done()
         sender.stop(0)  # STOP is over
         assert (await half.rest()).startswith(b"HTTP/1.1 503")
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from message_sender.control_socket import ask
+from message_sender.control_socket import send_request
 from message_sender.policy.model import Effect
 from message_sender.recovery import learned_snapshot
 from message_sender.recovery.stages import TRIAL
@@ -203,7 +203,7 @@
 
 def heard(member: Member) -> int:
     """Datagrams that it believed."""
-    return int(ask(member.state, {"do": "fleet"})["value"]["heard"])
+    return int(send_request(member.state, {"do": "fleet"})["value"]["heard"])
 
 
 def test_keys_change_while_the_fleet_runs(tmp_path: Path) -> None:
@@ -342,7 +342,7 @@
             hub.calls.clear()
             await cluster.start()
             await cluster.until(lambda: len(hub.calls) == 1)
-            told = ask(cluster.members["n0"].state, {"do": "fleet"})["value"]["destinations"]["1"]
+            told = send_request(cluster.members["n0"].state, {"do": "fleet"})["value"]["destinations"]["1"]
             (holder,) = told["tried_by"]
             await cluster.stop(holder)
             await cluster.until(lambda: len(hub.calls) >= 2)
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -45,9 +45,9 @@
     assert told.state == tmp_path / "state" and told.disk_bytes == 3_000_000
     assert told.settings.slots == 8 and told.settings.tenants == (("acme", 5.0),)
     assert told.settings.key_pause == 100_000 and told.settings.announces_rates
-    assert [each.dial for each in told.places] == [("127.0.0.1", 9001), ("::1", 9002)]
-    assert told.places[1].endpoint.state is EndpointState.DRAINING
-    assert told.places[1].endpoint.kind == "apart"
+    assert [each.dial for each in told.endpoints] == [("127.0.0.1", 9001), ("::1", 9002)]
+    assert told.endpoints[1].endpoint.state is EndpointState.DRAINING
+    assert told.endpoints[1].endpoint.kind == "apart"
 
 
 FAULTS: list[tuple[list[Any], Any, str]] = [
@@ -204,7 +204,7 @@
 
 @pytest.mark.parametrize("name", ["serve.toml", "grpc.toml", "fleet.toml", "controlled.toml"])
 def test_the_examples_under_deploy_are_good(name: str) -> None:
-    assert load(Path(__file__).parent.parent / "deploy" / name).places
+    assert load(Path(__file__).parent.parent / "deploy" / name).endpoints
 
 
 def test_a_demo_of_a_tenth_of_its_length_breaks_no_rule(capsys: pytest.CaptureFixture[str]) -> None:
--- a/tests/test_control_configuration.py
+++ b/tests/test_control_configuration.py
@@ -31,7 +31,7 @@
     """What a running sender has: the endpoints and budgets that it was told last."""
 
     def __init__(self, config: SenderConfig) -> None:
-        self.places, self.told, self.size = config.places, config.budgets, 0
+        self.places, self.told, self.size = config.endpoints, config.budgets, 0
         self.reasons: list[str] = []
 
     def configure(self, *told: Any) -> None:  # noqa: ANN401
@@ -67,8 +67,8 @@
 
     def start(self) -> None:
         self.configuration = SenderConfiguration(read(self.own), self.state, self.disk)
-        self.running = Running(self.configuration.in_force())
-        has_fleet = self.configuration.file.fleet is not None
+        self.running = Running(self.configuration.effective_config())
+        has_fleet = self.configuration.own_config.fleet is not None
         self.configuration.bind(self.running, self.running if has_fleet else None)
 
     def to(self, version: int, put: dict[str, object], delete: tuple[str, ...] = ()) -> None:
@@ -142,7 +142,7 @@
             steps.append("in force")
 
     scene = Scene(tmp_path, Noted())
-    told = Told(scene.configuration.file)
+    told = Told(scene.configuration.own_config)
     scene.configuration.bind(told, told)
     scene.to(1, {"endpoints/a": endpoint(2)})
     assert steps == ["sync", "replace", "sync folder", "in force"]
@@ -284,8 +284,8 @@
     scene = Scene(tmp_path)
     scene.to(1, {"endpoints/a": endpoint(2)})
     own = read({**OWN, "endpoints": [{"id": "new", "destination": 1, "dial": "127.0.0.1:9"}]})
-    told = scene.configuration.reread(own)
-    assert [each.endpoint.id for each in told.places] == ["a"]
+    told = scene.configuration.reload(own)
+    assert [each.endpoint.id for each in told.endpoints] == ["a"]
     scene.to(2, {}, ("endpoints/a",))
     assert scene.running.ids() == ["new"]
 
@@ -293,7 +293,7 @@
 def test_a_change_of_endpoints_alone_leaves_budgets_as_they_are(tmp_path: Path) -> None:
     budget = {"name": "own", "of": "in_flight", "destination": 1, "whole": 8, "floor": 1}
     scene = Scene(tmp_path, budgets=[budget])
-    scene.configuration.reread(read({**scene.own, "budgets": [budget | {"floor": 2}]}))
+    scene.configuration.reload(read({**scene.own, "budgets": [budget | {"floor": 2}]}))
     scene.running.reasons = ["the file's floor waits for a start"]  # as SIGHUP said, and of no concern here
     scene.to(1, {"endpoints/a": endpoint(2)})
     assert scene.running.ids() == ["a"] and scene.running.told[0].floor == 1
--- a/tests/test_control_link.py
+++ b/tests/test_control_link.py
@@ -161,7 +161,7 @@
         async with running(sender):
             await node.acknowledged(0)
             await node.acknowledged(node.change(hub(receiver.port)))
-            assert set(sender.dials()) == set(sender.engine.dispatcher.endpoints) == {"hub"}
+            assert set(sender.dial_addresses()) == set(sender.engine.dispatcher.endpoints) == {"hub"}
             client = HttpClient(sender.server.address()[:2])
             fields = {"X-Correlation-Id": "m1", "X-Service-Class": "c", "X-Time-Left": "8"}
             status, _ = await client.post("/c", fields | {"X-Route-To": "dest=5"}, b"x")
@@ -180,11 +180,11 @@
             budget: dict[str, object] = {"of": "in_flight", "destination": 1, "whole": 8}
             reason = await node.refused(node.change(hub(2) | {"budgets/out": budget}))
             assert reason == "budgets/out: needs a [fleet] to be shared in, and this sender has none"
-            assert sender.dials() == {"hub": ("127.0.0.1", 1)}
+            assert sender.dial_addresses() == {"hub": ("127.0.0.1", 1)}
             told = sender.commands()["control"]({})
             assert (told["version"], told["refused_version"], told["reason"]) == (1, 2, reason)
             await node.acknowledged(node.change({}, ("budgets/out",)))
-            assert sender.dials() == {"hub": ("127.0.0.1", 2)}
+            assert sender.dial_addresses() == {"hub": ("127.0.0.1", 2)}
 
 
 @play
@@ -212,11 +212,11 @@
             await node.acknowledged(node.change(hub(1)))
     sender = sender_at(state, port)
     async with running(sender):
-        assert sender.dials() == {"hub": ("127.0.0.1", 1)}
+        assert sender.dial_addresses() == {"hub": ("127.0.0.1", 1)}
         newest = node.store.change(schema.read_values(hub(2))).version
         async with serving(node, port):
             await node.acknowledged(newest)
-            assert sender.dials() == {"hub": ("127.0.0.1", 2)}
+            assert sender.dial_addresses() == {"hub": ("127.0.0.1", 2)}
 
 
 @play
@@ -229,7 +229,9 @@
             async with running(sender):
                 assert "No space" in sender.commands()["control"]({})["fault"]
                 await node.acknowledged(node.change(hub(1)))
-                assert sender.commands()["control"]({})["fault"] == "" and set(sender.dials()) == {"hub"}
+                assert sender.commands()["control"]({})["fault"] == "" and set(sender.dial_addresses()) == {
+                    "hub"
+                }
     assert write.call_count == 3
 
 
@@ -242,10 +244,10 @@
         (state / IN_FORCE_FILE).write_bytes(b"nothing")
         sender = sender_at(state, node.port)
         async with running(sender):
-            assert set(sender.dials()) == {"own"}
+            assert set(sender.dial_addresses()) == {"own"}
             await node.acknowledged(0)
             await node.acknowledged(2)
-            assert set(sender.dials()) == {"hub", "b"}
+            assert set(sender.dial_addresses()) == {"hub", "b"}
             assert sender.control_plane and sender.control_plane.link
             assert sender.control_plane.link.watch.counts.snapshots == 1
 
--- a/tests/test_control_live.py
+++ b/tests/test_control_live.py
@@ -16,7 +16,7 @@
 from peers import play
 
 from message_sender.cli import main
-from message_sender.control_socket import ask
+from message_sender.control_socket import send_request
 from message_sender.testbed.history import History
 from message_sender.testbed.http import HttpClient, HttpEndpoint
 from message_sender.testbed.script import Script, ScriptedAnswer
@@ -178,7 +178,7 @@
         code, out = await plane.run("status", plane.state("c3"), "--wait", "2", "--timeout", "1")
         reason = "budgets/out: needs a [fleet] to be shared in, and this sender has none"
         assert code == 1 and f"sender n1: version 1, refused 2: {reason}" in out, out
-        told = (await asyncio.to_thread(ask, Path(plane.state("n1")), {"do": "control"}))["value"]
+        told = (await asyncio.to_thread(send_request, Path(plane.state("n1")), {"do": "control"}))["value"]
         assert (told["version"], told["refused_version"], told["reason"]) == (1, 2, reason)
 
         watched = plane.nodes[told["node"]]
--- a/tests/test_control_schema.py
+++ b/tests/test_control_schema.py
@@ -62,7 +62,7 @@
         }
     )
     resources = schema.read_toml(TEXT)
-    assert schema.places(resources) == own.places
+    assert schema.places(resources) == own.endpoints
     assert sorted(schema.budgets(resources), key=lambda x: x.name, reverse=True) == list(own.budgets)
 
 
--- a/tests/test_control_sender.py
+++ b/tests/test_control_sender.py
@@ -20,13 +20,13 @@
 from message_sender.control.document import Document
 from message_sender.control.document_file import DocumentFile
 from message_sender.control.messages import Delta, Resource
-from message_sender.control_socket import ask
+from message_sender.control_socket import send_request
 from message_sender.core.hooks import HookChain
 from message_sender.emulator.shared_links import LinkHub
 from message_sender.journal.disk import SystemDisk
 from message_sender.policy.model import DestinationKind, Endpoint, EndpointState
 from message_sender.service.control_configuration import IN_FORCE_FILE
-from message_sender.service.standalone import CompletionWriter, StandaloneSender, reread
+from message_sender.service.standalone import CompletionWriter, StandaloneSender, reload_configuration
 from message_sender.testbed.running import running
 
 ROOT = Path(__file__).parent.parent
@@ -107,12 +107,12 @@
     DocumentFile(state / IN_FORCE_FILE, SystemDisk()).store(Document(7, HELD))
     sender = made(file, state)
     async with running(sender):
-        assert sender.dials() == {"held": ("127.0.0.1", 2)}
+        assert sender.dial_addresses() == {"held": ("127.0.0.1", 2)}
         file.write_text((OWN + CONTROL).replace('"own"', '"new"'))
-        reread(sender, file)
-        assert sender.dials() == {"held": ("127.0.0.1", 2)}
+        reload_configuration(sender, file)
+        assert sender.dial_addresses() == {"held": ("127.0.0.1", 2)}
         assert set(sender.engine.dispatcher.endpoints) == {"held"}
-        told = (await asyncio.to_thread(ask, state, {"do": "control"}))["value"]
+        told = (await asyncio.to_thread(send_request, state, {"do": "control"}))["value"]
         assert (told["version"], told["endpoints_from"], told["budgets_from"]) == (
             7,
             "control plane",
@@ -127,10 +127,10 @@
     file = folder(state)
     sender = made(file, state)
     async with running(sender):
-        assert set(sender.dials()) == {"own"}
+        assert set(sender.dial_addresses()) == {"own"}
         file.write_text((OWN + CONTROL).replace('"own"', '"new"'))
-        reread(sender, file)
-        assert set(sender.dials()) == {"new"}
+        reload_configuration(sender, file)
+        assert set(sender.dial_addresses()) == {"new"}
 
 
 @play
@@ -140,11 +140,11 @@
     DocumentFile(state / IN_FORCE_FILE, SystemDisk()).store(Document(7, HELD))
     sender = made(file, state)
     async with running(sender):
-        assert set(sender.dials()) == {"held"}
+        assert set(sender.dial_addresses()) == {"held"}
         told = sender.commands()["control"]({})
         assert told["version"] == 7 and "control.key" in told["fault"]
-        reread(sender, file)
-        assert set(sender.dials()) == {"held"}
+        reload_configuration(sender, file)
+        assert set(sender.dial_addresses()) == {"held"}
 
 
 @play
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -140,7 +140,7 @@
         self.sigterm()
         assert self.sender.drain.stopped_at is not None
         self.sender.drain.stopped_at -= GRACE
-        self.sender.grace_over()
+        self.sender.end_drain_grace()
 
     def sigkill(self) -> None:
         """All that a process does ends; its descriptors close, and what they had unread resets."""
@@ -156,7 +156,7 @@
         self.sender.reconfigure(config)
 
     def list_drains(self) -> None:
-        self.sender.listed(self.news("draining"))
+        self.sender.receive_endpoints(self.news("draining"))
         self.drained = len(self.calls)
 
     def list_lost(self) -> None:
@@ -164,7 +164,7 @@
             each.break_off()
 
     def operators_drain(self) -> None:
-        self.sender.orders.changed("r", self.sender.maintenance.take_out("r"))
+        self.sender.operator_commands.apply_change("r", self.sender.maintenance.take_out("r"))
         self.drained = len(self.calls)
 
     def news(self, health: str) -> EndpointsUpdated:
@@ -245,7 +245,7 @@
         ready = EndpointState.READY
         told = tuple(Endpoint(name, place, ready, "k", "z") for name, place in (("r", 3), ("d", 9)))
         self.sender.discovery.dials |= {name: self.world.receiver.address for name in ("r", "d")}
-        self.sender.listed(EndpointsUpdated(ListingKind.CHANGES, told))
+        self.sender.receive_endpoints(EndpointsUpdated(ListingKind.CHANGES, told))
 
     async def end(self) -> None:
         """The process ends, and another one begins on its folder."""
--- a/tests/test_directories.py
+++ b/tests/test_directories.py
@@ -12,7 +12,7 @@
 from peers import play
 
 from message_sender.configuration.general import read, read_endpoints
-from message_sender.control_socket import ask
+from message_sender.control_socket import send_request
 from message_sender.discovery.file import COPY, STALE, FileDirectory
 from message_sender.discovery.list_merging import FEW, MergedList, merged
 from message_sender.policy.events import EndpointsUpdated
@@ -120,13 +120,13 @@
     for number in (0, 1):
         sender = StandaloneSender(read(told, state), state, CompletionWriter(io.StringIO()))
         async with running(sender):
-            assert sender.dials()["a"] == ("127.0.0.1", 1) and set(sender.engine.dispatcher.endpoints) == {
-                *"abcde"
-            }
+            assert sender.dial_addresses()["a"] == ("127.0.0.1", 1) and set(
+                sender.engine.dispatcher.endpoints
+            ) == {*"abcde"}
             if number == 0:
                 files.write(0, "a")
                 assert isinstance(sender.directory, FileDirectory) and not sender.directory.look_at_files()
-                rows = (await asyncio.to_thread(ask, state, {"do": "endpoints"}))["value"]
+                rows = (await asyncio.to_thread(send_request, state, {"do": "endpoints"}))["value"]
                 assert rows["lists"][0]["doubted"] == [*"bcde"] and len(rows["endpoints"]) == 5
                 files.paths[0].unlink()
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -34,7 +34,7 @@
 )
 from message_sender.policy.model import ListingKind, Outcome
 from message_sender.policy.state_transfer import tell
-from message_sender.service.process_handover import engine_from, engine_text, read
+from message_sender.service.process_handover import decode_engine_state, decode_state, encode_engine_state
 
 ORDER = {"semantics": "by_key", "dedup_window": 5_000_000, "key_scope": "zone", "serial_by_key": True}
 
@@ -171,13 +171,13 @@
     handed = HandoverState(
         inherited, {"m": (2, call)}, {"n": Completion(CompletionState.REFUSED, 500)}, {"m": 0.1}, ("o",)
     )
-    assert engine_from(json.loads(json.dumps(engine_text(handed)))) == handed
+    assert decode_engine_state(json.loads(json.dumps(encode_engine_state(handed)))) == handed
 
 
 @pytest.mark.parametrize("text", ["{", "[]", '{"version": 2}', '{"version": 1, "seq": 3}', "3"])
 def test_what_another_version_tells_is_refused_in_one_line(text: str) -> None:
     with pytest.raises(ValueError, match=r"^[^\n]+$"):
-        read(text)
+        decode_state(text)
 
 
 def test_a_descriptor_that_is_no_listening_socket_is_refused(tmp_path: Path) -> None:
--- a/tests/test_inventory.py
+++ b/tests/test_inventory.py
@@ -13,7 +13,7 @@
 from message_sender.policy.endpoints import IDLE_AGE, QUIET_AGE
 from message_sender.policy.events import WakeUp
 from message_sender.policy.model import Outcome
-from message_sender.service.standalone import CompletionWriter, StandaloneSender, tell_destinations
+from message_sender.service.standalone import CompletionWriter, StandaloneSender, write_destination_inventory
 
 
 def world_of_states() -> World:
@@ -88,10 +88,10 @@
     told = general.read({"name": "n", "classes": classes, "endpoints": [listed], "listen": "127.0.0.1:0"})
     sender = StandaloneSender(told, state, CompletionWriter(io.StringIO()))
     sender.engine.start()
-    tell_destinations(sender)
+    write_destination_inventory(sender)
     assert [each.number for each in inventory.read(state)[1]] == [1]
     (state / (inventory.FILE + ".new")).mkdir()
-    tell_destinations(sender)  # it cannot be written: the sender goes on
+    write_destination_inventory(sender)  # it cannot be written: the sender goes on
     assert not sender.engine.defect
     sender.engine.close()
     sender.lock.release()
--- a/tests/test_manage.py
+++ b/tests/test_manage.py
@@ -33,7 +33,7 @@
 from message_sender.management.calls import ManagementCall, Operation, read
 from message_sender.management.calls import ManagementReply as Said
 from message_sender.management.server import HEAD_LIMIT, LINGER, MOST, PATIENCE, ManagementServer
-from message_sender.start import StartupConfigError, config_from
+from message_sender.start import StartupConfigError, decode_config
 
 
 @asynccontextmanager
@@ -45,7 +45,7 @@
         world.receiver, world.platform, world.told = receiver, platform, told
         async with Running(told, state) as running:
             world.running, world.sender, world.hand_in = running, running.sender, running.hand_in
-            yield world, running.sender.desk.address()
+            yield world, running.sender.management_server.address()
 
 
 class Named:
@@ -105,9 +105,9 @@
 
 def test_without_an_address_nothing_listens_and_a_bad_one_is_named(tmp_path: Path) -> None:
     told = config_json(Named())
-    assert config_from(told, tmp_path).management is None
+    assert decode_config(told, tmp_path).management is None
     with pytest.raises(StartupConfigError, match="management: 'here' is not host:port"):
-        config_from(told | {"management": "here"}, tmp_path)
+        decode_config(told | {"management": "here"}, tmp_path)
 
 
 @play
@@ -215,7 +215,7 @@
         world.sender.drain.ordered_at -= GRACE
         for each in list(server.connections):
             each.since -= LINGER
-        world.sender.grace_over()
+        world.sender.end_drain_grace()
         assert await kept.ended() == await silent.ended() == b""
         assert (await ask(world.running.address, READY)).status == 503
         assert (await call(address, "GET", "/healthcheck")).status == 200
@@ -234,7 +234,7 @@
         await world.running.task
         async with Running(world.told, tmp_path) as again:
             assert (await ask(again.address, READY)).status == 503
-            there = again.sender.desk.address()
+            there = again.sender.management_server.address()
             assert (await call(there, "POST", "/healthcheck/ok")).status == 200
             assert (await ask(again.address, READY)).status == 200
 
--- a/tests/test_overrides.py
+++ b/tests/test_overrides.py
@@ -22,7 +22,7 @@
 
 from message_sender.cli import main
 from message_sender.configuration import general
-from message_sender.control_socket import LINE_MOST, MOST, ask, may_ask
+from message_sender.control_socket import CONNECTIONS_LIMIT, REQUEST_BYTES_LIMIT, is_authorized, send_request
 from message_sender.discovery import override_store as store_module
 from message_sender.discovery.outlier import EjectionPolicy, OutlierDetector
 from message_sender.discovery.overridden import OverriddenDirectory
@@ -490,7 +490,7 @@
         client.close()
 
     async def ask(self, **request: object) -> Any:  # noqa: ANN401
-        return await soon(asyncio.to_thread(ask, self.folder, request))
+        return await soon(asyncio.to_thread(send_request, self.folder, request))
 
     async def set(self, kind: str, name: str, seconds: float = 60, **more: object) -> dict[str, Any]:
         now = time.time_ns() // 1000
@@ -596,7 +596,7 @@
         (b'{"do": "set"}\n', "kind is missing"),
         (b'{"do": "end", "name": "o9", "who": "me"}\n', "o9 is missing"),
         (b'{"do": "explain", "destination": 99}\n', "not listed"), (b"[" * 60_000 + b"\n", "recursion"),
-        (b"x" * (LINE_MOST + 10) + b"\n", "too long"),
+        (b"x" * (REQUEST_BYTES_LIMIT + 10) + b"\n", "too long"),
     ],
 )  # fmt: skip
 def test_what_is_asked_badly_is_answered_and_harms_nothing(tmp_path: Path, line: bytes, text: str) -> None:
@@ -615,8 +615,10 @@
 @play
 async def test_idle_control_connections_are_bounded_and_harm_nothing(state: Path) -> None:
     async with service(state) as world:
-        held = [await asyncio.open_unix_connection(str(state / "control")) for _ in range(MOST + 50)]
-        closed = [each for each in held[MOST:] if await soon(each[0].read()) == b""]
+        held = [
+            await asyncio.open_unix_connection(str(state / "control")) for _ in range(CONNECTIONS_LIMIT + 50)
+        ]
+        closed = [each for each in held[CONNECTIONS_LIMIT:] if await soon(each[0].read()) == b""]
         assert len(closed) == 50 and sum((await world.deliver(3)).values()) == 3
         for _, writer in held:
             writer.close()
@@ -630,7 +632,7 @@
         def getsockopt(self, level: int, option: int, size: int) -> bytes:
             return struct.pack("3i", 1, user, 1)
 
-    assert may_ask(Sock()) is may  # type: ignore[arg-type]
+    assert is_authorized(Sock()) is may  # type: ignore[arg-type]
 
 
 def test_a_sender_that_cannot_save_an_override_does_not_follow_it(
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -153,15 +153,15 @@
 
 def test_a_hangup_before_the_sender_serves_is_kept_for_it(monkeypatch: pytest.MonkeyPatch) -> None:
     heard: list[object] = []
-    monkeypatch.setattr(start_module, "reread", heard.append)
+    monkeypatch.setattr(start_module, "reload_configuration", heard.append)
 
     async def test() -> None:
         reload, sender = start_module.Reload(), object()
-        reload.hear()
+        reload.request()
         assert heard == []
-        reload.begin(sender)  # type: ignore[arg-type]
+        reload.bind(sender)  # type: ignore[arg-type]
         assert heard == [sender]
-        reload.hear()
+        reload.request()
         assert heard == [sender] * 2
 
     asyncio.run(test())
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -315,7 +315,7 @@
     path = tmp_path / "f.toml"
     path.write_text(plain + '[capture]\nfolder = "c"\nmost_mb = 2\nblank = ["X-Key"]\n')
     found = load(path).capture
-    assert found and (found.folder, found.most_bytes, found.files, found.blank) == (
+    assert found and (found.folder, found.file_bytes_limit, found.files_limit, found.blanked_headers) == (
         tmp_path / "c",
         2_000_000,
         4,
--- a/tests/test_sender.py
+++ b/tests/test_sender.py
@@ -16,7 +16,7 @@
 from message_sender.policy.actions import WakeAfter
 from message_sender.policy.model import Outcome
 from message_sender.service.daemon import DescriptorBudget, PlatformSender
-from message_sender.start import config_from
+from message_sender.start import decode_config
 
 GONE = {"X_Route_To": "dest=9"}  # no endpoint: held until its time is up
 SHORT = {"X_Time_Left": "0.1"}
@@ -270,7 +270,7 @@
         assert await soon(reader.read()) == b""
         assert (await ask(world.running.address, READY)).status == 503
         world.sender.drain.stopped_at -= GRACE  # it has passed
-        world.sender.grace_over()
+        world.sender.end_drain_grace()
         with pytest.raises(OSError):
             await asyncio.open_connection(*world.running.address)
         assert not world.sender.engine.stopped.done()
@@ -317,7 +317,7 @@
                 journal.record_outcome("m1", number, outcome)
             world.sender.stop(0)
             await world.running.task
-            again = PlatformSender(config_from(world.told, state)).engine
+            again = PlatformSender(decode_config(world.told, state)).engine
             restored = again.restored(again.journal.entries["m1"])
             assert (restored.attempts, restored.risky_since, restored.risky_zone) == (3, 1001, "z1")
 
@@ -376,10 +376,14 @@
 
 @pytest.mark.parametrize("sockets", [64, 256, 384, 1024])
 def test_the_shares_of_the_descriptors_add_up(sockets: int) -> None:
-    share = DescriptorBudget.of(sockets, slots=12)
-    assert share.clients + share.lingering + share.calls + DescriptorBudget.OWN <= max(sockets, 64)
+    share = DescriptorBudget.divide(sockets, slots=12)
+    assert share.clients + share.rejected_clients + share.calls + DescriptorBudget.OWN_DESCRIPTORS <= max(
+        sockets, 64
+    )
     assert share.calls >= 16 and (sockets < 256 or share.clients > sockets / 3)
-    assert DescriptorBudget.OWN >= 15 + ACCEPTS  # what is not shared out, as its comment counts it
+    assert (
+        DescriptorBudget.OWN_DESCRIPTORS >= 15 + ACCEPTS
+    )  # what is not shared out, as its comment counts it
 
 
 @pytest.mark.parametrize("over", [False, True])
--- a/tests/test_storms.py
+++ b/tests/test_storms.py
@@ -502,9 +502,11 @@
         (own,) = world.sender.server.strangers
         broken = ConnectionResetError(errno.ECONNRESET, "reset")
         handle = asyncio.Handle(own.transport.abort, (), asyncio.get_running_loop())
-        world.sender.loop_failed({"message": "a callback raised", "exception": broken, "handle": handle})
+        world.sender.handle_loop_exception(
+            {"message": "a callback raised", "exception": broken, "handle": handle}
+        )
         assert not world.sender.engine.defect and own.transport.is_closing()
-        world.sender.loop_failed({"message": "a callback raised", "exception": broken})
+        world.sender.handle_loop_exception({"message": "a callback raised", "exception": broken})
         assert "ConnectionResetError" in world.sender.engine.defect
         client.finish()
         assert await soon(asyncio.shield(world.running.task)) == 1
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -18,7 +18,7 @@
 from message_sender.policy.schedule import ListPolling
 from message_sender.service import daemon
 from message_sender.service.daemon import DaemonConfig, PlatformSender
-from message_sender.start import config_from
+from message_sender.start import decode_config
 
 TOLD = 6.0  # s
 AT_HAND = 0.5  # s, where lists are pushed: what the agent has counts at once, and a drain has its grace
@@ -33,7 +33,7 @@
 
     told = config_json(At, host("10.0.0.9:1"), mode=mode) | {"listen": "sender:3000"}  # type: ignore[arg-type]
     told["settings"] |= {"fleet_size": fleet}
-    return config_from(told, state)
+    return decode_config(told, state)
 
 
 class Discovery:
