--- a/message_sender/__main__.py
+++ b/message_sender/__main__.py
@@ -1,21 +1,24 @@
-"""What `python -m message_sender` starts: without arguments the platform's sender; with them the command
-line."""
+"""Entry point of `python -m message_sender`.
+
+Without arguments it runs the platform's sender, with arguments the command line.
+"""
 
 import signal
 import sys
 
 
 def main() -> int:
+    """Runs the platform's sender or the command line; returns the exit code."""
     if len(sys.argv) > 1:
-        from message_sender.cli import main as command
+        from message_sender.cli import main as run_command
 
-        return command()
-    # Guards a start from SIGHUP, which would end a process that cannot hear it yet. The configuration is read
-    # after this, so that nothing is missed.
+        return run_command()
+    # SIGHUP would end a process that has no handler for it yet. The configuration is read after this, so that
+    # no change of it is missed.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
-    from message_sender.start import main as run
+    from message_sender.start import main as run_sender
 
-    return run()
+    return run_sender()
 
 
 if __name__ == "__main__":
--- a/message_sender/service/daemon.py
+++ b/message_sender/service/daemon.py
@@ -1,5 +1,8 @@
-"""The sender as the platform runs it: the engine behind an HTTP door, an HTTP transport and the platform's
-watch and notices; signals, and how the descriptors are shared out."""
+"""The sender as the platform runs it: an engine with an HTTP server, an HTTP transport and discovery.
+
+Besides the assembly, this module has the process signals, the drain at its end, and the division of the file
+descriptors that the configuration allows.
+"""
 
 import asyncio
 import logging
@@ -22,22 +25,38 @@
 from message_sender.http.codec import Address
 from message_sender.http.discovery import CALL, CALL_AT_HAND, Discovery, EndpointList
 from message_sender.http.server import ACCEPTS, Server
-from message_sender.management import server as manage
+from message_sender.management import server as management
 from message_sender.policy.events import EndpointsUpdated, Stopping
 from message_sender.policy.model import ListingKind, Settings
+from message_sender.service.handover_state import PredecessorState
 from message_sender.service.operator_commands import OperatorCommands
-from message_sender.service.process_handover import PredecessorState, ProcessHandover
+from message_sender.service.process_handover import ProcessHandover
 
-FINAL_ANSWERS_S = (
-    0.3  # s for the last answers as the process ends, STOP after SIGTERM; SIGKILL comes 3.7 s after it
-)
-TIMER_SLACK_S = 0.001  # s: a timer must not run before the time that it was set for
+#: For the last responses as the process ends, STOP after SIGTERM; SIGKILL comes 3.7 s after SIGTERM.
+FINAL_RESPONSES_S = 0.3
+#: A timer must not run before the time that it was set for.
+TIMER_SLACK_S = 0.001
 
 log = logging.getLogger(__name__)
 
 
 @dataclass(frozen=True, slots=True)
 class DaemonConfig:
+    """What the platform's configuration says.
+
+    Attributes:
+        name: Of the sender, as the platform has it.
+        listen: Where clients connect.
+        discovery: Where the platform's discovery is.
+        state: The state folder.
+        seed: Of the policy's random choices.
+        disk_bytes: What the state folder may hold.
+        sockets: File descriptors that the process may open.
+        known: The endpoint list to begin with.
+        settings: Of the policy.
+        management: Where operators connect; None: nowhere.
+    """
+
     name: str
     listen: Address
     discovery: Address
@@ -47,104 +66,144 @@
     sockets: int
     known: EndpointList
     settings: Settings
-    management: Address | None = None  # where operators call
+    management: Address | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class DescriptorBudget:
-    """How the descriptors that the configuration allows are shared out: all that opens one counts here."""
+    """How the file descriptors that the configuration allows are divided; all that opens one counts here.
+
+    Attributes:
+        clients: Client connections.
+        rejected_clients: Connections above these, which only receive a rejection.
+        calls: Connections to endpoints, with those that are kept open for later calls.
+    """
 
     # The standard streams, the loop's three, the listener, the journal and its copy, the configuration, the
-    # watch and the notices with their successors at a new address, the look: 15; and a turn's accepted ones,
-    # which push out others that close only after it.
+    # watch and the notices with their successors at a new address, the poll: 15; and the connections accepted
+    # in one loop iteration, which push out others that close only after it.
     OWN_DESCRIPTORS: ClassVar[int] = 20 + ACCEPTS
 
     clients: int
-    rejected_clients: int  # clients above these that only hear that they are turned away
-    calls: int  # with the connections that are kept for the next ones
+    rejected_clients: int
+    calls: int
 
     @classmethod
     def divide(cls, sockets: int, slots: int) -> "DescriptorBudget":
-        """Clients get half; they may need a third. Calls get the rest, all slots in any case."""
-        lingering = sockets // 16
+        """Divides `sockets` descriptors: half to clients, the rest to calls, which get all `slots` anyway."""
+        rejected_clients = sockets // 16
         calls = max(sockets - cls.OWN_DESCRIPTORS - sockets // 2, slots + 4)
-        return cls(max(sockets - cls.OWN_DESCRIPTORS - lingering - calls, 1), lingering, calls)
+        clients = max(sockets - cls.OWN_DESCRIPTORS - rejected_clients - calls, 1)
+        return cls(clients, rejected_clients, calls)
 
 
 class HttpSender(EngineHooks):
-    """An engine with an HTTP door and an HTTP transport. Its directory and completion_listener are given by
-    who builds it."""
+    """An engine with an HTTP server and an HTTP transport.
+
+    A subclass provides the dial addresses and plugs in a directory and a completion listener.
 
-    inherited: socket.socket | None = None  # the listening socket, where somebody else holds it
+    Attributes:
+        inherited_listener: The listening socket, where another process opened it.
+    """
+
+    inherited_listener: socket.socket | None = None
 
     def __init__(self, engine: Engine, listen: Address, sockets: int) -> None:
-        self.engine, self.listen = engine, listen
+        """Builds server and transport.
+
+        Args:
+            engine: Owns the decisions.
+            listen: Where clients connect.
+            sockets: File descriptors that the process may open.
+        """
+        self.engine = engine
+        self.listen = listen
         self.drain = Drain()
-        settings = engine.settings
-        share = DescriptorBudget.divide(sockets, settings.slots)
-        classes = {each.name: each for each in settings.classes}
-        self.server = Server(
-            classes, engine.take, engine.now, share.clients, share.rejected_clients, self.knows_destination,
-            engine.is_known, settings.max_retry_after,
-        )  # fmt: skip
-        self.transport = HttpTransport(
-            settings.conn_idle / 1e6,
-            settings.connect_timeout / 1e6,
-            share.calls,
+        descriptors = DescriptorBudget.divide(sockets, engine.settings.slots)
+        self.server = self._build_server(descriptors)
+        self.transport = self._build_transport(descriptors)
+        engine.periodic_tasks += [self.server.expire, self.stop_if_drained]
+        engine.hooks.add(self)
+
+    def _build_server(self, descriptors: DescriptorBudget) -> Server:
+        engine = self.engine
+        server = Server(
+            {each.name: each for each in engine.settings.classes},
+            engine.take,
+            engine.now,
+            descriptors.clients,
+            descriptors.rejected_clients,
+            self.knows_destination,
+            engine.is_known,
+            engine.settings.max_retry_after,
+        )
+        server.refused_unread = self._count_rejected_unread
+        return server
+
+    def _build_transport(self, descriptors: DescriptorBudget) -> HttpTransport:
+        engine = self.engine
+        transport = HttpTransport(
+            engine.settings.conn_idle / 1e6,
+            engine.settings.connect_timeout / 1e6,
+            descriptors.calls,
             self.dial_addresses,
             engine.retry_after_received,
         )
-        self.transport.sent = engine.table.counts.sent
-        self.server.refused_unread = lambda name: engine.table.counts.ended(name, CompletionState.REFUSED)
-        engine.periodic_tasks += [self.server.expire, self.stop_if_drained]
-        engine.hooks.add(self)
+        transport.sent = engine.table.counts.sent
+        return transport
+
+    def _count_rejected_unread(self, message_class: str) -> None:
+        self.engine.table.counts.ended(message_class, CompletionState.REFUSED)
 
     def work_finished(self) -> None:
-        """A sender that is to end may be done now."""
+        """A draining sender may be done now."""
         self.stop_if_drained()
 
     def dial_addresses(self) -> dict[str, Address]:
+        """The address of each endpoint by its id."""
         raise NotImplementedError
 
     def inherited_state(self) -> HandoverState | None:
-        """What a process that still runs has handed over."""
+        """What a process that still runs has handed over; None: there is no such process."""
         return None
 
     def knows_destination(self, destination: int) -> bool:
+        """Whether a list ever named this destination."""
         return self.engine.directory.knows(destination)
 
     def plug(self, directory: Directory, completion_listener: CompletionListener) -> None:
+        """Connects the engine with its ports; comes before `start`."""
         self.engine.plug(self.transport, directory, completion_listener)
 
     async def start(self) -> None:
-        """Takes over what the journal holds; only then do clients hear that the sender is ready."""
+        """Takes over what the journal holds, then announces to clients that the sender is ready."""
         loop = asyncio.get_running_loop()
-        loop.set_exception_handler(lambda _, context: self.handle_loop_exception(context))
+        loop.set_exception_handler(self._loop_exception_raised)
         loop.add_signal_handler(signal.SIGTERM, self.terminate)
         loop.add_signal_handler(signal.SIGINT, self.terminate)
         self.engine.start(self.inherited_state())
-        self.server.listen(*self.listen, self.inherited)
+        self.server.listen(*self.listen, self.inherited_listener)
         self.server.ready = not self.server.stopping
         host, port = self.server.address()[:2]
         log.info("%s: ready on %s:%d", self.engine.config.name, host, port)
 
     async def run(self) -> int:
-        """Serves until it is told to stop; the answer is the exit code."""
-        code = await self.engine.stopped
+        """Serves until the engine stops; returns the exit code."""
+        exit_code = await self.engine.stopped
         try:
             if self.drain.ends_at() is None or self.engine.defect:
                 self.server.close()
             else:
-                self.engine.post(Stopping(0))  # what has come is answered, and nothing new goes
-                await self.server.finish(FINAL_ANSWERS_S)
+                self.engine.post(Stopping(0))  # what has come is answered, and nothing new is sent
+                await self.server.finish(FINAL_RESPONSES_S)
         finally:
             self.engine.close()
         if self.engine.defect:
             log.critical("%s: ended by a defect: %s", self.engine.config.name, self.engine.defect)
-        return code
+        return exit_code
 
     def terminate(self) -> None:
-        """SIGTERM. Clients are still answered, and what they hand in is taken on: the journal keeps it."""
+        """SIGTERM: drains, then stops. Messages that come meanwhile are accepted: the journal keeps them."""
         loop = asyncio.get_running_loop()
         if self.drain.ends_at() is not None:
             return
@@ -156,10 +215,12 @@
         self.stop_if_drained()
 
     def start_drain(self) -> None:
+        """Asks clients to connect elsewhere; idle connections are closed after the drain's grace."""
         self.server.send_away()
         asyncio.get_running_loop().call_later(GRACE + TIMER_SLACK_S, self.end_drain_grace)
 
     def end_drain_grace(self) -> None:
+        """Closes what the drain's phase allows to close."""
         now = asyncio.get_running_loop().time()
         if self.drain.phase(now) is DrainPhase.AWAY:
             self.server.grace_over()
@@ -168,6 +229,7 @@
             self.stop_if_drained()
 
     def stop_if_drained(self) -> None:
+        """Stops a sender that is to end and has neither calls, messages nor responses left."""
         engine, server = self.engine, self.server
         if self.drain.ends_at() is None or server.listener or engine.attempts.calls or engine.journal.entries:
             return
@@ -175,11 +237,18 @@
             engine.stop(0)
 
     def stop(self, code: int) -> None:
+        """Ends the process with this exit code."""
         self.engine.stop(code)
 
+    def _loop_exception_raised(self, _loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
+        self.handle_loop_exception(context)
+
     def handle_loop_exception(self, context: dict[str, Any]) -> None:
-        """What a callback raised. Where it is one connection's own, that connection ends; an OSError of any
-        other one is a defect like the rest: what it was about to do is not done."""
+        """Handles an exception of a callback, as `loop.call_exception_handler` describes it.
+
+        Where it belongs to one connection, that connection is closed. Any other one, an OSError too, is a
+        defect: what the callback was about to do is not done.
+        """
         error = context.get("exception")
         if transport := transport_in(context):
             if isinstance(error, Exception):
@@ -191,66 +260,100 @@
 
 
 class PlatformSender(HttpSender):
-    """The same on the platform."""
+    """An HTTP sender with the platform's discovery, the operators' management API and process handover."""
 
     def __init__(
         self,
         config: DaemonConfig,
-        seat: OwnershipHandover | None = None,
-        told: PredecessorState | None = None,
-        inherited: socket.socket | None = None,
-        desk: manage.ManagementServer | None = None,
+        ownership: OwnershipHandover | None = None,
+        predecessor: PredecessorState | None = None,
+        inherited_listener: socket.socket | None = None,
+        management_server: management.ManagementServer | None = None,
     ) -> None:
-        """With a seat it is handed on to the next process; `told` is what the one before told. `inherited`:
-        the listening socket that the platform holds; `desk`: where operators call, if it is open already.
-        Raises OSError where the state folder cannot be used."""
-        self.config, self.predecessor, self.inherited = config, told, inherited
-        record = MaintenanceFile(config.state)
-        out, away = record.load()
-        self.maintenance = Maintenance(out, told.returned if told else ())
-        self.operator_commands = OperatorCommands(self, record, away)
-        self.clock = Clock(told.clock_base_ns if told else None)
-        known = told.endpoint_list if told else config.known
-        listed = self.maintenance.hear(EndpointsUpdated(ListingKind.CACHED, known.endpoints))
-        room, sockets = (ROOM, manage.DESCRIPTORS) if config.management else (0, 0)
-        engine = Engine(
-            EngineConfig(
-                config.name, config.state, config.seed, config.disk_bytes - room, config.settings,
-                listed.endpoints, listed.returned,
-            ),
-            self.clock.now,
-        )  # fmt: skip
-        call = CALL_AT_HAND if config.settings.has_local_list else CALL
-        self.discovery = Discovery(
-            config.discovery, known, self.receive_endpoints, engine.completion_acknowledged, call
-        )
-        if told:
-            self.discovery.seq = told.list_sequence
-            self.discovery.destinations |= {*told.destinations}
-        super().__init__(engine, config.listen, config.sockets - sockets)
+        """Opens the state folder and builds the sender.
+
+        Args:
+            config: The platform's configuration.
+            ownership: Passes ownership of the state folder on to the next process; None: nobody follows.
+            predecessor: The state of the process that handed over; None: nobody did.
+            inherited_listener: The listening socket that the platform holds.
+            management_server: The operators' server, if it listens already.
+
+        Raises:
+            OSError: The state folder cannot be used.
+        """
+        self.config = config
+        self.predecessor = predecessor
+        self.inherited_listener = inherited_listener
+        maintenance_file = MaintenanceFile(config.state)
+        out_of_service, is_draining = maintenance_file.load()
+        self.maintenance = Maintenance(out_of_service, predecessor.returned if predecessor else ())
+        self.operator_commands = OperatorCommands(self, maintenance_file, is_draining)
+        self.clock = Clock(predecessor.clock_base_ns if predecessor else None)
+        endpoint_list = predecessor.endpoint_list if predecessor else config.known
+        engine = self._build_engine(endpoint_list)
+        self.discovery = self._build_discovery(engine, endpoint_list)
+        management_sockets = management.DESCRIPTORS if config.management else 0
+        super().__init__(engine, config.listen, config.sockets - management_sockets)
         self.plug(self.discovery, self.discovery)
-        self.management_server = desk or (
-            manage.ManagementServer(self.operator_commands.execute) if config.management else None
+        self.management_server = self._use_management_server(management_server)
+        self.process_handover = ProcessHandover(self, ownership) if ownership else None
+
+    def _build_engine(self, endpoint_list: EndpointList) -> Engine:
+        config = self.config
+        listed = self.maintenance.hear(EndpointsUpdated(ListingKind.CACHED, endpoint_list.endpoints))
+        engine_config = EngineConfig(
+            config.name,
+            config.state,
+            config.seed,
+            config.disk_bytes - (ROOM if config.management else 0),
+            config.settings,
+            listed.endpoints,
+            listed.returned,
+        )
+        return Engine(engine_config, self.clock.now)
+
+    def _build_discovery(self, engine: Engine, endpoint_list: EndpointList) -> Discovery:
+        discovery = Discovery(
+            self.config.discovery,
+            endpoint_list,
+            self.receive_endpoints,
+            engine.completion_acknowledged,
+            CALL_AT_HAND if self.config.settings.has_local_list else CALL,
         )
-        if self.management_server:
-            self.management_server.act = self.operator_commands.execute
-        self.process_handover = ProcessHandover(self, seat) if seat else None
+        if self.predecessor:
+            discovery.seq = self.predecessor.list_sequence
+            discovery.destinations |= {*self.predecessor.destinations}
+        return discovery
+
+    def _use_management_server(
+        self, management_server: management.ManagementServer | None
+    ) -> management.ManagementServer | None:
+        """Has the operators' server, where there is one, execute commands on this sender."""
+        if management_server is None and self.config.management:
+            management_server = management.ManagementServer(self.operator_commands.execute)
+        if management_server:
+            management_server.act = self.operator_commands.execute
+        return management_server
 
     async def start(self) -> None:
+        """Starts the management server, the sender and the handover to the next process."""
         if self.management_server and self.config.management and not self.management_server.listener:
             self.management_server.listen(*self.config.management)
         if self.operator_commands.is_draining:
-            since = self.predecessor.drain_ordered_at if self.predecessor else None
-            self.drain.fail(since or asyncio.get_running_loop().time())
+            ordered_at = self.predecessor.drain_ordered_at if self.predecessor else None
+            self.drain.fail(ordered_at or asyncio.get_running_loop().time())
             self.start_drain()
         await super().start()
         if self.process_handover:
             self.process_handover.start()
 
     def inherited_state(self) -> HandoverState | None:
+        """The engine's state from the process that handed over."""
         return self.predecessor.engine_state if self.predecessor else None
 
     async def run(self) -> int:
+        """Serves until the engine stops; returns the exit code."""
         try:
             return await super().run()
         finally:
@@ -259,16 +362,18 @@
             if self.process_handover:
                 self.process_handover.ownership.close()
 
-    def receive_endpoints(self, news: EndpointsUpdated) -> None:
-        self.engine.endpoints_updated(self.maintenance.hear(news))
+    def receive_endpoints(self, update: EndpointsUpdated) -> None:
+        """Passes discovery's update to the engine, with the operators' maintenance orders applied."""
+        self.engine.endpoints_updated(self.maintenance.hear(update))
 
     def dial_addresses(self) -> dict[str, Address]:
+        """The address of each endpoint by its id, as discovery listed it."""
         return self.discovery.dials
 
     def reconfigure(self, config: DaemonConfig) -> None:
-        """SIGHUP. Discovery may have moved; anything else that has changed waits for the next start."""
+        """Applies a new address of discovery; any other change needs a restart."""
         if config.discovery != self.discovery.address:
-            log.info("%s: discovery is at %s:%d from now on", self.config.name, *config.discovery)
+            log.info("%s: discovery moved: address=%s:%d", self.config.name, *config.discovery)
             self.discovery.move(config.discovery)
             # The watch at the old address goes on until this one has a list.
             self.engine.watch_task = self.engine.spawn(self.discovery.watch())
--- a/message_sender/service/learned_state.py
+++ b/message_sender/service/learned_state.py
@@ -1,5 +1,7 @@
-"""What a sender of our own has learned of its destinations, kept on its disk and taken up at its next start.
-Imported only where the journal survives the machine."""
+"""What a standalone sender has learned of its destinations, stored on disk for its next start.
+
+Imported only where the journal survives the machine.
+"""
 
 import heapq
 import logging
@@ -16,67 +18,100 @@
 log = logging.getLogger(__name__)
 
 
+def last_sent(known: Known) -> float:
+    """When the route of a breaker was last called, in microseconds."""
+    _number, _route, breaker = known
+    return float(breaker.last_sent)
+
+
 class LearnedState(EngineHooks):
-    def __init__(self, engine: Engine, beginning: RecoveryStart, state: Path) -> None:
-        self.engine, self.recovery_start = engine, beginning
-        sync = beginning.gather is not None
+    """Stores breakers and waits periodically, and gives them to the engine at its start.
+
+    Attributes:
+        loaded: What an earlier process stored, as far as it is still trusted.
+    """
+
+    def __init__(self, engine: Engine, recovery_start: RecoveryStart, state: Path) -> None:
+        """Adds itself to the engine's hooks and periodic tasks.
+
+        Args:
+            engine: Whose breakers are stored.
+            recovery_start: Has the disk, and the power loss that may have come before this start.
+            state: The state folder.
+        """
+        self.engine = engine
+        self.recovery_start = recovery_start
         self.snapshots = LearnedSnapshots(
-            state, beginning.disk, self.list_breakers, encode_breaker, engine.now, sync
+            state,
+            recovery_start.disk,
+            self.list_breakers,
+            encode_breaker,
+            engine.now,
+            recovery_start.gather is not None,
         )
         self.loaded = InheritedState()
         engine.periodic_tasks.append(self.start_due_write)
         engine.hooks.add(self)
 
     def list_breakers(self) -> list[Known]:
-        """Those that were called last, where there are too many."""
-        found = [
-            (at.number, route, each)
-            for at in self.engine.dispatcher.destinations.values()
-            for route, each in (at.own or {}).items()
+        """Destination, route and breaker of each route; where there are too many, those called last."""
+        breakers = [
+            (destination.number, route, breaker)
+            for destination in self.engine.dispatcher.destinations.values()
+            for route, breaker in (destination.own or {}).items()
         ]
-        if len(found) <= MOST:
-            return found
-        return heapq.nlargest(MOST, found, key=lambda each: each[2].last_sent)
+        if len(breakers) <= MOST:
+            return breakers
+        return heapq.nlargest(MOST, breakers, key=last_sent)
 
     def load(self) -> dict[int, float]:
-        """At the start; the destinations that are to be left alone, and for how long, s."""
-        if (found := self.snapshots.read()) is None:
+        """Reads what an earlier process stored.
+
+        Returns:
+            Seconds for which each destination must not be called, by its number.
+        """
+        snapshot = self.snapshots.read()
+        if snapshot is None:
             return {}
         now = self.engine.now()
-        self.loaded = believed(*found, self.recovery_start.start, now)
+        self.loaded = believed(*snapshot, self.recovery_start.start, now)
         waits = remaining_waits(self.loaded.breakers, now)
-        log.info("learned before: %d breakers, %d waits", len(self.loaded.breakers), len(waits))
+        log.info("learned state loaded: breakers=%d waits=%d", len(self.loaded.breakers), len(waits))
         return waits
 
     def messages_restored(self) -> None:
-        """Before the engine's first turn."""
+        """Gives the loaded breakers to the policy, before the engine's first iteration."""
         if self.loaded.breakers:
             self.engine.post(self.loaded)
 
     def retry_after_received(self, endpoint: str, delay_us: int) -> None:
-        """Waits are put down at the next chance: nobody else could tell them after a power loss."""
+        """Has the next write come at once: after a power loss nothing else would know of the wait."""
         self.snapshots.next_at = 0
 
     def start_due_write(self) -> None:
-        if job := self.snapshots.tick():
-            self.engine.spawn(self.write(job))
+        """Starts a write in the background if one is due."""
+        if write_snapshot := self.snapshots.tick():
+            self.engine.spawn(self.write(write_snapshot))
 
-    async def write(self, job: Callable[[], None]) -> None:
+    async def write(self, write_snapshot: Callable[[], None]) -> None:
+        """Runs a write beside the loop."""
         try:
-            await self.recovery_start.disk.run(job)
+            await self.recovery_start.disk.run(write_snapshot)
         except OSError as error:
-            log.error("what was learned is not written: %s", error)
+            log.error("learned state not written: reason=%s", error)
         self.snapshots.wrote()
 
 
 def encode_breaker(breaker: object) -> dict[str, float]:
+    """The fields of a breaker that are stored."""
     return fields(breaker, BREAKER)
 
 
-def remaining_waits(breakers: Breakers, now: int) -> dict[int, float]:
-    """s for which each destination is to be left alone."""
-    found: dict[int, float] = {}
-    for number, _, values in breakers:
-        if (left := values.get("wait_until", 0) - now) > 0:
-            found[number] = max(found.get(number, 0.0), left / 1e6)
-    return found
+def remaining_waits(breakers: Breakers, now_us: int) -> dict[int, float]:
+    """Seconds for which each destination must not be called: the longest of its routes'."""
+    waits: dict[int, float] = {}
+    for number, _route, values in breakers:
+        remaining_us = values.get("wait_until", 0) - now_us
+        if remaining_us > 0:
+            waits[number] = max(waits.get(number, 0.0), remaining_us / 1e6)
+    return waits
--- a/message_sender/service/operator_commands.py
+++ b/message_sender/service/operator_commands.py
@@ -1,4 +1,4 @@
-"""What operators ask of a sender on the platform. What changes anything is on record before the yes."""
+"""The operators' commands to a sender on the platform. A change is on record before it is confirmed."""
 
 import asyncio
 import json
@@ -13,17 +13,40 @@
 if TYPE_CHECKING:
     from message_sender.service.owner import JournalOwner
 
+#: What a process that has handed over still answers.
+READ_ONLY_OPERATIONS = frozenset({Operation.TAKES_CLIENTS, Operation.FIGURES})
+
+ACCEPTS_CLIENTS = ManagementReply(200, "yes")
+ACCEPTS_NO_CLIENTS = ManagementReply(503, "not yet, or no more")
+HANDED_OVER = ManagementReply(503, "another process takes over: ask there")
 NOT_RECORDED = ManagementReply(503, "it could not be put on record, and nothing has changed")
+UNKNOWN_ENDPOINT = ManagementReply(404, "no receiver of this id is known")
+TOO_MANY_OUT_OF_SERVICE = ManagementReply(503, "no room for one more that is out")
+ENDING = ManagementReply(503, "this process is ending")
 
 log = logging.getLogger(__name__)
 
 
 class OperatorCommands:
-    def __init__(self, sender: "JournalOwner", record: MaintenanceFile, away: bool) -> None:
-        """`away`: clients are to be sent away, by an order to an earlier process."""
-        self.sender, self.store, self.is_draining = sender, record, away
+    """Executes operators' commands and keeps their orders on record.
+
+    Attributes:
+        is_draining: Operators have ordered the sender to drain, maybe through an earlier process.
+    """
+
+    def __init__(self, sender: "JournalOwner", store: MaintenanceFile, is_draining: bool) -> None:
+        """Takes up the orders on record.
+
+        Args:
+            sender: Which the commands are for.
+            store: The record of the orders.
+            is_draining: As recorded.
+        """
+        self.sender = sender
+        self.store = store
+        self.is_draining = is_draining
         self.handlers = {
-            Operation.TAKES_CLIENTS: self.takes_clients,
+            Operation.TAKES_CLIENTS: self.accepts_clients,
             Operation.FIGURES: self.read_metrics,
             Operation.TAKE_OUT: self.take_out,
             Operation.PUT_BACK: self.put_back,
@@ -33,64 +56,71 @@
 
     @property
     def maintenance(self) -> Maintenance:
+        """The endpoints that are out of service."""
         return self.sender.maintenance
 
     def execute(self, call: ManagementCall) -> ManagementReply:
-        if self.sender.engine.is_handed_over and call.ask not in (
-            Operation.TAKES_CLIENTS,
-            Operation.FIGURES,
-        ):
-            return ManagementReply(503, "another process takes over: ask there")
+        """Executes a call; a process that has handed over changes nothing any more."""
+        if self.sender.engine.is_handed_over and call.ask not in READ_ONLY_OPERATIONS:
+            return HANDED_OVER
         return self.handlers[call.ask](call)
 
-    def takes_clients(self, call: ManagementCall) -> ManagementReply:
-        return (
-            ManagementReply(200, "yes")
-            if self.sender.server.listener
-            else ManagementReply(503, "not yet, or no more")
-        )
-
-    def read_metrics(self, call: ManagementCall) -> ManagementReply:
-        engine, listed = self.sender.engine, self.maintenance.listed
-        counts, avoided = engine.table.counts, sum(map(self.is_avoided, listed))
-        current = len(engine.journal.entries)
-        return ManagementReply(
-            200, Metrics(counts.classes, counts.sends, current, len(listed), avoided).text()
+    def accepts_clients(self, _call: ManagementCall) -> ManagementReply:
+        """Whether clients can connect."""
+        return ACCEPTS_CLIENTS if self.sender.server.listener else ACCEPTS_NO_CLIENTS
+
+    def read_metrics(self, _call: ManagementCall) -> ManagementReply:
+        """Counts and gauges as text."""
+        engine = self.sender.engine
+        listed = self.maintenance.listed
+        counts = engine.table.counts
+        avoided_count = sum(map(self.is_avoided, listed))
+        metrics = Metrics(
+            counts.classes, counts.sends, len(engine.journal.entries), len(listed), avoided_count
         )
+        return ManagementReply(200, metrics.text())
 
-    def is_avoided(self, name: str) -> bool:
-        """Whether nothing new goes to a listed endpoint: not ready, its breaker open, or marked bad."""
-        known = self.sender.engine.dispatcher.endpoints.get(name)
-        opened = known is not None and known.breaker is not None and known.breaker.is_open()
-        return known is None or opened or known.bad_until > self.sender.engine.now()
+    def is_avoided(self, endpoint_id: str) -> bool:
+        """Whether no new call goes to a listed endpoint: not ready, its breaker open, or marked bad."""
+        engine = self.sender.engine
+        endpoint = engine.dispatcher.endpoints.get(endpoint_id)
+        if endpoint is None:
+            return True
+        is_breaker_open = endpoint.breaker is not None and endpoint.breaker.is_open()
+        return is_breaker_open or endpoint.bad_until > engine.now()
 
     def take_out(self, call: ManagementCall) -> ManagementReply:
-        if not self.maintenance.knows(call.receiver):
-            return ManagementReply(404, "no receiver of this id is known")
-        if len(self.maintenance.out) >= MOST_OUT or len(json.dumps(call.receiver)) > MOST_ID:
-            return ManagementReply(503, "no room for one more that is out")
-        if not self.save(self.maintenance.out | {call.receiver}, self.is_draining):
+        """Takes an endpoint out of service."""
+        maintenance = self.maintenance
+        if not maintenance.knows(call.receiver):
+            return UNKNOWN_ENDPOINT
+        if len(maintenance.out) >= MOST_OUT or len(json.dumps(call.receiver)) > MOST_ID:
+            return TOO_MANY_OUT_OF_SERVICE
+        if not self.save(maintenance.out | {call.receiver}, self.is_draining):
             return NOT_RECORDED
-        self.apply_change(call.receiver, self.maintenance.take_out(call.receiver))
+        self.apply_change(call.receiver, maintenance.take_out(call.receiver))
         return ManagementReply(200, "out")
 
     def put_back(self, call: ManagementCall) -> ManagementReply:
-        if not self.maintenance.knows(call.receiver):
-            return ManagementReply(404, "no receiver of this id is known")
-        if not self.save(self.maintenance.out - {call.receiver}, self.is_draining):
+        """Puts an endpoint back in service."""
+        maintenance = self.maintenance
+        if not maintenance.knows(call.receiver):
+            return UNKNOWN_ENDPOINT
+        if not self.save(maintenance.out - {call.receiver}, self.is_draining):
             return NOT_RECORDED
-        self.apply_change(call.receiver, self.maintenance.put_back(call.receiver))
+        self.apply_change(call.receiver, maintenance.put_back(call.receiver))
         return ManagementReply(200, "back")
 
-    def apply_change(self, receiver: str, news: EndpointsUpdated | None) -> None:
-        """It was restarted or will be: what is kept open to it is of no use any more."""
-        self.sender.transport.close_idle(receiver)
-        if news:
-            self.sender.engine.endpoints_updated(news)
-        now = "out" if receiver in self.maintenance.out else "in"
-        log.info("%s: %s is %s", self.sender.engine.config.name, receiver, now)
+    def apply_change(self, endpoint_id: str, update: EndpointsUpdated | None) -> None:
+        """Tells the engine, and closes idle connections: the endpoint was restarted, or will be."""
+        self.sender.transport.close_idle(endpoint_id)
+        if update:
+            self.sender.engine.endpoints_updated(update)
+        service_state = "out" if endpoint_id in self.maintenance.out else "in"
+        log.info("%s: %s is %s", self.sender.engine.config.name, endpoint_id, service_state)
 
-    def start_drain(self, call: ManagementCall) -> ManagementReply:
+    def start_drain(self, _call: ManagementCall) -> ManagementReply:
+        """Asks clients to connect elsewhere until the drain is ended."""
         if not self.save(self.maintenance.out, True):
             return NOT_RECORDED
         if not self.is_draining:
@@ -100,9 +130,10 @@
         self.sender.start_drain()
         return ManagementReply(200, "clients are sent away")
 
-    def end_drain(self, call: ManagementCall) -> ManagementReply:
+    def end_drain(self, _call: ManagementCall) -> ManagementReply:
+        """Accepts clients again; a process that is ending does not."""
         if self.sender.drain.ends_at() is not None:
-            return ManagementReply(503, "this process is ending")
+            return ENDING
         if not self.save(self.maintenance.out, False):
             return NOT_RECORDED
         if self.is_draining:
@@ -112,13 +143,13 @@
         self.sender.drain.ok()
         return ManagementReply(200, "back to work")
 
-    def save(self, out: set[str], away: bool) -> bool:
-        """Whether the orders stand on the disk as they are to be."""
-        if (out, away) == (self.maintenance.out, self.is_draining):
+    def save(self, out_of_service: set[str], is_draining: bool) -> bool:
+        """Records the orders; returns whether they are on disk as they are to be."""
+        if (out_of_service, is_draining) == (self.maintenance.out, self.is_draining):
             return True
         try:
-            self.store.save(out, away)
+            self.store.save(out_of_service, is_draining)
         except OSError as error:
-            log.error("the operators' orders cannot be put on record: %s", error)
+            log.error("operators' orders not recorded: reason=%s", error)
             return False
         return True
--- a/message_sender/service/owner.py
+++ b/message_sender/service/owner.py
@@ -1,5 +1,7 @@
-"""What the operators' orders and the hand-over need of a sender on the platform: no more than this, so that
-neither has to know how one is built (service/daemon.py, which builds both)."""
+"""What the operators' commands and the process handover need of a sender on the platform.
+
+Neither has to know how a sender is assembled (service/daemon.py, which builds both).
+"""
 
 from typing import Protocol
 
@@ -24,10 +26,10 @@
     maintenance: Maintenance
 
     def start_drain(self) -> None:
-        """Clients hear that this sender takes no more."""
+        """Asks clients to connect elsewhere."""
 
     def terminate(self) -> None:
-        """As SIGTERM does."""
+        """Ends the process as SIGTERM does."""
 
     def stop(self, code: int) -> None:
         """Ends the process with this exit code."""
--- a/message_sender/service/routes.py
+++ b/message_sender/service/routes.py
@@ -1,16 +1,27 @@
-"""What the list tells of the routes to a destination."""
+"""The rates that the endpoint list announces for the routes to a destination."""
 
 from message_sender.core.engine import Engine
 
 
 def announced_rates(engine: Engine, number: int) -> dict[str, float]:
-    """Calls a second by route: by endpoint where they are apart, else one under "". From the configuration's
-    list until the engine has begun."""
-    there = engine.dispatcher
-    at = there.destinations.get(number)
-    listed = [each.listed for each in at.endpoints] if at else engine.config.known
+    """Calls a second by route, for one destination.
+
+    Args:
+        engine: Whose list is read; until it has processed its first list, the configured one.
+        number: The destination's.
+
+    Returns:
+        By endpoint id for endpoints with a limit of their own, else one entry under the empty id.
+    """
+    dispatcher = engine.dispatcher
+    destination = dispatcher.destinations.get(number)
+    if destination:
+        listed = [endpoint.listed for endpoint in destination.endpoints]
+    else:
+        listed = list(engine.config.known)
+    kinds = dispatcher.registry.kinds
     return {
-        each.id if there.registry.kinds[each.kind].apart else "": each.scale
-        for each in listed
-        if each.destination == number
+        endpoint.id if kinds[endpoint.kind].apart else "": endpoint.scale
+        for endpoint in listed
+        if endpoint.destination == number
     }
--- a/tests/compatibility/samples.py
+++ b/tests/compatibility/samples.py
@@ -47,7 +47,8 @@
 from message_sender.policy.events import CallInFlight, InheritedState
 from message_sender.policy.model import Outcome
 from message_sender.recovery import id_inquiry, learned_snapshot
-from message_sender.service.process_handover import ProcessHandover, encode_engine_state
+from message_sender.service.handover_state import encode_engine_state
+from message_sender.service.process_handover import ProcessHandover
 
 from helpers import SAFE, KEYED, World, endpoint  # isort: skip
 
--- a/tests/compatibility/test_compatibility.py
+++ b/tests/compatibility/test_compatibility.py
@@ -23,7 +23,7 @@
 from message_sender.journal.inspection import InspectedJournal
 from message_sender.journal.process_journal import Journal
 from message_sender.recovery import id_inquiry, learned_snapshot
-from message_sender.service.process_handover import decode_engine_state, decode_state
+from message_sender.service.handover_state import decode_engine_state, decode_state
 
 
 @pytest.mark.parametrize("make", SAMPLES, ids=lambda make: make.__name__)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -34,7 +34,7 @@
 )
 from message_sender.policy.model import ListingKind, Outcome
 from message_sender.policy.state_transfer import tell
-from message_sender.service.process_handover import decode_engine_state, decode_state, encode_engine_state
+from message_sender.service.handover_state import decode_engine_state, decode_state, encode_engine_state
 
 ORDER = {"semantics": "by_key", "dedup_window": 5_000_000, "key_scope": "zone", "serial_by_key": True}
 
@@ -282,7 +282,7 @@
         new = await replaced(platform, old)
         assert receiver.requests.empty()
         old.kill()
-        await new.says("has ended with 1 calls out")
+        await new.says("predecessor ended: unfinished_calls=1")
         await soon(receiver.ends.get())
         assert (await receiver.next()).id == "m1"
 
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -240,7 +240,7 @@
             await soon(old.watches.get())
             (tmp_path / "config.json").write_text("{")
             process.send_signal(signal.SIGHUP)
-            while b"is not used" not in await soon(process.stderr.readline()):
+            while b"configuration not reloaded: reason=" not in await soon(process.stderr.readline()):
                 assert process.returncode is None
             (tmp_path / "config.json").write_text(json.dumps(config_json(new, host(receiver.dial))))
             process.send_signal(signal.SIGHUP)
