--- a/message_sender/service/control_configuration.py
+++ b/message_sender/service/control_configuration.py
@@ -1,16 +1,15 @@
-"""What is in force at a sender: its own file, and over it what the control plane's document holds.
+"""The effective configuration of a sender: its own file, and over it the control plane's document.
 
 Rules:
 
-- While the document holds endpoints, they stand in place of the file's `[[endpoints]]`; while it holds none,
-  the file's do. The same goes for budgets. So senders with the same file and version have the same in force,
+- While the document holds endpoints, they replace the file's `[[endpoints]]`; while it holds none, the file's
+  apply. The same goes for budgets. So senders with the same file and version have the same configuration,
   whichever versions they saw before.
-- A version is in force whole or not at all. All that can be refused is found before anything changes; then
-  the document is made durable, and only then put in force.
-- What a running sender can't change is refused with its reason, and kept as the version to begin with at the
-  next start.
-- A version below one that was in force here is refused, also after a restart. A damaged file is named and put
-  aside; the sender then begins with its own file, and takes what the control plane has.
+- A version is applied completely or not at all. All reasons to refuse it are found before anything changes;
+  then the document is made durable, and only then applied.
+- What a running sender can't change is refused with its reason, and stored as the version for the next start.
+- A version below one that was in force here is refused, also after a restart. A damaged file is renamed and
+  logged; the sender then begins with its own file, and takes what the control plane has.
 """
 
 import logging
@@ -31,23 +30,26 @@
 from message_sender.journal.disk import Disk
 
 IN_FORCE_FILE = "control.document"
-NEXT_START_FILE = "control.next"  # a version that waits for a start
+NEXT_START_FILE = "control.next"  # a version that waits for a restart
 
 log = logging.getLogger(__name__)
 
 
 class ConfigurableEndpoints(Protocol):
-    """What is needed of the sender's list of endpoints."""
+    """What is needed of the sender's directory."""
 
-    def configure(self, places: Sequence[StaticEndpoint]) -> None: ...
+    def configure(self, places: Sequence[StaticEndpoint]) -> None:
+        """Replaces the configured endpoints."""
 
 
 class ConfigurableBudgets(Protocol):
-    """What is needed of the sender's end of the fleet."""
+    """What is needed of the sender's membership in the fleet."""
 
-    def configure(self, budgets: tuple[SharedBudget, ...], size: int) -> None: ...
+    def configure(self, budgets: tuple[SharedBudget, ...], size: int) -> None:
+        """Replaces the shared budgets; `size`: members of the fleet."""
 
-    def waits_for_start(self, budgets: tuple[SharedBudget, ...]) -> list[str]: ...
+    def waits_for_start(self, budgets: tuple[SharedBudget, ...]) -> list[str]:
+        """What of these budgets needs a restart: one text for each."""
 
 
 def overlaid(config: SenderConfig, interpretation: Interpretation) -> SenderConfig:
@@ -59,48 +61,65 @@
     )
 
 
-def faults_here(config: SenderConfig, interpretation: Interpretation) -> list[str]:
-    """Why this sender could not have these in force, whether it begins with them or not."""
-    found = [str(each) for each in interpretation.faults(config.fleet.size if config.fleet else 1)]
+def find_faults(config: SenderConfig, interpretation: Interpretation) -> list[str]:
+    """Why this sender could not apply these resources, whether it starts with them or not."""
+    fleet_size = config.fleet.size if config.fleet else 1
+    faults = [str(fault) for fault in interpretation.faults(fleet_size)]
     if config.fleet is None:
         reason = "needs a [fleet] to be shared in, and this sender has none"
-        found += [f"{name}: {reason}" for name in sorted(interpretation.budgets)]
-    return found
+        faults += [f"{name}: {reason}" for name in sorted(interpretation.budgets)]
+    return faults
 
 
 class SenderConfiguration:
-    """Implements the control plane's `Applier` for one sender."""
+    """Implements the control plane's `Applier` for one sender.
+
+    Attributes:
+        own_config: The sender's own file.
+        document: The control plane's document that is in force.
+        interpretation: Its endpoints and budgets.
+        next_start_version: A version that waits for a restart; 0: none does.
+        newest_version: The newest that was in force here, as far as the disk knows.
+    """
 
     def __init__(self, config: SenderConfig, state: Path, disk: Disk) -> None:
-        """`config`: the sender's own file."""
+        """Loads the stored document.
+
+        Args:
+            config: The sender's own file.
+            state: The state folder.
+            disk: Where documents are stored.
+        """
         self.own_config = config
         self.in_force_file = DocumentFile(state / IN_FORCE_FILE, disk)
         self.next_start_file = DocumentFile(state / NEXT_START_FILE, disk)
-        self.next_start_version = 0  # 0: nothing waits for a start
-        self.newest_version = 0  # the newest that was in force here, as far as the disk knows
+        self.next_start_version = 0
+        self.newest_version = 0
         self.directory: ConfigurableEndpoints | None = None
         self.budgets: ConfigurableBudgets | None = None
-        self.interpretation = Interpretation({}, {})  # of the document
+        self.interpretation = Interpretation({}, {})
         self.document = self.load_document()
 
     def bind(self, directory: ConfigurableEndpoints, budgets: ConfigurableBudgets | None) -> None:
-        """From here on versions are put in force there. `budgets`: None where the sender has no fleet."""
-        self.directory, self.budgets = directory, budgets
+        """Versions are applied to these parts from now on; `budgets` is None where there is no fleet."""
+        self.directory = directory
+        self.budgets = budgets
 
     def effective_config(self) -> SenderConfig:
-        """The sender's own configuration with what the control plane holds over it."""
+        """The sender's own configuration, with the control plane's resources over it."""
         return overlaid(self.own_config, self.interpretation)
 
     def reload(self, config: SenderConfig) -> SenderConfig:
-        """The sender's own file was read anew: what is to be in force now."""
+        """Takes the sender's own file as it is now; returns the effective configuration."""
         self.own_config = config
         return self.effective_config()
 
-    # At a start.
+    # At the sender's start.
 
     def load_document(self) -> Document:
         """The document to begin with: version 0 where there is none that can be used."""
-        stored, waiting = self.load_file(self.in_force_file), self.load_file(self.next_start_file)
+        stored = self.load_file(self.in_force_file)
+        waiting = self.load_file(self.next_start_file)
         self.newest_version = stored.version if stored else 0
         if waiting and waiting.version > self.newest_version:
             self.next_start_version = waiting.version
@@ -114,30 +133,30 @@
         return Document()
 
     def load_file(self, file: DocumentFile) -> Document | None:
-        """What stands in a file; what is damaged is named and put aside."""
+        """The document in a file; None where there is none, or it is damaged and was renamed."""
         try:
             return file.load()
         except DamagedDocumentError as error:
-            log.error("control: %s; this sender begins without it", error)
-            self.put_aside(file)
+            log.error("control: document ignored: %s", error)
+            self.rename_damaged(file)
         except OSError as error:
-            log.error("control: %s cannot be read, and this sender begins without it: %s", file.path, error)
+            log.error("control: document not read: path=%s reason=%s", file.path, error)
         return None
 
-    def put_aside(self, file: DocumentFile) -> None:
-        """Keeps a damaged file for whoever wants to look at it."""
+    def rename_damaged(self, file: DocumentFile) -> None:
+        """Keeps a damaged file under another name for an examination."""
         try:
-            log.error("control: it is in %s now", file.put_aside())
+            log.error("control: damaged document renamed: path=%s", file.put_aside())
         except OSError as error:
-            log.error("control: it cannot be put aside: %s", error)
+            log.error("control: damaged document not renamed: path=%s reason=%s", file.path, error)
 
     def interpret_for_start(self, document: Document) -> Interpretation | None:
-        """What this sender makes of it; None where it cannot begin with it: the log says why."""
+        """The document's resources; None where this sender cannot start with them: the log says why."""
         try:
             interpretation = schema.interpret(document.resources)
-            faults = faults_here(self.own_config, interpretation)
+            faults = find_faults(self.own_config, interpretation)
         except ConfigError as error:
-            faults = [str(each) for each in error.faults]
+            faults = [str(fault) for fault in error.faults]
         if faults:
             reasons = "; ".join(faults)
             log.error("control: version %d is not used by this start: %s", document.version, reasons)
@@ -149,39 +168,51 @@
         try:
             self.in_force_file.store(waiting)
         except OSError as error:
-            log.error("control: version %d cannot be kept, and waits on: %s", waiting.version, error)
+            log.error("control: waiting version not stored: version=%d reason=%s", waiting.version, error)
             return False
         self.newest_version = waiting.version
-        log.info("control: version %d waited for this start, and is in force", waiting.version)
+        log.info("control: waiting version applied by this start: version=%d", waiting.version)
         self.forget_waiting()
         return True
 
     # While the sender runs.
 
     def apply(self, document: Document, delta: Delta) -> None:
-        """Puts in force what `delta` makes of `document`. Raises RefusedConfigurationError, or OSError where
-        it cannot be made durable; nothing in force was changed then."""
+        """Applies a change of `document`.
+
+        Raises:
+            RefusedConfigurationError: This sender cannot apply it; nothing has changed.
+            OSError: It cannot be made durable; nothing has changed.
+        """
         after = self.apply_delta(document, delta)
         if after.version < self.newest_version:
             raise RefusedConfigurationError(f"version {self.newest_version} was in force here")
         interpretation = self.interpret_delta(document, delta)
-        if faults := faults_here(self.own_config, interpretation):
+        if faults := find_faults(self.own_config, interpretation):
             raise RefusedConfigurationError("; ".join(faults))
-        before, config = self.effective_config(), overlaid(self.own_config, interpretation)
+        before = self.effective_config()
+        config = overlaid(self.own_config, interpretation)
         if reasons := self.waits_for_start(before, config):
             self.store_for_start(after)
             raise RefusedConfigurationError("; ".join(reasons))
         self.in_force_file.store(after)
-        self.document, self.interpretation, self.newest_version = after, interpretation, after.version
+        self.document = after
+        self.interpretation = interpretation
+        self.newest_version = after.version
         self.put_in_force(before, config)
         if self.next_start_version:
             self.forget_waiting()
 
     @staticmethod
     def apply_delta(document: Document, delta: Delta) -> Document:
-        """A copy with the delta applied."""
+        """A copy of the document with the change applied.
+
+        Raises:
+            RefusedConfigurationError: The change is not one of this document.
+        """
         after = Document()
-        after.version, after.digest = document.version, document.digest
+        after.version = document.version
+        after.digest = document.digest
         after.resources = dict(document.resources)
         try:
             after.apply(delta)
@@ -190,8 +221,12 @@
         return after
 
     def interpret_delta(self, document: Document, delta: Delta) -> Interpretation:
-        """What a sender makes of the changed document."""
-        put = {each.name: each.value for each in delta.put}
+        """The resources of the changed document.
+
+        Raises:
+            RefusedConfigurationError: They are malformed.
+        """
+        put = {resource.name: resource.value for resource in delta.put}
         try:
             is_present = (document.version, document.digest) == (self.document.version, self.document.digest)
             known = self.interpretation if is_present else schema.interpret(document.resources)
@@ -200,7 +235,7 @@
             raise RefusedConfigurationError("; ".join(map(str, error.faults))) from None
 
     def waits_for_start(self, before: SenderConfig, after: SenderConfig) -> list[str]:
-        """What would have to change and can't while the sender runs."""
+        """What would have to change and can't while the sender runs: one text for each."""
         if before.budgets == after.budgets:
             return []
         if self.budgets is None:
@@ -208,7 +243,7 @@
         return self.budgets.waits_for_start(after.budgets)
 
     def put_in_force(self, before: SenderConfig, after: SenderConfig) -> None:
-        """Tells the sender's parts what has changed."""
+        """Gives the sender's parts what has changed for them."""
         assert self.directory
         if before.endpoints != after.endpoints:
             self.directory.configure(after.endpoints)
@@ -217,20 +252,24 @@
             self.budgets.configure(after.budgets, after.fleet.size)
 
     def store_for_start(self, document: Document) -> None:
-        """A start can have it in force."""
+        """Stores a version that the next start can apply."""
         if self.next_start_version == document.version:
             return
         try:
             self.next_start_file.store(document)
         except OSError as error:
-            log.error("control: version %d is not kept for the next start: %s", document.version, error)
+            log.error(
+                "control: next start's version not stored: version=%d reason=%s",
+                document.version,
+                error,
+            )
             return
         self.next_start_version = document.version
 
     def forget_waiting(self) -> None:
-        """A newer version is in force."""
+        """Removes the version that waits for a restart: a newer one is in force."""
         self.next_start_version = 0
         try:
             self.next_start_file.remove()
-        except OSError as error:  # it is older than what is in force, and not used
-            log.warning("control: %s cannot be removed: %s", self.next_start_file.path, error)
+        except OSError as error:  # it is older than what is in force, and never used
+            log.warning("control: file not removed: path=%s reason=%s", self.next_start_file.path, error)
--- a/message_sender/service/control_link.py
+++ b/message_sender/service/control_link.py
@@ -1,4 +1,4 @@
-"""A sender's watch of the control plane on its loop: a UDP socket, the epoch on the disk, and ticks.
+"""A sender's watch of the control plane on its loop: a UDP socket, the epoch on disk, and ticks.
 
 Imported only where the configuration has `[control]`. Whatever fails here, the sender goes on with the last
 version that was in force.
@@ -28,8 +28,8 @@
 )
 
 TICK_S = 0.1
-REFUSED_DATAGRAMS_INTERVAL_S = 10.0  # between two records of datagrams that were refused
-LINK_RETRY_S = 10.0  # after a link that could not be made
+REFUSED_DATAGRAMS_INTERVAL_S = 10.0  # between two log lines on refused datagrams
+LINK_RETRY_S = 10.0  # after a link that could not be opened
 EPOCH_FILE = "control.epoch"
 SESSION_BITS = 62
 
@@ -37,7 +37,7 @@
 
 
 def read_epoch(state: Path) -> int:
-    """How often this name has started, as far as the disk knows."""
+    """How often a sender of this name has started, as far as the disk knows."""
     try:
         return max(int(json.loads((state / EPOCH_FILE).read_text())), 0)
     except (OSError, ValueError, TypeError):
@@ -45,44 +45,79 @@
 
 
 def write_epoch(state: Path, epoch: int) -> None:
-    """Raises OSError."""
+    """Makes the epoch durable.
+
+    Raises:
+        OSError: It cannot be written.
+    """
     replace_json(state / EPOCH_FILE, epoch, sync=True)
 
 
 class ControlLink(asyncio.DatagramProtocol):
-    """The socket, and the watch behind it."""
+    """The socket, and the watch behind it.
+
+    Attributes:
+        channel: Seals and opens datagrams.
+        watch: Decides what is asked of which control node.
+        task: Ticks the watch; None before `start`.
+        epoch_task: Stores a later epoch beside the loop.
+    """
 
     def __init__(self, name: str, config: ControlPlane, state: Path, applier: SenderConfiguration) -> None:
-        """Raises KeyFileError where there is no key to seal with, OSError where the epoch cannot be kept."""
-        self.config, self.state = config, state
+        """Stores a new epoch; the socket is opened by `start`.
+
+        Args:
+            name: Of the sender.
+            config: The control nodes and the key.
+            state: The state folder.
+            applier: Of the versions that come.
+
+        Raises:
+            KeyFileError: There is no key to seal datagrams with.
+            OSError: The epoch cannot be stored.
+        """
+        self.config = config
+        self.state = state
         self.loop = asyncio.get_running_loop()
         self.seal = Seal(read_keys(config.key_file))
-        epoch = read_epoch(state) + 1
-        write_epoch(state, epoch)
-        session, rng = secrets.randbits(SESSION_BITS) + 1, random.Random(secrets.randbits(64))
-        addresses = {each.name: each.address for each in config.nodes}
-        self.channel = Channel(name, epoch, session, self.seal, addresses)
-        self.channel.on_behind = self.epoch_is_behind
-        nodes = [ControlNodeAddress(each.name, each.address, each.region) for each in config.nodes]
-        self.watch = Watch(
-            name, nodes, config.region, applier.document, applier, rng, self.loop.time()
-        )  # fmt: skip
+        self.stored_epoch = read_epoch(state) + 1
+        write_epoch(state, self.stored_epoch)
+        self.channel = self._build_channel(name)
+        self.watch = self._build_watch(name, applier)
         self.transport: asyncio.DatagramTransport | None = None
         self.task: asyncio.Task[None] | None = None
-        self.stored_epoch = epoch
-        self.epoch_task: asyncio.Task[None] | None = None  # of a later epoch, beside the loop
+        self.epoch_task: asyncio.Task[None] | None = None
         self.logged_status = self.watch.status(self.loop.time())
-        self.logged_refusals, self.refusals_logged_at = 0, -REFUSED_DATAGRAMS_INTERVAL_S
+        self.logged_refusals = 0
+        self.refusals_logged_at = -REFUSED_DATAGRAMS_INTERVAL_S
+
+    def _build_channel(self, name: str) -> Channel:
+        session = secrets.randbits(SESSION_BITS) + 1
+        addresses = {node.name: node.address for node in self.config.nodes}
+        channel = Channel(name, self.stored_epoch, session, self.seal, addresses)
+        channel.on_behind = self.epoch_is_behind
+        return channel
+
+    def _build_watch(self, name: str, applier: SenderConfiguration) -> Watch:
+        nodes = [ControlNodeAddress(node.name, node.address, node.region) for node in self.config.nodes]
+        rng = random.Random(secrets.randbits(64))
+        return Watch(name, nodes, self.config.region, applier.document, applier, rng, self.loop.time())
 
     async def start(self) -> None:
-        """Raises OSError where the address cannot be bound."""
+        """Opens the socket and starts the ticks.
+
+        Raises:
+            OSError: The address cannot be bound.
+        """
         await self.loop.create_datagram_endpoint(lambda: self, local_addr=self.config.listen)
         self.task = self.loop.create_task(self.run())
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Callback of the loop: the socket is open."""
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
+        """Callback of the loop: gives messages of control nodes to the watch."""
         now = self.loop.time()
         for name, body in self.channel.receive(data, (str(addr[0]), addr[1]), now):
             if name in self.channel.addresses and isinstance(body, WatchMessage):
@@ -90,21 +125,21 @@
         self.flush(now)
 
     def error_received(self, exc: Exception) -> None:
-        """Nobody is at an address: the watch finds out."""
+        """Callback of the loop: nothing listens at an address, which the watch notices by itself."""
 
     def flush(self, now: float) -> None:
-        """Sends what the watch and the channel have to say."""
+        """Sends the messages of the watch and the datagrams of the channel."""
         for node, message in self.watch.take_messages():
             try:
                 self.channel.send(node, message, now)
             except BodyTooLargeError as error:
-                log.error("control: not said to %s: %s", node, error)
+                log.error("control: message not sent: node=%s reason=%s", node, error)
         for address, datagram in self.channel.take_datagrams():
             if self.transport and not self.transport.is_closing():
                 self.transport.sendto(datagram, address)
 
     async def run(self) -> None:
-        """Until it is cancelled."""
+        """Ticks the watch until it is cancelled."""
         while True:
             now = self.loop.time()
             self.watch.tick(now)
@@ -113,51 +148,55 @@
             await asyncio.sleep(TICK_S)
 
     def epoch_is_behind(self, epoch: int) -> None:
-        """Control nodes know a later start of this name: an old disk, or a name that is used twice."""
+        """Callback of the channel: control nodes know a later start of this name.
+
+        The disk is old, or two senders have the name.
+        """
         if self.epoch_task is None or self.epoch_task.done():
             log.error("control: this disk is old, or another sender has the name %s", self.channel.name)
             self.epoch_task = self.loop.create_task(self.store_epoch())
 
     async def store_epoch(self) -> None:
-        """A sync may take seconds, and two senders of one name outbid each other for ever. What is not kept
-        is heard of again at the next start."""
+        """Stores the channel's epoch beside the loop, as a sync may take seconds.
+
+        Two senders of one name raise it for ever. One that is not stored is learned again at the next start.
+        """
         try:
             while self.stored_epoch < (epoch := self.channel.epoch):
                 await asyncio.to_thread(write_epoch, self.state, epoch)
                 self.stored_epoch = epoch
         except OSError as error:
-            log.error("control: the epoch %d is not kept: %s", epoch, error)
+            log.error("control: epoch not stored: epoch=%d reason=%s", epoch, error)
 
     def log_changes(self, now: float) -> None:
         """Logs what has changed since the last time."""
         status, before = self.watch.status(now), self.logged_status
         self.logged_status = status
         if status.version != before.version:
-            log.info("control: version %d is in force, from %s", status.version, status.node)
-        if status.refused_version and (status.refused_version, status.reason) != (
-            before.refused_version,
-            before.reason,
-        ):
-            log.error("control: version %d is refused: %s", status.refused_version, status.reason)
+            log.info("control: version applied: version=%d node=%s", status.version, status.node)
+        refusal = (status.refused_version, status.reason)
+        if status.refused_version and refusal != (before.refused_version, before.reason):
+            log.error("control: version refused: version=%d reason=%s", *refusal)
         if status.node != before.node:
-            log.info("control: %s is watched in place of %s", status.node, before.node)
+            log.info("control: watched node changed: node=%s before=%s", status.node, before.node)
         self.log_refused_datagrams(now)
 
     def log_refused_datagrams(self, now: float) -> None:
-        """At most once in ten seconds."""
+        """Logs how many datagrams were refused, at most once in `REFUSED_DATAGRAMS_INTERVAL_S`."""
         count = sum(self.channel.refused.values())
         if count == self.logged_refusals or now - self.refusals_logged_at < REFUSED_DATAGRAMS_INTERVAL_S:
             return
-        self.logged_refusals, self.refusals_logged_at = count, now
-        reasons = "; ".join(f"{n} {reason}" for reason, n in self.channel.refused.items())
+        self.logged_refusals = count
+        self.refusals_logged_at = now
+        reasons = "; ".join(f"{refused} {reason}" for reason, refused in self.channel.refused.items())
         log.warning("control: datagrams refused: %s", reasons)
 
     def reread_keys(self) -> None:
-        """SIGHUP."""
+        """SIGHUP: reads the key file anew."""
         reread_keys(self.seal, self.config.key_file, "control")
 
     def close(self) -> None:
-        """Says nothing more."""
+        """Ends the ticks and closes the socket."""
         for task in (self.task, self.epoch_task):
             if task:
                 task.cancel()
@@ -166,14 +205,30 @@
 
 
 class SenderControl:
-    """The control plane as a sender has it: what is in force, and the link, where it could be made."""
+    """One sender's end of the control plane: its effective configuration, and the link.
+
+    Attributes:
+        configuration: What is in force.
+        link: None while it cannot be opened.
+        fault: Why there is no link; empty while there is one.
+        retry_task: Opens the link later.
+    """
 
     def __init__(self, config: SenderConfig, state: Path, disk: Disk | None = None) -> None:
+        """Loads what was in force; the link is opened by `start`.
+
+        Args:
+            config: The sender's own file, which has `control`.
+            state: The state folder.
+            disk: None: the system's.
+        """
         assert config.control
-        self.name, self.state, self.plane = config.name, state, config.control
+        self.name = config.name
+        self.state = state
+        self.plane = config.control
         self.configuration = SenderConfiguration(config, state, disk or SystemDisk())
         self.link: ControlLink | None = None
-        self.fault = ""  # why there is no link
+        self.fault = ""
         self.retry_task: asyncio.Task[None] | None = None
 
     async def start(
@@ -182,49 +237,55 @@
         budgets: ConfigurableBudgets | None,
         task_ended: Callable[[asyncio.Task[None]], None],
     ) -> None:
-        """Versions are put in force from here on. `task_ended`: told of a defect. Never raises for a link
-        that cannot be made: the log and the status say so, and it is tried again."""
+        """Applies versions from now on. A link that cannot be opened is logged, and opened later.
+
+        Args:
+            directory: Takes endpoints.
+            budgets: Takes budgets; None: there is no fleet.
+            task_ended: Callback of tasks; a defect in one ends the sender.
+        """
         self.configuration.bind(directory, budgets)
-        await self.make_link(task_ended)
+        await self.open_link(task_ended)
         if self.link is None:
             self.retry_task = asyncio.create_task(self.retry(task_ended))
             self.retry_task.add_done_callback(task_ended)
 
-    async def make_link(self, task_ended: Callable[[asyncio.Task[None]], None]) -> None:
-        """Makes the link, or notes why it cannot be made."""
+    async def open_link(self, task_ended: Callable[[asyncio.Task[None]], None]) -> None:
+        """Opens the link, or notes why it cannot be opened."""
         try:
             link = ControlLink(self.name, self.plane, self.state, self.configuration)
             await link.start()
         except (KeyFileError, OSError) as error:
             if self.fault != str(error):
                 version = self.configuration.document.version
-                log.error("control: no link, version %d stays: %s", version, error)
+                log.error("control: link not opened: version_in_force=%d reason=%s", version, error)
             self.fault = str(error)
             return
         assert link.task
         link.task.add_done_callback(task_ended)
-        self.link, self.fault = link, ""
+        self.link = link
+        self.fault = ""
 
     async def retry(self, task_ended: Callable[[asyncio.Task[None]], None]) -> None:
-        """Until the key is in order, the disk has room, or the address is free."""
+        """Tries until the key is valid, the disk has room, or the address is free."""
         while self.link is None:
             await asyncio.sleep(LINK_RETRY_S)
-            await self.make_link(task_ended)
-        log.info("control: the link is made")
+            await self.open_link(task_ended)
+        log.info("control: link opened")
 
     def reload(self, config: SenderConfig) -> SenderConfig:
-        """SIGHUP: the sender's own file as it is now; what is to be in force."""
+        """SIGHUP: takes the sender's own file as it is now; returns the effective configuration."""
         if self.link:
             self.link.reread_keys()
         if config.control != self.plane:
-            log.warning("control: [control] has changed; that waits for a start")
+            log.warning("control: change of [control] needs a restart")
         return self.configuration.reload(config)
 
     def status(self) -> dict[str, Any]:
-        """For the control socket; ages in seconds."""
-        configuration, link = self.configuration, self.link
+        """The state for the control socket, whose keys these are; ages in seconds."""
+        configuration = self.configuration
         resources = configuration.document.resources
-        told: dict[str, Any] = {
+        own_status = {
             "version": configuration.document.version,
             "resources": len(resources),
             "endpoints_from": source_of(resources, ENDPOINTS),
@@ -232,28 +293,31 @@
             "waits_for_start": configuration.next_start_version,
             "fault": self.fault,
         }
-        if link is None:
-            return told
-        status: WatchStatus = link.watch.status(link.loop.time())
-        return told | {
-            "age_s": round(status.age, 1),
-            "refused_version": status.refused_version,
-            "reason": status.reason,
-            "node": status.node,
-            "is_behind": link.channel.is_behind,
-            "sent_bytes": link.channel.sent_bytes,
-            "received_bytes": link.channel.received_bytes,
-            "refused_datagrams": {str(reason): n for reason, n in link.channel.refused.items()},
-        }
+        return own_status | (describe_link(self.link) if self.link else {})
 
     def close(self) -> None:
-        """The link ends; what is in force stays on the disk."""
+        """Closes the link; what is in force stays on disk."""
         if self.retry_task:
             self.retry_task.cancel()
         if self.link:
             self.link.close()
 
 
+def describe_link(link: ControlLink) -> dict[str, Any]:
+    """The part of the status that only a link has."""
+    status: WatchStatus = link.watch.status(link.loop.time())
+    return {
+        "age_s": round(status.age, 1),
+        "refused_version": status.refused_version,
+        "reason": status.reason,
+        "node": status.node,
+        "is_behind": link.channel.is_behind,
+        "sent_bytes": link.channel.sent_bytes,
+        "received_bytes": link.channel.received_bytes,
+        "refused_datagrams": {str(reason): count for reason, count in link.channel.refused.items()},
+    }
+
+
 def source_of(resources: dict[str, bytes], kind: str) -> str:
-    """Where a sender has its endpoints, or budgets, from."""
+    """Where a sender has its endpoints, or budgets, from: `kind` is a resource kind."""
     return "control plane" if any(has_kind(name, kind) for name in resources) else "own file"
--- /dev/null
+++ b/message_sender/service/endpoint_overrides.py
@@ -0,0 +1,83 @@
+"""What overrides of a standalone sender have to do with its engine and its fleet."""
+
+import logging
+from typing import TYPE_CHECKING
+
+from message_sender.core.hooks import EngineHooks
+from message_sender.discovery.overridden import OverriddenDirectory
+from message_sender.discovery.overrides import OverrideError, OverrideKind
+from message_sender.message import Message
+from message_sender.policy.model import EndpointState, Outcome
+
+if TYPE_CHECKING:
+    from message_sender.fleet.udp import FleetLink
+    from message_sender.recovery.startup import RecoveryStart
+
+#: For so long other members leave an endpoint alone that this sender's list drains, after a power loss.
+DRAINED_ENDPOINT_OUT_S = 60.0
+#: The longest that another member's order counts here.
+OUT_OF_SERVICE_LIMIT_S = 6 * 86_400.0
+
+log = logging.getLogger(__name__)
+
+
+class OverrideHooks(EngineHooks):
+    """Pins messages as overrides say, and reports outcomes to outlier detection."""
+
+    def __init__(self, overrides: OverriddenDirectory) -> None:
+        """`overrides`: the sender's."""
+        self.overrides = overrides
+
+    def pinned_endpoint(self, message: Message) -> str:
+        """The endpoint to which the message's key or tenant is pinned."""
+        return self.overrides.overlay.pin_of(message.tenant, message.key)
+
+    def attempt_finished(self, endpoint: str, outcome: Outcome) -> None:
+        """Outlier detection counts the outcome."""
+        self.overrides.outcome(endpoint, outcome)
+
+
+class OverriddenOutOfService:
+    """The endpoints that overrides or the list have out of service; implements `OutOfServiceEndpoints`."""
+
+    def __init__(
+        self, overrides: OverriddenDirectory, link: "FleetLink", recovery_start: "RecoveryStart | None"
+    ) -> None:
+        """Begins with what the sender knows.
+
+        Args:
+            overrides: Of the sender.
+            link: To the fleet.
+            recovery_start: The sender's start; None: its journal does not survive the machine.
+        """
+        self.overrides = overrides
+        self.link = link
+        self.recovery_start = recovery_start
+
+    def remaining_s(self) -> dict[str, float]:
+        """Seconds for which each endpoint stays out of service, by its id."""
+        now = self.overrides.now()
+        overlay = self.overrides.overlay
+        drained = {
+            endpoint.id: DRAINED_ENDPOINT_OUT_S
+            for endpoint in overlay.listed.values()
+            if endpoint.state is EndpointState.DRAINING
+        }
+        overridden = {
+            endpoint_id: max(override.until - now, 0) / 1e6
+            for endpoint_id, override in overlay.force.out.items()
+        }
+        return drained | overridden
+
+    def take_over(self, endpoint: str, remaining_s: float, member: str) -> None:
+        """Sets another member's override here too, unless this disk is known to have the latest state."""
+        if self.recovery_start and self.recovery_start.is_latest() and not self.link.node.behind:
+            return
+        now = self.overrides.now()
+        until = now + int(min(remaining_s, OUT_OF_SERVICE_LIMIT_S) * 1e6)
+        try:
+            self.overrides.set(OverrideKind.OUT, endpoint, member, "it keeps it out of service", now, until)
+        except (OverrideError, OSError) as error:
+            log.warning(
+                "fleet: override not taken over: member=%s endpoint=%s reason=%s", member, endpoint, error
+            )
--- a/message_sender/service/membership.py
+++ b/message_sender/service/membership.py
@@ -1,12 +1,14 @@
-"""A sender of our own as a member of a fleet: the link, the stages and the snapshot beside its engine.
-Imported only where the configuration has a `[fleet]` or the journal survives the machine."""
+"""A standalone sender as a member of a fleet: joins link, recovery stages and shared budgets to its engine.
+
+Imported only where the configuration has a `[fleet]`.
+"""
 
 import asyncio
 import logging
 from collections import Counter
 from collections.abc import Callable, Mapping
 from pathlib import Path
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, Protocol
 
 from message_sender.budget.status import status as budget_status
 from message_sender.configuration.general import FleetConfig
@@ -27,78 +29,143 @@
 if TYPE_CHECKING:
     from message_sender.service.budgets import SharedBudgets
 
+INQUIRY_TIMEOUT_S = 2 * ALONE  # the recovery stages end it before, unless they are at fault
+
 log = logging.getLogger(__name__)
 
 
+class OutOfServiceEndpoints(Protocol):
+    """The endpoints that are out of service at this sender."""
+
+    def remaining_s(self) -> dict[str, float]:
+        """Seconds for which each of them stays out, by endpoint id."""
+
+    def take_over(self, endpoint: str, remaining_s: float, member: str) -> None:
+        """Another member has an endpoint out of service for so long."""
+
+
+class NoEndpointsOutOfService:
+    """None is ever out of service."""
+
+    def remaining_s(self) -> dict[str, float]:
+        """No endpoint."""
+        return {}
+
+    def take_over(self, endpoint: str, remaining_s: float, member: str) -> None:
+        """Has no effect."""
+
+
 class EngineView:
-    """What the coordinator needs of an engine."""
+    """Implements the port through which the recovery coordinator sees an engine.
+
+    Attributes:
+        out_of_service: The sender's endpoints that are out of service.
+    """
 
     def __init__(self, engine: Engine) -> None:
+        """Begins without endpoints out of service."""
         self.engine = engine
-        #: What is kept out of service here, s left; and what another one keeps so.
-        self.away: Callable[[], dict[str, float]] = dict
-        self.keep_away: Callable[[str, float, str], None] = lambda endpoint, left, by: None
+        self.out_of_service: OutOfServiceEndpoints = NoEndpointsOutOfService()
 
     def now(self) -> int:
+        """The engine's clock, in microseconds."""
         return self.engine.now()
 
     def owed(self) -> dict[int, int]:
-        """From the journal until the engine has begun, which takes over what stands there."""
+        """Messages by destination; from the journal until the engine has taken them over."""
         if self.engine.listener_task is None:
-            return dict(Counter(each.message.destination for each in self.engine.journal.entries.values()))
-        return dict(Counter(each.destination for each in self.engine.dispatcher.messages.values()))
+            entries = self.engine.journal.entries.values()
+            return dict(Counter(entry.message.destination for entry in entries))
+        messages = self.engine.dispatcher.messages.values()
+        return dict(Counter(message.destination for message in messages))
 
-    def inherit(self, told: InheritedState) -> None:
-        self.engine.post(told)
+    def inherit(self, state: InheritedState) -> None:
+        """Gives the policy what other members know."""
+        self.engine.post(state)
 
     def routes(self, number: int) -> list[tuple[str, float, float]]:
+        """Route, calls a second of the fleet and microseconds between a member's calls, per destination.
+
+        Both are 0 where the list announces no rates.
+        """
         settings = self.engine.settings
-        return [
-            (route, rate, 1e6 * settings.fleet_size / rate if rate else 0.0)
-            for route, told in announced_rates(self.engine, number).items()
-            for rate in [told if settings.announces_rates else 0.0]
-        ]
+        routes = []
+        for route, announced_rate in announced_rates(self.engine, number).items():
+            rate = announced_rate if settings.announces_rates else 0.0
+            gap_us = 1e6 * settings.fleet_size / rate if rate else 0.0
+            routes.append((route, rate, gap_us))
+        return routes
 
     def ids(self) -> list[str]:
-        return [name for name, each in self.engine.journal.entries.items() if not each.verdict]
+        """Ids of the messages without a verdict."""
+        return [message_id for message_id, entry in self.engine.journal.entries.items() if not entry.verdict]
 
-    def known(self, name: str) -> IdState | None:
+    def known(self, message_id: str) -> IdState | None:
+        """What this sender knows of a message; None: nothing."""
         journal = self.engine.journal
-        if entry := journal.entries.get(name):
+        if entry := journal.entries.get(message_id):
             return IdState.OUT if entry.attempts else IdState.TAKEN
-        over = name in self.engine.table.completed or name in getattr(journal, "over_ids", ())
-        return IdState.ENDED if over else None
+        is_completed = message_id in self.engine.table.completed
+        if is_completed or message_id in getattr(journal, "over_ids", ()):
+            return IdState.ENDED
+        return None
 
-    def doubt(self, name: str) -> None:
-        if entry := self.engine.journal.entries.get(name):
+    def doubt(self, message_id: str) -> None:
+        """A message may have been sent by another member."""
+        if entry := self.engine.journal.entries.get(message_id):
             entry.doubtful = True
 
     def is_open(self, number: int) -> bool:
-        at = self.engine.dispatcher.destinations.get(number)
-        return at is not None and any(each.is_open() for each in (at.own or {}).values())
+        """Whether a breaker of the destination is open."""
+        destination = self.engine.dispatcher.destinations.get(number)
+        if destination is None:
+            return False
+        return any(breaker.is_open() for breaker in (destination.own or {}).values())
+
+    def away(self) -> dict[str, float]:
+        """Seconds for which endpoints stay out of service here."""
+        return self.out_of_service.remaining_s()
+
+    def keep_away(self, endpoint: str, left: float, by: str) -> None:
+        """Another member has an endpoint out of service for `left` seconds."""
+        self.out_of_service.take_over(endpoint, left, by)
 
 
 class Membership(EngineHooks):
-    """Raises KeyFileError and OSError where the link cannot be; the sender then serves alone, and says so."""
+    """One sender's link to the fleet, its recovery stages and its shared budgets."""
 
     def __init__(
         self,
         engine: Engine,
         config: FleetConfig,
         state: Path,
-        ready: Callable[[bool], None],
+        set_ready: Callable[[bool], None],
         budgets: tuple[SharedBudget, ...] = (),
-        may_come: bool = False,
+        may_add_budgets: bool = False,
     ) -> None:
-        """`may_come`: the first budget may come while the sender runs."""
-        self.engine, self.set_ready = engine, ready
-        me = LocalMember(engine.config.name, config.advertise, config.seeds, config.size)
-        self.link = FleetLink(me, config.listen, config.key_file, state)
+        """Builds the link without opening it.
+
+        Args:
+            engine: Of the sender.
+            config: Of the link.
+            state: The state folder.
+            set_ready: Called with whether new messages are accepted.
+            budgets: Shared by the fleet.
+            may_add_budgets: The first budget may come while the sender runs.
+
+        Raises:
+            KeyFileError: There is no key to seal datagrams with.
+            OSError: The state folder cannot be used.
+        """
+        self.engine = engine
+        self.set_ready = set_ready
+        local_member = LocalMember(engine.config.name, config.advertise, config.seeds, config.size)
+        self.link = FleetLink(local_member, config.listen, config.key_file, state)
         self.view = EngineView(engine)
         self.coordinator = Coordinator(self.link.node, self.view, engine.settings, self.link.loop.time)
         self.link.step = self.step
         self.budgets: SharedBudgets | None = None
-        if budgets or may_come:
+        if budgets or may_add_budgets:
             from message_sender.service import budgets as shared
 
             self.budgets = shared.SharedBudgets(engine, self.link, budgets, config.size)
@@ -106,93 +173,110 @@
         self.coordinator.changed = self.stage_changed
 
     async def start(self, waits: Mapping[int, float]) -> None:
-        """Until the others have been asked: no longer than stated. `waits`: s that destinations are to be
-        left alone for, as was known before."""
-        for number, wait in waits.items():
-            self.coordinator.stages.waited_before(number, wait, self.link.loop.time())
+        """Opens the link, and returns once the other members were asked or did not respond in time.
+
+        Args:
+            waits: Seconds for which destinations must not be called, as this sender knew before.
+
+        Raises:
+            OSError: The address cannot be bound.
+        """
+        for number, wait_s in waits.items():
+            self.coordinator.stages.waited_before(number, wait_s, self.link.loop.time())
         await self.link.start()
-        engine = self.engine
         assert self.link.task
-        self.link.task.add_done_callback(engine.task_ended)  # a defect ends more than the link
-        engine.hooks.add(self)
+        self.link.task.add_done_callback(self.engine.task_ended)  # a defect there ends the sender
+        self.engine.hooks.add(self)
         if self.budgets:
             self.budgets.bind()
         try:
-            async with asyncio.timeout(2 * ALONE):
+            async with asyncio.timeout(INQUIRY_TIMEOUT_S):
                 await self.inquiry_ended
         except TimeoutError:
-            log.error("stage: asking did not end by itself")
+            log.error("fleet: inquiry of the other members timed out: timeout_s=%.1f", INQUIRY_TIMEOUT_S)
         if self.link.node.behind:
             self.mark_all_doubtful()
 
     def mark_all_doubtful(self) -> None:
-        """Others know a later start of this name: what stands on this disk is not the latest, and what is
-        owed here may have run, or ended, since."""
-        held = self.engine.journal.entries.values()
-        log.error("fleet: this disk is old or empty; %d messages on it are doubtful", len(held))
-        for entry in held:
+        """Marks all messages as doubtful, as the other members know a later start of this name.
+
+        The disk does not have the latest state: what it holds may have been sent, or ended, since.
+        """
+        entries = self.engine.journal.entries.values()
+        log.error("fleet: this disk is old or empty; %d messages on it are doubtful", len(entries))
+        for entry in entries:
             entry.doubtful = True
 
     def stage_changed(self, stage: Stage) -> None:
+        """Callback of the coordinator."""
         if stage > Stage.ASKING and not self.inquiry_ended.done():
             self.inquiry_ended.set_result(None)
         self.set_ready(stage >= Stage.OPENING)
 
     def step(self, now: float) -> None:
+        """Callback of the link, several times a second; `now` in seconds on the loop's clock."""
         self.coordinator.step(now)
         if self.budgets:
             self.budgets.step(now)
 
     def configure(self, budgets: tuple[SharedBudget, ...], size: int) -> None:
-        """The configuration was read anew."""
+        """Applies budgets from a configuration that was read anew."""
         if self.budgets:
             self.budgets.configure(budgets, size)
 
     def waits_for_start(self, budgets: tuple[SharedBudget, ...]) -> list[str]:
-        """What could not be put in force at once, a text for each budget."""
+        """What of these budgets could be applied by a restart alone: one text for each."""
         assert self.budgets
         return self.budgets.waits_for_start(budgets)
 
     def describe_budgets(self) -> dict[str, object]:
+        """The state of each budget by name, for the control socket."""
         return budget_status(self.budgets.desk) if self.budgets else {}
 
     def destination_of(self, endpoint: str) -> int | None:
-        known = self.engine.dispatcher.endpoints.get(endpoint)
-        return known.listed.destination if known else None
+        """The destination that an endpoint is listed for; None: it is not listed."""
+        tracked = self.engine.dispatcher.endpoints.get(endpoint)
+        return tracked.listed.destination if tracked else None
 
     def messages_restored(self) -> None:
-        """The messages found at the start count from now on."""
+        """The coordinator counts the restored messages from now on."""
         self.coordinator.bind(self.link.loop.time())
 
     def may_call(self, endpoint: str) -> bool:
+        """Whether the recovery stage permits a call to the endpoint's destination."""
         number = self.destination_of(endpoint)
         return number is None or self.coordinator.may_call(number)
 
     def call_started(self, endpoint: str) -> None:
+        """Counts a call of the endpoint's destination."""
         if (number := self.destination_of(endpoint)) is not None:
             self.coordinator.began(number)
 
     def attempt_finished(self, endpoint: str, outcome: Outcome) -> None:
+        """Passes the outcome to the recovery stages."""
         if (number := self.destination_of(endpoint)) is not None:
             self.coordinator.outcome(number, outcome)
 
-    def retry_after_received(self, endpoint: str, wait: int) -> None:
+    def retry_after_received(self, endpoint: str, delay_us: int) -> None:
+        """Passes a Retry-After to the other members."""
         if (number := self.destination_of(endpoint)) is not None:
-            self.coordinator.asked_to_wait(number, wait)
+            self.coordinator.asked_to_wait(number, delay_us)
 
     def admission_delay_us(self, message: Message) -> int:
-        if after := self.coordinator.admits(message.destination, message.message_class):
-            return after
-        if self.budgets and (after := self.budgets.admits(message)):
-            return after
+        """The delay that the recovery stage or a tenant's budget demands; 0 admits the message."""
+        if delay_us := self.coordinator.admits(message.destination, message.message_class):
+            return delay_us
+        if self.budgets and (delay_us := self.budgets.admits(message)):
+            return delay_us
         self.coordinator.comes(message.destination)
         return 0
 
     def is_open(self) -> bool:
-        """Whether new messages are taken on, of some class."""
+        """Whether new messages, at least of some class, are accepted."""
         return self.coordinator.stages.stage >= Stage.OPENING
 
     def close(self) -> None:
+        """Returns unused shares of budgets and closes the link."""
         if self.budgets:
             self.budgets.close()
         self.link.close()
@@ -202,13 +286,13 @@
     engine: Engine,
     config: FleetConfig,
     state: Path,
-    ready: Callable[[bool], None],
+    set_ready: Callable[[bool], None],
     budgets: tuple[SharedBudget, ...] = (),
-    may_come: bool = False,
+    may_add_budgets: bool = False,
 ) -> Membership | None:
-    """None where the link cannot be made: the record says why."""
+    """Builds a `Membership`; None where that is not possible: the log says why, and the sender runs alone."""
     try:
-        return Membership(engine, config, state, ready, budgets, may_come)
+        return Membership(engine, config, state, set_ready, budgets, may_add_budgets)
     except (KeyFileError, OSError) as error:
         log.error("fleet: this sender serves alone: %s", error)
         return None
--- /dev/null
+++ b/message_sender/service/standalone_parts.py
@@ -0,0 +1,94 @@
+"""What a standalone sender is built from, as its configuration demands.
+
+Recovery and the control plane need the extra `fleet` of the package: they are imported only where the
+configuration has them.
+"""
+
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from pathlib import Path
+from typing import TYPE_CHECKING
+
+from message_sender.configuration.general import SenderConfig, read_endpoints
+from message_sender.core.clock import Clock
+from message_sender.discovery.file import FileDirectory
+from message_sender.discovery.static import StaticDirectory
+from message_sender.journal.disk import Disk
+from message_sender.journal.process_journal import FILE
+
+if TYPE_CHECKING:
+    from message_sender.recovery.startup import RecoveryStart
+    from message_sender.service.control_link import SenderControl
+
+DURABLE_JOURNAL_FIRST_BYTE = b"2"
+FLEET_EXTRA_HINT = "pip install 'message-sender[fleet]'"
+
+
+@dataclass
+class HostMachine:
+    """What a sender runs on; a test provides another one.
+
+    Attributes:
+        clock: The wall clock.
+        disk: None: the system's files.
+        boot: Names the machine's run; None: as the system says.
+    """
+
+    clock: Clock = field(default_factory=Clock)
+    disk: Disk | None = None
+    boot: str | None = None
+
+
+def build_directory(config: SenderConfig, state: Path, now: Callable[[], int]) -> StaticDirectory:
+    """The directory of the configuration's own endpoints, and of those in the files that it names."""
+    lists = config.lists
+    if lists is None or not lists.files:
+        return StaticDirectory(config.endpoints)
+    return FileDirectory(
+        lists.files,
+        read_endpoints,
+        state,
+        now,
+        config.endpoints,
+        lists.vanished_share_limit,
+        lists.vanished_patience_us,
+    )
+
+
+def has_durable_journal(state: Path) -> bool:
+    """Whether the journal there has the form that survives the machine."""
+    try:
+        with (state / FILE).open("rb") as file:
+            return file.read(1) == DURABLE_JOURNAL_FIRST_BYTE
+    except OSError:
+        return False
+
+
+def open_recovery(config: SenderConfig, machine: HostMachine) -> "RecoveryStart":
+    """The start of a sender whose journal survives the machine.
+
+    Raises:
+        OSError: The extra `fleet` is not installed.
+    """
+    try:
+        from message_sender.recovery.startup import RecoveryStart
+    except ImportError as error:
+        raise OSError(f"{error}; {FLEET_EXTRA_HINT}") from None
+    return RecoveryStart(
+        config.settings, config.durability.sync_interval_s, machine.clock.now, machine.disk, machine.boot
+    )
+
+
+def open_control_plane(config: SenderConfig, state: Path, disk: Disk | None) -> "SenderControl | None":
+    """The sender's end of the control plane; None where the configuration has none.
+
+    Raises:
+        OSError: The extra `fleet` is not installed.
+    """
+    if config.control is None:
+        return None
+    try:
+        from message_sender.service.control_link import SenderControl
+    except ImportError as error:
+        raise OSError(f"{error}; {FLEET_EXTRA_HINT}") from None
+    return SenderControl(config, state, disk)
--- a/message_sender/testbed/member.py
+++ b/message_sender/testbed/member.py
@@ -18,7 +18,8 @@
 from message_sender.core.clock import Clock
 from message_sender.journal import durable  # noqa: F401
 from message_sender.service import learned_state, membership  # noqa: F401  # imported before any member is made
-from message_sender.service.standalone import HostMachine, serve
+from message_sender.service.standalone import serve
+from message_sender.service.standalone_parts import HostMachine
 from message_sender.testbed.simulated_disk import RecordingDisk
 
 
