--- a/message_sender/adapter.py
+++ b/message_sender/adapter.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import IO, Any
 
-from message_sender.configuration.settings import settings_from
+from message_sender.configuration.settings import decode_settings
 from message_sender.policy.actions import (
     CancelAttempt,
     CloseIdle,
@@ -102,7 +102,7 @@
 
 def read_settings(line: Line) -> Settings:
     try:
-        return settings_from(json.loads(line.text("env")))
+        return decode_settings(json.loads(line.text("env")))
     except KeyError as error:
         raise line.error("env", f"{error.args[0]} is missing or unknown") from None
     except (ValueError, TypeError, AttributeError) as error:
--- a/message_sender/configuration/settings.py
+++ b/message_sender/configuration/settings.py
@@ -1,61 +1,75 @@
-"""The settings object that an instance is told, turned into the module's own; adapter and sender share it."""
+"""The settings object that the platform gives an instance, decoded for the policy.
+
+The library's adapter and the platform's sender share it. The object's keys are the platform's wire.
+"""
 
 from typing import Any
 
 from message_sender.policy.model import DestinationKind, Effect, MessageClass, Settings
 
 EFFECTS = {"repeatable": Effect.IDEMPOTENT, "by_key": Effect.KEYED, "once": Effect.UNSAFE}
+DEFAULT_CONNECT_TIMEOUT_US = 1_500_000
 
 
-def settings_from(info: dict[str, Any], on_sockets: bool = False) -> Settings:
-    """The named values of `info`. A sender on sockets tells the module of each answered notice, and hears of
-    the list only by a watch that it keeps itself, also where lists are pushed: to an agent beside it."""
-    limits, safety, special = info["limits"], info["safety"], info["specifics"]
-    zones = info["zones"]
-    classes = tuple(
-        MessageClass(
-            name=each["name"],
-            latency_objective=each["aim"],
-            deadline=each["deadline"],
-            priority_weight=each["credit"],
-            late_priority_weight=each["late_worth"],
-            effect=EFFECTS[each["semantics"]],
-            idempotency_window=each.get("dedup_window", 0),
-            is_window_zonal=each.get("key_scope", "all") != "all",
-            is_ordered=each.get("serial_by_key", False),
-        )
-        for each in info["services"]
-    )
-    kinds = tuple(
-        (name, DestinationKind(batch=batch, apart=apart))
-        for name, batch, apart in zip(
-            info["models"], special["batch_by_kind"], special["own_limits"], strict=False
-        )
+def decode_class(values: dict[str, Any]) -> MessageClass:
+    """One entry of `services`: a class of messages."""
+    return MessageClass(
+        name=values["name"],
+        latency_objective=values["aim"],
+        deadline=values["deadline"],
+        priority_weight=values["credit"],
+        late_priority_weight=values["late_worth"],
+        effect=EFFECTS[values["semantics"]],
+        idempotency_window=values.get("dedup_window", 0),
+        is_window_zonal=values.get("key_scope", "all") != "all",
+        is_ordered=values.get("serial_by_key", False),
     )
+
+
+def decode_kinds(models: list[str], specifics: dict[str, Any]) -> tuple[tuple[str, DestinationKind], ...]:
+    """The kinds of destinations by name."""
+    by_model = zip(models, specifics["batch_by_kind"], specifics["own_limits"], strict=False)
+    return tuple((name, DestinationKind(batch=batch, apart=apart)) for name, batch, apart in by_model)
+
+
+def decode_settings(values: dict[str, Any], on_sockets: bool = False) -> Settings:
+    """The policy's settings.
+
+    Args:
+        values: The settings object.
+        on_sockets: The sender does its own I/O. Then the policy gets each acknowledged completion, and the
+            endpoint list only by a watch of the sender's own, also where lists are pushed: to an agent
+            beside it.
+
+    Raises:
+        KeyError, TypeError, ValueError: A value is missing or of no use.
+    """
+    limits, safety, specifics = values["limits"], values["safety"], values["specifics"]
+    zones = values["zones"]
     return Settings(
-        classes=classes,
-        kinds=kinds,
-        slots=special["slots"],
+        classes=tuple(map(decode_class, values["services"])),
+        kinds=decode_kinds(values["models"], specifics),
+        slots=specifics["slots"],
         max_open=limits["max_open"],
         max_attempts=limits["attempts_cap"],
-        zone=info["locality"],
-        tick=info["tick"],
-        fleet_size=info["fleet_size"],
-        tenants=tuple((each["name"], each["quota_per_s"]) for each in info["customers"]),
-        over_quota_weight=info.get("over_share_worth", 1.0),
-        halves_late_weight=special.get("loses_worth") == "halves",
-        zone_fees=tuple(zip(zones, special.get("zone_fee") or (), strict=False)),
-        must_poll=on_sockets or info["membership_mode"] == "on_request",
-        has_local_list=info["membership_mode"] == "pushed",
+        zone=values["locality"],
+        tick=values["tick"],
+        fleet_size=values["fleet_size"],
+        tenants=tuple((customer["name"], customer["quota_per_s"]) for customer in values["customers"]),
+        over_quota_weight=values.get("over_share_worth", 1.0),
+        halves_late_weight=specifics.get("loses_worth") == "halves",
+        zone_fees=tuple(zip(zones, specifics.get("zone_fee") or (), strict=False)),
+        must_poll=on_sockets or values["membership_mode"] == "on_request",
+        has_local_list=values["membership_mode"] == "pushed",
         poll_interval_limit=safety["ask_within"],
-        announces_rates=info["weight_kind"] == "nominal",
+        announces_rates=values["weight_kind"] == "nominal",
         may_cancel=limits["cancelling"],
         max_retry_after=limits["max_retry_after"],
         slow_start=safety["cold"],
         slow_start_from=safety["cold_from"],
         fall_multiple=safety["fall_multiple"],
         conn_idle=limits["conn_idle"],
-        connect_timeout=limits.get("connect_timeout", 1_500_000),
+        connect_timeout=limits.get("connect_timeout", DEFAULT_CONNECT_TIMEOUT_US),
         key_pause=safety.get("key_quiet", 0),
         drain_grace=safety["drain_grace"],
         acknowledges_completions=on_sockets,
--- a/message_sender/configuration/tables.py
+++ b/message_sender/configuration/tables.py
@@ -1,6 +1,6 @@
-"""Tables of a TOML file, checked whole: every fault at once, with its path and in plain words.
+"""Tables of a TOML file, checked completely: every fault at once, with its path and in plain words.
 
-Stands on pydantic. A name that a table does not know is a fault, and so is a text where a number is wanted.
+Built on pydantic. A name that a table does not know is a fault, and so is a string where a number is needed.
 A check across fields raises ValueError with `field: what is wrong`, a line for each fault.
 """
 
@@ -13,6 +13,7 @@
 
 from pydantic import AfterValidator, BaseModel, ConfigDict, ValidationError
 
+#: What pydantic's types of fault expect, as this program says it.
 TYPE_NAMES = {
     "string_type": "a text",
     "int_type": "a whole number",
@@ -25,65 +26,83 @@
     "model_type": "a table",
     "model_attributes_type": "a table",
 }
+#: A line of a check across fields: the path within its table, and the text.
 FAULT_LINE = re.compile(r"([a-z_]+(?:\[\d+\])?(?:\.[a-z_]+(?:\[\d+\])?)*): (.*)", re.DOTALL)
-Checked = TypeVar("Checked", bound=BaseModel)
+#: A quoted choice in pydantic's text of a literal's fault.
+QUOTED_CHOICE = re.compile(r"'([^']*)'")
+
+TableType = TypeVar("TableType", bound=BaseModel)
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigFault:
-    """What is wrong, and where: a path such as `classes.command.aim_ms`."""
+    """One fault of a file.
+
+    Attributes:
+        path: Where it is, such as `classes.command.aim_ms`.
+        text: What is wrong.
+    """
 
     path: str
     text: str
 
     def __str__(self) -> str:
+        """As a person reads it."""
         return f"{self.path}: {self.text}"
 
 
 class ConfigError(ValueError):
-    """The file cannot be used; `faults` has all that is wrong with it."""
+    """A file cannot be used.
+
+    Attributes:
+        faults: All that is wrong with it.
+    """
 
     def __init__(self, faults: list[ConfigFault]) -> None:
+        """Takes all faults."""
         super().__init__("; ".join(map(str, faults)))
         self.faults = faults
 
 
 class Table(BaseModel):
+    """Base class of a table: names and types are strict, values don't change."""
+
     model_config = ConfigDict(extra="forbid", strict=True, frozen=True, validate_default=True)
 
 
 def number_between(low: float, high: float) -> Any:  # noqa: ANN401
-    """A number from `low` to `high`."""
+    """A validator for numbers from `low` to `high`, both included."""
 
     def check(value: float) -> float:
         if not low <= value <= high:
-            raise ValueError(
-                f"must be from {format_number(low)} to {format_number(high)}, not {format_number(value)}"
-            )
+            limits = f"{format_number(low)} to {format_number(high)}"
+            raise ValueError(f"must be from {limits}, not {format_number(value)}")
         return value
 
     return AfterValidator(check)
 
 
 def format_number(value: float) -> str:
+    """A number as a fault's text has it."""
     return str(value) if isinstance(value, int) else f"{value:g}"
 
 
 Fraction = Annotated[float, number_between(0, 1)]
 
 
-def format_path(place: tuple[int | str, ...]) -> str:
-    found = ""
-    for each in place:
-        if isinstance(each, int):
-            found += f"[{each}]"
+def format_path(location: tuple[int | str, ...]) -> str:
+    """A location as a path: `("classes", "a", 0)` becomes `classes.a[0]`."""
+    path = ""
+    for part in location:
+        if isinstance(part, int):
+            path += f"[{part}]"
         else:
-            found += f".{each}" if found else each
-    return found
+            path += f".{part}" if path else part
+    return path
 
 
 def describe_fault(error: Any) -> str:  # noqa: ANN401
-    """What pydantic says of a fault, as this program says it."""
+    """The text of one of pydantic's faults; several lines where a check across fields found several."""
     kind, value = error["type"], error["input"]
     value = list(value) if isinstance(value, tuple) else value  # as the file has it
     if kind == "missing":
@@ -93,7 +112,7 @@
     if kind in TYPE_NAMES:
         return f"must be {TYPE_NAMES[kind]}, not {value!r}"
     if kind == "literal_error":
-        choices = ", ".join(re.findall(r"'([^']*)'", error["ctx"]["expected"]))
+        choices = ", ".join(QUOTED_CHOICE.findall(error["ctx"]["expected"]))
         return f"must be one of {choices}, not {value!r}"
     if kind == "value_error":
         return str(error["ctx"]["error"])
@@ -101,35 +120,45 @@
 
 
 def list_faults(error: ValidationError) -> list[ConfigFault]:
-    found = []
-    for each in error.errors():
-        path = format_path(each["loc"])
-        for line in describe_fault(each).split("\n"):
-            own = FAULT_LINE.fullmatch(line) if each["type"] == "value_error" else None
-            if own:
-                found.append(ConfigFault(f"{path}.{own[1]}" if path else own[1], own[2]))
+    """All faults that pydantic found; one without a path has the path `file`."""
+    faults = []
+    for details in error.errors():
+        path = format_path(details["loc"])
+        for line in describe_fault(details).split("\n"):
+            match = FAULT_LINE.fullmatch(line) if details["type"] == "value_error" else None
+            if match:
+                faults.append(ConfigFault(f"{path}.{match[1]}" if path else match[1], match[2]))
             else:
-                found.append(ConfigFault(path or "file", line))
-    return found
+                faults.append(ConfigFault(path or "file", line))
+    return faults
+
 
+def freeze_lists(value: Any) -> Any:  # noqa: ANN401
+    """Replaces lists by tuples, as tables have tuples where TOML has arrays."""
+    if isinstance(value, Mapping):
+        return {name: freeze_lists(item) for name, item in value.items()}
+    return tuple(freeze_lists(item) for item in value) if isinstance(value, list) else value
 
-def freeze_lists(told: Any) -> Any:  # noqa: ANN401
-    """TOML has arrays where the tables hold what cannot change."""
-    if isinstance(told, Mapping):
-        return {name: freeze_lists(value) for name, value in told.items()}
-    return tuple(freeze_lists(each) for each in told) if isinstance(told, list) else told
 
+def validate_table(table_type: type[TableType], values: Mapping[str, Any]) -> TableType:
+    """Builds a table from a file's values.
 
-def validate_table(kind: type[Checked], told: Mapping[str, Any]) -> Checked:
-    """Raises ConfigError with all faults."""
+    Raises:
+        ConfigError: They have faults; it has all of them.
+    """
     try:
-        return kind.model_validate(freeze_lists(told))
+        return table_type.model_validate(freeze_lists(values))
     except ValidationError as error:
         raise ConfigError(list_faults(error)) from None
 
 
 def parse(path: Path) -> dict[str, Any]:
-    """Raises ConfigError where the file is no TOML, and OSError."""
+    """Reads a TOML file.
+
+    Raises:
+        ConfigError: It is not TOML.
+        OSError: It cannot be read.
+    """
     try:
         return tomllib.loads(path.read_text())
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
--- a/message_sender/start.py
+++ b/message_sender/start.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import Any
 
-from message_sender.configuration.settings import settings_from
+from message_sender.configuration.settings import decode_settings
 from message_sender.core.socket_errors import describe
 from message_sender.handover.takeover import OwnershipHandover, inherited
 from message_sender.http.codec import Address, address_from
@@ -75,7 +75,7 @@
             disk_bytes=int(limits["disk_mb"] * BYTES_PER_MB),
             sockets=int(limits["sockets"]),
             known=EndpointList(values["known"]),
-            settings=settings_from(values["settings"], on_sockets=True),
+            settings=decode_settings(values["settings"], on_sockets=True),
             management=decode_management_address(values),
         )
     except KeyError as error:
--- a/tests/test_arrows.py
+++ b/tests/test_arrows.py
@@ -48,7 +48,21 @@
     "configuration.tables": set(),
     "configuration.settings": {"policy.model"},
     "configuration.resources": {"configuration.tables", "discovery", "policy.model"},
-    "configuration.general": {*BASE, "configuration.resources", "configuration.tables", "discovery"},
+    "configuration.sender_config": {"configuration.resources", "discovery", "policy.model"},
+    "configuration.general_tables": {
+        "configuration.resources",
+        "configuration.sender_config",
+        "configuration.tables",
+        "discovery",
+        "policy.model",
+    },
+    "configuration.general": {
+        "configuration.general_tables",
+        "configuration.resources",
+        "configuration.sender_config",
+        "configuration.tables",
+        "discovery",
+    },
     "control": {
         "configuration.resources",
         "configuration.tables",
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -6,7 +6,7 @@
 from helpers import ENV, MS, SECOND, World, ended, endpoint, sent, settings
 
 from message_sender import Dispatcher
-from message_sender.configuration.settings import settings_from
+from message_sender.configuration.settings import decode_settings
 from message_sender.policy.actions import CloseIdle, Send, Subscribe
 from message_sender.policy.breaker import FAILURE_THRESHOLD, RESET_TIMEOUT
 from message_sender.policy.events import EndpointsUpdated, MessageAccepted, WakeUp
@@ -191,7 +191,7 @@
 @pytest.mark.parametrize("told", [0, -3, None, "forty", 2.5, float("nan"), float("inf"), True, 1e308])
 def test_a_fleet_size_that_is_no_count_is_refused_by_name(told: object) -> None:
     with pytest.raises(ValueError, match="fleet_size must be"):
-        settings_from(ENV | {"fleet_size": told}, on_sockets=True)
+        decode_settings(ENV | {"fleet_size": told}, on_sockets=True)
 
 
 def test_a_refusal_holds_a_busy_member_of_a_crowd_to_what_it_usually_sends() -> None:
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from message_sender import Dispatcher
-from message_sender.configuration.settings import settings_from
+from message_sender.configuration.settings import decode_settings
 from message_sender.policy.actions import Fail, PolicyAction, Reject, Send
 from message_sender.policy.events import AttemptEnded, EndpointsUpdated, MessageAccepted, PolicyEvent
 from message_sender.policy.model import (
@@ -196,7 +196,7 @@
 @given(customers(), st.integers(0, 10_000))
 @settings(max_examples=150, deadline=None, derandomize=True)
 def test_any_customers_settings_start_and_keep_the_rules(told: dict[str, Any], seed: int) -> None:
-    play(settings_from(told), told["zones"], told["models"], seed)
+    play(decode_settings(told), told["zones"], told["models"], seed)
 
 
 def test_sites_of_our_own_differ_in_what_a_customer_may_choose() -> None:
