--- a/message_sender/adapter.py
+++ b/message_sender/adapter.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Mapping
 from typing import IO, TypeVar
 
-from message_sender.configuration.settings import settings_from
+from message_sender.configuration.settings import decode_settings
 from message_sender.policy.actions import (
     CancelAttempt,
     CloseIdle,
@@ -139,7 +139,7 @@
 def read_settings(line: Line) -> Settings:
     """Reads the settings of an instance. Raises WireError if they are malformed."""
     try:
-        return settings_from(json.loads(line.text("env")))
+        return decode_settings(json.loads(line.text("env")))
     except KeyError as error:
         raise line.error("env", f"{error.args[0]} is missing or unknown") from None
     except (ValueError, TypeError, AttributeError) as error:
--- a/message_sender/configuration/tables.py
+++ b/message_sender/configuration/tables.py
@@ -1,6 +1,6 @@
-"""Tables of a TOML file, checked whole: every fault at once, with its path and in plain words.
+"""Tables of a TOML file, checked completely: every fault at once, with its path and in plain words.
 
-Stands on pydantic. A name that a table does not know is a fault, and so is a text where a number is wanted.
+Built on pydantic. A name that a table does not know is a fault, and so is a string where a number is needed.
 A check across fields raises ValueError with `field: what is wrong`, a line for each fault.
 """
 
@@ -13,7 +13,8 @@
 
 from pydantic import AfterValidator, BaseModel, ConfigDict, ValidationError
 
-KINDS = {
+#: What pydantic's types of fault expect, as this program says it.
+TYPE_NAMES = {
     "string_type": "a text",
     "int_type": "a whole number",
     "int_from_float": "a whole number",
@@ -25,109 +26,139 @@
     "model_type": "a table",
     "model_attributes_type": "a table",
 }
-OWN_PATH = re.compile(r"([a-z_]+(?:\[\d+\])?(?:\.[a-z_]+(?:\[\d+\])?)*): (.*)", re.DOTALL)
-Checked = TypeVar("Checked", bound=BaseModel)
+#: A line of a check across fields: the path within its table, and the text.
+FAULT_LINE = re.compile(r"([a-z_]+(?:\[\d+\])?(?:\.[a-z_]+(?:\[\d+\])?)*): (.*)", re.DOTALL)
+#: A quoted choice in pydantic's text of a literal's fault.
+QUOTED_CHOICE = re.compile(r"'([^']*)'")
+
+TableType = TypeVar("TableType", bound=BaseModel)
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigFault:
-    """What is wrong, and where: a path such as `classes.command.aim_ms`."""
+    """One fault of a file.
+
+    Attributes:
+        path: Where it is, such as `classes.command.aim_ms`.
+        text: What is wrong.
+    """
 
     path: str
     text: str
 
     def __str__(self) -> str:
+        """As a person reads it."""
         return f"{self.path}: {self.text}"
 
 
 class ConfigError(ValueError):
-    """The file cannot be used; `faults` has all that is wrong with it."""
+    """A file cannot be used.
+
+    Attributes:
+        faults: All that is wrong with it.
+    """
 
     def __init__(self, faults: list[ConfigFault]) -> None:
+        """Takes all faults."""
         super().__init__("; ".join(map(str, faults)))
         self.faults = faults
 
 
 class Table(BaseModel):
+    """Base class of a table: names and types are strict, values don't change."""
+
     model_config = ConfigDict(extra="forbid", strict=True, frozen=True, validate_default=True)
 
 
-def within(low: float, high: float) -> Any:  # noqa: ANN401
-    """A number from `low` to `high`."""
+def number_between(low: float, high: float) -> Any:  # noqa: ANN401
+    """A validator for numbers from `low` to `high`, both included."""
 
     def check(value: float) -> float:
         if not low <= value <= high:
-            raise ValueError(f"must be from {told(low)} to {told(high)}, not {told(value)}")
+            limits = f"{format_number(low)} to {format_number(high)}"
+            raise ValueError(f"must be from {limits}, not {format_number(value)}")
         return value
 
     return AfterValidator(check)
 
 
-def told(value: float) -> str:
+def format_number(value: float) -> str:
+    """A number as a fault's text has it."""
     return str(value) if isinstance(value, int) else f"{value:g}"
 
 
-Share = Annotated[float, within(0, 1)]
+Fraction = Annotated[float, number_between(0, 1)]
 
 
-def path_of(place: tuple[int | str, ...]) -> str:
-    found = ""
-    for each in place:
-        if isinstance(each, int):
-            found += f"[{each}]"
+def format_path(location: tuple[int | str, ...]) -> str:
+    """A location as a path: `("classes", "a", 0)` becomes `classes.a[0]`."""
+    path = ""
+    for part in location:
+        if isinstance(part, int):
+            path += f"[{part}]"
         else:
-            found += f".{each}" if found else each
-    return found
+            path += f".{part}" if path else part
+    return path
 
 
-def words(error: Any) -> str:  # noqa: ANN401
-    """What pydantic says of a fault, as this program says it."""
+def describe_fault(error: Any) -> str:  # noqa: ANN401
+    """The text of one of pydantic's faults; several lines where a check across fields found several."""
     kind, value = error["type"], error["input"]
     value = list(value) if isinstance(value, tuple) else value  # as the file has it
     if kind == "missing":
         return "is missing"
     if kind == "extra_forbidden":
         return "is not known here"
-    if kind in KINDS:
-        return f"must be {KINDS[kind]}, not {value!r}"
+    if kind in TYPE_NAMES:
+        return f"must be {TYPE_NAMES[kind]}, not {value!r}"
     if kind == "literal_error":
-        choices = ", ".join(re.findall(r"'([^']*)'", error["ctx"]["expected"]))
+        choices = ", ".join(QUOTED_CHOICE.findall(error["ctx"]["expected"]))
         return f"must be one of {choices}, not {value!r}"
     if kind == "value_error":
         return str(error["ctx"]["error"])
     return f"{error['msg'][:1].lower()}{error['msg'][1:]}, not {value!r}"
 
 
-def faults_of(error: ValidationError) -> list[ConfigFault]:
-    found = []
-    for each in error.errors():
-        path = path_of(each["loc"])
-        for line in words(each).split("\n"):
-            own = OWN_PATH.fullmatch(line) if each["type"] == "value_error" else None
-            if own:
-                found.append(ConfigFault(f"{path}.{own[1]}" if path else own[1], own[2]))
+def list_faults(error: ValidationError) -> list[ConfigFault]:
+    """All faults that pydantic found; one without a path has the path `file`."""
+    faults = []
+    for details in error.errors():
+        path = format_path(details["loc"])
+        for line in describe_fault(details).split("\n"):
+            match = FAULT_LINE.fullmatch(line) if details["type"] == "value_error" else None
+            if match:
+                faults.append(ConfigFault(f"{path}.{match[1]}" if path else match[1], match[2]))
             else:
-                found.append(ConfigFault(path or "file", line))
-    return found
+                faults.append(ConfigFault(path or "file", line))
+    return faults
+
 
+def freeze_lists(value: Any) -> Any:  # noqa: ANN401
+    """Replaces lists by tuples, as tables have tuples where TOML has arrays."""
+    if isinstance(value, Mapping):
+        return {name: freeze_lists(item) for name, item in value.items()}
+    return tuple(freeze_lists(item) for item in value) if isinstance(value, list) else value
 
-def tuples(told: Any) -> Any:  # noqa: ANN401
-    """TOML has arrays where the tables hold what cannot change."""
-    if isinstance(told, Mapping):
-        return {name: tuples(value) for name, value in told.items()}
-    return tuple(tuples(each) for each in told) if isinstance(told, list) else told
 
+def validate_table(table_type: type[TableType], values: Mapping[str, Any]) -> TableType:
+    """Builds a table from a file's values.
 
-def check(kind: type[Checked], told: Mapping[str, Any]) -> Checked:
-    """Raises ConfigError with all faults."""
+    Raises:
+        ConfigError: They have faults; it has all of them.
+    """
     try:
-        return kind.model_validate(tuples(told))
+        return table_type.model_validate(freeze_lists(values))
     except ValidationError as error:
-        raise ConfigError(faults_of(error)) from None
+        raise ConfigError(list_faults(error)) from None
 
 
 def parse(path: Path) -> dict[str, Any]:
-    """Raises ConfigError where the file is no TOML, and OSError."""
+    """Reads a TOML file.
+
+    Raises:
+        ConfigError: It is not TOML.
+        OSError: It cannot be read.
+    """
     try:
         return tomllib.loads(path.read_text())
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
--- a/message_sender/control/configuration.py
+++ b/message_sender/control/configuration.py
@@ -7,8 +7,8 @@
 from pydantic import AfterValidator, model_validator
 
 from message_sender.configuration.resources import Address as AddressField
-from message_sender.configuration.resources import node_list_faults
-from message_sender.configuration.tables import Table, check, parse, within
+from message_sender.configuration.resources import find_node_faults
+from message_sender.configuration.tables import Table, number_between, parse, validate_table
 from message_sender.control.choice import ControlNodeAddress
 from message_sender.control.messages import NAME_LENGTH_LIMIT, Address
 
@@ -59,7 +59,7 @@
     name: Annotated[str, AfterValidator(check_node_name)]
     address: AddressField
     region: str = ""
-    votes: Annotated[int, within(1, VOTES_LIMIT)] = 1
+    votes: Annotated[int, number_between(1, VOTES_LIMIT)] = 1
 
 
 class NodeFile(Table):
@@ -75,7 +75,7 @@
     @model_validator(mode="after")
     def check_consistency(self) -> Self:
         """Checks what concerns more than one field; raises ValueError with one fault per line."""
-        faults = node_list_faults([(node.name, node.address) for node in self.nodes])
+        faults = find_node_faults([(node.name, node.address) for node in self.nodes])
         if self.name not in {node.name for node in self.nodes}:
             faults.append(f"name: {self.name!r} is not among the nodes")
         if faults:
@@ -90,7 +90,7 @@
         ConfigError: With all faults of the file.
         OSError: If it cannot be read.
     """
-    table = check(NodeFile, parse(path))
+    table = validate_table(NodeFile, parse(path))
     folder = path.parent
     return NodeConfiguration(
         name=table.name,
--- a/message_sender/control/schema.py
+++ b/message_sender/control/schema.py
@@ -25,9 +25,9 @@
     Endpoints,
     EndpointTable,
     SharedBudget,
-    budget_faults,
+    find_budget_faults,
 )
-from message_sender.configuration.tables import ConfigError, ConfigFault, Table, check
+from message_sender.configuration.tables import ConfigError, ConfigFault, Table, validate_table
 from message_sender.discovery.static import Dial, StaticEndpoint
 
 ENDPOINTS = "endpoints"
@@ -100,10 +100,10 @@
         fields = tomllib.loads(text)
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
         raise ConfigError([ConfigFault(origin, str(error))]) from None
-    table = check(ConfigurationTable, fields)
+    table = validate_table(ConfigurationTable, fields)
     faults = [
         ConfigFault(f"budgets[{fault.index}].{fault.field}", fault.text)
-        for fault in budget_faults(table.budgets, 1)
+        for fault in find_budget_faults(table.budgets, 1)
     ]
     if faults:
         raise ConfigError(faults)
@@ -161,7 +161,7 @@
             [ConfigFault(f"{name}.{kind.key}", "is not known here: the resource's name tells it")]
         )
     try:
-        return kind, check(kind.table, {kind.key: own_name, **fields})
+        return kind, validate_table(kind.table, {kind.key: own_name, **fields})
     except ConfigError as error:
         raise ConfigError([_with_resource_path(name, fault) for fault in error.faults]) from None
 
@@ -274,7 +274,7 @@
                 faults += error.faults
                 continue
             if isinstance(table, EndpointTable):
-                endpoints_by_name[name] = table.told()
+                endpoints_by_name[name] = table.build()
             elif isinstance(table, BudgetTable):
                 budgets_by_name[name] = table
         if faults:
@@ -286,7 +286,7 @@
         tables = [self.budgets_by_name[name] for name in sorted(self.budgets_by_name)]
         return [
             ConfigFault(f"{BUDGETS}/{tables[fault.index].name}.{fault.field}", fault.text)
-            for fault in budget_faults(tables, size)
+            for fault in find_budget_faults(tables, size)
         ]
 
     def endpoints(self) -> tuple[StaticEndpoint, ...]:
@@ -295,7 +295,7 @@
 
     def shared_budgets(self) -> tuple[SharedBudget, ...]:
         """Returns the shared budgets in the order of their names."""
-        return tuple(self.budgets_by_name[name].told() for name in sorted(self.budgets_by_name))
+        return tuple(self.budgets_by_name[name].build() for name in sorted(self.budgets_by_name))
 
 
 def interpret(resources: Mapping[str, bytes]) -> Interpretation:
--- a/message_sender/handover/takeover.py
+++ b/message_sender/handover/takeover.py
@@ -19,7 +19,7 @@
 from pathlib import Path
 from typing import Protocol, TypeVar
 
-from message_sender.control_socket import may_ask
+from message_sender.control_socket import is_authorized
 from message_sender.core.lock import Lock, LockTakenError, read_holder_pid
 from message_sender.handover.link import HandoverLink, Packet, connect, listen
 from message_sender.handover.ownership import Ownership, OwnershipState
@@ -175,7 +175,7 @@
         except OSError:
             return
         is_owner = self.ownership.state is OwnershipState.OWNER
-        if self.successor_link or not is_owner or not may_ask(sock):
+        if self.successor_link or not is_owner or not is_authorized(sock):
             sock.close()
             return
         self.successor_link = HandoverLink(sock, self.receive_packet, self.successor_link_closed)
--- a/message_sender/service/budget_registry.py
+++ b/message_sender/service/budget_registry.py
@@ -18,7 +18,7 @@
 from message_sender.configuration.resources import SharedBudget
 from message_sender.core.engine import Engine
 from message_sender.policy.model import Endpoint
-from message_sender.service.routes import told_rates
+from message_sender.service.routes import announced_rates
 
 US_PER_S = 1e6
 
@@ -249,7 +249,7 @@
 
         The smaller one applies. Where the list is not said to announce rates, the response takes precedence.
         """
-        listed = int(sum(told_rates(self.engine, destination).values()) * window_us / US_PER_S)
+        listed = int(sum(announced_rates(self.engine, destination).values()) * window_us / US_PER_S)
         if destination not in self.announced_limits:
             return listed
         announced = self.announced_limits[destination]
--- a/tests/test_control_live.py
+++ b/tests/test_control_live.py
@@ -16,7 +16,7 @@
 from sender_files import KEY_FILE, SENDER, control_section, nodes_line, write_key
 
 from message_sender.cli import main
-from message_sender.control_socket import ask
+from message_sender.control_socket import send_request
 from message_sender.testbed.history import History
 from message_sender.testbed.http import HttpClient, HttpEndpoint
 from message_sender.testbed.script import Script, ScriptedAnswer
@@ -146,18 +146,18 @@
         state = plane.state("c1")
         code, out = await plane.run("set", state, plane.write("hub.toml", hub_text(hub.port)))
         assert code == 0 and out.startswith("version 1"), out
-        await sender.logged("version 1 is in force")
+        await sender.logged("version applied: version=1 ")
         code, out = await plane.run("status", plane.state("c2"), "--wait", "1", "--timeout", "10")
         assert code == 0 and "in force everywhere, at 1 senders" in out, out
         await deliver(port, called)
 
         code, out = await plane.run("set", state, plane.write("more.toml", BUDGET), "--patch")
         assert code == 0 and out.startswith("version 2"), out
-        await sender.logged("version 2 is refused")
+        await sender.logged("version refused: version=2 ")
         code, out = await plane.run("status", plane.state("c3"), "--wait", "2", "--timeout", "1")
         reason = "budgets/out: needs a [fleet] to be shared in, and this sender has none"
         assert code == 1 and f"sender n1: version 1, refused 2: {reason}" in out, out
-        told = (await asyncio.to_thread(ask, Path(plane.state("n1")), {"do": "control"}))["value"]
+        told = (await asyncio.to_thread(send_request, Path(plane.state("n1")), {"do": "control"}))["value"]
         assert (told["version"], told["refused_version"], told["reason"]) == (1, 2, reason)
 
         watched = plane.nodes[told["node"]]
@@ -165,7 +165,7 @@
         left = next(name for name in NODES if name != told["node"])
         code, out = await plane.run("set", plane.state(left), "--patch", "--delete", "budgets/out")
         assert code == 0 and out.startswith("version 3"), out
-        await sender.logged("version 3 is in force")
+        await sender.logged("version applied: version=3 ")
         code, out = await plane.run("get", plane.state(left), "--json")
         assert code == 0 and list(json.loads(out)["resources"]) == ["endpoints/hub"]
         words = ("status", plane.state(left), "--wait", "3", "--timeout", "10", "--reachable")
--- a/tests/test_control_schema.py
+++ b/tests/test_control_schema.py
@@ -62,7 +62,7 @@
         }
     )
     resources = schema.read_toml(TEXT)
-    assert schema.read_endpoints(resources) == own.places
+    assert schema.read_endpoints(resources) == own.endpoints
     assert sorted(schema.read_budgets(resources), key=lambda x: x.name, reverse=True) == list(own.budgets)
 
 
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -153,15 +153,15 @@
 
 def test_a_hangup_before_the_sender_serves_is_kept_for_it(monkeypatch: pytest.MonkeyPatch) -> None:
     heard: list[object] = []
-    monkeypatch.setattr(start_module, "reread", heard.append)
+    monkeypatch.setattr(start_module, "reload_configuration", heard.append)
 
     async def test() -> None:
         reload, sender = start_module.Reload(), object()
-        reload.hear()
+        reload.request()
         assert heard == []
-        reload.begin(sender)  # type: ignore[arg-type]
+        reload.bind(sender)  # type: ignore[arg-type]
         assert heard == [sender]
-        reload.hear()
+        reload.request()
         assert heard == [sender] * 2
 
     asyncio.run(test())
@@ -240,7 +240,7 @@
             await soon(old.watches.get())
             (tmp_path / "config.json").write_text("{")
             process.send_signal(signal.SIGHUP)
-            while b"is not used" not in await soon(process.stderr.readline()):
+            while b"configuration not reloaded: reason=" not in await soon(process.stderr.readline()):
                 assert process.returncode is None
             (tmp_path / "config.json").write_text(json.dumps(config_json(new, host(receiver.dial))))
             process.send_signal(signal.SIGHUP)
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -224,7 +224,7 @@
 
 def test_a_call_that_outlasts_its_budget_ends_as_any_other() -> None:
     listed = Endpoint("e", 3, EndpointState.READY, "plain", "", 8.0)
-    at = SimpleNamespace(held={"m": 1}, endpoints=[SimpleNamespace(listed=listed)], breakers=())
+    at = SimpleNamespace(pending={"m": 1}, endpoints=[SimpleNamespace(listed=listed)], breakers=())
     there = SimpleNamespace(
         endpoints={"e": at.endpoints[0]}, destinations={3: at},
         registry=SimpleNamespace(kinds={"plain": DestinationKind()}, leave_grew=lambda number: None),
@@ -365,7 +365,7 @@
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     listed = Endpoint("e", 3, EndpointState.READY, "plain", "", 8.0)
-    at = SimpleNamespace(held={}, endpoints=[SimpleNamespace(listed=listed)], breakers=())
+    at = SimpleNamespace(pending={}, endpoints=[SimpleNamespace(listed=listed)], breakers=())
     registry = SimpleNamespace(kinds={"plain": DestinationKind()}, leave_grew=lambda number: None)
     there = SimpleNamespace(endpoints={"e": at.endpoints[0]}, destinations={3: at}, registry=registry)
     engine: Any = SimpleNamespace(
