--- a/benchmarks/power.py
+++ b/benchmarks/power.py
@@ -188,12 +188,12 @@
     end = loop.time() + 2
     calm = await stretch(lambda: loop.time() > end)
     began = loop.time()
-    while not journal.anew:
+    while not journal.replacement:
         await asyncio.sleep(0.001)
         began = loop.time()
         compact()
     first = (loop.time() - began) * 1000
-    during = await stretch(lambda: journal.anew is None)
+    during = await stretch(lambda: journal.replacement is None)
     journal.release()
     most = max(first, during[1])
     return (
--- a/benchmarks/scale/held.py
+++ b/benchmarks/scale/held.py
@@ -171,14 +171,14 @@
     fill(journal, count)
     journal.record_end(f"m{count - 1}", "delivered")  # something to be dropped
     loop, numbers = asyncio.get_running_loop(), itertools.count(count)
-    while journal.task or journal.timer:
+    while journal.sync_task or journal.sync_timer:
         await asyncio.sleep(0.01)
     gc.collect()
     began = loop.time()
     last = work_due = time.thread_time()
     journal.compact()
     longest = 0.0
-    while journal.anew and loop.time() < began + LONGEST_COMPACTION_S:
+    while journal.replacement and loop.time() < began + LONGEST_COMPACTION_S:
         now = time.thread_time()
         longest, last = max(longest, now - last), now
         while work_due < last:
@@ -203,7 +203,7 @@
     least spare room makes these as frequent as they get."""
     disk = CountingDisk()
     journal = open_journal(folder, disk)
-    journal.spare = 0
+    journal.reserve_bytes = 0
     fill(journal, count)
     before, churn = disk.written_bytes, CHURN_FACTOR * count
     for number in range(count, count + churn):
