--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -1,4 +1,4 @@
-"""The sum of what all may spend never passes the whole: the machine itself, explored to the end."""
+"""The sum of all shares never exceeds the limit: the lease protocol, explored completely."""
 
 import multiprocessing
 import os
@@ -15,56 +15,54 @@
 from message_sender.emulator.explore import Limits, explore, quiet
 
 TWO = Terms(limit=1, max_members=2, lease_duration=1, grantor_term=2, margin=1)
-STATES = int(os.environ.get("BUDGET_STATES", "40000"))  # the rest on request
-ALL = 150_000  # above any of these worlds' number
-SPENT = TWO._replace(usage_window=2)  # what was spent counts on for two ticks
+STATES = int(os.environ.get("BUDGET_STATES", "40000"))  # all of them on request
+ALL = 150_000  # more than any of these has
+SPENT = TWO._replace(usage_window=2)  # usage counts for two ticks
 
 
-#: Terms, limits, and whether all of it is seen.
+#: Terms, limits, and whether all states are visited.
 WORLDS = {
     "a member starts anew": (SPENT, Limits(words=1, lags=0, states=STATES), STATES > ALL),
     "a clock falls behind": (TWO, Limits(words=1, restarts=0, lags=1), True),
-    "a whole of three": (TWO._replace(limit=3), Limits(words=1, restarts=0, lags=0), True),
-    "the whole falls": (TWO._replace(limit=2), Limits(words=1, restarts=0, lags=0, falls=True), True),
+    "a limit of three": (TWO._replace(limit=3), Limits(words=1, restarts=0, lags=0), True),
+    "the limit falls": (TWO._replace(limit=2), Limits(words=1, restarts=0, lags=0, falls=True), True),
     "three members": (TWO._replace(max_members=3, limit=2), Limits(words=2, lags=1, states=20_000), False),
 }
 
 
-def seen(name: str) -> tuple[list[str], bool, int, int]:
-    """The way to a breach, whether all was seen, worlds, and those of a sample from which, once faults end,
-    not all of the whole can be given again."""
+def explore_world(name: str) -> tuple[list[str], bool, int, int]:
+    """Returns the trace of a violation, whether all states were visited, their number, and how many sampled
+    states there are from which, once faults end, the limit cannot be granted completely."""
     terms, limits, _ = WORLDS[name]
-    found = explore(terms, limits)
-    ends = [quiet(world, terms, wants) for world in found.some for wants in range(terms.max_members)]
-    return found.trace, found.whole, found.states, sum(each != terms.limit for each in ends)
+    result = explore(terms, limits)
+    ends = [quiet(world, terms, wants) for world in result.some for wants in range(terms.max_members)]
+    return result.trace, result.whole, result.states, sum(each != terms.limit for each in ends)
 
 
 @pytest.fixture(scope="module")
 def worlds() -> dict[str, tuple[list[str], bool, int, int]]:
     with ProcessPoolExecutor(3, multiprocessing.get_context("spawn")) as pool:
-        return dict(zip(WORLDS, pool.map(seen, WORLDS), strict=True))
+        return dict(zip(WORLDS, pool.map(explore_world, WORLDS), strict=True))
 
 
 @pytest.mark.parametrize("name", WORLDS)
-def test_no_world_spends_more_than_the_whole(
+def test_no_state_spends_more_than_the_limit(
     name: str, worlds: dict[str, tuple[list[str], bool, int, int]]
 ) -> None:
-    trace, whole, states, stuck = worlds[name]
+    trace, is_complete, states, stuck = worlds[name]
     print(f"{states} states")
     assert not trace, "\n".join(trace)
-    assert whole is WORLDS[name][2] and states > 5_000
+    assert is_complete is WORLDS[name][2] and states > 5_000
     assert not stuck
 
 
-def forgets(member: Member, terms: Terms, word: LeaseMessage, amount: int) -> Member:
+def record_no_grant(member: Member, terms: Terms, message: LeaseMessage, amount: int) -> Member:
     return member
 
 
-def keeps_what_it_gives_back(
-    member: Member, terms: Terms, keeper: int
-) -> tuple[Member, tuple[LeaseMessage, ...]]:
+def release_and_keep(member: Member, terms: Terms, grantor: int) -> tuple[Member, tuple[LeaseMessage, ...]]:
     return member, (
-        LeaseMessage(LeaseMessageKind.RELEASE, member.number, keeper, member.session, member.clock),
+        LeaseMessage(LeaseMessageKind.RELEASE, member.number, grantor, member.session, member.clock),
     )
 
 
@@ -72,8 +70,8 @@
     ("what", "defect", "terms", "limits"),
     [
         ("", None, TWO._replace(margin=0), Limits(words=1, restarts=0)),
-        ("record_grant", forgets, TWO, Limits(words=1, restarts=0, lags=0)),
-        ("release_lease", keeps_what_it_gives_back, TWO, Limits(words=1, restarts=0, lags=0)),
+        ("record_grant", record_no_grant, TWO, Limits(words=1, restarts=0, lags=0)),
+        ("release_lease", release_and_keep, TWO, Limits(words=1, restarts=0, lags=0)),
         (
             "has_previous_usage_expired",
             lambda member, terms: True,
@@ -115,43 +113,45 @@
     ids=[
         "no margin",
         "grant not on record",
-        "spent after it is back",
-        "a start spends and gives back at once",
-        "what ran out counts no longer",
-        "settled while in use",
-        "floor twice",
-        "a fall of the whole is not heeded",
-        "a promise is forgotten by a start",
+        "spent after its release",
+        "a new session spends and releases at once",
+        "expired leases count no longer",
+        "released while in use",
+        "floor counted twice",
+        "a fall of the limit is ignored",
+        "a restart forgets a promise",
     ],
 )
-def test_a_planted_defect_has_a_shortest_way(
+def test_a_planted_defect_has_a_shortest_trace(
     what: str, defect: Callable[..., Any], terms: Terms, limits: Limits, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     if what:
         monkeypatch.setattr(
             what if what.startswith("message_sender.") else f"message_sender.budget.lease.{what}", defect
         )
-    found = explore(terms, limits)
-    assert found.trace and found.trace[0] == "all have been up for long"
-    print("\n".join(found.trace))
+    result = explore(terms, limits)
+    assert result.trace and result.trace[0] == "all have been up for long"
+    print("\n".join(result.trace))
 
 
 TERMS = Terms(limit=5, max_members=3, lease_duration=100, grantor_term=200, margin=7)
 
 
 @given(st.integers(-300, 300), st.integers(-5, 10**9), st.integers(0, 2), st.sampled_from(LeaseMessageKind))
-def test_nothing_that_comes_gives_more_than_the_whole(
-    asked: int, amount: int, session: int, kind: LeaseMessageKind
+def test_no_message_lets_a_member_spend_more_than_the_limit(
+    requested_at: int, amount: int, session: int, kind: LeaseMessageKind
 ) -> None:
     member = lease.advance_clock(lease.new_member(0, 1), 150)
-    after, out = lease.handle_message(member, TERMS, LeaseMessage(kind, 1, 0, session, asked, amount))
+    after, replies = lease.handle_message(
+        member, TERMS, LeaseMessage(kind, 1, 0, session, requested_at, amount)
+    )
     assert lease.spendable_amount(after, TERMS) <= TERMS.limit
-    assert all(each.kind is LeaseMessageKind.PROMISE for each in out), "who is no keeper gives nothing"
-    if session != 1 or asked + TERMS.lease_duration <= 150:
+    assert all(each.kind is LeaseMessageKind.PROMISE for each in replies), "only a grantor grants"
+    if session != 1 or requested_at + TERMS.lease_duration <= 150:
         assert lease.spendable_amount(after, TERMS) == 0
 
 
-def test_what_is_held_runs_out_by_the_holders_own_clock() -> None:
+def test_a_lease_expires_by_the_clock_of_its_holder() -> None:
     member, _ = lease.handle_message(
         lease.advance_clock(lease.new_member(0, 1), 10),
         TERMS,
--- a/tests/test_budgeted.py
+++ b/tests/test_budgeted.py
@@ -1,5 +1,5 @@
-"""Five processes of the sender that share a budget, and faults between them: the receiver's own count never
-passes the whole."""
+"""Five processes of the sender that share a budget, with faults: the receiver's own count stays within the
+limit."""
 
 import asyncio
 import json
@@ -20,13 +20,13 @@
 from message_sender.testbed.history import most_in
 
 SEEDS = int(os.environ.get("BUDGET_SEEDS", "20"))
-WHOLE, SPAN = 20, 0.5  # calls, s
-RATE = int(WHOLE / SPAN)
+LIMIT, WINDOW_S = 20, 0.5  # calls, s
+RATE = int(LIMIT / WINDOW_S)
 #: s by which the time from a check to the receiver may differ while this machine is busy with other tests:
 #: the sender's own slack of 10 ms is for the way alone.
-SLACK = 0.15
-FAULTS_END = 3.0  # s
-MORE = """
+SLACK_S = 0.15
+FAULTS_END_S = 3.0  # s
+EXTRA_CONFIG = """
 [limits]
 max_open = 400
 max_attempts = 50
@@ -45,19 +45,19 @@
 lease_ms = 300
 floor = {floor}
 """
-CALLS = f'destination = 1\nof = "calls"\nwhole = {WHOLE}\nper_ms = {SPAN * 1000}\n'
-OUT = 'destination = 1\nof = "in_flight"\nwhole = 6\nheld_ms = 500\n'
+CALLS = f'destination = 1\nof = "calls"\nwhole = {LIMIT}\nper_ms = {WINDOW_S * 1000}\n'
+IN_FLIGHT = 'destination = 1\nof = "in_flight"\nwhole = 6\nheld_ms = 500\n'
 
 
 def configuration(budget: str, hub: ReceiverStub, floor: int = 1, slots: int = 64) -> str:
-    return MORE.format(floor=floor, slots=slots) + budget + hub.listed()
+    return EXTRA_CONFIG.format(floor=floor, slots=slots) + budget + hub.listed()
 
 
-def drawn(seed: int) -> list[Fault]:
-    """Two or three troubles, of which all are over by FAULTS_END."""
+def draw_faults(seed: int) -> list[Fault]:
+    """Returns two or three faults, all of which are over by FAULTS_END_S."""
     rng, plan = random.Random(f"budget {seed}"), list[Fault]()
     names = [f"n{number}" for number in range(5)]
-    for at in sorted(rng.uniform(0, FAULTS_END - 2) for _ in range(rng.randint(2, 3))):
+    for at in sorted(rng.uniform(0, FAULTS_END_S - 2) for _ in range(rng.randint(2, 3))):
         some = tuple(rng.sample(names, rng.randint(1, 3)))
         rest = tuple(name for name in names if name not in some)
         later = at + rng.uniform(0.5, 1.5)
@@ -71,18 +71,18 @@
                 [Fault(at, "split", sides)],
             ]
         )
-    ends = [Fault(FAULTS_END, what, names) for what, names in (("wake", ()), ("start", ()), ("heal", ()))]
+    ends = [Fault(FAULTS_END_S, what, names) for what, names in (("wake", ()), ("start", ()), ("heal", ()))]
     return plan + ends
 
 
 async def feed(cluster: Cluster, count: int) -> None:
-    """As many at each; one that is down gets none."""
+    """Submits as many messages to each member; one that is down gets none."""
     for number in range(count):
         names = [(f"{name}-{number}", name) for name in cluster.members]
         await asyncio.gather(*(cluster.hand_in(each, "safe", 1, 30, to=[name]) for each, name in names))
 
 
-async def life(folder: Path, seed: int, nursery: MemberFactory) -> str:
+async def run_with_faults(folder: Path, seed: int, nursery: MemberFactory) -> str:
     rng = random.Random(f"link {seed}")
     cluster = Cluster(folder, 5, seed, "group", nursery=nursery)
     async with ThreadedReceiverStub("hub", cluster.history, 1e9) as hub:
@@ -91,26 +91,26 @@
             await cluster.start()
             cluster.relay.loss, cluster.relay.delay = rng.choice([(0.0, 0.0), (0.2, 0.02), (0.05, 1.0)])
             await feed(cluster, 60)
-            await cluster.run(drawn(seed))
+            await cluster.run(draw_faults(seed))
             sent = len(hub.calls)
             # Nothing lasts for longer: promises, leases, what was spent, and a return from the power loss.
-            await cluster.until(lambda: len(hub.calls) > sent + 2 * WHOLE or nothing_is_held(cluster))
-            most = hub.most_in(SPAN - SLACK)
-            return f"seed {seed}: {most} in {SPAN - SLACK} s" if most > WHOLE else ""
+            await cluster.until(lambda: len(hub.calls) > sent + 2 * LIMIT or nothing_is_pending(cluster))
+            most = hub.most_in(WINDOW_S - SLACK_S)
+            return f"seed {seed}: {most} in {WINDOW_S - SLACK_S} s" if most > LIMIT else ""
 
 
-def nothing_is_held(cluster: Cluster) -> bool:
-    told = [ask(each.state, {"do": "fleet"})["value"] for each in cluster.members.values()]
-    return not any(x["members"][name]["owed"] for x, name in zip(told, cluster.members, strict=True))
+def nothing_is_pending(cluster: Cluster) -> bool:
+    states = [ask(each.state, {"do": "fleet"})["value"] for each in cluster.members.values()]
+    return not any(x["members"][name]["owed"] for x, name in zip(states, cluster.members, strict=True))
 
 
-def test_faults_from_twenty_seeds_never_pass_the_whole(tmp_path: Path) -> None:
+def test_usage_stays_within_the_limit_through_random_faults(tmp_path: Path) -> None:
     async def play() -> list[str]:
         turns = asyncio.Semaphore(10)
 
         async def one(seed: int) -> str:
             async with turns:
-                return await life(tmp_path / str(seed), seed, nursery)
+                return await run_with_faults(tmp_path / str(seed), seed, nursery)
 
         async with MemberFactory() as nursery:
             return [each for each in await asyncio.gather(*map(one, range(SEEDS))) if each]
@@ -118,115 +118,119 @@
     assert asyncio.run(play()) == []
 
 
-Act = Callable[[Cluster, ReceiverStub], Any]
+Scenario = Callable[[Cluster, ReceiverStub], Any]
 
 
-async def up(act: Act, budget: str, floor: int, rate: float, nursery: MemberFactory | None = None) -> None:
-    """A fleet that is up, with a hub that notes what comes."""
+async def up(
+    scenario: Scenario, budget: str, floor: int, rate: float, nursery: MemberFactory | None = None
+) -> None:
+    """Runs a scenario on a fleet that is up, with a hub that records its calls."""
     with tempfile.TemporaryDirectory() as folder:
         cluster = Cluster(Path(folder), 3, 1, "none", nursery=nursery)
         async with ThreadedReceiverStub("hub", cluster.history, rate) as hub:
             cluster.more = configuration(budget, hub, floor)
             async with cluster:
                 await cluster.start()
-                await act(cluster, hub)
+                await scenario(cluster, hub)
 
 
-def played(act: Act, budget: str = CALLS, floor: int = 0, rate: float = 1e9) -> None:
-    asyncio.run(up(act, budget, floor, rate))
+def run_fleet(scenario: Scenario, budget: str = CALLS, floor: int = 0, rate: float = 1e9) -> None:
+    asyncio.run(up(scenario, budget, floor, rate))
 
 
-def part(cluster: Cluster, name: str) -> dict[str, Any]:
-    found: dict[str, Any] = ask(cluster.members[name].state, {"do": "budgets"})["value"]["hub"]
-    return found
+def hub_status(cluster: Cluster, name: str) -> dict[str, Any]:
+    status: dict[str, Any] = ask(cluster.members[name].state, {"do": "budgets"})["value"]["hub"]
+    return status
 
 
-def test_who_stood_still_with_a_full_part_spends_nothing_of_it_when_it_wakes() -> None:
-    async def act(cluster: Cluster, hub: ReceiverStub) -> None:
+def test_a_paused_member_spends_nothing_of_an_expired_lease() -> None:
+    async def scenario(cluster: Cluster, hub: ReceiverStub) -> None:
         for number in range(60):
             await cluster.hand_in(f"m{number}", "safe", 1, 30, to=["n0"])
-        await cluster.until(lambda: part(cluster, "n0")["part"] >= WHOLE - 1)
+        await cluster.until(lambda: hub_status(cluster, "n0")["part"] >= LIMIT - 1)
         await cluster.stop("n0")
         for number in range(60):
             await cluster.hand_in(f"l{number}", "safe", 1, 30, to=["n1"])
-        await cluster.until(lambda: part(cluster, "n1")["part"] >= WHOLE - 1)
+        await cluster.until(lambda: hub_status(cluster, "n1")["part"] >= LIMIT - 1)
         await cluster.wake("n0")
         await cluster.until(lambda: len(hub.ran) == 120)
-        assert hub.most_in(SPAN - SLACK) <= WHOLE
+        assert hub.most_in(WINDOW_S - SLACK_S) <= LIMIT
 
-    played(act)
+    run_fleet(scenario)
 
 
-def test_things_that_are_held_at_once_stay_within_the_whole() -> None:
-    async def act(cluster: Cluster, hub: ReceiverStub) -> None:
+def test_concurrent_calls_stay_within_the_limit() -> None:
+    async def scenario(cluster: Cluster, hub: ReceiverStub) -> None:
         hub.takes = 0.2
         await feed(cluster, 20)
         await cluster.until(lambda: len(hub.ran) >= 20)
         await cluster.kill("n0")
         await cluster.until(lambda: len(hub.ran) >= 40)
         assert 4 <= hub.most_in(hub.takes) <= 6 + 1, (
-            "one of them may have been answered and not yet be seen here"
+            "the response to one of them may not have been counted yet"
         )
 
-    played(act, OUT)
+    run_fleet(scenario, IN_FLIGHT)
 
 
-async def halved(was: str, to: str, cluster: Cluster, hub: ReceiverStub) -> None:
-    """By a reload of all, while all is out."""
+async def halve_limit(was: str, to: str, cluster: Cluster, hub: ReceiverStub) -> None:
+    """Halves the limit by a reload of all members while all of it is in use."""
     await feed(cluster, 30)
-    await cluster.until(lambda: len(hub.calls) > WHOLE)
+    await cluster.until(lambda: len(hub.calls) > LIMIT)
     for each in cluster.members.values():
         file = each.folder / "config.toml"
         file.write_text(file.read_text().replace(was, to))
         cluster.signal(each, signal.SIGHUP)
-    told = f"the whole is {WHOLE // 2} from now on"
-    await cluster.until(lambda: all(told in str(part(cluster, name)) for name in cluster.members))
-    within = 2 * 0.3 + SPAN  # two leases, and a span
+    change = f"the whole is {LIMIT // 2} from now on"
+    await cluster.until(lambda: all(change in str(hub_status(cluster, name)) for name in cluster.members))
+    within = 2 * 0.3 + WINDOW_S  # two leases, and a span
     await cluster.until(
-        lambda: sum(part(cluster, name)["part"] for name in cluster.members) <= WHOLE // 2, within
+        lambda: sum(hub_status(cluster, name)["part"] for name in cluster.members) <= LIMIT // 2, within
     )
     hub.calls.clear()
     await cluster.until(lambda: all_ran(cluster, hub))
-    assert WHOLE // 4 < hub.most_in(SPAN - SLACK) <= WHOLE // 2
+    assert LIMIT // 4 < hub.most_in(WINDOW_S - SLACK_S) <= LIMIT // 2
 
 
-def test_without_a_budget_the_same_work_passes_the_whole() -> None:
-    async def act(cluster: Cluster, hub: ReceiverStub) -> None:
+def test_without_a_budget_the_same_load_exceeds_the_limit() -> None:
+    async def scenario(cluster: Cluster, hub: ReceiverStub) -> None:
         await feed(cluster, 20)
         await cluster.until(lambda: len(hub.ran) == 60)
-        assert hub.most_in(SPAN - SLACK) > WHOLE
+        assert hub.most_in(WINDOW_S - SLACK_S) > LIMIT
 
-    played(act, CALLS.replace(str(WHOLE), "1000"))
+    run_fleet(scenario, CALLS.replace(str(LIMIT), "1000"))
 
 
-def test_people_see_who_has_what_and_why() -> None:
-    async def act(cluster: Cluster, hub: ReceiverStub) -> None:
+def test_operators_see_each_share_and_its_reason() -> None:
+    async def scenario(cluster: Cluster, hub: ReceiverStub) -> None:
         await feed(cluster, 60)
-        await cluster.until(lambda: any("from 0 to" in text for _, text in part(cluster, "n1")["changes"]))
+        await cluster.until(
+            lambda: any("from 0 to" in text for _, text in hub_status(cluster, "n1")["changes"])
+        )
         state = str(cluster.members["n1"].state)
         run = CliRunner().invoke
-        told = json.loads(run(command.fleet, ["budgets", state, "--json"]).output)[state]["hub"]
-        assert told["whole"] == WHOLE and told["keeper"] in cluster.members
+        status = json.loads(run(command.fleet, ["budgets", state, "--json"]).output)[state]["hub"]
+        assert status["whole"] == LIMIT and status["keeper"] in cluster.members
         shown = run(command.fleet, ["budgets", state]).output
-        assert f"hub: {WHOLE} calls in 500 ms" in shown and f"kept by {told['keeper']}" in shown
+        assert f"hub: {LIMIT} calls in 500 ms" in shown and f"kept by {status['keeper']}" in shown
         why = run(command.fleet, ["explain", "hub", state]).output
         assert "from 0 to" in why and "needed" in why
         assert "no budget named other" in run(command.fleet, ["explain", "other", state]).output
         states = [str(each.state) for each in cluster.members.values()]
         drawn_to = cluster.members["n1"].folder / "hub.svg"
-        said = await asyncio.to_thread(
+        chart = await asyncio.to_thread(
             run, command.fleet, ["chart", "hub", *states, "--to", str(drawn_to), "--seconds", "1"]
         )
-        assert "samples of 3 senders" in said.output, said.output
+        assert "samples of 3 senders" in chart.output, chart.output
         shown = drawn_to.read_text()
         assert all(text in shown for text in ("n0", "n2", "the whole", "spent in 0.5 s"))
 
-    played(act)
+    run_fleet(scenario)
 
 
-def test_a_tenant_has_its_share_over_all_doors() -> None:
-    async def act(cluster: Cluster, hub: ReceiverStub) -> None:
-        await cluster.until(lambda: all(part(cluster, name)["keeper"] for name in cluster.members))
+def test_a_tenants_quota_applies_to_the_whole_fleet() -> None:
+    async def scenario(cluster: Cluster, hub: ReceiverStub) -> None:
+        await cluster.until(lambda: all(hub_status(cluster, name)["keeper"] for name in cluster.members))
         taken = list[float]()
         loop = asyncio.get_running_loop()
         began = loop.time()
@@ -234,11 +238,11 @@
             for name in cluster.members:
                 if await cluster.hand_in(f"{name}-{loop.time()}", "safe", 1, 30, to=[name], tenant="acme"):
                     taken.append(loop.time())
-        assert most_in(taken, SPAN - SLACK) <= WHOLE
-        assert len(taken) > WHOLE * 2
+        assert most_in(taken, WINDOW_S - SLACK_S) <= LIMIT
+        assert len(taken) > LIMIT * 2
 
-    told = f'of = "tenant"\ntenant = "acme"\nwhole = {WHOLE}\nper_ms = 500\n'
-    played(act, told)
+    tenant_budget = f'of = "tenant"\ntenant = "acme"\nwhole = {LIMIT}\nper_ms = 500\n'
+    run_fleet(scenario, tenant_budget)
 
 
 RATED = "whole = 4\nper_ms = 500\n"
@@ -249,7 +253,7 @@
 
 
 async def trials(cluster: Cluster, hub: ReceiverStub) -> None:
-    """Each of three finds the hub out of order; from there on it is tried by one at a time."""
+    """Each of three members opens its breaker; from then on one at a time tries the hub."""
     hub.fails = 0.25
     await feed(cluster, 8)
     names = list(cluster.members)
@@ -265,36 +269,36 @@
     return dict(ask(cluster.members[name].state, {"do": "budgets"})["value"])
 
 
-async def repeats(cluster: Cluster, hub: ReceiverStub) -> None:
+async def retries(cluster: Cluster, hub: ReceiverStub) -> None:
     hub.fails = 0.001
     await feed(cluster, 10)
     await cluster.until(lambda: len(hub.again) >= 12)
     hub.fails = 0.0
     await feed(cluster, 14)
     await cluster.until(lambda: all_ran(cluster, hub))
-    assert most_in(hub.again, SPAN - SLACK) <= 4
+    assert most_in(hub.again, WINDOW_S - SLACK_S) <= 4
 
 
-async def earned(cluster: Cluster, hub: ReceiverStub) -> None:
-    """A repeat for two first attempts of the same two seconds, whoever made them."""
+async def allowed_retries(cluster: Cluster, hub: ReceiverStub) -> None:
+    """One retry for two first attempts within the same two seconds, by any member."""
     hub.fails = 0.001
     await feed(cluster, 8)
     await cluster.until(lambda: len(hub.again) >= 8)
     for at in hub.again:
-        repeats = sum(at - 2 + SLACK < each <= at for each in hub.again)
-        firsts = sum(at - 2 - SLACK < each <= at + SLACK for each in hub.calls) - repeats
-        assert 0 < repeats <= firsts / 2 + 3, "and one of each member's, in any case"
+        retried = sum(at - 2 + SLACK_S < each <= at for each in hub.again)
+        firsts = sum(at - 2 - SLACK_S < each <= at + SLACK_S for each in hub.calls) - retried
+        assert 0 < retried <= firsts / 2 + 3, "and one of each member's, in any case"
 
 
 async def handshakes(cluster: Cluster, hub: ReceiverStub) -> None:
     hub.more = "Connection: close\r\n"
     await feed(cluster, 8)
     await cluster.until(lambda: all_ran(cluster, hub))
-    assert 3 <= most_in(hub.opened, SPAN - SLACK) <= 4 and len(hub.opened) >= 24
+    assert 3 <= most_in(hub.opened, WINDOW_S - SLACK_S) <= 4 and len(hub.opened) >= 24
 
 
 async def connections(cluster: Cluster, hub: ReceiverStub) -> None:
-    """Three for three members with work for many; who has none gives its kept ones up."""
+    """Three connections for three members with work for more; a member without work closes its idle ones."""
     hub.takes = 0.05
     await feed(cluster, 30)
     await cluster.until(lambda: all_ran(cluster, hub))
@@ -302,40 +306,40 @@
     for number in range(20):
         await cluster.hand_in(f"late-{number}", "safe", 1, 30, to=["n2"])
     await cluster.until(lambda: all_ran(cluster, hub))
-    assert hub.most_open <= 3 < len(hub.opened), "each is retired in its time"
+    assert hub.most_open <= 3 < len(hub.opened), "each connection is closed at its maximum age"
 
 
-async def told_by_answers(cluster: Cluster, hub: ReceiverStub) -> None:
-    """Its list says nothing of use; the first answers tell ten calls in a second."""
+async def announced_by_responses(cluster: Cluster, hub: ReceiverStub) -> None:
+    """The list announces nothing of use; the first responses announce ten calls in a second."""
     hub.more = 'RateLimit-Policy: "burst";q=10;w=1\r\n'
     await feed(cluster, 4)
-    await cluster.until(lambda: all(part(cluster, name)["whole"] == 5 for name in cluster.members))
+    await cluster.until(lambda: all(hub_status(cluster, name)["whole"] == 5 for name in cluster.members))
     before = len(hub.calls)
     await feed(cluster, 16)
     await cluster.until(lambda: all_ran(cluster, hub))
-    assert 4 <= most_in(hub.calls[before:], SPAN - SLACK) <= 5
+    assert 4 <= most_in(hub.calls[before:], WINDOW_S - SLACK_S) <= 5
 
 
 TOLD = 'destination = 1\nof = "calls"\nwhole = "told"\nper_ms = 500\n'
-KINDS: dict[str, tuple[Act, str, float]] = {
-    "told, halved": (partial(halved, f"rate = {RATE}", f"rate = {RATE // 2}"), TOLD, RATE),
-    "halved": (partial(halved, f"whole = {WHOLE}", f"whole = {WHOLE // 2}"), CALLS, 1e9),
+KINDS: dict[str, tuple[Scenario, str, float]] = {
+    "told, halved": (partial(halve_limit, f"rate = {RATE}", f"rate = {RATE // 2}"), TOLD, RATE),
+    "halved": (partial(halve_limit, f"whole = {LIMIT}", f"whole = {LIMIT // 2}"), CALLS, 1e9),
     "trials": (trials, 'destination = "each"\nof = "trials"\nwhole = 1\nheld_ms = 1000\n', 1e9),
-    "repeats": (repeats, f'zone = "a"\nof = "repeats"\n{RATED}', 1e9),
-    "earned repeats": (earned, 'destination = 1\nof = "repeats"\nshare = 0.5\nper_ms = 2000\n', 1e9),
+    "repeats": (retries, f'zone = "a"\nof = "repeats"\n{RATED}', 1e9),
+    "earned repeats": (allowed_retries, 'destination = 1\nof = "repeats"\nshare = 0.5\nper_ms = 2000\n', 1e9),
     "handshakes": (handshakes, f'endpoint = "hub"\nof = "handshakes"\n{RATED}', 1e9),
     "connections": (connections, 'endpoint = "each"\nof = "connections"\nwhole = 3\nheld_ms = 3000\n', 1e9),
-    "told by answers": (told_by_answers, TOLD, 40),
+    "told by answers": (announced_by_responses, TOLD, 40),
 }
 
 
-def test_three_processes_keep_to_what_is_shared_whatever_it_is() -> None:
-    """A fleet for each kind, all at once."""
+def test_three_processes_respect_each_kind_of_budget() -> None:
+    """Runs a fleet for each kind, all at once."""
 
     async def play() -> list[BaseException | None]:
         async with MemberFactory() as nursery:
-            lives = (up(act, told, 0, rate, nursery) for act, told, rate in KINDS.values())
-            return await asyncio.gather(*lives, return_exceptions=True)
+            runs = (up(scenario, budget, 0, rate, nursery) for scenario, budget, rate in KINDS.values())
+            return await asyncio.gather(*runs, return_exceptions=True)
 
-    found = dict(zip(KINDS, asyncio.run(play()), strict=True))
-    assert not {name: repr(each) for name, each in found.items() if each}
+    errors = dict(zip(KINDS, asyncio.run(play()), strict=True))
+    assert not {name: repr(each) for name, each in errors.items() if each}
--- a/tests/test_manage.py
+++ b/tests/test_manage.py
@@ -1,4 +1,4 @@
-"""The operators' calls over loopback: each of them, its refusals, and what it changes."""
+"""The management API over loopback: each call, its rejections and its effects."""
 
 import asyncio
 import json
@@ -43,29 +43,29 @@
 
 @asynccontextmanager
 async def managed(state: Path, **kind: object) -> AsyncIterator[tuple[World, Address]]:
-    """A sender whose operators' address is the second value."""
+    """Runs a sender; the second value is the address of its management API."""
     world = World(state, **kind)
     async with Peer() as receiver, Platform() as platform:
-        told = config_json(platform, host(receiver.dial), **kind) | {"management": "127.0.0.1:0"}
-        world.receiver, world.platform, world.told = receiver, platform, told
-        async with Running(told, state) as running:
+        config = config_json(platform, host(receiver.dial), **kind) | {"management": "127.0.0.1:0"}
+        world.receiver, world.platform, world.told = receiver, platform, config
+        async with Running(config, state) as running:
             world.running, world.sender, world.hand_in = running, running.sender, running.hand_in
             yield world, running.sender.desk.address()
 
 
-class Named:
-    """A platform that nobody calls."""
+class UnusedPlatform:
+    """A platform that is never called."""
 
     dial = "127.0.0.1:9"
 
 
-def figures(reply: Reply) -> dict[str, int]:
+def parse_metrics(reply: Reply) -> dict[str, int]:
     lines = (each.removeprefix("edge_balancer.").partition("=") for each in reply.body.decode().split())
     return {name: int(value) for name, _, value in lines}
 
 
 @pytest.mark.parametrize(
-    ("method", "target", "said"),
+    ("method", "target", "expected"),
     [
         ("GET", "/healthcheck", ManagementCall(Operation.READINESS)),
         ("GET", "/stats?now", ManagementCall(Operation.METRICS)),
@@ -82,17 +82,19 @@
         ("GET", "/healthcheck/", 404),
     ],
 )
-def test_each_call_and_what_is_none(method: str, target: str, said: ManagementCall | int) -> None:
-    found = parse_call(method, target)
+def test_each_path_and_method_is_parsed_or_rejected(
+    method: str, target: str, expected: ManagementCall | int
+) -> None:
+    result = parse_call(method, target)
     assert (
-        found == said
-        if isinstance(said, ManagementCall)
-        else isinstance(found, ManagementReply) and found.status == said
+        result == expected
+        if isinstance(expected, ManagementCall)
+        else isinstance(result, ManagementReply) and result.status == expected
     )
 
 
 @play
-async def test_a_sender_answers_and_refuses(tmp_path: Path) -> None:
+async def test_a_sender_replies_to_calls_and_rejects_bad_requests(tmp_path: Path) -> None:
     async with managed(tmp_path) as (world, address):
         assert (await call(address, "GET", "/healthcheck")).status == 200
         for bad, status in (
@@ -108,15 +110,15 @@
         assert world.sender.server.ready
 
 
-def test_without_an_address_nothing_listens_and_a_bad_one_is_named(tmp_path: Path) -> None:
-    told = config_json(Named())
-    assert config_from(told, tmp_path).management is None
+def test_the_address_is_optional_and_a_bad_one_is_reported(tmp_path: Path) -> None:
+    config = config_json(UnusedPlatform())
+    assert config_from(config, tmp_path).management is None
     with pytest.raises(StartupConfigError, match="management: 'here' is not host:port"):
-        config_from(told | {"management": "here"}, tmp_path)
+        config_from(config | {"management": "here"}, tmp_path)
 
 
 @play
-async def test_an_address_that_is_taken_ends_the_start(tmp_path: Path) -> None:
+async def test_an_address_in_use_ends_the_start(tmp_path: Path) -> None:
     async with Peer() as other, Platform() as platform:
         with pytest.raises(OSError):
             async with Running(config_json(platform) | {"management": other.dial}, tmp_path):
@@ -124,7 +126,7 @@
 
 
 @play
-async def test_figures_are_those_of_the_tables(tmp_path: Path) -> None:
+async def test_metrics_are_those_of_the_tables(tmp_path: Path) -> None:
     async with managed(tmp_path) as (world, address):
         for name in ("m1", "m2", "m3"):
             await world.hand_in(name)
@@ -134,38 +136,38 @@
         await world.receiver.next()
         while len(world.sender.engine.journal.entries) > 1:
             await turn()
-        told = figures(await call(address, "GET", "/stats"))
-        assert told["transactions.c.answered"] == 1 and told["transactions.c.errored"] == 0
-        assert told["sends"] == 3 and told["current"] == 1
-        assert told["cluster_size"] == 1 and told["cluster_unhealthy"] == 0
+        metrics = parse_metrics(await call(address, "GET", "/stats"))
+        assert metrics["transactions.c.answered"] == 1 and metrics["transactions.c.errored"] == 0
+        assert metrics["sends"] == 3 and metrics["current"] == 1
+        assert metrics["cluster_size"] == 1 and metrics["cluster_unhealthy"] == 0
 
 
 @play
-async def test_what_is_returned_counts_as_deferred_once_the_platform_has_heard(tmp_path: Path) -> None:
+async def test_a_returned_message_counts_as_deferred_once_the_platform_knows(tmp_path: Path) -> None:
     async with managed(tmp_path) as (world, address):
         await world.hand_in("m1", X_Time_Left="0.06")
         notice = await world.platform.next()
         while notice.target != "/v1/notices":
             notice = await world.platform.next()
-        assert figures(await call(address, "GET", "/stats"))["current"] == 1
+        assert parse_metrics(await call(address, "GET", "/stats"))["current"] == 1
         notice.answer(204)
         while world.sender.engine.journal.entries:
             await turn()
         state = json.loads(notice.body)["state"]
         kind = {"returned": "deferred", "failed": "errored"}[state]
-        told = figures(await call(address, "GET", "/stats"))
-        assert told[f"transactions.c.{kind}"] == 1 and told["current"] == 0
+        metrics = parse_metrics(await call(address, "GET", "/stats"))
+        assert metrics[f"transactions.c.{kind}"] == 1 and metrics["current"] == 0
 
 
 @play
-async def test_a_receiver_out_gets_nothing_whatever_the_list_says(tmp_path: Path) -> None:
+async def test_an_endpoint_in_maintenance_gets_nothing_whatever_the_list_says(tmp_path: Path) -> None:
     async with managed(tmp_path) as (world, address):
         watch = await soon(world.platform.watches.get())
         assert (await call(address, "POST", "/receivers/other/maint")).status == 404
         assert (await call(address, "POST", "/receivers/r/maint")).status == 200
         assert (await call(address, "POST", "/receivers/r/maint")).status == 200
         assert json.loads((tmp_path / "orders.json").read_text())["out"] == ["r"]
-        assert figures(await call(address, "GET", "/stats"))["cluster_unhealthy"] == 1
+        assert parse_metrics(await call(address, "GET", "/stats"))["cluster_unhealthy"] == 1
         tell(watch, 42, host(world.receiver.dial, health="gone"))
         tell(watch, 43, host(world.receiver.dial))
         while world.sender.discovery.seq != 43:
@@ -180,7 +182,7 @@
 
 
 @play
-async def test_maintenance_holds_over_a_restart_and_through_what_cannot_be_read(tmp_path: Path) -> None:
+async def test_maintenance_survives_a_restart_but_not_an_unreadable_file(tmp_path: Path) -> None:
     async with managed(tmp_path) as (world, address):
         assert (await call(address, "POST", "/receivers/r/maint")).status == 200
         world.sender.stop(0)
@@ -195,7 +197,7 @@
 
 
 @play
-async def test_an_order_that_cannot_be_put_on_record_is_no_and_changes_nothing(tmp_path: Path) -> None:
+async def test_an_order_that_cannot_be_recorded_is_rejected_and_has_no_effect(tmp_path: Path) -> None:
     async with managed(tmp_path) as (world, address):
         (tmp_path / "orders.json.new").mkdir()
         assert (await call(address, "POST", "/receivers/r/maint")).status == 503
@@ -206,7 +208,7 @@
 
 
 @play
-async def test_clients_are_sent_away_and_come_back(tmp_path: Path) -> None:
+async def test_draining_closes_connections_and_resuming_accepts_them(tmp_path: Path) -> None:
     async with managed(tmp_path) as (world, address):
         server = world.sender.server
         kept = await Held.open(server, message("m1"))
@@ -232,55 +234,55 @@
 
 
 @play
-async def test_the_order_to_send_away_outlasts_the_process(tmp_path: Path) -> None:
+async def test_draining_survives_a_restart(tmp_path: Path) -> None:
     async with managed(tmp_path) as (world, address):
         assert (await call(address, "POST", "/healthcheck/fail")).status == 200
         world.sender.stop(0)
         await world.running.task
         async with Running(world.told, tmp_path) as again:
             assert (await ask(again.address, READY)).status == 503
-            there = again.sender.desk.address()
-            assert (await call(there, "POST", "/healthcheck/ok")).status == 200
+            new_address = again.sender.desk.address()
+            assert (await call(new_address, "POST", "/healthcheck/ok")).status == 200
             assert (await ask(again.address, READY)).status == 200
 
 
 class Clock:
-    """The loop's time as a test sets it, for what the listener keeps."""
+    """Moves the deadlines of a listener's connections."""
 
     def __init__(self, listener: ManagementServer) -> None:
         self.listener = listener
 
     def pass_by(self, seconds: float) -> None:
-        for caller in self.listener.connections:
-            caller.deadline -= seconds
+        for connection in self.listener.connections:
+            connection.deadline -= seconds
         self.listener.close_expired()
 
 
 @play
-async def test_a_hundred_half_calls_keep_nobody_out(tmp_path: Path) -> None:
-    listener = ManagementServer(lambda asked: ManagementReply(200, "yes"))
+async def test_a_hundred_incomplete_requests_block_nobody(tmp_path: Path) -> None:
+    listener = ManagementServer(lambda call: ManagementReply(200, "yes"))
     listener.listen("127.0.0.1", 0)
-    halves = []
+    incomplete = []
     for at in range(100):
         reader, writer = await asyncio.open_connection(*listener.address())
         writer.write(b"POST /healthcheck/fail HTTP/1.1\r\n" if at % 2 else b"")
-        halves.append((reader, writer))
+        incomplete.append((reader, writer))
         if at % 10 == 9:
             assert (await call(listener.address(), "GET", "/healthcheck")).status == 200
     assert len(listener.connections) <= MAX_CONNECTIONS
     Clock(listener).pass_by(REQUEST_TIMEOUT_S)
-    assert (await read_reply(halves[-1][0])).status == 408
-    for _, writer in halves:
+    assert (await read_reply(incomplete[-1][0])).status == 408
+    for _, writer in incomplete:
         writer.close()
     listener.close()
 
 
 @play
-async def test_a_call_in_pieces_is_heard_and_a_defect_is_a_no(tmp_path: Path) -> None:
-    asked: list[ManagementCall] = []
+async def test_a_request_in_pieces_is_read_and_a_defect_gives_500(tmp_path: Path) -> None:
+    calls: list[ManagementCall] = []
 
     def act(call: ManagementCall) -> ManagementReply:
-        asked.append(call)
+        calls.append(call)
         raise RuntimeError("nobody foresaw this")
 
     listener = ManagementServer(act)
@@ -288,17 +290,17 @@
     reader, writer = await asyncio.open_connection(*listener.address())
     writer.get_extra_info("socket").setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     for byte in b"GET /stats HTTP/1.1\r\nHost: x\r\n\r\n":
-        assert not asked
+        assert not calls
         writer.write(bytes([byte]))
         await turn()
     assert (await read_reply(reader)).status == 500
-    assert await soon(reader.read()) == b"" and asked == [ManagementCall(Operation.METRICS)]
+    assert await soon(reader.read()) == b"" and calls == [ManagementCall(Operation.METRICS)]
     writer.close()
     listener.close()
 
 
 @play
-async def test_a_storm_at_the_door_does_not_hold_up_a_call(tmp_path: Path) -> None:
+async def test_a_connection_storm_does_not_delay_a_call(tmp_path: Path) -> None:
     async with managed(tmp_path) as (world, address):
         server = world.sender.server
         held = [await Held.open(server, message(f"s{at}")) for at in range(server.most)]
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -1,5 +1,5 @@
-"""Budgets that a fleet shares, on virtual time: never more than the whole at the receiver in any span,
-through all faults that are drawn; by need; and anew as members come and go."""
+"""Budgets that a fleet shares, on virtual time: the receiver never gets more than the limit in any window,
+through random faults; shares follow demand, and are divided anew as members come and go."""
 
 import multiprocessing
 import os
@@ -35,12 +35,12 @@
 US = 1_000_000
 
 
-def budget(size: int, whole: int = 30, floor: int = 0, lease_s: float = 1.0) -> Budget:
-    return Budget("hub", "calls", whole, size, US, floor=floor, lease_us=int(lease_s * US))
+def budget(size: int, limit: int = 30, floor: int = 0, lease_s: float = 1.0) -> Budget:
+    return Budget("hub", "calls", limit, size, US, floor=floor, lease_us=int(lease_s * US))
 
 
-def drawn(seed: int) -> Fleet:
-    """12 s of faults among a few members, and as long without."""
+def run_with_faults(seed: int) -> Fleet:
+    """Runs a few members for 12 s with random faults, and as long without."""
     size = 3 + seed % 4
     works = [60 / (1 + (each + seed) % size) for each in range(size)]
     fleet = Fleet(budget(size, floor=seed % 3), size, seed, works)
@@ -49,25 +49,25 @@
     return fleet
 
 
-def harm(fleet: Fleet) -> str:
-    ledger, whole = fleet.ledger, fleet.budget.limit
-    if ledger.most() > whole or ledger.most_parts > whole:
-        return f"{ledger.most()} in a span and {ledger.most_parts} at one instant, of {whole}"
-    used = ledger.used(20, 20 + 6 * 1.0203, whole)  # whole spans, with their slack
+def find_violation(fleet: Fleet) -> str:
+    ledger, limit = fleet.ledger, fleet.budget.limit
+    if ledger.most() > limit or ledger.most_parts > limit:
+        return f"{ledger.most()} in a window and {ledger.most_parts} at one instant, of {limit}"
+    used = ledger.used(20, 20 + 6 * 1.0203, limit)  # complete windows, with their slack
     return "" if used > 0.9 else f"only {used:.2f} used long after the last fault"
 
 
-def harm_of(seed: int) -> str:
-    return harm(drawn(seed))
+def find_violation_of_seed(seed: int) -> str:
+    return find_violation(run_with_faults(seed))
 
 
-def test_never_above_the_whole_and_all_of_it_after_the_faults() -> None:
+def test_usage_stays_within_the_limit_and_recovers_after_faults() -> None:
     with ProcessPoolExecutor(3, multiprocessing.get_context("spawn")) as pool:
-        found = dict(enumerate(pool.map(harm_of, range(SEEDS))))
-    assert not {seed: each for seed, each in found.items() if each}
+        violations = dict(enumerate(pool.map(find_violation_of_seed, range(SEEDS))))
+    assert not {seed: text for seed, text in violations.items() if text}
 
 
-def test_a_planted_defect_passes_the_whole_somewhere(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_planted_defect_exceeds_the_limit_for_some_seed(monkeypatch: pytest.MonkeyPatch) -> None:
     plain = Budget.terms
     planted: dict[str, Callable[[], None]] = {
         "what ran out counts no longer": lambda: monkeypatch.setattr(
@@ -80,11 +80,11 @@
     }
     for what, plant in planted.items():
         plant()
-        assert any("in a span" in harm(drawn(seed)) for seed in range(24)), what
+        assert any("in a window" in find_violation(run_with_faults(seed)) for seed in range(24)), what
         monkeypatch.undo()
 
 
-def test_by_need_then_by_another_ones_need() -> None:
+def test_shares_follow_demand_as_it_moves_between_members() -> None:
     fleet = Fleet(budget(5, 60, floor=2), 5, 1, [50, 5, 5, 5, 5])
     fleet.hall.run(15.0)
     first = fleet.ledger.by(10, 15)
@@ -97,37 +97,37 @@
     assert fleet.ledger.most() <= 60
 
 
-def test_a_dead_members_part_is_in_use_again_within_its_leases() -> None:
+def test_the_share_of_a_dead_member_is_reused_after_its_lease() -> None:
     fleet = Fleet(budget(5, 60), 5, 2, [60.0] * 5)
     fleet.hall.run(12.0)
-    keeper = fleet.desks["n0"].ledgers["hub"].grantor()
-    fleet.end(next(each for each in range(5) if f"n{each}" != keeper))
+    grantor = fleet.desks["n0"].ledgers["hub"].grantor()
+    fleet.end(next(each for each in range(5) if f"n{each}" != grantor))
     fleet.hall.run(20.0)
     assert fleet.ledger.used(12, 14, 60) < 0.9 < fleet.ledger.used(15.9, 20, 60)
-    fleet.end(int(keeper[1:]))
+    fleet.end(int(grantor[1:]))
     fleet.hall.run(32.0)
     assert fleet.ledger.used(27.9, 32, 60) > 0.9 and fleet.ledger.most() <= 60
 
 
-def test_a_side_without_a_majority_keeps_its_floors_alone() -> None:
+def test_a_minority_partition_spends_only_its_floors() -> None:
     fleet = Fleet(budget(5, 60, floor=4), 5, 3, [60.0] * 5)
     fleet.hall.run(10.0)
     fleet.hall.split(["n0", "n1"], ["n2", "n3", "n4"])
     fleet.hall.run(30.0)
-    found = fleet.ledger.by(20, 30)
-    assert all(34 <= found[name] <= 40 for name in ("n0", "n1")), "4 a second"
-    assert sum(found[name] for name in ("n2", "n3", "n4")) >= (60 - 8) * 10 * 0.9
+    calls = fleet.ledger.by(20, 30)
+    assert all(34 <= calls[name] <= 40 for name in ("n0", "n1")), "4 a second"
+    assert sum(calls[name] for name in ("n2", "n3", "n4")) >= (60 - 8) * 10 * 0.9
     assert fleet.ledger.most() <= 60
 
 
-def test_a_whole_of_three_goes_round_many() -> None:
+def test_a_limit_of_three_rotates_among_fourteen_members() -> None:
     fleet = Fleet(budget(14, 3), 14, 4, [1.0] * 14)
     fleet.hall.run(40.0)
     assert fleet.ledger.most() <= 3 and fleet.ledger.used(15, 40, 3) > 0.8
     assert len(fleet.ledger.by(10, 40)) == 14
 
 
-def test_a_lowered_whole_binds_within_its_leases() -> None:
+def test_a_lowered_limit_applies_after_the_leases_end() -> None:
     fleet = Fleet(budget(4, 40), 4, 5, [40.0] * 4)
     fleet.hall.run(10.0)
     fleet.lower(20)
@@ -137,7 +137,7 @@
     assert fleet.ledger.most() <= 20 and fleet.ledger.used(14, 20, 20) > 0.9
 
 
-def test_the_smaller_of_two_wholes_under_one_name_binds() -> None:
+def test_the_smallest_limit_applies_when_members_disagree() -> None:
     fleet = Fleet(budget(4, 40), 4, 6, [40.0] * 4)
     fleet.desks["n2"].update_budget(budget(4, 20))
     fleet.whole = 20
@@ -145,17 +145,17 @@
     assert fleet.ledger.most() <= 20 and fleet.ledger.used(14, 20, 20) > 0.9
 
 
-def test_a_passing_budget_that_nobody_needs_is_forgotten_and_comes_again() -> None:
+def test_an_idle_transient_budget_is_closed_and_can_be_opened_again() -> None:
     fleet = Fleet(budget(3, 30), 3, 7, [20.0] * 3)
-    for desk in fleet.desks.values():
-        desk.ledgers["hub"].is_transient = True
+    for manager in fleet.desks.values():
+        manager.ledgers["hub"].is_transient = True
     fleet.hall.run(8.0)
     fleet.works = dict.fromkeys(fleet.works, 0.0)
     fleet.hall.run(90.0)
     quiet = fleet.hall.sent
-    assert [desk.close_idle() for desk in fleet.desks.values()] == [["hub"]] * 3
-    for name, desk in fleet.desks.items():
-        desk.open(fleet.budget, lambda name=name: int(fleet.held[name]))  # type: ignore[misc]
+    assert [manager.close_idle() for manager in fleet.desks.values()] == [["hub"]] * 3
+    for name, manager in fleet.desks.items():
+        manager.open(fleet.budget, lambda name=name: int(fleet.held[name]))  # type: ignore[misc]
     fleet.works = dict.fromkeys(fleet.works, 20.0)
     fleet.hall.run(105.0)
     assert fleet.hall.sent > quiet and fleet.ledger.used(98, 105, 30) > 0.9 and fleet.ledger.most() <= 30
@@ -163,9 +163,9 @@
 
 def alone(size: int = 3) -> tuple[LeaseManager, dict[str, int]]:
     time = {"now": 10**9}
-    desk = LeaseManager("a", 7, lambda: time["now"])
-    desk.open(budget(size), lambda: 30)
-    return desk, time
+    manager = LeaseManager("a", 7, lambda: time["now"])
+    manager.open(budget(size), lambda: 30)
+    return manager, time
 
 
 @pytest.mark.parametrize(
@@ -176,8 +176,8 @@
         ({"kind": LeaseMessageKind.VOTE_REQUEST, "size": 2}, "2 members alone"),
     ],
 )
-def test_what_cannot_be_is_refused_by_name_and_changes_nothing(what: dict[str, Any], why: str) -> None:
-    desk, time = alone()
+def test_an_invalid_datagram_is_counted_and_has_no_effect(what: dict[str, Any], why: str) -> None:
+    manager, time = alone()
     time["now"] += 5 * US
     figures = {
         "kind": LeaseMessageKind.GRANT,
@@ -190,26 +190,28 @@
         "form": budget(3).timing_checksum,
         "warm": FULLY_WARM_PERMILLE,
     }
-    desk.handle_datagram("b", LeaseDatagram("hub", **figures | what))
-    assert desk.free_at("hub") == NEVER_US and any(why in each for each in desk.ledgers["hub"].rejections)
+    manager.handle_datagram("b", LeaseDatagram("hub", **figures | what))
+    assert manager.free_at("hub") == NEVER_US
+    assert any(why in each for each in manager.ledgers["hub"].rejections)
 
 
-def test_what_is_held_ends_or_counts() -> None:
-    held = LimitEnforcer(None)
-    held.reserve("a")
-    assert held.try_spend("a", 5, 1) and not held.try_spend("b", 5, 1) and held.free_at(9, 1) == NEVER_US
-    held.release("a")
-    assert held.usage(9) == 0 and held.free_at(9, 1) == 9
+def test_a_held_unit_counts_until_it_is_released() -> None:
+    enforcer = LimitEnforcer(None)
+    enforcer.reserve("a")
+    assert enforcer.try_spend("a", 5, 1) and not enforcer.try_spend("b", 5, 1)
+    assert enforcer.free_at(9, 1) == NEVER_US
+    enforcer.release("a")
+    assert enforcer.usage(9) == 0 and enforcer.free_at(9, 1) == 9
 
 
-def test_a_rate_is_free_when_enough_of_it_is_past_its_span() -> None:
+def test_a_rate_has_capacity_once_usage_leaves_the_window() -> None:
     rate = LimitEnforcer(100)
     assert [rate.try_spend("", at, 2) for at in (0, 30, 60, 100)] == [True, True, False, True]
     assert (rate.free_at(110, 2), rate.free_at(110, 1), rate.free_at(110, 3)) == (130, 200, 110)
 
 
 @pytest.mark.parametrize(
-    ("whole", "needs", "parts"),
+    ("limit", "demands", "shares"),
     [
         (10, {"a": 2, "b": 20, "c": 0}, {"a": 2, "b": 8, "c": 0}),
         (3, {"a": 9, "b": 9, "c": 9, "d": 9}, {"a": 1, "b": 1, "c": 1, "d": 0}),
@@ -217,26 +219,26 @@
         (0, {"a": 4}, {"a": 0}),
     ],
 )
-def test_parts_go_by_need(whole: int, needs: dict[str, int], parts: dict[str, int]) -> None:
-    assert division.divide(whole, needs) == parts
+def test_division_follows_demand(limit: int, demands: dict[str, int], shares: dict[str, int]) -> None:
+    assert division.divide(limit, demands) == shares
 
 
-def test_a_call_that_outlasts_its_budget_ends_as_any_other() -> None:
+def test_a_call_can_end_after_its_idle_budget_was_closed() -> None:
     listed = Endpoint("e", 3, EndpointState.READY, "plain", "", 8.0)
-    at = SimpleNamespace(held={"m": 1}, endpoints=[SimpleNamespace(listed=listed)], breakers=())
-    there = SimpleNamespace(
-        endpoints={"e": at.endpoints[0]}, destinations={3: at},
+    destination = SimpleNamespace(held={"m": 1}, endpoints=[SimpleNamespace(listed=listed)], breakers=())
+    dispatcher = SimpleNamespace(
+        endpoints={"e": destination.endpoints[0]}, destinations={3: destination},
         registry=SimpleNamespace(kinds={"plain": DestinationKind()}, leave_grew=lambda number: None),
     )  # fmt: skip
     engine: Any = SimpleNamespace(
-        dispatcher=there,
+        dispatcher=dispatcher,
         config=SimpleNamespace(known=(listed,)),
         post=lambda event: None,
         transport=None,
         hooks=HookChain(),
     )
     time = {"now": 0.0}
-    links = LinkHub(lambda: time["now"], lambda *told: None, 1, US, 0.0, 1)
+    links = LinkHub(lambda: time["now"], lambda *arguments: None, 1, US, 0.0, 1)
     links.join("n0", engine, 1)
     _, budgets = links.ends["n0"]
     for second in range(200):
@@ -246,7 +248,7 @@
             budgets.reservations.reserve(listed, "m")
             assert budgets.reservations.reserve_limits("e", "m")
     assert budgets.reservations.calls["m"].names == ["rate/3"]
-    at.held = {}
+    destination.held = {}
     for second in range(20, 100):
         time["now"] = float(second)
         budgets.step(time["now"])
@@ -257,33 +259,34 @@
     )
 
 
-def test_keepers_are_spread_over_members() -> None:
+def test_grantors_are_spread_over_members() -> None:
     names = [f"n{each}" for each in range(10)]
     assert len({min(names, key=lambda x: grantor_rank(str(each), x)) for each in range(30)}) > 6
 
 
 @given(st.lists(st.tuples(st.integers(0, 40), st.booleans()), max_size=80), st.integers(0, 2))
-def test_repeats_are_no_more_than_first_attempts_earned(steps: list[tuple[int, bool]], least: int) -> None:
-    """By a plain count over the span that ends with each repeat."""
-    earned, now, firsts, repeats = RetryAllowance(0.4, 100, least, 0), 100, list[int](), list[int]()
+def test_retries_stay_within_their_allowance(steps: list[tuple[int, bool]], least: int) -> None:
+    """By a plain count over the window that ends with each retry."""
+    allowance, now = RetryAllowance(0.4, 100, least, 0), 100
+    first_attempts, retries = list[int](), list[int]()
     for passed, again in steps:
         now += passed
         if not again:
-            earned.record_first_attempt(now)
-            firsts.append(now)
+            allowance.record_first_attempt(now)
+            first_attempts.append(now)
             continue
-        counted = [sum(now - 100 < each for each in times) for times in (firsts, repeats)]
+        counted = [sum(now - 100 < each for each in times) for times in (first_attempts, retries)]
         goes = counted[1] + 1 <= least + 0.4 * counted[0]
-        assert earned.has_capacity(now) is goes
-        assert (earned.free_at(now) == now) is goes
+        assert allowance.has_capacity(now) is goes
+        assert (allowance.free_at(now) == now) is goes
         if goes:
-            earned.spend("", now)
-            repeats.append(now)
+            allowance.spend("", now)
+            retries.append(now)
 
 
-def test_a_life_that_begins_repeats_nothing_for_a_span() -> None:
-    earned = RetryAllowance(1.0, 100, 5, 50)
-    assert earned.free_at(149) == 150 and not earned.has_capacity(149) and earned.has_capacity(150)
+def test_a_new_session_allows_no_retry_for_one_window() -> None:
+    allowance = RetryAllowance(1.0, 100, 5, 50)
+    assert allowance.free_at(149) == 150 and not allowance.has_capacity(149) and allowance.has_capacity(150)
 
 
 @pytest.mark.parametrize(
@@ -299,13 +302,13 @@
         ("", None),
     ],
 )
-def test_a_limit_that_an_answer_tells_is_read(policy: str, limit: tuple[int, int] | None) -> None:
-    told = SimpleNamespace(headers=[(b"ratelimit-policy", policy.encode())])
-    assert told_limit(told) == limit  # type: ignore[arg-type]
+def test_an_announced_limit_is_parsed(policy: str, limit: tuple[int, int] | None) -> None:
+    response = SimpleNamespace(headers=[(b"ratelimit-policy", policy.encode())])
+    assert told_limit(response) == limit  # type: ignore[arg-type]
 
 
-class Denies:
-    """A leave that gives none for trials, or for repeats, and keeps what it was asked."""
+class DenyingLimits:
+    """Limits without capacity for trials, or for retries, which keep what was reserved."""
 
     def __init__(self, what: str) -> None:
         self.what, self.reserved = what, list[tuple[str, bool, bool]]()
@@ -317,60 +320,62 @@
         self.reserved.append((message, trial, again))
 
 
-def test_the_module_asks_leave_for_a_trial() -> None:
+def test_the_policy_respects_the_limit_of_trials() -> None:
     world = World()
-    world.dispatcher.registry.leave = leave = Denies("trials")
+    world.dispatcher.registry.leave = limits = DenyingLimits("trials")
     world.open_breaker()
     assert not sent(world.take()) and not sent(world.step(WakeUp(), after=3 * US))
-    leave.what = "repeats"
+    limits.what = "repeats"
     world.dispatcher.registry.leave_grew(1)
     assert len(sent(world.step(WakeUp()))) == 1
-    assert leave.reserved[-1][1:] == (True, False)
+    assert limits.reserved[-1][1:] == (True, False)
 
 
-def test_a_repeat_that_waits_for_its_budget_lets_first_attempts_go() -> None:
+def test_a_retry_without_capacity_does_not_block_first_attempts() -> None:
     world = World()
-    world.dispatcher.registry.leave = leave = Denies("repeats")
+    world.dispatcher.registry.leave = limits = DenyingLimits("repeats")
     assert sent(world.take()) == ["m1"] and not sent(world.answer("m1", Outcome.ERROR))
     assert sent(world.take(after=US)) == ["m2"] and not sent(world.answer("m2", Outcome.OK))
-    leave.what = "trials"
+    limits.what = "trials"
     world.dispatcher.registry.leave_grew(1)
     assert sent(world.step(WakeUp(), after=US)) == ["m1"]
-    assert leave.reserved == [("m1", False, False), ("m2", False, False), ("m1", False, True)]
+    assert limits.reserved == [("m1", False, False), ("m2", False, False), ("m1", False, True)]
 
 
-def test_a_run_that_is_charted_counts_over_starts_and_silence() -> None:
-    run, told = Run(), {"part": 5, "whole": 9, "per_ms": 1000}
+def test_a_chart_counts_usage_across_restarts_and_gaps() -> None:
+    run, sample = Run(), {"part": 5, "whole": 9, "per_ms": 1000}
     for now, spent in enumerate((7, 9, None, 1, 4)):
-        run.add(now, {} if spent is None else {"n0": told | {"spent": spent}})
+        run.add(now, {} if spent is None else {"n0": sample | {"spent": spent}})
     assert run.granted["n0"] == [5, 5, 0, 5, 5] and run.whole == [9] * 5
     assert run.spent["n0"] == [0, 2, 2, 3, 6] and run.used("n0") == [0, 2, 0, 1, 3]
 
 
-def test_a_larger_size_that_was_heard_of_outlasts_a_change_of_the_whole() -> None:
-    desk = LeaseManager("a", 1, lambda: 0)
-    book = desk.open(budget(3), lambda: 0)
-    desk.handle_datagram(
+def test_a_reported_larger_size_survives_a_change_of_the_limit() -> None:
+    manager = LeaseManager("a", 1, lambda: 0)
+    ledger = manager.open(budget(3), lambda: 0)
+    manager.handle_datagram(
         "b",
         LeaseDatagram(
-            "hub", LeaseMessageKind.LEASE_REQUEST, 1, 0, 1, 30, 0, 7, book.budget.timing_checksum, 1000
+            "hub", LeaseMessageKind.LEASE_REQUEST, 1, 0, 1, 30, 0, 7, ledger.budget.timing_checksum, 1000
         ),
     )
-    desk.update_budget(budget(3, whole=12))
-    assert (book.budget.limit, book.budget.max_members) == (12, 7)
+    manager.update_budget(budget(3, limit=12))
+    assert (ledger.budget.limit, ledger.budget.max_members) == (12, 7)
 
 
-def test_a_configuration_that_is_read_anew_changes_wholes_and_opens_what_is_new(
+def test_a_new_configuration_changes_limits_and_opens_new_budgets(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     listed = Endpoint("e", 3, EndpointState.READY, "plain", "", 8.0)
-    at = SimpleNamespace(held={}, endpoints=[SimpleNamespace(listed=listed)], breakers=())
+    destination = SimpleNamespace(held={}, endpoints=[SimpleNamespace(listed=listed)], breakers=())
     registry = SimpleNamespace(kinds={"plain": DestinationKind()}, leave_grew=lambda number: None)
-    there = SimpleNamespace(endpoints={"e": at.endpoints[0]}, destinations={3: at}, registry=registry)
+    dispatcher = SimpleNamespace(
+        endpoints={"e": destination.endpoints[0]}, destinations={3: destination}, registry=registry
+    )
     engine: Any = SimpleNamespace(
-        dispatcher=there, post=lambda event: None, transport=None, hooks=HookChain()
+        dispatcher=dispatcher, post=lambda event: None, transport=None, hooks=HookChain()
     )
-    links = LinkHub(lambda: 0.0, lambda *told: None, 1, US, 0.0, 1)
+    links = LinkHub(lambda: 0.0, lambda *arguments: None, 1, US, 0.0, 1)
     links.join("n0", engine, 1)
     _, budgets = links.ends["n0"]
     calls = SharedBudget("calls", "calls", "destination", 3, 10, None, US, 0, US, 0, 0)
