--- a/message_sender/policy/model.py
+++ b/message_sender/policy/model.py
@@ -116,7 +116,7 @@
         max_open: Messages that may be accepted and not completed.
         max_attempts: Attempts of one message.
         zone: The sender's own zone.
-        tick: Smallest time between two iterations that the policy asks for.
+        tick: Shortest delay of a `WakeAfter`, and the margin of deadlines.
         fleet_size: Number of senders that share the load.
         tenants: Name and quota in messages a second, of all senders together.
         over_quota_weight: Factor of the weight of messages over the quota.
@@ -131,11 +131,11 @@
         max_retry_after: The longest wait that a client honours; 0: clients are told none.
         slow_start: Time for which a destination warms up after an outage.
         slow_start_from: Fraction of its capacity with which it begins, above 0 to 1.
-        fall_multiple: Load, as a multiple of the capacity, that a destination survives.
+        fall_multiple: Load, as a multiple of its warm capacity, under which a destination fails.
         conn_idle: Idle connections are closed after it.
         connect_timeout: A connection that is not established by then has failed.
         key_pause: Pause of a key after an attempt of unknown result.
-        drain_grace: Time from the announcement of a drain until calls are refused.
+        drain_grace: For how long after the announcement of a drain a new call is tolerated.
         acknowledges_completions: A message that was rejected or failed is finished only with the event
             `EndAcknowledged`.
     """
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -1,4 +1,4 @@
-"""Receivers that are out, and how clients are sent away, against plain models."""
+"""Endpoints out of service, and how clients are ordered away, against plain models."""
 
 from pathlib import Path
 
@@ -13,63 +13,63 @@
 
 NAMES = ("a", "b", "c")
 STATES = st.sampled_from(list(EndpointState))
-NEWS = st.tuples(
-    st.just("news"),
+UPDATES = st.tuples(
+    st.just("update"),
     st.sampled_from([ListingKind.CHANGES, ListingKind.FULL, ListingKind.FAILED]),
     st.dictionaries(st.sampled_from(NAMES), STATES, max_size=3),
 )
 ORDERS = st.tuples(st.sampled_from(["out", "back"]), st.sampled_from(NAMES), st.none())
 
 
-class Told:
-    """What an engine would believe: the state of each receiver, by the news alone."""
+class EngineView:
+    """The state of each endpoint as an engine knows it from the updates alone."""
 
     def __init__(self) -> None:
         self.states: dict[str, EndpointState] = {}
         self.warmed: list[str] = []
 
-    def hear(self, news: EndpointsUpdated | None) -> None:
-        if news is None or news.listing is ListingKind.FAILED:
+    def apply(self, update: EndpointsUpdated | None) -> None:
+        if update is None or update.listing is ListingKind.FAILED:
             return
-        if news.listing is ListingKind.FULL:
+        if update.listing is ListingKind.FULL:
             self.states = {}
-        self.states |= {each.id: each.state for each in news.endpoints}
-        self.warmed += news.returned
+        self.states |= {each.id: each.state for each in update.endpoints}
+        self.warmed += update.returned
 
 
 @settings(derandomize=True, max_examples=300)
-@given(st.lists(NEWS | ORDERS, max_size=25))
-def test_what_is_out_is_never_told_as_ready_and_is_warmed_once_it_is_back(steps: list) -> None:
-    layer, told = Maintenance(), Told()
+@given(st.lists(UPDATES | ORDERS, max_size=25))
+def test_an_endpoint_out_of_service_is_never_ready_and_is_warmed_up_once_it_is_back(steps: list) -> None:
+    layer, view = Maintenance(), EngineView()
     listed: dict[str, EndpointState] = {}
     out: set[str] = set()
-    owed: set[str] = set()  # to be warmed when it is next told as ready
+    to_warm_up: set[str] = set()  # once they are ready
     for kind, what, states in steps:
-        told.warmed = []
-        if kind == "news":
+        view.warmed = []
+        if kind == "update":
             if what is ListingKind.FULL:
                 listed = {}
             if what is not ListingKind.FAILED:
                 listed |= states
-            news = EndpointsUpdated(what, tuple(endpoint(x, state=y) for x, y in states.items()))
-            told.hear(layer.apply_update(news))
+            update = EndpointsUpdated(what, tuple(endpoint(x, state=y) for x, y in states.items()))
+            view.apply(layer.apply_update(update))
         elif kind == "out":
-            owed.discard(what)
+            to_warm_up.discard(what)
             out.add(what)
-            told.hear(layer.take_out_of_service(what))
+            view.apply(layer.take_out_of_service(what))
         else:
             if what in out:
-                owed.add(what)
+                to_warm_up.add(what)
             out.discard(what)
-            told.hear(layer.return_to_service(what))
-        ready = {name for name, state in told.states.items() if state is EndpointState.READY}
+            view.apply(layer.return_to_service(what))
+        ready = {name for name, state in view.states.items() if state is EndpointState.READY}
         assert ready == {x for x, y in listed.items() if y is EndpointState.READY} - out
-        assert set(told.warmed) <= owed
-        owed -= set(told.warmed)
-        assert not owed & ready
+        assert set(view.warmed) <= to_warm_up
+        to_warm_up -= set(view.warmed)
+        assert not to_warm_up & ready
 
 
-def test_an_id_that_has_left_is_known_for_a_while() -> None:
+def test_a_removed_id_stays_known_for_a_while() -> None:
     layer = Maintenance()
     names = [f"r{at}" for at in range(RECENT_IDS_LIMIT + 1)]
     layer.apply_update(EndpointsUpdated(ListingKind.FULL, tuple(map(endpoint, names))))
@@ -101,7 +101,7 @@
 
 @settings(derandomize=True, max_examples=300)
 @given(STEPS)
-def test_clients_are_sent_away_from_the_first_order_until_it_is_taken_back(steps: list) -> None:
+def test_clients_are_ordered_away_from_the_first_order_until_it_is_withdrawn(steps: list) -> None:
     drain, now = Drain(), 0.0
     ordered: float | None = None
     stopped: float | None = None
@@ -117,13 +117,13 @@
             drain.stop(now)
             stopped = now if stopped is None else stopped
         since = min((each for each in (ordered, stopped) if each is not None), default=None)
-        wanted = (
+        expected = (
             DrainPhase.SERVING
             if since is None
             else DrainPhase.LEAVING
             if now < since + GRACE
             else DrainPhase.AWAY
         )
-        assert drain.phase(now) is wanted
+        assert drain.phase(now) is expected
         assert drain.listens(now) == (stopped is None or now < stopped + GRACE)
         assert drain.ends_at() == (None if stopped is None else stopped + STOP)
--- a/tests/test_overrides.py
+++ b/tests/test_overrides.py
@@ -58,23 +58,23 @@
     return book.set(OverrideKind.OUT, name, "me", "why", begins, until, T0)
 
 
-# Pure: what is told on.
+# Pure: the resulting list.
 
 
-class Told:
-    """Who hears the list: what it believes, and whether it was told that something returned."""
+class EngineView:
+    """The list as an engine knows it from the updates alone, and what returned to service."""
 
     def __init__(self) -> None:
-        self.believed: dict[str, Endpoint] = {}
+        self.endpoints: dict[str, Endpoint] = {}
 
-    def hear(self, told: EndpointsUpdated | None) -> None:
-        if told is None:
+    def apply(self, update: EndpointsUpdated | None) -> None:
+        if update is None:
             return
-        if told.listing is ListingKind.FULL:
-            self.believed = {}
-        for each in told.endpoints:
-            self.believed[each.id] = each
-        self.believed = {name: each for name, each in self.believed.items() if each.state is not GONE}
+        if update.listing is ListingKind.FULL:
+            self.endpoints = {}
+        for each in update.endpoints:
+            self.endpoints[each.id] = each
+        self.endpoints = {name: each for name, each in self.endpoints.items() if each.state is not GONE}
 
 
 def model(listed: dict[str, Endpoint], book: OverrideBook, now: int) -> dict[str, Endpoint]:
@@ -113,16 +113,16 @@
 @settings(max_examples=400, deadline=None, derandomize=True)
 @given(st.lists(STEPS, max_size=25))
 def test_what_is_told_on_is_what_the_plain_model_says(steps: list[tuple[Any, ...]]) -> None:
-    book, told, listed, now = OverrideBook(), Told(), {}, T0  # type: OverrideBook, Told, dict[str, Endpoint], int
-    overlay = OverrideLayer(book)
+    book, view, listed, now = OverrideBook(), EngineView(), {}, T0  # type: OverrideBook, EngineView, dict[str, Endpoint], int
+    layer = OverrideLayer(book)
     for what, first, second, third in steps:
         if what == "list":
             each = endpoint(first, second, state=third)
             listed = {k: v for k, v in (listed | {first: each}).items() if v.state is not GONE}
-            told.hear(overlay.apply_update(EndpointsUpdated(ListingKind.CHANGES, (each,))))
+            view.apply(layer.apply_update(EndpointsUpdated(ListingKind.CHANGES, (each,))))
         elif what == "full":
             listed = {name: endpoint(name, second) for name in first}
-            told.hear(overlay.apply_update(EndpointsUpdated(ListingKind.FULL, tuple(listed.values()))))
+            view.apply(layer.apply_update(EndpointsUpdated(ListingKind.FULL, tuple(listed.values()))))
         elif what == "set":
             weight, to, begins = third / 5, 1 + third % 2, now + (third % 3) * SECOND
             to = to if first is OverrideKind.PIN else -1
@@ -132,21 +132,21 @@
         elif what == "pass":
             now += first * SECOND
         book.expire(now)
-        told.hear(overlay.refresh(now))
-        assert told.believed == model(listed, book, now)
+        view.apply(layer.refresh(now))
+        assert view.endpoints == model(listed, book, now)
 
 
 def test_what_comes_back_into_service_is_named_and_a_drain_that_ends_is_not() -> None:
     book = OverrideBook()
-    overlay = OverrideLayer(book)
-    overlay.apply_update(EndpointsUpdated(ListingKind.FULL, (endpoint("a"), endpoint("b", state=DRAINING))))
+    layer = OverrideLayer(book)
+    layer.apply_update(EndpointsUpdated(ListingKind.FULL, (endpoint("a"), endpoint("b", state=DRAINING))))
     name = out(book, "a").name
-    turned = overlay.refresh(T0)
+    turned = layer.refresh(T0)
     assert turned and (turned.endpoints[0].state, turned.returned) == (DRAINING, ())
     book.end(name)
-    turned = overlay.refresh(T0)
+    turned = layer.refresh(T0)
     assert turned and (turned.endpoints, turned.returned) == ((endpoint("a"),), ("a",))
-    assert overlay.apply_update(EndpointsUpdated(ListingKind.CHANGES, (endpoint("b"),))).returned == ()
+    assert layer.apply_update(EndpointsUpdated(ListingKind.CHANGES, (endpoint("b"),))).returned == ()
 
 
 @pytest.mark.parametrize(
@@ -164,74 +164,82 @@
     kind: OverrideKind, name: str, more: dict[str, Any], why: str
 ) -> None:
     book = OverrideBook()
-    overlay = OverrideLayer(book)
+    layer = OverrideLayer(book)
     out(book, "b")
-    overlay.apply_update(
+    layer.apply_update(
         EndpointsUpdated(ListingKind.FULL, (endpoint("a"), endpoint("b"), endpoint("d", state=DRAINING)))
     )
     new = book.set(kind, name, "me", "why", T0, T0 + SECOND, T0, **more)
-    overlay.refresh(T0)
-    assert overlay.ineffective(T0).get(new.name, "") == why
+    layer.refresh(T0)
+    assert layer.ineffective(T0).get(new.name, "") == why
     out(book, "a")
-    overlay.refresh(T0)
-    assert overlay.unserved_destinations() == [1]
+    layer.refresh(T0)
+    assert layer.unserved_destinations() == [1]
 
 
 def test_what_is_new_or_back_among_others_starts_slowly() -> None:
-    book, told = OverrideBook(), Told()
-    overlay = OverrideLayer(book, SlowStart(8 * SECOND))
-    told.hear(overlay.apply_update(EndpointsUpdated(ListingKind.FULL, (endpoint("a"), endpoint("x", 2))), T0))
-    told.hear(
-        overlay.apply_update(EndpointsUpdated(ListingKind.CHANGES, (endpoint("b"), endpoint("y", 3))), T0)
+    book, view = OverrideBook(), EngineView()
+    layer = OverrideLayer(book, SlowStart(8 * SECOND))
+    view.apply(layer.apply_update(EndpointsUpdated(ListingKind.FULL, (endpoint("a"), endpoint("x", 2))), T0))
+    view.apply(
+        layer.apply_update(EndpointsUpdated(ListingKind.CHANGES, (endpoint("b"), endpoint("y", 3))), T0)
     )
-    assert {name: each.weight for name, each in told.believed.items()} == {"a": 1, "x": 1, "b": 1 / 8, "y": 1}
+    assert {name: each.weight for name, each in view.endpoints.items()} == {
+        "a": 1,
+        "x": 1,
+        "b": 1 / 8,
+        "y": 1,
+    }
     seen, now = [], T0
-    while (due := overlay.slow_start.next_change(now)) is not None:
+    while (due := layer.slow_start.next_change(now)) is not None:
         now = due
-        told.hear(overlay.refresh(now))
-        seen.append(told.believed["b"].weight)
+        view.apply(layer.refresh(now))
+        seen.append(view.endpoints["b"].weight)
     assert seen == [each / 8 for each in (2, 3, 4, 5, 6, 7, 8, 8)] and now == T0 + 8 * SECOND + 1
     over = out(book, "a", now, now + SECOND)
-    told.hear(overlay.refresh(now))
+    view.apply(layer.refresh(now))
     book.end(over.name)
-    told.hear(overlay.refresh(now))
-    assert told.believed["a"].weight == 1 / 8
+    view.apply(layer.refresh(now))
+    assert view.endpoints["a"].weight == 1 / 8
 
 
 def test_an_outlier_is_ejected_for_longer_each_time_and_never_the_last_one() -> None:
-    ejector, now = (
+    outliers, now = (
         OutlierDetector(EjectionPolicy(failures=3, base_duration_us=10, max_duration_us=25, max_share=0.5)),
         100,
     )
 
     def fails(name: str, in_service: list[str], times: int = 3) -> bool:
         return any(
-            [ejector.record_failure(name, now, in_service, len(ejector.ejected_until)) for _ in range(times)]
+            [
+                outliers.record_failure(name, now, in_service, len(outliers.ejected_until))
+                for _ in range(times)
+            ]
         )
 
     assert not fails("a", ["a", "b"], 9)  # nobody serves: it is the destination
-    ejector.record_success("b", now)
-    assert fails("a", ["a", "b"], 1) and ejector.ejected_until == {"a": 110}
+    outliers.record_success("b", now)
+    assert fails("a", ["a", "b"], 1) and outliers.ejected_until == {"a": 110}
     assert not fails("b", ["b"], 9)  # the last one in service
-    ejector.record_success("c", now)
+    outliers.record_success("c", now)
     assert not fails("b", ["b", "c"], 9)  # two of three are more than half
     for back in (140, 165):
-        now = ejector.next_change() or 0
-        assert ejector.expire(now) == ["a"] and not ejector.ejected_until
-        ejector.record_success("c", now + 10 if back == 140 else now)
+        now = outliers.next_change() or 0
+        assert outliers.expire(now) == ["a"] and not outliers.ejected_until
+        outliers.record_success("c", now + 10 if back == 140 else now)
         now += 10 if back == 140 else 0
-        assert fails("a", ["a", "b", "c"]) and ejector.ejected_until == {"a": back}
-    ejector.record_success("a", now)
-    assert ejector.records["a"].ejections == 2
+        assert fails("a", ["a", "b", "c"]) and outliers.ejected_until == {"a": back}
+    outliers.record_success("a", now)
+    assert outliers.records["a"].ejections == 2
 
 
 @play
 async def test_a_sender_leaves_out_what_fails_among_others_and_takes_it_back(state: Path) -> None:
     async with service(state, {"eject": {"failures": 2, "base_s": 0.5}}) as world:
         world.endpoints[0].script.rule = lambda message: ScriptedAnswer(EndpointBehavior.ERROR)
-        ejector = world.sender.overrides.layer.outliers
+        outliers = world.sender.overrides.layer.outliers
         while (
-            ejector and "e0" not in ejector.ejected_until
+            outliers and "e0" not in outliers.ejected_until
         ):  # one that has just failed is tried again after 2 s
             await world.deliver(1)
         assert world.sender.engine.dispatcher.endpoints.keys() == {"e1"}
@@ -252,23 +260,23 @@
 
 @pytest.mark.parametrize(("change", "text"), BAD)
 def test_what_cannot_be_set_says_why_and_changes_nothing(change: dict[str, Any], text: str) -> None:
-    told: dict[str, Any] = {"kind": OverrideKind.OUT, "endpoint": "a", "who": "me", "why": "why"}
+    arguments: dict[str, Any] = {"kind": OverrideKind.OUT, "endpoint": "a", "who": "me", "why": "why"}
     book = OverrideBook()
     with pytest.raises(OverrideError, match=text):
-        book.set(**(told | {"begins": T0, "until": T0 + SECOND, "now": T0} | change))
+        book.set(**(arguments | {"begins": T0, "until": T0 + SECOND, "now": T0} | change))
     assert not book.overrides and book.last_number == 0
 
 
 def test_a_pin_to_what_is_ejected_is_in_vain() -> None:
     """Else nothing of its destination would be left in service."""
-    book, told = OverrideBook(), Told()
-    overlay = OverrideLayer(book, outliers=OutlierDetector(EjectionPolicy(failures=1)))
-    told.hear(overlay.apply_update(EndpointsUpdated(ListingKind.FULL, (endpoint("a"), endpoint("b")))))
-    overlay.record_outcome("b", True, T0)
-    assert overlay.record_outcome("a", False, T0)
+    book, view = OverrideBook(), EngineView()
+    layer = OverrideLayer(book, outliers=OutlierDetector(EjectionPolicy(failures=1)))
+    view.apply(layer.apply_update(EndpointsUpdated(ListingKind.FULL, (endpoint("a"), endpoint("b")))))
+    layer.record_outcome("b", True, T0)
+    assert layer.record_outcome("a", False, T0)
     book.set(OverrideKind.PIN, "a", "me", "why", T0, T0 + SECOND, T0, destination=1)
-    told.hear(overlay.refresh(T0))
-    assert [told.believed[name].state for name in "ab"] == [DRAINING, READY]
+    view.apply(layer.refresh(T0))
+    assert [view.endpoints[name].state for name in "ab"] == [DRAINING, READY]
 
 
 def test_one_that_has_ended_is_gone_also_where_the_clock_goes_back() -> None:
@@ -341,7 +349,7 @@
     store.save(book)
     out(book, "b")
 
-    def fail(*told: object, **more: object) -> None:
+    def fail(*args: object, **kwargs: object) -> None:
         if call == "write":
             (tmp_path / "overrides.json.new").write_text('{"vers')
         raise OSError(28, "No space left on device")
@@ -439,14 +447,14 @@
     """Seen on a busy machine: an end that came between the look for ends and the setting of the timer was
     never seen again."""
     clock = iter(range(T0, T0 + 10_000 * SECOND, 7 * SECOND))
-    told: list[EndpointsUpdated] = []
-    over = OverriddenDirectory(StaticDirectory(()), OverrideStore(state), lambda: next(clock), told.append)
+    updates: list[EndpointsUpdated] = []
+    over = OverriddenDirectory(StaticDirectory(()), OverrideStore(state), lambda: next(clock), updates.append)
     over.apply_update(EndpointsUpdated(ListingKind.FULL, (endpoint("a"),)))
     over.set(OverrideKind.OUT, "a", "me", "why", T0, T0 + 60 * SECOND)
     while over.book.overrides:
         assert over.next_at is not None and over.timer is not None
         over.refresh()
-    assert told[-1].returned == ("a",) and over.timer is None
+    assert updates[-1].returned == ("a",) and over.timer is None
 
 
 # A running sender.
@@ -462,10 +470,10 @@
         self.count = 0
         listed = [{"id": each.name, "destination": 1, "dial": f"127.0.0.1:{each.port}"} for each in endpoints]
         kind = {"effect": "safe", "aim_ms": 4000, "deadline_ms": 8000}
-        told = general.read({"classes": {"c": kind}, "endpoints": listed, "directory": directory})
+        config = general.read({"classes": {"c": kind}, "endpoints": listed, "directory": directory})
         self.news = asyncio.Event()  # an end was told, or the list was
         heard = CompletionWriter(io.StringIO(), lambda name, end: self.news.set())
-        self.sender = StandaloneSender(told, folder, heard)
+        self.sender = StandaloneSender(config, folder, heard)
         tell = self.sender.overrides.on_update
 
         def told_on(listed: EndpointsUpdated) -> None:
@@ -503,15 +511,15 @@
 
     async def set(self, kind: str, name: str, seconds: float = 60, **more: object) -> dict[str, Any]:
         now = time.time_ns() // 1000
-        told: dict[str, object] = {
+        request: dict[str, object] = {
             "kind": kind,
             "endpoint": name,
             "who": "me",
             "why": "a test",
             "begins": now,
         }
-        told |= {"until": now + int(seconds * SECOND)}
-        answer = await self.ask(do="set", **(told | more))
+        request |= {"until": now + int(seconds * SECOND)}
+        answer = await self.ask(do="set", **(request | more))
         assert answer["ok"], answer
         return dict(answer["value"]["override"])
 
@@ -548,8 +556,8 @@
         assert {each["name"] for each in listed["overrides"]} == {weight["name"], pin["name"]}
         rows = {each["id"]: each for each in (await world.ask(do="endpoints"))["value"]["endpoints"]}
         assert (rows["e0"]["listed"], rows["e1"]["override"]) == ("draining", weight["name"])
-        told = [json.loads(each) for each in (state / LOG_FILE).read_text().splitlines()]
-        assert [each["did"] for each in told] == ["set", "ended", "set", "set", "ended", "set"]
+        lines = [json.loads(each) for each in (state / LOG_FILE).read_text().splitlines()]
+        assert [each["did"] for each in lines] == ["set", "ended", "set", "set", "ended", "set"]
 
 
 @play
@@ -575,8 +583,8 @@
         await world.set("out", "e0", begins=now, until=now + 2 * SECOND)
         await world.set("out", "e1", begins=now, until=now + 2 * SECOND)
         assert (await world.ask(do="list"))["value"]["all_out"] == [1]
-        told = (await world.ask(do="explain", destination=1))["value"]
-        assert told["goes_to"] is None
+        explained = (await world.ask(do="explain", destination=1))["value"]
+        assert explained["goes_to"] is None
         assert sum((await world.deliver(1)).values()) == 1  # held until the end, and then sent
         await world.until(lambda: not world.sender.overrides.book.overrides)
         (breaker,) = world.sender.engine.dispatcher.registry.all_breakers()
@@ -587,10 +595,10 @@
 async def test_overrides_outlive_the_process_and_end_while_there_is_none(state: Path) -> None:
     async with service(state) as world:
         lasting, short = await world.set("out", "e0"), await world.set("out", "e1", seconds=60)
-    told = json.loads((state / "overrides.json").read_text())
-    told["overrides"][1]["begins"] -= 120 * SECOND
-    told["overrides"][1]["until"] -= 120 * SECOND
-    (state / "overrides.json").write_text(json.dumps(told))
+    stored = json.loads((state / "overrides.json").read_text())
+    stored["overrides"][1]["begins"] -= 120 * SECOND
+    stored["overrides"][1]["until"] -= 120 * SECOND
+    (state / "overrides.json").write_text(json.dumps(stored))
     async with service(state) as world:
         assert set(world.sender.overrides.book.overrides) == {lasting["name"]} != {short["name"]}
         assert await world.deliver(1) == {"e1": 1}
@@ -613,8 +621,8 @@
         async with service(state) as world:
             reader, writer = await asyncio.open_unix_connection(str(state / "control"))
             writer.write(line)
-            told = json.loads(await soon(reader.readline()))
-            assert not told["ok"] and text in " ".join(told["faults"])
+            reply = json.loads(await soon(reader.readline()))
+            assert not reply["ok"] and text in " ".join(reply["faults"])
             writer.close()
             assert sum((await world.deliver(1)).values()) == 1
 
