--- a/tests/conformance/test_generated.py
+++ b/tests/conformance/test_generated.py
@@ -54,7 +54,7 @@
 async def idle(side: Side) -> None:
     """No call is out, so that a restart makes no difference in time between the two sides."""
     async with asyncio.timeout(PATIENCE):
-        await until(lambda: not (side.engine().calls or side.engine().arrived), 10**9)
+        await until(lambda: not (side.engine().attempts.calls or side.engine().table.arrivals), 10**9)
 
 
 async def run(seed: int, kind: type[Side], state: Path) -> Result:
