--- a/benchmarks/scale/real.py
+++ b/benchmarks/scale/real.py
@@ -63,7 +63,7 @@
     """Bytes of the announcements among these datagrams."""
     seal = Seal([base64.b64decode(key)])
     bodies = [wire.decode(seal.open(data)).body for data in sample]
-    return [len(body.text) for body in bodies if isinstance(body, wire.AnnouncementPart)]
+    return [len(body.data) for body in bodies if isinstance(body, wire.AnnouncementPart)]
 
 
 async def rest_of(size: int, folder: Path) -> RealRest:
