--- a/tests/crowds.py
+++ b/tests/crowds.py
@@ -1,4 +1,4 @@
-"""Forty decision modules on one virtual clock before one receiver with a limit, which is all they share."""
+"""Forty policies on one virtual clock, in front of one receiver with a rate limit: they share nothing else."""
 
 import heapq
 import itertools
@@ -16,15 +16,15 @@
 Due = tuple[int, int, int, PolicyEvent]
 
 
-class Spans:
-    """A count in each span of time. What is refused in one is taken off the next, half of it at the most."""
+class WindowLimit:
+    """A limit of calls in each window of time. Refused calls reduce the next window, by half at the most."""
 
     def __init__(self, rate: float, length: int = 1_500 * MS) -> None:
         self.rate, self.length = rate, length
         self.span, self.taken, self.refused = -1, 0, 0
 
     def call(self, now: int) -> tuple[Outcome, int]:
-        """The outcome, and the wait that it tells."""
+        """Returns the outcome, and the Retry-After."""
         if (span := now // self.length) != self.span:
             lost = self.refused if span == self.span + 1 else 0
             self.span, self.taken, self.refused = span, int(min(lost, self.room() / 2)), 0
@@ -38,25 +38,25 @@
         return self.rate * self.length / SECOND
 
 
-class Crowd:
-    """Senders that each get messages as chance has it. `told` is the rate on the list, in calls a second."""
+class LargeFleet:
+    """Senders that get messages at random. `rate`: as announced by the list, in calls a second."""
 
-    def __init__(self, told: float, senders: int = 40, seed: int = 1) -> None:
-        self.receiver, self.rng, self.now = Spans(told), random.Random(seed), 0
-        given = settings(fleet_size=senders, announces_rates=True, slots=4, max_open=40)
-        self.modules = [Dispatcher(given, seed=100 * seed + each) for each in range(senders)]
+    def __init__(self, rate: float, senders: int = 40, seed: int = 1) -> None:
+        self.receiver, self.rng, self.now = WindowLimit(rate), random.Random(seed), 0
+        shared = settings(fleet_size=senders, announces_rates=True, slots=4, max_open=40)
+        self.modules = [Dispatcher(shared, seed=100 * seed + each) for each in range(senders)]
         self.queue: list[Due] = []
         self.count = itertools.count()
         self.seen: Counter[tuple[str, int]] = Counter()  # by outcome and second
         for each in range(senders):
-            listed = endpoint("a", scale=told)
+            listed = endpoint("a", scale=rate)
             self.post(each, 0, EndpointsUpdated(ListingKind.FULL, (listed,)))
 
     def post(self, sender: int, at: int, event: PolicyEvent) -> None:
         heapq.heappush(self.queue, (at, next(self.count), sender, event))
 
     def offer(self, rate: float, until: float) -> None:
-        """From now on so many messages a second come, until that second. Plays up to then."""
+        """Sends messages at that rate, per second, until that second, and plays up to then."""
         at, end = self.now, int(until * SECOND)
         while (at := at + int(self.rng.expovariate(rate) * SECOND)) < end:
             name = f"m{next(self.count)}"
--- a/tests/test_breaker.py
+++ b/tests/test_breaker.py
@@ -1,4 +1,4 @@
-"""The breaker of the ordinary path."""
+"""The circuit breaker of a destination."""
 
 import math
 
@@ -11,7 +11,7 @@
 from message_sender.policy.model import ListingKind, Outcome
 
 
-def test_opens_at_the_threshold_and_holds() -> None:
+def test_opens_at_the_threshold_and_keeps_messages_pending() -> None:
     world = World()
     for number in range(FAILURE_THRESHOLD):
         assert sent(world.take("once")) == [f"m{number + 1}"]
@@ -91,8 +91,8 @@
 
 
 @pytest.mark.parametrize("tries", [1, 5])
-def test_a_list_at_hand_is_asked_for_again_within_the_grace_of_a_drain(tries: int) -> None:
-    """What the agent beside the sender holds counts as told, also while nobody listens to it."""
+def test_a_local_list_is_polled_again_within_the_grace_of_a_drain(tries: int) -> None:
+    """What a local agent has counts as announced, also while nobody polls it."""
 
     def pause(**changes: object) -> int:
         world = World(must_poll=True, **changes)
@@ -128,7 +128,7 @@
     assert 0 < breaker.failures < FAILURE_THRESHOLD
 
 
-def test_stuck_calls_do_not_hold_every_slot() -> None:
+def test_overdue_calls_do_not_occupy_every_slot() -> None:
     world = World(endpoint("a"), endpoint("b", destination=2), slots=4)
     for destination in (1, 1, 2, 2):
         world.take("once", destination=destination)
@@ -162,7 +162,7 @@
     assert sent(world.step(WakeUp(), after=5 * SECOND)) == ["m1"]
 
 
-def test_a_stray_failure_before_a_restart_holds_nothing_up() -> None:
+def test_an_isolated_failure_before_a_restart_delays_nothing() -> None:
     world = World()
     taken = [MessageAccepted(f"m{each}", "safe", 1, 20 * SECOND) for each in range(2)]
     actions = world.step(
@@ -172,7 +172,7 @@
     assert sent(actions) == ["m0", "m1"]
 
 
-def test_a_call_lost_while_later_ones_are_served_is_called_off_and_sent_again_in_its_window() -> None:
+def test_a_call_overtaken_by_successful_ones_is_cancelled_and_retried_within_its_window() -> None:
     """Seen: connections that fell silent held their messages, and the keys behind them, to the deadline."""
     world = World()
     world.take("zoned")
@@ -184,7 +184,7 @@
     assert sent(world.answer("m1", Outcome.CANCELLED)) == ["m1"]
 
 
-def test_a_call_is_left_out_where_nothing_later_is_served_or_it_may_not_be_sent_again() -> None:
+def test_an_overdue_call_is_not_cancelled_without_later_successes_or_if_it_may_not_be_retried() -> None:
     for kind, served in (("zoned", False), ("once", True)):
         world = World()
         world.take(kind)
@@ -195,7 +195,7 @@
         assert not [each for each in actions if isinstance(each, CancelAttempt)]
 
 
-def test_the_gap_stays_within_what_the_told_rate_makes_of_it() -> None:
+def test_the_gap_stays_within_the_bounds_of_the_announced_rate() -> None:
     """Seen: gaps of 2 s, grown by refusals, at a destination that takes 58 calls a second. And gaps far under
     the share, where refused calls use the limit up too: a fifth of the attempts was refused."""
     world = World(endpoint("a", scale=50.0), fleet_size=2, announces_rates=True)
@@ -210,7 +210,7 @@
     assert gaps == [1.2 * share, 1.2 * share, 2.4 * share, 4 * share, 4 * share]
 
 
-def test_a_gap_at_its_share_shrinks_slowly_and_one_that_was_shut_out_fast() -> None:
+def test_the_gap_shrinks_slowly_below_its_base_and_fast_above() -> None:
     world = World(endpoint("a", scale=1.0), announces_rates=True, max_attempts=99)
     (breaker,) = world.dispatcher.registry.activate(1).breakers
 
@@ -227,7 +227,7 @@
 @pytest.mark.parametrize(
     ("pause", "wait", "doubtful"), [(100, 0, False), (100, 400, False), (700, 0, True), (100, 4_000, True)]
 )
-def test_only_what_refuses_for_longer_than_a_span_may_have_been_out(
+def test_only_refusals_beyond_a_limit_window_are_taken_for_an_outage(
     pause: int, wait: int, doubtful: bool
 ) -> None:
     """Seen: three refusals above a limit in a row, and the destination was warmed for 9 s like one that was
@@ -241,7 +241,7 @@
     assert (breaker.warm_up_gap(world.now) > 0) is doubtful
 
 
-def test_a_kept_connection_that_breaks_says_nothing_of_the_destination() -> None:
+def test_a_stale_connection_is_no_evidence_on_the_destination() -> None:
     world = World()
     (breaker,) = world.dispatcher.registry.activate(1).breakers
     for _ in range(FAILURE_THRESHOLD + 1):
@@ -250,7 +250,7 @@
     assert breaker.failures == 0 and breaker.failure_rate == 0
 
 
-def test_a_call_given_up_for_its_message_says_nothing_of_the_destination() -> None:
+def test_a_timeout_of_a_message_with_little_time_is_no_evidence() -> None:
     """Messages that go with little time left time out long before a call is overdue."""
     world = World()
     for _ in range(2 * FAILURE_THRESHOLD):
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -1,4 +1,4 @@
-"""What changes where many senders share a destination."""
+"""What the policy does differently in a large fleet."""
 
 import random
 
@@ -21,7 +21,7 @@
 CROWD = 200
 
 
-def test_a_failed_trial_of_a_crowd_waits_as_long_as_a_cold_destination_needs() -> None:
+def test_in_a_large_fleet_a_failed_trial_waits_for_the_gap_of_a_cold_destination() -> None:
     world = World(fleet_size=CROWD)
     for _ in range(FAILURE_THRESHOLD):
         world.take("once", after=100 * SECOND)
@@ -33,7 +33,7 @@
         assert sent(world.step(WakeUp(), after=RESET_TIMEOUT_US)) == []
 
 
-def test_two_failed_calls_start_the_warm_up_in_a_crowd_alone() -> None:
+def test_two_failures_start_the_warm_up_in_a_large_fleet_only() -> None:
     for fleet, cold in ((2, False), (CROWD, True)):
         world = World(fleet_size=fleet)
         for _ in range(2):
@@ -43,7 +43,7 @@
         assert (breaker.warm_up_gap(world.now) > 0) == cold
 
 
-def test_the_first_gap_of_a_crowd_is_wide() -> None:
+def test_the_first_gap_is_wide_in_a_large_fleet() -> None:
     gaps = []
     for fleet in (2, CROWD):
         world = World(fleet_size=fleet)
@@ -53,7 +53,7 @@
     assert gaps[1] > 10 * gaps[0]
 
 
-def test_senders_told_the_same_wait_do_not_come_back_together() -> None:
+def test_senders_with_the_same_retry_after_do_not_return_together() -> None:
     ends = []
     for fleet in (1, CROWD, CROWD):
         world = World(fleet_size=fleet)
@@ -66,7 +66,7 @@
     assert ends[0] == 10 * MS + SECOND and ends[1] != ends[2]
 
 
-def test_the_gap_of_a_crowd_begins_at_the_told_rate() -> None:
+def test_the_gap_of_a_large_fleet_begins_at_the_announced_rate() -> None:
     gaps = []
     for scale in (1.0, 40.0):
         world = World(endpoint("a", scale=scale), fleet_size=CROWD, announces_rates=True)
@@ -76,7 +76,7 @@
     assert gaps[0] > gaps[1] > 0
 
 
-def test_a_refused_connect_among_served_calls_closes_idle_connections_there_in_a_crowd_alone() -> None:
+def test_a_refused_connection_among_successes_closes_idle_connections_in_a_large_fleet_only() -> None:
     """What refuses all connects is out, and so is what is served again only after a while."""
     for fleet, refused, after, closes in (
         (CROWD, "a", 100 * MS, True),
@@ -92,7 +92,7 @@
 
 
 @pytest.mark.parametrize("fleet", [5, 40, 200])
-def test_calls_for_the_list_are_spread_and_none_waits_for_longer_than_the_term_allows(fleet: int) -> None:
+def test_list_polls_are_spread_and_none_is_delayed_beyond_the_limit(fleet: int) -> None:
     """For a thousand seeds each delay lies in its range, and in no 100 ms of a start do more than a few of
     forty ask. Whether discovery can take them is in tests/test_told.py."""
     times: dict[int, int] = {}
@@ -118,7 +118,7 @@
     assert fleet > 40 or max(times.values()) <= 5
 
 
-def test_two_senders_ask_for_the_list_at_once_and_a_crowd_serves_from_what_it_knows_meanwhile() -> None:
+def test_two_senders_poll_the_list_at_once_and_a_large_fleet_uses_its_cached_list_meanwhile() -> None:
     for fleet in (2, CROWD):
         module = Dispatcher(settings(fleet_size=fleet, must_poll=True), seed=7)
         known = EndpointsUpdated(ListingKind.CACHED, (endpoint("a"),))
@@ -128,7 +128,7 @@
         assert sent(actions) == ["m1"]
 
 
-def test_a_refused_connect_of_a_crowd_holds_nothing_back_while_another_endpoint_may_serve() -> None:
+def test_in_a_large_fleet_a_refused_connection_delays_nothing_while_another_endpoint_may_serve() -> None:
     """One of two endpoints is gone and the list is old; where both refuse, the breaker opens as ever."""
     for fleet, gone, counted in ((4, "a", 1), (40, "a", 0), (40, "ab", 2)):
         world = World(endpoint("a"), endpoint("b"), fleet_size=fleet)
@@ -143,7 +143,7 @@
         assert (found >= counted) and (found == 0) == (counted == 0)
 
 
-def test_a_crowd_uses_routes_apart_by_their_rates_and_few_senders_the_cheapest() -> None:
+def test_a_large_fleet_uses_separate_routes_by_rate_and_a_small_one_the_cheapest() -> None:
     for fleet, fair in ((4, False), (40, True)):
         rates = {"x": 60.0, "y": 30.0}
         routes = [endpoint(name, kind="apart", zone=name, scale=rate) for name, rate in rates.items()]
@@ -155,7 +155,7 @@
         assert (35 <= used.count("x") <= 45) == fair and (used.count("y") == 60) != fair
 
 
-def test_usual_time_is_learned_from_the_first_calls() -> None:
+def test_the_mean_latency_is_learned_from_the_first_calls() -> None:
     world = World()
     for _ in range(3):
         world.take()
@@ -164,7 +164,7 @@
     assert breaker.mean_latency < 200 * MS
 
 
-def test_a_room_full_of_messages_that_cannot_go_does_not_turn_new_ones_away() -> None:
+def test_a_queue_full_of_messages_that_cannot_be_sent_does_not_reject_new_ones() -> None:
     world = World(endpoint("b", destination=2), max_open=5)
     for _ in range(4):
         world.take()
@@ -178,7 +178,7 @@
     ("fleet", "passed", "gone"),
     [(CROWD, SECOND, "m7"), (CROWD, 13 * SECOND, "m7"), (CROWD, 14 * SECOND, "m3"), (4, SECOND, "m3")],
 )
-def test_who_was_taken_on_by_a_crowd_is_not_returned_for_room_before_seven_tenths_of_its_time(
+def test_a_large_fleet_does_not_shed_accepted_messages_before_seven_tenths_of_their_time(
     fleet: int, passed: int, gone: str
 ) -> None:
     """Two calls take all slots and last; the newcomer would only wait too."""
@@ -189,7 +189,7 @@
     assert first.message == gone
 
 
-def test_who_can_only_go_when_its_time_is_up_makes_room_at_once() -> None:
+def test_a_message_that_cannot_be_sent_before_its_deadline_is_shed_at_once() -> None:
     world = World(endpoint("a"), endpoint("b", destination=2), max_open=5, fleet_size=CROWD)
     assert sent(world.take())
     world.answer("m1", Outcome.FULL, wait=40 * SECOND)
@@ -199,17 +199,17 @@
     assert sent(actions) == ["m5"] and len(ended(actions)) == 1
 
 
-@pytest.mark.parametrize("told", [0, -3, None, "forty", 2.5, float("nan"), float("inf"), True, 1e308])
-def test_a_fleet_size_that_is_no_count_is_refused_by_name(told: object) -> None:
+@pytest.mark.parametrize("size", [0, -3, None, "forty", 2.5, float("nan"), float("inf"), True, 1e308])
+def test_an_invalid_fleet_size_is_refused_by_name(size: object) -> None:
     with pytest.raises(ValueError, match="fleet_size must be"):
-        settings_from(ENV | {"fleet_size": told}, on_sockets=True)
+        settings_from(ENV | {"fleet_size": size}, on_sockets=True)
 
 
-def test_a_refusal_holds_a_busy_member_of_a_crowd_to_what_it_usually_sends() -> None:
-    """Its part of the traffic is several times the mean one's; in a small fleet the told step holds."""
+def test_a_refusal_limits_a_busy_member_of_a_large_fleet_to_its_usual_rate() -> None:
+    """Its part of the traffic is several times the mean; in a small fleet the announced rate counts."""
     for fleet, usual in ((CROWD, True), (2, False)):
-        told = endpoint("a", scale=fleet / 4)  # the mean member's part: a call in 4 s
-        world = World(told, fleet_size=fleet, announces_rates=True)
+        listed = endpoint("a", scale=fleet / 4)  # the mean member's part: a call in 4 s
+        world = World(listed, fleet_size=fleet, announces_rates=True)
         for _ in range(60):
             assert sent(world.take(after=800 * MS))
             world.answer(f"m{world.count}", Outcome.OK, after=0)
@@ -223,12 +223,12 @@
 @pytest.mark.parametrize(
     ("fleet", "tenant", "goes"), [(CROWD, "t", False), (CROWD, "", True), (4, "t", True), (4, "", True)]
 )
-def test_over_its_share_a_newcomer_doesnt_go_past_a_full_room_of_a_crowd(
+def test_in_a_large_fleet_a_new_message_over_quota_does_not_pass_a_full_queue(
     fleet: int, tenant: str, goes: bool
 ) -> None:
     """A newcomer that has to wait in turn finds no room then; one that could go at once went ahead of it."""
-    told = {"fleet_size": fleet, "max_open": 5, "tenants": (("t", 1.0),), "over_quota_weight": 0.1}
-    world = World(endpoint("a"), endpoint("b", destination=2), **told)
+    changes = {"fleet_size": fleet, "max_open": 5, "tenants": (("t", 1.0),), "over_quota_weight": 0.1}
+    world = World(endpoint("a"), endpoint("b", destination=2), **changes)
     assert sent(world.take())
     world.answer("m1", Outcome.FULL, wait=10 * SECOND)
     for _ in range(3):
--- a/tests/test_crowd_limits.py
+++ b/tests/test_crowd_limits.py
@@ -1,22 +1,22 @@
-"""Forty senders before a limit that none of them sees: what is refused uses it up."""
+"""Forty senders in front of a limit that none of them knows: refused calls count against it."""
 
 import pytest
-from crowds import Crowd
+from crowds import LargeFleet
 
 from message_sender.policy.model import Outcome
 
-TOLD = 60.0
+ANNOUNCED_RATE = 60.0
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_after_a_limit_was_halved_refusals_fade_and_it_is_back_within_seconds(seed: int) -> None:
-    crowd = Crowd(TOLD, seed=seed)
-    crowd.offer(0.8 * TOLD, until=6)
-    crowd.receiver.rate = TOLD / 2
-    crowd.offer(0.8 * TOLD, until=16)
-    served, refused = (crowd.rate(each, 11, 16) for each in (Outcome.OK, Outcome.FULL))
-    assert served > 0.58 * TOLD / 2  # 0.53, where refusals go on using up the next span
-    assert refused < 0.35 * TOLD / 2  # 0.57
-    crowd.receiver.rate = TOLD
-    crowd.offer(0.8 * TOLD, until=24)
-    assert crowd.rate(Outcome.OK, 16, 24) > 0.86 * TOLD  # 0.74 to 0.84
+    fleet = LargeFleet(ANNOUNCED_RATE, seed=seed)
+    fleet.offer(0.8 * ANNOUNCED_RATE, until=6)
+    fleet.receiver.rate = ANNOUNCED_RATE / 2
+    fleet.offer(0.8 * ANNOUNCED_RATE, until=16)
+    served, refused = (fleet.rate(each, 11, 16) for each in (Outcome.OK, Outcome.FULL))
+    assert served > 0.58 * ANNOUNCED_RATE / 2  # 0.53, where refusals go on using up the next span
+    assert refused < 0.35 * ANNOUNCED_RATE / 2  # 0.57
+    fleet.receiver.rate = ANNOUNCED_RATE
+    fleet.offer(0.8 * ANNOUNCED_RATE, until=24)
+    assert fleet.rate(Outcome.OK, 16, 24) > 0.86 * ANNOUNCED_RATE  # 0.74 to 0.84
--- a/tests/test_directories.py
+++ b/tests/test_directories.py
@@ -1,4 +1,4 @@
-"""Lists from files: believed, doubted, merged, old."""
+"""Endpoint lists from files: accepted, doubted, merged, stale."""
 
 import asyncio
 import io
@@ -29,7 +29,7 @@
 
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(st.lists(st.tuples(st.sets(st.sampled_from("abcdefgh")), st.integers(0, 40)), max_size=12))
-def test_what_is_believed_is_the_list_and_what_is_doubted(lists: list[tuple[set[str], int]]) -> None:
+def test_accepted_entries_are_the_list_and_what_is_doubted(lists: list[tuple[set[str], int]]) -> None:
     """Nothing that a list names is left out; what it misses is believed for the patience at the most, and
     only where more than the share vanished."""
     belief, now, missing_since = MergedList[int](0.5, 30), 0, dict[str, int]()
@@ -46,7 +46,7 @@
             assert believed == told
 
 
-def test_a_list_that_empties_is_doubted_until_its_time_or_a_word() -> None:
+def test_a_list_that_empties_is_doubted_until_its_time_or_a_confirmation() -> None:
     belief = MergedList[int](0.5, 60)
     belief.update(names("a", "b", "c", "d"), 0)
     belief.update(names("a"), 10)
@@ -65,7 +65,7 @@
 
 
 class Files:
-    """Two files, a clock, and what is told on."""
+    """Two files, a clock, and the resulting updates."""
 
     def __init__(self, folder: Path) -> None:
         self.paths, self.folder, self.now = (folder / "one.toml", folder / "two.toml"), folder, 0
@@ -81,7 +81,7 @@
         return made
 
 
-def test_files_are_merged_taken_whole_and_kept_for_the_next_start(
+def test_files_are_merged_used_completely_and_saved_for_the_next_start(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     files = Files(tmp_path)
@@ -108,7 +108,7 @@
 
 
 @play
-async def test_a_sender_s_endpoints_come_from_files_and_an_emptied_one_is_asked_about(state: Path) -> None:
+async def test_a_sender_takes_endpoints_from_files_and_doubts_an_emptied_one(state: Path) -> None:
     """The configuration's own list goes before the files; a start with no file goes on with the last list."""
     told = {
         "classes": {"c": {"effect": "safe", "aim_ms": 4000, "deadline_ms": 8000}},
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""The module's size, and its answers to bad input."""
+"""The size of the policy's modules, and the policy's errors for invalid input."""
 
 import tomllib
 from pathlib import Path
@@ -30,7 +30,7 @@
         ("key_pause", "key_quiet"),
     ],
 )
-def test_contradictory_settings_are_named_as_whoever_wrote_them_knows_them(field: str, name: str) -> None:
+def test_contradictory_settings_are_named_as_in_the_settings(field: str, name: str) -> None:
     with pytest.raises(ValueError, match=name):
         settings(**{field: -1})
 
@@ -46,6 +46,6 @@
         world.step(WakeUp(), after=-SECOND)
 
 
-def test_events_of_ids_no_longer_held_are_passed_over() -> None:
+def test_events_of_unknown_ids_are_ignored() -> None:
     world = World()
     assert world.step(AttemptEnded("never", 0, Outcome.OK), MessageWithdrawn("never")) == []
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -1,4 +1,4 @@
-"""A change of the list costs what changed, and leaves what a walk over everything would."""
+"""An update of the endpoint list costs what it names, and results in what a plain model does."""
 
 import random
 from typing import Any
@@ -14,7 +14,7 @@
 
 
 class Plain:
-    """The list by a walk over everything: endpoints in the order in which they came to be known."""
+    """A plain model of the list: endpoints in the order in which they became known."""
 
     def __init__(self) -> None:
         self.endpoints: dict[str, Endpoint] = {}
@@ -52,7 +52,7 @@
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_any_stream_of_lists_leaves_what_a_plain_walk_leaves(seed: int) -> None:
+def test_any_stream_of_lists_results_in_the_list_of_a_plain_model(seed: int) -> None:
     rng, plain, world = random.Random(seed), Plain(), World(announces_rates=True)
     plain.hear(EndpointsUpdated(ListingKind.FULL, (endpoint("a"),)))
     for _ in range(60):
@@ -78,8 +78,8 @@
 
 
 @pytest.mark.parametrize("size", [10, 10_000])
-def test_a_change_visits_what_it_names_however_long_the_list_is(size: int) -> None:
-    """Counted: the endpoints that a change looks up a breaker for, of destinations that are awake."""
+def test_a_change_examines_only_what_it_names(size: int) -> None:
+    """Counted: the endpoints that a change looks up a breaker for, of active destinations."""
     world = World(*(endpoint(f"e{each}", each // 2) for each in range(size)))
     for each in range(4):
         world.dispatcher.registry.activate(each)
@@ -91,8 +91,8 @@
     assert visited == ["e5", "e6", "e7", "new"]
 
 
-def test_a_wait_that_a_drained_endpoint_tells_binds_its_destination_at_once() -> None:
-    """Its answer's rest may take half a second to come, and only then is the attempt's fate told."""
+def test_a_retry_after_of_a_drained_endpoint_binds_its_destination_at_once() -> None:
+    """Its answer's rest may take half a second to come, and only then is the attempt's result known."""
     world = World(endpoint("a"), endpoint("b"))
     world.take()
     (first,) = [each for each in world.dispatcher.endpoints.values() if each.in_flight]
--- a/tests/test_overrides.py
+++ b/tests/test_overrides.py
@@ -112,7 +112,7 @@
 
 @settings(max_examples=400, deadline=None, derandomize=True)
 @given(st.lists(STEPS, max_size=25))
-def test_what_is_told_on_is_what_the_plain_model_says(steps: list[tuple[Any, ...]]) -> None:
+def test_the_resulting_list_is_that_of_a_plain_model(steps: list[tuple[Any, ...]]) -> None:
     book, view, listed, now = OverrideBook(), EngineView(), {}, T0  # type: OverrideBook, EngineView, dict[str, Endpoint], int
     layer = OverrideLayer(book)
     for what, first, second, third in steps:
@@ -267,7 +267,7 @@
     assert not book.overrides and book.last_number == 0
 
 
-def test_a_pin_to_what_is_ejected_is_in_vain() -> None:
+def test_a_pin_to_an_ejected_endpoint_has_no_effect() -> None:
     """Else nothing of its destination would be left in service."""
     book, view = OverrideBook(), EngineView()
     layer = OverrideLayer(book, outliers=OutlierDetector(EjectionPolicy(failures=1)))
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -1,5 +1,5 @@
-"""A returning destination is not pushed over, by the sum of what all senders send: fleets in virtual time,
-and what each of their members does for it."""
+"""A returning destination is not overloaded by the sum of all senders: fleets in virtual time, and what each
+member does for it."""
 
 import pytest
 from helpers import SECOND, World, endpoint, sent
@@ -17,13 +17,13 @@
     ("senders", "how"),
     [(5, "shut"), (5, "hangs"), *((n, how) for n in (20, 30) for how in HOW)],
 )
-def test_the_sum_of_all_senders_keeps_to_the_bound(senders: int, how: str) -> None:
+def test_the_load_of_all_senders_stays_below_the_bound(senders: int, how: str) -> None:
     found, goodput = peaks(returning(senders, how), seed=senders)
     assert len(found) == 10 and goodput > 0.6
     assert found[-1] <= 1
 
 
-def test_the_sum_of_five_senders_of_which_three_restart_keeps_to_the_bound() -> None:
+def test_the_load_of_five_senders_of_which_three_restart_stays_below_the_bound() -> None:
     found, _ = peaks(returning(5, "restarts"), seed=5)
     assert found[-1] <= 1
 
@@ -37,7 +37,9 @@
         (Outcome.ERROR, False),
     ],
 )
-def test_one_call_that_is_no_stray_starts_a_crowds_warm_up(outcome: Outcome, cold: bool) -> None:
+def test_one_failure_that_is_not_isolated_starts_the_warm_up_of_a_large_fleet(
+    outcome: Outcome, cold: bool
+) -> None:
     for fleet in (4, CROWD):
         world = World(fleet_size=fleet)
         world.take("once")
@@ -51,7 +53,7 @@
     ("outcome", "cold"),
     [(Outcome.CONNECT_FAILED, True), (Outcome.RESET, True), (Outcome.TIMEOUT, True), (Outcome.ERROR, False)],
 )
-def test_one_failure_that_a_start_found_on_record_starts_it_in_a_crowd(
+def test_one_restored_failure_starts_the_warm_up_of_a_large_fleet(
     outcome: Outcome, cold: bool, fleet: int
 ) -> None:
     """All that is held for the destination then goes one by one, not as many at once as there are slots."""
@@ -67,7 +69,7 @@
         assert len(sent(actions)) <= 1 and breaker.ready_at(world.now) > first
 
 
-def test_a_call_that_is_overdue_starts_it_too() -> None:
+def test_an_overdue_call_starts_the_warm_up_of_a_large_fleet() -> None:
     world = World(fleet_size=CROWD)
     world.take("once")
     world.step(WakeUp(), after=3 * SECOND)
@@ -75,7 +77,7 @@
     assert breaker.warm_up_gap(world.now) > 0
 
 
-def test_the_warm_up_of_a_crowd_counts_from_between_the_failure_and_what_is_served_next() -> None:
+def test_the_warm_up_of_a_large_fleet_counts_from_between_the_failure_and_the_next_success() -> None:
     for fleet, moved in ((4, False), (CROWD, True)):
         world = World(endpoint("a", scale=50.0), fleet_size=fleet, announces_rates=True)
         for _ in range(2 if fleet == CROWD else 3):
@@ -89,7 +91,7 @@
         assert breaker.warm_up_since == ((failed + begun) / 2 if moved else failed)
 
 
-def test_members_of_a_crowd_that_saw_one_outage_do_not_come_back_together() -> None:
+def test_members_of_a_large_fleet_do_not_return_together_after_an_outage() -> None:
     def back(seed: int, fleet: int) -> float:
         world = World(endpoint("a", scale=fleet / 4), fleet_size=fleet, announces_rates=True)
         world.dispatcher.loop.random.seed(seed)
@@ -103,7 +105,7 @@
 
 
 @pytest.mark.parametrize("fleet", [4, CROWD])
-def test_what_a_crowd_found_at_a_start_does_not_go_all_at_one_time(fleet: int) -> None:
+def test_a_large_fleet_does_not_send_all_restored_messages_together(fleet: int) -> None:
     """Each sender has one message; the mean one's time between calls is 4 s."""
     at: list[int] = []
     for seed in range(40):
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -89,7 +89,7 @@
     assert action.endpoint == "b"
 
 
-def test_told_wait_binds_every_message_of_the_destination() -> None:
+def test_a_retry_after_binds_every_message_of_the_destination() -> None:
     world = World()
     world.take()
     world.answer("m1", Outcome.FULL, wait=4 * SECOND)
@@ -97,14 +97,14 @@
     assert sent(world.step(WakeUp(), after=10 * MS)) != []
 
 
-def test_told_wait_binds_one_route_where_routes_are_apart() -> None:
+def test_a_retry_after_binds_one_route_where_routes_are_separate() -> None:
     world = World(endpoint("a", kind="apart"), endpoint("b", kind="apart"))
     (first,) = [each for each in world.take() if isinstance(each, Send)]
     (again,) = [each for each in world.answer("m1", Outcome.FULL, wait=SECOND) if isinstance(each, Send)]
     assert {first.endpoint, again.endpoint} == {"a", "b"}
 
 
-def test_messages_of_a_key_go_one_at_a_time_as_taken() -> None:
+def test_messages_of_a_key_go_one_at_a_time_in_order() -> None:
     world = World()
     assert sent(world.take("ordered", key="k")) == ["m1"]
     assert sent(world.take("ordered", key="k")) == []
@@ -112,7 +112,7 @@
     assert sent(world.answer("m1", Outcome.OK)) == ["m2"]
 
 
-def test_key_rests_after_an_unsettled_attempt() -> None:
+def test_a_key_pauses_after_an_uncertain_attempt() -> None:
     world = World()
     world.take("ordered", key="k", time_left_us=SECOND)
     world.take("ordered", key="k")
@@ -181,7 +181,7 @@
     assert len(ended(world.answer("m1", Outcome.FULL))) == 1
 
 
-def test_key_rests_after_a_restart() -> None:
+def test_a_key_pauses_after_a_restart() -> None:
     world = World()
     world.step(restored("m1", 6, message_class="ordered", key="k"))
     assert sent(world.take("ordered", key="k")) == []
@@ -189,7 +189,7 @@
     assert sent(world.step(WakeUp(), after=2 * MS)) == ["m1"]
 
 
-def test_key_waits_for_the_answered_end_where_ends_are_answered() -> None:
+def test_a_key_waits_for_the_acknowledged_completion_where_completions_are_acknowledged() -> None:
     world = World(acknowledges_completions=True)
     world.take("ordered", key="k", destination=9, time_left_us=SECOND)
     world.take("ordered", key="k")
@@ -198,14 +198,14 @@
     assert sent(world.step(EndAcknowledged("m1"))) == ["m2"]
 
 
-def test_no_call_starts_that_may_be_out_when_the_process_ends() -> None:
+def test_no_call_starts_that_may_be_in_flight_when_the_process_ends() -> None:
     world = World()
     assert sent(world.step(Stopping(3 * SECOND))) == []
     assert sent(world.take()) == ["m1"]
     assert sent(world.take(after=2800 * MS)) == []
 
 
-def test_what_is_told_while_a_call_connects_stops_it() -> None:
+def test_a_retry_after_or_drain_stops_a_call_that_is_connecting() -> None:
     world = World(endpoint("a"), endpoint("b", destination=2))
     world.take()
     world.take()
@@ -217,7 +217,7 @@
     assert not world.dispatcher.may_start_call("b", world.now)
 
 
-def test_what_is_past_ages_out_but_not_a_wait_that_lasts() -> None:
+def test_unused_state_expires_but_not_a_retry_after_that_lasts() -> None:
     """Guards a process that lasts: endpoints, keys and accounts are ever new."""
     world = World(endpoint("a"), endpoint("b", destination=2))
     world.take("ordered", key="k", time_left_us=SECOND)
@@ -236,7 +236,7 @@
     assert list(world.dispatcher.destinations) == [2]
 
 
-def test_a_key_that_rests_wakes_the_sender_when_it_has() -> None:
+def test_the_end_of_a_key_pause_wakes_the_sender() -> None:
     world = World()
     world.take("ordered", key="k")
     world.take("ordered", key="k")
@@ -245,7 +245,7 @@
     assert sent(world.step(WakeUp(), after=int(world.dispatcher.wake_at) - world.now)) == ["m2"]
 
 
-def test_a_message_whose_window_closes_while_it_is_held_ends_then() -> None:
+def test_a_message_whose_window_closes_while_it_is_pending_is_completed_then() -> None:
     world = World(slots=1)
     world.take("keyed")
     world.answer("m1", Outcome.ERROR, wait=60 * SECOND)
@@ -256,7 +256,7 @@
     assert 4 * SECOND <= world.now <= 6 * SECOND
 
 
-def test_a_started_sender_paces_a_returning_destination_by_its_part_of_the_told_rate() -> None:
+def test_a_new_process_paces_a_returning_destination_by_its_part_of_the_announced_rate() -> None:
     """Seen: after a restart two busy destinations got a call in each 2.8 s, guessed for want of a history."""
     gaps = []
     for exact in (False, True):
@@ -268,14 +268,14 @@
     assert gaps[1] == 2 / 40 * SECOND / (2.0 * WARM_UP_LOAD_FACTOR * 0.2) < gaps[0]
 
 
-def test_a_told_wait_binds_calls_about_to_go_before_its_events_are_handled() -> None:
+def test_a_retry_after_binds_calls_about_to_start_before_its_event_is_handled() -> None:
     world = World()
     world.dispatcher.retry_after_received("a", world.now + SECOND)
     assert not world.dispatcher.may_start_call("a", world.now) and sent(world.take()) == []
     assert sent(world.step(WakeUp(), after=SECOND)) == ["m1"]
 
 
-def test_refusals_of_what_is_owed_make_a_destination_doubtful_after_a_restart() -> None:
+def test_refusals_of_restored_messages_warm_a_destination_up_after_a_restart() -> None:
     """Found by lives in simulated time: after a kill all that was held for a destination that had been shut
     went to it at once, as refusals were forgotten with the process."""
     for refusals, cold in ((1, False), (2, True)):
--- a/tests/test_schedule.py
+++ b/tests/test_schedule.py
@@ -1,4 +1,4 @@
-"""A turn costs what changed, and decides what walks over everything would decide."""
+"""An iteration costs what changed, and decides what walks over everything would decide."""
 
 import dataclasses
 import io
@@ -63,7 +63,7 @@
 
 
 class Plain(Dispatcher):
-    """The slow and plain one: looks at all that is held, out and listed, each time."""
+    """A plain model: examines all messages, calls and endpoints in each iteration."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         super().__init__(settings, seed)
@@ -102,7 +102,7 @@
         return min((each for each in due if each > now), default=NEVER)
 
 
-def told(actions: list[PolicyAction]) -> list[PolicyAction]:
+def without_wake_ups(actions: list[PolicyAction]) -> list[PolicyAction]:
     return [each for each in actions if not isinstance(each, WakeAfter)]
 
 
@@ -121,8 +121,10 @@
 
 @pytest.mark.parametrize("seed", range(4))
 @pytest.mark.parametrize("name", SHAPES)
-def test_schedule_and_walk_decide_alike(name: str, seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    """On what the schedule's own wakes bring about; and it never sleeps past what a walk finds due."""
+def test_the_policy_decides_as_a_walk_over_everything(
+    name: str, seed: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """On the wake-ups that the policy orders; and it never sleeps past what a walk finds due."""
     # Else the order of what makes room may be some ms old.
     monkeypatch.setattr(pending, "SHEDDING_ORDER_AGE_US", 0)
     world = StreamWorld(SHAPES[name], seed)
@@ -130,7 +132,7 @@
 
     def heard(now: int, events: list[PolicyEvent], actions: list[PolicyAction]) -> None:
         module.pending.shedding_order_until = -NEVER
-        assert told(plain.handle(now, events)) == told(actions), (now, events)
+        assert without_wake_ups(plain.handle(now, events)) == without_wake_ups(actions), (now, events)
         due = plain.due()
         assert due == NEVER or module.wake_at <= max(due, now + world.settings.tick), (now, due)
 
@@ -138,7 +140,7 @@
     assert world.told["Send"] > 20 and module.messages.keys() == plain.messages.keys()
 
 
-def test_a_record_is_heard_again_as_it_was() -> None:
+def test_a_recorded_stream_replays_identically() -> None:
     world, out = StreamWorld(dataclasses.replace(SMALL, seconds=3.0), 5), io.StringIO()
     recorder = Recorder(out, world.settings, 5, Dispatcher(world.settings, 5).handle)
     world.run(recorder, lambda *_: None)
@@ -169,7 +171,7 @@
     base=st.integers(0, 10**9),
 )
 @settings(max_examples=300, deadline=None, derandomize=True)
-def test_the_best_of_a_group_stands_at_an_end_of_a_stretch(
+def test_the_most_urgent_message_is_among_the_candidates(
     kind: MessageClass, halves: bool, shares: list[float], base: int
 ) -> None:
     now, group, all_of_them = base + 2 * kind.deadline, ReadyGroup(kind, 0.1, halves), []
@@ -197,7 +199,7 @@
 
 @given(st.lists(st.tuples(st.integers(0, 9), TIMES), max_size=200), st.integers(0, 50))
 @settings(max_examples=200, deadline=None, derandomize=True)
-def test_an_agenda_tells_what_a_table_of_times_tells(changes: list[tuple[int, float]], now: int) -> None:
+def test_a_timer_queue_agrees_with_a_table_of_times(changes: list[tuple[int, float]], now: int) -> None:
     timers: TimerQueue[int] = TimerQueue()
     table: dict[int, float] = {}
     for item, at in changes:
@@ -214,7 +216,7 @@
 
 
 def looks_an_event(shape: StreamShape, until: float) -> float:
-    """Items looked at for each event heard, from `until` seconds on. A trial that fails is one, too."""
+    """Items examined for each event, from `until` seconds on. A trial that fails is one, too."""
     world = StreamWorld(shape, 3)
     module, heard_of, before = Dispatcher(world.settings, 3), 0, 0
 
@@ -234,17 +236,17 @@
 
 
 @pytest.mark.parametrize("many", [10, 100, 10_000])
-def test_a_message_costs_the_same_looks_beside_any_number_of_quiet_destinations(many: int) -> None:
+def test_quiet_destinations_add_no_examined_items(many: int) -> None:
     assert looks_an_event(dataclasses.replace(CALM, destinations=many), 1.0) < 6
 
 
 @pytest.mark.parametrize("down", [5, 500, 9_990])
-def test_a_message_costs_the_same_looks_however_much_is_down_and_held(down: int) -> None:
+def test_destinations_that_are_down_add_no_examined_items(down: int) -> None:
     shape = dataclasses.replace(CALM, destinations=down + 10, down=down, seconds=14.0)
     assert looks_an_event(shape, 10.0) < 6
 
 
-def test_a_key_used_once_leaves_nothing() -> None:
+def test_a_key_used_once_leaves_no_state() -> None:
     world = World(slots=1000, max_open=10**6)
     for each in range(10_000):
         world.take("ordered", key=f"k{each}", after=MS)
@@ -256,7 +258,7 @@
     )
 
 
-def test_a_queue_of_one_key_costs_what_goes_and_not_what_waits() -> None:
+def test_the_cost_of_a_key_does_not_depend_on_its_waiting_messages() -> None:
     world = World(max_open=10**6)
     for _ in range(3000):
         world.take("ordered", key="k")
@@ -266,7 +268,7 @@
     assert world.dispatcher.loop.examined_items - before <= 100 * 8
 
 
-def test_names_of_tenants_that_were_never_seen_leave_nothing() -> None:
+def test_unknown_tenants_leave_no_state() -> None:
     world = World(tenants=(("known", 5.0),), over_quota_weight=0.5)
     for each in range(2000):
         world.take(tenant=f"made up {each}", after=MS)
@@ -274,7 +276,7 @@
     assert list(world.dispatcher.pending.credit) == ["known"]
 
 
-def test_more_destinations_than_a_turn_looks_at_all_get_their_turn() -> None:
+def test_more_destinations_than_an_iteration_examines_are_all_served() -> None:
     many = dispatcher.MAX_EXAMINED * 2 + 40
     world = World(*(endpoint(f"e{each}", each) for each in range(many)), slots=1, max_open=10**6)
     for each in range(many):
@@ -307,7 +309,7 @@
 LISTED_ONLY, AWAKE = 700, 3000
 
 
-def test_what_is_kept_for_a_destination_stays_under_its_bound() -> None:
+def test_the_memory_of_a_destination_stays_below_its_bound() -> None:
     listed = tuple(endpoint(f"e{each}", each) for each in range(MANY))
     world = World()
     full = EndpointsUpdated(ListingKind.FULL, listed)
@@ -331,7 +333,7 @@
 
 
 def asleep(silence: int, outcome: Outcome, **changes: object) -> World:
-    """A destination that was used, and then silent for so long."""
+    """A destination that was used, and then not for so long."""
     world = World(**changes)
     for _ in range(3):
         if sent(world.take("once", after=SECOND)):
@@ -345,7 +347,7 @@
 
 @pytest.mark.parametrize("outcome", [Outcome.OK, Outcome.RESET, Outcome.ERROR])
 @pytest.mark.parametrize("days", [1, 30])
-def test_one_that_was_silent_for_days_is_warmed_and_not_judged_by_old_figures(
+def test_an_inactive_destination_is_warmed_up_and_not_judged_by_old_statistics(
     outcome: Outcome, days: int
 ) -> None:
     world = asleep(days * 24 * 3600 * SECOND, outcome)
@@ -366,19 +368,19 @@
     assert 1 <= len(first) <= 2 and len(gone) >= 2  # one call, then at the pace of a cold one
 
 
-def test_one_that_is_asked_again_soon_keeps_its_figures() -> None:
+def test_a_destination_used_again_soon_keeps_its_statistics() -> None:
     world = asleep(INACTIVE_DESTINATION_AGE_US // 2, Outcome.RESET)
     (breaker,) = world.dispatcher.registry.all_breakers()
     assert breaker.is_open() and len(sent(world.take())) == 1 and breaker.trial is not None
 
 
-def test_one_that_was_never_used_is_not_taken_for_cold() -> None:
+def test_a_destination_that_was_never_used_is_not_warmed_up() -> None:
     world = World()
     world.step(WakeUp(), after=30 * 24 * 3600 * SECOND)
     assert len(sent(world.take())) == 1 and len(sent(world.take())) == 1
 
 
-def test_a_destination_taken_off_the_list_and_put_back_keeps_what_is_held_and_out() -> None:
+def test_a_destination_listed_again_keeps_its_pending_messages_and_calls() -> None:
     world = World(slots=1)
     world.take(), world.take()
     gone = endpoint("a", state=EndpointState.GONE)
@@ -390,7 +392,7 @@
     assert world.dispatcher.destinations[1].breakers_by_route[""].in_flight == 0  # type: ignore[index]
 
 
-def test_two_endpoints_that_swap_destinations_take_their_messages_with_neither() -> None:
+def test_endpoints_that_swap_destinations_do_not_take_messages_along() -> None:
     world = World(endpoint("a", 1), endpoint("b", 2))
     world.take(destination=1, message="x"), world.take(destination=2, message="y")
     swapped = (endpoint("a", 2), endpoint("b", 1))
@@ -401,7 +403,7 @@
     assert {each.destination for each in world.dispatcher.registry.all_breakers()} == {1, 2}
 
 
-def test_ten_thousand_that_wake_within_a_minute_each_get_their_message() -> None:
+def test_ten_thousand_destinations_activated_within_a_minute_are_all_served() -> None:
     many, rng = 10_000, random.Random(1)
     world = World(*(endpoint(f"e{each}", each) for each in range(many)), slots=64, max_open=10**6)
     places = list(range(many))
@@ -416,18 +418,18 @@
     assert not world.dispatcher.messages and (world.dispatcher.loop.examined_items - before) / many < 10
 
 
-def test_a_list_sent_whole_again_and_again_changes_nothing() -> None:
+def test_a_complete_list_sent_repeatedly_changes_nothing() -> None:
     listed = EndpointsUpdated(ListingKind.FULL, tuple(endpoint(f"e{each}", each) for each in range(10_000)))
     world = World()
     world.step(listed)
     world.take(destination=7)
     for _ in range(20):
-        assert told(world.step(listed, after=SECOND // 10)) == []
+        assert without_wake_ups(world.step(listed, after=SECOND // 10)) == []
     assert sent(world.take(destination=7)) == ["m2"] and len(world.dispatcher.registry.all_breakers()) == 1
 
 
-def test_a_share_that_is_whole_but_for_rounding_is_whole() -> None:
-    """Seen: rates of 3 a second on a grid of 5 ms hit a whole message exactly, and the last bit decided."""
+def test_a_credit_of_one_message_up_to_rounding_is_enough() -> None:
+    """Rates of 3 a second on a grid of 5 ms hit a credit of 1 exactly, and the last bit decided."""
     shares = []
     for steps in range(1, 60):
         world = World(tenants=(("t", 1.0),), over_quota_weight=0.1, slots=1)
