--- a/tests/crowds.py
+++ b/tests/crowds.py
@@ -1,4 +1,4 @@
-"""Forty policies on one virtual clock, in front of one receiver with a rate limit: they share nothing else."""
+"""Forty policies on one virtual clock, in front of one receiver with a rate limit; they share no state."""
 
 import heapq
 import itertools
