--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -90,8 +90,8 @@
     """Until each message that was answered 202 has its final answer, of the one that said so."""
 
     def all_ended() -> bool:
-        told = {(each["by"], each["id"]) for each in cluster.ends()}
-        return all((by, name) in told for name, by in cluster.accepted.items())
+        notified = {(each["by"], each["id"]) for each in cluster.ends()}
+        return all((by, name) in notified for name, by in cluster.accepted.items())
 
     await cluster.until(all_ended, 40)
 
@@ -308,12 +308,12 @@
 
 def waits(state: Path) -> bool:
     """Whether its snapshot tells one."""
-    found = (
+    snapshot = (
         learned_snapshot.decode((state / learned_snapshot.FILE).read_bytes())
         if (state / learned_snapshot.FILE).exists()
         else None
     )
-    return found is not None and any(values["wait_until"] for _, _, values in found[1])
+    return snapshot is not None and any(values["wait_until"] for _, _, values in snapshot[1])
 
 
 def test_a_wait_that_was_told_binds_all_over_a_power_loss(tmp_path: Path) -> None:
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -35,19 +35,19 @@
 
 
 def test_a_good_one_is_read_as_it_is_meant(tmp_path: Path) -> None:
-    told = read(GOOD, tmp_path)
-    (command,) = told.settings.classes
+    config = read(GOOD, tmp_path)
+    (command,) = config.settings.classes
     assert (command.effect, command.latency_objective, command.idempotency_window) == (
         Effect.KEYED,
         4_000_000,
         5_000_000,
     )
-    assert told.state == tmp_path / "state" and told.disk_bytes == 3_000_000
-    assert told.settings.slots == 8 and told.settings.tenants == (("acme", 5.0),)
-    assert told.settings.key_pause == 100_000 and told.settings.announces_rates
-    assert [each.dial for each in told.endpoints] == [("127.0.0.1", 9001), ("::1", 9002)]
-    assert told.endpoints[1].endpoint.state is EndpointState.DRAINING
-    assert told.endpoints[1].endpoint.kind == "apart"
+    assert config.state == tmp_path / "state" and config.disk_bytes == 3_000_000
+    assert config.settings.slots == 8 and config.settings.tenants == (("acme", 5.0),)
+    assert config.settings.key_pause == 100_000 and config.settings.announces_rates
+    assert [each.dial for each in config.endpoints] == [("127.0.0.1", 9001), ("::1", 9002)]
+    assert config.endpoints[1].endpoint.state is EndpointState.DRAINING
+    assert config.endpoints[1].endpoint.kind == "apart"
 
 
 FAULTS: list[tuple[list[Any], Any, str]] = [
@@ -98,16 +98,16 @@
 
 
 def changed(*changes: tuple[list[Any], Any]) -> dict[str, Any]:
-    told = copy.deepcopy(GOOD)
+    values = copy.deepcopy(GOOD)
     for path, value in changes:
-        at: Any = told
+        at: Any = values
         for each in path[:-1]:
             at = at[each]
         if value is None:
             del at[path[-1]]
         else:
             at[path[-1]] = value
-    return told
+    return values
 
 
 @pytest.mark.parametrize(("path", "value", "text"), FAULTS, ids=lambda each: str(each)[:40])
@@ -141,10 +141,10 @@
 
 
 def test_the_control_plane_is_read_as_it_is_meant(tmp_path: Path) -> None:
-    told = read({**GOOD, "control": CONTROL}, tmp_path).control
-    assert told and [each.address for each in told.nodes] == [("127.0.0.1", 7801), ("::1", 7802)]
-    assert [each.region for each in told.nodes] == ["north", ""]
-    assert told.key_file == tmp_path / "control.key" and told.listen == ("0.0.0.0", 0)
+    control = read({**GOOD, "control": CONTROL}, tmp_path).control
+    assert control and [each.address for each in control.nodes] == [("127.0.0.1", 7801), ("::1", 7802)]
+    assert [each.region for each in control.nodes] == ["north", ""]
+    assert control.key_file == tmp_path / "control.key" and control.listen == ("0.0.0.0", 0)
     assert read(GOOD).control is None
 
 
--- a/tests/test_control_configuration.py
+++ b/tests/test_control_configuration.py
@@ -34,11 +34,11 @@
         self.places, self.told, self.size = config.endpoints, config.budgets, 0
         self.reasons: list[str] = []
 
-    def configure(self, *told: Any) -> None:  # noqa: ANN401
-        if len(told) == 1:
-            self.places = tuple(told[0])
+    def configure(self, *arguments: Any) -> None:  # noqa: ANN401
+        if len(arguments) == 1:
+            self.places = tuple(arguments[0])
         else:
-            self.told, self.size = told
+            self.told, self.size = arguments
 
     def waits_for_start(self, budgets: tuple[SharedBudget, ...]) -> list[str]:
         return list(self.reasons)
@@ -138,12 +138,12 @@
             super().sync_folder(path)
 
     class Told(Running):
-        def configure(self, *told: Any) -> None:  # noqa: ANN401
+        def configure(self, *arguments: Any) -> None:  # noqa: ANN401
             steps.append("in force")
 
     scene = Scene(tmp_path, Noted())
-    told = Told(scene.configuration.own_config)
-    scene.configuration.bind(told, told)
+    parts = Told(scene.configuration.own_config)
+    scene.configuration.bind(parts, parts)
     scene.to(1, {"endpoints/a": endpoint(2)})
     assert steps == ["sync", "replace", "sync folder", "in force"]
 
@@ -284,8 +284,8 @@
     scene = Scene(tmp_path)
     scene.to(1, {"endpoints/a": endpoint(2)})
     own = read({**OWN, "endpoints": [{"id": "new", "destination": 1, "dial": "127.0.0.1:9"}]})
-    told = scene.configuration.reload(own)
-    assert [each.endpoint.id for each in told.endpoints] == ["a"]
+    config = scene.configuration.reload(own)
+    assert [each.endpoint.id for each in config.endpoints] == ["a"]
     scene.to(2, {}, ("endpoints/a",))
     assert scene.running.ids() == ["new"]
 
--- a/tests/test_control_sender.py
+++ b/tests/test_control_sender.py
@@ -112,13 +112,13 @@
         reload_configuration(sender, file)
         assert sender.dial_addresses() == {"held": ("127.0.0.1", 2)}
         assert set(sender.engine.dispatcher.endpoints) == {"held"}
-        told = (await asyncio.to_thread(send_request, state, {"do": "control"}))["value"]
-        assert (told["version"], told["endpoints_from"], told["budgets_from"]) == (
+        status = (await asyncio.to_thread(send_request, state, {"do": "control"}))["value"]
+        assert (status["version"], status["endpoints_from"], status["budgets_from"]) == (
             7,
             "control plane",
             "own file",
         )
-        assert (told["refused_version"], told["node"], told["fault"]) == (0, "c1", "")
+        assert (status["refused_version"], status["node"], status["fault"]) == (0, "c1", "")
     assert json.loads((state / "control.epoch").read_text()) == 1
 
 
@@ -141,8 +141,8 @@
     sender = made(file, state)
     async with running(sender):
         assert set(sender.dial_addresses()) == {"held"}
-        told = sender.commands()["control"]({})
-        assert told["version"] == 7 and "control.key" in told["fault"]
+        status = sender.commands()["control"]({})
+        assert status["version"] == 7 and "control.key" in status["fault"]
         reload_configuration(sender, file)
         assert set(sender.dial_addresses()) == {"held"}
 
@@ -178,25 +178,25 @@
     listed = Endpoint("e", 3, EndpointState.READY, "plain", "", 8.0)
     at = SimpleNamespace(held={}, endpoints=[SimpleNamespace(listed=listed)], breakers=())
     registry = SimpleNamespace(kinds={"plain": DestinationKind()}, leave_grew=lambda number: None)
-    there = SimpleNamespace(endpoints={"e": at.endpoints[0]}, destinations={3: at}, registry=registry)
+    dispatcher = SimpleNamespace(endpoints={"e": at.endpoints[0]}, destinations={3: at}, registry=registry)
     engine: Any = SimpleNamespace(
-        dispatcher=there, post=lambda event: None, transport=None, hooks=HookChain()
+        dispatcher=dispatcher, post=lambda event: None, transport=None, hooks=HookChain()
     )
-    links = LinkHub(lambda: 0.0, lambda *told: None, 1, US, 0.0, 1)
+    links = LinkHub(lambda: 0.0, lambda *_args: None, 1, US, 0.0, 1)
     links.join("n0", engine, 1)
     _, budgets = links.ends["n0"]
     was = tuple(budgets.told.values())
     calls = SharedBudget("calls", "calls", "destination", 3, 10, None, US, 0, US, 0, 0)
     budgets.configure((*was, calls), 1)
 
-    def reasons(*told: SharedBudget) -> list[str]:
+    def reasons(*changed: SharedBudget) -> list[str]:
         """The texts, which are there exactly where `configure` says that something is left as it is."""
-        found = budgets.waits_for_start((*was, *told))
+        reasons_found = budgets.waits_for_start((*was, *changed))
         caplog.clear()
-        budgets.configure((*was, *told), 1)
+        budgets.configure((*was, *changed), 1)
         is_left = "that waits for a start" in caplog.text or "until the next start" in caplog.text
-        assert bool(found) == is_left
-        return found
+        assert bool(reasons_found) == is_left
+        return reasons_found
 
     assert reasons(calls) == [] and reasons(replace(calls, whole=4)) == []
     assert reasons(replace(calls, floor=1, lease=2 * US, span=2 * US)) == [
--- a/tests/test_directories.py
+++ b/tests/test_directories.py
@@ -23,8 +23,8 @@
 SECOND = 1_000_000
 
 
-def names(*found: str) -> dict[str, int]:
-    return dict.fromkeys(found, 1)
+def names(*endpoint_ids: str) -> dict[str, int]:
+    return dict.fromkeys(endpoint_ids, 1)
 
 
 @settings(max_examples=300, deadline=None, derandomize=True)
@@ -33,17 +33,17 @@
     """Nothing that a list names is left out; what it misses is believed for the patience at the most, and
     only where more than the share vanished."""
     belief, now, missing_since = MergedList[int](0.5, 30), 0, dict[str, int]()
-    for told, passed in lists:
+    for listed, passed in lists:
         now += passed
         before = set(belief.believed)
-        belief.hear(names(*told), now)
+        belief.hear(names(*listed), now)
         believed = set(belief.believed)
-        assert told <= believed and believed == told | set(belief.doubted)
+        assert listed <= believed and believed == listed | set(belief.doubted)
         assert set(belief.doubted) <= before
-        missing_since = {name: missing_since.get(name, now) for name in believed - told}
+        missing_since = {name: missing_since.get(name, now) for name in believed - listed}
         assert all(now - since < 30 for since in missing_since.values())
         if not belief.doubted and len(before) < FEW:
-            assert believed == told
+            assert believed == listed
 
 
 def test_a_list_that_empties_is_doubted_until_its_time_or_a_word() -> None:
@@ -71,8 +71,10 @@
         self.paths, self.folder, self.now = (folder / "one.toml", folder / "two.toml"), folder, 0
         self.told: list[EndpointsUpdated] = []
 
-    def write(self, number: int, *found: str, port: int = 9000) -> None:
-        rows = [f'[[endpoints]]\nid = "{name}"\ndestination = 1\ndial = "h:{port}"\n' for name in found]
+    def write(self, number: int, *endpoint_ids: str, port: int = 9000) -> None:
+        rows = [
+            f'[[endpoints]]\nid = "{name}"\ndestination = 1\ndial = "h:{port}"\n' for name in endpoint_ids
+        ]
         self.paths[number].write_text("\n".join(rows))
 
     def directory(self, **more: Any) -> FileDirectory:  # noqa: ANN401
@@ -110,7 +112,7 @@
 @play
 async def test_a_sender_s_endpoints_come_from_files_and_an_emptied_one_is_asked_about(state: Path) -> None:
     """The configuration's own list goes before the files; a start with no file goes on with the last list."""
-    told = {
+    config_values = {
         "classes": {"c": {"effect": "safe", "aim_ms": 4000, "deadline_ms": 8000}},
         "directory": {"files": ["one.toml"], "patience_s": 60},
         "endpoints": [{"id": "a", "destination": 1, "dial": "127.0.0.1:1"}],
@@ -118,7 +120,7 @@
     files = Files(state)
     files.write(0, *"abcde")
     for number in (0, 1):
-        sender = StandaloneSender(read(told, state), state, CompletionWriter(io.StringIO()))
+        sender = StandaloneSender(read(config_values, state), state, CompletionWriter(io.StringIO()))
         async with running(sender):
             assert sender.dial_addresses()["a"] == ("127.0.0.1", 1) and set(
                 sender.engine.dispatcher.endpoints
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -80,15 +80,15 @@
 
 def follow(world: World, shift: int = 0) -> World:
     """A world whose decisions were handed over from another one, as a process does it."""
-    there = world.dispatcher
-    inherited = tell(there.registry, there.pending)
-    next_one = World(*[each.listed for each in there.endpoints.values()])
+    dispatcher = world.dispatcher
+    inherited = tell(dispatcher.registry, dispatcher.pending)
+    next_one = World(*[each.listed for each in dispatcher.endpoints.values()])
     next_one.now, next_one.attempts = world.now + shift, dict(world.attempts)
-    next_one.dispatcher = Dispatcher(there.settings, seed=7)
-    listed = tuple(each.listed for each in there.endpoints.values())
+    next_one.dispatcher = Dispatcher(dispatcher.settings, seed=7)
+    listed = tuple(each.listed for each in dispatcher.endpoints.values())
     events: list[PolicyEvent] = [EndpointsUpdated(ListingKind.CACHED, listed)]
-    for each in there.messages.values():
-        call = there.calls.get((each.id, each.attempts - 1))
+    for each in dispatcher.messages.values():
+        call = dispatcher.calls.get((each.id, each.attempts - 1))
         taken = MessageAccepted(
             each.id, each.kind.name, each.destination, each.until - next_one.now, "", each.key
         )
@@ -122,7 +122,7 @@
 
 
 def play_on(world: World, steps: list[tuple[str, object, int]]) -> list[tuple[list[str], list[PolicyAction]]]:
-    told = []
+    decisions = []
     for what, which, after in steps:
         out = sorted(name for name, _ in world.dispatcher.calls)
         if what == "take":
@@ -132,8 +132,8 @@
             actions = world.answer(out[0], which, after=after * MS, wait=wait)  # type: ignore[arg-type]
         else:
             actions = world.step(WakeUp(), after=after * MS)
-        told.append((sent(actions), ended(actions)))
-    return told
+        decisions.append((sent(actions), ended(actions)))
+    return decisions
 
 
 @settings(derandomize=True, max_examples=150, deadline=None)
@@ -198,8 +198,8 @@
     state = folder / "state"
     state.mkdir()
     async with Peer() as receiver, Discovery() as discovery:
-        told = config_json(discovery, host(receiver.dial), **kind)
-        async with Platform(state, told) as platform:
+        config_values = config_json(discovery, host(receiver.dial), **kind)
+        async with Platform(state, config_values) as platform:
             yield platform, receiver, discovery
 
 
@@ -216,12 +216,12 @@
         old = await platform.start()
         idle, half = await platform.connect(), await platform.connect()
         assert (await idle.ask(message("m1"))).status == 202
-        whole = message("m2", b"0123456789")
-        half.writer.write(whole[:-4])
+        request = message("m2", b"0123456789")
+        half.writer.write(request[:-4])
         assert (await platform.connect()) and (await idle.ask(READY)).status == 200
         (await receiver.next()).answer(200)
         new = await replaced(platform, old)
-        half.writer.write(whole[-4:])
+        half.writer.write(request[-4:])
         assert (await idle.ask(message("m3"))).status == 202
         assert (await idle.ask(READY)).status == 200
         seen = {(await receiver.next()).id, (await receiver.next()).id}
@@ -247,11 +247,11 @@
         second = await receiver.next()
         assert second.id == "m2" and receiver.requests.empty()
         second.answer(200)
-        told = {}
-        while told.get("edge_balancer.transactions.c.answered") != "2":
+        stats = {}
+        while stats.get("edge_balancer.transactions.c.answered") != "2":
             lines = (await new.call("GET", "/stats")).body.decode().split()
-            told = dict(each.split("=") for each in lines)
-        assert told["edge_balancer.current"] == "0"
+            stats = dict(each.split("=") for each in lines)
+        assert stats["edge_balancer.current"] == "0"
         old.kill(signal.SIGTERM)
         assert await old.end() == 0
 
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -40,32 +40,32 @@
 @settings(derandomize=True, max_examples=300)
 @given(st.lists(NEWS | ORDERS, max_size=25))
 def test_what_is_out_is_never_told_as_ready_and_is_warmed_once_it_is_back(steps: list) -> None:
-    layer, told = Maintenance(), Told()
+    layer, engine = Maintenance(), Told()
     listed: dict[str, EndpointState] = {}
     out: set[str] = set()
     owed: set[str] = set()  # to be warmed when it is next told as ready
     for kind, what, states in steps:
-        told.warmed = []
+        engine.warmed = []
         if kind == "news":
             if what is ListingKind.FULL:
                 listed = {}
             if what is not ListingKind.FAILED:
                 listed |= states
             news = EndpointsUpdated(what, tuple(endpoint(x, state=y) for x, y in states.items()))
-            told.hear(layer.hear(news))
+            engine.hear(layer.hear(news))
         elif kind == "out":
             owed.discard(what)
             out.add(what)
-            told.hear(layer.take_out(what))
+            engine.hear(layer.take_out(what))
         else:
             if what in out:
                 owed.add(what)
             out.discard(what)
-            told.hear(layer.put_back(what))
-        ready = {name for name, state in told.states.items() if state is EndpointState.READY}
+            engine.hear(layer.put_back(what))
+        ready = {name for name, state in engine.states.items() if state is EndpointState.READY}
         assert ready == {x for x, y in listed.items() if y is EndpointState.READY} - out
-        assert set(told.warmed) <= owed
-        owed -= set(told.warmed)
+        assert set(engine.warmed) <= owed
+        owed -= set(engine.warmed)
         assert not owed & ready
 
 
@@ -117,13 +117,13 @@
             drain.stop(now)
             stopped = now if stopped is None else stopped
         since = min((each for each in (ordered, stopped) if each is not None), default=None)
-        wanted = (
+        expected = (
             DrainPhase.SERVING
             if since is None
             else DrainPhase.LEAVING
             if now < since + GRACE
             else DrainPhase.AWAY
         )
-        assert drain.phase(now) is wanted
+        assert drain.phase(now) is expected
         assert drain.listens(now) == (stopped is None or now < stopped + GRACE)
         assert drain.ends_at() == (None if stopped is None else stopped + STOP)
--- a/tests/test_manage.py
+++ b/tests/test_manage.py
@@ -41,9 +41,9 @@
     """A sender whose operators' address is the second value."""
     world = World(state, **kind)
     async with Peer() as receiver, Platform() as platform:
-        told = config_json(platform, host(receiver.dial), **kind) | {"management": "127.0.0.1:0"}
-        world.receiver, world.platform, world.told = receiver, platform, told
-        async with Running(told, state) as running:
+        config_values = config_json(platform, host(receiver.dial), **kind) | {"management": "127.0.0.1:0"}
+        world.receiver, world.platform, world.told = receiver, platform, config_values
+        async with Running(config_values, state) as running:
             world.running, world.sender, world.hand_in = running, running.sender, running.hand_in
             yield world, running.sender.management_server.address()
 
@@ -78,11 +78,11 @@
     ],
 )
 def test_each_call_and_what_is_none(method: str, target: str, said: ManagementCall | int) -> None:
-    found = read(method, target)
+    decoded = read(method, target)
     assert (
-        found == said
+        decoded == said
         if isinstance(said, ManagementCall)
-        else isinstance(found, Said) and found.status == said
+        else isinstance(decoded, Said) and decoded.status == said
     )
 
 
@@ -104,10 +104,10 @@
 
 
 def test_without_an_address_nothing_listens_and_a_bad_one_is_named(tmp_path: Path) -> None:
-    told = config_json(Named())
-    assert decode_config(told, tmp_path).management is None
+    config_values = config_json(Named())
+    assert decode_config(config_values, tmp_path).management is None
     with pytest.raises(StartupConfigError, match="management: 'here' is not host:port"):
-        decode_config(told | {"management": "here"}, tmp_path)
+        decode_config(config_values | {"management": "here"}, tmp_path)
 
 
 @play
@@ -129,10 +129,10 @@
         await world.receiver.next()
         while len(world.sender.engine.journal.entries) > 1:
             await turn()
-        told = figures(await call(address, "GET", "/stats"))
-        assert told["transactions.c.answered"] == 1 and told["transactions.c.errored"] == 0
-        assert told["sends"] == 3 and told["current"] == 1
-        assert told["cluster_size"] == 1 and told["cluster_unhealthy"] == 0
+        stats = figures(await call(address, "GET", "/stats"))
+        assert stats["transactions.c.answered"] == 1 and stats["transactions.c.errored"] == 0
+        assert stats["sends"] == 3 and stats["current"] == 1
+        assert stats["cluster_size"] == 1 and stats["cluster_unhealthy"] == 0
 
 
 @play
@@ -148,8 +148,8 @@
             await turn()
         state = json.loads(notice.body)["state"]
         kind = {"returned": "deferred", "failed": "errored"}[state]
-        told = figures(await call(address, "GET", "/stats"))
-        assert told[f"transactions.c.{kind}"] == 1 and told["current"] == 0
+        stats = figures(await call(address, "GET", "/stats"))
+        assert stats[f"transactions.c.{kind}"] == 1 and stats["current"] == 0
 
 
 @play
@@ -234,8 +234,8 @@
         await world.running.task
         async with Running(world.told, tmp_path) as again:
             assert (await ask(again.address, READY)).status == 503
-            there = again.sender.management_server.address()
-            assert (await call(there, "POST", "/healthcheck/ok")).status == 200
+            new_address = again.sender.management_server.address()
+            assert (await call(new_address, "POST", "/healthcheck/ok")).status == 200
             assert (await ask(again.address, READY)).status == 200
 
 
@@ -253,7 +253,7 @@
 
 @play
 async def test_a_hundred_half_calls_keep_nobody_out(tmp_path: Path) -> None:
-    listener = ManagementServer(lambda asked: Said(200, "yes"))
+    listener = ManagementServer(lambda _call: Said(200, "yes"))
     listener.listen("127.0.0.1", 0)
     halves = []
     for at in range(100):
@@ -272,10 +272,10 @@
 
 @play
 async def test_a_call_in_pieces_is_heard_and_a_defect_is_a_no(tmp_path: Path) -> None:
-    asked: list[ManagementCall] = []
+    calls: list[ManagementCall] = []
 
     def act(call: ManagementCall) -> Said:
-        asked.append(call)
+        calls.append(call)
         raise RuntimeError("nobody foresaw this")
 
     listener = ManagementServer(act)
@@ -283,11 +283,11 @@
     reader, writer = await asyncio.open_connection(*listener.address())
     writer.get_extra_info("socket").setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     for byte in b"GET /stats HTTP/1.1\r\nHost: x\r\n\r\n":
-        assert not asked
+        assert not calls
         writer.write(bytes([byte]))
         await turn()
     assert (await read_reply(reader)).status == 500
-    assert await soon(reader.read()) == b"" and asked == [ManagementCall(Operation.FIGURES)]
+    assert await soon(reader.read()) == b"" and calls == [ManagementCall(Operation.FIGURES)]
     writer.close()
     listener.close()
 
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -21,9 +21,9 @@
 ROOT = Path(__file__).parent.parent
 
 
-async def start(told: dict[str, Any] | str, state: Path) -> asyncio.subprocess.Process:
+async def start(config_values: dict[str, Any] | str, state: Path) -> asyncio.subprocess.Process:
     config = state.parent / "config.json"
-    config.write_text(told if isinstance(told, str) else json.dumps(told))
+    config.write_text(config_values if isinstance(config_values, str) else json.dumps(config_values))
     return await launch(config, state)
 
 
@@ -42,13 +42,15 @@
 
 
 @asynccontextmanager
-async def running(told: dict[str, Any], state: Path) -> AsyncIterator[tuple[asyncio.subprocess.Process, Any]]:
-    process = await start(told, state)
+async def running(
+    config_values: dict[str, Any], state: Path
+) -> AsyncIterator[tuple[asyncio.subprocess.Process, Any]]:
+    process = await start(config_values, state)
     try:
         assert process.stderr is not None
-        while not (found := re.search(rb"ready on (\S+):(\d+)", await soon(process.stderr.readline()))):
+        while not (match := re.search(rb"ready on (\S+):(\d+)", await soon(process.stderr.readline()))):
             assert process.returncode is None
-        yield process, (found[1].decode(), int(found[2]))
+        yield process, (match[1].decode(), int(match[2]))
     finally:
         if process.returncode is None:
             process.kill()
@@ -60,8 +62,8 @@
     state = tmp_path / "state"
     state.mkdir()
     async with Peer() as receiver, Platform() as platform:
-        told = config_json(platform, host(receiver.dial))
-        async with running(told, state) as (process, address):
+        config_values = config_json(platform, host(receiver.dial))
+        async with running(config_values, state) as (process, address):
             for name in ("m1", "m2", "m3"):
                 assert (await ask(address, message(name))).status == 202
             (await receiver.next()).answer(200)
@@ -70,7 +72,7 @@
             await soon(process.wait())
         while not receiver.requests.empty():
             receiver.requests.get_nowait()
-        async with running(told, state) as (process, address):
+        async with running(config_values, state) as (process, address):
             assert (await ask(address, READY)).status == 200
             seen = set()
             while not {"m2", "m3"} <= seen:
@@ -113,8 +115,8 @@
     done: asyncio.Future[Any] = loop.create_future()
 
     def run() -> None:
-        found = work()
-        loop.call_soon_threadsafe(done.set_result, found)
+        result = work()
+        loop.call_soon_threadsafe(done.set_result, result)
 
     threading.Thread(target=run, daemon=True).start()
     return await soon(done)
@@ -152,17 +154,17 @@
 
 
 def test_a_hangup_before_the_sender_serves_is_kept_for_it(monkeypatch: pytest.MonkeyPatch) -> None:
-    heard: list[object] = []
-    monkeypatch.setattr(start_module, "reload_configuration", heard.append)
+    reloaded: list[object] = []
+    monkeypatch.setattr(start_module, "reload_configuration", reloaded.append)
 
     async def test() -> None:
         reload, sender = start_module.Reload(), object()
         reload.request()
-        assert heard == []
+        assert reloaded == []
         reload.bind(sender)  # type: ignore[arg-type]
-        assert heard == [sender]
+        assert reloaded == [sender]
         reload.request()
-        assert heard == [sender] * 2
+        assert reloaded == [sender] * 2
 
     asyncio.run(test())
 
@@ -173,16 +175,16 @@
     state, sockets = tmp_path / "state", 96
     state.mkdir()
     async with Peer() as receiver, Platform() as platform:
-        told = config_json(platform, host(receiver.dial))
-        told["limits"] |= {"sockets": sockets}
+        config_values = config_json(platform, host(receiver.dial))
+        config_values["limits"] |= {"sockets": sockets}
         platform.server.close()
         config = tmp_path / "config.json"
-        config.write_text(json.dumps(told))
+        config.write_text(json.dumps(config_values))
         process = await launch(config, state, most_open=sockets)
         assert process.stderr is not None
-        while not (found := re.search(rb"ready on (\S+):(\d+)", await soon(process.stderr.readline()))):
+        while not (match := re.search(rb"ready on (\S+):(\d+)", await soon(process.stderr.readline()))):
             assert process.returncode is None
-        address = found[1].decode(), int(found[2])
+        address = match[1].decode(), int(match[2])
         idle = [await asyncio.open_connection(*address) for _ in range(2 * sockets)]
         assert (await ask(address, message("m1"))).status == 202
         (await receiver.next()).answer(200)
@@ -213,8 +215,8 @@
         state = tmp_path / "state"
         state.mkdir()
         async with Platform() as platform:
-            told = change if isinstance(change, str) else config_json(platform) | change
-            process = await start(told, state)
+            config_values = change if isinstance(change, str) else config_json(platform) | change
+            process = await start(config_values, state)
             _, text = await soon(process.communicate())
             assert process.returncode == 1
             assert len(text.splitlines()) == 1 and words in text.decode()
@@ -235,8 +237,8 @@
     state = tmp_path / "state"
     state.mkdir()
     async with Peer() as receiver, Platform() as old, Platform() as new:
-        told = config_json(old, host(receiver.dial))
-        async with running(told, state) as (process, address):
+        config_values = config_json(old, host(receiver.dial))
+        async with running(config_values, state) as (process, address):
             await soon(old.watches.get())
             (tmp_path / "config.json").write_text("{")
             process.send_signal(signal.SIGHUP)
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -37,8 +37,9 @@
 
 def test_the_same_requests_are_the_same_and_how_far_apart() -> None:
     one, other = made(0, 20, 40).found(), made(5, 25.25, 45).found()
-    found = compare(one[::2], other[::2])
-    assert found.same() and (found.apart, found.apart_at, found.requests) == (250_000, 1, (3, 3))
+    comparison = compare(one[::2], other[::2])
+    assert comparison.same() and comparison.requests == (3, 3)
+    assert (comparison.apart, comparison.apart_at) == (250_000, 1)
     assert not compare(one[::2], made(0, 20).found()[::2]).same()
     other = made(0, 20, 40, **IDS).found()
     assert not compare(one[::2], other[::2]).same()
@@ -109,18 +110,20 @@
 
 
 def test_a_clock_that_went_back_sends_with_the_one_before_and_the_spoilt_are_left_out() -> None:
-    found = made(0, 20, 40).found()[::2]
-    found[1].message.at = T0 - 60_000 * MS
-    found[0].message.whole = False
-    assert [each.due for each in plan(found)] == [0.0, pytest.approx(60.04)]
+    messages = made(0, 20, 40).found()[::2]
+    messages[1].message.at = T0 - 60_000 * MS
+    messages[0].message.whole = False
+    assert [each.due for each in plan(messages)] == [0.0, pytest.approx(60.04)]
 
 
 def test_new_ids_are_the_same_for_the_same_and_for_one_seed() -> None:
-    found = [*made(0, 20, **IDS).found()[::2]]
-    first, second = (each.data for each in plan(found, new_ids=NewIds(3)))
+    messages = [*made(0, 20, **IDS).found()[::2]]
+    first, second = (each.data for each in plan(messages, new_ids=NewIds(3)))
     ids = [re.findall(rb"X-Correlation-Id: (\S+)", each)[0] for each in (first, second)]
     assert ids[0] == ids[1] != b"a1" and b"k1" not in first
-    assert first == next(plan(found, new_ids=NewIds(3))).data != next(plan(found, new_ids=NewIds(4))).data
+    assert (
+        first == next(plan(messages, new_ids=NewIds(3))).data != next(plan(messages, new_ids=NewIds(4))).data
+    )
 
 
 # The witness.
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -31,9 +31,9 @@
     class At:
         dial = f"{discovery[0]}:{discovery[1]}"
 
-    told = config_json(At, host("10.0.0.9:1"), mode=mode) | {"listen": "sender:3000"}  # type: ignore[arg-type]
-    told["settings"] |= {"fleet_size": fleet}
-    return decode_config(told, state)
+    values = config_json(At, host("10.0.0.9:1"), mode=mode) | {"listen": "sender:3000"}  # type: ignore[arg-type]
+    values["settings"] |= {"fleet_size": fleet}
+    return decode_config(values, state)
 
 
 class Discovery:
@@ -53,8 +53,8 @@
         HOST.reset(token)
 
     def line(self, indent: int | None = None) -> str:
-        told = {"seq": self.seq, "whole": False, "hosts": [host("10.0.0.9:1", health=self.health)]}
-        return json.dumps(told, indent=indent) + "\n"
+        values = {"seq": self.seq, "whole": False, "hosts": [host("10.0.0.9:1", health=self.health)]}
+        return json.dumps(values, indent=indent) + "\n"
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
