--- a/message_sender/emulator/scenario.py
+++ b/message_sender/emulator/scenario.py
@@ -50,9 +50,7 @@
 
 class TenantTable(Table):
     share: Positive = 1.0  # of the messages, against the other tenants
-    quota: Annotated[float, number_between(0, 1e12)] = (
-        0.0  # messages a second within its share; 0: no quota
-    )
+    quota: Annotated[float, number_between(0, 1e12)] = 0.0  # messages a second within its share; 0: no quota
 
 
 class Burst(Table):
