--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -84,11 +84,11 @@
     inherited = export_state(there.registry, there.pending)
     next_one = World(*[each.listed for each in there.endpoints.values()])
     next_one.now, next_one.attempts = world.now + shift, dict(world.attempts)
-    next_one.dispatcher = Dispatcher(there.settings, seed=7)
-    listed = tuple(each.listed for each in there.endpoints.values())
+    next_one.dispatcher = Dispatcher(dispatcher.settings, seed=7)
+    listed = tuple(each.listed for each in dispatcher.endpoints.values())
     events: list[PolicyEvent] = [EndpointsUpdated(ListingKind.CACHED, listed)]
-    for each in there.messages.values():
-        call = there.calls.get((each.id, each.attempts - 1))
+    for each in dispatcher.messages.values():
+        call = dispatcher.calls.get((each.id, each.attempts - 1))
         taken = MessageAccepted(
             each.id, each.message_class.name, each.destination, each.deadline - next_one.now, "", each.key
         )
@@ -216,12 +216,12 @@
         old = await platform.start()
         idle, half = await platform.connect(), await platform.connect()
         assert (await idle.ask(message("m1"))).status == 202
-        whole = message("m2", b"0123456789")
-        half.writer.write(whole[:-4])
+        request = message("m2", b"0123456789")
+        half.writer.write(request[:-4])
         assert (await platform.connect()) and (await idle.ask(READY)).status == 200
         (await receiver.next()).answer(200)
         new = await replaced(platform, old)
-        half.writer.write(whole[-4:])
+        half.writer.write(request[-4:])
         assert (await idle.ask(message("m3"))).status == 202
         assert (await idle.ask(READY)).status == 200
         seen = {(await receiver.next()).id, (await receiver.next()).id}
