--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -308,7 +308,7 @@
 
 def waits(state: Path) -> bool:
     """Whether its snapshot tells one."""
-    found = (
+    snapshot = (
         learned_snapshot.decode((state / learned_snapshot.LEARNED_FILE).read_bytes())
         if (state / learned_snapshot.LEARNED_FILE).exists()
         else None
--- a/tests/test_control_sender.py
+++ b/tests/test_control_sender.py
@@ -140,9 +140,10 @@
 
 def test_what_waits_for_a_start_is_what_configure_would_leave(caplog: pytest.LogCaptureFixture) -> None:
     listed = Endpoint("e", 3, EndpointState.READY, "plain", "", 8.0)
-    at = SimpleNamespace(held={}, endpoints=[SimpleNamespace(listed=listed)], breakers=())
+    destination = SimpleNamespace(pending={}, endpoints=[SimpleNamespace(listed=listed)], breakers=())
     registry = SimpleNamespace(kinds={"plain": DestinationKind()}, limits_raised=lambda number: None)
-    there = SimpleNamespace(endpoints={"e": at.endpoints[0]}, destinations={3: at}, registry=registry)
+    endpoints = {"e": destination.endpoints[0]}
+    dispatcher = SimpleNamespace(endpoints=endpoints, destinations={3: destination}, registry=registry)
     engine: Any = SimpleNamespace(
         dispatcher=dispatcher, post=lambda event: None, transport=None, hooks=HookChain()
     )
@@ -157,11 +158,11 @@
         """The texts, which are there exactly where `configure` says that something is left as it is."""
         reasons_found = budgets.waits_for_start((*was, *changed))
         caplog.clear()
-        budgets.configure((*was, *told), 1)
+        budgets.configure((*was, *changed), 1)
         is_changed = "budget change waits for the next start: budget=" in caplog.text
         is_left = is_changed or "removed budget applies until the next start: budget=" in caplog.text
-        assert bool(found) == is_left
-        return found
+        assert bool(reasons_found) == is_left
+        return reasons_found
 
     assert reasons(calls) == [] and reasons(replace(calls, whole=4)) == []
     assert reasons(replace(calls, floor=1, lease=2 * US, span=2 * US)) == [
--- a/tests/test_directories.py
+++ b/tests/test_directories.py
@@ -36,14 +36,14 @@
     for listed, passed in lists:
         now += passed
         before = set(belief.entries)
-        belief.update(names(*told), now)
+        belief.update(names(*listed), now)
         believed = set(belief.entries)
-        assert told <= believed and believed == told | set(belief.doubted)
+        assert listed <= believed and believed == listed | set(belief.doubted)
         assert set(belief.doubted) <= before
         missing_since = {name: missing_since.get(name, now) for name in believed - listed}
         assert all(now - since < 30 for since in missing_since.values())
         if not belief.doubted and len(before) < MIN_DOUBTABLE_SIZE:
-            assert believed == told
+            assert believed == listed
 
 
 def test_a_list_that_empties_is_doubted_until_its_time_or_a_confirmation() -> None:
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -80,9 +80,9 @@
 
 def follow(world: World, shift: int = 0) -> World:
     """A world whose decisions were handed over from another one, as a process does it."""
-    there = world.dispatcher
-    inherited = export_state(there.registry, there.pending)
-    next_one = World(*[each.listed for each in there.endpoints.values()])
+    dispatcher = world.dispatcher
+    inherited = export_state(dispatcher.registry, dispatcher.pending)
+    next_one = World(*[each.listed for each in dispatcher.endpoints.values()])
     next_one.now, next_one.attempts = world.now + shift, dict(world.attempts)
     next_one.dispatcher = Dispatcher(dispatcher.settings, seed=7)
     listed = tuple(each.listed for each in dispatcher.endpoints.values())
