--- a/message_sender/core/engine.py
+++ b/message_sender/core/engine.py
@@ -146,7 +146,7 @@
         elif resting_keys := self.journal.resting_keys(self.settings.key_pause):
             until = self.now() + self.settings.key_pause
             self.post(InheritedState(keys=tuple((key, until) for key in sorted(resting_keys))))
-        log.info("%s: %d messages taken over from the journal", self.config.name, len(self.journal.entries))
+        log.info("messages restored: sender=%s messages=%d", self.config.name, len(self.journal.entries))
         self.hooks.messages_restored()
         self.run_iteration()
         self.listener_task = self.spawn(self.table.completion_listener.run())
--- a/message_sender/discovery/file.py
+++ b/message_sender/discovery/file.py
@@ -109,7 +109,7 @@
         except (OSError, ValueError) as error:
             if self.errors.get(path) != str(error):
                 log.error(
-                    "endpoint file rejected, its last list stays in use: file=%s reason=%s", path, error
+                    "endpoint file rejected, its last valid list is used: file=%s reason=%s", path, error
                 )
             self.errors[path] = str(error)
             return False
@@ -120,8 +120,8 @@
         has_changed = merged_list.update(listed, now)
         if merged_list.doubted and not was_doubted:
             log.error(
-                "endpoint list shrank, missing endpoints are kept for now: "
-                "file=%s endpoints=%d missing=%d kept_s=%.0f",
+                "endpoint list shrank, missing endpoints retained: "
+                "file=%s endpoints=%d missing=%d retained_s=%.0f",
                 path,
                 len(listed),
                 len(merged_list.doubted),
@@ -178,7 +178,7 @@
         try:
             replace_json(self.folder / LAST_GOOD_FILE, rows, sync=False)
         except OSError as error:
-            log.error("endpoint list cannot be saved for the next start: reason=%s", error)
+            log.error("endpoint list not saved for the next start: reason=%s", error)
 
     def load_last_good(self) -> dict[str, StaticEndpoint]:
         """Returns the list that an earlier process saved; empty if there is none."""
@@ -188,10 +188,10 @@
         except FileNotFoundError:
             return {}
         except (OSError, ValueError, TypeError) as error:
-            log.error("endpoint list of the last run cannot be read: reason=%s", error)
+            log.error("saved endpoint list not loaded: reason=%s", error)
             return {}
         by_id = {each.endpoint.id: each for each in endpoints}
-        log.warning("no endpoint list can be read, using that of the last run: endpoints=%d", len(by_id))
+        log.warning("no endpoint file loaded, the saved list is used: endpoints=%d", len(by_id))
         return by_id
 
     # The port.
--- a/message_sender/discovery/maintenance.py
+++ b/message_sender/discovery/maintenance.py
@@ -134,7 +134,7 @@
         except FileNotFoundError:
             return [], False
         except (OSError, ValueError, KeyError, TypeError, RecursionError) as error:
-            log.error("maintenance orders cannot be read, none is in force: reason=%s", error)
+            log.error("maintenance state not loaded, none is active: reason=%s", error)
             return [], False
 
     def save(self, out_of_service: Iterable[str], is_away: bool) -> None:
--- a/message_sender/discovery/overridden.py
+++ b/message_sender/discovery/overridden.py
@@ -125,7 +125,7 @@
         if outcome is not Outcome.OK and outcome not in FAILURES:
             return
         if self.layer.record_outcome(endpoint, outcome is Outcome.OK, self.now()):
-            log.warning("endpoint ejected, as it fails where others serve: endpoint=%s", endpoint)
+            log.warning("endpoint ejected for its failures: endpoint=%s", endpoint)
             self.refresh()
 
     def check_effects(self) -> None:
@@ -197,12 +197,12 @@
         if not (expired := self.book.expire(now)):
             return []
         for each in expired:
-            log.warning("override has ended: name=%s override=%s", each.name, each.describe())
+            log.warning("override expired: name=%s override=%s", each.name, each.describe())
             self.store.record(now, each.who, "expired", each)
         try:
             self.store.save(self.book)
         except OSError as error:
-            log.error("overrides cannot be saved: reason=%s", error)
+            log.error("overrides not saved: reason=%s", error)
         return expired
 
     def refresh(self) -> None:
@@ -237,7 +237,9 @@
             if each.warns_at() <= now and each.name not in self.warned:
                 self.warned.add(each.name)
                 end = format_time(each.until, now)
-                log.warning("override ends soon: name=%s end=%s override=%s", each.name, end, each.describe())
+                log.warning(
+                    "override expires soon: name=%s end=%s override=%s", each.name, end, each.describe()
+                )
         self.warned &= set(self.book.overrides)
         ineffective = self.layer.ineffective(now)
         for name, reason in ineffective.items():
--- a/message_sender/discovery/override_store.py
+++ b/message_sender/discovery/override_store.py
@@ -42,7 +42,7 @@
         except FileNotFoundError:
             return OverrideBook()
         except (OSError, ValueError, KeyError, TypeError, AttributeError, RecursionError) as error:
-            log.error("overrides cannot be read, none is in force: reason=%s", error)
+            log.error("overrides not loaded, none is active: reason=%s", error)
             self._put_aside(path)
             return OverrideBook()
 
@@ -50,9 +50,9 @@
         aside = self.folder / DAMAGED_FILE
         try:
             os.replace(path, aside)
-            log.error("unreadable overrides put aside: file=%s", aside)
+            log.error("damaged override file renamed: file=%s", aside)
         except OSError as error:
-            log.error("unreadable overrides cannot be put aside: reason=%s", error)
+            log.error("damaged override file not renamed: reason=%s", error)
 
     def save(self, book: OverrideBook) -> None:
         """Writes the overrides durably. Raises OSError; then the file is as it was."""
@@ -80,4 +80,4 @@
             with path.open("a") as out:
                 out.write(json.dumps(line) + "\n")
         except OSError as error:
-            log.error("line missing in the log of overrides: line=%s reason=%s", line, error)
+            log.error("override audit record not written: record=%s reason=%s", line, error)
--- a/message_sender/handover/takeover.py
+++ b/message_sender/handover/takeover.py
@@ -115,7 +115,7 @@
                 self.kill_holder()
                 deadline = self.loop.time() + ANSWER_TIMEOUT_S
             await asyncio.sleep(POLL_INTERVAL_S)
-        log.info("no predecessor: starting from the journal")
+        log.info("starting from the journal: reason=no predecessor")
         return None
 
     async def take_over_from(
@@ -150,7 +150,7 @@
             process_fd = os.pidfd_open(pid)
             try:
                 if not self.try_lock() and read_holder_pid(self.folder) == pid:
-                    log.error("owner does not answer and is killed: pid=%d", pid)
+                    log.error("unresponsive owner killed: pid=%d", pid)
                     signal.pidfd_send_signal(process_fd, signal.SIGKILL)
             finally:
                 os.close(process_fd)
@@ -221,7 +221,7 @@
         except OSError:
             is_locked = False
         if self.ownership.lose_successor(is_locked):
-            log.warning("handover aborted, the successor has ended: serving again")
+            log.warning("handover aborted, serving resumed: reason=successor ended")
             self.owner.resume()
         else:
             self.owner.superseded()
--- a/message_sender/http/discovery.py
+++ b/message_sender/http/discovery.py
@@ -148,7 +148,7 @@
             except BROKEN as error:
                 log.warning("discovery watch ended: error=%s", str(error) or type(error).__name__)
             except UNREADABLE as error:
-                log.warning("discovery watch ended: malformed line error=%r", error)
+                log.warning("discovery watch ended: reason=malformed line error=%r", error)
             if address != self.address:
                 return
             if self.version is not None:
--- a/message_sender/journal/compaction.py
+++ b/message_sender/journal/compaction.py
@@ -222,5 +222,5 @@
         if not path.exists():
             return False
         path.unlink()
-        log.warning("disk full: the journal uses the space reserved for ends of messages")
+        log.warning("disk full, the journal uses its reserved space")
         return True
--- a/message_sender/journal/contents.py
+++ b/message_sender/journal/contents.py
@@ -126,7 +126,7 @@
             log.warning("journal bytes were never durable: offset=%d bytes=%d", gap.offset, gap.size_bytes)
         if self.reading.tail_bytes:
             log.warning(
-                "journal end was never durable and is dropped: bytes=%d",
+                "journal tail was never durable and is dropped: bytes=%d",
                 self.reading.tail_bytes,
             )
         if self.lost_ids:
--- a/message_sender/journal/syncing.py
+++ b/message_sender/journal/syncing.py
@@ -186,9 +186,7 @@
         self.failed_at_s = loop.time()
         self.is_last_sync_failed = False
         self.discard_replacement()
-        log.error(
-            "journal cannot be made durable, no messages are accepted: retry_in_s=%.0f", RETRY_INTERVAL_S
-        )
+        log.error("journal not durable, no messages are accepted: retry_in_s=%.0f", RETRY_INTERVAL_S)
         waiters, self.waiters = self.waiters, deque()
         for _, callback in waiters:
             callback(False)
--- a/message_sender/management/server.py
+++ b/message_sender/management/server.py
@@ -178,7 +178,7 @@
 
     def pause_accepting(self, error: OSError) -> None:
         """Stops accepting for a while, because no descriptor is left: the loop must not spin."""
-        log.error("management connections are not accepted: retry_s=%s error=%s", ACCEPT_RETRY_DELAY_S, error)
+        log.error("management connections not accepted: retry_in_s=%s error=%s", ACCEPT_RETRY_DELAY_S, error)
         assert self.listener is not None
         self.loop.remove_reader(self.listener)
         self.loop.call_later(ACCEPT_RETRY_DELAY_S, self.resume_accepting)
--- a/message_sender/pcap/traffic_tap.py
+++ b/message_sender/pcap/traffic_tap.py
@@ -101,7 +101,7 @@
             asyncio.get_running_loop().call_later(AGAIN, self.flush)
 
     def fail(self, error: OSError) -> None:
-        log.error("nothing more is captured: %s", error)
+        log.error("capture stopped: error=%s", error)
         self.failed, self.waiting, self.size = str(error), [], 0
 
     def close(self) -> None:
@@ -119,4 +119,4 @@
             self.scribe.kill()
             self.scribe.wait()
         if self.lost:
-            log.warning("the capture lost %d records", self.lost)
+            log.warning("capture incomplete: lost_records=%d", self.lost)
--- a/message_sender/service/control_configuration.py
+++ b/message_sender/service/control_configuration.py
@@ -137,7 +137,7 @@
         try:
             return file.load()
         except DamagedDocumentError as error:
-            log.error("control: document ignored: %s", error)
+            log.error("control: document ignored: reason=%s", error)
             self.rename_damaged(file)
         except OSError as error:
             log.error("control: document not read: path=%s reason=%s", file.path, error)
@@ -159,7 +159,9 @@
             faults = [str(fault) for fault in error.faults]
         if faults:
             reasons = "; ".join(faults)
-            log.error("control: version %d is not used by this start: %s", document.version, reasons)
+            log.error(
+                "control: version not applied by this start: version=%d reason=%s", document.version, reasons
+            )
             return None
         return interpretation
 
@@ -259,7 +261,7 @@
             self.next_start_file.store(document)
         except OSError as error:
             log.error(
-                "control: next start's version not stored: version=%d reason=%s",
+                "control: version for the next start not stored: version=%d reason=%s",
                 document.version,
                 error,
             )
--- a/message_sender/service/control_link.py
+++ b/message_sender/service/control_link.py
@@ -127,7 +127,9 @@
         The disk is old, or two senders have the name.
         """
         if self.epoch_task is None or self.epoch_task.done():
-            log.error("control: this disk is old, or another sender has the name %s", self.channel.name)
+            log.error(
+                "control: state folder outdated, or another sender uses this name: name=%s", self.channel.name
+            )
             self.epoch_task = self.loop.create_task(self.store_epoch())
 
     async def store_epoch(self) -> None:
@@ -241,7 +243,7 @@
         if self.link:
             self.link.reread_keys()
         if config.control != self.plane:
-            log.warning("control: change of [control] needs a restart")
+            log.warning("control: change of table [control] waits for the next start")
         return self.configuration.reload(config)
 
     def status(self) -> dict[str, Any]:
--- a/message_sender/service/membership.py
+++ b/message_sender/service/membership.py
@@ -207,7 +207,7 @@
         The disk does not have the latest state: what it holds may have been sent, or ended, since.
         """
         entries = self.engine.journal.entries.values()
-        log.error("fleet: this disk is old or empty; %d messages on it are doubtful", len(entries))
+        log.error("fleet: state folder outdated, its messages are doubtful: messages=%d", len(entries))
         for entry in entries:
             entry.is_doubtful = True
 
@@ -302,5 +302,5 @@
     try:
         return Membership(engine, config, state, set_ready, budgets, may_add_budgets)
     except (KeyFileError, OSError) as error:
-        log.error("fleet: this sender serves alone: %s", error)
+        log.error("fleet: sender runs without the fleet: reason=%s", error)
         return None
--- a/message_sender/service/operator_commands.py
+++ b/message_sender/service/operator_commands.py
@@ -122,15 +122,20 @@
         self.sender.transport.close_idle(endpoint_id)
         if update:
             self.sender.engine.endpoints_updated(update)
-        service_state = "out" if endpoint_id in self.maintenance.out_of_service else "in"
-        log.info("%s: %s is %s", self.sender.engine.config.name, endpoint_id, service_state)
+        service_state = "out_of_service" if endpoint_id in self.maintenance.out_of_service else "in_service"
+        log.info(
+            "maintenance state changed: sender=%s endpoint=%s state=%s",
+            self.sender.engine.config.name,
+            endpoint_id,
+            service_state,
+        )
 
     def start_drain(self, _call: ManagementCall) -> ManagementReply:
         """Asks clients to connect elsewhere until the drain is ended."""
         if not self.save(self.maintenance.out_of_service, True):
             return NOT_RECORDED
         if not self.is_draining:
-            log.info("%s: clients are sent away", self.sender.engine.config.name)
+            log.info("drain started: sender=%s", self.sender.engine.config.name)
         self.is_draining = True
         self.sender.drain.start(asyncio.get_running_loop().time())
         self.sender.start_drain()
@@ -143,7 +148,7 @@
         if not self.save(self.maintenance.out_of_service, False):
             return NOT_RECORDED
         if self.is_draining:
-            log.info("%s: back to work", self.sender.engine.config.name)
+            log.info("drain ended: sender=%s", self.sender.engine.config.name)
             self.sender.server.come_back()
         self.is_draining = False
         self.sender.drain.cancel()
@@ -156,6 +161,6 @@
         try:
             self.store.save(out_of_service, is_draining)
         except OSError as error:
-            log.error("operators' orders not recorded: reason=%s", error)
+            log.error("maintenance state not saved: reason=%s", error)
             return False
         return True
--- a/message_sender/service/standalone.py
+++ b/message_sender/service/standalone.py
@@ -207,7 +207,7 @@
             try:
                 await self.membership.start(waits)
             except OSError as error:
-                log.error("fleet: this sender serves alone: %s", error)
+                log.error("fleet: sender runs without the fleet: reason=%s", error)
                 self.membership = None
         await super().start()
         if self.membership:
--- a/tests/conformance/test_replaced.py
+++ b/tests/conformance/test_replaced.py
@@ -131,7 +131,7 @@
     if who == "new":
         await new.end()
         if "owned" not in step or "before" in step:
-            await old.says("serving again" if "take over" not in step else "ready on")
+            await old.says("serving resumed" if "take over" not in step else "ready on")
             return old
         await old.end()  # nobody may have calls out that the next one does not know
         service.gone()
--- a/tests/test_control_configuration.py
+++ b/tests/test_control_configuration.py
@@ -236,7 +236,7 @@
     scene = Scene(tmp_path)
     scene.to(7, {"budgets/rate": RATE})
     scene.own = {**OWN, "fleet": None}
-    scene.start()  # it cannot have the budget: version 7 is not used by this start
+    scene.start()  # it cannot have the budget: version 7 is not applied by this start
     assert scene.configuration.document.version == 0 and scene.running.ids() == ["own"]
     assert scene.refused(6, {"endpoints/a": endpoint(2)}) == "version 7 was in force here"
     scene.to(8, {"endpoints/a": endpoint(2)})
--- a/tests/test_directories.py
+++ b/tests/test_directories.py
@@ -102,7 +102,7 @@
     assert "endpoint list is stale" in caplog.text and "age_s=60" in caplog.text
     for path in files.paths:
         path.unlink()
-    assert files.directory().dials() == directory.dials() and "using that of the last run" in caplog.text
+    assert files.directory().dials() == directory.dials() and "the saved list is used" in caplog.text
     (tmp_path / LAST_GOOD_FILE).write_text("[[1]]")
     assert files.directory().dials() == {}
 
@@ -141,7 +141,7 @@
     files.write(0)
     directory.check_files()
     assert len(directory.dials()) == 4
-    assert "missing endpoints are kept for now" in caplog.text and "missing=4 kept_s=60" in caplog.text
+    assert "missing endpoints retained" in caplog.text and "missing=4 retained_s=60" in caplog.text
     files.now += 59 * SECOND
     assert not directory.check_files()
     files.now += SECOND
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -303,7 +303,7 @@
         client.writer.write(message("m2"))
         first.answer(200)
         sock.close()
-        await old.says("handover aborted.*serving again")
+        await old.says("handover aborted.*serving resumed")
         assert (await client.ask(b"")).status == 202
         assert (await receiver.next()).id == "m2"
         assert receiver.requests.empty()
@@ -319,7 +319,7 @@
         await receiver.next()
         old.kill(signal.SIGSTOP)
         new = await platform.start()
-        await new.says("owner does not answer and is killed")
+        await new.says("unresponsive owner killed")
         assert await old.end() == -signal.SIGKILL
         assert (await receiver.next()).id == "m1"
 
--- a/tests/test_overrides.py
+++ b/tests/test_overrides.py
@@ -370,7 +370,7 @@
 ) -> None:
     (tmp_path / "overrides.json").write_text(text)
     assert not OverrideStore(tmp_path).load().overrides
-    assert (tmp_path / DAMAGED_FILE).read_text() == text and "cannot be read" in caplog.text
+    assert (tmp_path / DAMAGED_FILE).read_text() == text and "overrides not loaded" in caplog.text
 
 
 # What the decision module makes of it.
