--- a/message_sender/cli/__init__.py
+++ b/message_sender/cli/__init__.py
@@ -1,8 +1,8 @@
 """The command line: `message-sender --help`.
 
-Exit codes: 0 well, 1 not, 2 misused. A command's own module is imported when it is asked for, so that what
-one needs (the extras of the package) is not needed by the others. Without arguments `python -m
-message_sender` is the platform's, and nothing of this is imported.
+Exit codes: 0 success, 1 failure, 2 wrong usage. A command's module is imported when the command runs, so that
+a command needs only its own extras of the package. `python -m message_sender` without arguments starts the
+platform's daemon and imports nothing of this package.
 """
 
 import importlib
@@ -11,7 +11,7 @@
 
 PROGRAM = "message-sender"
 
-#: Where each command stands, and the extra that it needs besides the command line's own.
+#: By command: the module that defines it, and the extra that it needs besides `cli`.
 COMMANDS = {
     "check": ("message_sender.cli.basic", ""),
     "control": ("message_sender.cli.control", "fleet"),
@@ -35,22 +35,28 @@
 if click:
 
     class Commands(click.Group):
-        """Finds a command in its own module."""
+        """Imports a command's module when the command is looked up."""
 
         def list_commands(self, ctx: click.Context) -> list[str]:
+            """Returns the names of all commands, sorted."""
             return sorted(COMMANDS)
 
         def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
+            """Returns a command; None for an unknown name.
+
+            Raises:
+                click.ClickException: A library that the command needs is not installed.
+            """
             if cmd_name not in COMMANDS:
                 return None
             module, extra = COMMANDS[cmd_name]
             try:
-                found = getattr(importlib.import_module(module), cmd_name)
+                command = getattr(importlib.import_module(module), cmd_name)
             except ImportError as error:
-                wanted = f"message-sender[cli,{extra}]" if extra else "message-sender[cli]"
-                raise click.ClickException(f"{error}; pip install '{wanted}'") from None
-            assert isinstance(found, click.Command)
-            return found
+                requirement = f"message-sender[cli,{extra}]" if extra else "message-sender[cli]"
+                raise click.ClickException(f"{error}; pip install '{requirement}'") from None
+            assert isinstance(command, click.Command)
+            return command
 
     @click.group(cls=Commands, context_settings={"help_option_names": ["-h", "--help"]})
     @click.version_option(package_name="message-sender", prog_name=PROGRAM)
@@ -61,20 +67,24 @@
         """
 
 
-def main(words: Sequence[str] | None = None) -> int:
-    """Runs a command; the answer is the exit code."""
+def main(arguments: Sequence[str] | None = None) -> int:
+    """Runs a command and returns its exit code.
+
+    Args:
+        arguments: Without the program's name; None: those of the process.
+    """
     if click is None:
         print(f"{PROGRAM}: the command line needs click; pip install 'message-sender[cli]'", file=sys.stderr)
         return 1
     try:
-        root_command(list(sys.argv[1:] if words is None else words), prog_name=PROGRAM)
-    except SystemExit as ended:
-        return int(ended.code or 0)
+        root_command(list(sys.argv[1:] if arguments is None else arguments), prog_name=PROGRAM)
+    except SystemExit as exit_request:
+        return int(exit_request.code or 0)
     return 0
 
 
 def deprecated_main() -> int:
-    """The command under its former name `elmglade`, kept for one release."""
+    """Runs a command under the former program name `elmglade`, which is kept for one release."""
     print(
         f"elmglade: this command is now {PROGRAM}; the old name goes with the next release", file=sys.stderr
     )
--- a/message_sender/cli/journal.py
+++ b/message_sender/cli/journal.py
@@ -1,17 +1,27 @@
-"""`message-sender journal show|verify|repair`: what a state folder owes, whether its records are whole, and a
-whole journal beside a damaged one."""
+"""`message-sender journal show|verify|repair`.
 
+Shows the messages in a state folder that are not completed, verifies the journal's checksums, and writes a
+repaired journal into a new folder.
+"""
+
+import itertools
 import json
 import logging
 from datetime import UTC, datetime
 from pathlib import Path
+from typing import Any
 
 import click
 
-from message_sender.cli.basic import FOLDER, complaints
+from message_sender.cli.errors import exit_on_error
+from message_sender.cli.parameters import ANY_PATH, FOLDER_PATH
+from message_sender.journal.entries import JournalEntry
 from message_sender.journal.inspection import InspectedJournal
 from message_sender.journal.process_journal import JOURNAL_FILE
 
+US_PER_SECOND = 1e6
+FOLDER_ARGUMENT = click.argument("folder", type=FOLDER_PATH, metavar="DIR")
+
 
 @click.group()
 def journal() -> None:
@@ -19,95 +29,124 @@
     logging.basicConfig(format="%(message)s", level=logging.WARNING)
 
 
-def inspected(folder: Path) -> InspectedJournal:
-    with complaints():
+def inspect_journal(folder: Path) -> InspectedJournal:
+    """Reads the journal of a state folder; a failure is reported with exit code 1."""
+    with exit_on_error():
         return InspectedJournal(folder)
 
 
-def at(us: int) -> str:
-    return datetime.fromtimestamp(us / 1e6, UTC).isoformat(timespec="milliseconds") if us else "unknown"
+def format_time(time_us: int) -> str:
+    """Returns a time in microseconds since the epoch as ISO 8601; `unknown` for 0."""
+    if not time_us:
+        return "unknown"
+    return datetime.fromtimestamp(time_us / US_PER_SECOND, UTC).isoformat(timespec="milliseconds")
+
+
+def print_damage(inspected: InspectedJournal, label: str) -> None:
+    """Prints a line for each damaged part of the journal, after `label`."""
+    reading = inspected.reading
+    for gap in (*reading.gaps, *reading.unwritten_gaps):
+        click.echo(f"{label}: {gap.size_bytes} bytes at byte {gap.offset}, which {gap.kind.value}")
+    if reading.tail_bytes:
+        click.echo(f"{label}: {reading.tail_bytes} bytes at the end, which were never durable")
 
 
 @journal.command()
-@click.argument("folder", type=FOLDER, metavar="DIR")
+@FOLDER_ARGUMENT
 @click.pass_context
 def verify(ctx: click.Context, folder: Path) -> None:
     """Exit 0 if every record in the state folder DIR is whole, 1 if any is damaged."""
-    found = inspected(folder)
-    if not found.has_checksums:
+    inspected = inspect_journal(folder)
+    if not inspected.has_checksums:
         click.echo("the old form, whose records have no checksum: nothing can be said of them")
-    reading = found.reading
-    for hole in (*reading.gaps, *reading.unwritten_gaps):
-        click.echo(f"damaged: {hole.size_bytes} bytes at byte {hole.offset}, which {hole.kind.value}")
-    if reading.tail_bytes:
-        click.echo(f"damaged: {reading.tail_bytes} bytes at the end, which were never durable")
-    doubtful = sum(each.is_doubtful for each in found.entries.values())
+    print_damage(inspected, "damaged")
+    reading = inspected.reading
+    doubtful = sum(entry.is_doubtful for entry in inspected.entries.values())
     click.echo(
-        f"{len(reading.records)} records are whole; {len(found.entries)} messages owed, {doubtful} doubtful"
+        f"{len(reading.records)} records are whole; "
+        f"{len(inspected.entries)} messages owed, {doubtful} doubtful"
     )
-    whole = found.has_checksums and not (reading.gaps or reading.unwritten_gaps or reading.tail_bytes)
-    ctx.exit(0 if whole else 1)
+    is_damaged = bool(reading.gaps or reading.unwritten_gaps or reading.tail_bytes)
+    ctx.exit(0 if inspected.has_checksums and not is_damaged else 1)
 
 
 @journal.command()
-@click.argument("folder", type=FOLDER, metavar="DIR")
+@FOLDER_ARGUMENT
 @click.option("--json", "as_json", is_flag=True, help="All of it as JSON lines.")
 @click.option("--most", type=click.IntRange(0), default=50, help="Rows at the most, the first taken first.")
 def show(folder: Path, as_json: bool, most: int) -> None:
     """What is owed in the state folder DIR."""
-    found = inspected(folder)
-    before = found.previous_run
-    if not as_json:
-        how = "closed cleanly" if before.was_closed else "not closed: it runs, or ended without a word"
-        click.echo(f"{len(found.entries)} messages owed; {how}; latest time on record {at(before.latest_us)}")
-    for number, (name, entry) in enumerate(found.entries.items()):
-        told = {
-            "id": name,
-            "class": entry.message.message_class,
-            "destination": entry.message.destination,
-            "key": entry.message.key,
-            "until": at(entry.message.deadline_us),
-            "attempts": len(entry.attempts),
-            "may_have_run": entry.first_risky_attempt() is not None,
-            "doubtful": entry.is_doubtful,
-            "end": entry.completion[0] if entry.completion else "delivered" if entry.is_delivered() else "",
-        }
-        if as_json:
-            click.echo(json.dumps(told))
-        elif number < most:
-            risk = "may have run" if told["may_have_run"] else "has not run"
-            state = "doubtful" if entry.is_doubtful else told["end"] or risk
-            click.echo(f"{name}  {told['class']}  to {told['destination']}  until {told['until']}  {state}")
-    if not as_json and len(found.entries) > most:
-        click.echo(f"and {len(found.entries) - most} more; --most shows them")
-
-
-@journal.command()
-@click.argument("folder", type=FOLDER, metavar="DIR")
-@click.option("--to", type=click.Path(path_type=Path), required=True, help="A state folder that is made.")
-@click.pass_context
-def repair(ctx: click.Context, folder: Path, to: Path) -> None:
-    """Write what can be read of the journal in DIR as a whole one into a new folder; DIR stays as it is.
+    inspected = inspect_journal(folder)
+    entries = inspected.entries
+    if as_json:
+        for message_id, entry in entries.items():
+            click.echo(json.dumps(describe_entry(message_id, entry)))
+        return
+    previous = inspected.previous_run
+    ending = "closed cleanly" if previous.was_closed else "not closed: it runs, or ended without a word"
+    latest = format_time(previous.latest_us)
+    click.echo(f"{len(entries)} messages owed; {ending}; latest time on record {latest}")
+    for message_id, entry in itertools.islice(entries.items(), most):
+        click.echo(format_row(describe_entry(message_id, entry)))
+    if len(entries) > most:
+        click.echo(f"and {len(entries) - most} more; --most shows them")
+
+
+def describe_entry(message_id: str, entry: JournalEntry) -> dict[str, Any]:
+    """Returns the JSON object of `show --json` for one message that is not completed."""
+    completion = ""
+    if entry.completion:
+        completion = entry.completion[0]
+    elif entry.is_delivered():
+        completion = "delivered"
+    return {
+        "id": message_id,
+        "class": entry.message.message_class,
+        "destination": entry.message.destination,
+        "key": entry.message.key,
+        "until": format_time(entry.message.deadline_us),
+        "attempts": len(entry.attempts),
+        "may_have_run": entry.first_risky_attempt() is not None,
+        "doubtful": entry.is_doubtful,
+        "end": completion,
+    }
+
+
+def format_row(row: dict[str, Any]) -> str:
+    """Returns the line of `show` for the JSON object of one message."""
+    state = "may have run" if row["may_have_run"] else "has not run"
+    if row["end"]:
+        state = row["end"]
+    if row["doubtful"]:
+        state = "doubtful"
+    return f"{row['id']}  {row['class']}  to {row['destination']}  until {row['until']}  {state}"
+
+
+@journal.command(
+    help="""Write what can be read of the journal in DIR as a whole one into a new folder; DIR stays as it is.
 
     A message that was held where records are damaged counts as one that may have run. Exit 1 if anything
     could not be saved."""
-    found = inspected(folder)
-    if not found.has_checksums:
+)
+@FOLDER_ARGUMENT
+@click.option("--to", type=ANY_PATH, required=True, help="A state folder that is made.")
+@click.pass_context
+def repair(ctx: click.Context, folder: Path, to: Path) -> None:
+    """Writes the readable records into a new state folder and prints what is lost or doubtful."""
+    inspected = inspect_journal(folder)
+    if not inspected.has_checksums:
         raise click.ClickException("the old form has no checksums to go by; a start carries it over")
-    with complaints():
+    with exit_on_error():
         to.mkdir(parents=True)
-        found.save(to)
-    reading = found.reading
-    for hole in (*reading.gaps, *reading.unwritten_gaps):
-        click.echo(f"not saved: {hole.size_bytes} bytes at byte {hole.offset}, which {hole.kind.value}")
-    if reading.tail_bytes:
-        click.echo(f"not saved: {reading.tail_bytes} bytes at the end, which were never durable")
-    for name in found.lost_ids:
-        click.echo(f"lost: {name}, whose own record cannot be read")
-    for name, entry in found.entries.items():
+        inspected.save(to)
+    print_damage(inspected, "not saved")
+    for message_id in inspected.lost_ids:
+        click.echo(f"lost: {message_id}, whose own record cannot be read")
+    for message_id, entry in inspected.entries.items():
         if entry.is_doubtful:
-            click.echo(f"doubtful: {name}, which may have run")
+            click.echo(f"doubtful: {message_id}, which may have run")
     click.echo(
-        f"{to / JOURNAL_FILE}: {len(found.entries)} messages owed, {len(found.finished)} known to be over"
+        f"{to / JOURNAL_FILE}: {len(inspected.entries)} messages owed, "
+        f"{len(inspected.finished)} known to be over"
     )
-    ctx.exit(1 if reading.gaps else 0)
+    ctx.exit(1 if inspected.reading.gaps else 0)
--- /dev/null
+++ b/message_sender/cli/recorded_commands.py
@@ -0,0 +1,54 @@
+"""Reads the commands of a packet capture, which the demonstration submits in place of generated ones."""
+
+import zlib
+from pathlib import Path
+
+from message_sender.pcap.capture import Found, requests
+from message_sender.testbed.demo import RecordedCommand
+
+CLASS_HEADER = "x-service-class"
+ROUTE_HEADER = "x-route-to"
+KEY_HEADER = "x-session-key"
+
+
+def read_recorded_commands(path: Path) -> list[RecordedCommand]:
+    """Returns the complete requests of a capture that name a class and a destination, in order of time.
+
+    The first command is due at 0, the others as long after it as they were recorded.
+
+    Raises:
+        OSError: The file cannot be read.
+        MalformedCaptureError: It is not a packet capture.
+    """
+    with path.open("rb") as file:
+        complete = [request for request in requests([file]) if request.message.whole]
+    commands = [(request, read_headers(request)) for request in complete]
+    commands = [
+        (request, headers)
+        for request, headers in commands
+        if CLASS_HEADER in headers and ROUTE_HEADER in headers
+    ]
+    commands.sort(key=lambda command: command[0].message.at)
+    return [
+        RecordedCommand(
+            due=(request.message.at - commands[0][0].message.at) / 1e9,
+            destination=parse_destination(headers[ROUTE_HEADER]),
+            key=headers.get(KEY_HEADER, ""),
+            body=request.message.body,
+        )
+        for request, headers in commands
+    ]
+
+
+def read_headers(request: Found) -> dict[str, str]:
+    """Returns the headers of a request by their names in lower case."""
+    return {name.lower(): value for name, value in request.message.headers}
+
+
+def parse_destination(route: str) -> int:
+    """Returns the destination's number in a route header; for any other name a checksum of the text."""
+    parameters = dict(part.strip().partition("=")[::2] for part in route.split(","))
+    name = parameters.get("dest", "")
+    if name.isascii() and name.isdecimal():
+        return int(name[:9])
+    return zlib.crc32(route.encode())
--- a/tests/compatibility/test_decisions.py
+++ b/tests/compatibility/test_decisions.py
@@ -14,7 +14,7 @@
 import pytest
 
 from message_sender import Dispatcher
-from message_sender.cli.emulate import played, scenario_of
+from message_sender.cli.emulate_scenario import load_scenario, run_scenario
 from message_sender.emulator.policies import OWN_POLICY
 from message_sender.policy.actions import (
     CancelAttempt,
@@ -68,8 +68,8 @@
 
 def scenario_digest(name: str) -> str:
     """A digest of all figures of a scenario at its own seed."""
-    scenario = scenario_of(SCENARIOS / f"{name}.toml", ())
-    outcomes = played(scenario, scenario.seed, OWN_POLICY)
+    scenario = load_scenario(SCENARIOS / f"{name}.toml", ())
+    outcomes = run_scenario(scenario, scenario.seed, OWN_POLICY)
     return hashlib.sha256(json.dumps(outcomes.as_json(), sort_keys=True).encode()).hexdigest()
 
 
--- a/tests/test_control_cli.py
+++ b/tests/test_control_cli.py
@@ -10,9 +10,9 @@
 
 import pytest
 
-from message_sender.cli import control as command
-from message_sender.cli import control_change, main
-from message_sender.cli.control_status import overview
+from message_sender.cli import configuration_change, main
+from message_sender.cli import control as control_command
+from message_sender.cli.deployment_status import parse_status
 from message_sender.control import schema
 from message_sender.control_socket import ControlSocket, InvalidRequestError
 
@@ -29,46 +29,49 @@
 """
 
 
-class Stub:
-    """A control node that makes changes by itself, on a thread of its own."""
+class StubNode:
+    """A control node that decides changes alone; it serves its socket on a thread of its own."""
 
     def __init__(self) -> None:
         self.version = 4
         self.resources = schema.read_toml(FLEET)
-        self.sets: list[dict[str, Any]] = []
+        self.change_requests: list[dict[str, Any]] = []
         self.results: dict[str, dict[str, Any]] = {}
-        self.unavailable = 0  # so many requests are answered so
+        self.unavailable_responses = 0  # still to be sent
         self.nodes: list[dict[str, Any]] = []
-        self.leader = "c1"  # that it knows of
-        self.looked = 0
-        self.look: Callable[[], None] = lambda: None
+        self.leader = "c1"  # the one that it knows
+        self.status_requests = 0
 
-    def get(self, asked: Mapping[str, Any]) -> dict[str, Any]:
+    def get(self, request: Mapping[str, Any]) -> dict[str, Any]:
         values = {name: json.loads(value) for name, value in self.resources.items()}
-        told = {"version": self.version, "digest": 77, "resources": values, "age_ms": 100}
-        return told | {"role": "leader" if self.leader else "follower", "leader": self.leader}
+        fields = {"version": self.version, "digest": 77, "resources": values, "age_ms": 100}
+        return fields | {"role": "leader" if self.leader else "follower", "leader": self.leader}
 
-    def set(self, asked: Mapping[str, Any]) -> dict[str, Any]:
-        self.sets.append(dict(asked))
-        if self.unavailable:
-            self.unavailable -= 1
+    def set(self, request: Mapping[str, Any]) -> dict[str, Any]:
+        self.change_requests.append(dict(request))
+        if self.unavailable_responses:
+            self.unavailable_responses -= 1
             return {"outcome": "unavailable", "version": self.version, "faults": []}
-        if known := self.results.get(asked["request_id"]):
+        if known := self.results.get(request["request_id"]):
             return known
-        if asked["base_version"] != self.version:
+        if request["base_version"] != self.version:
             return {"outcome": "conflict", "version": self.version, "faults": []}
-        after = {name: x for name, x in self.resources.items() if name not in asked["delete"]}
-        after |= {name: schema.encode_value(value) for name, value in asked["put"].items()}
-        if faults := schema.validate(after):
+        changed = {name: value for name, value in self.resources.items() if name not in request["delete"]}
+        changed |= {name: schema.encode_value(value) for name, value in request["put"].items()}
+        if faults := schema.validate(changed):
             return {"outcome": "invalid", "version": self.version, "faults": list(faults)}
-        self.resources, self.version = after, self.version + 1
-        answer = {"outcome": "applied", "version": self.version, "faults": []}
-        self.results[asked["request_id"]] = answer
-        return answer
-
-    def status(self, asked: Mapping[str, Any]) -> dict[str, Any]:
-        self.looked += 1
-        self.look()
+        self.resources = changed
+        self.version += 1
+        response = {"outcome": "applied", "version": self.version, "faults": []}
+        self.results[request["request_id"]] = response
+        return response
+
+    def on_status(self) -> None:
+        """Runs before each response to `status`; a test replaces it."""
+
+    def status(self, request: Mapping[str, Any]) -> dict[str, Any]:
+        self.status_requests += 1
+        self.on_status()
         return {"nodes": self.nodes}
 
     @contextlib.contextmanager
@@ -81,34 +84,34 @@
         try:
             yield
         finally:
-            asyncio.run_coroutine_threadsafe(self.ended(control), loop).result()
+            asyncio.run_coroutine_threadsafe(self.close(control), loop).result()
             loop.call_soon_threadsafe(loop.stop)
             thread.join()
             loop.close()
 
     @staticmethod
-    async def ended(control: ControlSocket) -> None:
+    async def close(control: ControlSocket) -> None:
         control.close()
         await asyncio.gather(*control.tasks, return_exceptions=True)
 
 
 @pytest.fixture
-def stub(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Iterator[Stub]:
-    monkeypatch.setattr(control_change, "RETRY_INTERVAL_S", 0.01)
-    monkeypatch.setattr(command, "WAIT_INTERVAL_S", 0.01)
-    made = Stub()
-    with made.serving(tmp_path):
-        yield made
+def stub(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Iterator[StubNode]:
+    monkeypatch.setattr(configuration_change, "RETRY_INTERVAL_S", 0.01)
+    monkeypatch.setattr(control_command, "WAIT_INTERVAL_S", 0.01)
+    node = StubNode()
+    with node.serving(tmp_path):
+        yield node
 
 
 @pytest.fixture
 def run(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> Callable[..., tuple[int, str]]:
-    """`message-sender control NAME STATE ...`: the exit code, and all that it wrote."""
+    """Runs `message-sender control NAME STATE ...`; returns the exit code and all output."""
 
-    def run(name: str, *words: str) -> tuple[int, str]:
-        code = main(["control", name, str(tmp_path), *words])
-        told = capsys.readouterr()
-        return code, told.out + told.err
+    def run(name: str, *arguments: str) -> tuple[int, str]:
+        code = main(["control", name, str(tmp_path), *arguments])
+        output = capsys.readouterr()
+        return code, output.out + output.err
 
     return run
 
@@ -116,26 +119,29 @@
 Run = Callable[..., tuple[int, str]]
 
 
-def file(tmp_path: Path, text: str) -> str:
+def write_file(tmp_path: Path, text: str) -> str:
     path = tmp_path / "fleet.toml"
     path.write_text(text)
     return str(path)
 
 
-def test_a_whole_file_is_put_as_the_difference(stub: Stub, run: Run, tmp_path: Path) -> None:
+def test_a_complete_file_is_applied_as_the_difference(stub: StubNode, run: Run, tmp_path: Path) -> None:
     text = FLEET.replace("h:1", "h:9").replace('"b"', '"c"')
-    assert run("set", file(tmp_path, text), "--author", "ann") == (0, "version 5: 2 put, 1 deleted\n")
-    (asked,) = stub.sets
-    assert asked["base_version"] == 4 and asked["author"] == "ann" and len(asked["request_id"]) == 32
-    assert sorted(asked["put"]) == ["endpoints/a", "endpoints/c"] and asked["delete"] == ["endpoints/b"]
+    assert run("set", write_file(tmp_path, text), "--author", "ann") == (0, "version 5: 2 put, 1 deleted\n")
+    (request,) = stub.change_requests
+    assert request["base_version"] == 4 and request["author"] == "ann" and len(request["request_id"]) == 32
+    assert sorted(request["put"]) == ["endpoints/a", "endpoints/c"] and request["delete"] == ["endpoints/b"]
     assert stub.resources == schema.read_toml(text)
-    assert run("set", file(tmp_path, text)) == (0, "version 5 holds this already: nothing was changed\n")
-    assert len(stub.sets) == 1
+    assert run("set", write_file(tmp_path, text)) == (
+        0,
+        "version 5 holds this already: nothing was changed\n",
+    )
+    assert len(stub.change_requests) == 1
 
 
-def test_a_patch_leaves_alone_what_it_does_not_name(stub: Stub, run: Run, tmp_path: Path) -> None:
+def test_a_patch_keeps_resources_that_it_does_not_name(stub: StubNode, run: Run, tmp_path: Path) -> None:
     text = '[[endpoints]]\nid = "c"\ndestination = 3\ndial = "h:3"\n'
-    code, _ = run("set", file(tmp_path, text), "--patch", "--delete", "endpoints/a")
+    code, _ = run("set", write_file(tmp_path, text), "--patch", "--delete", "endpoints/a")
     assert code == 0 and sorted(stub.resources) == ["endpoints/b", "endpoints/c"]
     assert run("set", "--patch", "--delete", "endpoints/b")[0] == 0
     assert sorted(stub.resources) == ["endpoints/c"]
@@ -143,131 +149,135 @@
     assert code == 1 and "endpoints/x: is not in version 6" in out
 
 
-def test_another_version_than_the_expected_one_is_shown(stub: Stub, run: Run, tmp_path: Path) -> None:
-    code, out = run("set", file(tmp_path, ""), "--expect", "3")
+def test_a_conflict_shows_the_version_in_force(stub: StubNode, run: Run, tmp_path: Path) -> None:
+    code, out = run("set", write_file(tmp_path, ""), "--expect", "3")
     assert code == 1 and out == "version 4 is in force, and 3 was expected: nothing was changed\n"
-    assert not stub.sets and run("set", file(tmp_path, ""), "--expect", "4")[0] == 0
+    assert not stub.change_requests and run("set", write_file(tmp_path, ""), "--expect", "4")[0] == 0
 
 
-def test_two_operators_at_once(stub: Stub, run: Run, tmp_path: Path) -> None:
-    """The other one's change comes between the look and the change."""
-    make = stub.set
+def test_a_concurrent_change_is_a_conflict(stub: StubNode, run: Run, tmp_path: Path) -> None:
+    """The other operator's change is applied between `get` and `set`."""
+    apply_change = stub.set
 
-    def late(asked: Mapping[str, Any]) -> dict[str, Any]:
+    def apply_after_another(request: Mapping[str, Any]) -> dict[str, Any]:
         stub.version = 9
-        return make(asked)
+        return apply_change(request)
 
-    stub.set = late  # type: ignore[method-assign]  # the socket asks by name, below
+    stub.set = apply_after_another  # type: ignore[method-assign]  # a new socket binds it below
     with stub_at(stub, tmp_path / "other") as folder:
-        code = main(["control", "set", str(folder), file(tmp_path, "")])
+        code = main(["control", "set", str(folder), write_file(tmp_path, "")])
     assert code == 1 and len(stub.resources) == 2
 
 
 @contextlib.contextmanager
-def stub_at(stub: Stub, folder: Path) -> Iterator[Path]:
+def stub_at(stub: StubNode, folder: Path) -> Iterator[Path]:
     folder.mkdir()
     with stub.serving(folder):
         yield folder
 
 
-def test_the_faults_of_a_file_and_of_a_document_are_lines(stub: Stub, run: Run, tmp_path: Path) -> None:
-    code, out = run("set", file(tmp_path, FLEET.replace("h:1", "x").replace("h:2", "y")))
-    assert code == 1 and not stub.sets
+def test_each_fault_of_a_file_or_configuration_is_a_line(stub: StubNode, run: Run, tmp_path: Path) -> None:
+    code, out = run("set", write_file(tmp_path, FLEET.replace("h:1", "x").replace("h:2", "y")))
+    assert code == 1 and not stub.change_requests
     assert [line.removeprefix("Error: ") for line in out.splitlines()] == [
         "endpoints[0].dial: must be host:port, not 'x'",
         "endpoints[1].dial: must be host:port, not 'y'",
     ]
     stub.resources["budgets/old"] = b'{"of":"in_flight","destination":1,"whole":8}'
     row = '[[budgets]]\nname = "new"\nof = "in_flight"\ndestination = 1\nwhole = 8\n'
-    code, out = run("set", file(tmp_path, row), "--patch")
+    code, out = run("set", write_file(tmp_path, row), "--patch")
     assert code == 1 and out.splitlines() == [
         "budgets/old.of: two budgets over one thing",
         "nothing was changed; version 4 is in force",
     ]
 
 
-def test_a_change_is_asked_for_again_under_the_same_id(stub: Stub, run: Run, tmp_path: Path) -> None:
-    stub.unavailable = 3
-    code, out = run("set", file(tmp_path, ""))
+def test_an_unavailable_change_is_retried_with_the_same_request_id(
+    stub: StubNode, run: Run, tmp_path: Path
+) -> None:
+    stub.unavailable_responses = 3
+    code, out = run("set", write_file(tmp_path, ""))
     assert code == 0 and out == "version 5 after 4 tries: 0 put, 2 deleted\n"
-    assert len({asked["request_id"] for asked in stub.sets}) == 1
+    assert len({request["request_id"] for request in stub.change_requests}) == 1
 
 
-def test_a_cut_off_node_does_not_say_that_all_is_as_wanted(stub: Stub, run: Run, tmp_path: Path) -> None:
+def test_a_node_without_a_leader_does_not_report_an_unchanged_configuration(
+    stub: StubNode, run: Run, tmp_path: Path
+) -> None:
     """Another version may be in force by now."""
-    words = ("set", file(tmp_path, FLEET))
-    assert run(*words) == (0, "version 4 holds this already: nothing was changed\n")
+    arguments = ("set", write_file(tmp_path, FLEET))
+    assert run(*arguments) == (0, "version 4 holds this already: nothing was changed\n")
     stub.leader = ""
-    code, out = run(*words)
-    assert code == 1 and "no leader with a majority is known" in out and not stub.sets
+    code, out = run(*arguments)
+    assert code == 1 and "no leader with a majority is known" in out and not stub.change_requests
 
 
-def test_an_outcome_that_stays_unknown_is_said(stub: Stub, run: Run, tmp_path: Path) -> None:
-    stub.unavailable = 10**6
-    code, out = run("set", file(tmp_path, ""), "--timeout", "0.2", "--request-id", "r1")
+def test_an_unknown_outcome_is_reported_after_the_timeout(stub: StubNode, run: Run, tmp_path: Path) -> None:
+    stub.unavailable_responses = 10**6
+    code, out = run("set", write_file(tmp_path, ""), "--timeout", "0.2", "--request-id", "r1")
     assert code == 1 and "not known whether it was made" in out and "--request-id r1" in out
-    assert "no leader with a majority" in out and len(stub.sets) > 1
+    assert "no leader with a majority" in out and len(stub.change_requests) > 1
 
 
-def test_a_change_that_was_made_before_is_not_made_again(stub: Stub, run: Run, tmp_path: Path) -> None:
-    """Its first answer was lost: what the file holds is in force, at a version above the expected one."""
-    words = (file(tmp_path, ""), "--expect", "4", "--request-id", "r1")
-    assert run("set", *words)[0] == 0
-    code, out = run("set", *words, "--json")
-    told = json.loads(out)
-    assert code == 0 and (told["outcome"], told["version"], told["request_id"]) == ("applied", 5, "r1")
+def test_a_repeated_request_id_is_applied_once(stub: StubNode, run: Run, tmp_path: Path) -> None:
+    """The first response was lost: the file is in force, at a version above the expected one."""
+    arguments = (write_file(tmp_path, ""), "--expect", "4", "--request-id", "r1")
+    assert run("set", *arguments)[0] == 0
+    code, out = run("set", *arguments, "--json")
+    result = json.loads(out)
+    assert code == 0 and (result["outcome"], result["version"], result["request_id"]) == ("applied", 5, "r1")
     assert stub.version == 5
-    code, out = run("set", file(tmp_path, ""), "--expect", "4", "--request-id", "r2", "--json")
+    code, out = run("set", write_file(tmp_path, ""), "--expect", "4", "--request-id", "r2", "--json")
     assert code == 1 and json.loads(out)["outcome"] == "conflict"
 
 
-def test_get_gives_what_set_takes(stub: Stub, run: Run, tmp_path: Path) -> None:
-    for words in ((), ("--toml",)):
-        code, out = run("get", *words)
+def test_the_output_of_get_is_an_input_of_set(stub: StubNode, run: Run, tmp_path: Path) -> None:
+    for arguments in ((), ("--toml",)):
+        code, out = run("get", *arguments)
         assert code == 0 and out.startswith("# version 4, digest 77, 0.1 s old\n")
         assert schema.read_toml(out) == stub.resources
     code, out = run("get", "--json")
     assert code == 0 and json.loads(out)["resources"]["endpoints/a"] == {"destination": 1, "dial": "h:1"}
 
 
-def test_misuse_ends_with_2(stub: Stub, run: Run, tmp_path: Path) -> None:
-    name = file(tmp_path, "")
+def test_wrong_usage_exits_with_2(stub: StubNode, run: Run, tmp_path: Path) -> None:
+    name = write_file(tmp_path, "")
     assert run("set")[0] == 2
     assert run("set", name, "--delete", "endpoints/a")[0] == 2
     assert run("get", "--toml", "--json")[0] == 2
     assert run("status", "--wait", "4", "--watch")[0] == 2
-    assert run("set", name, "--expect", "-1")[0] == 2 and not stub.sets
+    assert run("set", name, "--expect", "-1")[0] == 2 and not stub.change_requests
 
 
-def test_no_control_node_ends_with_1(run: Run, tmp_path: Path) -> None:
-    for words in (("get",), ("status",), ("set", file(tmp_path, "")), ("status", "--wait", "1")):
-        code, out = run(*words)
+def test_an_unreachable_control_node_exits_with_1(run: Run, tmp_path: Path) -> None:
+    for arguments in (("get",), ("status",), ("set", write_file(tmp_path, "")), ("status", "--wait", "1")):
+        code, out = run(*arguments)
         assert code == 1 and "no control node answers" in out
     missing = str(tmp_path / "none.toml")
     assert main(["control", "serve", "--config", missing]) == 1
     assert main(["control", "init", "--config", missing]) == 1
 
 
-def test_what_a_node_refuses_is_told(stub: Stub, run: Run, tmp_path: Path) -> None:
-    def refuse(asked: Mapping[str, Any]) -> dict[str, Any]:
+def test_a_refused_request_exits_with_1(stub: StubNode, run: Run, tmp_path: Path) -> None:
+    def refuse(request: Mapping[str, Any]) -> dict[str, Any]:
         raise InvalidRequestError("a change of 40000 bytes; 32768 at the most")
 
-    stub.set = refuse  # type: ignore[method-assign]  # the socket asks by name, below
+    stub.set = refuse  # type: ignore[method-assign]  # a new socket binds it below
     with stub_at(stub, tmp_path / "other") as folder:
-        assert main(["control", "set", str(folder), file(tmp_path, "")]) == 1
+        assert main(["control", "set", str(folder), write_file(tmp_path, "")]) == 1
 
 
 def watcher(name: str, version: int, **changes: object) -> dict[str, object]:
-    told = {"name": name, "version": version, "refused_version": 0, "reason": "", "silent_ms": 200}
-    return told | changes
+    fields = {"name": name, "version": version, "refused_version": 0, "reason": "", "silent_ms": 200}
+    return fields | changes
 
 
 def node(name: str, version: int, *watchers: dict[str, object]) -> dict[str, Any]:
-    told = {"number": 1, "name": name, "role": "follower", "leader": "c1", "term": 3, "version": version}
-    return told | {"commit_index": 9, "age_ms": 100, "watchers": list(watchers)}
+    fields = {"number": 1, "name": name, "role": "follower", "leader": "c1", "term": 3, "version": version}
+    return fields | {"commit_index": 9, "age_ms": 100, "watchers": list(watchers)}
 
 
-def test_status_tells_who_lags_and_why(stub: Stub, run: Run) -> None:
+def test_status_shows_lagging_senders_with_reasons(stub: StubNode, run: Run) -> None:
     stub.nodes = [
         node("c1", 7, watcher("n1", 7), watcher("n2", 6, refused_version=7, reason="budgets/rate: floor")),
         node("c2", 7, watcher("n3", 6, silent_ms=41_000), watcher("n4", 6), watcher("n5", 7, silent_ms=9000)),
@@ -293,28 +303,28 @@
     assert code == 0 and len(out.splitlines()) == 2
 
 
-def test_a_sender_that_moved_is_told_by_whom_heard_it_last() -> None:
-    seen = overview(
+def test_the_node_that_a_sender_polled_last_counts() -> None:
+    deployment = parse_status(
         {"nodes": [node("c1", 7, watcher("n1", 6, silent_ms=900)), node("c2", 7, watcher("n1", 7))]}
     )
-    (sender,) = seen.senders
-    assert (sender.version, sender.node) == (7, "c2") and not seen.lagging(7)
+    (sender,) = deployment.senders
+    assert (sender.version, sender.node) == (7, "c2") and not deployment.find_lagging(7)
 
 
-def test_waiting_ends_once_it_is_everywhere(stub: Stub, run: Run) -> None:
+def test_a_wait_ends_when_the_version_is_in_force_everywhere(stub: StubNode, run: Run) -> None:
     stub.nodes = [node("c1", 7, watcher("n1", 6))]
 
-    def look() -> None:
-        if stub.looked == 3:
+    def apply_version() -> None:
+        if stub.status_requests == 3:
             stub.nodes = [node("c1", 7, watcher("n1", 7))]
 
-    stub.look = look
+    stub.on_status = apply_version  # type: ignore[method-assign]
     code, out = run("status", "--wait", "7")
     assert code == 0 and out.startswith("version 7 is in force everywhere, at 1 senders, after ")
-    assert stub.looked == 3
+    assert stub.status_requests == 3
 
 
-def test_waiting_ends_with_who_lags_once_the_time_is_over(stub: Stub, run: Run) -> None:
+def test_a_wait_that_times_out_shows_who_lags(stub: StubNode, run: Run) -> None:
     stub.nodes = [node("c1", 7, watcher("n1", 6, silent_ms=41_000)), {"name": "c2", "is_reachable": False}]
     code, out = run("status", "--wait", "7", "--timeout", "0.1")
     assert code == 1 and out.splitlines()[1:] == [
@@ -323,11 +333,11 @@
     ]
     assert run("status", "--wait", "7", "--timeout", "0.1", "--reachable")[0] == 0
     code, out = run("status", "--wait", "8", "--timeout", "0.1", "--reachable", "--json")
-    told = json.loads(out)
-    assert code == 1 and told["lagging"] == ["control node c1: version 7"] and not told["is_everywhere"]
+    result = json.loads(out)
+    assert code == 1 and result["lagging"] == ["control node c1: version 7"] and not result["is_everywhere"]
 
 
-def test_the_help_has_examples(capsys: pytest.CaptureFixture[str]) -> None:
+def test_each_help_text_has_an_example(capsys: pytest.CaptureFixture[str]) -> None:
     for name in ("serve", "init", "set", "get", "status"):
         assert main(["control", name, "--help"]) == 0
         assert f"message-sender control {name} " in capsys.readouterr().out
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -216,7 +216,7 @@
         "name": "a", "members": members, "behind": True, "namesake": "10.0.0.9:1", "refused": {"why": 2},
         "doubtful": {"m": ["b", "out"]}, "destinations": {"1": there}, "history": [[0.5, "feeling", "alone"]],
     }  # fmt: skip
-    monkeypatch.setattr(command, "tell", lambda folder, request: told)
+    monkeypatch.setattr(command, "request_value", lambda folder, request: told)
     text = CliRunner().invoke(command.fleet, ["status", str(tmp_path)]).output
     for words in (
         "owes 3",
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -14,7 +14,7 @@
 from peers import World, message, play, read_reply, soon
 
 from message_sender.cli import main
-from message_sender.cli.commands import given_in
+from message_sender.cli.recorded_commands import read_recorded_commands
 from message_sender.configuration.general import ConfigError, load
 from message_sender.emulator.loop import VirtualLoop
 from message_sender.pcap import replay as module
@@ -256,7 +256,7 @@
     capture.says(0, 31, request("/c", b"3", X_Route_To="dest=8", **named))
     path = tmp_path / "f.pcap"
     path.write_bytes(capture.ends().out.getvalue())
-    given = given_in(path)
+    given = read_recorded_commands(path)
     assert [(each.due, each.destination, each.key, each.body) for each in given] == [
         (0.0, 7, "k", b"1"),
         (0.03, 8, "k", b"3"),
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -21,7 +21,7 @@
 from message_sender.budget.ledger import FULLY_WARM_PERMILLE
 from message_sender.budget.manager import LeaseManager, grantor_rank
 from message_sender.budget.retry_allowance import RetryAllowance
-from message_sender.cli.chart import Run
+from message_sender.cli.budget_chart import BudgetSeries
 from message_sender.configuration.resources import SharedBudget
 from message_sender.core.hooks import HookChain
 from message_sender.emulator.shared import Fleet
@@ -344,11 +344,11 @@
 
 
 def test_a_chart_counts_usage_across_restarts_and_gaps() -> None:
-    run, sample = Run(), {"part": 5, "whole": 9, "per_ms": 1000}
+    run, sample = BudgetSeries(), {"part": 5, "whole": 9, "per_ms": 1000}
     for now, spent in enumerate((7, 9, None, 1, 4)):
         run.add(now, {} if spent is None else {"n0": sample | {"spent": spent}})
-    assert run.granted["n0"] == [5, 5, 0, 5, 5] and run.whole == [9] * 5
-    assert run.spent["n0"] == [0, 2, 2, 3, 6] and run.used("n0") == [0, 2, 0, 1, 3]
+    assert run.granted["n0"] == [5, 5, 0, 5, 5] and run.limits == [9] * 5
+    assert run.spent["n0"] == [0, 2, 2, 3, 6] and run.usage_per_period("n0") == [0, 2, 0, 1, 3]
 
 
 def test_a_reported_larger_size_survives_a_change_of_the_limit() -> None:
