--- a/message_sender/core/message_table.py
+++ b/message_sender/core/message_table.py
@@ -145,9 +145,9 @@
         """The policy's final answer for an accepted message."""
         self.pending_completions[message_id] = completion
         self.journal.record_completion(message_id, completion.state.value, completion.retry_after_us)
-        self.journal.when_durable(partial(self.tell_completion, message_id, completion))
+        self.journal.when_durable(partial(self.deliver_completion, message_id, completion))
 
-    def tell_completion(self, message_id: str, completion: Completion, is_durable: bool) -> None:
+    def deliver_completion(self, message_id: str, completion: Completion, is_durable: bool) -> None:
         """Gives the completion to the waiting caller or to the listener, once it is on record."""
         if not is_durable and completion.state is CompletionState.REFUSED:
             # A later process may find the message accepted: nothing is promised.
@@ -189,9 +189,9 @@
         state = CompletionState.DELIVERED if is_delivered else CompletionState.WITHDRAWN
         completion = Completion(state, reply=result.reply, status=result.status)
         is_withdrawn = message_id in self.withdrawn
-        self.journal.when_durable(partial(self.tell_finished, message_id, completion, is_withdrawn))
+        self.journal.when_durable(partial(self.deliver_result, message_id, completion, is_withdrawn))
 
-    def tell_finished(
+    def deliver_result(
         self, message_id: str, completion: Completion, is_withdrawn: bool, is_durable: bool
     ) -> None:
         """Gives the completion of a finished message, whether or not its outcome could be made durable."""
--- a/message_sender/http/call.py
+++ b/message_sender/http/call.py
@@ -32,24 +32,24 @@
 
     Attributes:
         dials: Addresses of the listed endpoints.
-        out: Connections whose answer is waited for, with their endpoints.
+        awaiting_answer: Connections whose answer is waited for, with their endpoints.
         unsent: Calls whose first byte has not gone.
-        closing: No call begins any more.
-        opens: Asked before a connection is opened for a message: what to call once it is closed; None: it
-            may not be opened.
-        sent: Called once a message's last byte is written.
-        retry_after_received: Hears of a Retry-After of an endpoint, in microseconds.
-        limit_told: Hears of a limit that an answer announces: so many calls in so many microseconds.
+        is_closing: No call begins any more.
+        reserve_connection: Called before a connection is opened for a message. Returns what to call once it
+            is closed; None: it may not be opened.
+        on_sent: Called once a message's last byte is written.
+        retry_after_received: Called with a Retry-After of an endpoint, in microseconds.
+        on_limit_announced: Called with a limit that an answer announces: endpoint, calls, microseconds.
     """
 
     dials: Callable[[], Mapping[str, Address]]
     awaiting_answer: dict[ClientConnection, str]
     unsent: set[asyncio.Task[Any]]
-    closing: bool
-    opens: Callable[[str, str], Callable[[], None] | None]
-    sent: Callable[[], None]
+    is_closing: bool
+    reserve_connection: Callable[[str, str], Callable[[], None] | None]
+    on_sent: Callable[[], None]
     retry_after_received: Callable[[str, int], None]
-    limit_told: Callable[[str, int, int], None] | None
+    on_limit_announced: Callable[[str, int, int], None] | None
 
     def take_idle(self, endpoint: str) -> ClientConnection | None:
         """An idle connection to the endpoint."""
@@ -57,22 +57,22 @@
     async def open_connection(self, address: Address, closed: Callable[[], None]) -> ClientConnection:
         """A new connection."""
 
-    def keep(self, endpoint: str, connection: ClientConnection) -> bool:
-        """Keeps a connection for the next call; False: it may not be kept."""
+    def return_to_pool(self, endpoint: str, connection: ClientConnection) -> bool:
+        """Returns a connection to the pool; False: it may not be used again."""
 
-    def keep_if_whole(self, endpoint: str, connection: ClientConnection) -> bool:
-        """Keeps a connection once its answer is here to its end."""
+    def return_if_complete(self, endpoint: str, connection: ClientConnection) -> bool:
+        """Returns a connection to the pool once its answer has come completely."""
 
-    def keep_after_rest(
+    def return_after_body(
         self, endpoint: str, connection: ClientConnection, rest: Coroutine[Any, Any, None]
     ) -> bool:
-        """Reads the rest of an answer in the background, and keeps the connection then."""
+        """Reads the rest of an answer in the background, and returns the connection to the pool then."""
 
     def unread_result(self, endpoint: str, connection: ClientConnection) -> AttemptResult | None:
         """The answer that has come and is not read yet."""
 
     def early_result(self, endpoint: str, connection: ClientConnection) -> AttemptResult | None:
-        """The answer that came before the request was written whole."""
+        """The answer that came before the request was written completely."""
 
     def drop(self, connection: ClientConnection) -> None:
         """Closes a connection."""
@@ -89,7 +89,7 @@
         is_reused: The connection was idle before.
         is_written: The request's last byte is written.
         is_kept: The connection goes on without this call.
-        is_given_up: The call was given up after it was written.
+        is_abandoned: The call was cancelled after it was written.
         retry_after_us: Binds, whatever becomes of the rest of the answer.
     """
 
@@ -111,8 +111,8 @@
         self.connection: ClientConnection | None = None
         self.is_reused = False
         self.is_written = False
-        self.is_kept = False
-        self.is_given_up = False
+        self.is_returned = False
+        self.is_abandoned = False
         self.retry_after_us = 0
 
     async def run(self) -> AttemptResult:
@@ -143,13 +143,13 @@
         connection = await self._connect()
         if connection is None:
             return AttemptResult(Outcome.NOT_SENT)
-        if self.owner.closing or not self.may_go():
-            self.is_kept = self.owner.keep(self.endpoint, connection)
+        if self.owner.is_closing or not self.may_go():
+            self.is_returned = self.owner.return_to_pool(self.endpoint, connection)
             return AttemptResult(Outcome.NOT_SENT)
         self.owner.unsent.discard(task)
         await connection.send("POST", TARGET, self._headers(), self.message.body)
         self.is_written = True
-        self.owner.sent()
+        self.owner.on_sent()
         self.owner.awaiting_answer[connection] = self.endpoint
         response = await connection.response()
         if self.loop.time() >= self.deadline:
@@ -166,7 +166,7 @@
         self.connection = self.owner.take_idle(self.endpoint)
         self.is_reused = self.connection is not None
         if self.connection is None:
-            closed = self.owner.opens(self.endpoint, self.message.id)
+            closed = self.owner.reserve_connection(self.endpoint, self.message.id)
             if closed is None:
                 return None
             self.connection = await self.owner.open_connection(address, closed)
@@ -186,34 +186,34 @@
         self.retry_after_us = result.retry_after_us
         if self.retry_after_us:
             self.owner.retry_after_received(self.endpoint, self.retry_after_us)
-        if self.owner.limit_told and (limit := announced_limit(response)):
-            self.owner.limit_told(self.endpoint, *limit)
+        if self.owner.on_limit_announced and (limit := announced_limit(response)):
+            self.owner.on_limit_announced(self.endpoint, *limit)
         if int(header(response.headers, b"content-length") or 0) > BODY_LIMIT:
             raise MalformedMessageError(response.status_code, "the answer is too long")
         return result
 
     async def _finish_answer(self, connection: ClientConnection, result: AttemptResult) -> None:
         if result.outcome not in NEVER_RAN:
-            self.is_kept = self.owner.keep_if_whole(self.endpoint, connection)
+            self.is_returned = self.owner.return_if_complete(self.endpoint, connection)
             return
         # A malformed answer has run, whatever it says: only a whole one proves that it has not.
         async with asyncio.timeout(BODY_PATIENCE):
             await connection.skip_body()
-        self.is_kept = connection.next_cycle() and self.owner.keep(self.endpoint, connection)
+        self.is_returned = connection.next_cycle() and self.owner.return_to_pool(self.endpoint, connection)
 
     # What may end it early.
 
     def _result_of_cancelled(self, task: asyncio.Task[Any]) -> AttemptResult | None:
         """The result that is known although the call is cancelled."""
-        if self.owner.closing and task in self.owner.unsent:
+        if self.owner.is_closing and task in self.owner.unsent:
             return AttemptResult(Outcome.NOT_SENT)
         if self.connection and (result := self.owner.unread_result(self.endpoint, self.connection)):
             return result
-        self.is_given_up = self.is_written
+        self.is_abandoned = self.is_written
         return None
 
     def _timed_out(self) -> AttemptResult:
-        self.is_given_up = self.is_written
+        self.is_abandoned = self.is_written
         unread = self.owner.unread_result(self.endpoint, self.connection) if self.connection else None
         retry_after_us = unread.retry_after_us if unread else self.retry_after_us
         outcome = Outcome.TIMEOUT if self.is_written else Outcome.CONNECT_FAILED
@@ -225,7 +225,7 @@
             return AttemptResult(Outcome.MALFORMED, retry_after_us=self.retry_after_us)
         if isinstance(error, IncompleteHeadError) and self.connection:
             rest = self.connection.skip_answer()
-            self.is_kept = self.owner.keep_after_rest(self.endpoint, self.connection, rest)
+            self.is_returned = self.owner.return_after_body(self.endpoint, self.connection, rest)
         return AttemptResult(Outcome.OK, is_final=True)
 
     def _broken(self) -> AttemptResult:
@@ -244,7 +244,7 @@
         if self.connection:
             self.owner.awaiting_answer.pop(self.connection, None)
             # A timeout or a cancel gives the call up: only closing the connection tells the receiver.
-            if not self.is_kept:
+            if not self.is_returned:
                 self.owner.drop(self.connection)
-        if self.is_given_up:
+        if self.is_abandoned:
             self.owner.close_idle(self.endpoint)  # they may have fallen silent with it
--- a/message_sender/http/client.py
+++ b/message_sender/http/client.py
@@ -40,18 +40,22 @@
     """Implements the port `Transport` of the core.
 
     `dials` is discovery's: an endpoint that is no longer in it, or at another address, keeps no connection.
-    `most` bounds the connections open at once; to open one more, the one idle for longest is closed.
+    At the limit of open connections, the one idle for longest is closed to open another one.
 
     Attributes:
-        sent: Called once a message's last byte is written.
-        pool: Idle connections by endpoint, not by address: a new receiver may stand where another one has
-        gone. idle: The same connections with their endpoints, the one idle for longest first. connections:
-        All open connections. awaiting_answer: Connections whose answer is waited for, with their endpoints.
-        unsent: Calls whose first byte has not gone. closing: No call begins any more. observer: Hears of the
-        traffic of connections that are opened from now on. opens: Asked as a connection is about to open to
-        an endpoint for a message: what to call once it is closed; None: it may not be opened. retires:
-        Seconds after which a connection to the endpoint takes no more calls. limit_told: Hears of a limit
-        that an answer announces: so many calls in so many microseconds.
+        connection_limit: Connections open at once.
+        on_sent: Called once a message's last byte is written.
+        pool: Idle connections by endpoint, not by address: a new receiver may reuse an address.
+        idle: The same connections with their endpoints, the one idle for longest first.
+        connections: All open connections.
+        awaiting_answer: Connections whose answer is waited for, with their endpoints.
+        unsent: Calls whose first byte has not gone.
+        is_closing: No call begins any more.
+        observer: Sees the traffic of connections that are opened from now on.
+        reserve_connection: Called with endpoint and message as a connection is about to open. Returns what to
+            call once it is closed; None: it may not be opened.
+        max_age_s: Returns after how many seconds a connection to the endpoint takes no more calls.
+        on_limit_announced: Called with a limit that an answer announces: endpoint, calls, microseconds.
     """
 
     reads_late = False
@@ -60,7 +64,7 @@
         self,
         conn_idle: float,
         connect_timeout: float,
-        most: int,
+        connection_limit: int,
         dials: Callable[[], Mapping[str, Address]],
         retry_after_received: Callable[[str, int], None] = ignore_retry_after,
     ) -> None:
@@ -69,19 +73,19 @@
         Args:
             conn_idle: Seconds after which receivers close idle connections.
             connect_timeout: Seconds.
-            most: Connections open at once.
+            connection_limit: Connections open at once.
             dials: Addresses of the listed endpoints.
-            retry_after_received: Hears of a Retry-After of an endpoint, in microseconds.
+            retry_after_received: Called with an endpoint and its Retry-After in microseconds.
 
         Raises:
             OSError: No descriptor is left.
         """
         self.idle_limit = conn_idle * IDLE_SHARE
         self.connect_timeout = connect_timeout
-        self.most = most
+        self.connection_limit = connection_limit
         self.dials = dials
         self.retry_after_received = retry_after_received
-        self.sent: Callable[[], None] = nothing
+        self.on_sent: Callable[[], None] = nothing
         self.pool: dict[str, list[ClientConnection]] = {}
         self.idle: dict[ClientConnection, str] = {}
         self.connections: set[ClientConnection] = set()
@@ -89,13 +93,13 @@
         self.unread = UnreadSockets()
         self.connecting = 0
         self.unsent: set[asyncio.Task[Any]] = set()
-        self.closing = False
+        self.is_closing = False
         self.rest_tasks: set[asyncio.Task[None]] = set()
         self.reports = ErrorReports()
         self.observer: TrafficObserver | None = None
-        self.opens: Callable[[str, str], Callable[[], None] | None] = allow_connection
-        self.retires: Callable[[str], float] = never_retires
-        self.limit_told: Callable[[str, int, int], None] | None = None
+        self.reserve_connection: Callable[[str, str], Callable[[], None] | None] = allow_connection
+        self.max_age_s: Callable[[str], float] = never_retires
+        self.on_limit_announced: Callable[[str, int, int], None] | None = None
 
     async def call(
         self, endpoint: str, message: Message, timeout: float, may_go: Callable[[], bool]
@@ -106,7 +110,7 @@
 
     def cancel_unsent(self) -> None:
         """Calls whose first byte has not gone never go; those in flight come to their results."""
-        self.closing = True
+        self.is_closing = True
         for task in list(self.unsent):
             task.cancel()
 
@@ -147,7 +151,7 @@
             connection.read_some()  # nobody waits for it any more
         if (answer := self.result_at_hand(endpoint, connection)) and answer.outcome in NEVER_RAN:
             try:
-                return answer if connection.is_answer_whole() else None
+                return answer if connection.is_answer_complete() else None
             except BROKEN:
                 return None
         return answer
@@ -180,7 +184,7 @@
 
     async def connect(self, address: Address) -> ClientConnection:
         """A new connection, for which one that is idle makes room. Raises as `open_connection`."""
-        if len(self.connections) + self.connecting >= self.most and self.idle:
+        if len(self.connections) + self.connecting >= self.connection_limit and self.idle:
             self.close_one(next(iter(self.idle)))
         self.connecting += 1
         try:
@@ -222,23 +226,23 @@
         connection.close()
         connection.closed()
 
-    def keep_if_whole(self, endpoint: str, connection: ClientConnection) -> bool:
-        """Keeps the connection once its answer is here to its end; the result need not wait for that.
+    def return_if_complete(self, endpoint: str, connection: ClientConnection) -> bool:
+        """Returns the connection to the pool once its answer is complete, which the result need not wait for.
 
         Returns:
             Whether the connection goes on without the call.
         """
         try:
-            if connection.is_answer_whole():
-                return connection.next_cycle() and self.keep(endpoint, connection)
+            if connection.is_answer_complete():
+                return connection.next_cycle() and self.return_to_pool(endpoint, connection)
         except BROKEN:
             return False
-        return self.keep_after_rest(endpoint, connection, connection.skip_body())
+        return self.return_after_body(endpoint, connection, connection.skip_body())
 
-    def keep_after_rest(
+    def return_after_body(
         self, endpoint: str, connection: ClientConnection, rest: Coroutine[Any, Any, None]
     ) -> bool:
-        """Reads the rest of an answer in a task of its own, which keeps or closes the connection."""
+        """Reads the rest of an answer in a task, which returns the connection to the pool or closes it."""
         task = asyncio.get_running_loop().create_task(self._read_rest(endpoint, connection, rest))
         self.rest_tasks.add(task)
         task.add_done_callback(self.rest_tasks.discard)
@@ -247,23 +251,23 @@
     async def _read_rest(
         self, endpoint: str, connection: ClientConnection, rest: Coroutine[Any, Any, None]
     ) -> None:
-        kept = False
+        is_returned = False
         try:
             async with asyncio.timeout(BODY_PATIENCE):
                 await rest
-            kept = connection.next_cycle() and self.keep(endpoint, connection)
+            is_returned = connection.next_cycle() and self.return_to_pool(endpoint, connection)
         except BROKEN:
             pass  # TimeoutError too; whatever becomes of the rest, the outcome stands
         finally:
-            if not kept:
+            if not is_returned:
                 self.drop(connection)
 
     # The pool.
 
     def take_idle(self, endpoint: str) -> ClientConnection | None:
         """The idle connection used last, unless the receiver has closed it or soon will."""
-        while kept := self.pool.get(endpoint):
-            connection = kept[-1]
+        while idle_connections := self.pool.get(endpoint):
+            connection = idle_connections[-1]
             self.remove_idle(connection)
             if not connection.has_ended() and not self.is_too_old(connection):
                 return connection
@@ -277,13 +281,14 @@
         if not self.pool[endpoint]:
             del self.pool[endpoint]
 
-    def keep(self, endpoint: str, connection: ClientConnection) -> bool:
-        """Keeps a connection for the next call; False: it is retired, or the endpoint has moved."""
+    def return_to_pool(self, endpoint: str, connection: ClientConnection) -> bool:
+        """Returns a connection to the pool; False: it is too old, or the endpoint has moved."""
         now = asyncio.get_running_loop().time()
-        retired = now - connection.opened_at >= self.retires(endpoint)
-        if retired or self.dials().get(endpoint) != connection.address:
+        is_retired = now - connection.opened_at >= self.max_age_s(endpoint)
+        if is_retired or self.dials().get(endpoint) != connection.address:
             return False
-        connection.idle_since, connection.retires_at = now, connection.opened_at + self.retires(endpoint)
+        connection.idle_since = now
+        connection.retires_at = connection.opened_at + self.max_age_s(endpoint)
         self.pool.setdefault(endpoint, []).append(connection)
         self.idle[connection] = endpoint
         return True
--- a/message_sender/http/client_connection.py
+++ b/message_sender/http/client_connection.py
@@ -330,7 +330,7 @@
         if (first := FIRST_LINE.match(unread)) and int(first[1]) == 200:
             raise IncompleteHeadError(200, "the head came in parts")
 
-    def is_answer_whole(self) -> bool:
+    def is_answer_complete(self) -> bool:
         """Whether the answer, whose head has been read, is here to its end.
 
         Raises:
@@ -355,7 +355,7 @@
 
     async def skip_body(self) -> None:
         """Reads the answer to its end, so that the connection can be used again."""
-        while not self.is_answer_whole():
+        while not self.is_answer_complete():
             await self.receive()
 
     def next_cycle(self) -> bool:
--- a/message_sender/http/connection_owner.py
+++ b/message_sender/http/connection_owner.py
@@ -20,7 +20,7 @@
     Attributes:
         table: All connections.
         buffer: Shared by all of them: what came is copied before another one reads.
-        most: Connections that may be held; further ones only hear that they are rejected.
+        connection_limit: Connections that are served; further ones are only told that they are rejected.
         classes: Message classes by name.
         is_ready: Whether clients may submit messages.
         is_stopping: Each answer closes its connection.
@@ -31,7 +31,7 @@
     loop: asyncio.AbstractEventLoop
     table: ConnectionTable[Entry]
     buffer: bytearray
-    most: int
+    connection_limit: int
     classes: dict[str, MessageClass]
     backlog: Backlog
     reports: ErrorReports
--- a/message_sender/http/discovery.py
+++ b/message_sender/http/discovery.py
@@ -59,25 +59,26 @@
         endpoints: As the policy takes them.
     """
 
-    def __init__(self, told: dict[str, Any]) -> None:
+    def __init__(self, fields: dict[str, Any]) -> None:
         """Reads a line.
 
         Raises:
             ValueError, KeyError, TypeError, AttributeError, ArithmeticError: It cannot be read.
         """
-        self.version = int(told["seq"])
-        self.is_complete = bool(told["whole"])
-        self.dials: dict[str, Address] = {each["host"]: address_from(each["dial"]) for each in told["hosts"]}
+        self.version = int(fields["seq"])
+        self.is_complete = bool(fields["whole"])
+        hosts = fields["hosts"]
+        self.dials: dict[str, Address] = {host["host"]: address_from(host["dial"]) for host in hosts}
         self.endpoints = tuple(
             Endpoint(
-                id=text(each["host"]),
-                destination=int(each["block"]),
-                state=EndpointState(each["health"]),
-                kind=text(each.get("class", "")),
-                zone=text(each.get("site", "")),
-                scale=float(each.get("share", 1)),
+                id=text(host["host"]),
+                destination=int(host["block"]),
+                state=EndpointState(host["health"]),
+                kind=text(host.get("class", "")),
+                zone=text(host.get("site", "")),
+                scale=float(host.get("share", 1)),
             )
-            for each in told["hosts"]
+            for host in hosts
         )
 
 
@@ -85,12 +86,15 @@
     """Implements the ports `Directory` and `CompletionListener` of the core.
 
     Attributes:
-        version: Of the list that is held; None where it is another service's, whose versions mean nothing
-        here. dials: Addresses of the listed endpoints. destinations: All that a list ever named.
-        has_read_line: Whether a line has come in this process. watch_connection: The watch that is up.
+        version: Of the present list; None where it came from another service, whose versions mean nothing
+            here.
+        dials: Addresses of the listed endpoints.
+        destinations: All destinations that a list ever named.
+        has_read_line: Whether a line has come in this process.
+        watch_connection: The active watch.
         next_line_due: When the watch counts as broken unless a line comes; seconds on the loop's clock.
-        poll_error: What `poll_unread` met on the watch. notices: Notices by message, until they are
-        acknowledged.
+        poll_error: The error that `poll_unread` met on the watch.
+        notices: Notices by message, until they are acknowledged.
     """
 
     def __init__(
@@ -105,9 +109,9 @@
 
         Args:
             address: Of the service.
-            known: The list as it was last known.
-            listed: Hears updates of the list.
-            answered: Hears of each message whose notice was acknowledged.
+            known: The latest known list.
+            listed: Called with updates of the list.
+            answered: Called with each message whose notice was acknowledged.
             call: Seconds that a call may take.
         """
         self.call_timeout_s = call
@@ -234,32 +238,32 @@
         while (event := connection.read_event()) is not None:
             if isinstance(event, h11.EndOfMessage):
                 raise ConnectionError("discovery ended the watch")
-            for told in self.stream.feed(bytes(event.data)) if isinstance(event, h11.Data) else ():
+            for fields in self.stream.feed(bytes(event.data)) if isinstance(event, h11.Data) else ():
                 if self.is_replaced(address):
                     return
                 self.note_line()
-                if told is not None:
-                    self.read(EndpointList(told), address)
+                if fields is not None:
+                    self.read(EndpointList(fields), address)
 
-    def read(self, told: EndpointList, address: Address | None = None) -> None:
-        """Takes one line, whole or not at all: what cannot be read has raised before anything is changed.
+    def read(self, update: EndpointList, address: Address | None = None) -> None:
+        """Applies one line completely: what cannot be read has raised before anything is changed.
 
         Args:
-            told: The line.
+            update: The parsed line.
             address: Where it came from; None: the present address.
         """
-        if told.is_complete:
+        if update.is_complete:
             self.dials = {}
-        self.dials.update(told.dials)  # in place: a change costs what it names, however long the list is
-        for each in told.endpoints:
-            if each.state is EndpointState.GONE:
-                self.dials.pop(each.id, None)
-        self.destinations |= {each.destination for each in told.endpoints}
+        self.dials.update(update.dials)  # in place: a change costs what it names, however long the list is
+        for endpoint in update.endpoints:
+            if endpoint.state is EndpointState.GONE:
+                self.dials.pop(endpoint.id, None)
+        self.destinations |= {endpoint.destination for endpoint in update.endpoints}
         if address in (None, self.address):  # else it is a line of the address before
-            self.version = told.version
+            self.version = update.version
         self.has_read_line = True
-        listing = ListingKind.FULL if told.is_complete else ListingKind.CHANGES
-        self.on_update(EndpointsUpdated(listing, told.endpoints))
+        listing = ListingKind.FULL if update.is_complete else ListingKind.CHANGES
+        self.on_update(EndpointsUpdated(listing, update.endpoints))
 
     def knows(self, destination: int) -> bool:
         """Whether there ever was such a destination; its endpoints may have left for now."""
--- a/message_sender/http/fast_path.py
+++ b/message_sender/http/fast_path.py
@@ -65,30 +65,30 @@
     return found, framing
 
 
-def body_of(data: bytes, end: int, framing: dict[bytes, bytes], most: int) -> bytes | None:
+def body_of(data: bytes, end: int, framing: dict[bytes, bytes], max_body_bytes: int) -> bytes | None:
     """What follows the head, where it is exactly as long as it says."""
     length = framing.get(b"content-length", b"")
-    if not LENGTH.fullmatch(length) or int(length) > most or len(data) != end + int(length):
+    if not LENGTH.fullmatch(length) or int(length) > max_body_bytes or len(data) != end + int(length):
         return None
     return data[end:]
 
 
-def request(data: bytes, most: int) -> FastRequest | None:
-    """The one request that `data` is, with a body of at most `most` bytes."""
+def request(data: bytes, max_body_bytes: int) -> FastRequest | None:
+    """The one request that `data` is, with a body of at most `max_body_bytes` bytes."""
     if not (match := REQUEST.match(data, 0, HEAD_MOST)) or not (read := fields_of(match[2])):
         return None
     headers, framing = read
-    body = body_of(data, match.end(), framing, most)
+    body = body_of(data, match.end(), framing, max_body_bytes)
     return None if body is None or b"host" not in framing else FastRequest(match[1], headers, body)
 
 
-def answer(data: bytes, most: int) -> ResponseHead | None:
+def answer(data: bytes, max_body_bytes: int) -> ResponseHead | None:
     """The head of the one answer that `data` is."""
     if not (match := ANSWER.match(data, 0, HEAD_MOST)) or not (read := fields_of(match[2])):
         return None
     headers, framing = read
     status = int(match[1])
-    if status in BODILESS or body_of(data, match.end(), framing, most) is None:
+    if status in BODILESS or body_of(data, match.end(), framing, max_body_bytes) is None:
         return None
     return ResponseHead(status, headers)
 
--- a/message_sender/http/server.py
+++ b/message_sender/http/server.py
@@ -47,10 +47,10 @@
 
 
 class Server:
-    """Holds connections of clients.
+    """Accepts connections of clients and serves them.
 
-    `most` connections are held at once, and up to `lingering` more that only hear that they are rejected. One
-    more makes room by closing what serves nobody.
+    Beyond the limit, an unused connection is closed for a new one. Up to `lingering` connections above it are
+    only told that they are rejected.
 
     Attributes:
         accepted: Connections accepted ever.
@@ -65,11 +65,11 @@
         classes: dict[str, MessageClass],
         take: Submit,
         now: Callable[[], int],
-        most: int,
+        connection_limit: int,
         lingering: int = 16,
         named: Callable[[int], bool] = knows_any_destination,
         known: Callable[[str], bool] = knows_no_message,
-        most_wait: int = 0,
+        max_retry_after_us: int = 0,
     ) -> None:
         """Does not listen yet.
 
@@ -77,25 +77,25 @@
             classes: Message classes by name.
             take: Called with each message that is submitted.
             now: Microseconds since the epoch.
-            most: Connections held at once.
+            connection_limit: Connections open at once.
             lingering: Further ones that only hear that they are rejected.
             named: Whether there ever was such a destination.
             known: Whether a message of this id is accepted.
-            most_wait: Microseconds that a client may be asked to stay away; 0: none is stated.
+            max_retry_after_us: Microseconds that a client may be asked to stay away; 0: none is stated.
         """
         self.classes = classes
         self.submit = take
         self.now = now
         self.knows_destination = named
         self.knows_message = known
-        self.max_retry_after_us = most_wait
-        self.most = most
+        self.max_retry_after_us = max_retry_after_us
+        self.connection_limit = connection_limit
         self.lingering = lingering
         self.loop = asyncio.get_running_loop()
         self.empty = asyncio.Event()
         self.buffer = bytearray(READ_SIZE)
         self.table: ConnectionTable[ServerConnection] = ConnectionTable()
-        self.backlog = Backlog(self.loop.time(), max(int(most * WAITING_SHARE), 1))
+        self.backlog = Backlog(self.loop.time(), max(int(connection_limit * WAITING_SHARE), 1))
         self.read_queue = ReadQueue(self.loop, self.backlog)
         self.is_ready = False
         self.is_stopping = False
@@ -133,7 +133,7 @@
 
     def accept(self) -> None:
         """Accepts waiting connections, so many that clients of a storm do not queue beyond their patience."""
-        for _ in range(max(ACCEPTS, min(self.most - len(self.connections), ACCEPTS_FREE))):
+        for _ in range(max(ACCEPTS, min(self.connection_limit - len(self.connections), ACCEPTS_FREE))):
             if self.listener is None or self.is_frozen:
                 return
             try:
@@ -147,7 +147,7 @@
                 self._accept_failed(error, cause)
                 return
             self.accepted += 1
-            self.take_in(sock)
+            self.add_accepted(sock)
 
     def _accept_failed(self, error: OSError, cause: Cause) -> None:
         """Nothing can be accepted for now. A listener that is itself broken is opened anew."""
@@ -157,7 +157,7 @@
         if cause is Cause.DEFECT:
             close(self.listener)
         else:
-            self.make_room()
+            self.close_unused()
         self.loop.call_later(ACCEPT_RETRY_S, self._accept_again)
 
     def _accept_again(self) -> None:
@@ -172,17 +172,17 @@
             log.error("accept failed again: error=%s", error)
             self.loop.call_later(ACCEPT_RETRY_S, self._accept_again)
 
-    def take_in(self, sock: socket.socket) -> None:
-        """Holds an accepted connection, or closes it where there is no room even to reject it."""
-        if len(self.connections) >= self.most:
-            self.make_room()
-        if len(self.connections) >= self.most + self.lingering:
+    def add_accepted(self, sock: socket.socket) -> None:
+        """Adds an accepted connection, or closes it where there is no capacity even to reject it."""
+        if len(self.connections) >= self.connection_limit:
+            self.close_unused()
+        if len(self.connections) >= self.connection_limit + self.lingering:
             close(sock)
             return
         self._hold(ServerConnection(self, sock))
 
     def adopt(self, sock: socket.socket, read: bytes, began: int | None, has_submitted: bool) -> None:
-        """Holds a connection that another process has served.
+        """Adds a connection that another process has served.
 
         Args:
             sock: The connection.
@@ -226,13 +226,13 @@
 
     # Room.
 
-    def make_room(self) -> None:
-        """Closes one connection that serves nobody.
+    def close_unused(self) -> None:
+        """Closes one connection that is not in use.
 
         Protects usual clients from crowds that only connect, or only ask whether the sender is ready. A
         connection whose request has come but is not read yet serves somebody, and so may a silent one.
         """
-        for connection in self.table.candidates(self.loop.time(), self.most):
+        for connection in self.table.candidates(self.loop.time(), self.connection_limit):
             if connection.handle(ConnectionEvent.ROOM):
                 return
 
@@ -259,7 +259,7 @@
     def rejected_unread(self, data: memoryview) -> fast_path.FastRequest | None:
         """The request in these bytes, where the backlog rejects it unread.
 
-        A message that is accepted already hears so: a rejection would say that it may be submitted elsewhere.
+        A message that is accepted already is not rejected: its client might submit it elsewhere.
         """
         if not (self.is_ready and self.backlog.should_reject(self.loop.time())):
             return None
@@ -311,24 +311,24 @@
 
     # Draining and the end.
 
-    def send_away(self) -> None:
-        """From now on each answer closes its connection, and health checks hear that this is not ready."""
+    def start_drain(self) -> None:
+        """From now on each answer closes its connection, and health checks answer that this is not ready."""
         self.is_ready = False
         self.is_stopping = True
 
-    def come_back(self) -> None:
+    def end_drain(self) -> None:
         """Serves clients again."""
         self.is_ready = self.listener is not None
         self.is_stopping = False
         self.is_closing_idle = False
 
-    def grace_over(self) -> None:
-        """Clients have heard of the drain: idle connections are closed from now on."""
+    def end_grace(self) -> None:
+        """The grace of the drain has passed: idle connections are closed from now on."""
         self.is_closing_idle = True
         self.expire()
 
     def has_clients(self) -> bool:
-        """Whether anybody is here who may still ask, or hear."""
+        """Whether a client is connected that may still submit a message or get an answer."""
         return len(self.connections) > len(self.table.closing)
 
     def close(self) -> None:
@@ -345,11 +345,11 @@
             self.loop.remove_reader(self.listener)
             close(self.listener)
             self.listener = None
-        self.grace_over()
+        self.end_grace()
 
     async def finish(self, within: float) -> None:
-        """The process ends: clients hear what is owed, or the end, for at most `within` seconds."""
-        self.send_away()
+        """The process ends: clients get pending answers, or a rejection, for at most `within` seconds."""
+        self.start_drain()
         self.close()
         for connection in list(self.connections):
             connection.handle(ConnectionEvent.LAST)
--- a/message_sender/http/server_connection.py
+++ b/message_sender/http/server_connection.py
@@ -82,7 +82,7 @@
             transport.abort()  # closed to make room before it was up
         elif self.server.is_frozen:
             transport.pause_reading()
-        elif len(self.server.table.all) > self.server.most:
+        elif len(self.server.table.all) > self.server.connection_limit:
             self.refuse(UNAVAILABLE)
         elif self.stashed:
             self.unstash()
@@ -241,7 +241,7 @@
             return
         self._respond(ResponseContent(status, retry_after_us, text, self.server.is_stopping))
         if self._is_last_answer():
-            self.leave()
+            self.start_drain()
             return
         if self.transport.get_write_buffer_size() > UNREAD_ANSWERS_LIMIT:
             self.transport.abort()
@@ -272,13 +272,13 @@
             self.reader.feed_codec()
             if self.reader.codec.our_state in (h11.IDLE, h11.SEND_RESPONSE):
                 self._respond(ResponseContent(status, text=text, is_last=True))
-            self.leave()
+            self.start_drain()
         except Exception as error:
             self.fail(error, "refusing")
 
     # Its end.
 
-    def leave(self) -> None:
+    def start_drain(self) -> None:
         """After the last answer. What still comes is read and dropped for a while.
 
         Closing over unread bytes would reset the connection, and the client might never see its answer.
@@ -308,7 +308,7 @@
             if action is ConnectionAction.REFUSE:
                 self._refuse_unfinished(event)
             elif action is ConnectionAction.SHUT and self.transport:
-                self.leave()
+                self.start_drain()
         except Exception as error:
             self.server.reports.report(error, "ending a connection")
             action = ConnectionAction.CLOSE
--- a/message_sender/service/connection_budgets.py
+++ b/message_sender/service/connection_budgets.py
@@ -44,10 +44,10 @@
         if self.registry.has_connection_budgets():
             self.transport = transport
             self.reservations.transport = transport
-            transport.opens = self.open_connection
-            transport.retires = self.max_age_s
+            transport.reserve_connection = self.open_connection
+            transport.max_age_s = self.max_age_s
         if self.registry.has_announced_limits():
-            transport.limit_told = self.record_announced_limit
+            transport.on_limit_announced = self.record_announced_limit
 
     def connection_names(self, endpoint: str) -> list[str]:
         """Returns the budgets that connections to the endpoint spend from."""
--- a/message_sender/service/daemon.py
+++ b/message_sender/service/daemon.py
@@ -154,7 +154,7 @@
             self.dial_addresses,
             engine.retry_after_received,
         )
-        transport.sent = engine.table.counts.sent
+        transport.on_sent = engine.table.counts.sent
         return transport
 
     def _count_rejected_unread(self, message_class: str) -> None:
@@ -221,14 +221,14 @@
 
     def start_drain(self) -> None:
         """Asks clients to connect elsewhere; idle connections are closed after the drain's grace."""
-        self.server.send_away()
+        self.server.start_drain()
         asyncio.get_running_loop().call_later(GRACE_S + TIMER_SLACK_S, self.end_drain_grace)
 
     def end_drain_grace(self) -> None:
         """Closes what the drain's phase allows to close."""
         now = asyncio.get_running_loop().time()
         if self.drain.phase(now) is DrainPhase.DRAINED:
-            self.server.grace_over()
+            self.server.end_grace()
         if not self.drain.is_listening(now):
             self.server.close()
             self.stop_if_drained()
--- a/message_sender/service/operator_commands.py
+++ b/message_sender/service/operator_commands.py
@@ -149,7 +149,7 @@
             return NOT_RECORDED
         if self.is_draining:
             log.info("drain ended: sender=%s", self.sender.engine.config.name)
-            self.sender.server.come_back()
+            self.sender.server.end_drain()
         self.is_draining = False
         self.sender.drain.cancel()
         return ManagementReply(200, "back to work")
--- a/message_sender/service/process_handover.py
+++ b/message_sender/service/process_handover.py
@@ -61,8 +61,8 @@
         attempts, transport = self.sender.engine.attempts, self.sender.transport
         attempts.predecessor = self
         needed = len(attempts.predecessor_calls) + SPARE_DESCRIPTORS
-        self.reserved_descriptors = min(needed, transport.most // 2)
-        transport.most -= self.reserved_descriptors
+        self.reserved_descriptors = min(needed, transport.connection_limit // 2)
+        transport.connection_limit -= self.reserved_descriptors
         predecessor.attach(self.handle_packet, self.handle_predecessor_end)
 
     def handle_packet(self, packet: Packet, descriptors: list[int]) -> None:
@@ -95,7 +95,7 @@
 
     def handle_predecessor_end(self) -> None:
         """The process before has ended: calls without a result ended with its connections."""
-        self.sender.transport.most += self.reserved_descriptors
+        self.sender.transport.connection_limit += self.reserved_descriptors
         self.reserved_descriptors = 0
         self.ownership.predecessor = None
         engine = self.sender.engine
@@ -137,7 +137,7 @@
 
     def resume(self) -> None:
         """The successor is lost before it owned anything: this process goes on."""
-        self.sender.transport.closing = False
+        self.sender.transport.is_closing = False
         self.sender.engine.thaw()
         self.sender.server.thaw()
 
--- a/tests/test_backlog.py
+++ b/tests/test_backlog.py
@@ -171,7 +171,7 @@
                 while len(server.backlog.arrival_times) < most:
                     server.backlog.request_arrived(server.loop.time() - 1.5 * TARGET_QUEUE_DELAY_S)
                 assert (await world.hand_in(f"m{status}")).status == status
-        assert server.backlog.crowded_length < server.most / 2
+        assert server.backlog.crowded_length < server.connection_limit / 2
 
 
 @play
@@ -182,7 +182,7 @@
         for most, taken in ((before + ACCEPTS_FREE + 40, ACCEPTS_FREE), (0, ACCEPTS)):
             loop.remove_reader(server.listener)
             held = [socket.create_connection(world.running.address) for _ in range(ACCEPTS_FREE + 20)]
-            server.most, before = most + len(server.connections), server.accepted
+            server.connection_limit, before = most + len(server.connections), server.accepted
             server.accept()
             assert server.accepted - before == taken
             loop.add_reader(server.listener, server.accept)
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -44,8 +44,10 @@
     return asyncio.create_task(work)
 
 
-def client_with(conn_idle: float = 10, connect_timeout: float = 10, most: int = 4) -> HttpTransport:
-    return HttpTransport(conn_idle, connect_timeout, most, dict)
+def client_with(
+    conn_idle: float = 10, connect_timeout: float = 10, connection_limit: int = 4
+) -> HttpTransport:
+    return HttpTransport(conn_idle, connect_timeout, connection_limit, dict)
 
 
 @asynccontextmanager
@@ -280,7 +282,7 @@
 @play
 async def test_a_full_pool_closes_the_connection_idle_for_longest(_: Path) -> None:
     async with Peer() as receiver:
-        client = client_with(most=2)
+        client = client_with(connection_limit=2)
         client.dials = lambda: dict.fromkeys("abc", receiver.address)
         for endpoint in "abc":
             going = asyncio.create_task(client.call(endpoint, handed_in(), 10, lambda: True))
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -151,7 +151,7 @@
         clients = [Client(server.address()) for _ in range(5)]
         for number, each in enumerate(clients):
             each.send(message(f"m{number}"))
-        server.send_away()
+        server.start_drain()
         server.close()
         for each in clients:
             assert (await each.rest()).startswith(b"HTTP/1.1 202")
@@ -164,7 +164,7 @@
         client, quiet = await resting(server), await resting(server, "m1")
         silent, fresh = Client(server.address()), Client(server.address())
         await until(lambda: len(server.table.silent) == 2)
-        server.send_away()
+        server.start_drain()
         client.send(message("m2"))
         fresh.send(message("m3"))
         server.close()
--- a/tests/test_manage.py
+++ b/tests/test_manage.py
@@ -303,8 +303,8 @@
 async def test_a_connection_storm_does_not_delay_a_call(tmp_path: Path) -> None:
     async with managed(tmp_path) as (world, address):
         server = world.sender.server
-        held = [await Held.open(server, message(f"s{at}")) for at in range(server.most)]
+        held = [await Held.open(server, message(f"s{at}")) for at in range(server.connection_limit)]
         assert (await call(address, "GET", "/stats")).status == 200
-        assert len(server.connections) <= server.most + server.lingering
+        assert len(server.connections) <= server.connection_limit + server.lingering
         for each in held:
             each.writer.close()
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -345,7 +345,7 @@
         reader, writer = await asyncio.open_connection(*server.address())
         writer.write(message("a"))
         assert "connection" not in (await read_reply(reader)).headers
-        server.send_away()
+        server.start_drain()
         assert (await raw(server, READY)).status == 503
         writer.write(message("b"))
         reply = await read_reply(reader)
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -390,9 +390,10 @@
     assert "budget change waits for the next start: budget=out fields=lease_ms" in caplog.text
     engine.transport = transport = HttpTransport(10, 10, 4, dict)
     budgets.configure((*was, replace(calls, name="new ones", of="handshakes")), 1)
-    assert transport.opens == budgets.connections.open_connection and budgets.registry.budgets_of(
-        listed
-    ).connections == ["new ones"]
+    assert (
+        transport.reserve_connection == budgets.connections.open_connection
+        and budgets.registry.budgets_of(listed).connections == ["new ones"]
+    )
     transport.close()
     budgets.configure(was, 1)
     assert "removed budget applies until the next start: budget=calls" in caplog.text
--- a/tests/test_storms.py
+++ b/tests/test_storms.py
@@ -70,8 +70,8 @@
         self.world, self.sender, self.server = world, world.sender, world.sender.server
         self.passed, self.loop = 0.0, asyncio.get_running_loop()
         self.accepted: list[socket.socket] = []
-        take_in = self.server.take_in
-        self.server.take_in = lambda sock: (self.accepted.append(sock), take_in(sock))  # type: ignore
+        add_accepted = self.server.add_accepted
+        self.server.add_accepted = lambda sock: (self.accepted.append(sock), add_accepted(sock))  # type: ignore
         time, now = self.loop.time, self.sender.engine.now
         self.loop.time = lambda: time() + self.passed  # type: ignore[method-assign]
         self.sender.engine.now = self.server.now = lambda: now() + int(self.passed * 1e6)
@@ -147,7 +147,7 @@
         for each in (self.server.expire, *steps) if sweep_first else (*steps, self.server.expire):
             each()
         if self.server.table.closing or self.server.table.probing:
-            self.server.make_room()  # else it would choose the bystander, who stands between requests
+            self.server.close_unused()  # else it would choose the bystander, who stands between requests
         self.server.read_queue.run = lambda: reading(self.server.read_queue)  # type: ignore[method-assign]
         self.sender.engine.run_iteration = lambda: turning(engine)  # type: ignore[method-assign]
 
@@ -261,10 +261,10 @@
         await until(lambda: bool(world.sender.server.table.idle))
         (own,) = world.sender.server.table.idle
         own.transport.get_write_buffer_size = lambda: 1  # type: ignore[method-assign]
-        world.sender.server.make_room()
+        world.sender.server.close_unused()
         assert own in world.sender.server.connections
         del own.transport.get_write_buffer_size  # type: ignore[attr-defined]
-        world.sender.server.make_room()
+        world.sender.server.close_unused()
         assert own not in world.sender.server.connections
         client.finish()
 
