--- a/message_sender/pcap/flows.py
+++ b/message_sender/pcap/flows.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 
 from message_sender.pcap.layers import ACK, FIN, RST, SYN, End, Segment
-from message_sender.pcap.reassembly import TURN, Part, Stream
+from message_sender.pcap.reassembly import SEQUENCE_MODULUS, Part, Stream
 
 IDLE = 3600 * 1_000_000_000  # ns
 MOST_OPEN = 20_000
@@ -98,21 +98,21 @@
             if flow.first[side] is None:
                 flow.first[side] = seq
                 own.begin(seq + 1)
-            seq = (seq + 1) % TURN
+            seq = (seq + 1) % SEQUENCE_MODULUS
         if segment.data:
-            own.add(segment.at, seq, segment.data, parts)
+            own.add_data(segment.at, seq, segment.data, parts)
         if segment.flags & FIN:
             own.finish(seq + len(segment.data) + segment.lacks)
-        own.passed(segment.at, parts)
+        own.advance_clock(segment.at, parts)
         if segment.flags & ACK:
-            other.acknowledged(segment.at, segment.ack, heard)
+            other.acknowledge(segment.at, segment.ack, heard)
         if parts:
             yield Happened(flow, side, parts)
         if heard:
             yield Happened(flow, 1 - side, heard)
         if segment.flags & RST:
             yield from self.end(flow, segment.at, "reset")
-        elif all(each.is_over() for each in flow.streams):
+        elif all(stream.is_complete() for stream in flow.streams):
             yield from self.end(flow, segment.at, "closed")
 
     def end(self, flow: Flow, at: int, why: str) -> Iterator[Happened]:
--- a/message_sender/pcap/messages.py
+++ b/message_sender/pcap/messages.py
@@ -83,7 +83,7 @@
             self.codec = None
             self.pending.append(f"{self.passed_over} bytes before it could not be read")
             self.passed_over = 0
-        self.read(part.at, part.data)
+        self.read(part.at_ns, part.data)
 
     def fresh(self) -> h11.Connection:
         """A codec for the next message."""
@@ -229,9 +229,9 @@
         if self.left is not None and 0 < gap.size <= min(self.left, BRIDGE_MOST) and self.message:
             self.note(text + "; they stand as zeros in its body", whole=False)
             for start in range(0, gap.size, BRIDGE_STEP):
-                self.read(gap.at, bytes(min(BRIDGE_STEP, gap.size - start)))
+                self.read(gap.at_ns, bytes(min(BRIDGE_STEP, gap.size - start)))
         elif self.message:
-            self.spoilt(gap.at, text)
+            self.spoilt(gap.at_ns, text)
         else:
             self.pending.append(text)
             self.lost, self.codec = True, None
--- a/message_sender/pcap/reassembly.py
+++ b/message_sender/pcap/reassembly.py
@@ -1,35 +1,49 @@
-"""TCP streams from segments as a capture has them: late, twice, overlapping, or not at all. Pure.
+"""TCP stream reassembly from segments that arrive late, repeated, overlapping or not at all. Pure.
 
 The rules:
 
-- Sequence numbers are counted on from the first one of a direction, so that they never wrap (RFC 9293, 3.4).
-- Of bytes that come more than once, also with other contents, **the first that was captured stands**.
+- Sequence numbers are unwrapped from the first one of a direction (RFC 9293, 3.4).
+- Of bytes that are captured more than once, also with other contents, **the first capture stands**.
 - A direction begins with its SYN; without one, with its first segment that holds data.
-- A hole is filled by whatever comes for it later. It is *lost*, told as a `Gap` and passed, once one of these
-  shows that nothing will come: the other side has acknowledged what lies behind it for `LATE` of capture
-  time, more than `MOST_WAITING` lies behind it, or the connection ends. Nothing is closed silently.
-- Bytes behind the end (FIN) of a direction are not its own and are dropped.
+- A hole is filled by any later segment that covers it. It is reported as a `Gap` and skipped as soon as one
+  of these shows that it will not be filled: the other side acknowledged bytes behind it and
+  `ACKNOWLEDGED_HOLE_DELAY_NS` of capture time have passed, more than `BUFFERED_BYTES_LIMIT` are buffered
+  behind it, or the connection ends. No hole is skipped without a `Gap`.
+- Bytes behind the end (FIN) of a direction are dropped.
 """
 
 from bisect import bisect_right
 from typing import NamedTuple
 
-LATE = 200_000_000  # ns; captures record the two directions out of step by far less
-MOST_WAITING = 1 << 20  # bytes behind a hole: the largest window that is common
-HALF, TURN = 1 << 31, 1 << 32
+#: Captures record the two directions out of step by far less.
+ACKNOWLEDGED_HOLE_DELAY_NS = 200_000_000
+#: Bytes buffered behind a hole: the largest window that is common.
+BUFFERED_BYTES_LIMIT = 1 << 20
+SEQUENCE_MODULUS = 1 << 32
+_HALF_SEQUENCE_MODULUS = 1 << 31
 
 
 class Piece(NamedTuple):
-    """Bytes that follow on what came before, as one segment held them."""
+    """Bytes that continue the stream, as one segment carried them.
 
-    at: int  # ns, when the segment was captured
+    Attributes:
+        at_ns: Capture time of the segment.
+        data: The bytes.
+    """
+
+    at_ns: int
     data: bytes
 
 
 class Gap(NamedTuple):
-    """Bytes that were on the wire and are not in the capture."""
+    """Bytes that were on the wire and are not in the capture.
+
+    Attributes:
+        at_ns: Capture time at which the hole was given up.
+        size: Number of missing bytes.
+    """
 
-    at: int  # ns, when it was given up
+    at_ns: int
     size: int
 
 
@@ -37,116 +51,139 @@
 
 
 class Stream:
-    """One direction of a connection."""
-
-    __slots__ = ("acked", "acked_at", "end", "next", "size", "starts", "waiting")
+    """Reassembles one direction of a connection."""
+
+    __slots__ = (
+        "acknowledged_at_ns",
+        "acknowledged_seq",
+        "buffered",
+        "buffered_bytes",
+        "buffered_starts",
+        "end_seq",
+        "next_seq",
+    )
 
     def __init__(self) -> None:
-        self.next: int | None = None  # the sequence number wanted next, counted on; None before the first
-        self.end: int | None = None  # that of the end, once it is known
-        self.starts: list[int] = []  # of what waits behind a hole, in order, no two overlapping
-        self.waiting: dict[int, Piece] = {}
-        self.size = 0  # bytes that wait
-        self.acked, self.acked_at = -1, 0  # the furthest acknowledged behind a hole, and since when
-
-    def place(self, seq: int) -> int:
-        """A sequence number, counted on: the one nearest to what is wanted next."""
-        assert self.next is not None
-        return self.next + (seq - self.next + HALF) % TURN - HALF
+        """Creates a stream of which nothing has been captured."""
+        self.next_seq: int | None = None  # unwrapped; None before the first segment
+        self.end_seq: int | None = None  # unwrapped; None until a FIN was captured
+        self.buffered_starts: list[int] = []  # sorted; no two pieces overlap
+        self.buffered: dict[int, Piece] = {}  # by unwrapped sequence number
+        self.buffered_bytes = 0
+        self.acknowledged_seq = -1  # the furthest one behind the current hole
+        self.acknowledged_at_ns = 0  # when the current hole was first acknowledged
 
     def begin(self, seq: int) -> None:
-        """A SYN with this number, or the first data that are known of."""
-        self.next = seq
+        """Sets the sequence number of the first byte."""
+        self.next_seq = seq
 
-    def add(self, at: int, seq: int, data: bytes, out: list[Part]) -> None:
-        """A segment's data. What now follows on goes to `out`."""
-        if self.next is None:
+    def add_data(self, at_ns: int, seq: int, data: bytes, parts: list[Part]) -> None:
+        """Adds the data of a segment, and appends what now continues the stream to `parts`."""
+        if self.next_seq is None:
             self.begin(seq)
-        assert self.next is not None
-        start = self.place(seq)
-        if self.end is not None:
-            data = data[: max(self.end - start, 0)]
+        assert self.next_seq is not None
+        start = self._unwrap(seq)
+        if self.end_seq is not None:
+            data = data[: max(self.end_seq - start, 0)]
         if not data:
             return
-        if start == self.next and not self.starts:
-            out.append(Piece(at, data))
-            self.next += len(data)
+        if start == self.next_seq and not self.buffered_starts:
+            parts.append(Piece(at_ns, data))
+            self.next_seq += len(data)
             return
-        self.insert(at, start, data)
-        self.drain(out)
-        while self.size > MOST_WAITING:
-            self.give_up(at, out)
-
-    def insert(self, at: int, start: int, data: bytes) -> None:
-        """Keeps of it what is not there yet."""
-        assert self.next is not None
-        if start < self.next:
-            start, data = self.next, data[self.next - start :]
-        while data:
-            place = bisect_right(self.starts, start)
-            if place:
-                before = self.starts[place - 1]
-                covered = before + len(self.waiting[before].data) - start
-                if covered > 0:
-                    start, data = start + covered, data[covered:]
-                    continue
-            room = self.starts[place] - start if place < len(self.starts) else len(data)
-            self.starts.insert(place, start)
-            self.waiting[start] = Piece(at, data[:room])
-            self.size += min(room, len(data))
-            start, data = start + room, data[room:]
-
-    def drain(self, out: list[Part]) -> None:
-        """What waited and follows on now."""
-        while self.starts and self.starts[0] == self.next:
-            piece = self.waiting.pop(self.starts.pop(0))
-            self.size -= len(piece.data)
-            self.next += len(piece.data)
-            out.append(piece)
-
-    def give_up(self, at: int, out: list[Part]) -> None:
-        """The hole in front is lost."""
-        assert self.next is not None
-        behind = self.starts[0] if self.starts else max(self.acked, self.next)
-        if behind > self.next:
-            out.append(Gap(at, behind - self.next))
-            self.next = behind
-        self.drain(out)
-
-    def acknowledged(self, at: int, ack: int, out: list[Part]) -> None:
-        """The other side has everything up to there."""
-        if self.next is None:
+        self._buffer(at_ns, start, data)
+        self._drain(parts)
+        while self.buffered_bytes > BUFFERED_BYTES_LIMIT:
+            self._skip_hole(at_ns, parts)
+
+    def acknowledge(self, at_ns: int, ack: int, parts: list[Part]) -> None:
+        """Notes that the other side has received everything before the sequence number `ack`."""
+        if self.next_seq is None:
             return
-        upto = self.place(ack)
-        if self.end is not None:
-            upto = min(upto, self.end)
-        if upto <= self.next:
+        acknowledged_seq = self._unwrap(ack)
+        if self.end_seq is not None:
+            acknowledged_seq = min(acknowledged_seq, self.end_seq)
+        if acknowledged_seq <= self.next_seq:
             return
-        if self.acked <= self.next:  # first heard of for this hole
-            self.acked_at = at
-        self.acked = max(self.acked, upto)
-        self.passed(at, out)
-
-    def passed(self, at: int, out: list[Part]) -> None:
-        """The capture has come to this time."""
-        while self.next is not None and self.acked > self.next and at - self.acked_at >= LATE:
-            self.give_up(at, out)
+        if self.acknowledged_seq <= self.next_seq:  # the first acknowledgement of this hole
+            self.acknowledged_at_ns = at_ns
+        self.acknowledged_seq = max(self.acknowledged_seq, acknowledged_seq)
+        self.advance_clock(at_ns, parts)
+
+    def advance_clock(self, at_ns: int, parts: list[Part]) -> None:
+        """Skips the holes that were acknowledged too long before the capture time `at_ns`."""
+        while (
+            self.next_seq is not None
+            and self.acknowledged_seq > self.next_seq
+            and at_ns - self.acknowledged_at_ns >= ACKNOWLEDGED_HOLE_DELAY_NS
+        ):
+            self._skip_hole(at_ns, parts)
 
     def finish(self, seq: int) -> None:
-        """A FIN with this number: the direction ends there."""
-        if self.next is None:
+        """Sets the end of the stream from the sequence number of its FIN."""
+        if self.next_seq is None:
             self.begin(seq)
-        if self.end is None:
-            self.end = self.place(seq)
+        if self.end_seq is None:
+            self.end_seq = self._unwrap(seq)
 
-    def is_over(self) -> bool:
-        return self.end is not None and self.next == self.end
+    def is_complete(self) -> bool:
+        """Returns whether the stream was read up to its FIN."""
+        return self.end_seq is not None and self.next_seq == self.end_seq
 
-    def close(self, at: int, out: list[Part]) -> None:
-        """Nothing more comes."""
-        if self.next is None:
+    def close(self, at_ns: int, parts: list[Part]) -> None:
+        """Ends the stream: appends all that is buffered, and a gap for each hole, to `parts`."""
+        if self.next_seq is None:
             return
-        if self.end is not None and self.end > self.next:
-            self.acked = max(self.acked, self.end)
-        while self.starts or self.acked > self.next:
-            self.give_up(at, out)
+        if self.end_seq is not None and self.end_seq > self.next_seq:
+            self.acknowledged_seq = max(self.acknowledged_seq, self.end_seq)
+        while self.buffered_starts or self.acknowledged_seq > self.next_seq:
+            self._skip_hole(at_ns, parts)
+
+    def _unwrap(self, seq: int) -> int:
+        """Returns the unwrapped sequence number nearest to the next expected one."""
+        assert self.next_seq is not None
+        half = _HALF_SEQUENCE_MODULUS
+        return self.next_seq + (seq - self.next_seq + half) % SEQUENCE_MODULUS - half
+
+    def _buffer(self, at_ns: int, start: int, data: bytes) -> None:
+        """Buffers those bytes of a segment that have not been captured before."""
+        assert self.next_seq is not None
+        if start < self.next_seq:
+            data = data[self.next_seq - start :]
+            start = self.next_seq
+        while data:
+            index = bisect_right(self.buffered_starts, start)
+            if index:
+                previous_start = self.buffered_starts[index - 1]
+                covered = previous_start + len(self.buffered[previous_start].data) - start
+                if covered > 0:
+                    start += covered
+                    data = data[covered:]
+                    continue
+            has_next = index < len(self.buffered_starts)
+            room = self.buffered_starts[index] - start if has_next else len(data)
+            self.buffered_starts.insert(index, start)
+            self.buffered[start] = Piece(at_ns, data[:room])
+            self.buffered_bytes += min(room, len(data))
+            start += room
+            data = data[room:]
+
+    def _drain(self, parts: list[Part]) -> None:
+        """Moves the buffered pieces that continue the stream to `parts`."""
+        while self.buffered_starts and self.buffered_starts[0] == self.next_seq:
+            piece = self.buffered.pop(self.buffered_starts.pop(0))
+            self.buffered_bytes -= len(piece.data)
+            self.next_seq += len(piece.data)
+            parts.append(piece)
+
+    def _skip_hole(self, at_ns: int, parts: list[Part]) -> None:
+        """Gives up the first hole: appends its gap and the pieces behind it to `parts`."""
+        assert self.next_seq is not None
+        if self.buffered_starts:
+            hole_end = self.buffered_starts[0]
+        else:
+            hole_end = max(self.acknowledged_seq, self.next_seq)
+        if hole_end > self.next_seq:
+            parts.append(Gap(at_ns, hole_end - self.next_seq))
+            self.next_seq = hole_end
+        self._drain(parts)
--- a/message_sender/pcap/writer.py
+++ b/message_sender/pcap/writer.py
@@ -9,7 +9,7 @@
 
 from message_sender.pcap.files import Writer
 from message_sender.pcap.layers import ACK, FIN, RST, SYN
-from message_sender.pcap.reassembly import TURN
+from message_sender.pcap.reassembly import SEQUENCE_MODULUS
 
 MSS = 1460  # bytes of data in a segment: an Ethernet's, for IPv4
 WINDOW = 65535
@@ -51,7 +51,7 @@
         self.ends = [(ipaddress.ip_address(host).packed, port) for host, port in (client, server)]
         if len(self.ends[0][0]) != len(self.ends[1][0]):
             raise ValueError(f"{client[0]} and {server[0]} are of different versions of IP")
-        self.seq = [first % TURN, (first + 0x10000) % TURN]
+        self.seq = [first % SEQUENCE_MODULUS, (first + 0x10000) % SEQUENCE_MODULUS]
         self.ended = False
         self.last = at  # ns, of the newest packet
         self.send(0, at, SYN)
@@ -66,7 +66,7 @@
         head = struct.pack(">HHIIBBHHH", port, other, self.seq[side], ack, offset, flags, WINDOW, 0, 0)
         self.last = at
         self.out.write(at, datagram(source, target, head + options + data))
-        self.seq[side] = (self.seq[side] + len(data) + bool(flags & (SYN | FIN))) % TURN
+        self.seq[side] = (self.seq[side] + len(data) + bool(flags & (SYN | FIN))) % SEQUENCE_MODULUS
 
     def data(self, side: int, at: int, data: bytes) -> None:
         """Bytes that one side sent, cut into segments, and the other side's acknowledgement."""
@@ -77,7 +77,7 @@
 
     def skip(self, side: int, size: int) -> None:
         """So many bytes from that side are not known: they are a gap for whoever reads."""
-        self.seq[side] = (self.seq[side] + size) % TURN
+        self.seq[side] = (self.seq[side] + size) % SEQUENCE_MODULUS
 
     def end(self, side: int, at: int, reset: bool = False) -> None:
         """It ends from this side: by a reset, or well."""
