--- a/benchmarks/power.py
+++ b/benchmarks/power.py
@@ -24,8 +24,9 @@
 from message_sender.journal.durable import DurableJournal
 from message_sender.journal.process_journal import Journal
 from message_sender.message import Message
-from message_sender.testbed.cluster import Cluster, ReceiverStub
+from message_sender.testbed.cluster import Cluster
 from message_sender.testbed.http import HttpClient
+from message_sender.testbed.receiver_stub import ReceiverStub
 
 LIMIT = 200_000_000  # bytes
 HELD = 600  # messages that all senders hold as the power goes
@@ -100,38 +101,38 @@
     """Seconds are from the moment at which the processes are started again."""
     cluster = Cluster(folder, size, 1, sync, link)
     async with ReceiverStub("hub", cluster.history, 60) as hub:
-        hub.down = True
-        cluster.more = CONFIG.format(size=size) + BUDGET * budget + hub.listed()
+        hub.is_down = True
+        cluster.extra_config = CONFIG.format(size=size) + BUDGET * budget + hub.to_config()
         async with cluster:
             await cluster.start()
             whole = HELD
             for number in range(whole):
                 name = f"m{number}"
-                assert await cluster.hand_in(name, "charge", 1, 60, f"k{number}", [f"n{number % size}"])
+                assert await cluster.submit(name, "charge", 1, 60, f"k{number}", [f"n{number % size}"])
             await cluster.cut(keeps=0.0)
-            hub.down = False
-            hub.calls.clear()
+            hub.is_down = False
+            hub.call_times.clear()
             began = time.monotonic()
             await cluster.start()
-            while time.monotonic() < began + 33 and len(hub.ran) < whole * 0.97:
+            while time.monotonic() < began + 33 and len(hub.served_at) < whole * 0.97:
                 await asyncio.sleep(0.1)
-            ran = sorted(each[0] - began for each in hub.ran.values())
+            ran = sorted(each[0] - began for each in hub.served_at.values())
             at = f"first {ran[0]:.2f} s, 90% {ran[int(len(ran) * 0.9)]:.1f} s" if ran else "nothing came"
-            twice = sum(len(each) > 1 for each in hub.ran.values())
+            twice = sum(len(each) > 1 for each in hub.served_at.values())
             spent, how = time.monotonic() - began, "link" if link else "alone"
             how += ", budget" * budget
-            told = f"{len(ran)} of {whole} ran by {spent:.1f} s; {at}; twice {twice}; refused {hub.refused}"
-            return f"{sync:<6} {how}: {told}; most in 100 ms {hub.most_in(0.1)}"
+            told = f"{len(ran)} of {whole} ran by {spent:.1f} s; {at}; twice {twice}; refused {hub.rejected}"
+            return f"{sync:<6} {how}: {told}; most in 100 ms {hub.max_count_within(0.1)}"
 
 
 async def door(folder: Path, sync: str, clients: int, seconds: float = 4.0) -> str:
     """One sender as a process, clients that come again as soon as they have their 202, a hub that is down:
     what taking on costs through the whole sender."""
-    cluster = Cluster(folder, 1, 1, sync, link=False)
+    cluster = Cluster(folder, 1, 1, sync, has_link=False)
     async with ReceiverStub("hub", cluster.history, 60) as hub:
-        hub.down = True
+        hub.is_down = True
         more = CONFIG.replace("max_open = 700", "max_open = 100000\nslots = 1")
-        cluster.more = more.format(size=1) + hub.listed()
+        cluster.extra_config = more.format(size=1) + hub.to_config()
         async with cluster:
             await cluster.start()
             (member,) = cluster.members.values()
--- a/benchmarks/scale/real.py
+++ b/benchmarks/scale/real.py
@@ -10,7 +10,8 @@
 
 from message_sender.fleet import wire
 from message_sender.fleet.seal import Seal
-from message_sender.testbed.cluster import Cluster, Relay
+from message_sender.testbed.cluster import Cluster
+from message_sender.testbed.relay import Relay
 
 WINDOW_S = 10.0
 ANNOUNCED_WITHIN_S = 20.0  # after the start: every member has announced itself
@@ -46,11 +47,11 @@
         super().__init__()
         self.sample: list[bytes] = []
 
-    def received(self, to: str, data: bytes, source: int) -> None:
+    def handle_datagram(self, to: str, data: bytes, source: int) -> None:
         self.datagrams += 1
         self.total_bytes += len(data)
         self.sample.append(data)
-        super().received(to, data, source)
+        super().handle_datagram(to, data, source)
 
 
 def process_cpu_s(process: int) -> float:
@@ -67,7 +68,7 @@
 
 
 async def rest_of(size: int, folder: Path) -> RealRest:
-    cluster = Cluster(folder, size, 1, more=CLASSES)
+    cluster = Cluster(folder, size, 1, extra_config=CLASSES)
     relay = CountingRelay()
     cluster.relay = relay
     async with cluster:
--- a/message_sender/emulator/fleet.py
+++ b/message_sender/emulator/fleet.py
@@ -83,7 +83,7 @@
     def accepted(self) -> bool:
         world, kind = self.world, self.world.scenario.classes[self.asked.message_class]
         until = self.asked.at + kind.deadline_s
-        world.history.note(
+        world.history.record(
             seen.MessageAdmitted(
                 world.time(),
                 self.name,
@@ -98,7 +98,7 @@
         return False
 
     def rejected(self, told: Rejected) -> None:
-        self.world.history.note(seen.MessageRejected(self.world.time(), self.name))
+        self.world.history.record(seen.MessageRejected(self.world.time(), self.name))
         self.world.later(self.world.way(0.5), self.hear, False, told.retry_after_us)
 
     def withdrawn(self) -> None: ...
@@ -164,7 +164,7 @@
                 patience = sender.engine.settings.connect_timeout / SECOND
                 await asyncio.sleep(max(min(patience, deadline - loop.time()), 0.0))
             return AttemptResult(Outcome.CONNECT_FAILED)
-        call = world.history.began(message.id, endpoint, sender.name)
+        call = world.history.record_start(message.id, endpoint, sender.name)
         try:
             async with asyncio.timeout_at(deadline):
                 await asyncio.sleep(ALWAYS if fate.after is None else fate.after)
@@ -274,9 +274,9 @@
         ready = {name for name, each in places.items() if each.endpoint.state is EndpointState.READY}
         for name, each in self.directory.static_endpoints.items():
             if each.endpoint.state is EndpointState.READY and name not in ready:
-                self.world.history.note(seen.EndpointDrained(self.world.time(), name, self.name))
+                self.world.history.record(seen.EndpointDrained(self.world.time(), name, self.name))
         for name in [x for x in places if x in ready and x not in self.directory.static_endpoints]:
-            self.world.history.note(seen.EndpointRestored(self.world.time(), name, self.name))
+            self.world.history.record(seen.EndpointRestored(self.world.time(), name, self.name))
         self.directory.replace(places.values())
 
     def end_heard(self, life: int, message: str) -> None:
@@ -448,7 +448,7 @@
         """A call is over at its endpoint, or was before where it had been given up."""
         if call not in self.over:
             self.over.add(call)
-            self.history.over(call, how, wait)
+            self.history.record_end(call, how, wait)
         if ran:
             self.has_effect(asked)
 
@@ -495,7 +495,7 @@
             self.figures.told_again += 1
             return
         self.figures.ends[now[0]] += 1
-        self.history.note(seen.MessageCompleted(self.time(), name, now[0]))
+        self.history.record(seen.MessageCompleted(self.time(), name, now[0]))
 
     def sample(self) -> None:
         second = self.figures.second(max(self.time() - SAMPLE / 2, 0.0))
@@ -560,7 +560,7 @@
     def dead(self, sender: Sender, down_for: float) -> None:
         sender.bury()
         self.figures.kills += 1
-        self.history.note(seen.SenderRestarted(self.time(), sender.name, self.time() + down_for))
+        self.history.record(seen.SenderRestarted(self.time(), sender.name, self.time() + down_for))
         self.later(down_for, sender.start)
 
     def drain(self, incident: Incident) -> None:
@@ -638,7 +638,7 @@
             if each.alive
             for name, entry in each.engine.journal.entries.items()
         ]
-        breaches = HistoryChecker(self.rules()).judge([*self.outages(), *self.history.events])
+        breaches = HistoryChecker(self.rules()).check([*self.outages(), *self.history.events])
         breaches += self.pushed_over()
         trace = (
             [json.dumps(told(each), sort_keys=True) for each in self.history.events] if self.traced else []
@@ -669,10 +669,11 @@
         # What stands still cannot answer meanwhile.
         paused = max((each.for_s for each in self.scenario.incidents if each.what == "pause"), default=0.0)
         return Rules(
-            kinds, zones, place_of, capacity, late=LATE + paused,
-            grace=self.scenario.fleet.grace_s + 0.05,
-            quiet=self.scenario.fleet.key_rest_s, cold=first.cold_s or 1.0, cold_from=first.cold_from,
-            push=first.push, push_for=first.push_s,
+            kinds, zones, place_of, capacity, late_tolerance=LATE + paused,
+            drain_grace=self.scenario.fleet.grace_s + 0.05,
+            key_pause=self.scenario.fleet.key_rest_s,
+            slow_start=first.cold_s or 1.0, slow_start_from=first.cold_from,
+            max_overload=first.push, overload_interval=first.push_s,
         )  # fmt: skip
 
     def group_of(self, number: int) -> Any:  # noqa: ANN401
--- a/message_sender/emulator/shared.py
+++ b/message_sender/emulator/shared.py
@@ -20,7 +20,7 @@
 from message_sender.emulator.member_network import MemberNetwork
 from message_sender.fleet import wire
 from message_sender.fleet.node import FleetNode
-from message_sender.testbed.history import most_in
+from message_sender.testbed.history import max_count_within
 
 STEP = 0.01  # s between two looks for work
 WAY = 0.009  # s that a call may take to the receiver
@@ -46,7 +46,7 @@
 
     def most(self) -> int:
         """The most calls in any span."""
-        return most_in((at for at, _ in self.calls), self.span)
+        return max_count_within((at for at, _ in self.calls), self.span)
 
     def used(self, since: float, until: float, whole: int) -> float:
         """The share of the whole."""
--- a/message_sender/emulator/simulated_run.py
+++ b/message_sender/emulator/simulated_run.py
@@ -69,10 +69,10 @@
     return {
         "safe": ClassRule(),
         "keyed": ClassRule(Effect.KEYED, window),
-        "zoned": ClassRule(Effect.KEYED, window, by_zone=True),
+        "zoned": ClassRule(Effect.KEYED, window, is_zonal=True),
         "unsafe": ClassRule(Effect.UNSAFE),
-        "ordered": ClassRule(Effect.KEYED, window, in_order=True),
-        "ordered-unsafe": ClassRule(Effect.UNSAFE, in_order=True),
+        "ordered": ClassRule(Effect.KEYED, window, is_ordered=True),
+        "ordered-unsafe": ClassRule(Effect.UNSAFE, is_ordered=True),
     }
 
 
@@ -125,8 +125,8 @@
 def settings() -> Settings:
     classes = tuple(
         MessageClass(
-            name, 2 * SECOND, int(DEADLINE * SECOND), 1.0, 0.3, kind.effect, int(kind.window * SECOND),
-            kind.by_zone, kind.in_order,
+            name, 2 * SECOND, int(DEADLINE * SECOND), 1.0, 0.3, kind.effect,
+            int(kind.idempotency_window * SECOND), kind.is_zonal, kind.is_ordered,
         )
         for name, kind in KINDS.items()
     )  # fmt: skip
@@ -152,13 +152,13 @@
         told = self.message
         until = (told.deadline_us - EPOCH) / SECOND
         now = self.life.time()
-        self.life.history.note(
+        self.life.history.record(
             seen.MessageAdmitted(now, told.id, told.message_class, told.destination, until, told.key)
         )
         return True
 
     def rejected(self, told: Rejected) -> None:
-        self.life.history.note(seen.MessageRejected(self.life.time(), self.message.id))
+        self.life.history.record(seen.MessageRejected(self.life.time(), self.message.id))
 
     def withdrawn(self) -> None:
         raise AssertionError("it is never gone")
@@ -187,7 +187,7 @@
             return AttemptResult(Outcome.CONNECT_FAILED)
         if not may_go():
             return AttemptResult(Outcome.NOT_SENT)
-        call = life.history.began(message.id, endpoint)
+        call = life.history.record_start(message.id, endpoint)
         took, outcome, wait = life.fate(mood)
         if outcome is not Outcome.OK:
             life.saw_trouble(endpoint)
@@ -195,12 +195,12 @@
             async with asyncio.timeout_at(deadline):
                 await asyncio.sleep(took)
         except TimeoutError:
-            life.history.over(call, EffectApplied.MAYBE)
+            life.history.record_end(call, EffectApplied.MAYBE)
             return AttemptResult(Outcome.TIMEOUT)
         except asyncio.CancelledError:
-            life.history.over(call, EffectApplied.MAYBE)
+            life.history.record_end(call, EffectApplied.MAYBE)
             raise
-        life.history.over(call, RAN[outcome], wait)
+        life.history.record_end(call, RAN[outcome], wait)
         await asyncio.sleep(life.rng.uniform(*WAY))
         told = int(wait * SECOND)
         if told:
@@ -321,7 +321,7 @@
     def drawn_message(self, number: int, at: float) -> Message:
         rng, kind = self.rng, self.rng.choice(list(KINDS))
         left = rng.choice((DEADLINE, rng.uniform(0.05, DEADLINE)))
-        key = f"k{rng.randrange(self.spec.keys)}" if KINDS[kind].in_order else ""
+        key = f"k{rng.randrange(self.spec.keys)}" if KINDS[kind].is_ordered else ""
         until = EPOCH + int((at + left) * SECOND)
         place = rng.randrange(self.spec.destinations)
         return Message(f"m{number}", kind, place, until, "", key, "i", False, b"body")
@@ -377,14 +377,14 @@
         if before and before[0] == state and before[1] < self.spans:
             self.told_again += 1
             return
-        self.history.note(seen.MessageCompleted(self.time(), name, state))
+        self.history.record(seen.MessageCompleted(self.time(), name, state))
 
     def hand_in(self, message: Message) -> None:
         self.engine.take(message, Caller(self, message))
 
     def drain(self, place: StaticEndpoint) -> None:
         self.directory.drain(place.endpoint.id)
-        self.history.note(seen.EndpointDrained(self.time(), place.endpoint.id))
+        self.history.record(seen.EndpointDrained(self.time(), place.endpoint.id))
 
     def kill(self) -> None:
         raise ProcessKilled
@@ -432,7 +432,7 @@
     def run(self) -> Outcomes:
         try:
             while not self.lived():
-                self.history.note(seen.SenderRestarted(self.time()))
+                self.history.record(seen.SenderRestarted(self.time()))
         finally:
             self.bury()
         return self.judged()
@@ -465,12 +465,14 @@
                 each.endpoint.id: -number if each.endpoint.kind == "apart" else each.endpoint.destination
                 for number, each in enumerate(self.places, 1)
             },
-            quiet=QUIET,
+            key_pause=QUIET,
         )
-        breaches = HistoryChecker(rules).judge(self.history.events)
+        breaches = HistoryChecker(rules).check(self.history.events)
         capacity = dict.fromkeys(self.moods, CAPACITY)
-        cold = Rules(KINDS, destinations=self.destinations, capacity=capacity, cold=COLD, cold_from=0.2)
-        judged = HistoryChecker(cold).judge([*self.outages(), *self.history.events])
+        cold = Rules(
+            KINDS, destinations=self.destinations, capacity=capacity, slow_start=COLD, slow_start_from=0.2
+        )
+        judged = HistoryChecker(cold).check([*self.outages(), *self.history.events])
         breaches += [each for each in judged if each.rule == "cold"]
         ends: dict[str, int] = {}
         for each in self.history.events:
--- a/message_sender/emulator/wire.py
+++ b/message_sender/emulator/wire.py
@@ -244,7 +244,7 @@
             return False
         asked, attempt = self.attempt_of(handed)
         fate = self.receiver_of(place.endpoint).call(self.time(), sender, asked.luck(attempt), zone)
-        call = self.history.began(message, name, sender)
+        call = self.history.record_start(message, name, sender)
         self.out[message, name] = call
         if fate.after is None:
             self.has_effect(asked)
@@ -271,14 +271,14 @@
         call = self.out.pop((message, endpoint), 0)
         if call and call not in self.over:
             self.over.add(call)
-            self.history.over(call, EffectApplied.MAYBE)
+            self.history.record_end(call, EffectApplied.MAYBE)
 
     # Clients.
 
     def note_taken(self, message: Message, sender: fleet.Sender) -> None:
         until = (message.deadline_us - EPOCH) / SECOND - sender.wall
         told = message.id, message.message_class, message.destination, until, message.key
-        self.history.note(seen.MessageAdmitted(self.time(), *told, sender.name))
+        self.history.record(seen.MessageAdmitted(self.time(), *told, sender.name))
 
     def send(self, one: ClientAttempt) -> None:
         self.spawn(self.ask_by_http(one))
@@ -307,7 +307,7 @@
         if status not in (202, 404, 429, 503):  # 404: its sender has not heard of that destination yet
             raise AssertionError(f"{one.name}: an answer of {status}")
         if status != 202:
-            self.history.note(seen.MessageRejected(self.time(), one.name))
+            self.history.record(seen.MessageRejected(self.time(), one.name))
         one.hear(status == 202, int(float(told.get("retry-after", 0)) * SECOND))
         self.clients[sender.name].append((self.time(), client))
 
--- a/message_sender/testbed/control_cluster.py
+++ b/message_sender/testbed/control_cluster.py
@@ -26,7 +26,8 @@
 from message_sender.control.watch import Watch
 from message_sender.control.watch_link import WatchLink
 from message_sender.control_socket import send_request
-from message_sender.testbed.cluster import HOST, PATIENCE, Relay
+from message_sender.testbed.member_factory import STEP_TIMEOUT_S
+from message_sender.testbed.relay import HOST, Relay
 
 WATCH_TICK_S = 0.05
 ASK_AGAIN_S = 0.02  # between two questions over a control socket
@@ -65,8 +66,8 @@
 
     name: str
     folder: Path
-    own: int = 0  # the port that it binds, and the one at which it is called
-    public: int = 0
+    listen_port: int = 0  # the port that it binds, and the one at which it is called
+    relay_port: int = 0
     process: asyncio.subprocess.Process | None = None
     reader: asyncio.Task[None] | None = None
     log: list[str] = field(default_factory=list)
@@ -144,13 +145,13 @@
 
     def version_changed(self) -> None:
         """Notifies those that wait for a version, once the event loop goes on and it is in force."""
-        self.spawn(self.tell_changed())
+        self.spawn(self.notify_changed())
 
-    async def tell_changed(self) -> None:
+    async def notify_changed(self) -> None:
         async with self.changed:
             self.changed.notify_all()
 
-    async def until_version(self, version: int) -> None:
+    async def wait_for_version(self, version: int) -> None:
         """Waits until `version` or a later one is in force here."""
         async with self.changed:
             await self.changed.wait_for(lambda: self.watch.document.version >= version)
@@ -182,7 +183,7 @@
     async def __aenter__(self) -> Self:
         for name, member in self.members.items():
             member.folder.mkdir()
-            member.own, member.public = await self.relay.add(name)
+            member.listen_port, member.relay_port = await self.relay.add(name)
         for member in self.members.values():
             self.configure(member)
             control_process.initialise(member.config)
@@ -200,7 +201,7 @@
         lines = [
             f'name = "{member.plan.name}"',
             'cluster = "lab"',
-            f'listen = "{HOST}:{member.own}"',
+            f'listen = "{HOST}:{member.listen_port}"',
             'state = "state"',
             'key_file = "control.key"',
         ]
@@ -208,7 +209,7 @@
             lines += [
                 "[[nodes]]",
                 f'name = "{each.plan.name}"',
-                f'address = "{HOST}:{each.public}"',
+                f'address = "{HOST}:{each.relay_port}"',
                 f'region = "{each.plan.region}"',
                 f"votes = {each.plan.votes}",
             ]
@@ -223,7 +224,7 @@
         """Makes a sender's folder; `start` starts it."""
         member = self.senders[name] = SenderMember(name, self.folder / name, region=region)
         member.folder.mkdir()
-        member.own, member.public = await self.relay.add(name)
+        member.listen_port, member.relay_port = await self.relay.add(name)
         self.write_key(member)
         nodes = [
             f'{{ name = "{each.name}", address = "{HOST}:{each.address[1]}", region = "{each.region}" }}'
@@ -235,7 +236,7 @@
             SENDER_CLASS_AND_ENDPOINT,
             "[control]",
             'key_file = "control.key"',
-            f'listen = "{HOST}:{member.own}"',
+            f'listen = "{HOST}:{member.listen_port}"',
             f'region = "{region}"',
             f"nodes = [{', '.join(nodes)}]",
         ]
@@ -243,7 +244,7 @@
 
     def addresses(self) -> tuple[ControlNodeAddress, ...]:
         return tuple(
-            ControlNodeAddress(name, (HOST, each.public), each.plan.region)
+            ControlNodeAddress(name, (HOST, each.relay_port), each.plan.region)
             for name, each in self.members.items()
         )
 
@@ -263,32 +264,32 @@
 
     async def start(self, *names: str) -> None:
         """Starts these nodes and senders, or all nodes, and waits until they serve."""
-        await asyncio.gather(*(self.start_one(self.process_of(name)) for name in names or self.members))
+        await asyncio.gather(*(self.start_process(self.process_of(name)) for name in names or self.members))
 
-    async def start_one(self, member: LabProcess) -> None:
+    async def start_process(self, member: LabProcess) -> None:
         words = [sys.executable, *member.command()]
         pipe, nothing = asyncio.subprocess.PIPE, asyncio.subprocess.DEVNULL
         member.process = await asyncio.create_subprocess_exec(
             *words, stdin=nothing, stdout=nothing, stderr=pipe
         )
         ready: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        member.reader = asyncio.create_task(self.read(member, member.process, ready))
-        async with asyncio.timeout(PATIENCE):
+        member.reader = asyncio.create_task(self.read_log(member, member.process, ready))
+        async with asyncio.timeout(STEP_TIMEOUT_S):
             await ready
             if isinstance(member, SenderMember):
-                await self.until_it_answers(member)
+                await self.wait_until_responsive(member)
 
-    async def until_it_answers(self, sender: SenderMember) -> None:
+    async def wait_until_responsive(self, sender: SenderMember) -> None:
         """A sender's control socket opens a moment after its door."""
         while True:
             try:
-                await self.ask(sender.name, {"do": "control"})
+                await self.request(sender.name, {"do": "control"})
             except OSError:
                 await asyncio.sleep(ASK_AGAIN_S)
             else:
                 return
 
-    async def read(
+    async def read_log(
         self, member: LabProcess, process: asyncio.subprocess.Process, ready: asyncio.Future[None]
     ) -> None:
         assert process.stderr
@@ -308,9 +309,9 @@
         for name in names:
             self.signal(name, signal.SIGKILL)
         for name in names:
-            await self.ended(name)
+            await self.wait_for_exit(name)
 
-    async def ended(self, name: str) -> int | None:
+    async def wait_for_exit(self, name: str) -> int | None:
         """Waits for the end of a process; its exit code."""
         member = self.process_of(name)
         process, member.process = member.process, None
@@ -321,13 +322,13 @@
             await member.reader
         return code
 
-    def running(self) -> list[str]:
+    def running_nodes(self) -> list[str]:
         """The control nodes whose processes run."""
         return [name for name, each in self.members.items() if each.process is not None]
 
     # Operators.
 
-    async def ask(self, name: str, request: Mapping[str, Any]) -> Any:  # noqa: ANN401
+    async def request(self, name: str, request: Mapping[str, Any]) -> Any:  # noqa: ANN401
         """The value of a node's or sender's answer. Raises OSError where it does not answer, and ValueError
         where it ends before it has."""
         told = await asyncio.to_thread(send_request, self.process_of(name).state, request)
@@ -335,25 +336,33 @@
             raise ValueError(told["faults"])
         return told["value"]
 
-    async def set(
-        self, name: str, request_id: str, base: int, put: Mapping[str, Any], within: float = PATIENCE
+    async def submit_change(
+        self, name: str, request_id: str, base: int, put: Mapping[str, Any], within: float = STEP_TIMEOUT_S
     ) -> dict[str, Any]:
         """Asks for a change until its outcome is known."""
         request = {"do": "set", "request_id": request_id, "base_version": base, "put": put, "delete": []}
         async with asyncio.timeout(within):
             while True:
-                told: dict[str, Any] = await self.ask(name, request)
+                told: dict[str, Any] = await self.request(name, request)
                 if told["outcome"] != "unavailable":
                     return told
 
-    async def until_version(
-        self, version: int, names: Sequence[str], watchers: Sequence[LabWatcher], within: float = PATIENCE
+    async def wait_for_version(
+        self,
+        version: int,
+        names: Sequence[str],
+        watchers: Sequence[LabWatcher],
+        within: float = STEP_TIMEOUT_S,
     ) -> float:
         """Waits until these have `version` in force; the seconds that it took."""
-        return max((await self.times_until_version(version, names, watchers, within)).values())
-
-    async def times_until_version(
-        self, version: int, names: Sequence[str], watchers: Sequence[LabWatcher], within: float = PATIENCE
+        return max((await self.measure_version_times(version, names, watchers, within)).values())
+
+    async def measure_version_times(
+        self,
+        version: int,
+        names: Sequence[str],
+        watchers: Sequence[LabWatcher],
+        within: float = STEP_TIMEOUT_S,
     ) -> dict[str, float]:
         """The same, for each by name."""
         began = time.monotonic()
@@ -362,25 +371,25 @@
             await work
             return time.monotonic() - began
 
-        waits = {each.name: timed(each.until_version(version)) for each in watchers}
-        waits |= {name: timed(self.until_node_version(name, version)) for name in names}
+        waits = {each.name: timed(each.wait_for_version(version)) for each in watchers}
+        waits |= {name: timed(self.wait_for_node_version(name, version)) for name in names}
         async with asyncio.timeout(within):
             return dict(zip(waits, await asyncio.gather(*waits.values()), strict=True))
 
-    async def until_node_version(self, name: str, version: int) -> None:
-        while (await self.ask(name, {"do": "get"}))["version"] < version:
+    async def wait_for_node_version(self, name: str, version: int) -> None:
+        while (await self.request(name, {"do": "get"}))["version"] < version:
             pass
 
-    async def leader(self) -> str:
+    async def wait_for_leader(self) -> str:
         """Waits until a node that runs leads."""
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(STEP_TIMEOUT_S):
             while True:
-                for name in self.running():
-                    told = await self.ask(name, {"do": "get"})
+                for name in self.running_nodes():
+                    told = await self.request(name, {"do": "get"})
                     if told["role"] == "leader" and told["age_ms"] < 1_000:
                         return name
 
 
 def address_of(member: ControlMember) -> Address:
     """Where the process itself listens, past the relay."""
-    return HOST, member.own
+    return HOST, member.listen_port
--- a/message_sender/testbed/demo.py
+++ b/message_sender/testbed/demo.py
@@ -93,7 +93,7 @@
 
     def heard(self, name: str, end: Completion) -> None:
         now = time.monotonic()
-        self.history.note(MessageCompleted(now, name, end.state.value))
+        self.history.record(MessageCompleted(now, name, end.state.value))
         self.count.ends[end.state.value] += 1
         if end.state.value == "delivered":
             self.count.latencies.append(now - self.handed_in[name])
@@ -151,30 +151,30 @@
         status, _ = await client.post("/command", fields, body)
         if status == 202:
             taken = MessageAdmitted(now, name, "command", destination, now + DEADLINE, f"{key}.{destination}")
-            self.history.note(taken)
+            self.history.record(taken)
         else:
             self.count.turned_away += 1
-            self.history.note(MessageRejected(time.monotonic(), name))
+            self.history.record(MessageRejected(time.monotonic(), name))
 
     async def phases(self, endpoints: list[HttpEndpoint]) -> None:
         struck = endpoints[2 * STRUCK : 2 * STRUCK + 2]
         await asyncio.sleep(CALM * self.pace)
         self.count.phase, began = "outage", time.monotonic()
         for each in struck:
-            each.down = True
-            each.break_off()
+            each.is_down = True
+            each.reset_connections()
         await asyncio.sleep(OUTAGE * self.pace)
         for each in struck:
-            each.down = False
+            each.is_down = False
         self.count.phase = "cold return"
-        self.history.note(Outage(began, time.monotonic(), STRUCK))
+        self.history.record(Outage(began, time.monotonic(), STRUCK))
         await asyncio.sleep(RETURN * self.pace)
         self.count.phase = "settling"
 
     async def run(self, show: Callable[[DemoCounters], None]) -> list[Violation]:
         async with contextlib.AsyncExitStack() as stack:
             scripts = [
-                Script(rule=self.rule, usual=ScriptedAnswer(EndpointBehavior.SERVE, 0.01))
+                Script(rule=self.rule, default=ScriptedAnswer(EndpointBehavior.SERVE, 0.01))
                 for _ in range(2 * DESTINATIONS)
             ]
             endpoints = [
@@ -187,7 +187,7 @@
             )
             async with running(sender):
                 await self.play(sender, endpoints, scripts, show)
-        return HistoryChecker(self.rules()).judge(self.history.events)
+        return HistoryChecker(self.rules()).check(self.history.events)
 
     async def play(
         self,
@@ -207,7 +207,7 @@
         while time.monotonic() < last:
             await asyncio.sleep(min(0.5, self.pace))
             self.count.held = len(sender.engine.dispatcher.messages)
-            self.count.attempts = sum(sum(each.seen.values()) for each in scripts)
+            self.count.attempts = sum(sum(each.call_counts.values()) for each in scripts)
             show(self.count)
             if all(task.done() for task in work) and not sender.engine.journal.entries:
                 break
@@ -216,11 +216,11 @@
     def rules(self) -> Rules:
         names = [f"e{number}" for number in range(2 * DESTINATIONS)]
         return Rules(
-            kinds={"command": ClassRule(Effect.KEYED, WINDOW, in_order=True)},
+            classes={"command": ClassRule(Effect.KEYED, WINDOW, is_ordered=True)},
             destinations={name: number // 2 for number, name in enumerate(names)},
             capacity=dict.fromkeys(range(DESTINATIONS), CAPACITY),
-            quiet=QUIET,
-            cold=6.0,
+            key_pause=QUIET,
+            slow_start=6.0,
         )
 
 
--- a/message_sender/testbed/event_stream.py
+++ b/message_sender/testbed/event_stream.py
@@ -1,7 +1,7 @@
-"""Streams of events for the decision module: a world in module time that makes them, and their record.
+"""Event streams for the decision module: a simulated world that generates them, and their record.
 
-The world is small and closed: what the module sends decides what it hears next. Everything comes from
-one seed and no clock, so that a stream can be made again, written down, and heard by another version.
+The world is closed: the actions of the module decide its next events. Everything is drawn from one seed
+without a clock, so that a stream can be generated again, recorded, and replayed with another version.
 """
 
 import dataclasses
@@ -41,6 +41,8 @@
 
 MS, SECOND = 1_000, 1_000_000
 Handle = Callable[[int, list[PolicyEvent]], list[PolicyAction]]
+Observer = Callable[[int, list[PolicyEvent], list[PolicyAction]], None]
+Scheduled = PolicyEvent | Callable[[], list[PolicyEvent]]
 #: Types whose name in recorded streams differs from their own: streams of every version are read.
 RECORDED_NAMES: dict[type, str] = {
     CallInFlight: "CallOut",
@@ -56,7 +58,7 @@
 
 
 def recorded_name(of: Any) -> str:  # noqa: ANN401
-    """The name of a type in a recorded stream."""
+    """Return the name of a type in a recorded stream."""
     return RECORDED_NAMES.get(of) or str(of.__name__)
 
 
@@ -122,26 +124,28 @@
 
 @dataclass(frozen=True)
 class StreamShape:
-    """A world's size and troubles. Times in us, rates per second of module time."""
+    """The size and the faults of a world; rates are per second of module time."""
 
     destinations: int = 6
     rate: float = 60.0
     seconds: float = 20.0
     keys: int = 12  # 0: none
-    moody: float = 0.3  # share of the destinations that are in trouble at a time
-    mood: float = 3.0  # s that a mood lasts on the average
-    down: int = 0  # so many destinations are shut for good
-    lists: float = 0.5  # changes of the list a second
-    withdrawn: float = 0.01  # share of the messages that are called off
+    fault_share: float = 0.3  # probability that a behavior that changes becomes a faulty one
+    behavior_seconds: float = 3.0  # mean duration of a behavior, s
+    down: int = 0  # destinations that refuse connections all the time
+    list_change_rate: float = 0.5
+    withdrawn_share: float = 0.01  # share of the messages that are withdrawn
     settings: dict[str, Any] = field(default_factory=dict)
 
 
 class StreamWorld:
-    """Run it with the module's `handle`; `heard` is told each call with its answer."""
+    """A world of destinations and messages in module time, in microseconds."""
 
     def __init__(self, shape: StreamShape, seed: int) -> None:
-        self.shape, self.rng = shape, random.Random(seed)
-        told: dict[str, Any] = {
+        """Create a world whose every draw comes from `seed`."""
+        self.shape = shape
+        self.rng = random.Random(seed)
+        settings: dict[str, Any] = {
             "classes": CLASSES,
             "kinds": (("plain", DestinationKind()), ("apart", DestinationKind(has_separate_routes=True))),
             "slots": 24, "max_open": 120, "max_attempts": 6, "zone": "z0", "tick": 5 * MS, "fleet_size": 3,
@@ -149,83 +153,96 @@
             "announces_rates": True, "max_retry_after": 2 * SECOND, "key_pause": 100 * MS,
             "acknowledges_completions": True,
         }  # fmt: skip
-        self.settings = Settings(**told | shape.settings)
-        self.now, self.count = 0, itertools.count()
-        self.queue: list[tuple[int, int, PolicyEvent | Callable[[], list[PolicyEvent]]]] = []
-        self.endpoints = {each.id: each for n in range(shape.destinations) for each in self.places(n)}
-        self.moods: dict[int, DestinationBehavior] = dict.fromkeys(
+        self.settings = Settings(**settings | shape.settings)
+        self.now = 0
+        self.count = itertools.count()
+        self.queue: list[tuple[int, int, Scheduled]] = []
+        self.endpoints = {each.id: each for n in range(shape.destinations) for each in self.list_endpoints(n)}
+        self.behaviors: dict[int, DestinationBehavior] = dict.fromkeys(
             range(shape.down), DestinationBehavior.SHUT
         )
-        self.out: set[tuple[str, int]] = set()
-        self.told: Counter[str] = Counter()
+        self.in_flight: set[tuple[str, int]] = set()
+        self.action_counts: Counter[str] = Counter()
 
-    def places(self, number: int) -> Iterator[Endpoint]:
+    def list_endpoints(self, number: int) -> Iterator[Endpoint]:
+        """Yield the endpoints of a destination."""
         kind = "apart" if number % 4 == 0 else "plain"
         for each in range(1 + number % 3):
             name = f"e{number}-{each}"
             yield Endpoint(name, number, EndpointState.READY, kind, f"z{each}", 5.0 + number % 7)
 
-    def at(self, delay: float, what: "PolicyEvent | Callable[[], list[PolicyEvent]]") -> None:
+    def schedule(self, delay: float, what: Scheduled) -> None:
+        """Schedule an event, or a function that returns events, after `delay` in us."""
         heapq.heappush(self.queue, (self.now + max(int(delay), 0), next(self.count), what))
 
-    def run(
-        self, handle: Handle, heard: Callable[[int, list[PolicyEvent], list[PolicyAction]], None]
-    ) -> None:
-        self.at(0, EndpointsUpdated(ListingKind.FULL, tuple(self.endpoints.values())))
-        self.at(0, self.arrive)
-        for what, rate in ((self.change_list, self.shape.lists), (self.change_mood, self.shape.moody)):
+    def run(self, handle: Handle, observe: Observer) -> None:
+        """Run the world with the module's `handle`, and report each call to `observe`."""
+        self.schedule(0, EndpointsUpdated(ListingKind.FULL, tuple(self.endpoints.values())))
+        self.schedule(0, self.arrive)
+        for what, rate in (
+            (self.change_list, self.shape.list_change_rate),
+            (self.change_behaviors, self.shape.fault_share),
+        ):
             if rate:
-                self.at(SECOND, what)
+                self.schedule(SECOND, what)
         while self.queue and self.queue[0][0] < self.shape.seconds * SECOND:
-            self.now = -(-self.queue[0][0] // MS) * MS  # events of one millisecond come together
+            self.now = -(-self.queue[0][0] // MS) * MS  # events of one millisecond are delivered together
             events: list[PolicyEvent] = []
             while self.queue and self.queue[0][0] <= self.now:
                 event = heapq.heappop(self.queue)[2]
-                events += self.still(event) if isinstance(event, PolicyEvent) else event()
+                events += self.if_current(event) if isinstance(event, PolicyEvent) else event()
             actions = handle(self.now, events)
-            heard(self.now, events, actions)
+            observe(self.now, events, actions)
             for action in actions:
-                self.act(action)
+                self.apply(action)
 
-    def still(self, event: PolicyEvent) -> list[PolicyEvent]:
+    def if_current(self, event: PolicyEvent) -> list[PolicyEvent]:
+        """Return the event, unless it ends an attempt that has already ended."""
         if isinstance(event, AttemptEnded):
-            if (event.message, event.attempt) not in self.out:
+            if (event.message, event.attempt) not in self.in_flight:
                 return []
-            self.out.discard((event.message, event.attempt))
+            self.in_flight.discard((event.message, event.attempt))
         return [event]
 
     def arrive(self) -> list[PolicyEvent]:
-        shape, rng, number = self.shape, self.rng, next(self.count)
-        self.at(rng.expovariate(shape.rate) * SECOND, self.arrive)
-        kind = rng.choice(CLASSES)
-        if rng.random() < shape.withdrawn:
-            self.at(rng.uniform(0, SECOND), MessageWithdrawn(f"m{number}"))
+        """Return the acceptance of a new message, and schedule the next one."""
+        shape = self.shape
+        rng = self.rng
+        number = next(self.count)
+        self.schedule(rng.expovariate(shape.rate) * SECOND, self.arrive)
+        message_class = rng.choice(CLASSES)
+        if rng.random() < shape.withdrawn_share:
+            self.schedule(rng.uniform(0, SECOND), MessageWithdrawn(f"m{number}"))
         return [
             MessageAccepted(
                 message=f"m{number}",
-                message_class=kind.name,
+                message_class=message_class.name,
                 destination=int(shape.destinations * rng.random() ** 2),
-                time_left_us=kind.deadline - rng.choice((0, rng.randrange(kind.deadline // 2))),
+                time_left_us=message_class.deadline
+                - rng.choice((0, rng.randrange(message_class.deadline // 2))),
                 tenant=f"t{rng.randrange(3)}",
                 key=f"k{rng.randrange(shape.keys)}" if shape.keys else "",
             )
         ]
 
-    def change_mood(self) -> list[PolicyEvent]:
-        shape, rng = self.shape, self.rng
-        free = range(shape.down, shape.destinations)
-        for each in free:
-            if rng.random() < 1 / shape.mood:
-                bad = rng.random() < shape.moody
-                self.moods[each] = (
-                    rng.choice(list(DestinationBehavior)) if bad else DestinationBehavior.SERVES
-                )
-        self.at(SECOND, self.change_mood)
+    def change_behaviors(self) -> list[PolicyEvent]:
+        """Change the behavior of some destinations; no events follow at once."""
+        shape = self.shape
+        rng = self.rng
+        for destination in range(shape.down, shape.destinations):
+            if rng.random() >= 1 / shape.behavior_seconds:
+                continue
+            behavior = DestinationBehavior.SERVES
+            if rng.random() < shape.fault_share:
+                behavior = rng.choice(list(DestinationBehavior))
+            self.behaviors[destination] = behavior
+        self.schedule(SECOND, self.change_behaviors)
         return []
 
     def change_list(self) -> list[PolicyEvent]:
+        """Return a change of the endpoint list, or the full list, and schedule the next one."""
         rng = self.rng
-        self.at(rng.expovariate(self.shape.lists) * SECOND, self.change_list)
+        self.schedule(rng.expovariate(self.shape.list_change_rate) * SECOND, self.change_list)
         if rng.random() < 0.1:
             ready = tuple(each for each in self.endpoints.values() if each.state is EndpointState.READY)
             return [EndpointsUpdated(ListingKind.FULL, ready)]
@@ -234,83 +251,94 @@
         self.endpoints[name] = changed = dataclasses.replace(self.endpoints[name], state=state)
         return [EndpointsUpdated(ListingKind.CHANGES, (changed,))]
 
-    def act(self, action: PolicyAction) -> None:
-        self.told[type(action).__name__] += 1
+    def apply(self, action: PolicyAction) -> None:
+        """Schedule the events that an action causes."""
+        self.action_counts[type(action).__name__] += 1
         match action:
             case Send():
-                self.out.add((action.message, action.attempt))
+                self.in_flight.add((action.message, action.attempt))
                 self.call(action)
             case CancelAttempt(message, attempt):
-                self.at(MS, AttemptEnded(message, attempt, Outcome.CANCELLED))
+                self.schedule(MS, AttemptEnded(message, attempt, Outcome.CANCELLED))
             case Reject(message) | Fail(message):
-                self.at(2 * MS, EndAcknowledged(message))
+                self.schedule(2 * MS, EndAcknowledged(message))
             case WakeAfter(delay):
-                self.at(delay, WakeUp())
+                self.schedule(delay, WakeUp())
 
     def call(self, send: Send) -> None:
-        rng, mood = (
-            self.rng,
-            self.moods.get(self.endpoints[send.endpoint].destination, DestinationBehavior.SERVES),
-        )
-        took, outcome, wait = rng.expovariate(1 / 60) * MS + 10 * MS, Outcome.OK, 0
-        if mood is DestinationBehavior.REFUSES and rng.random() < 0.8:
+        """Schedule the end of an attempt by the behavior of its destination."""
+        rng = self.rng
+        destination = self.endpoints[send.endpoint].destination
+        behavior = self.behaviors.get(destination, DestinationBehavior.SERVES)
+        took = rng.expovariate(1 / 60) * MS + 10 * MS
+        outcome = Outcome.OK
+        wait = 0
+        if behavior is DestinationBehavior.REFUSES and rng.random() < 0.8:
             took, outcome, wait = 8 * MS, Outcome.FULL, rng.choice((0, 200 * MS, SECOND))
-        elif mood is DestinationBehavior.SHUT:
+        elif behavior is DestinationBehavior.SHUT:
             took, outcome = 3 * MS, Outcome.CONNECT_FAILED
-        elif mood is DestinationBehavior.ERRS and rng.random() < 0.8:
+        elif behavior is DestinationBehavior.ERRS and rng.random() < 0.8:
             outcome = rng.choice((Outcome.ERROR, Outcome.MALFORMED, Outcome.RESET, Outcome.STALE))
-        elif mood is DestinationBehavior.SLOW:
+        elif behavior is DestinationBehavior.SLOW:
             took *= 30
-        if mood is DestinationBehavior.SILENT or took >= send.timeout_us:
+        if behavior is DestinationBehavior.SILENT or took >= send.timeout_us:
             took, outcome = send.timeout_us, Outcome.TIMEOUT
         ended = AttemptEnded(send.message, send.attempt, outcome, outcome is Outcome.OK, wait)
-        self.at(took, ended)
+        self.schedule(took, ended)
 
 
-# The record: JSON lines, the settings first, then one line a call of the module.
+# The record: JSON lines, the settings first, then one line for each call of the module.
 
 
-def plain(value: Any) -> Any:  # noqa: ANN401
+def encode(value: Any) -> Any:  # noqa: ANN401
+    """Return a value of the module's interface as JSON values, under its recorded names."""
     if isinstance(value, Enum):
         return {"is": recorded_name(type(value)), "value": value.value}
     if dataclasses.is_dataclass(value) and not isinstance(value, type):
         fields = {
-            RECORDED_FIELDS.get(each.name, each.name): plain(getattr(value, each.name))
+            RECORDED_FIELDS.get(each.name, each.name): encode(getattr(value, each.name))
             for each in dataclasses.fields(value)
         }
         return {"is": recorded_name(type(value)), **fields}
-    return [plain(each) for each in value] if isinstance(value, tuple | list) else value
+    return [encode(each) for each in value] if isinstance(value, tuple | list) else value
+
 
+def decode(recorded: Any) -> Any:  # noqa: ANN401
+    """Return the value that JSON values stand for.
 
-def unplain(told: Any) -> Any:  # noqa: ANN401
-    """Raises KeyError for a type that the interface does not have."""
-    if isinstance(told, list):
-        return tuple(unplain(each) for each in told)
-    if not isinstance(told, dict):
-        return told
-    fields = {FIELDS.get(name, name): unplain(each) for name, each in told.items() if name != "is"}
-    return TYPES[told["is"]](**{str(name): value for name, value in fields.items()})
+    Raises:
+        KeyError: If the interface has no type of a recorded name.
+    """
+    if isinstance(recorded, list):
+        return tuple(decode(each) for each in recorded)
+    if not isinstance(recorded, dict):
+        return recorded
+    fields = {FIELDS.get(name, name): decode(each) for name, each in recorded.items() if name != "is"}
+    return TYPES[recorded["is"]](**{str(name): value for name, value in fields.items()})
 
 
 class Recorder:
-    """Writes what a module is told and says; wrap its `handle` with it."""
+    """Records the calls of a module; it is called in place of the module's `handle`."""
 
     def __init__(self, out: IO[str], settings: Settings, seed: int, handle: Handle) -> None:
-        self.out, self.handle = out, handle
-        print(json.dumps({"settings": plain(settings), "seed": seed}), file=out)
+        """Write the settings and the seed of the stream to `out`."""
+        self.out = out
+        self.handle = handle
+        print(json.dumps({"settings": encode(settings), "seed": seed}), file=out)
 
     def __call__(self, now: int, events: list[PolicyEvent]) -> list[PolicyAction]:
+        """Call the module, record its events and actions, and return the actions."""
         actions = self.handle(now, events)
-        line = {"now": now, "events": plain(events), "actions": plain(actions)}
+        line = {"now": now, "events": encode(events), "actions": encode(actions)}
         print(json.dumps(line, separators=(",", ":")), file=self.out)
         return actions
 
 
 def read(source: Iterable[str]) -> Iterator[Any]:
-    """First the settings and the seed, then each call: time, events, actions."""
+    """Yield the settings and the seed of a record, then the time, events and actions of each call."""
     lines = iter(source)
     head = json.loads(next(lines))
-    yield unplain(head["settings"]), head["seed"]
+    yield decode(head["settings"]), head["seed"]
     for line in lines:
-        told = json.loads(line)
-        yield told["now"], list(unplain(told["events"])), list(unplain(told["actions"]))
+        call = json.loads(line)
+        yield call["now"], list(decode(call["events"])), list(decode(call["actions"]))
--- a/message_sender/testbed/grpc.py
+++ b/message_sender/testbed/grpc.py
@@ -1,7 +1,7 @@
-"""A stand-in endpoint that speaks gRPC, by the same script as the HTTP one. Needs the extra `grpc`.
+"""A stand-in endpoint that speaks gRPC and follows the same scripts as the HTTP one.
 
-It answers any unary method with the request's own bytes. RESET cancels the call at the server after the
-request has come; STALL holds it until the sender gives it up.
+Needs the extra `grpc`. It answers any unary method with the bytes of the request. RESET aborts the call at
+the server once the request has been received; STALL keeps it open until the sender gives it up.
 """
 
 import asyncio
@@ -16,68 +16,81 @@
 
 
 class GrpcEndpoint(grpc.GenericRpcHandler):
+    """A stand-in endpoint; an async context manager that listens within its block."""
+
     def __init__(self, name: str, script: Script, history: History, port: int = 0) -> None:
-        self.name, self.script, self.history, self.port = name, script, history, port
-        self.metadata: dict[str, tuple[tuple[str, Any], ...]] = {}  # of the last call of each message
-        self.methods: dict[str, str] = {}
+        """Create an endpoint; on port 0 the system chooses a free one."""
+        self.name = name
+        self.script = script
+        self.history = history
+        self.port = port
+        self.metadata: dict[str, tuple[tuple[str, Any], ...]] = {}  # of the last call, by message
+        self.methods: dict[str, str] = {}  # of the last call, by message
 
     async def __aenter__(self) -> Self:
+        """Start to listen."""
         await self.start()
         return self
 
     async def __aexit__(self, *_: object) -> None:
+        """Stop without a grace period."""
         await self.stop()
 
     async def start(self) -> None:
+        """Start to listen, on the same port as before if there was one."""
         self.server = grpc.aio.server(options=[("grpc.so_reuseport", 0)])
         self.server.add_generic_rpc_handlers((self,))
         self.port = self.server.add_insecure_port(f"127.0.0.1:{self.port}")
         await self.server.start()
 
     async def stop(self, grace: float | None = None) -> None:
-        """As when the process ends; with a `grace`, a GOAWAY first."""
+        """Stop as when the process ends; with a grace period (s) send a GOAWAY first."""
         await self.server.stop(grace)
-        # Collected now: the library ends it once more then, and needs the running loop for that.
+        # The library stops the server again when it is collected, which needs the running loop.
         del self.server
 
     def service(self, handler_call_details: Any) -> grpc.RpcMethodHandler:  # noqa: ANN401
+        """Return the handler for any method."""
         method = handler_call_details.method
 
         async def answer(request: bytes, context: grpc.aio.ServicerContext) -> bytes:
-            return await self.called(method, request, context)
+            return await self.handle_call(method, request, context)
 
         return grpc.unary_unary_rpc_method_handler(answer)
 
-    async def called(self, method: str, request: bytes, context: grpc.aio.ServicerContext) -> bytes:
+    async def handle_call(self, method: str, request: bytes, context: grpc.aio.ServicerContext) -> bytes:
+        """Answer one call by the script and record it."""
         metadata = tuple(context.invocation_metadata() or ())
-        name = str(dict(metadata).get(PREFIX + "id", ""))
-        self.metadata[name], self.methods[name] = metadata, method
-        call = self.history.began(name, self.name)
-        act = self.script.next(name)
+        message = str(dict(metadata).get(PREFIX + "id", ""))
+        self.metadata[message] = metadata
+        self.methods[message] = method
+        call = self.history.record_start(message, self.name)
+        answer = self.script.next_answer(message)
         try:
-            return await self.play(act, call, request, context)
+            return await self.answer_call(answer, call, request, context)
         except asyncio.CancelledError:
-            self.history.over(call, EffectApplied.MAYBE)
+            self.history.record_end(call, EffectApplied.MAYBE)
             raise
 
-    async def play(
-        self, act: ScriptedAnswer, call: int, request: bytes, context: grpc.aio.ServicerContext
+    async def answer_call(
+        self, answer: ScriptedAnswer, call: int, request: bytes, context: grpc.aio.ServicerContext
     ) -> bytes:
-        match act.does:
+        """Record the end of a call and return or abort it as scripted."""
+        match answer.behavior:
             case EndpointBehavior.SERVE:
-                if act.seconds:
-                    await asyncio.sleep(act.seconds)
-                self.history.over(call, EffectApplied.YES)
+                if answer.seconds:
+                    await asyncio.sleep(answer.seconds)
+                self.history.record_end(call, EffectApplied.YES)
                 return request
             case EndpointBehavior.FULL:
-                self.history.over(call, EffectApplied.NEVER, act.seconds)
-                trailers = retry.trailers(grpc.StatusCode.UNAVAILABLE, "full", act.seconds)
+                self.history.record_end(call, EffectApplied.NEVER, answer.seconds)
+                trailers = retry.trailers(grpc.StatusCode.UNAVAILABLE, "full", answer.seconds)
                 await context.abort(grpc.StatusCode.UNAVAILABLE, "full", trailers)
             case EndpointBehavior.ERROR:
-                self.history.over(call, EffectApplied.YES)
+                self.history.record_end(call, EffectApplied.YES)
                 await context.abort(grpc.StatusCode.INTERNAL, "error")
             case EndpointBehavior.RESET:
-                self.history.over(call, EffectApplied.MAYBE)
+                self.history.record_end(call, EffectApplied.MAYBE)
                 await context.abort(grpc.StatusCode.UNAVAILABLE, "broken off")
             case _:
                 await asyncio.get_running_loop().create_future()
--- a/message_sender/testbed/history.py
+++ b/message_sender/testbed/history.py
@@ -1,6 +1,6 @@
-"""What went over the sockets, as the stand-ins saw it: the referee's only evidence.
+"""The history of a run as the stand-ins on the sockets observed it: the only input of the history checker.
 
-Times are seconds of one monotonic clock, in the order in which they were noted.
+Times are in seconds of one monotonic clock.
 """
 
 import time
@@ -10,29 +10,29 @@
 
 
 class EffectApplied(Enum):
-    """What the endpoint knows of a call's effect."""
+    """Whether a call had its effect, as far as the endpoint knows."""
 
     YES = "yes"
-    MAYBE = "maybe"  # it broke off after the last byte, or was given up
+    MAYBE = "maybe"  # the connection ended after the last byte, or the sender gave the call up
     NEVER = "never"
 
 
 @dataclass(frozen=True, slots=True)
 class MessageAdmitted:
-    """The sender has said that it takes a message on."""
+    """The sender has admitted a message."""
 
     at: float
     message: str
     kind: str
     destination: int
-    until: float  # when its time is up
+    until: float  # its deadline
     key: str = ""
     sender: str = ""
 
 
 @dataclass(frozen=True, slots=True)
 class MessageRejected:
-    """The sender has turned a message away; nothing of it may run."""
+    """The sender has rejected a message: no call for it may follow."""
 
     at: float
     message: str
@@ -40,13 +40,13 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptStarted:
-    """A call's last byte has come to an endpoint."""
+    """An endpoint has received the last byte of a call."""
 
     at: float
     message: str
     endpoint: str
-    call: int  # its own number
-    sender: str = ""  # who called, where there are several
+    call: int  # the number of the call
+    sender: str = ""  # the caller, where there are several
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,12 +56,12 @@
     at: float
     call: int
     ran: EffectApplied
-    wait: float = 0.0  # s that the answer told
+    wait: float = 0.0  # the Retry-After of the answer, s
 
 
 @dataclass(frozen=True, slots=True)
 class MessageCompleted:
-    """The final answer of a message has been heard: `delivered`, `refused`, `failed` or `withdrawn`."""
+    """The sender has completed a message as `delivered`, `refused`, `failed` or `withdrawn`."""
 
     at: float
     message: str
@@ -70,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointDrained:
-    """The sender has been told that an endpoint drains or is gone."""
+    """The sender has been notified that an endpoint drains or is removed."""
 
     at: float
     endpoint: str
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointRestored:
-    """The sender has been told that an endpoint, which drained or was gone, is there again."""
+    """The sender has been notified that a drained or removed endpoint is ready again."""
 
     at: float
     endpoint: str
@@ -88,23 +88,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Outage:
-    """A destination was down, silent or failing from `at` to `until`."""
+    """A destination was down, silent or failing from `at` to `until`.
+
+    `seen_by` holds the senders that saw a call fail meanwhile; empty means any of them.
+    """
 
     at: float
     until: float
     destination: int
-    seen_by: frozenset[str] = (
-        frozenset()
-    )  # the senders that saw a call fail there meanwhile; none: any of them
+    seen_by: frozenset[str] = frozenset()
 
 
 @dataclass(frozen=True, slots=True)
 class SenderRestarted:
-    """A sender has come up again; calls of its own that were out before have no known fate."""
+    """A sender has restarted: the outcome of its calls in flight before is unknown."""
 
     at: float
     sender: str = ""
-    back: float = 0.0  # when it was up again, where it was down for a while
+    back: float = 0.0  # when it was up again, if it was down for some time
 
 
 HistoryEvent = (
@@ -122,30 +123,34 @@
 
 @dataclass(slots=True)
 class History:
-    """Notes events as they come."""
+    """The events of a run, in the order in which they were observed."""
 
     clock: Callable[[], float] = time.monotonic
     events: list[HistoryEvent] = field(default_factory=list)
     calls: int = 0
 
-    def note(self, event: HistoryEvent) -> None:
+    def record(self, event: HistoryEvent) -> None:
+        """Append an event."""
         self.events.append(event)
 
-    def began(self, message: str, endpoint: str, sender: str = "") -> int:
-        """A call has come whole; its number."""
+    def record_start(self, message: str, endpoint: str, sender: str = "") -> int:
+        """Record a call that an endpoint received in full, and return the call's number."""
         self.calls += 1
-        self.note(AttemptStarted(self.clock(), message, endpoint, self.calls, sender))
+        self.record(AttemptStarted(self.clock(), message, endpoint, self.calls, sender))
         return self.calls
 
-    def over(self, call: int, ran: EffectApplied, wait: float = 0.0) -> None:
-        self.note(AttemptFinished(self.clock(), call, ran, wait))
+    def record_end(self, call: int, effect: EffectApplied, wait: float = 0.0) -> None:
+        """Record the end of a call; `wait` is the Retry-After of its answer in seconds."""
+        self.record(AttemptFinished(self.clock(), call, effect, wait))
 
 
-def most_in(times: Iterable[float], span: float) -> int:
-    """The most of these in any span, which holds its beginning and not its end."""
-    in_order, first, found = sorted(times), 0, 0
+def max_count_within(times: Iterable[float], span: float) -> int:
+    """Return the most of these times in any half-open interval of length `span`."""
+    in_order = sorted(times)
+    first = 0
+    max_count = 0
     for last, at in enumerate(in_order):
         while in_order[first] <= at - span:
             first += 1
-        found = max(found, last - first + 1)
-    return found
+        max_count = max(max_count, last - first + 1)
+    return max_count
--- a/message_sender/testbed/history_checker.py
+++ b/message_sender/testbed/history_checker.py
@@ -1,22 +1,22 @@
-"""The referee: judges a history of what went over the sockets by the six rules.
-
-Pure; it trusts no sender's word.
-
-The rules, as the project's terms have them:
-
-1. *one end*: each message that was taken on has exactly one final answer, no later than its time and `late`;
-   where its sender is down then, than that one's return and `late`.
-2. *no effect twice*: once a call may have run, another may go only if the class allows it: any time if it is
-   safe, within the window of the first such call if it is keyed (and in the same zone, where that counts),
-   never if it is unsafe. A refusal promises that trying again is harmless, and binds likewise.
-3. *one at a time*: never two calls of one message at once.
-4. *drains*: no new call to an endpoint `grace` after the sender was told.
-5. *cold*: after an outage a destination gets no more than `push` times what it can take while it warms up,
-   for no longer than `push_for`, unless most of it came from senders that knew of no outage.
-6. *order*: calls of one key go in the order in which their messages were taken, one message after the other,
-   and `quiet` after a call that may have run without an answer.
-7. *waits*: no call to a destination while a wait lasts that it told, but for those within `crossing` of the
-   word; a restart ends it.
+"""The history checker: judges what went over the sockets by the rules of delivery.
+
+It is pure and uses nothing that a sender reports about itself. Its rules:
+
+1. *one end*: each admitted message is completed exactly once, at the latest `late_tolerance` after its
+   deadline, or after the return of its sender if that was down at the deadline.
+2. *no effect twice*: once a call may have had its effect, another is sent only if the class allows it: always
+   if it is idempotent, within the window of the first such call if it is keyed (and in the same zone if its
+   window is zonal), never if it is unsafe. The completion `refused` asserts that a repetition is harmless and
+   is judged alike.
+3. *one at a time*: a message never has two calls at once.
+4. *drains*: no call to an endpoint starts later than `drain_grace` after the sender was notified.
+5. *cold*: after an outage a destination receives at most `max_overload` times what it can take during its
+   slow start, measured over `overload_interval`, unless most of the calls came from senders that did not see
+   the outage.
+6. *order*: the calls of one ordering key follow the order in which its messages were admitted, one message
+   after the other, and not before `key_pause` after a call that may have had its effect without an answer.
+7. *waits*: no call goes to a destination before the Retry-After that it sent is over, except within
+   `retry_after_grace` of the answer. A restart of the sender ends the wait.
 """
 
 import itertools
@@ -41,257 +41,370 @@
 )
 
 NEVER = float("inf")
+Interval = tuple[float, float]
 
 
 @dataclass(frozen=True, slots=True)
 class ClassRule:
+    """What the class of a message allows; `idempotency_window` is in seconds."""
+
     effect: Effect = Effect.IDEMPOTENT
-    window: float = 0.0  # s
-    by_zone: bool = False
-    in_order: bool = False
+    idempotency_window: float = 0.0
+    is_zonal: bool = False
+    is_ordered: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """Figures in seconds. Each tolerance is what a loopback socket and a busy machine add to a rule."""
-
-    kinds: dict[str, ClassRule]
-    zones: dict[str, str] = field(default_factory=dict)  # endpoint -> zone
-    destinations: dict[str, int] = field(default_factory=dict)  # endpoint -> destination
-    capacity: dict[int, float] = field(default_factory=dict)  # destination -> calls a second when warm
-    late: float = 0.35
-    grace: float = 0.55
-    quiet: float = 0.1
-    slack: float = 0.01  # s by which two stand-ins may see one instant apart
-    crossing: float = 0.1
-    cold: float = 13.0
-    cold_from: float = 0.2
-    push: float = 2.0
-    push_for: float = 1.5
+    """The figures of the rules, in seconds.
+
+    Each tolerance is what loopback sockets and a busy machine add to a rule.
+
+    Attributes:
+        classes: The rule of each class.
+        zones: The zone of each endpoint.
+        destinations: The destination of each endpoint.
+        capacity: The calls a second that each destination can take when it is warm.
+        late_tolerance: How late a message may be completed.
+        drain_grace: How long calls to a drained endpoint may still start.
+        key_pause: How long a key pauses after a call without an answer.
+        clock_tolerance: How far two stand-ins may differ in the time of one instant.
+        retry_after_grace: How long after a Retry-After calls may still start.
+        slow_start: How long a destination takes to warm up.
+        slow_start_from: The share of its capacity with which a destination starts.
+        max_overload: How many times its present capacity a destination may receive.
+        overload_interval: The interval over which that is measured.
+    """
+
+    classes: dict[str, ClassRule]
+    zones: dict[str, str] = field(default_factory=dict)
+    destinations: dict[str, int] = field(default_factory=dict)
+    capacity: dict[int, float] = field(default_factory=dict)
+    late_tolerance: float = 0.35
+    drain_grace: float = 0.55
+    key_pause: float = 0.1
+    clock_tolerance: float = 0.01
+    retry_after_grace: float = 0.1
+    slow_start: float = 13.0
+    slow_start_from: float = 0.2
+    max_overload: float = 2.0
+    overload_interval: float = 1.5
 
 
 @dataclass(frozen=True, slots=True)
 class Violation:
+    """A rule that was broken, when, and how."""
+
     rule: str
     at: float
     text: str
 
 
+@dataclass(frozen=True, slots=True)
+class Overload:
+    """Too many calls in the interval that starts at `at`."""
+
+    at: float
+    calls: int
+
+
 @dataclass(slots=True)
 class ObservedCall:
-    began: AttemptStarted
-    over: AttemptFinished | None = None
-    cut: float | None = None  # a restart came while it was out
+    """A call and its end, as far as they were observed.
+
+    Attributes:
+        start: Its start.
+        finish: Its end, if there was one.
+        restarted_at: When its sender restarted while it was in flight, if that happened.
+    """
+
+    start: AttemptStarted
+    finish: AttemptFinished | None = None
+    restarted_at: float | None = None
 
     def end(self) -> float:
-        """When it was over for the sender; never, as far as is known."""
-        if self.over:
-            return self.over.at
-        return self.cut if self.cut is not None else float("inf")
+        """Return when it was over for the sender; NEVER if that was not observed."""
+        if self.finish:
+            return self.finish.at
+        return self.restarted_at if self.restarted_at is not None else NEVER
 
     def may_have_run(self) -> bool:
-        return self.over is None or self.over.ran is not EffectApplied.NEVER
+        """Return whether it may have had its effect."""
+        return self.finish is None or self.finish.ran is not EffectApplied.NEVER
 
 
 class HistoryChecker:
+    """Checks one history."""
+
     def __init__(self, rules: Rules) -> None:
+        """Create a checker without events."""
         self.rules = rules
-        self.breaches: list[Violation] = []
-        self.taken: dict[str, MessageAdmitted] = {}
-        self.ends: dict[str, list[MessageCompleted]] = defaultdict(list)
-        self.refused: dict[str, MessageRejected] = {}
+        self.violations: list[Violation] = []
+        self.admitted: dict[str, MessageAdmitted] = {}
+        self.rejected: dict[str, MessageRejected] = {}
+        self.completed: dict[str, list[MessageCompleted]] = defaultdict(list)
         self.calls: dict[int, ObservedCall] = {}
-        self.of: dict[str, list[ObservedCall]] = defaultdict(list)
-        self.drains: dict[tuple[str, str], float] = {}  # endpoint, and who was told
-        self.past_drains: dict[tuple[str, str], list[tuple[float, float]]] = defaultdict(list)
+        self.calls_of: dict[str, list[ObservedCall]] = defaultdict(list)  # by message
+        # By endpoint and notified sender:
+        self.drained_at: dict[tuple[str, str], float] = {}
+        self.past_drains: dict[tuple[str, str], list[Interval]] = defaultdict(list)
         self.outages: list[Outage] = []
-        self.restarts: dict[str, list[float]] = defaultdict(list)  # of each sender
-        self.downs: dict[str, list[tuple[float, float]]] = defaultdict(list)
+        self.restarts: dict[str, list[float]] = defaultdict(list)  # by sender
+        self.downtimes: dict[str, list[Interval]] = defaultdict(list)  # by sender
+
+    def check(self, events: Iterable[HistoryEvent], until: float | None = None) -> list[Violation]:
+        """Check every rule.
 
-    def judge(self, events: Iterable[HistoryEvent], until: float | None = None) -> list[Violation]:
-        """All breaches, in the order of the rules. `until` is when the history ends, its last event's time
-        otherwise: a message whose time is not up by then owes nothing yet."""
-        last = 0.0
+        Args:
+            events: The history.
+            until: When the history ends, by default with its latest event. A message whose deadline is later
+                need not be completed.
+
+        Returns:
+            All violations, in the order of the rules.
+        """
+        latest = 0.0
         for event in events:
-            last = max(last, event.at)
-            self.read(event)
-        self.one_end(last if until is None else until)
-        for name, calls in self.of.items():
-            self.no_effect_twice(name, calls)
-            self.one_at_a_time(name, calls)
-        self.kept_drains()
-        self.not_pushed_over()
-        self.order()
-        self.waits()
-        return self.breaches
-
-    def read(self, event: HistoryEvent) -> None:
+            latest = max(latest, event.at)
+            self.add_event(event)
+        self.check_completions(latest if until is None else until)
+        for message, calls in self.calls_of.items():
+            self.check_repeated_effects(message, calls)
+            self.check_concurrent_calls(message, calls)
+        self.check_drains()
+        self.check_slow_starts()
+        self.check_order()
+        self.check_waits()
+        return self.violations
+
+    def add_event(self, event: HistoryEvent) -> None:
+        """Add an event to what is checked."""
         match event:
             case MessageAdmitted():
-                self.taken.setdefault(event.message, event)
+                self.admitted.setdefault(event.message, event)
             case MessageRejected():
-                self.refused[event.message] = event
+                self.rejected[event.message] = event
+            case MessageCompleted():
+                self.completed[event.message].append(event)
             case AttemptStarted():
                 call = self.calls[event.call] = ObservedCall(event)
-                self.of[event.message].append(call)
+                self.calls_of[event.message].append(call)
             case AttemptFinished():
-                self.calls[event.call].over = event
-            case MessageCompleted():
-                self.ends[event.message].append(event)
+                self.calls[event.call].finish = event
             case EndpointDrained():
-                self.drains.setdefault((event.endpoint, event.sender), event.at)
+                self.drained_at.setdefault((event.endpoint, event.sender), event.at)
             case EndpointRestored():
-                if (told := self.drains.pop((event.endpoint, event.sender), None)) is not None:
-                    self.past_drains[event.endpoint, event.sender].append((told, event.at))
+                self.end_drain(event)
             case Outage():
                 self.outages.append(event)
             case SenderRestarted():
-                self.restarts[event.sender].append(event.at)
-                self.downs[event.sender].append((event.at, event.back))
-                for each in self.calls.values():
-                    if each.over is None and each.cut is None and each.began.sender == event.sender:
-                        each.cut = event.at
-
-    def breach(self, rule: str, at: float, text: str) -> None:
-        self.breaches.append(Violation(rule, at, text))
-
-    def one_end(self, last: float) -> None:
-        for name, taken in self.taken.items():
-            ends = self.ends.get(name, [])
-            if len(ends) > 1:
-                self.breach("one end", ends[1].at, f"{name} ended {' and '.join(x.state for x in ends)}")
-            until = self.due(taken)
-            if not ends and last > until + self.rules.late:
-                self.breach("one end", taken.until, f"{name} has no final answer")
-            if ends and ends[0].at > until + self.rules.late:
-                self.breach("one end", ends[0].at, f"{name} ended {ends[0].at - taken.until:.3f} s late")
-            if ends and ends[0].state == "delivered" and not any(x.may_have_run() for x in self.of[name]):
-                self.breach("one end", ends[0].at, f"{name} is said to be delivered, and no call ran")
-        for name in self.refused:
-            if name not in self.taken and self.of.get(name):
-                self.breach("one end", self.refused[name].at, f"{name} was turned away, and called for")
-
-    def due(self, taken: MessageAdmitted) -> float:
-        """When its end is due: a sender that is down as its time is up tells it as it comes back."""
-        until = taken.until
-        for at, back in sorted(self.downs[taken.sender]):
-            until = back if at <= until < back else until
-        return until
-
-    def kind_of(self, name: str) -> ClassRule:
-        taken = self.taken.get(name)
-        return self.rules.kinds.get(taken.kind, ClassRule()) if taken else ClassRule()
-
-    def no_effect_twice(self, name: str, calls: list[ObservedCall]) -> None:
-        kind = self.kind_of(name)
-        if kind.effect is Effect.IDEMPOTENT:
+                self.add_restart(event)
+
+    def end_drain(self, event: EndpointRestored) -> None:
+        """Close the interval of a drain, if there was one."""
+        key = (event.endpoint, event.sender)
+        drained_at = self.drained_at.pop(key, None)
+        if drained_at is not None:
+            self.past_drains[key].append((drained_at, event.at))
+
+    def add_restart(self, event: SenderRestarted) -> None:
+        """Add a restart, which ends what the sender knew of its calls in flight."""
+        self.restarts[event.sender].append(event.at)
+        self.downtimes[event.sender].append((event.at, event.back))
+        for call in self.calls.values():
+            is_in_flight = call.finish is None and call.restarted_at is None
+            if is_in_flight and call.start.sender == event.sender:
+                call.restarted_at = event.at
+
+    def add_violation(self, rule: str, at: float, text: str) -> None:
+        """Add a violation."""
+        self.violations.append(Violation(rule, at, text))
+
+    def check_completions(self, until: float) -> None:
+        """Check the rule "one end" of a history that ends at `until`."""
+        for message, admitted in self.admitted.items():
+            self.check_completion(message, admitted, until)
+        for message, rejected in self.rejected.items():
+            if message not in self.admitted and self.calls_of.get(message):
+                self.add_violation("one end", rejected.at, f"{message} was turned away, and called for")
+
+    def check_completion(self, message: str, admitted: MessageAdmitted, until: float) -> None:
+        """Check the rule "one end" of one message."""
+        ends = self.completed.get(message, [])
+        if len(ends) > 1:
+            states = " and ".join(end.state for end in ends)
+            self.add_violation("one end", ends[1].at, f"{message} ended {states}")
+        latest_end = self.completion_due(admitted) + self.rules.late_tolerance
+        if not ends:
+            if until > latest_end:
+                self.add_violation("one end", admitted.until, f"{message} has no final answer")
+            return
+        end = ends[0]
+        if end.at > latest_end:
+            self.add_violation("one end", end.at, f"{message} ended {end.at - admitted.until:.3f} s late")
+        if end.state == "delivered" and not any(call.may_have_run() for call in self.calls_of[message]):
+            self.add_violation("one end", end.at, f"{message} is said to be delivered, and no call ran")
+
+    def completion_due(self, admitted: MessageAdmitted) -> float:
+        """Return when a message is due: at its deadline, or when a sender that was down then is back."""
+        due = admitted.until
+        for down_at, back_at in sorted(self.downtimes[admitted.sender]):
+            if down_at <= due < back_at:
+                due = back_at
+        return due
+
+    def class_rule(self, message: str) -> ClassRule:
+        """Return the rule for the class of a message; that of a message not admitted allows everything."""
+        admitted = self.admitted.get(message)
+        return self.rules.classes.get(admitted.kind, ClassRule()) if admitted else ClassRule()
+
+    def check_repeated_effects(self, message: str, calls: list[ObservedCall]) -> None:
+        """Check the rule "no effect twice" of one message."""
+        rule = self.class_rule(message)
+        if rule.effect is Effect.IDEMPOTENT:
             return
-        risk = next((each for each in calls if each.may_have_run()), None)
-        if risk is None:
+        first = next((call for call in calls if call.may_have_run()), None)
+        if first is None:
             return
-        for call in calls[calls.index(risk) + 1 :]:
-            at = call.began.at
-            if kind.effect is Effect.UNSAFE:
-                self.breach("no effect twice", at, f"{name} was called for again and may have run before")
-            elif at > risk.began.at + kind.window:
-                self.breach("no effect twice", at, f"{name} was called for again after its window")
-            elif kind.by_zone and self.zone(call) != self.zone(risk):
-                self.breach("no effect twice", at, f"{name} was called for again in another zone")
-        for end in self.ends.get(name, []):
-            if end.state == "refused" and (kind.effect is Effect.UNSAFE or kind.by_zone):
-                self.breach("no effect twice", end.at, f"{name} was refused and may have run")
-
-    def zone(self, call: ObservedCall) -> str:
-        return self.rules.zones.get(call.began.endpoint, "")
-
-    def one_at_a_time(self, name: str, calls: list[ObservedCall]) -> None:
+        for call in calls[calls.index(first) + 1 :]:
+            self.check_repetition(rule, first, call)
+        for end in self.completed.get(message, []):
+            if end.state == "refused" and (rule.effect is Effect.UNSAFE or rule.is_zonal):
+                self.add_violation("no effect twice", end.at, f"{message} was refused and may have run")
+
+    def check_repetition(self, rule: ClassRule, first: ObservedCall, call: ObservedCall) -> None:
+        """Check a call after the first one of its message that may have had its effect."""
+        at = call.start.at
+        reason = ""
+        if rule.effect is Effect.UNSAFE:
+            reason = "and may have run before"
+        elif at > first.start.at + rule.idempotency_window:
+            reason = "after its window"
+        elif rule.is_zonal and self.zone_of(call) != self.zone_of(first):
+            reason = "in another zone"
+        if reason:
+            self.add_violation("no effect twice", at, f"{call.start.message} was called for again {reason}")
+
+    def zone_of(self, call: ObservedCall) -> str:
+        """Return the zone that a call went to."""
+        return self.rules.zones.get(call.start.endpoint, "")
+
+    def check_concurrent_calls(self, message: str, calls: list[ObservedCall]) -> None:
+        """Check the rule "one at a time" of one message."""
         for before, after in itertools.pairwise(calls):
-            if after.began.at < before.end() and before.cut is None:
-                self.breach("one at a time", after.began.at, f"two calls for {name} were out at once")
+            if after.start.at < before.end() and before.restarted_at is None:
+                text = f"two calls for {message} were out at once"
+                self.add_violation("one at a time", after.start.at, text)
 
-    def kept_drains(self) -> None:
+    def check_drains(self) -> None:
+        """Check the rule "drains"."""
         for call in self.calls.values():
-            where = call.began.endpoint, call.began.sender
-            spans = [*self.past_drains.get(where, ()), (self.drains.get(where, NEVER), NEVER)]
-            if any(told + self.rules.grace < call.began.at < back for told, back in spans):
-                self.breach("drains", call.began.at, f"{call.began.endpoint} was called after its drain")
-
-    def not_pushed_over(self) -> None:
+            key = (call.start.endpoint, call.start.sender)
+            drains = [*self.past_drains.get(key, ()), (self.drained_at.get(key, NEVER), NEVER)]
+            at = call.start.at
+            if any(begins + self.rules.drain_grace < at < ends for begins, ends in drains):
+                self.add_violation("drains", at, f"{call.start.endpoint} was called after its drain")
+
+    def check_slow_starts(self) -> None:
+        """Check the rule "cold"."""
         for outage in self.outages:
             capacity = self.rules.capacity.get(outage.destination)
             if capacity is None:
                 continue
-            after = [
-                each.began
-                for each in self.calls.values()
-                if self.rules.destinations.get(each.began.endpoint) == outage.destination
-                and outage.until <= each.began.at < outage.until + self.rules.cold
+            starts = [
+                call.start
+                for call in self.calls.values()
+                if self.rules.destinations.get(call.start.endpoint) == outage.destination
+                and outage.until <= call.start.at < outage.until + self.rules.slow_start
             ]
-            if push := self.push_of(after, outage, capacity):
-                text = f"destination {outage.destination} got {push[1]} calls at once"
-                self.breach("cold", push[0], text)
-
-    def push_of(
-        self, after: list[AttemptStarted], outage: Outage, capacity: float
-    ) -> tuple[float, int] | None:
-        """The first span in which more went there than it could take, and how much. Where two thirds of that
-        did not come from senders that knew of the outage, nobody is to blame."""
-        times = [each.at for each in after]
-        for number, first in enumerate(times):
-            span = after[number : bisect_left(times, first + self.rules.push_for)]
-            passed = first - outage.until
-            warm = min((passed + self.rules.push_for) / self.rules.cold, 1.0)
-            able = capacity * (self.rules.cold_from + (1 - self.rules.cold_from) * warm)
-            knew = sum(not outage.seen_by or each.sender in outage.seen_by for each in span)
-            most = max(self.rules.push * able * self.rules.push_for, 1.0) + 1
-            if len(span) > most and 3 * knew >= 2 * len(span):
-                return first, len(span)
+            if overload := self.find_overload(starts, outage, capacity):
+                text = f"destination {outage.destination} got {overload.calls} calls at once"
+                self.add_violation("cold", overload.at, text)
+
+    def find_overload(self, starts: list[AttemptStarted], outage: Outage, capacity: float) -> Overload | None:
+        """Return the first interval in which a destination received more calls than it could take.
+
+        Intervals in which less than two thirds of the calls came from senders that saw the outage are
+        ignored.
+        """
+        rules = self.rules
+        times = [start.at for start in starts]
+        for index, first_at in enumerate(times):
+            calls = starts[index : bisect_left(times, first_at + rules.overload_interval)]
+            elapsed = first_at - outage.until
+            warmth = min((elapsed + rules.overload_interval) / rules.slow_start, 1.0)
+            present_capacity = capacity * (rules.slow_start_from + (1 - rules.slow_start_from) * warmth)
+            seeing = sum(not outage.seen_by or call.sender in outage.seen_by for call in calls)
+            limit = max(rules.max_overload * present_capacity * rules.overload_interval, 1.0) + 1
+            if len(calls) > limit and 3 * seeing >= 2 * len(calls):
+                return Overload(first_at, len(calls))
         return None
 
-    def order(self) -> None:
-        lines: dict[str, list[str]] = defaultdict(list)
-        for name, taken in self.taken.items():
-            if taken.key and self.kind_of(name).in_order:
-                lines[taken.key].append(name)
-        for key, names in lines.items():
-            place = {name: number for number, name in enumerate(names)}
-            calls = [call for name in names for call in self.of.get(name, [])]
-            calls.sort(key=lambda each: each.began.at)
+    def check_order(self) -> None:
+        """Check the rule "order"."""
+        messages_of: dict[str, list[str]] = defaultdict(list)  # by key, in the order of admission
+        for message, admitted in self.admitted.items():
+            if admitted.key and self.class_rule(message).is_ordered:
+                messages_of[admitted.key].append(message)
+        for key, messages in messages_of.items():
+            places = {message: place for place, message in enumerate(messages)}
+            calls = [call for message in messages for call in self.calls_of.get(message, [])]
+            calls.sort(key=lambda call: call.start.at)
             for before, after in itertools.pairwise(calls):
-                self.in_turn(key, place, before, after)
-
-    def in_turn(self, key: str, place: dict[str, int], before: ObservedCall, after: ObservedCall) -> None:
-        first, second = before.began.message, after.began.message
-        at = after.began.at
+                self.check_succession(key, places, before, after)
+
+    def check_succession(
+        self, key: str, places: dict[str, int], before: ObservedCall, after: ObservedCall
+    ) -> None:
+        """Check two successive calls of one ordering key."""
+        first = before.start.message
+        second = after.start.message
+        at = after.start.at
         if first == second:
             return
-        if place[second] < place[first]:
-            self.breach("order", at, f"{second} of key {key} went after {first}, which was taken later")
-        if at < before.end() - self.rules.slack and before.cut is None:
-            self.breach("order", at, f"{second} of key {key} went while {first} was out")
-        unanswered = before.over is None or before.over.ran is EffectApplied.MAYBE
-        if unanswered and at < before.end() + self.rules.quiet - self.rules.slack:
-            self.breach("order", at, f"{second} of key {key} went before the key had rested")
-
-    def waits(self) -> None:
-        told: dict[tuple[str, int], list[tuple[float, float]]] = defaultdict(list)
-        for each in self.calls.values():
-            if each.over and each.over.wait:
-                where = each.began.sender, self.rules.destinations.get(each.began.endpoint, 0)
-                until = each.over.at + each.over.wait
-                cuts = (restart for restart in self.restarts[each.began.sender] if restart >= each.over.at)
-                told[where].append((each.over.at, min(until, next(cuts, until))))
-        for spans in told.values():
-            spans.sort()
-        begun: dict[tuple[str, int], int] = defaultdict(int)  # how many have
-        latest: dict[tuple[str, int], float] = {}  # the latest end of those
-        for each in self.calls.values():
-            at = each.began.at
-            where = each.began.sender, self.rules.destinations.get(each.began.endpoint, 0)
-            spans = told.get(where, [])
-            while begun[where] < len(spans) and spans[begun[where]][0] + self.rules.crossing < at:
-                latest[where] = max(latest.get(where, 0.0), spans[begun[where]][1])
-                begun[where] += 1
-            if at < latest.get(where, 0.0) - self.rules.slack:
-                text = f"{each.began.endpoint} was called {latest[where] - at:.3f} s too early"
-                self.breach("waits", at, text)
+        if places[second] < places[first]:
+            text = f"{second} of key {key} went after {first}, which was taken later"
+            self.add_violation("order", at, text)
+        if at < before.end() - self.rules.clock_tolerance and before.restarted_at is None:
+            self.add_violation("order", at, f"{second} of key {key} went while {first} was out")
+        is_unanswered = before.finish is None or before.finish.ran is EffectApplied.MAYBE
+        pause_ends = before.end() + self.rules.key_pause - self.rules.clock_tolerance
+        if is_unanswered and at < pause_ends:
+            self.add_violation("order", at, f"{second} of key {key} went before the key had rested")
+
+    def sender_and_destination(self, call: ObservedCall) -> tuple[str, int]:
+        """Return who sent a call, and the destination that it went to."""
+        return call.start.sender, self.rules.destinations.get(call.start.endpoint, 0)
+
+    def find_waits(self) -> dict[tuple[str, int], list[Interval]]:
+        """Return the waits that each destination asked of each sender, in the order of their starts."""
+        waits: dict[tuple[str, int], list[Interval]] = defaultdict(list)
+        for call in self.calls.values():
+            finish = call.finish
+            if finish is None or not finish.wait:
+                continue
+            until = finish.at + finish.wait
+            restarts = (at for at in self.restarts[call.start.sender] if at >= finish.at)
+            ends = min(until, next(restarts, until))
+            waits[self.sender_and_destination(call)].append((finish.at, ends))
+        for intervals in waits.values():
+            intervals.sort()
+        return waits
+
+    def check_waits(self) -> None:
+        """Check the rule "waits"."""
+        waits = self.find_waits()
+        begun: dict[tuple[str, int], int] = defaultdict(int)  # how many waits have begun
+        latest_end: dict[tuple[str, int], float] = {}  # the latest end of those
+        for call in self.calls.values():
+            at = call.start.at
+            key = self.sender_and_destination(call)
+            intervals = waits.get(key, [])
+            while (
+                begun[key] < len(intervals) and intervals[begun[key]][0] + self.rules.retry_after_grace < at
+            ):
+                latest_end[key] = max(latest_end.get(key, 0.0), intervals[begun[key]][1])
+                begun[key] += 1
+            if at < latest_end.get(key, 0.0) - self.rules.clock_tolerance:
+                text = f"{call.start.endpoint} was called {latest_end[key] - at:.3f} s too early"
+                self.add_violation("waits", at, text)
--- a/message_sender/testbed/running.py
+++ b/message_sender/testbed/running.py
@@ -1,4 +1,4 @@
-"""A sender that runs while it is held, for demonstrations, benchmarks and tests."""
+"""Start and stop of a sender in this process, for demonstrations, benchmarks and tests."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -9,7 +9,7 @@
 
 @asynccontextmanager
 async def running(sender: StandaloneSender) -> AsyncIterator[StandaloneSender]:
-    """Started, and stopped at the end whatever happens meanwhile."""
+    """Run a sender for the length of a block, and stop it however the block ends."""
     await sender.start()
     task = asyncio.create_task(sender.run())
     try:
--- a/tests/conformance/sides.py
+++ b/tests/conformance/sides.py
@@ -124,7 +124,7 @@
         after this would begin attempts that the next life has to count, sent or not."""
         self.engine().over = True
         await self.close()
-        self.history.note(SenderRestarted(self.history.clock()))
+        self.history.record(SenderRestarted(self.history.clock()))
         self.restarts += 1
         await self.open()
 
@@ -132,18 +132,18 @@
         now = self.history.clock()
         until = now + message.time_left
         taken = MessageAdmitted(now, message.id, message.kind, message.destination, until, message.key)
-        self.history.note(taken)
+        self.history.record(taken)
         self.keys[message.id] = message.key
         return taken
 
     def turned_away(self, taken: MessageAdmitted) -> None:
         self.history.events.remove(taken)
-        self.history.note(MessageRejected(self.history.clock(), taken.message))
+        self.history.record(MessageRejected(self.history.clock(), taken.message))
         self.end(taken.message, "turned away", note=False)
 
     def end(self, name: str, state: str, note: bool = True) -> None:
         if note:
-            self.history.note(MessageCompleted(self.history.clock(), name, state))
+            self.history.record(MessageCompleted(self.history.clock(), name, state))
         self.ends[name] = state if name not in self.ends else f"{self.ends[name]} and {state}"
         self.news.set()
 
@@ -156,7 +156,7 @@
     async def came(self, name: str, times: int = 1) -> None:
         """Until that many calls for a message have come whole."""
         async with asyncio.timeout(PATIENCE):
-            while self.script.seen[name] < times:
+            while self.script.call_counts[name] < times:
                 await asyncio.sleep(0.002)
 
     def engine(self) -> Any:  # noqa: ANN401
@@ -180,9 +180,9 @@
             KINDS,
             zones={name: zone for name, (_, zone) in ENDPOINTS.items()},
             destinations={name: destination for name, (destination, _) in ENDPOINTS.items()},
-            quiet=QUIET,
+            key_pause=QUIET,
         )
-        return HistoryChecker(rules).judge(self.history.events)
+        return HistoryChecker(rules).check(self.history.events)
 
 
 class DaemonSide(Side):
--- a/tests/conformance/test_figures.py
+++ b/tests/conformance/test_figures.py
@@ -41,11 +41,11 @@
         acts = {f"m{at}": [rng.choice(ACTS) for _ in range(rng.randrange(3))] for at in range(MESSAGES)}
         async with (
             HttpEndpoint(
-                "r", Script(acts, usual=ScriptedAnswer(EndpointBehavior.SERVE)), history
+                "r", Script(acts, default=ScriptedAnswer(EndpointBehavior.SERVE)), history
             ) as endpoint,
             Discovery() as there,
         ):
-            heard = lambda name, state: history.note(MessageCompleted(history.clock(), name, STATES[state]))  # noqa: E731
+            heard = lambda name, state: history.record(MessageCompleted(history.clock(), name, STATES[state]))  # noqa: E731
             task = asyncio.create_task(answer_notices(there, heard))
             told = config_json(there, host(f"127.0.0.1:{endpoint.port}")) | {"management": "127.0.0.1:0"}
             async with Running(told, folder) as running:
--- a/tests/conformance/test_generated.py
+++ b/tests/conformance/test_generated.py
@@ -104,7 +104,7 @@
 
 def test_the_plans_hold_what_they_are_for() -> None:
     made = [plan(seed) for seed in range(SEEDS)]
-    does = {act.does for each in made for acts in each.acts.values() for act in acts}
+    does = {act.behavior for each in made for acts in each.acts.values() for act in acts}
     assert does == {
         EndpointBehavior.SERVE,
         EndpointBehavior.ERROR,
--- a/tests/conformance/test_killed_daemon.py
+++ b/tests/conformance/test_killed_daemon.py
@@ -30,8 +30,8 @@
     "safe": {"effect": "safe"},
 }
 KINDS = {
-    "keyed": ClassRule(Effect.KEYED, 6.0, in_order=True),
-    "unsafe": ClassRule(Effect.UNSAFE, in_order=True),
+    "keyed": ClassRule(Effect.KEYED, 6.0, is_ordered=True),
+    "unsafe": ClassRule(Effect.UNSAFE, is_ordered=True),
     "safe": ClassRule(),
 }
 DEADLINE = 8.0
@@ -87,7 +87,7 @@
 
 
 def has_come(script: Script, goal: int) -> bool:
-    return sum(script.seen.values()) >= goal
+    return sum(script.call_counts.values()) >= goal
 
 
 async def hand_in(client: HttpClient, history: History, name: str, kind: str, key: str) -> None:
@@ -102,7 +102,7 @@
     now = history.clock()
     status, _ = await client.post(f"/{kind}", fields, b"x")
     assert status == 202
-    history.note(MessageAdmitted(now, name, kind, 2, now + DEADLINE, key))
+    history.record(MessageAdmitted(now, name, kind, 2, now + DEADLINE, key))
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -112,13 +112,13 @@
         called = asyncio.Event()
         acts = {"m3": [ScriptedAnswer(EndpointBehavior.ERROR), ScriptedAnswer(EndpointBehavior.SERVE)]}
         script = Script(
-            acts, lambda message: called.set(), usual=ScriptedAnswer(EndpointBehavior.SERVE, 0.02)
+            acts, lambda message: called.set(), default=ScriptedAnswer(EndpointBehavior.SERVE, 0.02)
         )
         names = []
         async with HttpEndpoint("c", script, history) as endpoint:
             daemon = Daemon(tmp_path, endpoint.port)
             for life in range(3):
-                client, before = await daemon.start(), sum(script.seen.values())
+                client, before = await daemon.start(), sum(script.call_counts.values())
                 for _ in range(6):
                     names.append(f"m{len(names)}")
                     kind = rng.choice(list(CLASSES))
@@ -129,7 +129,7 @@
                     goal = before + rng.randrange(1, 5)
                     await until(called, partial(has_come, script, goal))
                     await daemon.end(signal.SIGKILL)
-                    history.note(SenderRestarted(history.clock()))
+                    history.record(SenderRestarted(history.clock()))
             await until(daemon.told, lambda: len({each["id"] for each in daemon.ends}) >= len(names))
             await daemon.end(signal.SIGTERM)
         assert daemon.process.returncode == 0
@@ -138,7 +138,7 @@
         assert Counter(each["id"] for each in ends) == Counter(names), "one final answer for each"
         offset = history.clock() - time.time()
         for each in ends:
-            history.note(MessageCompleted(each["at"] + offset, each["id"], each["state"]))
-        assert HistoryChecker(Rules(KINDS, destinations={"c": 2})).judge(history.events) == []
+            history.record(MessageCompleted(each["at"] + offset, each["id"], each["state"]))
+        assert HistoryChecker(Rules(KINDS, destinations={"c": 2})).check(history.events) == []
 
     asyncio.run(asyncio.wait_for(test(), 3 * PATIENCE))
--- a/tests/conformance/test_plugin.py
+++ b/tests/conformance/test_plugin.py
@@ -125,7 +125,7 @@
         with pytest.raises(grpc.aio.AioRpcError) as late:
             await call
         assert late.value.code() is Code.DEADLINE_EXCEEDED
-        assert side.channel.pending() == [] and side.script.seen["m"] == 1
+        assert side.channel.pending() == [] and side.script.call_counts["m"] == 1
 
 
 @play
@@ -140,7 +140,7 @@
         with pytest.raises(grpc.aio.AioRpcError) as said:
             await send(side, "m")
         assert (said.value.code(), said.value.details()) == (Code.INVALID_ARGUMENT, "no such station")
-        assert side.script.seen["m"] == 1 and side.channel.pending() == []
+        assert side.script.call_counts["m"] == 1 and side.channel.pending() == []
 
 
 @pytest.mark.parametrize("way", ["call", "task"])
@@ -167,7 +167,7 @@
             ]
             assert began.at - over.at > 0.08, "the key has rested"
             assert side.channel.pending() == [] and side.channel.engine.attempts.calls == {}
-            assert side.script.seen == {"m1": 1, "m2": 1}
+            assert side.script.call_counts == {"m1": 1, "m2": 1}
             assert side.channel.collect("m1") is None
 
     asyncio.run(asyncio.wait_for(test(tmp_path), 2 * PATIENCE))
@@ -179,7 +179,7 @@
         call = send(side, "m")
         assert call.cancel()
         assert await send(side, "n") == b"body"
-        assert side.script.seen == {"n": 1} and side.channel.pending() == []
+        assert side.script.call_counts == {"n": 1} and side.channel.pending() == []
 
 
 @play
@@ -190,7 +190,7 @@
         assert side.channel.pending() == ["m1", "m2"] and held.cancel()
         assert side.channel.pending() == ["m1"]
         assert await first == b"body" and await send(side, "m3", "ordered", "k") == b"body"
-        assert side.script.seen == {"m1": 1, "m3": 1}
+        assert side.script.call_counts == {"m1": 1, "m3": 1}
 
 
 @play
@@ -231,7 +231,7 @@
         side.channel = await open_channel(side.told(), state)  # it ends as it is opened: it may have run
         with pytest.raises(grpc.aio.AioRpcError) as failed:
             await send(side, "m", "unsafe")
-        assert failed.value.code() is Code.UNKNOWN and side.script.seen["m"] == 1
+        assert failed.value.code() is Code.UNKNOWN and side.script.call_counts["m"] == 1
         assert side.channel.collect("m") is None
 
 
@@ -272,7 +272,7 @@
         loop.time = lambda: time() + 2.0  # type: ignore[method-assign]
         engine.now = lambda: now() + 2_000_000
         assert [await each for each in calls] == [b"body"] * 3
-        assert side.script.seen == {"m1": 1, "m2": 1, "m3": 1}
+        assert side.script.call_counts == {"m1": 1, "m2": 1, "m3": 1}
 
 
 @play
@@ -337,7 +337,7 @@
         for name in ("u", "e"):
             with pytest.raises(grpc.aio.AioRpcError):
                 await send(side, name, "unsafe")
-        assert side.script.seen == {"u": 1, "e": 1}
+        assert side.script.call_counts == {"u": 1, "e": 1}
 
 
 @play
@@ -351,7 +351,7 @@
             assert refused.value.code() is Code.UNAVAILABLE, "it never ran, so it may come again"
         await side.endpoints["c"].start()
         assert await send(side, "after", "unsafe", timeout=6) == b"body"
-        assert side.script.seen == {"after": 1}
+        assert side.script.call_counts == {"after": 1}
 
 
 @asynccontextmanager
@@ -412,9 +412,9 @@
                 if code:
                     with pytest.raises(grpc.aio.AioRpcError) as failed:
                         await call
-                    assert failed.value.code() is code and side.script.seen["m"] == 0
+                    assert failed.value.code() is code and side.script.call_counts["m"] == 0
                 else:
-                    assert await call == b"BODY" and side.script.seen["m"] == 1
+                    assert await call == b"BODY" and side.script.call_counts["m"] == 1
 
     asyncio.run(asyncio.wait_for(test(tmp_path), 2 * PATIENCE))
 
@@ -430,7 +430,7 @@
         await stopping
         await endpoint.start()
         assert await send(side, "n", "unsafe", timeout=6) == b"body"
-        assert side.script.seen == {"m": 1, "n": 1}
+        assert side.script.call_counts == {"m": 1, "n": 1}
 
 
 @play
@@ -443,7 +443,7 @@
         stub = side.channel.unary_unary(METHOD)
         with pytest.raises(grpc.aio.AioRpcError) as failed:
             await stub(b"x" * 1000, metadata=told("unsafe", elmglade_id="m"))
-        assert failed.value.code() is Code.UNKNOWN and side.script.seen["m"] == 1
+        assert failed.value.code() is Code.UNKNOWN and side.script.call_counts["m"] == 1
 
 
 @play
@@ -455,7 +455,7 @@
         assert await call == b"body"
         with pytest.raises(grpc.aio.AioRpcError) as refused:
             await send(side, "n", timeout=0.2)
-        assert refused.value.code() is Code.UNAVAILABLE and side.script.seen == {"m": 1}
+        assert refused.value.code() is Code.UNAVAILABLE and side.script.call_counts == {"m": 1}
 
 
 @play
@@ -484,7 +484,7 @@
     end."""
 
     async def test(state: Path) -> None:
-        script, history = Script(usual=ScriptedAnswer(EndpointBehavior.SERVE, 0.02)), History()
+        script, history = Script(default=ScriptedAnswer(EndpointBehavior.SERVE, 0.02)), History()
         async with GrpcEndpoint("c", script, history) as endpoint:
             lives = 0
             for lives, stop_at in enumerate((4 + seed, 9 + seed, None)):
@@ -497,7 +497,7 @@
                     out, _ = await asyncio.wait_for(process.communicate(), PATIENCE)
                     assert process.returncode == 0
                 else:
-                    while sum(script.seen.values()) < stop_at:
+                    while sum(script.call_counts.values()) < stop_at:
                         await asyncio.sleep(0.002)
                     process.send_signal(signal.SIGKILL)
                     await process.wait()
@@ -506,7 +506,7 @@
             for key in "abc":
                 came = [name for name in dict.fromkeys(began) if name.startswith(key)]
                 assert came == sorted(came, key=lambda name: int(name[1:])), came
-            unsafe = [name for name in script.seen if name.startswith("c")]
-            assert unsafe and all(script.seen[name] == 1 for name in unsafe)
+            unsafe = [name for name in script.call_counts if name.startswith("c")]
+            assert unsafe and all(script.call_counts[name] == 1 for name in unsafe)
 
     asyncio.run(asyncio.wait_for(test(tmp_path), 3 * PATIENCE))
--- a/tests/conformance/test_replaced.py
+++ b/tests/conformance/test_replaced.py
@@ -56,7 +56,7 @@
             "m3": [ScriptedAnswer(EndpointBehavior.FULL, 0.4), ScriptedAnswer(EndpointBehavior.SERVE)],
             "m6": [ScriptedAnswer(EndpointBehavior.RESET), ScriptedAnswer(EndpointBehavior.SERVE)],
         }
-        self.script = Script(acts, usual=ScriptedAnswer(EndpointBehavior.SERVE, 0.15))
+        self.script = Script(acts, default=ScriptedAnswer(EndpointBehavior.SERVE, 0.15))
         self.state = folder / "state"
         self.state.mkdir()
         self.stack = AsyncExitStack()
@@ -78,7 +78,7 @@
 
     def notice(self, name: str, state: str) -> None:
         told = {"returned": "refused", "failed": "failed"}[state]
-        self.history.note(MessageCompleted(self.history.clock(), name, told))
+        self.history.record(MessageCompleted(self.history.clock(), name, told))
 
     async def client(self, number: int) -> None:
         """Hands in its messages, one after another, each until it is taken on; a connection that breaks is a
@@ -108,12 +108,12 @@
                 await asyncio.sleep(0)
                 continue
             assert status == 202
-            self.history.note(MessageAdmitted(now, name, "c", 3, now + DEADLINE, key))
+            self.history.record(MessageAdmitted(now, name, "c", 3, now + DEADLINE, key))
             return
 
     def gone(self) -> None:
         """A process died with calls out: the next one cannot know their fate."""
-        self.history.note(SenderRestarted(self.history.clock()))
+        self.history.record(SenderRestarted(self.history.clock()))
 
     async def settle(self) -> None:
         """Until each message has an end, as far as the endpoint and the notices tell."""
@@ -150,7 +150,7 @@
         async with Service(folder) as service:
             await service.platform.start(killed=step if who == "old" else "")
             clients = [asyncio.create_task(service.client(number)) for number in range(KEYS)]
-            while sum(service.script.seen.values()) < 6:
+            while sum(service.script.call_counts.values()) < 6:
                 await asyncio.sleep(0.001)
             serving = await replace(service, who, step)
             if "fate" in step:
@@ -162,8 +162,8 @@
             assert serving.process.returncode is None
             told = (await serving.call("GET", "/stats")).body.decode()
             assert "edge_balancer.cluster_size=1" in told
-        rules = Rules({"c": ClassRule(Effect.KEYED, WINDOW, in_order=True)}, destinations={"r": 3})
-        assert HistoryChecker(rules).judge(ends_of(service.history)) == []
+        rules = Rules({"c": ClassRule(Effect.KEYED, WINDOW, is_ordered=True)}, destinations={"r": 3})
+        assert HistoryChecker(rules).check(ends_of(service.history)) == []
 
     test(tmp_path)
 
--- a/tests/test_budgeted.py
+++ b/tests/test_budgeted.py
@@ -16,8 +16,11 @@
 
 from message_sender.cli import fleet as command
 from message_sender.control_socket import send_request
-from message_sender.testbed.cluster import Cluster, Fault, MemberFactory, ReceiverStub, ThreadedReceiverStub
-from message_sender.testbed.history import most_in
+from message_sender.testbed.cluster import Cluster
+from message_sender.testbed.faults import Fault
+from message_sender.testbed.history import max_count_within
+from message_sender.testbed.member_factory import MemberFactory
+from message_sender.testbed.receiver_stub import ReceiverStub, ThreadedReceiverStub
 
 SEEDS = int(os.environ.get("BUDGET_SEEDS", "20"))
 LIMIT, WINDOW_S = 20, 0.5  # calls, s
@@ -50,7 +53,7 @@
 
 
 def configuration(budget: str, hub: ReceiverStub, floor: int = 1, slots: int = 64) -> str:
-    return EXTRA_CONFIG.format(floor=floor, slots=slots) + budget + hub.listed()
+    return EXTRA_CONFIG.format(floor=floor, slots=slots) + budget + hub.to_config()
 
 
 def draw_faults(seed: int) -> list[Fault]:
@@ -79,23 +82,25 @@
     """Submits as many messages to each member; one that is down gets none."""
     for number in range(count):
         names = [(f"{name}-{number}", name) for name in cluster.members]
-        await asyncio.gather(*(cluster.hand_in(each, "safe", 1, 30, to=[name]) for each, name in names))
+        await asyncio.gather(*(cluster.submit(each, "safe", 1, 30, to=[name]) for each, name in names))
 
 
-async def run_with_faults(folder: Path, seed: int, nursery: MemberFactory) -> str:
+async def run_with_faults(folder: Path, seed: int, member_factory: MemberFactory) -> str:
     rng = random.Random(f"link {seed}")
-    cluster = Cluster(folder, 5, seed, "group", nursery=nursery)
+    cluster = Cluster(folder, 5, seed, "group", member_factory=member_factory)
     async with ThreadedReceiverStub("hub", cluster.history, 1e9) as hub:
-        cluster.more = configuration(CALLS, hub, floor=rng.choice([0, 1]))
+        cluster.extra_config = configuration(CALLS, hub, floor=rng.choice([0, 1]))
         async with cluster:
             await cluster.start()
             cluster.relay.loss, cluster.relay.delay = rng.choice([(0.0, 0.0), (0.2, 0.02), (0.05, 1.0)])
             await feed(cluster, 60)
             await cluster.run(draw_faults(seed))
-            sent = len(hub.calls)
+            sent = len(hub.call_times)
             # Nothing lasts for longer: promises, leases, what was spent, and a return from the power loss.
-            await cluster.until(lambda: len(hub.calls) > sent + 2 * LIMIT or nothing_is_pending(cluster))
-            most = hub.most_in(WINDOW_S - SLACK_S)
+            await cluster.wait_until(
+                lambda: len(hub.call_times) > sent + 2 * LIMIT or nothing_is_pending(cluster)
+            )
+            most = hub.max_count_within(WINDOW_S - SLACK_S)
             return f"seed {seed}: {most} in {WINDOW_S - SLACK_S} s" if most > LIMIT else ""
 
 
@@ -110,9 +115,9 @@
 
         async def one(seed: int) -> str:
             async with turns:
-                return await run_with_faults(tmp_path / str(seed), seed, nursery)
+                return await run_with_faults(tmp_path / str(seed), seed, member_factory)
 
-        async with MemberFactory() as nursery:
+        async with MemberFactory() as member_factory:
             return [each for each in await asyncio.gather(*map(one, range(SEEDS))) if each]
 
     assert asyncio.run(play()) == []
@@ -122,13 +127,13 @@
 
 
 async def up(
-    scenario: Scenario, budget: str, floor: int, rate: float, nursery: MemberFactory | None = None
+    scenario: Scenario, budget: str, floor: int, rate: float, member_factory: MemberFactory | None = None
 ) -> None:
     """Runs a scenario on a fleet that is up, with a hub that records its calls."""
     with tempfile.TemporaryDirectory() as folder:
-        cluster = Cluster(Path(folder), 3, 1, "none", nursery=nursery)
+        cluster = Cluster(Path(folder), 3, 1, "none", member_factory=member_factory)
         async with ThreadedReceiverStub("hub", cluster.history, rate) as hub:
-            cluster.more = configuration(budget, hub, floor)
+            cluster.extra_config = configuration(budget, hub, floor)
             async with cluster:
                 await cluster.start()
                 await scenario(cluster, hub)
@@ -146,27 +151,27 @@
 def test_a_paused_member_spends_nothing_of_an_expired_lease() -> None:
     async def scenario(cluster: Cluster, hub: ReceiverStub) -> None:
         for number in range(60):
-            await cluster.hand_in(f"m{number}", "safe", 1, 30, to=["n0"])
-        await cluster.until(lambda: hub_status(cluster, "n0")["part"] >= LIMIT - 1)
+            await cluster.submit(f"m{number}", "safe", 1, 30, to=["n0"])
+        await cluster.wait_until(lambda: hub_status(cluster, "n0")["part"] >= LIMIT - 1)
         await cluster.stop("n0")
         for number in range(60):
-            await cluster.hand_in(f"l{number}", "safe", 1, 30, to=["n1"])
-        await cluster.until(lambda: hub_status(cluster, "n1")["part"] >= LIMIT - 1)
+            await cluster.submit(f"l{number}", "safe", 1, 30, to=["n1"])
+        await cluster.wait_until(lambda: hub_status(cluster, "n1")["part"] >= LIMIT - 1)
         await cluster.wake("n0")
-        await cluster.until(lambda: len(hub.ran) == 120)
-        assert hub.most_in(WINDOW_S - SLACK_S) <= LIMIT
+        await cluster.wait_until(lambda: len(hub.served_at) == 120)
+        assert hub.max_count_within(WINDOW_S - SLACK_S) <= LIMIT
 
     run_fleet(scenario)
 
 
 def test_concurrent_calls_stay_within_the_limit() -> None:
     async def scenario(cluster: Cluster, hub: ReceiverStub) -> None:
-        hub.takes = 0.2
+        hub.response_delay = 0.2
         await feed(cluster, 20)
-        await cluster.until(lambda: len(hub.ran) >= 20)
+        await cluster.wait_until(lambda: len(hub.served_at) >= 20)
         await cluster.kill("n0")
-        await cluster.until(lambda: len(hub.ran) >= 40)
-        assert 4 <= hub.most_in(hub.takes) <= 6 + 1, (
+        await cluster.wait_until(lambda: len(hub.served_at) >= 40)
+        assert 4 <= hub.max_count_within(hub.response_delay) <= 6 + 1, (
             "the response to one of them may not have been counted yet"
         )
 
@@ -176,27 +181,29 @@
 async def halve_limit(was: str, to: str, cluster: Cluster, hub: ReceiverStub) -> None:
     """Halves the limit by a reload of all members while all of it is in use."""
     await feed(cluster, 30)
-    await cluster.until(lambda: len(hub.calls) > LIMIT)
+    await cluster.wait_until(lambda: len(hub.call_times) > LIMIT)
     for each in cluster.members.values():
         file = each.folder / "config.toml"
         file.write_text(file.read_text().replace(was, to))
         cluster.signal(each, signal.SIGHUP)
     change = f"the whole is {LIMIT // 2} from now on"
-    await cluster.until(lambda: all(change in str(hub_status(cluster, name)) for name in cluster.members))
+    await cluster.wait_until(
+        lambda: all(change in str(hub_status(cluster, name)) for name in cluster.members)
+    )
     within = 2 * 0.3 + WINDOW_S  # two leases, and a span
-    await cluster.until(
+    await cluster.wait_until(
         lambda: sum(hub_status(cluster, name)["part"] for name in cluster.members) <= LIMIT // 2, within
     )
-    hub.calls.clear()
-    await cluster.until(lambda: all_ran(cluster, hub))
-    assert LIMIT // 4 < hub.most_in(WINDOW_S - SLACK_S) <= LIMIT // 2
+    hub.call_times.clear()
+    await cluster.wait_until(lambda: all_ran(cluster, hub))
+    assert LIMIT // 4 < hub.max_count_within(WINDOW_S - SLACK_S) <= LIMIT // 2
 
 
 def test_without_a_budget_the_same_load_exceeds_the_limit() -> None:
     async def scenario(cluster: Cluster, hub: ReceiverStub) -> None:
         await feed(cluster, 20)
-        await cluster.until(lambda: len(hub.ran) == 60)
-        assert hub.most_in(WINDOW_S - SLACK_S) > LIMIT
+        await cluster.wait_until(lambda: len(hub.served_at) == 60)
+        assert hub.max_count_within(WINDOW_S - SLACK_S) > LIMIT
 
     run_fleet(scenario, CALLS.replace(str(LIMIT), "1000"))
 
@@ -204,7 +211,7 @@
 def test_operators_see_each_share_and_its_reason() -> None:
     async def scenario(cluster: Cluster, hub: ReceiverStub) -> None:
         await feed(cluster, 60)
-        await cluster.until(
+        await cluster.wait_until(
             lambda: any("from 0 to" in text for _, text in hub_status(cluster, "n1")["changes"])
         )
         state = str(cluster.members["n1"].state)
@@ -230,15 +237,15 @@
 
 def test_a_tenants_quota_applies_to_the_whole_fleet() -> None:
     async def scenario(cluster: Cluster, hub: ReceiverStub) -> None:
-        await cluster.until(lambda: all(hub_status(cluster, name)["keeper"] for name in cluster.members))
+        await cluster.wait_until(lambda: all(hub_status(cluster, name)["keeper"] for name in cluster.members))
         taken = list[float]()
         loop = asyncio.get_running_loop()
         began = loop.time()
         while loop.time() < began + 3:
             for name in cluster.members:
-                if await cluster.hand_in(f"{name}-{loop.time()}", "safe", 1, 30, to=[name], tenant="acme"):
+                if await cluster.submit(f"{name}-{loop.time()}", "safe", 1, 30, to=[name], tenant="acme"):
                     taken.append(loop.time())
-        assert most_in(taken, WINDOW_S - SLACK_S) <= LIMIT
+        assert max_count_within(taken, WINDOW_S - SLACK_S) <= LIMIT
         assert len(taken) > LIMIT * 2
 
     tenant_budget = f'of = "tenant"\ntenant = "acme"\nwhole = {LIMIT}\nper_ms = 500\n'
@@ -249,20 +256,20 @@
 
 
 def all_ran(cluster: Cluster, hub: ReceiverStub) -> bool:
-    return len(hub.ran) == len(cluster.accepted)
+    return len(hub.served_at) == len(cluster.accepted_by)
 
 
 async def trials(cluster: Cluster, hub: ReceiverStub) -> None:
     """Each of three members opens its breaker; from then on one at a time tries the hub."""
-    hub.fails = 0.25
+    hub.failure_delay = 0.25
     await feed(cluster, 8)
     names = list(cluster.members)
-    await cluster.until(lambda: any("from 1 to 0" in str(budget_of(cluster, name)) for name in names))
-    before = len(hub.calls)
-    await cluster.until(lambda: len(hub.calls) >= before + 3)
-    assert most_in(hub.calls[before:], hub.fails - 0.05) == 1
-    hub.fails = 0.0
-    await cluster.until(lambda: all_ran(cluster, hub))
+    await cluster.wait_until(lambda: any("from 1 to 0" in str(budget_of(cluster, name)) for name in names))
+    before = len(hub.call_times)
+    await cluster.wait_until(lambda: len(hub.call_times) >= before + 3)
+    assert max_count_within(hub.call_times[before:], hub.failure_delay - 0.05) == 1
+    hub.failure_delay = 0.0
+    await cluster.wait_until(lambda: all_ran(cluster, hub))
 
 
 def budget_of(cluster: Cluster, name: str) -> dict[str, Any]:
@@ -270,54 +277,54 @@
 
 
 async def retries(cluster: Cluster, hub: ReceiverStub) -> None:
-    hub.fails = 0.001
+    hub.failure_delay = 0.001
     await feed(cluster, 10)
-    await cluster.until(lambda: len(hub.again) >= 12)
-    hub.fails = 0.0
+    await cluster.wait_until(lambda: len(hub.repeat_times) >= 12)
+    hub.failure_delay = 0.0
     await feed(cluster, 14)
-    await cluster.until(lambda: all_ran(cluster, hub))
-    assert most_in(hub.again, WINDOW_S - SLACK_S) <= 4
+    await cluster.wait_until(lambda: all_ran(cluster, hub))
+    assert max_count_within(hub.repeat_times, WINDOW_S - SLACK_S) <= 4
 
 
 async def allowed_retries(cluster: Cluster, hub: ReceiverStub) -> None:
     """One retry for two first attempts within the same two seconds, by any member."""
-    hub.fails = 0.001
+    hub.failure_delay = 0.001
     await feed(cluster, 8)
-    await cluster.until(lambda: len(hub.again) >= 8)
-    for at in hub.again:
-        retried = sum(at - 2 + SLACK_S < each <= at for each in hub.again)
-        firsts = sum(at - 2 - SLACK_S < each <= at + SLACK_S for each in hub.calls) - retried
+    await cluster.wait_until(lambda: len(hub.repeat_times) >= 8)
+    for at in hub.repeat_times:
+        retried = sum(at - 2 + SLACK_S < each <= at for each in hub.repeat_times)
+        firsts = sum(at - 2 - SLACK_S < each <= at + SLACK_S for each in hub.call_times) - retried
         assert 0 < retried <= firsts / 2 + 3, "and one of each member's, in any case"
 
 
 async def handshakes(cluster: Cluster, hub: ReceiverStub) -> None:
-    hub.more = "Connection: close\r\n"
+    hub.extra_fields = "Connection: close\r\n"
     await feed(cluster, 8)
-    await cluster.until(lambda: all_ran(cluster, hub))
-    assert 3 <= most_in(hub.opened, WINDOW_S - SLACK_S) <= 4 and len(hub.opened) >= 24
+    await cluster.wait_until(lambda: all_ran(cluster, hub))
+    assert 3 <= max_count_within(hub.connected_at, WINDOW_S - SLACK_S) <= 4 and len(hub.connected_at) >= 24
 
 
 async def connections(cluster: Cluster, hub: ReceiverStub) -> None:
     """Three connections for three members with work for more; a member without work closes its idle ones."""
-    hub.takes = 0.05
+    hub.response_delay = 0.05
     await feed(cluster, 30)
-    await cluster.until(lambda: all_ran(cluster, hub))
-    assert hub.most_open <= 3
+    await cluster.wait_until(lambda: all_ran(cluster, hub))
+    assert hub.max_open <= 3
     for number in range(20):
-        await cluster.hand_in(f"late-{number}", "safe", 1, 30, to=["n2"])
-    await cluster.until(lambda: all_ran(cluster, hub))
-    assert hub.most_open <= 3 < len(hub.opened), "each connection is closed at its maximum age"
+        await cluster.submit(f"late-{number}", "safe", 1, 30, to=["n2"])
+    await cluster.wait_until(lambda: all_ran(cluster, hub))
+    assert hub.max_open <= 3 < len(hub.connected_at), "each connection is closed at its maximum age"
 
 
 async def announced_by_responses(cluster: Cluster, hub: ReceiverStub) -> None:
     """The list announces nothing of use; the first responses announce ten calls in a second."""
-    hub.more = 'RateLimit-Policy: "burst";q=10;w=1\r\n'
+    hub.extra_fields = 'RateLimit-Policy: "burst";q=10;w=1\r\n'
     await feed(cluster, 4)
-    await cluster.until(lambda: all(hub_status(cluster, name)["whole"] == 5 for name in cluster.members))
-    before = len(hub.calls)
+    await cluster.wait_until(lambda: all(hub_status(cluster, name)["whole"] == 5 for name in cluster.members))
+    before = len(hub.call_times)
     await feed(cluster, 16)
-    await cluster.until(lambda: all_ran(cluster, hub))
-    assert 4 <= most_in(hub.calls[before:], WINDOW_S - SLACK_S) <= 5
+    await cluster.wait_until(lambda: all_ran(cluster, hub))
+    assert 4 <= max_count_within(hub.call_times[before:], WINDOW_S - SLACK_S) <= 5
 
 
 TOLD = 'destination = 1\nof = "calls"\nwhole = "told"\nper_ms = 500\n'
@@ -337,8 +344,10 @@
     """Runs a fleet for each kind, all at once."""
 
     async def play() -> list[BaseException | None]:
-        async with MemberFactory() as nursery:
-            runs = (up(scenario, budget, 0, rate, nursery) for scenario, budget, rate in KINDS.values())
+        async with MemberFactory() as member_factory:
+            runs = (
+                up(scenario, budget, 0, rate, member_factory) for scenario, budget, rate in KINDS.values()
+            )
             return await asyncio.gather(*runs, return_exceptions=True)
 
     errors = dict(zip(KINDS, asyncio.run(play()), strict=True))
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -16,8 +16,11 @@
 from message_sender.policy.model import Effect
 from message_sender.recovery import learned_snapshot
 from message_sender.recovery.stages import TRIAL_TIMEOUT_S
-from message_sender.testbed.cluster import Cluster, Fault, Member, MemberFactory, ReceiverStub, faults
+from message_sender.testbed.cluster import Cluster
+from message_sender.testbed.faults import Fault, load_faults
 from message_sender.testbed.history_checker import ClassRule, Rules
+from message_sender.testbed.member_factory import Member, MemberFactory
+from message_sender.testbed.receiver_stub import ReceiverStub
 
 POWER = Path(__file__).parent.parent / "scenarios" / "power"
 RATE = 60  # calls a second that a hub takes
@@ -52,12 +55,12 @@
 RULES = Rules(
     {
         "safe": ClassRule(),
-        "keyed": ClassRule(Effect.KEYED, 7.0, in_order=True),
+        "keyed": ClassRule(Effect.KEYED, 7.0, is_ordered=True),
         "unsafe": ClassRule(Effect.UNSAFE),
     },
     zones={"hub": "a"},
     destinations={"hub": 1},
-    late=3.0,
+    late_tolerance=3.0,
 )
 
 
@@ -68,12 +71,12 @@
     seed: int = 0,
     sync: str = "group",
     link: bool = True,
-    nursery: MemberFactory | None = None,
+    member_factory: MemberFactory | None = None,
 ) -> AsyncIterator[tuple[Cluster, ReceiverStub]]:
     """A fleet that is up, and its hub."""
-    cluster = Cluster(folder, size, seed, sync, link, nursery=nursery)
+    cluster = Cluster(folder, size, seed, sync, link, member_factory=member_factory)
     async with ReceiverStub("hub", cluster.history, RATE) as hub:
-        cluster.more = MORE.format(size=size) + hub.listed()
+        cluster.extra_config = MORE.format(size=size) + hub.to_config()
         async with cluster:
             await cluster.start()
             yield cluster, hub
@@ -82,7 +85,7 @@
 async def hold(cluster: Cluster, count: int, kind: str = "keyed") -> int:
     """Hands in as many at each sender; how many were answered 202."""
     names = [(f"{each}-{number}", each) for number in range(count) for each in cluster.members]
-    taken = [await cluster.hand_in(name, kind, 1, 8, f"key {name}", [each]) for name, each in names]
+    taken = [await cluster.submit(name, kind, 1, 8, f"key {name}", [each]) for name, each in names]
     return len([each for each in taken if each])
 
 
@@ -90,10 +93,10 @@
     """Until each message that was answered 202 has its final answer, of the one that said so."""
 
     def all_ended() -> bool:
-        notified = {(each["by"], each["id"]) for each in cluster.ends()}
-        return all((by, name) in notified for name, by in cluster.accepted.items())
+        notified = {(each["by"], each["id"]) for each in cluster.completions()}
+        return all((by, name) in notified for name, by in cluster.accepted_by.items())
 
-    await cluster.until(all_ended, 40)
+    await cluster.wait_until(all_ended, 40)
 
 
 def said(cluster: Cluster, text: str) -> int:
@@ -103,22 +106,24 @@
 def test_what_was_answered_outlives_the_power_and_one_trial_opens_the_hub(tmp_path: Path) -> None:
     async def play() -> None:
         async with fleet(tmp_path) as (cluster, hub):
-            hub.down = True
+            hub.is_down = True
             assert await hold(cluster, 12) == 60
             await cluster.cut(keeps=0.0)
-            hub.down, hub.takes = False, 0.3  # long enough for all to try who do not ask
-            hub.calls.clear()
+            hub.is_down, hub.response_delay = False, 0.3  # long enough for all to try who do not ask
+            hub.call_times.clear()
             before = said(cluster, "trial=True")
             await cluster.start()
             await over(cluster)
             assert said(cluster, "trial=True") - before == 1
-            assert len([each for each in hub.calls if each < hub.calls[0] + hub.takes]) == 1
+            assert (
+                len([each for each in hub.call_times if each < hub.call_times[0] + hub.response_delay]) == 1
+            )
             assert said(cluster, "4 of 4 others spoke, 4 are returning too") >= 5
             # Cold it takes a fifth: what any 100 ms may bring, with one call that was on its way.
-            assert hub.most_in(0.1) <= RATE * 0.1 * 1.5 + 1 and not hub.refused
-            assert not cluster.judged(RULES)
-            assert all(len(each) == 1 for each in hub.ran.values())
-            delivered = {each["id"] for each in cluster.ends() if each["state"] == "delivered"}
+            assert hub.max_count_within(0.1) <= RATE * 0.1 * 1.5 + 1 and not hub.rejected
+            assert not cluster.check_history(RULES)
+            assert all(len(each) == 1 for each in hub.served_at.values())
+            delivered = {each["id"] for each in cluster.completions() if each["state"] == "delivered"}
             assert len(delivered) >= 50, "the time of the others was up, or they may have run"
 
     asyncio.run(play())
@@ -127,10 +132,10 @@
 def test_without_a_sync_all_of_it_is_gone(tmp_path: Path) -> None:
     async def play() -> None:
         async with fleet(tmp_path, 2, sync="none", link=False) as (cluster, hub):
-            hub.down = True
+            hub.is_down = True
             assert await hold(cluster, 5) == 10
             await cluster.cut(keeps=0.0)
-            hub.down = False
+            hub.is_down = False
             await cluster.start()
             assert not any((each.state / "journal").read_bytes() for each in cluster.members.values())
 
@@ -153,12 +158,12 @@
 
 
 async def life(
-    folder: Path, seed: int, nursery: MemberFactory | None = None, plan: list[Fault] | None = None
+    folder: Path, seed: int, member_factory: MemberFactory | None = None, plan: list[Fault] | None = None
 ) -> list[str]:
     """Traffic with a hub that is down for a part of it, faults, and the referee's word on the whole."""
     rng = random.Random(f"traffic {seed}")
-    async with fleet(folder, seed=seed, nursery=nursery) as (cluster, hub):
-        cluster.relay.loss, cluster.relay.double = rng.choice([(0, 0), (0.1, 0.1), (0.3, 0.2)])
+    async with fleet(folder, seed=seed, member_factory=member_factory) as (cluster, hub):
+        cluster.relay.loss, cluster.relay.duplication = rng.choice([(0, 0), (0.1, 0.1), (0.3, 0.2)])
         cluster.relay.delay = rng.choice([0.0, 0.02])
 
         async def traffic() -> None:
@@ -168,13 +173,13 @@
                 key = f"key {number % 7}" if number % 2 else ""
                 # Who hears no yes comes again elsewhere, under the same id; a key's order is one sender's.
                 order = [names[number % 7 % 5]] if key else rng.sample(names, 2)
-                if not await cluster.hand_in(f"m{number}", kind, 1, 8, key, order):
-                    await cluster.until(lambda: any(each.port for each in cluster.members.values()))
-                hub.down = 30 <= number < 80
+                if not await cluster.submit(f"m{number}", kind, 1, 8, key, order):
+                    await cluster.wait_until(lambda: any(each.port for each in cluster.members.values()))
+                hub.is_down = 30 <= number < 80
 
         await asyncio.gather(traffic(), cluster.run(drawn(seed) if plan is None else plan))
         await over(cluster)
-        return [f"seed {seed}: {each.rule}: {each.text}" for each in cluster.judged(RULES)]
+        return [f"seed {seed}: {each.rule}: {each.text}" for each in cluster.check_history(RULES)]
 
 
 def test_cuts_from_twenty_seeds_break_no_rule(tmp_path: Path) -> None:
@@ -183,9 +188,9 @@
 
         async def one(seed: int) -> list[str]:
             async with turns:
-                return await life(tmp_path / str(seed), seed, nursery)
+                return await life(tmp_path / str(seed), seed, member_factory)
 
-        async with MemberFactory() as nursery:
+        async with MemberFactory() as member_factory:
             found = await asyncio.gather(*(one(seed) for seed in range(20)))
         return [each for breaches in found for each in breaches]
 
@@ -194,7 +199,7 @@
 
 @pytest.mark.parametrize("file", sorted(POWER.glob("*.toml")), ids=lambda file: file.stem)
 def test_each_scenario_breaks_no_rule(tmp_path: Path, file: Path) -> None:
-    assert asyncio.run(life(tmp_path, 1, plan=faults(file))) == []
+    assert asyncio.run(life(tmp_path, 1, plan=load_faults(file))) == []
 
 
 def told(cluster: Cluster, text: str, times: int) -> bool:
@@ -215,9 +220,9 @@
                 for each in cluster.members.values():
                     (each.folder / "fleet.key").write_text("\n".join(keys) + "\n")
                     cluster.signal(each, signal.SIGHUP)
-                await cluster.until(partial(told, cluster, "keys replaced: count=", 2 * number))
+                await cluster.wait_until(partial(told, cluster, "keys replaced: count=", 2 * number))
             before = [heard(each) for each in cluster.members.values()]
-            await cluster.until(
+            await cluster.wait_until(
                 lambda: all(heard(x) > y for x, y in zip(cluster.members.values(), before, strict=True))
             )
 
@@ -227,7 +232,7 @@
 def test_an_empty_disk_an_old_one_and_a_damaged_one_come_back(tmp_path: Path) -> None:
     async def play() -> None:
         async with fleet(tmp_path, 4) as (cluster, hub):
-            hub.down = True
+            hub.is_down = True
             old = {
                 each.name: each.read_bytes()
                 for each in cluster.members["n1"].state.iterdir()
@@ -242,13 +247,13 @@
             data = bytearray(journal.read_bytes())
             data[data.index(b'{"taken":{"id":"n2-1"')] ^= 1
             journal.write_bytes(data)
-            hub.down = False
+            hub.is_down = False
             await cluster.start()
             for name in ("n0", "n1"):  # what they held is gone with their disks, and no client's to wait for
-                cluster.accepted = {x: by for x, by in cluster.accepted.items() if by != name}
-            cluster.accepted.pop("n2-1")
+                cluster.accepted_by = {x: by for x, by in cluster.accepted_by.items() if by != name}
+            cluster.accepted_by.pop("n2-1")
             await over(cluster)
-            assert all(len(each) == 1 for each in hub.ran.values())
+            assert all(len(each) == 1 for each in hub.served_at.values())
             # The one lost record held no attempt, as the counts around it tell: nobody else comes into doubt.
             assert said(cluster, "reason=unreadable may_have_run=none") == 1
             assert said(cluster, "may_have_run=n2-0") == 0
@@ -264,25 +269,25 @@
             ReceiverStub("hub", cluster.history, RATE) as hub,
             ReceiverStub("old", cluster.history, RATE) as old,
         ):
-            cluster.more = MORE.format(size=3) + hub.listed() + "\n" + old.listed()
+            cluster.extra_config = MORE.format(size=3) + hub.to_config() + "\n" + old.to_config()
             async with cluster:
                 await cluster.start()
                 now = time.time_ns() // 1000
                 out = {"do": "set", "kind": "out", "endpoint": "old", "who": "op", "why": "moved"}
                 for each in ("n1", "n2"):
-                    await cluster.ask(each, out | {"begins": now, "until": now + 60_000_000})
+                    await cluster.request(each, out | {"begins": now, "until": now + 60_000_000})
                 await getattr(cluster, by)("n0")
                 if by == "cut":
                     await cluster.lose_disk("n0")
                 await cluster.start("n0")
-                assert all([await cluster.hand_in(f"m{x}", "safe", 1, 8, to=["n0"]) for x in range(6)])
+                assert all([await cluster.submit(f"m{x}", "safe", 1, 8, to=["n0"]) for x in range(6)])
                 await over(cluster)
-                kept = (await cluster.ask("n0", {"do": "list"}))["overrides"]
+                kept = (await cluster.request("n0", {"do": "list"}))["overrides"]
                 if by == "cut":
-                    assert not old.calls and len(hub.calls) == 6
+                    assert not old.call_times and len(hub.call_times) == 6
                     assert [(each["endpoint"], each["who"]) for each in kept] == [("old", "n1")]
                 else:
-                    assert old.calls and not kept, "what its own disk tells is the latest"
+                    assert old.call_times and not kept, "what its own disk tells is the latest"
 
     asyncio.run(play())
 
@@ -291,16 +296,16 @@
 def test_an_id_that_another_one_took_on_meanwhile_runs_once(tmp_path: Path, kind: str) -> None:
     async def play() -> None:
         async with fleet(tmp_path, 3) as (cluster, hub):
-            hub.down = True
-            assert await cluster.hand_in("m", kind, 1, 8, to=["n0"])
+            hub.is_down = True
+            assert await cluster.submit("m", kind, 1, 8, to=["n0"])
             await cluster.cut("n0")
-            assert await cluster.hand_in("m", kind, 1, 8, to=["n1"])
-            hub.down = False
-            await cluster.until(lambda: bool(hub.ran["m"]))
+            assert await cluster.submit("m", kind, 1, 8, to=["n1"])
+            hub.is_down = False
+            await cluster.wait_until(lambda: bool(hub.served_at["m"]))
             await cluster.start("n0")
-            await cluster.until(lambda: any(each["by"] == "n0" for each in cluster.ends()))
+            await cluster.wait_until(lambda: any(each["by"] == "n0" for each in cluster.completions()))
             await over(cluster)
-            assert len(hub.ran["m"]) == 1
+            assert len(hub.served_at["m"]) == 1
             assert said(cluster, "id=m member=n1 ") == 1
 
     asyncio.run(play())
@@ -319,15 +324,15 @@
 def test_a_wait_that_was_told_binds_all_over_a_power_loss(tmp_path: Path) -> None:
     async def play() -> None:
         async with fleet(tmp_path, 3) as (cluster, hub):
-            hub.wait = 5.0
-            assert await cluster.hand_in("m", "keyed", 1, 8, to=["n0"])
-            await cluster.until(lambda: bool(hub.calls) and waits(cluster.members["n0"].state))
-            told = hub.calls[0]
-            hub.wait = 0.0
+            hub.retry_after = 5.0
+            assert await cluster.submit("m", "keyed", 1, 8, to=["n0"])
+            await cluster.wait_until(lambda: bool(hub.call_times) and waits(cluster.members["n0"].state))
+            told = hub.call_times[0]
+            hub.retry_after = 0.0
             await cluster.cut(keeps=0.0)
             await cluster.start()
-            await cluster.until(lambda: len(hub.calls) > 1)
-            assert hub.calls[1] >= told + 5.0
+            await cluster.wait_until(lambda: len(hub.call_times) > 1)
+            assert hub.call_times[1] >= told + 5.0
 
     asyncio.run(play())
 
@@ -335,23 +340,23 @@
 def test_who_stands_still_with_a_trial_is_taken_over_for_and_does_no_harm(tmp_path: Path) -> None:
     async def play() -> None:
         async with fleet(tmp_path, 3) as (cluster, hub):
-            hub.down = True
+            hub.is_down = True
             assert await hold(cluster, 4) == 12
             await cluster.cut()
-            hub.down, hub.takes = False, 1.0
-            hub.calls.clear()
+            hub.is_down, hub.response_delay = False, 1.0
+            hub.call_times.clear()
             await cluster.start()
-            await cluster.until(lambda: len(hub.calls) == 1)
+            await cluster.wait_until(lambda: len(hub.call_times) == 1)
             told = send_request(cluster.members["n0"].state, {"do": "fleet"})["value"]["destinations"]["1"]
             (holder,) = told["tried_by"]
             await cluster.stop(holder)
-            await cluster.until(lambda: len(hub.calls) >= 2)
-            assert hub.calls[1] >= hub.calls[0] + TRIAL_TIMEOUT_S - 0.2
-            await cluster.until(lambda: len(hub.calls) >= 6)
+            await cluster.wait_until(lambda: len(hub.call_times) >= 2)
+            assert hub.call_times[1] >= hub.call_times[0] + TRIAL_TIMEOUT_S - 0.2
+            await cluster.wait_until(lambda: len(hub.call_times) >= 6)
             await cluster.wake(holder)
             await over(cluster)
-            assert not [each for each in cluster.judged(RULES) if each.rule != "one end"]
-            assert all(len(each) == 1 for each in hub.ran.values())
+            assert not [each for each in cluster.check_history(RULES) if each.rule != "one end"]
+            assert all(len(each) == 1 for each in hub.served_at.values())
 
     asyncio.run(play())
 
@@ -359,8 +364,8 @@
 @pytest.mark.parametrize(
     "trouble",
     [
-        {"n0": ("clock", -1.7e9), "n1": ("clock", 300.0), "n2": ("clock", -1.7e9)},
-        {"n0": ("slow", 2.0), "n1": ("fault", "eio"), "n2": ("fault", "full")},
+        {"n0": ("clock_offset", -1.7e9), "n1": ("clock_offset", 300.0), "n2": ("clock_offset", -1.7e9)},
+        {"n0": ("sync_delay", 2.0), "n1": ("disk_fault", "eio"), "n2": ("disk_fault", "full")},
     ],
     ids=["clocks", "disks"],
 )
@@ -369,25 +374,25 @@
 ) -> None:
     async def play() -> None:
         async with fleet(tmp_path, 4) as (cluster, hub):
-            hub.down = True
+            hub.is_down = True
             assert await hold(cluster, 4) == 16
             await cluster.cut()
             for name, (what, value) in trouble.items():
                 setattr(cluster.members[name], what, value)
-            hub.down = False
+            hub.is_down = False
             opened = sum("stage entered: stage=open " in each for each in cluster.members["n3"].log)
             await asyncio.gather(*(cluster.start(name) for name in cluster.members), return_exceptions=True)
-            well = [name for name, each in cluster.members.items() if each.alive and not each.fault]
+            well = [name for name, each in cluster.members.items() if each.is_alive and not each.disk_fault]
             assert {"n3"} <= set(well)
-            cluster.accepted = {name: by for name, by in cluster.accepted.items() if by in well}
+            cluster.accepted_by = {name: by for name, by in cluster.accepted_by.items() if by in well}
             await over(cluster)
-            await cluster.until(
+            await cluster.wait_until(
                 lambda: (
                     sum("stage entered: stage=open " in x for x in cluster.members["n3"].log) == opened + 1
                 )
             )
-            assert await cluster.hand_in("later", "keyed", 1, 8, to=["n3"]) == "n3"
+            assert await cluster.submit("later", "keyed", 1, 8, to=["n3"]) == "n3"
             await over(cluster)
-            assert all(len(each) == 1 for each in hub.ran.values())
+            assert all(len(each) == 1 for each in hub.served_at.values())
 
     asyncio.run(play())
--- a/tests/test_control_fleet.py
+++ b/tests/test_control_fleet.py
@@ -21,8 +21,8 @@
 from pathlib import Path
 from typing import Any
 
-from message_sender.testbed.cluster import PATIENCE
 from message_sender.testbed.control_cluster import ControlCluster
+from message_sender.testbed.member_factory import STEP_TIMEOUT_S
 
 IN_FORCE_WITHIN_S = 4.0  # the operators' allowance
 OBSERVE_INTERVAL_S = 0.1
@@ -145,7 +145,7 @@
 
     def any_node(self) -> str:
         """A control node that runs and does not stand still."""
-        return self.rng.choice(sorted({*self.cluster.running()} - self.paused))
+        return self.rng.choice(sorted({*self.cluster.running_nodes()} - self.paused))
 
     def running_senders(self) -> list[str]:
         return [name for name, each in self.cluster.senders.items() if each.process is not None]
@@ -164,7 +164,7 @@
 
     async def ask_in_life(self, name: str, life: int, what: str) -> dict[str, Any]:
         """Raises OSError for an answer that comes when the process that gave it has been replaced."""
-        answer: dict[str, Any] = await self.cluster.ask(name, {"do": what})
+        answer: dict[str, Any] = await self.cluster.request(name, {"do": what})
         if self.told[name].lives != life:
             raise ConnectionResetError(f"{name} was started again")
         return answer
@@ -193,7 +193,7 @@
 
     async def request(self, number: int, at: str) -> dict[str, Any]:
         """The answer to a change. Where a node ends or has no leader, others are asked under the same id."""
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(STEP_TIMEOUT_S):
             while True:
                 with contextlib.suppress(OSError, json.JSONDecodeError):
                     answer = await self.request_once(number, at)
@@ -203,14 +203,14 @@
 
     async def request_once(self, number: int, at: str) -> dict[str, Any]:
         request = {"do": "set", "request_id": f"request {number}", "base_version": number - 1, "delete": []}
-        answer: dict[str, Any] = await self.cluster.ask(at, {**request, "put": put_by(number)})
+        answer: dict[str, Any] = await self.cluster.request(at, {**request, "put": put_by(number)})
         return answer
 
     async def request_again(self, number: int, at: str) -> None:
         """A change that was confirmed, asked for again: the same answer, and nothing is written."""
         answer = await self.request(number, at)
         assert answer == {"outcome": "applied", "version": number, "faults": []}
-        assert (await self.cluster.ask(at, {"do": "get"}))["version"] <= self.version
+        assert (await self.cluster.request(at, {"do": "get"}))["version"] <= self.version
 
     # Judgement.
 
@@ -218,7 +218,7 @@
         """Waits until these senders have the last version in force; the seconds since the confirmation, or
         since the last fault ended."""
         began = max(self.confirmed_at, self.calm_since)
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(STEP_TIMEOUT_S):
             while not all(self.version in self.told[name].first_told for name in names):
                 await asyncio.sleep(OBSERVE_INTERVAL_S / 2)
         return max(0.0, *(self.told[name].first_told[self.version] - began for name in names))
@@ -238,19 +238,19 @@
     async def check_begun(self, version: int, names: list[str]) -> None:
         """These senders, just started, have this version in force from their disks."""
         for name in names:
-            assert (await self.cluster.ask(name, {"do": "control"}))["version"] == version
-            endpoints = (await self.cluster.ask(name, {"do": "endpoints"}))["endpoints"]
+            assert (await self.cluster.request(name, {"do": "control"}))["version"] == version
+            endpoints = (await self.cluster.request(name, {"do": "endpoints"}))["endpoints"]
             assert zones_of(endpoints) == zones_at(version)
 
     async def check_end(self) -> None:
         """All run and nothing is cut: every confirmed change is everywhere, once."""
         await self.in_force_in_time("at the end")
         for name in self.cluster.members:
-            await self.cluster.until_node_version(name, self.version)
-            answer = await self.cluster.ask(name, {"do": "get"})
+            await self.cluster.wait_for_node_version(name, self.version)
+            answer = await self.cluster.request(name, {"do": "get"})
             assert (answer["version"], answer["resources"]) == (self.version, resources_at(self.version))
         for name in self.cluster.senders:
-            endpoints = (await self.cluster.ask(name, {"do": "endpoints"}))["endpoints"]
+            endpoints = (await self.cluster.request(name, {"do": "endpoints"}))["endpoints"]
             assert zones_of(endpoints) == zones_at(self.version)
             assert self.told[name].observations > 0
         self.check_order()
@@ -277,7 +277,7 @@
 
 async def killed(fleet: Fleet) -> None:
     """The leader is killed while it is asked for a change, and a sender with it."""
-    leader = await fleet.cluster.leader()
+    leader = await fleet.cluster.wait_for_leader()
     await asyncio.gather(fleet.change(leader), fleet.cluster.kill(leader, "s1"))
     await fleet.in_force_in_time("the leader and a sender were killed")
     await fleet.change()
@@ -289,7 +289,7 @@
 
 async def paused(fleet: Fleet) -> None:
     """The leader and a sender stand still."""
-    leader = await fleet.cluster.leader()
+    leader = await fleet.cluster.wait_for_leader()
     fleet.pause(leader, "s2")
     await fleet.change()
     await fleet.until_in_force([name for name in SENDERS if name != "s2"])
@@ -319,11 +319,11 @@
 async def lossy(fleet: Fleet) -> None:
     """A tenth of all datagrams is lost, a tenth doubled, and all are late; then a leader and a sender end."""
     relay = fleet.cluster.relay
-    relay.loss, relay.delay, relay.double = 0.1, 0.03, 0.1
+    relay.loss, relay.delay, relay.duplication = 0.1, 0.03, 0.1
     for name in fleet.cluster.members:
         await fleet.change(name)
         await fleet.in_force_in_time(f"a tenth is lost, made at {name}")
-    leader = await fleet.cluster.leader()
+    leader = await fleet.cluster.wait_for_leader()
     await asyncio.gather(fleet.change(leader), fleet.cluster.kill(leader, "s4"))
     await fleet.in_force_in_time("a tenth is lost, the leader and a sender were killed")
     await fleet.start(leader, "s4")
@@ -333,7 +333,7 @@
 
 def test_kills_pauses_a_cut_and_loss(tmp_path: Path) -> None:
     async def story(fleet: Fleet) -> None:
-        await fleet.cluster.leader()
+        await fleet.cluster.wait_for_leader()
         for name in fleet.cluster.members:
             await fleet.change(name)
             await fleet.in_force_in_time(f"calm, made at {name}")
@@ -355,7 +355,7 @@
         await fleet.check_begun(fleet.version, [*SENDERS])
         await until_all_watch(cluster, SOUTH_NODES)
         for name in SOUTH_NODES:
-            assert (await cluster.ask(name, {"do": "get"}))["role"] != "leader"
+            assert (await cluster.request(name, {"do": "get"}))["role"] != "leader"
         fleet.check_order()
         await fleet.start(*NORTH_NODES)
         await fleet.change("c3")
@@ -367,8 +367,8 @@
 
 async def until_all_watch(cluster: ControlCluster, names: tuple[str, ...]) -> None:
     """Waits until these control nodes have heard of every sender."""
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(STEP_TIMEOUT_S):
         heard: set[str] = set()
         while heard != set(SENDERS):
-            told = (await cluster.ask(names[0], {"do": "status"}))["nodes"]
+            told = (await cluster.request(names[0], {"do": "status"}))["nodes"]
             heard = {each["name"] for node in told if node["is_reachable"] for each in node["watchers"]}
--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -15,8 +15,8 @@
 from message_sender.control import process
 from message_sender.control.configuration import load
 from message_sender.control.messages import Address
-from message_sender.testbed.cluster import HOST
 from message_sender.testbed.control_cluster import ControlCluster, address_of
+from message_sender.testbed.relay import HOST
 
 IN_FORCE_WITHIN_S = 4.0  # the operators' allowance
 HEALED_WITHIN_S = 10.0  # after a fault, for the node that it befell
@@ -41,7 +41,9 @@
         number = self.version + 1
         name = f"endpoints/hub-{number}"
         self.asked_at = time.monotonic()
-        told = await self.cluster.set(at, f"request {number}", self.version, {name: endpoint(number)})
+        told = await self.cluster.submit_change(
+            at, f"request {number}", self.version, {name: endpoint(number)}
+        )
         assert told == {"outcome": "applied", "version": number, "faults": []}
         self.confirmed_at = time.monotonic()
         self.version = number
@@ -51,8 +53,8 @@
     async def everywhere(self, what: str, names: tuple[str, ...] = (), regions: str = "north south") -> None:
         """All that are reachable have what was confirmed last, in time."""
         watchers = [each for each in self.cluster.watchers if each.region in regions]
-        nodes = names or tuple(self.cluster.running())
-        times = await self.cluster.times_until_version(self.version, nodes, watchers)
+        nodes = names or tuple(self.cluster.running_nodes())
+        times = await self.cluster.measure_version_times(self.version, nodes, watchers)
         took = max(times.values())
         confirmed = self.confirmed_at - self.asked_at
         print(f"{what}: confirmed after {confirmed:.2f} s, in force everywhere {took:.2f} s later")
@@ -61,8 +63,8 @@
 
     async def check(self) -> None:
         """All that was confirmed is at every node, and versions only rose."""
-        for name in self.cluster.running():
-            told = await self.cluster.ask(name, {"do": "get"})
+        for name in self.cluster.running_nodes():
+            told = await self.cluster.request(name, {"do": "get"})
             assert told["version"] == self.version
             assert sorted(told["resources"]) == sorted(self.names)
         for each in self.cluster.watchers:
@@ -83,7 +85,7 @@
 
 def test_kills_and_pauses_lose_nothing(tmp_path: Path) -> None:
     async def story(cluster: ControlCluster, operator: Operator) -> None:
-        leader = await cluster.leader()
+        leader = await cluster.wait_for_leader()
         for name in cluster.members:
             await operator.change(name)
             await operator.everywhere(f"calm, made at {name}")
@@ -93,12 +95,12 @@
         await operator.everywhere("the leader was killed")
         await cluster.start(leader)
         await operator.everywhere("it came back")
-        paused = await cluster.leader()
+        paused = await cluster.wait_for_leader()
         cluster.signal(paused, signal.SIGSTOP)
         awake = tuple(name for name in cluster.members if name != paused)
         await operator.change(awake[0])
         watchers = [each for each in cluster.watchers if each.watch.node != paused]
-        await cluster.until_version(operator.version, awake, watchers, IN_FORCE_WITHIN_S)
+        await cluster.wait_for_version(operator.version, awake, watchers, IN_FORCE_WITHIN_S)
         cluster.signal(paused, signal.SIGCONT)
         await operator.everywhere("the paused leader went on")
         await cluster.kill(*cluster.members)
@@ -106,7 +108,7 @@
         await operator.change("c4")
         await operator.everywhere("all were killed")
         await operator.check()
-        status = await cluster.ask("c3", {"do": "status"})
+        status = await cluster.request("c3", {"do": "status"})
         assert [each["role"] for each in status["nodes"]].count("leader") == 1
         assert {each["fault"] for each in status["nodes"]} == {""}
 
@@ -116,8 +118,8 @@
 def test_loss_and_a_cut_between_regions(tmp_path: Path) -> None:
     async def story(cluster: ControlCluster, operator: Operator) -> None:
         relay = cluster.relay
-        relay.loss, relay.delay, relay.double = 0.1, 0.03, 0.1
-        await cluster.leader()
+        relay.loss, relay.delay, relay.duplication = 0.1, 0.03, 0.1
+        await cluster.wait_for_leader()
         for name in cluster.members:
             await operator.change(name)
             await operator.everywhere(f"a tenth is lost, made at {name}")
@@ -127,11 +129,11 @@
         relay.split(*(" ".join(side) for side in sides))
         base = operator.version
         request = {"do": "set", "request_id": "south", "base_version": base, "delete": []}
-        refused = cluster.ask("c3", {**request, "put": {"endpoints/south": endpoint(99)}})
+        refused = cluster.request("c3", {**request, "put": {"endpoints/south": endpoint(99)}})
         told, _ = await asyncio.gather(refused, operator.change("c2"))
         assert told["outcome"] == "unavailable"
         await operator.everywhere("cut, the heavy side", NORTH, "north")
-        status = await cluster.ask("c4", {"do": "status"})
+        status = await cluster.request("c4", {"do": "status"})
         by_name = {each["name"]: each for each in status["nodes"]}
         assert by_name["c1"] == {"name": "c1", "is_reachable": False}
         assert by_name["c3"]["version"] == by_name["c4"]["version"] == base
@@ -139,7 +141,7 @@
         assert {each.watch.document.version for each in south} == {base}
         relay.heal()
         await operator.everywhere("the cut healed")
-        told = await cluster.ask("c3", {**request, "put": {"endpoints/south": endpoint(99)}})
+        told = await cluster.request("c3", {**request, "put": {"endpoints/south": endpoint(99)}})
         assert told["outcome"] == "conflict" and told["version"] == operator.version
         await operator.check()
 
@@ -153,22 +155,22 @@
 
 
 async def count_refused_for_their_key(cluster: ControlCluster, name: str) -> int:
-    status = await cluster.ask(name, {"do": "status"})
+    status = await cluster.request(name, {"do": "status"})
     own = next(node for node in status["nodes"] if node["name"] == name)
     return sum(count for reason, count in own["refused_datagrams"].items() if "key" in reason)
 
 
 def test_bad_requests_forged_datagrams_keys_and_ends(tmp_path: Path) -> None:
     async def story(cluster: ControlCluster, operator: Operator) -> None:
-        await cluster.leader()
+        await cluster.wait_for_leader()
         await operator.change("c1")
         await operator.everywhere("calm")
         bad = {"endpoints/a": {"destination": "x", "dial": "here"}, "nonsense/b": 1}
-        told = await cluster.set("c2", "bad", 1, bad)
+        told = await cluster.submit_change("c2", "bad", 1, bad)
         assert told["outcome"] == "invalid" and told["version"] == 1
         assert len(told["faults"]) >= 3, told
         with pytest.raises(ValueError, match="base_version"):
-            await cluster.ask("c2", {"do": "set", "request_id": "x"})
+            await cluster.request("c2", {"do": "set", "request_id": "x"})
         send_forged(5, address_of(cluster.members["c2"]))
         async with asyncio.timeout(5.0):
             while await count_refused_for_their_key(cluster, "c2") < 5:
@@ -184,33 +186,33 @@
             member = cluster.members["c1"]
             running, reader = member.process, member.reader
             try:
-                await cluster.start_one(member)
+                await cluster.start_process(member)
             finally:
                 member.process, member.reader = running, reader
         cluster.signal("c1", signal.SIGTERM)
-        assert await cluster.ended("c1") == 0
+        assert await cluster.wait_for_exit("c1") == 0
         assert not (cluster.members["c1"].state / "control").exists()
         await operator.change("c2")
         await cluster.start("c1")
-        assert await cluster.leader()
-        await cluster.until_version(operator.version, tuple(cluster.members), [], HEALED_WITHIN_S)
+        assert await cluster.wait_for_leader()
+        await cluster.wait_for_version(operator.version, tuple(cluster.members), [], HEALED_WITHIN_S)
 
     play(tmp_path, story)
 
 
 def test_a_leader_that_is_told_to_end_hands_over(tmp_path: Path) -> None:
     async def story(cluster: ControlCluster, operator: Operator) -> None:
-        await cluster.leader()
+        await cluster.wait_for_leader()
         await operator.change("c1")
         for _ in range(3):
-            leader = await cluster.leader()
+            leader = await cluster.wait_for_leader()
             others = [name for name in cluster.members if name != leader]
             changes = asyncio.create_task(change_until_ended(cluster, operator, others[0], leader))
             cluster.signal(leader, signal.SIGTERM)
             told_at = time.monotonic()
-            assert await cluster.ended(leader) == 0
+            assert await cluster.wait_for_exit(leader) == 0
             took = time.monotonic() - told_at
-            roles = [(await cluster.ask(name, {"do": "get"}))["role"] for name in others]
+            roles = [(await cluster.request(name, {"do": "get"}))["role"] for name in others]
             assert "leader" in roles, cluster.members[leader].log[-3:]
             longest = await changes
             print(f"{leader} ended after {took:.2f} s, the longest change meanwhile took {longest:.2f} s")
@@ -236,7 +238,7 @@
     member = cluster.members["c1"]
     member.folder.mkdir()
     for number, each in enumerate(cluster.members.values(), 1):
-        each.public = number
+        each.relay_port = number
     cluster.configure(member)
     process.initialise(member.config)
     with pytest.raises(OSError, match="it holds identity"):
--- a/tests/test_overrides.py
+++ b/tests/test_overrides.py
@@ -566,13 +566,13 @@
         flowing = [asyncio.create_task(world.hand_in(25)) for _ in range(4)]
         await until(lambda: world.count >= 20)
         await world.set("out", "e0")
-        world.history.note(EndpointDrained(time.monotonic(), "e0"))
+        world.history.record(EndpointDrained(time.monotonic(), "e0"))
         await asyncio.gather(*flowing)
         await world.deliver(1)
     began = [each.endpoint for each in world.history.events if isinstance(each, AttemptStarted)]
     assert len(began) == 101 and {"e0", "e1"} == set(began[:30]) and began[-1] == "e1"
-    rules = Rules(kinds={"c": RefereeKind()}, destinations={"e0": 1, "e1": 1}, grace=0.05)
-    assert [each for each in HistoryChecker(rules).judge(world.history.events) if each.rule == "drains"] == []
+    rules = Rules(classes={"c": RefereeKind()}, destinations={"e0": 1, "e1": 1}, drain_grace=0.05)
+    assert [each for each in HistoryChecker(rules).check(world.history.events) if each.rule == "drains"] == []
 
 
 @play
--- a/tests/test_quiet.py
+++ b/tests/test_quiet.py
@@ -53,7 +53,7 @@
         return general.read({"name": "n", "classes": classes, "endpoints": listed, "limits": limits})
 
     def end(self, name: str, state: str) -> None:
-        self.history.note(MessageCompleted(self.history.clock(), name, state))
+        self.history.record(MessageCompleted(self.history.clock(), name, state))
         self.ends[state] += 1
         if self.ends.total() == MESSAGES:
             self.ended.set()
@@ -62,7 +62,7 @@
         for number in numbers:
             kind, key = ("ordered", f"k{number % CLIENTS}") if number % 3 == 0 else ("safe", "")
             now = self.history.clock()
-            self.history.note(
+            self.history.record(
                 MessageAdmitted(now, f"m{number}", kind, self.places[number], now + DEADLINE, key)
             )
             fields = {"X-Correlation-Id": f"m{number}", "X-Service-Class": kind, "Idempotency-Key": "i"}
@@ -97,8 +97,8 @@
             client.close()
         sender.stop(0)
         assert await running == 0, sender.engine.defect
-    kinds = {"safe": ClassRule(), "ordered": ClassRule(Effect.KEYED, 4.0, in_order=True)}
+    kinds = {"safe": ClassRule(), "ordered": ClassRule(Effect.KEYED, 4.0, is_ordered=True)}
     places = {f"l{n}": -1 for n in range(LISTENERS)}
-    assert HistoryChecker(Rules(kinds, {}, places, quiet=0.1)).judge(scene.history.events) == []
+    assert HistoryChecker(Rules(kinds, {}, places, key_pause=0.1)).check(scene.history.events) == []
     assert scene.ends["delivered"] >= MESSAGES - MESSAGES // 50 and awake == MESSAGES // 2 + 10
     assert sum(isinstance(each, AttemptStarted) for each in scene.history.events) >= MESSAGES
--- a/tests/test_referee.py
+++ b/tests/test_referee.py
@@ -21,9 +21,9 @@
     {
         "safe": ClassRule(),
         "keyed": ClassRule(Effect.KEYED, 5.0),
-        "zoned": ClassRule(Effect.KEYED, 5.0, by_zone=True),
+        "zoned": ClassRule(Effect.KEYED, 5.0, is_zonal=True),
         "unsafe": ClassRule(Effect.UNSAFE),
-        "ordered": ClassRule(Effect.KEYED, 5.0, in_order=True),
+        "ordered": ClassRule(Effect.KEYED, 5.0, is_ordered=True),
     },
     zones={"a": "x", "b": "y"},
     destinations={"a": 1, "b": 1, "c": 2},
@@ -55,7 +55,7 @@
 
 def broken(*events: HistoryEvent | list[HistoryEvent], until: float = 3.0) -> set[str]:
     flat = [x for each in events for x in (each if isinstance(each, list) else [each])]
-    return {each.rule for each in HistoryChecker(RULES).judge(flat, until)}
+    return {each.rule for each in HistoryChecker(RULES).check(flat, until)}
 
 
 GOOD: dict[str, list[HistoryEvent | list[HistoryEvent]]] = {
--- a/tests/test_schedule.py
+++ b/tests/test_schedule.py
@@ -106,11 +106,11 @@
     return [each for each in actions if not isinstance(each, WakeAfter)]
 
 
-SMALL = StreamShape(seconds=7.0, lists=1.0)
+SMALL = StreamShape(seconds=7.0, list_change_rate=1.0)
 SHAPES = {
     "usual": SMALL,
     "few slots": dataclasses.replace(SMALL, settings={"slots": 3}),
-    "no keys, all in trouble": dataclasses.replace(SMALL, keys=0, moody=0.9, mood=1.5),
+    "no keys, all in trouble": dataclasses.replace(SMALL, keys=0, fault_share=0.9, behavior_seconds=1.5),
     "one key": dataclasses.replace(SMALL, keys=1, rate=20.0),
     "a crowd": dataclasses.replace(SMALL, settings={"fleet_size": 40, "announces_rates": False}),
     "even worth": dataclasses.replace(
@@ -137,7 +137,7 @@
         assert due == NEVER or module.wake_at <= max(due, now + world.settings.tick), (now, due)
 
     world.run(module.handle, heard)
-    assert world.told["Send"] > 20 and module.messages.keys() == plain.messages.keys()
+    assert world.action_counts["Send"] > 20 and module.messages.keys() == plain.messages.keys()
 
 
 def test_a_recorded_stream_replays_identically() -> None:
@@ -232,7 +232,7 @@
 
 
 ROOMY = {"max_open": 10**6, "slots": 64, "announces_rates": False, "fleet_size": 1}
-CALM = StreamShape(moody=0, lists=0, keys=0, rate=100.0, seconds=4.0, settings=ROOMY)
+CALM = StreamShape(fault_share=0, list_change_rate=0, keys=0, rate=100.0, seconds=4.0, settings=ROOMY)
 
 
 @pytest.mark.parametrize("many", [10, 100, 10_000])
