--- a/benchmarks/streams.py
+++ b/benchmarks/streams.py
@@ -87,7 +87,14 @@
 
 def cost(stream: Any, dispatcher: Any) -> None:  # noqa: ANN401
     small = {"slots": 64, "max_open": 4_500, "announces_rates": False, "fleet_size": 1}
-    calm = {"fault_share": 0, "list_change_rate": 0, "keys": 0, "rate": 200.0, "seconds": 24.0, "settings": small}
+    calm = {
+        "fault_share": 0,
+        "list_change_rate": 0,
+        "keys": 0,
+        "rate": 200.0,
+        "seconds": 24.0,
+        "settings": small,
+    }
     shapes = {
         "calm, 20 destinations": stream.StreamShape(destinations=20, **calm),
         "100 of 120 down": stream.StreamShape(destinations=120, down=100, **calm | {"rate": 300.0}),
--- a/message_sender/cli/basic.py
+++ b/message_sender/cli/basic.py
@@ -175,4 +175,4 @@
         raise click.ClickException(f"{capture}: {error}") from None
     if not commands:
         raise click.ClickException(f"{capture} holds no command that is whole")
-    ctx.exit(run_demo(pace, rate, seed, plain=plain, given=commands))
+    ctx.exit(run_demo(pace, rate, seed, plain=plain, commands=commands))
--- a/message_sender/testbed/cluster.py
+++ b/message_sender/testbed/cluster.py
@@ -23,7 +23,7 @@
 from message_sender.testbed.history import History, MessageAdmitted, MessageCompleted, SenderRestarted
 from message_sender.testbed.history_checker import HistoryChecker, Rules, Violation
 from message_sender.testbed.http import HttpClient
-from message_sender.testbed.member_factory import STEP_TIMEOUT_S, Member, MemberFactory
+from message_sender.testbed.member_factory import STEP_TIMEOUT_S, Member, MemberFactory, MemberStartError
 from message_sender.testbed.relay import HOST, Relay
 
 POLL_INTERVAL_S = 0.02
@@ -31,21 +31,6 @@
 STARTED = re.compile(r"ready on \S+:(\d+)")
 
 
-class MemberStartError(RuntimeError):
-    """A process of a member ended before it was ready.
-
-    Attributes:
-        member: The name of the member.
-        log: The last lines that the process logged.
-    """
-
-    def __init__(self, member: str, log: list[str]) -> None:
-        """Create the error."""
-        super().__init__(f"{member} did not start: {log}")
-        self.member = member
-        self.log = log
-
-
 class Cluster:
     """Members that run as processes; an async context manager that ends them all."""
 
--- a/message_sender/testbed/control_cluster.py
+++ b/message_sender/testbed/control_cluster.py
@@ -1,8 +1,7 @@
-"""Control nodes and senders as processes on loopback, watchers in this process, and between all of them the
-relay of testbed/cluster.py.
+"""Control nodes and senders as processes on loopback, watchers in this process, and a relay between them.
 
 A node's process is `python -m message_sender.control.process`, a sender's is `message-sender serve` with
-`[control]`. Its end by a signal is all that a kill does: its disk keeps what it wrote.
+`[control]`. A kill only ends the process: its disk keeps what was written.
 """
 
 import asyncio
@@ -12,25 +11,22 @@
 import signal
 import sys
 import time
-from collections.abc import Awaitable, Callable, Mapping, Sequence
+from collections.abc import Awaitable, Mapping, Sequence
 from dataclasses import dataclass, field
 from pathlib import Path
 from typing import Any, Self
 
 from message_sender.control import process as control_process
-from message_sender.control.channel import Channel
 from message_sender.control.choice import ControlNodeAddress
-from message_sender.control.configuration import load
-from message_sender.control.document import Document
-from message_sender.control.messages import Address, Delta
-from message_sender.control.watch import Watch
-from message_sender.control.watch_link import WatchLink
+from message_sender.control.messages import Address
 from message_sender.control_socket import send_request
-from message_sender.testbed.member_factory import STEP_TIMEOUT_S
+from message_sender.testbed.control_watcher import LabWatcher
+from message_sender.testbed.member_factory import STEP_TIMEOUT_S, MemberStartError
 from message_sender.testbed.relay import HOST, Relay
 
-WATCH_TICK_S = 0.05
-ASK_AGAIN_S = 0.02  # between two questions over a control socket
+POLL_INTERVAL_S = 0.02  # between two requests over a control socket
+LEADER_AGE_LIMIT_MS = 1_000  # of the status of a leader that is confirmed
+READY = re.compile(r"ready on \S+:\d+")
 SENDER_CLASS_AND_ENDPOINT = f"""
 [classes.c]
 effect = "safe"
@@ -62,11 +58,21 @@
 
 @dataclass
 class LabProcess:
-    """A folder, and the process that works in it while it runs."""
+    """A process with a folder of its own, whether or not it runs.
+
+    Attributes:
+        name: Its name in the cluster.
+        folder: Its configuration, key and state.
+        listen_port: The port that it binds.
+        relay_port: The port of the relay at which others reach it.
+        process: The process, while it runs.
+        reader: The task that reads its log.
+        log: The lines that it logged.
+    """
 
     name: str
     folder: Path
-    listen_port: int = 0  # the port that it binds, and the one at which it is called
+    listen_port: int = 0
     relay_port: int = 0
     process: asyncio.subprocess.Process | None = None
     reader: asyncio.Task[None] | None = None
@@ -74,14 +80,16 @@
 
     @property
     def config(self) -> Path:
+        """The configuration file."""
         return self.folder / "control.toml"
 
     @property
     def state(self) -> Path:
+        """The state folder."""
         return self.folder / "state"
 
     def command(self) -> tuple[str, ...]:
-        """What python is started with."""
+        """Return the arguments with which Python is started."""
         raise NotImplementedError
 
 
@@ -92,6 +100,7 @@
     plan: NodePlan = field(kw_only=True)
 
     def command(self) -> tuple[str, ...]:
+        """Return the arguments with which Python is started."""
         return "-m", "message_sender.control.process", str(self.config)
 
 
@@ -102,75 +111,15 @@
     region: str = field(kw_only=True)
 
     def command(self) -> tuple[str, ...]:
+        """Return the arguments with which Python is started."""
         return "-m", "message_sender", "serve", "--config", str(self.config), "--state", str(self.state)
 
 
-class RecordingApplier:
-    """Accepts every version, records it and calls `on_version`, right before it is in force."""
-
-    def __init__(self, on_version: Callable[[], None]) -> None:
-        self.versions: list[int] = []
-        self.on_version = on_version
-
-    def apply(self, document: Document, delta: Delta) -> None:
-        self.versions.append(delta.to_version)
-        self.on_version()
-
-
-class LabWatcher:
-    """A sender's watch on a socket of its own."""
-
-    def __init__(self, name: str, region: str, nodes: Sequence[ControlNodeAddress], config: Path) -> None:
-        """`config`: of any control node, whose key it has."""
-        rng = random.Random(name)
-        self.loop = asyncio.get_running_loop()
-        self.name, self.region = name, region
-        self.applier = RecordingApplier(self.version_changed)
-        addresses = {each.name: each.address for each in nodes}
-        seal = control_process.read_seal(load(config))
-        channel = Channel(name, 1, rng.getrandbits(60) + 1, seal, addresses)
-        self.watch = Watch(name, nodes, region, Document(), self.applier, rng, self.loop.time())
-        self.changed = asyncio.Condition()
-        self.link = WatchLink(channel, self.watch, self.loop.time)
-        self.tasks: set[asyncio.Task[None]] = set()
-
-    async def start(self, port: int) -> None:
-        await self.link.open((HOST, port))
-        self.spawn(self.run())
-
-    def spawn(self, work: Any) -> None:  # noqa: ANN401
-        task = self.loop.create_task(work)
-        self.tasks.add(task)
-        task.add_done_callback(self.tasks.discard)
-
-    def version_changed(self) -> None:
-        """Notifies those that wait for a version, once the event loop goes on and it is in force."""
-        self.spawn(self.notify_changed())
-
-    async def notify_changed(self) -> None:
-        async with self.changed:
-            self.changed.notify_all()
-
-    async def wait_for_version(self, version: int) -> None:
-        """Waits until `version` or a later one is in force here."""
-        async with self.changed:
-            await self.changed.wait_for(lambda: self.watch.document.version >= version)
-
-    async def run(self) -> None:
-        while True:
-            self.link.tick(self.loop.time())
-            await asyncio.sleep(WATCH_TICK_S)
-
-    def close(self) -> None:
-        for task in self.tasks:
-            task.cancel()
-        self.link.close()
-
-
 class ControlCluster:
-    """Control nodes, senders and watchers, with what is done to them."""
+    """Control nodes, senders and watchers; an async context manager that ends them all."""
 
     def __init__(self, folder: Path, plans: Sequence[NodePlan] = FOUR_NODES, seed: int = 0) -> None:
+        """Create a cluster of these nodes in `folder`; the seed decides its key and relay faults."""
         self.relay = Relay(seed)
         self.key = random.Random(f"control key {seed}").randbytes(32)
         self.folder = folder
@@ -181,6 +130,7 @@
         self.watchers: list[LabWatcher] = []
 
     async def __aenter__(self) -> Self:
+        """Initialise the control nodes; nothing is started."""
         for name, member in self.members.items():
             member.folder.mkdir()
             member.listen_port, member.relay_port = await self.relay.add(name)
@@ -190,13 +140,14 @@
         return self
 
     async def __aexit__(self, *_: object) -> None:
+        """Close the watchers and kill all processes."""
         for watcher in self.watchers:
             watcher.close()
         await self.kill(*self.members, *self.senders)
         self.relay.close()
 
     def configure(self, member: ControlMember) -> None:
-        """Writes its configuration and key."""
+        """Write the configuration and the key of a control node."""
         self.write_key(member)
         lines = [
             f'name = "{member.plan.name}"',
@@ -216,12 +167,13 @@
         member.config.write_text("\n".join(lines) + "\n")
 
     def write_key(self, member: LabProcess) -> None:
+        """Write the key of the cluster to a folder."""
         key = member.folder / "control.key"
         key.write_text(base64.b64encode(self.key).decode() + "\n")
         key.chmod(0o600)
 
     async def add_sender(self, name: str, region: str) -> None:
-        """Makes a sender's folder; `start` starts it."""
+        """Create a sender, which `start` starts."""
         member = self.senders[name] = SenderMember(name, self.folder / name, region=region)
         member.folder.mkdir()
         member.listen_port, member.relay_port = await self.relay.add(name)
@@ -243,13 +195,14 @@
         member.config.write_text("\n".join(lines) + "\n")
 
     def addresses(self) -> tuple[ControlNodeAddress, ...]:
+        """Return the control nodes as senders are configured with them."""
         return tuple(
             ControlNodeAddress(name, (HOST, each.relay_port), each.plan.region)
             for name, each in self.members.items()
         )
 
     async def watch(self, name: str, region: str) -> LabWatcher:
-        """Starts a watcher."""
+        """Start a watcher."""
         own, _ = await self.relay.add(name)
         config = next(iter(self.members.values())).config
         watcher = LabWatcher(name, region, self.addresses(), config)
@@ -260,17 +213,19 @@
     # Processes.
 
     def process_of(self, name: str) -> LabProcess:
+        """Return the node or sender of this name."""
         return self.members.get(name) or self.senders[name]
 
     async def start(self, *names: str) -> None:
-        """Starts these nodes and senders, or all nodes, and waits until they serve."""
+        """Start these nodes and senders (default: all nodes), and wait until they serve."""
         await asyncio.gather(*(self.start_process(self.process_of(name)) for name in names or self.members))
 
     async def start_process(self, member: LabProcess) -> None:
-        words = [sys.executable, *member.command()]
+        """Start a process and wait until it serves."""
+        command = [sys.executable, *member.command()]
         pipe, nothing = asyncio.subprocess.PIPE, asyncio.subprocess.DEVNULL
         member.process = await asyncio.create_subprocess_exec(
-            *words, stdin=nothing, stdout=nothing, stderr=pipe
+            *command, stdin=nothing, stdout=nothing, stderr=pipe
         )
         ready: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         member.reader = asyncio.create_task(self.read_log(member, member.process, ready))
@@ -280,39 +235,46 @@
                 await self.wait_until_responsive(member)
 
     async def wait_until_responsive(self, sender: SenderMember) -> None:
-        """A sender's control socket opens a moment after its door."""
+        """Wait until a sender answers on its control socket, which opens shortly after its HTTP port."""
         while True:
             try:
                 await self.request(sender.name, {"do": "control"})
             except OSError:
-                await asyncio.sleep(ASK_AGAIN_S)
+                await asyncio.sleep(POLL_INTERVAL_S)
             else:
                 return
 
     async def read_log(
         self, member: LabProcess, process: asyncio.subprocess.Process, ready: asyncio.Future[None]
     ) -> None:
+        """Collect the log of a process until it ends; `ready` is resolved when it serves."""
         assert process.stderr
         while line := (await process.stderr.readline()).decode(errors="replace"):
             member.log.append(line.rstrip())
-            if re.search(r"ready on \S+:\d+", line) and not ready.done():
+            if READY.search(line) and not ready.done():
                 ready.set_result(None)
         if not ready.done():
-            ready.set_exception(RuntimeError(f"{member.name} did not start: {member.log[-5:]}"))
+            ready.set_exception(MemberStartError(member.name, member.log[-5:]))
 
     def signal(self, name: str, number: int) -> None:
+        """Send a signal to a process, if it runs."""
         process = self.process_of(name).process
         if process is not None and process.returncode is None:
             process.send_signal(number)
 
     async def kill(self, *names: str) -> None:
+        """Kill these processes and wait for their ends."""
         for name in names:
             self.signal(name, signal.SIGKILL)
         for name in names:
             await self.wait_for_exit(name)
 
     async def wait_for_exit(self, name: str) -> int | None:
-        """Waits for the end of a process; its exit code."""
+        """Wait for the end of a process.
+
+        Returns:
+            Its exit code, or None if it does not run.
+        """
         member = self.process_of(name)
         process, member.process = member.process, None
         if process is None:
@@ -323,29 +285,33 @@
         return code
 
     def running_nodes(self) -> list[str]:
-        """The control nodes whose processes run."""
+        """Return the names of the control nodes whose processes run."""
         return [name for name, each in self.members.items() if each.process is not None]
 
     # Operators.
 
     async def request(self, name: str, request: Mapping[str, Any]) -> Any:  # noqa: ANN401
-        """The value of a node's or sender's answer. Raises OSError where it does not answer, and ValueError
-        where it ends before it has."""
-        told = await asyncio.to_thread(send_request, self.process_of(name).state, request)
-        if not told["ok"]:
-            raise ValueError(told["faults"])
-        return told["value"]
+        """Return the value of a node's or sender's answer.
+
+        Raises:
+            OSError: If it does not answer.
+            ValueError: If it rejects the request, or ends before it has answered.
+        """
+        answer = await asyncio.to_thread(send_request, self.process_of(name).state, request)
+        if not answer["ok"]:
+            raise ValueError(answer["faults"])
+        return answer["value"]
 
     async def submit_change(
         self, name: str, request_id: str, base: int, put: Mapping[str, Any], within: float = STEP_TIMEOUT_S
     ) -> dict[str, Any]:
-        """Asks for a change until its outcome is known."""
+        """Submit a change until its outcome is known, and return the outcome."""
         request = {"do": "set", "request_id": request_id, "base_version": base, "put": put, "delete": []}
         async with asyncio.timeout(within):
             while True:
-                told: dict[str, Any] = await self.request(name, request)
-                if told["outcome"] != "unavailable":
-                    return told
+                answer: dict[str, Any] = await self.request(name, request)
+                if answer["outcome"] != "unavailable":
+                    return answer
 
     async def wait_for_version(
         self,
@@ -354,7 +320,7 @@
         watchers: Sequence[LabWatcher],
         within: float = STEP_TIMEOUT_S,
     ) -> float:
-        """Waits until these have `version` in force; the seconds that it took."""
+        """Wait until all of these have `version` in force, and return the seconds that it took."""
         return max((await self.measure_version_times(version, names, watchers, within)).values())
 
     async def measure_version_times(
@@ -364,12 +330,12 @@
         watchers: Sequence[LabWatcher],
         within: float = STEP_TIMEOUT_S,
     ) -> dict[str, float]:
-        """The same, for each by name."""
-        began = time.monotonic()
+        """Wait until all of these have `version` in force, and return the seconds of each by name."""
+        started_at = time.monotonic()
 
         async def timed(work: Awaitable[None]) -> float:
             await work
-            return time.monotonic() - began
+            return time.monotonic() - started_at
 
         waits = {each.name: timed(each.wait_for_version(version)) for each in watchers}
         waits |= {name: timed(self.wait_for_node_version(name, version)) for name in names}
@@ -377,19 +343,20 @@
             return dict(zip(waits, await asyncio.gather(*waits.values()), strict=True))
 
     async def wait_for_node_version(self, name: str, version: int) -> None:
+        """Wait until a control node has `version` or a later one."""
         while (await self.request(name, {"do": "get"}))["version"] < version:
             pass
 
     async def wait_for_leader(self) -> str:
-        """Waits until a node that runs leads."""
+        """Wait until a node that runs leads, and return its name."""
         async with asyncio.timeout(STEP_TIMEOUT_S):
             while True:
                 for name in self.running_nodes():
-                    told = await self.request(name, {"do": "get"})
-                    if told["role"] == "leader" and told["age_ms"] < 1_000:
+                    status = await self.request(name, {"do": "get"})
+                    if status["role"] == "leader" and status["age_ms"] < LEADER_AGE_LIMIT_MS:
                         return name
 
 
 def address_of(member: ControlMember) -> Address:
-    """Where the process itself listens, past the relay."""
+    """Return where the process itself listens, which bypasses the relay."""
     return HOST, member.listen_port
--- a/message_sender/testbed/demo.py
+++ b/message_sender/testbed/demo.py
@@ -1,4 +1,4 @@
-"""`message-sender demo`: one sender between stand-ins, through a calm stretch, an outage and a return."""
+"""`message-sender demo`: one sender between stand-ins, through a calm phase, an outage and a cold return."""
 
 import asyncio
 import contextlib
@@ -20,21 +20,35 @@
 from message_sender.service.standalone import CompletionWriter, StandaloneSender
 from message_sender.testbed.history import History, MessageAdmitted, MessageCompleted, MessageRejected, Outage
 from message_sender.testbed.history_checker import ClassRule, HistoryChecker, Rules, Violation
-from message_sender.testbed.http import HttpClient, HttpEndpoint
+from message_sender.testbed.http import Address, HttpClient, HttpEndpoint
 from message_sender.testbed.running import running
 from message_sender.testbed.script import EndpointBehavior, Script, ScriptedAnswer
 
-CALM, OUTAGE, RETURN = 8.0, 7.0, 12.0  # s at the usual pace
-DEADLINE, WINDOW, QUIET = 6.0, 5.0, 0.1  # s
+# Durations at pace 1:
+CALM_S = 8.0
+OUTAGE_S = 7.0
+RETURN_S = 12.0
+
+DEADLINE_S = 6.0
+IDEMPOTENCY_WINDOW_S = 5.0
+KEY_PAUSE_S = 0.1
+SLOW_START_S = 6.0
 CLIENTS = 8
 DESTINATIONS = 3
-STRUCK = 1  # the destination that goes down
-CAPACITY = 60.0  # calls a second that the stand-ins of a destination are taken to bear
+ENDPOINTS_PER_DESTINATION = 2
+OUTAGE_DESTINATION = 1
+CAPACITY = 60.0  # calls a second that the checker assumes a destination can take
+CALL_DURATION_S = 0.01
+ERROR_SHARE = 0.02
+REFRESH_INTERVAL_S = 0.5
+PLAIN_INTERVAL_S = 1.0  # between two lines of the plain display
+
+ShowCounters = Callable[["DemoCounters"], None]
 
 
 @dataclass(frozen=True, slots=True)
 class RecordedCommand:
-    """A command from outside: when it is due, in s since the first one, and where it goes."""
+    """A command from a recording; `due` is in seconds since the first one."""
 
     due: float
     destination: int
@@ -44,7 +58,7 @@
 
 @dataclass(slots=True)
 class DemoCounters:
-    """What the demo shows."""
+    """What the demo displays; latencies are those of delivered messages in seconds."""
 
     phase: str = "calm"
     sent: int = 0
@@ -52,229 +66,295 @@
     attempts: int = 0
     held: int = 0
     ends: Counter[str] = field(default_factory=Counter)
-    latencies: list[float] = field(default_factory=list)  # s from handing in to the final answer, delivered
+    latencies: list[float] = field(default_factory=list)
+
+    def row(self) -> list[tuple[str, str]]:
+        """Return the columns of the display with their values."""
+        return [
+            ("phase", self.phase),
+            ("sent", str(self.sent)),
+            ("held", str(self.held)),
+            ("calls", str(self.attempts)),
+            ("delivered", str(self.ends["delivered"])),
+            ("refused", str(self.ends["refused"] + self.turned_away)),
+            ("failed", str(self.ends["failed"])),
+        ]
 
 
 def percentile(values: list[float], share: float) -> float:
-    """The nearest-rank percentile; 0 where there are no values."""
+    """Return the nearest-rank percentile; 0 if there are no values."""
     ordered = sorted(values)
     return ordered[max(math.ceil(share * len(ordered)) - 1, 0)] if ordered else 0.0
 
 
 class Demo:
-    def __init__(self, pace: float, rate: float, seed: int, given: Sequence[RecordedCommand] = ()) -> None:
-        """`given`: commands to hand in, in place of clients of the demo's own."""
-        self.given = given
-        self.pace, self.rate, self.random = pace, rate, random.Random(seed)
-        self.history, self.count = History(), DemoCounters()
-        self.handed_in: dict[str, float] = {}
-        self.down = False
-
-    def rule(self, message: str) -> ScriptedAnswer | None:
-        if self.random.random() < 0.02:
+    """One run: a sender, its clients and the stand-ins of three destinations."""
+
+    def __init__(self, pace: float, rate: float, seed: int, commands: Sequence[RecordedCommand] = ()) -> None:
+        """Create a run.
+
+        Args:
+            pace: The factor by which phases are longer than usual.
+            rate: The messages a second that the clients of the demo submit.
+            seed: The seed of all draws.
+            commands: Recorded commands to submit instead.
+        """
+        self.pace = pace
+        self.rate = rate
+        self.rng = random.Random(seed)
+        self.commands = commands
+        self.history = History()
+        self.counters = DemoCounters()
+        self.submitted_at: dict[str, float] = {}
+
+    def choose_answer(self, message: str) -> ScriptedAnswer | None:
+        """Let a small share of the calls fail."""
+        if self.rng.random() < ERROR_SHARE:
             return ScriptedAnswer(EndpointBehavior.ERROR)
         return None
 
-    def told(self, endpoints: list[HttpEndpoint]) -> general.SenderConfig:
+    def sender_config(self, endpoints: list[HttpEndpoint]) -> general.SenderConfig:
+        """Return the configuration of a sender with these endpoints."""
         listed = [
-            {"id": each.name, "destination": number // 2, "dial": f"127.0.0.1:{each.port}", "zone": "z"}
-            for number, each in enumerate(endpoints)
+            {
+                "id": endpoint.name,
+                "destination": number // ENDPOINTS_PER_DESTINATION,
+                "dial": f"127.0.0.1:{endpoint.port}",
+                "zone": "z",
+            }
+            for number, endpoint in enumerate(endpoints)
         ]
-        command = {"effect": "keyed", "aim_ms": 4000, "deadline_ms": int(DEADLINE * 1000)}
-        command |= {"window_ms": int(WINDOW * 1000), "in_order": True}
+        command = {
+            "effect": "keyed",
+            "aim_ms": 4000,
+            "deadline_ms": int(DEADLINE_S * 1000),
+            "window_ms": int(IDEMPOTENCY_WINDOW_S * 1000),
+            "in_order": True,
+        }
         return general.read(
             {
                 "name": "demo",
                 "classes": {"command": command},
                 "endpoints": listed,
-                "rules": {"cold_ms": 6000, "key_quiet_ms": int(QUIET * 1000)},
+                "rules": {"cold_ms": int(SLOW_START_S * 1000), "key_quiet_ms": int(KEY_PAUSE_S * 1000)},
             }
         )
 
-    def heard(self, name: str, end: Completion) -> None:
+    def record_completion(self, name: str, completion: Completion) -> None:
+        """Record and count the completion of a message."""
         now = time.monotonic()
-        self.history.record(MessageCompleted(now, name, end.state.value))
-        self.count.ends[end.state.value] += 1
-        if end.state.value == "delivered":
-            self.count.latencies.append(now - self.handed_in[name])
-
-    async def client(self, number: int, address: tuple[str, int], until: float) -> None:
-        """One of several, each with keys of its own, so that a key's messages come one after another."""
+        state = completion.state.value
+        self.history.record(MessageCompleted(now, name, state))
+        self.counters.ends[state] += 1
+        if state == "delivered":
+            self.counters.latencies.append(now - self.submitted_at[name])
+
+    async def run_client(self, number: int, address: Address, until: float) -> None:
+        """Submit messages one after another; each client has ordering keys of its own."""
         client = HttpClient(address)
-        pause = CLIENTS / self.rate
-        following = time.monotonic() + pause * number / CLIENTS
-        while following < until:
-            await asyncio.sleep(max(following - time.monotonic(), 0))
-            following += pause
-            name, key = f"{number}-{self.count.sent}", f"k{number}.{self.random.randrange(3)}"
-            await self.hand_in(client, name, key, self.random.randrange(DESTINATIONS))
+        interval = CLIENTS / self.rate
+        due = time.monotonic() + interval * number / CLIENTS
+        while due < until:
+            await asyncio.sleep(max(due - time.monotonic(), 0))
+            due += interval
+            name = f"{number}-{self.counters.sent}"
+            key = f"k{number}.{self.rng.randrange(3)}"
+            await self.submit(client, name, key, self.rng.randrange(DESTINATIONS))
         client.close()
 
-    async def hand_in_given(self, address: tuple[str, int], until: float) -> None:
-        """At their times, whether or not the one before has its answer; those of a key one after another."""
-        began = time.monotonic()
-        lines: dict[str, asyncio.Task[None]] = {}
-        for number, each in enumerate(self.given):
-            due = began + each.due * self.pace
+    async def submit_commands(self, address: Address, until: float) -> None:
+        """Submit the recorded commands at their times, those of one key one after another."""
+        started_at = time.monotonic()
+        last_of_key: dict[str, asyncio.Task[None]] = {}
+        for number, command in enumerate(self.commands):
+            due = started_at + command.due * self.pace
             if due > until:
                 break
             await asyncio.sleep(max(due - time.monotonic(), 0))
-            before = lines.get(each.key) if each.key else None
-            key = each.key or f"g{number}"
-            lines[key] = asyncio.create_task(self.hand_in_one(address, number, each, key, before))
-        await asyncio.gather(*lines.values())
+            before = last_of_key.get(command.key) if command.key else None
+            key = command.key or f"g{number}"
+            work = self.submit_command(address, number, command, key, before)
+            last_of_key[key] = asyncio.create_task(work)
+        await asyncio.gather(*last_of_key.values())
 
-    async def hand_in_one(
-        self, address: tuple[str, int], number: int, given: RecordedCommand, key: str,
+    async def submit_command(
+        self,
+        address: Address,
+        number: int,
+        command: RecordedCommand,
+        key: str,
         before: asyncio.Task[None] | None,
-    ) -> None:  # fmt: skip
+    ) -> None:
+        """Submit a recorded command once the one before it has its response."""
         if before:
             await before
         client = HttpClient(address)
-        destination = given.destination % DESTINATIONS
-        await self.hand_in(client, f"g-{number}", key, destination, given.body)
+        destination = command.destination % DESTINATIONS
+        await self.submit(client, f"g-{number}", key, destination, command.body)
         client.close()
 
-    async def hand_in(
+    async def submit(
         self, client: HttpClient, name: str, key: str, destination: int, body: bytes = b"start"
     ) -> None:
-        self.count.sent += 1
+        """Submit a message, and record whether it was admitted."""
+        self.counters.sent += 1
+        ordering_key = f"{key}.{destination}"
         fields = {
             "X-Correlation-Id": name,
             "X-Service-Class": "command",
-            "X-Time-Left": f"{DEADLINE:.3f}",
+            "X-Time-Left": f"{DEADLINE_S:.3f}",
             "X-Route-To": f"dest={destination}",
-            "X-Session-Key": f"{key}.{destination}",
+            "X-Session-Key": ordering_key,
             "Idempotency-Key": f"i{name}",
         }
-        self.handed_in[name] = now = time.monotonic()
+        self.submitted_at[name] = now = time.monotonic()
         status, _ = await client.post("/command", fields, body)
         if status == 202:
-            taken = MessageAdmitted(now, name, "command", destination, now + DEADLINE, f"{key}.{destination}")
-            self.history.record(taken)
+            deadline = now + DEADLINE_S
+            self.history.record(MessageAdmitted(now, name, "command", destination, deadline, ordering_key))
         else:
-            self.count.turned_away += 1
+            self.counters.turned_away += 1
             self.history.record(MessageRejected(time.monotonic(), name))
 
-    async def phases(self, endpoints: list[HttpEndpoint]) -> None:
-        struck = endpoints[2 * STRUCK : 2 * STRUCK + 2]
-        await asyncio.sleep(CALM * self.pace)
-        self.count.phase, began = "outage", time.monotonic()
-        for each in struck:
-            each.is_down = True
-            each.reset_connections()
-        await asyncio.sleep(OUTAGE * self.pace)
-        for each in struck:
-            each.is_down = False
-        self.count.phase = "cold return"
-        self.history.record(Outage(began, time.monotonic(), STRUCK))
-        await asyncio.sleep(RETURN * self.pace)
-        self.count.phase = "settling"
-
-    async def run(self, show: Callable[[DemoCounters], None]) -> list[Violation]:
+    async def run_phases(self, endpoints: list[HttpEndpoint]) -> None:
+        """Let one destination go down and return."""
+        first = ENDPOINTS_PER_DESTINATION * OUTAGE_DESTINATION
+        affected = endpoints[first : first + ENDPOINTS_PER_DESTINATION]
+        await asyncio.sleep(CALM_S * self.pace)
+        self.counters.phase = "outage"
+        down_at = time.monotonic()
+        for endpoint in affected:
+            endpoint.is_down = True
+            endpoint.reset_connections()
+        await asyncio.sleep(OUTAGE_S * self.pace)
+        for endpoint in affected:
+            endpoint.is_down = False
+        self.counters.phase = "cold return"
+        self.history.record(Outage(down_at, time.monotonic(), OUTAGE_DESTINATION))
+        await asyncio.sleep(RETURN_S * self.pace)
+        self.counters.phase = "settling"
+
+    async def run(self, show: ShowCounters) -> list[Violation]:
+        """Run all phases, and return the violations of the rules."""
         async with contextlib.AsyncExitStack() as stack:
+            answer = ScriptedAnswer(EndpointBehavior.SERVE, CALL_DURATION_S)
             scripts = [
-                Script(rule=self.rule, default=ScriptedAnswer(EndpointBehavior.SERVE, 0.01))
-                for _ in range(2 * DESTINATIONS)
+                Script(rule=self.choose_answer, default=answer)
+                for _ in range(ENDPOINTS_PER_DESTINATION * DESTINATIONS)
             ]
             endpoints = [
                 await stack.enter_async_context(HttpEndpoint(f"e{number}", script, self.history))
                 for number, script in enumerate(scripts)
             ]
             folder = stack.enter_context(tempfile.TemporaryDirectory())
-            sender = StandaloneSender(
-                self.told(endpoints), Path(folder), CompletionWriter(io.StringIO(), self.heard)
-            )
+            completions = CompletionWriter(io.StringIO(), self.record_completion)
+            sender = StandaloneSender(self.sender_config(endpoints), Path(folder), completions)
             async with running(sender):
-                await self.play(sender, endpoints, scripts, show)
+                await self.run_traffic(sender, endpoints, scripts, show)
         return HistoryChecker(self.rules()).check(self.history.events)
 
-    async def play(
+    async def run_traffic(
         self,
         sender: StandaloneSender,
         endpoints: list[HttpEndpoint],
         scripts: list[Script],
-        show: Callable[[DemoCounters], None],
+        show: ShowCounters,
     ) -> None:
-        until = time.monotonic() + (CALM + OUTAGE + RETURN) * self.pace
+        """Run clients and phases, and show the counters until every message is completed."""
+        until = time.monotonic() + (CALM_S + OUTAGE_S + RETURN_S) * self.pace
         address = sender.server.address()[:2]
-        if self.given:
-            work = [asyncio.create_task(self.hand_in_given(address, until))]
+        if self.commands:
+            tasks = [asyncio.create_task(self.submit_commands(address, until))]
         else:
-            work = [asyncio.create_task(self.client(number, address, until)) for number in range(CLIENTS)]
-        work.append(asyncio.create_task(self.phases(endpoints)))
-        last = until + DEADLINE + 1.0
-        while time.monotonic() < last:
-            await asyncio.sleep(min(0.5, self.pace))
-            self.count.held = len(sender.engine.dispatcher.messages)
-            self.count.attempts = sum(sum(each.call_counts.values()) for each in scripts)
-            show(self.count)
-            if all(task.done() for task in work) and not sender.engine.journal.entries:
+            tasks = [
+                asyncio.create_task(self.run_client(number, address, until)) for number in range(CLIENTS)
+            ]
+        tasks.append(asyncio.create_task(self.run_phases(endpoints)))
+        latest = until + DEADLINE_S + 1.0
+        while time.monotonic() < latest:
+            await asyncio.sleep(min(REFRESH_INTERVAL_S, self.pace))
+            self.counters.held = len(sender.engine.dispatcher.messages)
+            self.counters.attempts = sum(sum(script.call_counts.values()) for script in scripts)
+            show(self.counters)
+            if all(task.done() for task in tasks) and not sender.engine.journal.entries:
                 break
-        await asyncio.gather(*work)
+        await asyncio.gather(*tasks)
 
     def rules(self) -> Rules:
-        names = [f"e{number}" for number in range(2 * DESTINATIONS)]
+        """Return the rules by which the history is checked."""
+        endpoints = range(ENDPOINTS_PER_DESTINATION * DESTINATIONS)
         return Rules(
-            classes={"command": ClassRule(Effect.KEYED, WINDOW, is_ordered=True)},
-            destinations={name: number // 2 for number, name in enumerate(names)},
+            classes={"command": ClassRule(Effect.KEYED, IDEMPOTENCY_WINDOW_S, is_ordered=True)},
+            destinations={f"e{number}": number // ENDPOINTS_PER_DESTINATION for number in endpoints},
             capacity=dict.fromkeys(range(DESTINATIONS), CAPACITY),
-            key_pause=QUIET,
-            slow_start=6.0,
+            key_pause=KEY_PAUSE_S,
+            slow_start=SLOW_START_S,
         )
 
 
-def row(count: DemoCounters) -> list[tuple[str, str]]:
-    return [
-        ("phase", count.phase),
-        ("sent", str(count.sent)),
-        ("held", str(count.held)),
-        ("calls", str(count.attempts)),
-        ("delivered", str(count.ends["delivered"])),
-        ("refused", str(count.ends["refused"] + count.turned_away)),
-        ("failed", str(count.ends["failed"])),
-    ]
+class PlainDisplay:
+    """Prints the counters as lines."""
+
+    def __init__(self) -> None:
+        """Create a display that has printed nothing."""
+        self.printed_at = 0.0
+
+    def show(self, counters: DemoCounters) -> None:
+        """Print the counters, unless the last line is recent."""
+        now = time.monotonic()
+        if now - self.printed_at >= PLAIN_INTERVAL_S:
+            self.printed_at = now
+            print("  ".join(f"{name} {text}" for name, text in counters.row()), flush=True)
+
+
+@contextlib.contextmanager
+def live_display() -> Iterator[ShowCounters]:
+    """Show the counters as a table on a terminal.
+
+    Raises:
+        ImportError: If the library for it is not installed.
+    """
+    from rich.live import Live
+    from rich.table import Table
+
+    def table(counters: DemoCounters) -> Table:
+        columns = Table(title="message-sender demo")
+        for name, _ in counters.row():
+            columns.add_column(name, justify="right")
+        columns.add_row(*(text for _, text in counters.row()))
+        return columns
+
+    with Live(table(DemoCounters()), refresh_per_second=4) as live:
+
+        def show(counters: DemoCounters) -> None:
+            live.update(table(counters))
+
+        yield show
 
 
 @contextlib.contextmanager
-def display(plain: bool) -> Iterator[Callable[[DemoCounters], None]]:
-    """Something that shows a count: a live table where there is a terminal and the library, else lines."""
-    if not plain and sys.stdout.isatty():
-        with contextlib.suppress(ImportError):
-            from rich.live import Live
-            from rich.table import Table
-
-            def table(count: DemoCounters) -> Table:
-                made = Table(title="message-sender demo")
-                for name, _ in row(count):
-                    made.add_column(name, justify="right")
-                made.add_row(*(text for _, text in row(count)))
-                return made
-
-            with Live(table(DemoCounters()), refresh_per_second=4) as live:
-                yield lambda count: live.update(table(count))
-            return
-    last = [0.0]
-
-    def line(count: DemoCounters) -> None:
-        if time.monotonic() - last[0] >= 1.0:
-            last[0] = time.monotonic()
-            print("  ".join(f"{name} {text}" for name, text in row(count)), flush=True)
-
-    yield line
-
-
-def report(count: DemoCounters, breaches: list[Violation]) -> None:
-    print(f"\n{'sent':12}{count.sent:>8}")
+def display(plain: bool) -> Iterator[ShowCounters]:
+    """Show the counters in a live table, or as lines if `plain` is set or no table can be shown."""
+    with contextlib.ExitStack() as stack:
+        show: ShowCounters = PlainDisplay().show
+        if not plain and sys.stdout.isatty():
+            with contextlib.suppress(ImportError):
+                show = stack.enter_context(live_display())
+        yield show
+
+
+def print_report(counters: DemoCounters, violations: list[Violation]) -> None:
+    """Print the totals and the verdict of a run."""
+    print(f"\n{'sent':12}{counters.sent:>8}")
     for name in ("delivered", "refused", "failed"):
-        print(f"{name:12}{count.ends[name]:>8}")
-    print(f"{'turned away':12}{count.turned_away:>8}")
-    print(f"{'calls':12}{count.attempts:>8}")
+        print(f"{name:12}{counters.ends[name]:>8}")
+    print(f"{'turned away':12}{counters.turned_away:>8}")
+    print(f"{'calls':12}{counters.attempts:>8}")
     for share, name in ((0.5, "p50"), (0.99, "p99")):
-        print(f"{'latency ' + name:12}{percentile(count.latencies, share) * 1e3:>8.0f} ms")
-    for breach in breaches:
-        print(f"broken: {breach.rule}: {breach.text}")
-    print("the referee: " + (f"{len(breaches)} rules broken" if breaches else "no rule broken"))
+        print(f"{'latency ' + name:12}{percentile(counters.latencies, share) * 1e3:>8.0f} ms")
+    for violation in violations:
+        print(f"broken: {violation.rule}: {violation.text}")
+    print("the referee: " + (f"{len(violations)} rules broken" if violations else "no rule broken"))
 
 
 def demo(
@@ -283,21 +363,33 @@
     seed: int = 1,
     *,
     plain: bool = False,
-    given: Sequence[RecordedCommand] = (),
+    commands: Sequence[RecordedCommand] = (),
 ) -> int:
-    """Runs it; 0 if no rule was broken and something was delivered, else 1."""
+    """Run the demo.
+
+    Args:
+        pace: The factor by which phases are longer than usual.
+        rate: The messages a second.
+        seed: The seed of all draws.
+        plain: Whether the counters are printed as lines even on a terminal.
+        commands: Recorded commands to submit in place of the demo's own messages.
+
+    Returns:
+        The exit code: 0 if no rule was broken and something was delivered, else 1.
+    """
     logger = logging.getLogger("message_sender")
     level = logger.level
-    logger.setLevel(logging.ERROR)  # what the outage makes it say would run through the display
+    logger.setLevel(logging.ERROR)  # warnings on the outage would break the display
     try:
-        return show_demo(Demo(pace, rate, seed, given), plain)
+        return run_and_report(Demo(pace, rate, seed, commands), plain)
     finally:
         logger.setLevel(level)
 
 
-def show_demo(shown: Demo, plain: bool) -> int:
+def run_and_report(run: Demo, plain: bool) -> int:
+    """Run a demo with its display and report; return the exit code."""
     print("one sender, three destinations of two endpoints each; destination 1 goes down and comes back cold")
     with display(plain) as show:
-        breaches = asyncio.run(shown.run(show))
-    report(shown.count, breaches)
-    return 1 if breaches or not shown.count.ends["delivered"] else 0
+        violations = asyncio.run(run.run(show))
+    print_report(run.counters, violations)
+    return 1 if violations or not run.counters.ends["delivered"] else 0
--- a/message_sender/testbed/history.py
+++ b/message_sender/testbed/history.py
@@ -8,6 +8,8 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
+NEVER = float("inf")
+
 
 class EffectApplied(Enum):
     """Whether a call had its effect, as far as the endpoint knows."""
@@ -121,6 +123,31 @@
 )
 
 
+@dataclass(slots=True)
+class ObservedCall:
+    """A call and its end, as far as they were observed.
+
+    Attributes:
+        start: Its start.
+        finish: Its end, if there was one.
+        restarted_at: When its sender restarted while it was in flight, if that happened.
+    """
+
+    start: AttemptStarted
+    finish: AttemptFinished | None = None
+    restarted_at: float | None = None
+
+    def end(self) -> float:
+        """Return when it was over for the sender; NEVER if that was not observed."""
+        if self.finish:
+            return self.finish.at
+        return self.restarted_at if self.restarted_at is not None else NEVER
+
+    def may_have_run(self) -> bool:
+        """Return whether it may have had its effect."""
+        return self.finish is None or self.finish.ran is not EffectApplied.NEVER
+
+
 @dataclass(slots=True)
 class History:
     """The events of a run, in the order in which they were observed."""
--- a/message_sender/testbed/history_checker.py
+++ b/message_sender/testbed/history_checker.py
@@ -27,6 +27,7 @@
 
 from message_sender.policy.model import Effect
 from message_sender.testbed.history import (
+    NEVER,
     AttemptFinished,
     AttemptStarted,
     EffectApplied,
@@ -36,11 +37,11 @@
     MessageAdmitted,
     MessageCompleted,
     MessageRejected,
+    ObservedCall,
     Outage,
     SenderRestarted,
 )
 
-NEVER = float("inf")
 Interval = tuple[float, float]
 
 
@@ -108,31 +109,6 @@
     calls: int
 
 
-@dataclass(slots=True)
-class ObservedCall:
-    """A call and its end, as far as they were observed.
-
-    Attributes:
-        start: Its start.
-        finish: Its end, if there was one.
-        restarted_at: When its sender restarted while it was in flight, if that happened.
-    """
-
-    start: AttemptStarted
-    finish: AttemptFinished | None = None
-    restarted_at: float | None = None
-
-    def end(self) -> float:
-        """Return when it was over for the sender; NEVER if that was not observed."""
-        if self.finish:
-            return self.finish.at
-        return self.restarted_at if self.restarted_at is not None else NEVER
-
-    def may_have_run(self) -> bool:
-        """Return whether it may have had its effect."""
-        return self.finish is None or self.finish.ran is not EffectApplied.NEVER
-
-
 class HistoryChecker:
     """Checks one history."""
 
--- a/message_sender/testbed/member.py
+++ b/message_sender/testbed/member.py
@@ -1,6 +1,8 @@
-"""`message-sender serve` as a process on a machine of a test's own: its disk forgets, its clock is wrong, its
-boot is told. A process that has all of the program imported makes one for each line that it reads, and says
-its id: most of the cost of a start is the import.
+"""The process of a cluster's members: `message-sender serve` with a simulated disk, clock and boot id.
+
+Run as a program, it imports the sender once and forks a member for each request, since most of the cost of a
+start is the import. Requests are lines of JSON on its standard input; for each it prints the id of the new
+process, or the exit status of the one that ended:
 
     {"start": {"config": ..., "state": ..., "answers": ..., "ops": ..., "boot": "1", "log": FIFO}}
     {"wait": PID}
@@ -12,58 +14,62 @@
 import os
 import sys
 from pathlib import Path
-from typing import Any
+from typing import Any, NoReturn
 
 from message_sender.configuration.general import load
 from message_sender.core.clock import Clock
 from message_sender.journal import durable  # noqa: F401
-from message_sender.service import learned_state, membership  # noqa: F401  # imported before any member is made
+from message_sender.service import learned_state, membership  # noqa: F401  # imported before any member is forked
 from message_sender.service.standalone import serve
 from message_sender.service.standalone_parts import HostMachine
 from message_sender.testbed.simulated_disk import RecordingDisk
 
 
-def machine(told: dict[str, Any]) -> HostMachine:
+def create_machine(start: dict[str, Any]) -> HostMachine:
+    """Return the machine of a start request; `clock` is how far its wall clock is ahead, in seconds."""
     clock = Clock()
-    clock.base += int(told.get("clock", 0) * 1e9)  # s that its wall clock is ahead
-    disk = RecordingDisk(Path(told["ops"]), told.get("fault", ""), told.get("slow", 0.0))
-    return HostMachine(clock, disk, told["boot"])
+    clock.base += int(start.get("clock", 0) * 1e9)
+    disk = RecordingDisk(Path(start["ops"]), start.get("fault", ""), start.get("slow", 0.0))
+    return HostMachine(clock, disk, start["boot"])
 
 
-def main(told: dict[str, Any]) -> int:
+def run_member(start: dict[str, Any]) -> int:
+    """Run the sender of a start request, and return its exit code."""
     logging.basicConfig(format="%(asctime)s %(message)s", level=logging.INFO)
-    file = Path(told["config"])
-    with open(told["answers"], "a") as answers:
-        return asyncio.run(serve(file, load(file), Path(told["state"]), answers, machine=machine(told)))
+    file = Path(start["config"])
+    with open(start["answers"], "a") as answers:
+        work = serve(file, load(file), Path(start["state"]), answers, machine=create_machine(start))
+        return asyncio.run(work)
 
 
-def child(told: dict[str, Any]) -> None:
-    """Never returns."""
+def run_child(start: dict[str, Any]) -> NoReturn:
+    """Run a member in a forked process, with its log as standard error, and end the process."""
     code = 1
     try:
-        log = os.open(told["log"], os.O_WRONLY)
+        log = os.open(start["log"], os.O_WRONLY)
         os.dup2(log, 2)
         os.dup2(os.open(os.devnull, os.O_RDWR), 0)
         os.dup2(0, 1)
-        code = main(told)
-    except BaseException:
-        logging.exception("the member ended")
+        code = run_member(start)
+    except BaseException:  # the boundary of the process: whatever ended it belongs in its log
+        logging.exception("member process failed")
     finally:
         sys.stderr.flush()
         os._exit(code)
 
 
-def nursery() -> None:
+def serve_requests() -> None:
+    """Answer requests until the standard input ends."""
     for line in sys.stdin:
-        asked = json.loads(line)
-        if "start" in asked:
-            found = os.fork()
-            if not found:
-                child(asked["start"])
+        request = json.loads(line)
+        if "start" in request:
+            result = os.fork()
+            if not result:
+                run_child(request["start"])
         else:
-            found = os.waitpid(asked["wait"], 0)[1]
-        print(json.dumps(found), flush=True)
+            result = os.waitpid(request["wait"], 0)[1]
+        print(json.dumps(result), flush=True)
 
 
 if __name__ == "__main__":
-    nursery()
+    serve_requests()
--- a/message_sender/testbed/member_factory.py
+++ b/message_sender/testbed/member_factory.py
@@ -10,6 +10,21 @@
 STEP_TIMEOUT_S = 30.0  # after which a step of a cluster has failed
 
 
+class MemberStartError(RuntimeError):
+    """A process of a member ended before it was ready.
+
+    Attributes:
+        member: The name of the member.
+        log: The last lines that the process logged.
+    """
+
+    def __init__(self, member: str, log: list[str]) -> None:
+        """Create the error."""
+        super().__init__(f"{member} did not start: {log}")
+        self.member = member
+        self.log = log
+
+
 @dataclass
 class Member:
     """A member of a cluster, whether or not its process runs.
--- a/message_sender/testbed/simulated_disk.py
+++ b/message_sender/testbed/simulated_disk.py
@@ -1,11 +1,12 @@
-"""A disk that forgets: after a cut of the power it holds what was synced, and what a seed says of the rest.
-
-`SimulatedDisk` is the model, pure and in memory. Content and names are apart: a file's content is durable as
-of its last sync, a folder's names as of its last sync. Of what came after, a cut keeps any subset, in whole,
-torn at 512 bytes or as zeros: content without its name and a name without its content too. `MemoryDisk` is a
-file layer on a platter, for simulated time. `RecordingDisk` is one for a real process: it works on real files
-and notes each operation in a file outside its folder, from which `cut` makes, once the process is killed,
-what a power loss leaves.
+"""A simulated disk: after a power loss it holds what was synced, and what a seed decides of the rest.
+
+`SimulatedDisk` is the model, pure and in memory. A file's content is durable as of its last sync, and a
+folder's names as of the last sync of the folder. Of later changes a power loss keeps any subset; a write is
+kept in full, torn at a sector boundary or as zeros. Content can survive without its name and the reverse.
+
+`MemoryDisk` is a file layer on that model for simulated time. `RecordingDisk` is a file layer for a real
+process: it works on real files and records each operation in a file outside their folder, from which `cut`
+computes what a power loss leaves once the process has been killed.
 """
 
 import asyncio
@@ -20,28 +21,40 @@
 
 from message_sender.journal.disk import SystemDisk
 
-JOURNAL = "journal"  # the one file that counts, by its name
-SECTOR = 512  # bytes that a disk writes as one
+JOURNAL = "journal"  # the one file that matters, by its name
+SECTOR_BYTES = 512  # what a disk writes atomically
+SYNC_DELAY_S = 0.002
+ZEROED_SHARE = 0.15  # of the surviving writes: the length is durable, the content is not
+TORN_SHARE = 0.2
 
 
 @dataclass
 class Content:
-    stable: bytes = b""  # as of the last sync
+    """The content of a file: as of its last sync, as it is now, and the changes between."""
+
+    stable: bytes = b""
     now: bytearray = field(default_factory=bytearray)
-    pending: list[tuple[int, bytes | None]] = field(default_factory=list)  # offset, data; None: cut off there
+    pending: list[tuple[int, bytes | None]] = field(
+        default_factory=list
+    )  # offset and data; None: truncated there
 
     def write(self, data: bytes) -> None:
+        """Append data."""
         self.pending.append((len(self.now), data))
         self.now += data
 
     def truncate(self, size: int) -> None:
+        """Cut off what exceeds `size` bytes."""
         self.pending.append((size, None))
         del self.now[size:]
 
     def sync(self) -> None:
-        self.stable, self.pending = bytes(self.now), []
+        """Make the present content durable."""
+        self.stable = bytes(self.now)
+        self.pending = []
 
-    def survives(self, rng: random.Random, keeps: float) -> bytes:
+    def surviving(self, rng: random.Random, keeps: float) -> bytes:
+        """Return what a power loss leaves if each change survives with the probability `keeps`."""
         left = bytearray(self.stable)
         for at, data in self.pending:
             if rng.random() >= keeps:
@@ -50,33 +63,38 @@
                 del left[at:]
                 continue
             fate = rng.random()
-            if fate < 0.15:
-                data = bytes(len(data))  # the length is on the disk, the content is not
-            elif fate < 0.35:
-                data = torn(data, at, rng)
+            if fate < ZEROED_SHARE:
+                data = bytes(len(data))
+            elif fate < ZEROED_SHARE + TORN_SHARE:
+                data = tear(data, at, rng)
             left += bytes(max(at + len(data) - len(left), 0))
             left[at : at + len(data)] = data
         return bytes(left)
 
 
-def torn(data: bytes, at: int, rng: random.Random) -> bytes:
-    """A part of it, up to a boundary between sectors; a write within one sector is whole."""
-    edges = [edge - at for edge in range((at // SECTOR + 1) * SECTOR, at + len(data), SECTOR)]
+def tear(data: bytes, at: int, rng: random.Random) -> bytes:
+    """Return a write at offset `at` up to some sector boundary; one within a sector is kept in full."""
+    edges = [
+        edge - at for edge in range((at // SECTOR_BYTES + 1) * SECTOR_BYTES, at + len(data), SECTOR_BYTES)
+    ]
     return data[: rng.choice([0, *edges])] if edges else data
 
 
 class SimulatedDisk:
+    """A folder on a disk that can lose power."""
+
     def __init__(self, left: dict[str, bytes] | None = None) -> None:
-        """`left`: the files on it, by name, all durable."""
+        """Create a folder with these files, by name, all durable."""
         self.contents: dict[int, Content] = {}
         self.names: dict[str, int] = {}  # as of the last sync of the folder
         self.now: dict[str, int] = {}
-        self.pending: list[dict[str, int | None]] = []  # changes of names, each made whole or not at all
+        self.pending: list[dict[str, int | None]] = []  # changes of names, each atomic
         for name, data in (left or {}).items():
             self.names[name] = self.now[name] = number = len(self.contents)
             self.contents[number] = Content(data, bytearray(data))
 
     def open(self, name: str, fresh: bool = False) -> int:
+        """Open or create a file, empty if `fresh`; return the number of its content."""
         if name not in self.now:
             number = len(self.contents)
             self.contents[number] = Content()
@@ -86,32 +104,43 @@
         return self.now[name]
 
     def rename(self, change: dict[str, int | None]) -> None:
+        """Change names to other contents, or to none, atomically."""
         self.pending.append(change)
         apply(self.now, change)
 
     def replace(self, old: str, new: str) -> None:
+        """Rename a file over another."""
         self.rename({new: self.now[old], old: None})
 
     def unlink(self, name: str) -> None:
+        """Remove a name, if it exists."""
         if name in self.now:
             self.rename({name: None})
 
     def sync_folder(self) -> None:
-        self.names, self.pending = dict(self.now), []
+        """Make the present names durable."""
+        self.names = dict(self.now)
+        self.pending = []
 
     def cut(self, rng: random.Random, keeps: float | None = None) -> dict[str, bytes]:
-        """What a power loss leaves, by name: some cuts keep all that was written, some nothing that was not
-        synced, most of them a part; `keeps`: this share."""
+        """Return the files that a power loss leaves, by name.
+
+        Args:
+            rng: Decides what survives.
+            keeps: The probability with which an unsynced change survives; by default drawn from none, some
+                and all.
+        """
         keeps = rng.choice((0.0, 0.3, 0.7, 1.0)) if keeps is None else keeps
         names = dict(self.names)
         for change in self.pending:
             if rng.random() < keeps:
                 apply(names, change)
-        survivors = {number: each.survives(rng, keeps) for number, each in self.contents.items()}
+        survivors = {number: each.surviving(rng, keeps) for number, each in self.contents.items()}
         return {name: survivors[number] for name, number in names.items()}
 
 
 def apply(names: dict[str, int], change: dict[str, int | None]) -> None:
+    """Apply a change of names."""
     for name, number in change.items():
         if number is None:
             names.pop(name, None)
@@ -119,153 +148,203 @@
             names[name] = number
 
 
-class MemoryDisk:
-    """A file layer on a platter. `before` is called before each operation and may raise: a cut of the power
-    between any two of them. `run` does a job within the loop's time, `takes` seconds later."""
+def no_fault(operation: str) -> None:
+    """Let an operation succeed."""
+
 
-    def __init__(self, platter: SimulatedDisk, before: Callable[[str], None] = lambda what: None) -> None:
-        self.platter, self.before = platter, before
-        self.takes: Callable[[], float] = lambda: 0.002
+def default_duration() -> float:
+    """Return how long a job of a `MemoryDisk` takes, in seconds."""
+    return SYNC_DELAY_S
+
+
+class MemoryDisk:
+    """A file layer on a simulated disk; jobs of `run` take the time that `takes` returns, in seconds."""
+
+    def __init__(self, platter: SimulatedDisk, before: Callable[[str], None] = no_fault) -> None:
+        """Create a layer.
+
+        Args:
+            platter: The disk.
+            before: Called with the name of each operation before it; it may raise to simulate a fault.
+        """
+        self.platter = platter
+        self.before = before
+        self.takes: Callable[[], float] = default_duration
         self.files: dict[int, int] = {}  # by descriptor
-        self.last = 1000  # far from the system's own
+        self.last = 1000  # above the descriptors of real files
 
     def open(self, path: Path, fresh: bool = False) -> int:
+        """Open or create a file, empty if `fresh`, and return its descriptor."""
         self.before("open")
         self.last += 1
         self.files[self.last] = self.platter.open(path.name, fresh)
         return self.last
 
     def read(self, path: Path) -> bytes:
+        """Return the content of a file; empty if there is none."""
         number = self.platter.now.get(path.name)
         return b"" if number is None else bytes(self.platter.contents[number].now)
 
     def write(self, file: int, data: bytes) -> None:
+        """Append data to a file."""
         self.before("write")
         self.platter.contents[self.files[file]].write(data)
 
     def truncate(self, file: int, size: int) -> None:
+        """Cut off what exceeds `size` bytes of a file."""
         self.before("truncate")
         self.platter.contents[self.files[file]].truncate(size)
 
     def sync(self, file: int) -> None:
+        """Make the content of a file durable."""
         self.before("sync")
         self.platter.contents[self.files[file]].sync()
 
     def sync_folder(self, path: Path) -> None:
+        """Make the names of a folder durable."""
         self.before("sync of the folder")
         self.platter.sync_folder()
 
     def replace(self, old: Path, new: Path) -> None:
+        """Rename a file over another."""
         self.before("rename")
         self.platter.replace(old.name, new.name)
 
     def unlink(self, path: Path) -> None:
+        """Remove a file, if it exists."""
         self.before("unlink")
         self.platter.unlink(path.name)
 
     def close(self, file: int) -> None:
+        """Forget a descriptor."""
         self.files.pop(file, None)
 
     async def run(self, job: Callable[[], None]) -> None:
+        """Run a job after its simulated duration."""
         await asyncio.sleep(self.takes())
         job()
 
-    def finish(self) -> None: ...
+    def finish(self) -> None:
+        """Do nothing: no job is ever left."""
 
 
 class RecordingDisk(SystemDisk):
-    """The real files of a process, each operation noted first. `ops` lies outside the folder."""
+    """The real files of a process; each operation is recorded before it is made."""
 
     def __init__(self, ops: Path, fault: str = "", slow: float = 0.0) -> None:
-        """`fault`: "eio" fails each sync, "full" each write; `slow`: s that a sync takes."""
+        """Create a layer.
+
+        Args:
+            ops: The record, a file outside the folder of the files.
+            fault: "eio" lets each sync fail, "full" each write.
+            slow: How long a sync takes, in seconds.
+        """
         super().__init__()
         self.ops = os.open(ops, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o600)
-        self.fault, self.slow = fault, slow
-        self.paths: dict[int, tuple[int, str]] = {}  # by descriptor: the number of its opening, and its name
+        self.fault = fault
+        self.slow = slow
+        self.paths: dict[int, tuple[int, str]] = {}  # by descriptor: number of the open operation, file name
         self.opened = 0
 
-    def note(self, what: str, data: bytes = b"", **told: object) -> None:
-        head = json.dumps({"do": what, "size": len(data), "by": os.getpid(), **told}).encode()
+    def record(self, what: str, data: bytes = b"", **fields: object) -> None:
+        """Append an operation to the record."""
+        head = json.dumps({"do": what, "size": len(data), "by": os.getpid(), **fields}).encode()
         os.write(self.ops, head + b"\n" + data + b"\n")
 
     def open(self, path: Path, fresh: bool = False) -> int:
+        """Open or create a file, empty if `fresh`, and return its descriptor."""
         self.opened += 1
-        self.note("open", name=path.name, fresh=fresh, file=self.opened)
+        self.record("open", name=path.name, fresh=fresh, file=self.opened)
         file = super().open(path, fresh)
         self.paths[file] = self.opened, path.name
         return file
 
     def write(self, file: int, data: bytes) -> None:
+        """Append data to a file."""
         if self.fault == "full":
             raise OSError(28, "No space left on device")
-        self.note("write", data, file=self.paths[file][0])
+        self.record("write", data, file=self.paths[file][0])
         super().write(file, data)
 
     def truncate(self, file: int, size: int) -> None:
-        self.note("truncate", file=self.paths[file][0], to=size)
+        """Cut off what exceeds `size` bytes of a file."""
+        self.record("truncate", file=self.paths[file][0], to=size)
         super().truncate(file, size)
 
     def sync(self, file: int) -> None:
+        """Make the content of a file durable."""
         if self.slow:
             time.sleep(self.slow)
         if self.fault == "eio":
             raise OSError(5, "Input/output error")
-        self.note("sync", file=self.paths[file][0])
+        self.record("sync", file=self.paths[file][0])
 
     def sync_folder(self, path: Path) -> None:
-        self.note("sync folder")
+        """Make the names of a folder durable."""
+        self.record("sync folder")
 
     def replace(self, old: Path, new: Path) -> None:
-        self.note("replace", old=old.name, new=new.name)
+        """Rename a file over another."""
+        self.record("replace", old=old.name, new=new.name)
         super().replace(old, new)
 
     def unlink(self, path: Path) -> None:
-        self.note("unlink", name=path.name)
+        """Remove a file, if it exists."""
+        self.record("unlink", name=path.name)
         super().unlink(path)
 
 
-def noted(ops: Path) -> Iterator[tuple[dict[str, Any], bytes]]:
-    """The operations of all processes, as they came; one that the kill tore is none."""
-    data, at = ops.read_bytes() if ops.exists() else b"", 0
+def read_operations(ops: Path) -> Iterator[tuple[dict[str, Any], bytes]]:
+    """Yield the recorded operations of all processes in order, without one that a kill cut short."""
+    data = ops.read_bytes() if ops.exists() else b""
+    at = 0
     while (end := data.find(b"\n", at)) >= 0:
-        told = json.loads(data[at:end])
-        body = data[end + 1 : end + 1 + told["size"]]
-        at = end + 2 + told["size"]
+        operation = json.loads(data[at:end])
+        body = data[end + 1 : end + 1 + operation["size"]]
+        at = end + 2 + operation["size"]
         if at > len(data):
             return
-        yield told, body
+        yield operation, body
 
 
-def played(ops: Path, before: dict[str, bytes]) -> SimulatedDisk:
-    """The platter after these operations; `before`: what was durable when the first of them came."""
-    platter, files = SimulatedDisk(before), dict[tuple[int, int], int]()
-    for told, data in noted(ops):
-        file = files.get((told["by"], told.get("file", 0)), -1)
-        match told["do"]:
+def replay(ops: Path, before: dict[str, bytes]) -> SimulatedDisk:
+    """Return the disk after the recorded operations; `before` is what was durable before the first."""
+    platter = SimulatedDisk(before)
+    files: dict[tuple[int, int], int] = {}
+    for operation, data in read_operations(ops):
+        file = files.get((operation["by"], operation.get("file", 0)), -1)
+        match operation["do"]:
             case "open":
-                files[told["by"], told["file"]] = platter.open(told["name"], told["fresh"])
+                files[operation["by"], operation["file"]] = platter.open(
+                    operation["name"], operation["fresh"]
+                )
             case "write":
                 platter.contents[file].write(data)
             case "truncate":
-                platter.contents[file].truncate(told["to"])
+                platter.contents[file].truncate(operation["to"])
             case "sync":
                 platter.contents[file].sync()
             case "sync folder":
                 platter.sync_folder()
             case "replace":
-                platter.replace(told["old"], told["new"])
+                platter.replace(operation["old"], operation["new"])
             case "unlink":
-                platter.unlink(told["name"])
+                platter.unlink(operation["name"])
     return platter
 
 
 def cut(
     folder: Path, ops: Path, before: dict[str, bytes], seed: int, keeps: float | None = None
 ) -> dict[str, bytes]:
-    """The power of a killed process goes: the files that it wrote through its layer become what a cut leaves
-    of them. A journal that it wrote past the layer was never synced; other such files in the folder are not
-    of this disk. The answer is what is durable from now on."""
-    platter = played(ops, before)
+    """Apply a power loss to the files of a killed process.
+
+    Files that it wrote through its `RecordingDisk` become what the power loss leaves of them. A journal that
+    it wrote in another way was never synced; other such files are not of this disk.
+
+    Returns:
+        What is durable from now on, by file.
+    """
+    platter = replay(ops, before)
     if JOURNAL not in platter.now and (folder / JOURNAL).exists():
         platter.contents[platter.open(JOURNAL)].write((folder / JOURNAL).read_bytes())
     left = platter.cut(random.Random(seed), keeps)
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -266,7 +266,7 @@
     ]
     shown = Demo(0.1, 40, 1, given)
     assert asyncio.run(shown.run(lambda count: None)) == []
-    assert shown.count.sent == 2 == shown.count.ends["delivered"]
+    assert shown.counters.sent == 2 == shown.counters.ends["delivered"]
 
 
 # The command line.
