--- a/benchmarks/pcap.py
+++ b/benchmarks/pcap.py
@@ -23,9 +23,9 @@
 
 from message_sender.configuration import general
 from message_sender.pcap.capture import Capture
-from message_sender.pcap.files import Writer, read
-from message_sender.pcap.flows import Flows
-from message_sender.pcap.layers import Layers
+from message_sender.pcap.files import PcapWriter, read_packets
+from message_sender.pcap.flows import FlowTable
+from message_sender.pcap.layers import SegmentDecoder
 from message_sender.pcap.traffic_tap import TrafficTap
 from message_sender.pcap.writer import Conversation
 from message_sender.service.standalone import CompletionWriter, StandaloneSender
@@ -42,7 +42,7 @@
 def traffic(talks: int, rounds: int, body: bytes) -> Iterator[bytes]:
     """A capture in parts: so many connections at a time, each with so many requests."""
     out = io.BytesIO()
-    writer, at = Writer(out), 10**18
+    writer, at = PcapWriter(out), 10**18
     while True:
         open_now = [
             Conversation(writer, ("10.0.0.1", 1024 + each), ("10.0.0.2", 80), at, at // 10**6)
@@ -79,11 +79,11 @@
 
 
 def ours_streams(data: bytes) -> int:
-    layers, flows, count = Layers(), Flows(), 0
-    for packet in read(io.BytesIO(data)):
+    layers, flows, count = SegmentDecoder(), FlowTable(), 0
+    for packet in read_packets(io.BytesIO(data)):
         count += 1
-        if segment := layers.segment(packet):
-            for _ in flows.hear(segment):
+        if segment := layers.decode(packet):
+            for _ in flows.process(segment):
                 pass
     return count
 
--- a/message_sender/cli/pcap.py
+++ b/message_sender/cli/pcap.py
@@ -10,7 +10,7 @@
 
 import click
 
-from message_sender.pcap.capture import Capture, as_json, decimal, requests
+from message_sender.pcap.capture import Capture, as_json, format_decimal_seconds, read_requests
 from message_sender.pcap.compare import Difference, compare
 from message_sender.pcap.files import MalformedCaptureError
 from message_sender.pcap.replay import HttpLine, NewIds, Outcome, Replay, plan
@@ -21,7 +21,7 @@
 REPORTED_NOTES = 50
 NS_PER_MS = 1e6
 LONGEST_LATENCY_US = 3_600_000_000
-LATENCY_DIGITS = 3  # significant decimal digits
+LATENCY_DIGITS = 3  # significant format_decimal_seconds digits
 REPORTED_PERCENTILES = (50, 90, 99, 99.9)
 
 
@@ -63,15 +63,15 @@
         notes = Counter[str]()
         for _, message in capture.messages():
             counts["answers" if message.status else "requests"] += 1
-            counts["not whole"] += not message.whole
+            counts["not whole"] += not message.is_complete
             notes.update(message.notes)
     reported_notes = (capture.notes + notes).most_common(REPORTED_NOTES)
     summary = {
         "packets": capture.packets,
         "bytes": capture.bytes,
-        "left_out": capture.layers.left_out,
-        "first": decimal(capture.first),
-        "last": decimal(capture.last),
+        "left_out": capture.decoder.skipped_packets,
+        "first": format_decimal_seconds(capture.first_at_ns),
+        "last": format_decimal_seconds(capture.last_at_ns),
         "connections": capture.flows.count,
         "requests": counts["requests"],
         "answers": counts["answers"],
@@ -103,7 +103,7 @@
                 continue
             title = f"  {message.status}" if message.status else f"{message.method} {message.target}"
             notes = "".join(f"; {note}" for note in message.notes)
-            at = decimal(message.at)
+            at = format_decimal_seconds(message.first_at_ns)
             click.echo(f"{at} #{captured.flow.number} {title} {len(message.body)} bytes{notes}")
         for text, count in capture.notes.most_common():
             click.echo(format_note(text, count), err=True)
@@ -126,7 +126,7 @@
 ) -> None:
     """The same requests in the same order? Exit 0 if so, 1 if not."""
     with exit_on_capture_error():
-        difference = compare(requests([one]), requests([other]), ignore)
+        difference = compare(read_requests([one]), read_requests([other]), ignore)
     print_difference(difference, as_lines)
     is_too_far_apart = within is not None and difference.apart > within * NS_PER_MS
     context.exit(0 if difference.same() and not is_too_far_apart else 1)
@@ -192,7 +192,7 @@
         return await HttpLine.open(*target)
 
     with exit_on_capture_error():
-        planned = plan(requests(files), speed, NewIds(seed) if new_ids else None)
+        planned = plan(read_requests(files), speed, NewIds(seed) if new_ids else None)
         outcome = asyncio.run(Replay(open_connection, latencies).run(planned))
     print_outcome(outcome, latencies)
     context.exit(0 if outcome.sent and not outcome.not_sent else 1)
--- a/message_sender/cli/recorded_commands.py
+++ b/message_sender/cli/recorded_commands.py
@@ -3,7 +3,7 @@
 import zlib
 from pathlib import Path
 
-from message_sender.pcap.capture import Found, requests
+from message_sender.pcap.capture import CapturedMessage, read_requests
 from message_sender.testbed.demo import RecordedCommand
 
 CLASS_HEADER = "x-service-class"
@@ -21,17 +21,17 @@
         MalformedCaptureError: It is not a packet capture.
     """
     with path.open("rb") as file:
-        complete = [request for request in requests([file]) if request.message.whole]
+        complete = [request for request in read_requests([file]) if request.message.is_complete]
     commands = [(request, read_headers(request)) for request in complete]
     commands = [
         (request, headers)
         for request, headers in commands
         if CLASS_HEADER in headers and ROUTE_HEADER in headers
     ]
-    commands.sort(key=lambda command: command[0].message.at)
+    commands.sort(key=lambda command: command[0].message.first_at_ns)
     return [
         RecordedCommand(
-            due=(request.message.at - commands[0][0].message.at) / 1e9,
+            due=(request.message.first_at_ns - commands[0][0].message.first_at_ns) / 1e9,
             destination=parse_destination(headers[ROUTE_HEADER]),
             key=headers.get(KEY_HEADER, ""),
             body=request.message.body,
@@ -40,7 +40,7 @@
     ]
 
 
-def read_headers(request: Found) -> dict[str, str]:
+def read_headers(request: CapturedMessage) -> dict[str, str]:
     """Returns the headers of a request by their names in lower case."""
     return {name.lower(): value for name, value in request.message.headers}
 
--- a/message_sender/pcap/capture.py
+++ b/message_sender/pcap/capture.py
@@ -1,4 +1,4 @@
-"""From a capture to the HTTP/1.1 messages in it, one after another, in bounded memory."""
+"""HTTP/1.1 messages of a capture, in the order in which they end and in bounded memory."""
 
 import base64
 import heapq
@@ -7,116 +7,151 @@
 from collections.abc import Iterator, Sequence
 from typing import Any, BinaryIO, NamedTuple
 
-from message_sender.pcap.files import SECOND, Packet, read
-from message_sender.pcap.flows import Flow, Flows, Happened
-from message_sender.pcap.layers import Layers
-from message_sender.pcap.messages import HttpMessage, Pairs
+from message_sender.pcap.files import NS_PER_S, Packet, read_packets
+from message_sender.pcap.flows import Flow, FlowEvent, FlowTable
+from message_sender.pcap.layers import Endpoint, SegmentDecoder
+from message_sender.pcap.messages import HttpMessage, MessagePairs
 
-BACK = SECOND  # ns by which a clock has to go back to be worth a note
-MOST_NOTES = 1000  # kinds of notes that are counted
+CLOCK_STEP_BACK_NS = NS_PER_S  # a smaller step back of the clock is not noted
+DISTINCT_NOTES_LIMIT = 1000
 
 
-class Found(NamedTuple):
-    """A message and the connection that it went over."""
+class CapturedMessage(NamedTuple):
+    """An HTTP message and its connection."""
 
     flow: Flow
     message: HttpMessage
 
 
 class Capture:
-    """One capture, or several of one moment, merged by time: what both hold counts once, as TCP has it."""
+    """Reads one capture, or several captures of the same traffic merged by time.
+
+    What more than one capture holds counts once, as repeated bytes of a TCP stream do.
+
+    Attributes:
+        notes: Irregularities of the capture, by text.
+        packets: Number of packets read.
+        bytes: Bytes of these on the wire.
+        first_at_ns: Recorded time of the first packet.
+        last_at_ns: Recorded time of the last packet.
+        decoder: Decodes packets to segments.
+        flows: The connections.
+    """
 
     def __init__(self, *streams: BinaryIO) -> None:
+        """Opens the captures that the streams hold.
+
+        Raises:
+            MalformedCaptureError: A stream holds no capture.
+        """
         self.notes: Counter[str] = Counter()
-        self.packets = self.bytes = 0
-        self.first = self.last = 0  # ns, as recorded
-        self.layers, self.flows = Layers(), Flows()
-        self.pairs: dict[int, Pairs] = {}
-        self.found: list[Found] = []
-        self.sources = [read(each, self.note) for each in streams]
-
-    def note(self, text: str) -> None:
-        if text in self.notes or len(self.notes) < MOST_NOTES:
+        self.packets = 0
+        self.bytes = 0
+        self.first_at_ns = 0
+        self.last_at_ns = 0
+        self.decoder = SegmentDecoder()
+        self.flows = FlowTable()
+        self.pairs: dict[int, MessagePairs] = {}  # by number of the connection
+        self._ended_messages: list[CapturedMessage] = []
+        self._packet_sources = [read_packets(stream, self._note) for stream in streams]
+
+    def messages(self) -> Iterator[CapturedMessage]:
+        """Yields each message as soon as its last byte, or what ends it, has been read."""
+        decode = self.decoder.decode
+        process = self.flows.process
+        for packet in self._merge_packets():
+            self._count(packet)
+            if segment := decode(packet):
+                for event in process(segment):
+                    self._process(event, segment.at_ns)
+                if self._ended_messages:
+                    yield from self._take_ended_messages()
+        for event in self.flows.finish():
+            self._process(event, self.last_at_ns)
+        yield from self._take_ended_messages()
+
+    def _note(self, text: str) -> None:
+        if text in self.notes or len(self.notes) < DISTINCT_NOTES_LIMIT:
             self.notes[text] += 1
 
-    def read_packets(self) -> Iterator[Packet]:
-        if len(self.sources) == 1:
-            return self.sources[0]
-        return heapq.merge(*self.sources, key=lambda packet: packet.at)
-
-    def messages(self) -> Iterator[Found]:
-        """Each message as soon as its last byte, or what ends it, has been read."""
-        segment, hear = self.layers.segment, self.flows.hear
-        for packet in self.read_packets():
-            self.count(packet)
-            if found := segment(packet):
-                for happened in hear(found):
-                    self.hear(happened, found.at)
-                if self.found:
-                    yield from self.taken()
-        for happened in self.flows.finish():
-            self.hear(happened, self.last)
-        yield from self.taken()
-
-    def taken(self) -> list[Found]:
-        found, self.found = self.found, []
-        return found
-
-    def count(self, packet: Packet) -> None:
+    def _merge_packets(self) -> Iterator[Packet]:
+        if len(self._packet_sources) == 1:
+            return self._packet_sources[0]
+        return heapq.merge(*self._packet_sources, key=lambda packet: packet.at_ns)
+
+    def _take_ended_messages(self) -> list[CapturedMessage]:
+        messages = self._ended_messages
+        self._ended_messages = []
+        return messages
+
+    def _count(self, packet: Packet) -> None:
         self.packets += 1
-        self.bytes += packet.size
-        if not self.first:
-            self.first = packet.at
-        elif packet.at + BACK < self.last:
-            self.note("the clock went back by more than a second")
-        self.last = packet.at
-
-    def hear(self, happened: Happened, at: int) -> None:
-        flow = happened.flow
+        self.bytes += packet.original_size
+        if not self.first_at_ns:
+            self.first_at_ns = packet.at_ns
+        elif packet.at_ns + CLOCK_STEP_BACK_NS < self.last_at_ns:
+            self._note("the clock went back by more than a second")
+        self.last_at_ns = packet.at_ns
+
+    def _process(self, event: FlowEvent, at_ns: int) -> None:
+        flow = event.flow
         pairs = self.pairs.get(flow.number)
         if pairs is None:
-            if happened.over:
+            if event.end_reason:
                 return
-            pairs = self.pairs[flow.number] = Pairs(lambda message: self.found.append(Found(flow, message)))
-            if not flow.opened:
-                self.note("a connection begins before the capture")
-        for part in happened.parts:
-            pairs.sides[happened.side].feed(part)
-        if happened.over:
-            pairs.end(at, happened.over)
+            pairs = self.pairs[flow.number] = self._begin_connection(flow)
+        for part in event.parts:
+            pairs.sides[event.side].feed(part)
+        if event.end_reason:
+            pairs.end(at_ns, event.end_reason)
             del self.pairs[flow.number]
 
+    def _begin_connection(self, flow: Flow) -> MessagePairs:
+        if not flow.has_syn:
+            self._note("a connection begins before the capture")
 
-def decimal(at: int) -> str:
-    """ns as seconds with nine decimals, exactly."""
-    return f"{at // SECOND}.{at % SECOND:09d}"
+        def add_message(message: HttpMessage) -> None:
+            self._ended_messages.append(CapturedMessage(flow, message))
 
+        return MessagePairs(add_message)
 
-def address(end: tuple[bytes, int]) -> str:
-    """`host:port`; IPv6 in brackets."""
-    host = ipaddress.ip_address(end[0])
-    return f"[{host}]:{end[1]}" if host.version == 6 else f"{host}:{end[1]}"
 
+def format_decimal_seconds(at_ns: int) -> str:
+    """Returns nanoseconds as seconds with nine decimals, exactly."""
+    return f"{at_ns // NS_PER_S}.{at_ns % NS_PER_S:09d}"
 
-def as_json(found: Found) -> dict[str, Any]:
-    """The form in which messages are printed, one object a line."""
-    flow, message = found
-    told: dict[str, Any] = {
-        "at": decimal(message.at),
-        "until": decimal(message.until),
+
+def format_endpoint(endpoint: Endpoint) -> str:
+    """Returns `host:port`, with an IPv6 address in brackets."""
+    packed_address, port = endpoint
+    host = ipaddress.ip_address(packed_address)
+    return f"[{host}]:{port}" if host.version == 6 else f"{host}:{port}"
+
+
+def as_json(captured: CapturedMessage) -> dict[str, Any]:
+    """Returns the JSON object that is printed for a message."""
+    flow, message = captured
+    fields: dict[str, Any] = {
+        "at": format_decimal_seconds(message.first_at_ns),
+        "until": format_decimal_seconds(message.last_at_ns),
         "connection": flow.number,
-        "client": address(flow.ends[0]),
-        "server": address(flow.ends[1]),
+        "client": format_endpoint(flow.endpoints[0]),
+        "server": format_endpoint(flow.endpoints[1]),
         "number": message.number,
     }
     if message.status:
-        told |= {"status": message.status, "answers": message.answers}
+        fields |= {"status": message.status, "answers": message.request_number}
     else:
-        told |= {"method": message.method, "target": message.target}
+        fields |= {"method": message.method, "target": message.target}
     body = base64.b64encode(message.body).decode()
-    return told | {"headers": message.headers, "body": body, "whole": message.whole, "notes": message.notes}
+    return fields | {
+        "headers": message.headers,
+        "body": body,
+        "whole": message.is_complete,
+        "notes": message.notes,
+    }
 
 
-def requests(streams: Sequence[BinaryIO]) -> Iterator[Found]:
-    """The requests alone."""
-    return (each for each in Capture(*streams).messages() if not each.message.status)
+def read_requests(streams: Sequence[BinaryIO]) -> Iterator[CapturedMessage]:
+    """Yields the requests of a capture, without the responses."""
+    return (captured for captured in Capture(*streams).messages() if not captured.message.status)
--- a/message_sender/pcap/capture_writer.py
+++ b/message_sender/pcap/capture_writer.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import BinaryIO
 
-from message_sender.pcap.files import Writer
+from message_sender.pcap.files import PcapWriter
 from message_sender.pcap.writer import Conversation, Place
 
 #: Of a record: what, connection, side, ns since the epoch, bytes of data that follow.
@@ -94,12 +94,12 @@
         found = [each for each in self.folder.glob("capture-*.pcap") if each.stem.split("-")[1].isdecimal()]
         return sorted(found, key=lambda each: int(each.stem.split("-")[1]))
 
-    def next_file(self) -> Writer:
+    def next_file(self) -> PcapWriter:
         self.number += 1
         for each in self.written()[: max(len(self.written()) - self.files + 1, 0)]:
             each.unlink()
         self.file: BinaryIO = (self.folder / f"capture-{self.number}.pcap").open("wb")
-        return Writer(self.file)
+        return PcapWriter(self.file)
 
     def read(self, source: BinaryIO) -> None:
         """Writes records to the end of their source. Raises OSError as the disk does."""
--- a/message_sender/pcap/compare.py
+++ b/message_sender/pcap/compare.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, field
 
-from message_sender.pcap.capture import Found
+from message_sender.pcap.capture import CapturedMessage
 
 MOST_NAMED = 20  # differences that are told one by one
 
@@ -24,19 +24,24 @@
         return not (self.differ or self.more)
 
 
-def print_of(found: Found, ignored: frozenset[str]) -> bytes:
+def print_of(found: CapturedMessage, ignored: frozenset[str]) -> bytes:
     """What a request is, but for its time and its connection: 16 bytes."""
     message = found.message
     kept = [(name.lower(), value) for name, value in message.headers if name.lower() not in ignored]
-    told = repr((message.method, message.target, kept, message.whole)).encode()
+    told = repr((message.method, message.target, kept, message.is_complete)).encode()
     return hashlib.blake2b(told + b"\0" + message.body, digest_size=16).digest()
 
 
-def shape(found: Iterable[Found], ignored: frozenset[str]) -> Iterator[tuple[int, bytes, str]]:
+def shape(found: Iterable[CapturedMessage], ignored: frozenset[str]) -> Iterator[tuple[int, bytes, str]]:
     """Time since the first request, what it is, and how to name it, in the order of the times. Only these are
     kept of each request."""
     kept = [
-        (each.message.at, place, print_of(each, ignored), f"{each.message.method} {each.message.target[:60]}")
+        (
+            each.message.first_at_ns,
+            place,
+            print_of(each, ignored),
+            f"{each.message.method} {each.message.target[:60]}",
+        )
         for place, each in enumerate(found)
     ]
     kept.sort()
@@ -44,7 +49,9 @@
         yield at - kept[0][0], what, name
 
 
-def compare(one: Iterable[Found], other: Iterable[Found], ignored: Iterable[str] = ()) -> Difference:
+def compare(
+    one: Iterable[CapturedMessage], other: Iterable[CapturedMessage], ignored: Iterable[str] = ()
+) -> Difference:
     """`ignored` names headers that do not count."""
     names = frozenset(name.lower() for name in ignored)
     found, counts = Difference(), [0, 0]
--- a/message_sender/pcap/files.py
+++ b/message_sender/pcap/files.py
@@ -1,11 +1,12 @@
-"""Capture files as streams of packets: pcap and pcapng in, pcap with nanoseconds out.
+"""Capture files as streams of packets: reads pcap and pcapng, writes pcap with nanoseconds.
 
-Formats: draft-ietf-opsawg-pcap (libpcap's savefile) and draft-ietf-opsawg-pcapng. A source is only ever read
-forward, so that standard input and a file that still grows will do. Memory is one packet and one buffer: a
-length that a file claims is believed only up to `MOST`.
+Formats: draft-ietf-opsawg-pcap (the file format of libpcap) and draft-ietf-opsawg-pcapng. A source is only
+read forward, so that standard input and a growing file can be read. Memory is one packet and one buffer:
+sizes above
+`BLOCK_BYTES_LIMIT` that a file states are rejected.
 
-What cannot be read at all raises `MalformedCaptureError`. What breaks off or lies later on ends the reading
-with a note: in neither format is there a mark from which reading could be taken up again.
+A source that is no capture raises `MalformedCaptureError`. A truncated or malformed part further on ends the
+reading with a note: neither format has a mark at which reading could resume.
 """
 
 import struct
@@ -13,212 +14,340 @@
 from dataclasses import dataclass
 from typing import BinaryIO, NamedTuple
 
-MOST = 262_144  # bytes of one packet or block; libpcap's own bound
-CHUNK = 1 << 18
-SECOND = 1_000_000_000
+BLOCK_BYTES_LIMIT = 262_144  # of one packet or block; the limit of libpcap
+READ_CHUNK_BYTES = 1 << 18
+NS_PER_S = 1_000_000_000
 
-#: First four bytes of a pcap file: byte order, nanoseconds in one unit of the fraction.
-MAGIC = {
+LINK_RAW = 101  # link type: IPv4 or IPv6 without a header before it
+
+PCAP_HEADER_BYTES = 24
+PCAP_RECORD_HEADER_BYTES = 16
+#: By the first four bytes of a pcap file: byte order, and nanoseconds in a unit of the time's fraction.
+PCAP_MAGIC = {
     b"\xd4\xc3\xb2\xa1": ("<", 1000),
     b"\xa1\xb2\xc3\xd4": (">", 1000),
     b"\x4d\x3c\xb2\xa1": ("<", 1),
     b"\xa1\xb2\x3c\x4d": (">", 1),
 }
-SECTION, INTERFACE, SIMPLE, OBSOLETE, ENHANCED = 0x0A0D0D0A, 1, 3, 2, 6
-RESOLUTION, OFFSET = 9, 14  # options of an interface: if_tsresol, if_tsoffset
 
-Notes = Callable[[str], None]
+SECTION_BLOCK = 0x0A0D0D0A
+SECTION_BLOCK_TYPE = SECTION_BLOCK.to_bytes(4, "little")  # the same in both byte orders
+INTERFACE_BLOCK = 1
+OBSOLETE_PACKET_BLOCK = 2
+SIMPLE_PACKET_BLOCK = 3
+ENHANCED_PACKET_BLOCK = 6
+PACKET_BLOCKS = frozenset({SIMPLE_PACKET_BLOCK, ENHANCED_PACKET_BLOCK, OBSOLETE_PACKET_BLOCK})
+PACKET_BLOCK_HEADER_BYTES = 20
+BLOCK_HEADER_BYTES = 8
+SECTION_BLOCK_MIN_BYTES = 28
+BLOCK_OVERHEAD_BYTES = 64  # of a block above its packet
+#: By the byte-order magic of a section.
+SECTION_BYTE_ORDERS = {b"\x4d\x3c\x2b\x1a": "<", b"\x1a\x2b\x3c\x4d": ">"}
+
+END_OF_OPTIONS = 0
+TIME_RESOLUTION_OPTION = 9  # if_tsresol
+TIME_OFFSET_OPTION = 14  # if_tsoffset
+MAX_DECIMAL_RESOLUTION = 30
+
+#: Called with the text of an irregularity.
+NoteListener = Callable[[str], None]
+
+
+def ignore_note(_: str) -> None:
+    """Drops a note."""
 
 
 class MalformedCaptureError(Exception):
-    """This is no capture, or one of which nothing can be read. The text says why, in one line."""
+    """A source holds no capture that can be read; the text has the reason in one line."""
 
 
 class Packet(NamedTuple):
-    at: int  # ns since the epoch, as recorded
-    link: int  # link type
+    """A captured packet.
+
+    Attributes:
+        at_ns: Recorded time, since the epoch.
+        link_type: Link type, by the registry of the tcpdump group.
+        data: Captured bytes.
+        original_size: Bytes on the wire; above `len(data)` where the capture truncated the packet.
+        interface: Number of the interface in the file.
+    """
+
+    at_ns: int
+    link_type: int
     data: bytes
-    size: int  # bytes on the wire; above len(data) where the capture snapped it
+    original_size: int
     interface: int = 0
 
 
-class Source:
-    """Bytes of a stream, with one buffer of what was read ahead."""
+class BufferedSource:
+    """Reads a stream through one buffer."""
 
     def __init__(self, stream: BinaryIO) -> None:
-        self.stream, self.buffer, self.at = stream, b"", 0
-
-    def take(self, size: int) -> bytes:
-        """The next bytes, or as many as there are before the end."""
-        end = self.at + size
+        """Creates a source with an empty buffer."""
+        self.stream = stream
+        self.buffer = b""
+        self.offset = 0  # of the next byte in the buffer
+
+    def read(self, size: int) -> bytes:
+        """Returns the next `size` bytes, fewer only at the end of the stream."""
+        end = self.offset + size
         if end > len(self.buffer):
-            parts, have = [self.buffer[self.at :]], len(self.buffer) - self.at
-            while have < size and (more := self.stream.read(max(CHUNK, size - have))):
-                parts.append(more)
-                have += len(more)
-            self.buffer, self.at, end = b"".join(parts), 0, size
-        found = self.buffer[self.at : end]
-        self.at += len(found)
-        return found
-
-
-def read(stream: BinaryIO, notes: Notes = lambda text: None) -> Iterator[Packet]:
-    """The packets of a capture, in the order of the file. Raises BadCapture where it is none."""
-    source = Source(stream)
-    magic = source.take(4)
-    if magic in MAGIC:
-        return read_pcap(source, *MAGIC[magic], notes)
-    if magic == SECTION.to_bytes(4, "little"):  # the same in both byte orders
-        return read_pcapng(source, notes)
-    raise MalformedCaptureError(
-        f"it begins with {magic.hex()}, which no capture does" if magic else "the file is empty"
-    )
-
-
-def read_pcap(source: Source, order: str, unit: int, notes: Notes) -> Iterator[Packet]:
-    head = source.take(20)
-    if len(head) < 20:
+            self._fill(size)
+            end = size
+        data = self.buffer[self.offset : end]
+        self.offset += len(data)
+        return data
+
+    def _fill(self, size: int) -> None:
+        chunks = [self.buffer[self.offset :]]
+        available = len(chunks[0])
+        while available < size and (chunk := self.stream.read(max(READ_CHUNK_BYTES, size - available))):
+            chunks.append(chunk)
+            available += len(chunk)
+        self.buffer = b"".join(chunks)
+        self.offset = 0
+
+
+def read_packets(stream: BinaryIO, note: NoteListener = ignore_note) -> Iterator[Packet]:
+    """Returns the packets of a capture, in the order of the file.
+
+    Args:
+        stream: A pcap or pcapng file.
+        note: Called for each irregularity.
+
+    Raises:
+        MalformedCaptureError: The stream holds no capture.
+    """
+    source = BufferedSource(stream)
+    magic = source.read(4)
+    if magic in PCAP_MAGIC:
+        byte_order, unit_ns = PCAP_MAGIC[magic]
+        return read_pcap(source, byte_order, unit_ns, note)
+    if magic == SECTION_BLOCK_TYPE:
+        return read_pcapng(source, note)
+    if not magic:
+        raise MalformedCaptureError("the file is empty")
+    raise MalformedCaptureError(f"it begins with {magic.hex()}, which no capture does")
+
+
+def read_pcap(source: BufferedSource, byte_order: str, unit_ns: int, note: NoteListener) -> Iterator[Packet]:
+    """Reads a pcap file from behind its magic.
+
+    Raises:
+        MalformedCaptureError: The file's header is incomplete.
+    """
+    header_size = PCAP_HEADER_BYTES - 4
+    header = source.read(header_size)
+    if len(header) < header_size:
         raise MalformedCaptureError("it ends within its first header")
-    link = struct.unpack(order + "HHiIII", head)[5] & 0xFFFF  # above: the length of a frame check sequence
-    return pcap_records(source, struct.Struct(order + "IIII"), link, unit, notes)
-
-
-def pcap_records(source: Source, form: struct.Struct, link: int, unit: int, notes: Notes) -> Iterator[Packet]:
-    while head := source.take(16):
-        if len(head) < 16:
-            notes("the file ends within a packet's header")
+    # The upper bits hold the length of a frame check sequence.
+    link_type = struct.unpack(byte_order + "HHiIII", header)[5] & 0xFFFF
+    return read_pcap_records(source, struct.Struct(byte_order + "IIII"), link_type, unit_ns, note)
+
+
+def read_pcap_records(
+    source: BufferedSource, record_header: struct.Struct, link_type: int, unit_ns: int, note: NoteListener
+) -> Iterator[Packet]:
+    """Yields the packets of a pcap file from behind its header."""
+    while header := source.read(PCAP_RECORD_HEADER_BYTES):
+        if len(header) < PCAP_RECORD_HEADER_BYTES:
+            note("the file ends within a packet's header")
             return
-        seconds, fraction, kept, size = form.unpack(head)
-        if kept > MOST:
-            notes(f"a packet claims {kept} bytes; nothing behind it can be read")
+        seconds, fraction, captured_size, original_size = record_header.unpack(header)
+        if captured_size > BLOCK_BYTES_LIMIT:
+            note(f"a packet claims {captured_size} bytes; nothing behind it can be read")
             return
-        if len(data := source.take(kept)) < kept:
-            notes(f"the file ends within a packet, {kept - len(data)} bytes early")
+        data = source.read(captured_size)
+        if len(data) < captured_size:
+            note(f"the file ends within a packet, {captured_size - len(data)} bytes early")
             return
-        yield Packet(seconds * SECOND + fraction * unit, link, data, max(size, kept))
+        at_ns = seconds * NS_PER_S + fraction * unit_ns
+        yield Packet(at_ns, link_type, data, max(original_size, captured_size))
 
 
 @dataclass(slots=True)
 class Interface:
-    link: int
-    most: int  # bytes kept of each packet; 0: all
-    parts: int = 1_000_000  # units in a second
-    offset: int = 0  # s
+    """An interface of a pcapng section.
+
+    Attributes:
+        link_type: Link type of its packets.
+        packet_bytes_limit: Bytes captured of each packet; 0 for all.
+        units_per_s: Units of time in a second.
+        offset_s: Seconds to add to each time.
+    """
 
-    def time(self, high: int, low: int) -> int:
-        return ((high << 32) | low) * SECOND // self.parts + self.offset * SECOND
+    link_type: int
+    packet_bytes_limit: int
+    units_per_s: int = 1_000_000
+    offset_s: int = 0
+
+    def time_ns(self, high: int, low: int) -> int:
+        """Returns a time, since the epoch, from the halves of its recorded value."""
+        return ((high << 32) | low) * NS_PER_S // self.units_per_s + self.offset_s * NS_PER_S
 
 
 class Section:
-    """One section of a pcapng file: its byte order and its interfaces."""
+    """A section of a pcapng file: its byte order and its interfaces."""
 
-    def __init__(self, order: str, first: int) -> None:
-        self.order, self.first = order, first  # first: the number of its first interface in the file
+    def __init__(self, byte_order: str, first_interface: int) -> None:
+        """Creates a section; `first_interface` is the number of its first interface in the file."""
+        self.byte_order = byte_order
+        self.first_interface = first_interface
         self.interfaces: list[Interface] = []
-        self.last = 0  # ns, the time of the packet before: a simple packet tells none
-
-    def unpack(self, form: str, data: bytes, at: int = 0) -> tuple[int, ...]:
-        return struct.unpack_from(self.order + form, data, at)
-
-    def add(self, body: bytes) -> None:
-        link, _, most = self.unpack("HHI", body)
-        found = Interface(link, most)
-        for code, value in self.options(body[8:]):
-            if code == RESOLUTION and value:
-                found.parts = 2 ** (value[0] & 0x7F) if value[0] & 0x80 else 10 ** min(value[0], 30)
-            elif code == OFFSET and len(value) == 8:
-                found.offset = self.unpack("q", value)[0]
-        self.interfaces.append(found)
-
-    def options(self, data: bytes) -> Iterator[tuple[int, bytes]]:
-        at = 0
-        while at + 4 <= len(data):
-            code, size = self.unpack("HH", data, at)
-            if code == 0:
-                return
-            yield code, data[at + 4 : at + 4 + size]
-            at += 4 + size + -size % 4
-
-    def packet(self, kind: int, body: bytes) -> Packet:
-        """Raises struct.error, IndexError or ValueError for a block that does not hold what it says."""
-        if kind == SIMPLE:
-            (size,) = self.unpack("I", body)
-            interface = self.interfaces[0]
-            kept = min(size, interface.most or size, len(body) - 4)
-            return Packet(self.last, interface.link, body[4 : 4 + kept], size, self.first)
-        number, high, low, kept, size = self.unpack("IIIII" if kind == ENHANCED else "HxxIIII", body)
-        if kept > len(body) - 20:
-            raise ValueError(f"a packet claims {kept} bytes in a block of {len(body)}")
+        self.last_packet_at_ns = 0  # also the time of a simple packet, which has none
+
+    def unpack(self, fields: str, data: bytes, offset: int = 0) -> tuple[int, ...]:
+        """Unpacks fields in the section's byte order."""
+        return struct.unpack_from(self.byte_order + fields, data, offset)
+
+    def add_interface(self, body: bytes) -> None:
+        """Adds the interface that a block describes."""
+        link_type, _, packet_bytes_limit = self.unpack("HHI", body)
+        interface = Interface(link_type, packet_bytes_limit)
+        for code, value in self._options(body[8:]):
+            if code == TIME_RESOLUTION_OPTION and value:
+                interface.units_per_s = decode_time_resolution(value[0])
+            elif code == TIME_OFFSET_OPTION and len(value) == 8:
+                interface.offset_s = self.unpack("q", value)[0]
+        self.interfaces.append(interface)
+
+    def decode_packet(self, block_type: int, body: bytes) -> Packet:
+        """Returns the packet in a block.
+
+        Raises:
+            struct.error: The block is too short.
+            IndexError: It names an unknown interface.
+            ValueError: It states a size beyond its end.
+        """
+        if block_type == SIMPLE_PACKET_BLOCK:
+            return self._decode_simple_packet(body)
+        fields = "IIIII" if block_type == ENHANCED_PACKET_BLOCK else "HxxIIII"
+        number, high, low, captured_size, original_size = self.unpack(fields, body)
+        if captured_size > len(body) - PACKET_BLOCK_HEADER_BYTES:
+            raise ValueError(f"a packet claims {captured_size} bytes in a block of {len(body)}")
         interface = self.interfaces[number]
-        self.last = interface.time(high, low)
-        return Packet(self.last, interface.link, body[20 : 20 + kept], max(size, kept), self.first + number)
+        self.last_packet_at_ns = interface.time_ns(high, low)
+        return Packet(
+            self.last_packet_at_ns,
+            interface.link_type,
+            body[PACKET_BLOCK_HEADER_BYTES : PACKET_BLOCK_HEADER_BYTES + captured_size],
+            max(original_size, captured_size),
+            self.first_interface + number,
+        )
+
+    def _decode_simple_packet(self, body: bytes) -> Packet:
+        (original_size,) = self.unpack("I", body)
+        interface = self.interfaces[0]
+        captured_size = min(original_size, interface.packet_bytes_limit or original_size, len(body) - 4)
+        data = body[4 : 4 + captured_size]
+        return Packet(self.last_packet_at_ns, interface.link_type, data, original_size, self.first_interface)
+
+    def _options(self, data: bytes) -> Iterator[tuple[int, bytes]]:
+        """Yields code and value of each option."""
+        offset = 0
+        while offset + 4 <= len(data):
+            code, size = self.unpack("HH", data, offset)
+            if code == END_OF_OPTIONS:
+                return
+            yield code, data[offset + 4 : offset + 4 + size]
+            padding = -size % 4
+            offset += 4 + size + padding
+
+
+def decode_time_resolution(value: int) -> int:
+    """Returns the units in a second from the value of the option if_tsresol."""
+    if value & 0x80:
+        return int(2 ** (value & 0x7F))
+    return int(10 ** min(value, MAX_DECIMAL_RESOLUTION))
 
 
-def read_pcapng(source: Source, notes: Notes) -> Iterator[Packet]:
+def read_pcapng(source: BufferedSource, note: NoteListener) -> Iterator[Packet]:
+    """Yields the packets of a pcapng file from behind the type of its first block."""
     section: Section | None = None
-    head, count = SECTION.to_bytes(4, "little"), 0
-    while head:
-        if head == SECTION.to_bytes(4, "little"):
-            count += len(section.interfaces) if section else 0
-            section = begin_section(source, count, notes)
+    type_bytes = SECTION_BLOCK_TYPE
+    interface_count = 0
+    while type_bytes:
+        if type_bytes == SECTION_BLOCK_TYPE:
+            interface_count += len(section.interfaces) if section else 0
+            section = read_section(source, interface_count, note)
             if section is None:
                 return
-        elif section is None or not (block := read_block(source, section, head, notes)):
+        elif section is None or not (block := read_block(source, section, type_bytes, note)):
             return
         else:
+            block_type, body = block
             try:
-                kind, body = block
-                if kind == INTERFACE:
-                    section.add(body)
-                elif kind in (SIMPLE, ENHANCED, OBSOLETE):
-                    yield section.packet(kind, body)
+                if block_type == INTERFACE_BLOCK:
+                    section.add_interface(body)
+                elif block_type in PACKET_BLOCKS:
+                    yield section.decode_packet(block_type, body)
             except (struct.error, IndexError, ValueError) as error:
-                notes(f"a block is left out: {error}")
-        head = source.take(4)
+                note(f"a block is left out: {error}")
+        type_bytes = source.read(4)
 
 
-def begin_section(source: Source, first: int, notes: Notes) -> Section | None:
-    size, order = source.take(4), source.take(4)
-    if order not in (b"\x4d\x3c\x2b\x1a", b"\x1a\x2b\x3c\x4d"):
-        notes("a section tells no byte order; nothing behind it can be read")
+def read_section(source: BufferedSource, first_interface: int, note: NoteListener) -> Section | None:
+    """Reads the header of a section from behind its block type; None where it is malformed."""
+    size_bytes = source.read(4)
+    byte_order = SECTION_BYTE_ORDERS.get(source.read(4))
+    if byte_order is None:
+        note("a section tells no byte order; nothing behind it can be read")
         return None
-    section = Section("<" if order[0] == 0x4D else ">", first)
-    (length,) = section.unpack("I", size)
-    if length < 28 or length > MOST or len(source.take(length - 12)) < length - 12:
-        notes("the file ends within the head of a section")
+    section = Section(byte_order, first_interface)
+    (size,) = section.unpack("I", size_bytes)
+    is_size_valid = SECTION_BLOCK_MIN_BYTES <= size <= BLOCK_BYTES_LIMIT
+    if not is_size_valid or len(source.read(size - 12)) < size - 12:
+        note("the file ends within the head of a section")
         return None
     return section
 
 
-def read_block(source: Source, section: Section, head: bytes, notes: Notes) -> tuple[int, bytes] | None:
-    told = source.take(4)
-    if len(head + told) < 8:
-        notes("the file ends within a block's header")
+def read_block(
+    source: BufferedSource, section: Section, type_bytes: bytes, note: NoteListener
+) -> tuple[int, bytes] | None:
+    """Reads a block from behind its type; returns type and body, or None where it is malformed."""
+    header = type_bytes + source.read(4)
+    if len(header) < BLOCK_HEADER_BYTES:
+        note("the file ends within a block's header")
         return None
-    kind, size = section.unpack("II", head + told)
-    if size < 12 or size % 4 or size > MOST + 64:
-        notes(f"a block claims {size} bytes; nothing behind it can be read")
+    block_type, size = section.unpack("II", header)
+    if size < 12 or size % 4 or size > BLOCK_BYTES_LIMIT + BLOCK_OVERHEAD_BYTES:
+        note(f"a block claims {size} bytes; nothing behind it can be read")
         return None
-    if len(body := source.take(size - 8)) < size - 8:
-        notes("the file ends within a block")
+    body = source.read(size - BLOCK_HEADER_BYTES)
+    if len(body) < size - BLOCK_HEADER_BYTES:
+        note("the file ends within a block")
         return None
-    return kind, body[:-4]
+    return block_type, body[:-4]
 
 
-RAW = 101  # link type: IPv4 or IPv6 with nothing before it
+class PcapWriter:
+    """Writes a little-endian pcap file with nanoseconds and the link type raw IP."""
 
+    HEADER = struct.pack("<IHHiIII", 0xA1B23C4D, 2, 4, 0, 0, BLOCK_BYTES_LIMIT, LINK_RAW)
+    RECORD_HEADER = struct.Struct("<IIII")
 
-class Writer:
-    """A pcap file with nanoseconds, in the byte order of most readers; link type raw IP."""
-
-    HEAD = struct.pack("<IHHiIII", 0xA1B23C4D, 2, 4, 0, 0, MOST, RAW)
-
-    def __init__(self, out: BinaryIO) -> None:
-        """Writes the file's head. Raises OSError as its stream does."""
-        self.out, self.size = out, len(self.HEAD)
-        out.write(self.HEAD)
-
-    def write(self, at: int, data: bytes) -> None:
-        """One packet, at ns since the epoch (0 to 2**32 s)."""
-        self.out.write(struct.pack("<IIII", at // SECOND, at % SECOND, len(data), len(data)) + data)
-        self.size += 16 + len(data)
+    def __init__(self, stream: BinaryIO) -> None:
+        """Writes the header of the file.
+
+        Raises:
+            OSError: The stream cannot be written.
+        """
+        self.stream = stream
+        self.size = len(self.HEADER)
+        stream.write(self.HEADER)
+
+    def write(self, at_ns: int, data: bytes) -> None:
+        """Writes a packet.
+
+        Args:
+            at_ns: Time since the epoch, from 0 to 2**32 seconds.
+            data: IP datagram.
+
+        Raises:
+            OSError: The stream cannot be written.
+        """
+        seconds, nanoseconds = divmod(at_ns, NS_PER_S)
+        header = self.RECORD_HEADER.pack(seconds, nanoseconds, len(data), len(data))
+        self.stream.write(header + data)
+        self.size += len(header) + len(data)
--- a/message_sender/pcap/flows.py
+++ b/message_sender/pcap/flows.py
@@ -1,130 +1,157 @@
-"""Which connection a segment belongs to, and what its two directions hold. Pure, and bounded.
+"""Assignment of TCP segments to connections. Pure, and bounded in memory.
 
-A connection is its two ends. A SYN with another number than the one at hand means that the ports were used
-again: the connection before is over. One of which nothing was heard for `IDLE` of capture time, or which is
-the one silent for longest of more than `MOST_OPEN`, is given up.
+A connection is identified by its two endpoints. A SYN with another sequence number than the known one means
+that the ports were used again, and ends the earlier connection. A connection without a segment for
+`IDLE_TIMEOUT_NS` of capture time ends, and so does the one idle for longest of more than
+`OPEN_CONNECTIONS_LIMIT`.
 """
 
 from collections import OrderedDict
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from message_sender.pcap.layers import ACK, FIN, RST, SYN, End, Segment
+from message_sender.pcap.layers import ACK, FIN, RST, SYN, Endpoint, Segment
 from message_sender.pcap.reassembly import SEQUENCE_MODULUS, Part, Stream
 
-IDLE = 3600 * 1_000_000_000  # ns
-MOST_OPEN = 20_000
+IDLE_TIMEOUT_NS = 3600 * 1_000_000_000
+OPEN_CONNECTIONS_LIMIT = 20_000
 
 
 @dataclass(slots=True)
 class Flow:
-    """One connection. Its first end is the one that opened it, or else the one that was heard first."""
+    """A connection.
+
+    Attributes:
+        number: Its number in the capture, from 1.
+        endpoints: Client and server: the client opened the connection, or sent its first captured segment.
+        has_syn: Whether its SYN was captured.
+        last_segment_at_ns: Capture time of its last segment; 0 before the first.
+        streams: The directions from the client and from the server.
+        syn_seqs: Sequence numbers of the SYN of the client and of the server, where captured.
+    """
 
     number: int
-    ends: tuple[End, End]
-    opened: bool  # its SYN was seen
-    last: int = 0  # ns
+    endpoints: tuple[Endpoint, Endpoint]
+    has_syn: bool
+    last_segment_at_ns: int = 0
     streams: tuple[Stream, Stream] = field(default_factory=lambda: (Stream(), Stream()))
-    first: list[int | None] = field(default_factory=lambda: [None, None])  # number of each end's SYN
+    syn_seqs: list[int | None] = field(default_factory=lambda: [None, None])
 
 
 @dataclass(slots=True)
-class Happened:
-    """What a segment brought: parts of one direction of a connection (0: from the end that opened it), or the
-    connection's end."""
+class FlowEvent:
+    """What a segment added to a connection: parts of one direction, or the connection's end.
+
+    Attributes:
+        flow: The connection.
+        side: The sender of `parts`: 0 for the client, 1 for the server.
+        parts: New parts of that direction.
+        end_reason: "closed", "reset", "replaced", "silent" or "the capture ends"; empty before the end.
+    """
 
     flow: Flow
     side: int
     parts: list[Part]
-    over: str = ""  # why nothing more comes: closed, reset, replaced, silent, the capture ends
+    end_reason: str = ""
 
 
-class Flows:
-    def __init__(self, most: int = MOST_OPEN) -> None:
-        self.open: OrderedDict[tuple[End, End], Flow] = OrderedDict()  # the one silent for longest first
-        self.most, self.count = most, 0
+class FlowTable:
+    """The open connections of a capture."""
 
-    def hear(self, segment: Segment) -> Iterator[Happened]:
-        """What follows from the next segment of the capture."""
-        flow = self.find(segment)
-        if flow and segment.flags & SYN and self.is_anew(flow, segment):
-            yield from self.end(flow, segment.at, "replaced")
+    def __init__(self, open_limit: int = OPEN_CONNECTIONS_LIMIT) -> None:
+        """Creates an empty table of at most `open_limit` connections."""
+        self.open: OrderedDict[tuple[Endpoint, Endpoint], Flow] = OrderedDict()  # least recently used first
+        self.open_limit = open_limit
+        self.count = 0  # connections since the capture began
+
+    def process(self, segment: Segment) -> Iterator[FlowEvent]:
+        """Yields the events that follow from the next segment of the capture."""
+        flow = self._find(segment)
+        if flow and segment.flags & SYN and self._reuses_ports(flow, segment):
+            yield from self._end(flow, segment.at_ns, "replaced")
             flow = None
         if flow is None:
-            if segment.flags & RST or not (segment.data or segment.lacks or segment.flags & SYN):
-                return  # nothing begins with it
-            flow = self.begin(segment)
-            yield from self.make_room(segment.at)
-        flow.last = segment.at
-        yield from self.tell(flow, segment)
-
-    def find(self, segment: Segment) -> Flow | None:
+            if segment.flags & RST or not (segment.data or segment.missing or segment.flags & SYN):
+                return  # no connection begins with it
+            flow = self._begin(segment)
+            yield from self._end_idle(segment.at_ns)
+        flow.last_segment_at_ns = segment.at_ns
+        yield from self._reassemble(flow, segment)
+
+    def finish(self) -> Iterator[FlowEvent]:
+        """Ends all connections at the end of the capture."""
+        for flow in list(self.open.values()):
+            yield from self._end(flow, flow.last_segment_at_ns, "the capture ends")
+
+    def _find(self, segment: Segment) -> Flow | None:
         for key in ((segment.source, segment.target), (segment.target, segment.source)):
             if flow := self.open.get(key):
                 self.open.move_to_end(key)
                 return flow
         return None
 
-    def is_anew(self, flow: Flow, segment: Segment) -> bool:
-        side = 0 if segment.source == flow.ends[0] else 1
-        known = flow.first[side]
-        return known is not None and known != segment.seq
-
-    def begin(self, segment: Segment) -> Flow:
-        answers = segment.flags & SYN and segment.flags & ACK
-        # Without a SYN the lower port is taken for the one that was opened: servers have these.
-        from_server = not segment.flags & SYN and segment.source[1] < segment.target[1]
-        ends = (segment.source, segment.target)
-        if answers or from_server:
-            ends = (segment.target, segment.source)
+    def _reuses_ports(self, flow: Flow, segment: Segment) -> bool:
+        side = 0 if segment.source == flow.endpoints[0] else 1
+        known_seq = flow.syn_seqs[side]
+        return known_seq is not None and known_seq != segment.seq
+
+    def _begin(self, segment: Segment) -> Flow:
+        has_syn = bool(segment.flags & SYN)
+        if has_syn:
+            is_from_server = bool(segment.flags & ACK)
+        else:
+            # Servers usually have the lower port.
+            is_from_server = segment.source[1] < segment.target[1]
+        endpoints = (segment.source, segment.target)
+        if is_from_server:
+            endpoints = (segment.target, segment.source)
         self.count += 1
-        flow = self.open[ends] = Flow(self.count, ends, bool(segment.flags & SYN))
+        flow = self.open[endpoints] = Flow(self.count, endpoints, has_syn)
         return flow
 
-    def make_room(self, now: int) -> Iterator[Happened]:
+    def _end_idle(self, now_ns: int) -> Iterator[FlowEvent]:
         while self.open:
             oldest = next(iter(self.open.values()))
-            if len(self.open) <= self.most and now - oldest.last < IDLE:
+            is_within_limits = len(self.open) <= self.open_limit
+            if is_within_limits and now_ns - oldest.last_segment_at_ns < IDLE_TIMEOUT_NS:
                 return
-            if oldest.last == 0:
+            if oldest.last_segment_at_ns == 0:
                 return  # it has just begun
-            yield from self.end(oldest, now, "silent")
-
-    def tell(self, flow: Flow, segment: Segment) -> Iterator[Happened]:
-        side = 0 if segment.source == flow.ends[0] else 1
-        own, other = flow.streams[side], flow.streams[1 - side]
-        seq, parts, heard = segment.seq, [], []  # type: int, list[Part], list[Part]
+            yield from self._end(oldest, now_ns, "silent")
+
+    def _reassemble(self, flow: Flow, segment: Segment) -> Iterator[FlowEvent]:
+        side = 0 if segment.source == flow.endpoints[0] else 1
+        stream = flow.streams[side]
+        opposite_stream = flow.streams[1 - side]
+        seq = segment.seq
+        parts: list[Part] = []
+        opposite_parts: list[Part] = []
         if segment.flags & SYN:
-            if flow.first[side] is None:
-                flow.first[side] = seq
-                own.begin(seq + 1)
+            if flow.syn_seqs[side] is None:
+                flow.syn_seqs[side] = seq
+                stream.begin(seq + 1)
             seq = (seq + 1) % SEQUENCE_MODULUS
         if segment.data:
-            own.add_data(segment.at, seq, segment.data, parts)
+            stream.add_data(segment.at_ns, seq, segment.data, parts)
         if segment.flags & FIN:
-            own.finish(seq + len(segment.data) + segment.lacks)
-        own.advance_clock(segment.at, parts)
+            stream.finish(seq + len(segment.data) + segment.missing)
+        stream.advance_clock(segment.at_ns, parts)
         if segment.flags & ACK:
-            other.acknowledge(segment.at, segment.ack, heard)
+            opposite_stream.acknowledge(segment.at_ns, segment.ack, opposite_parts)
         if parts:
-            yield Happened(flow, side, parts)
-        if heard:
-            yield Happened(flow, 1 - side, heard)
+            yield FlowEvent(flow, side, parts)
+        if opposite_parts:
+            yield FlowEvent(flow, 1 - side, opposite_parts)
         if segment.flags & RST:
-            yield from self.end(flow, segment.at, "reset")
-        elif all(stream.is_complete() for stream in flow.streams):
-            yield from self.end(flow, segment.at, "closed")
+            yield from self._end(flow, segment.at_ns, "reset")
+        elif stream.is_complete() and opposite_stream.is_complete():
+            yield from self._end(flow, segment.at_ns, "closed")
 
-    def end(self, flow: Flow, at: int, why: str) -> Iterator[Happened]:
-        self.open.pop(flow.ends, None)
+    def _end(self, flow: Flow, at_ns: int, reason: str) -> Iterator[FlowEvent]:
+        self.open.pop(flow.endpoints, None)
         for side, stream in enumerate(flow.streams):
             parts: list[Part] = []
-            stream.close(at, parts)
+            stream.close(at_ns, parts)
             if parts:
-                yield Happened(flow, side, parts)
-        yield Happened(flow, 0, [], why)
-
-    def finish(self) -> Iterator[Happened]:
-        """The capture is over."""
-        for flow in list(self.open.values()):
-            yield from self.end(flow, flow.last, "the capture ends")
+                yield FlowEvent(flow, side, parts)
+        yield FlowEvent(flow, 0, [], reason)
--- a/message_sender/pcap/layers.py
+++ b/message_sender/pcap/layers.py
@@ -1,8 +1,8 @@
-"""From a packet to a TCP segment: link layers, IPv4 and IPv6 with extension headers and fragments.
+"""Decoding of packets to TCP segments: link layers, IPv4 and IPv6 with extension headers and fragments.
 
 Link types by the tcpdump group's registry; VLAN tags by IEEE 802.1Q and 802.1ad; IP by RFC 791 and RFC 8200.
-Own layers and no library: what is wanted is one tuple a packet, with what a snapped packet lacks told apart
-from what it never had, and nothing that a packet can raise.
+No library is used: the decoder has to create one tuple a packet, to tell the bytes that the capture left out
+from those that were never sent, and to raise nothing for any packet.
 """
 
 import struct
@@ -11,131 +11,206 @@
 
 from message_sender.pcap.files import Packet
 
-NULL, ETHERNET, RAW_OLD, RAW, LOOP, SLL, IPV4, IPV6, SLL2 = 0, 1, 12, 101, 108, 113, 228, 229, 276
-VLANS = frozenset({0x8100, 0x88A8, 0x9100})
-IP_TYPES = {0x0800, 0x86DD}
-TCP, FRAGMENT = 6, 44
-EXTENSIONS = frozenset({0, 43, 60, 135, 139, 140})  # hop-by-hop, routing, destination, mobility, HIP, shim6
-AUTHENTICATION = 51
-FIN, SYN, RST, ACK = 1, 2, 4, 16
-MOST_FRAGMENTS = 256  # datagrams that wait for the rest of their fragments; the oldest goes
-
-End = tuple[bytes, int]  # address and port
+LINK_NULL = 0
+LINK_ETHERNET = 1
+LINK_RAW_OLD = 12
+LINK_RAW = 101
+LINK_LOOP = 108
+LINK_SLL = 113
+LINK_IPV4 = 228
+LINK_IPV6 = 229
+LINK_SLL2 = 276
+#: Bytes before the IP header, for the link types whose header has one size and no usable type field.
+FIXED_LINK_HEADER_BYTES = {
+    LINK_NULL: 4,
+    LINK_LOOP: 4,
+    LINK_RAW: 0,
+    LINK_RAW_OLD: 0,
+    LINK_IPV4: 0,
+    LINK_IPV6: 0,
+}
+#: Offset of the EtherType, for the link types in which VLAN tags may follow it.
+ETHER_TYPE_OFFSETS = {LINK_ETHERNET: 12, LINK_SLL: 14}
+SLL2_HEADER_BYTES = 20
+VLAN_ETHER_TYPES = frozenset({0x8100, 0x88A8, 0x9100})
+IP_ETHER_TYPES = frozenset({0x0800, 0x86DD})
+
+PROTOCOL_TCP = 6
+PROTOCOL_FRAGMENT = 44
+PROTOCOL_AUTHENTICATION = 51
+#: Hop-by-hop, routing, destination options, mobility, HIP and shim6 headers.
+EXTENSION_PROTOCOLS = frozenset({0, 43, 60, 135, 139, 140})
+IPV4_FRAGMENT_MASK = 0x3FFF  # "more fragments" and the offset
+IPV4_MORE_FRAGMENTS = 0x2000
+IPV4_OFFSET_MASK = 0x1FFF  # units of 8 bytes
+IPV6_FRAGMENT_MASK = 0xFFF9  # "more fragments" and the offset
+IPV6_MORE_FRAGMENTS = 1
+IPV6_OFFSET_MASK = 0xFFF8  # bytes
+IPV6_HEADER_BYTES = 40
+FRAGMENT_HEADER_BYTES = 8
+INCOMPLETE_DATAGRAMS_LIMIT = 256
+
+FIN = 1
+SYN = 2
+RST = 4
+ACK = 16
+TCP_HEADER_BYTES = 20
+_TCP_HEADER = struct.Struct(">HHIIBB")
+
+#: Address in network byte order, and port.
+Endpoint = tuple[bytes, int]
 
 
 class Segment(NamedTuple):
-    at: int  # ns since the epoch
-    source: End
-    target: End
+    """A TCP segment.
+
+    Attributes:
+        at_ns: Capture time, since the epoch.
+        source: Endpoint that sent it.
+        target: Endpoint that it was sent to.
+        seq: Sequence number.
+        ack: Acknowledgement number; of meaning only with the flag ACK.
+        flags: TCP flags.
+        data: Captured payload.
+        missing: Payload bytes behind `data` that were on the wire and are not in the capture.
+    """
+
+    at_ns: int
+    source: Endpoint
+    target: Endpoint
     seq: int
     ack: int
     flags: int
     data: bytes
-    lacks: int  # bytes behind `data` that were on the wire and not kept
+    missing: int
 
 
-class Layers:
-    """Decodes packets one by one; keeps the fragments that wait for others."""
+class SegmentDecoder:
+    """Decodes packets one by one, and keeps the fragments of incomplete datagrams."""
 
     def __init__(self) -> None:
+        """Creates a decoder without fragments."""
         self.fragments: OrderedDict[tuple[bytes, ...], dict[int, tuple[bytes, bool]]] = OrderedDict()
-        self.left_out = 0  # packets that hold no TCP that can be read
+        self.skipped_packets = 0  # without a TCP header that can be decoded
 
-    def segment(self, packet: Packet) -> Segment | None:
-        """The segment in a packet; None where there is none, or not all of its header."""
+    def decode(self, packet: Packet) -> Segment | None:
+        """Returns the segment in a packet; None without one, or without all of its header."""
         try:
-            if found := self.decode(packet):
-                return found
+            if segment := self._decode_network_layer(packet):
+                return segment
         except (struct.error, IndexError):
-            pass  # a header that is cut or lies
-        self.left_out += 1
+            pass  # a truncated or malformed header
+        self.skipped_packets += 1
         return None
 
-    def decode(self, packet: Packet) -> Segment | None:
-        data, at = packet.data, network_layer(packet.link, packet.data)
-        version = data[at] >> 4 if at >= 0 else 0
+    def _decode_network_layer(self, packet: Packet) -> Segment | None:
+        data = packet.data
+        offset = find_ip_header(packet.link_type, data)
+        version = data[offset] >> 4 if offset >= 0 else 0
         if version == 4:
-            return self.ipv4(packet.at, data, at)
-        return self.ipv6(packet.at, data, at) if version == 6 else None
-
-    def ipv4(self, when: int, data: bytes, at: int) -> Segment | None:
-        total, ident, place, protocol = struct.unpack_from(">HHHxB", data, at + 2)
-        start = at + (data[at] & 15) * 4
-        # A total of 0: the sending machine's card cut the datagram up after it was captured.
-        end = at + total if total else len(data)
-        ends = data[at + 12 : at + 16], data[at + 16 : at + 20]
-        if place & 0x3FFF:
-            key = (*ends, ident.to_bytes(2, "big"), bytes([protocol]))
-            whole = self.gather(key, (place & 0x1FFF) * 8, data[start:end], not place & 0x2000)
-            return tcp(when, ends, whole, 0, len(whole)) if whole and protocol == TCP else None
-        return tcp(when, ends, data, start, end) if protocol == TCP else None
-
-    def ipv6(self, when: int, data: bytes, at: int) -> Segment | None:
-        size, following = struct.unpack_from(">HB", data, at + 4)
-        ends, start = (data[at + 8 : at + 24], data[at + 24 : at + 40]), at + 40
-        end = start + size if size else len(data)
-        while following != TCP:
-            if following in EXTENSIONS:
-                following, start = data[start], start + (data[start + 1] + 1) * 8
-            elif following == AUTHENTICATION:
-                following, start = data[start], start + (data[start + 1] + 2) * 4
-            elif following == FRAGMENT:
-                following, place, ident = data[start], *struct.unpack_from(">HI", data, start + 2)
-                if place & 0xFFF9:  # else it is the only one
-                    key = (*ends, ident.to_bytes(4, "big"))
-                    whole = self.gather(key, place & 0xFFF8, data[start + 8 : end], not place & 1)
-                    return tcp(when, ends, whole, 0, len(whole)) if whole and following == TCP else None
-                start += 8
+            return self._decode_ipv4(packet.at_ns, data, offset)
+        if version == 6:
+            return self._decode_ipv6(packet.at_ns, data, offset)
+        return None
+
+    def _decode_ipv4(self, at_ns: int, data: bytes, offset: int) -> Segment | None:
+        total_size, identification, fragment, protocol = struct.unpack_from(">HHHxB", data, offset + 2)
+        start = offset + (data[offset] & 15) * 4
+        # A total size of 0: the network card split the datagram after it was captured.
+        end = offset + total_size if total_size else len(data)
+        addresses = data[offset + 12 : offset + 16], data[offset + 16 : offset + 20]
+        if not fragment & IPV4_FRAGMENT_MASK:
+            return decode_tcp(at_ns, addresses, data, start, end) if protocol == PROTOCOL_TCP else None
+        key = (*addresses, identification.to_bytes(2, "big"), bytes([protocol]))
+        fragment_offset = (fragment & IPV4_OFFSET_MASK) * 8
+        is_last = not fragment & IPV4_MORE_FRAGMENTS
+        payload = self._add_fragment(key, fragment_offset, data[start:end], is_last)
+        if payload and protocol == PROTOCOL_TCP:
+            return decode_tcp(at_ns, addresses, payload, 0, len(payload))
+        return None
+
+    def _decode_ipv6(self, at_ns: int, data: bytes, offset: int) -> Segment | None:
+        payload_size, protocol = struct.unpack_from(">HB", data, offset + 4)
+        addresses = data[offset + 8 : offset + 24], data[offset + 24 : offset + 40]
+        start = offset + IPV6_HEADER_BYTES
+        end = start + payload_size if payload_size else len(data)
+        while protocol != PROTOCOL_TCP:
+            next_protocol = data[start]
+            if protocol in EXTENSION_PROTOCOLS:
+                start += (data[start + 1] + 1) * 8
+            elif protocol == PROTOCOL_AUTHENTICATION:
+                start += (data[start + 1] + 2) * 4
+            elif protocol == PROTOCOL_FRAGMENT:
+                fragment, identification = struct.unpack_from(">HI", data, start + 2)
+                start += FRAGMENT_HEADER_BYTES
+                if fragment & IPV6_FRAGMENT_MASK:  # otherwise it is the only fragment
+                    key = (*addresses, identification.to_bytes(4, "big"))
+                    is_last = not fragment & IPV6_MORE_FRAGMENTS
+                    fragment_offset = fragment & IPV6_OFFSET_MASK
+                    payload = self._add_fragment(key, fragment_offset, data[start:end], is_last)
+                    if payload and next_protocol == PROTOCOL_TCP:
+                        return decode_tcp(at_ns, addresses, payload, 0, len(payload))
+                    return None
             else:
                 return None
-        return tcp(when, ends, data, start, end)
-
-    def gather(self, key: tuple[bytes, ...], place: int, data: bytes, last: bool) -> bytes | None:
-        """The datagram, once all of its fragments are here. Where they overlap, the first one stands."""
-        found = self.fragments.setdefault(key, {})
-        found.setdefault(place, (data, last))
-        if len(self.fragments) > MOST_FRAGMENTS:
+            protocol = next_protocol
+        return decode_tcp(at_ns, addresses, data, start, end)
+
+    def _add_fragment(self, key: tuple[bytes, ...], offset: int, data: bytes, is_last: bool) -> bytes | None:
+        """Returns the payload of a complete datagram. Of overlapping fragments the first one stands."""
+        fragments = self.fragments.setdefault(key, {})
+        fragments.setdefault(offset, (data, is_last))
+        if len(self.fragments) > INCOMPLETE_DATAGRAMS_LIMIT:
             self.fragments.popitem(last=False)
-        whole = b""
-        while (part := found.get(len(whole))) is not None:
-            whole += part[0]
-            if part[1]:
+        payload = b""
+        while (fragment := fragments.get(len(payload))) is not None:
+            fragment_data, ends_datagram = fragment
+            payload += fragment_data
+            if ends_datagram:
                 del self.fragments[key]
-                return whole
-            if not part[0]:
+                return payload
+            if not fragment_data:
                 return None
         return None
 
 
-def network_layer(link: int, data: bytes) -> int:
-    """Where the IP header begins; -1 where there is none."""
-    if link == ETHERNET:
-        at = 12
-    elif link in (RAW, RAW_OLD, IPV4, IPV6):
-        return 0
-    elif link in (NULL, LOOP):
-        return 4
-    elif link == SLL:
-        at = 14
-    elif link == SLL2:
-        return 20 if int.from_bytes(data[:2], "big") in IP_TYPES else -1
-    else:
-        return -1
-    kind = int.from_bytes(data[at : at + 2], "big")
-    while kind in VLANS:
-        at += 4
-        kind = int.from_bytes(data[at : at + 2], "big")
-    return at + 2 if kind in IP_TYPES else -1
-
-
-HEADER = struct.Struct(">HHIIBB")
-
-
-def tcp(when: int, ends: tuple[bytes, bytes], data: bytes, at: int, end: int) -> Segment | None:
-    """`end` is where the datagram ends by its own word; the data may end before, where it was snapped."""
-    source, target, seq, ack, offset, flags = HEADER.unpack_from(data, at)
-    start = at + (offset >> 4) * 4
-    if start < at + 20 or start > end:
+def find_ip_header(link_type: int, data: bytes) -> int:
+    """Returns the offset of the IP header; -1 without one."""
+    offset = ETHER_TYPE_OFFSETS.get(link_type)
+    if offset is None:
+        if link_type == LINK_SLL2:
+            return SLL2_HEADER_BYTES if int.from_bytes(data[:2], "big") in IP_ETHER_TYPES else -1
+        return FIXED_LINK_HEADER_BYTES.get(link_type, -1)
+    ether_type = int.from_bytes(data[offset : offset + 2], "big")
+    while ether_type in VLAN_ETHER_TYPES:
+        offset += 4
+        ether_type = int.from_bytes(data[offset : offset + 2], "big")
+    return offset + 2 if ether_type in IP_ETHER_TYPES else -1
+
+
+def decode_tcp(
+    at_ns: int, addresses: tuple[bytes, bytes], data: bytes, offset: int, end: int
+) -> Segment | None:
+    """Decodes the TCP segment at `offset`.
+
+    Args:
+        at_ns: Capture time.
+        addresses: Source and target address.
+        data: The packet, or a reassembled datagram.
+        offset: Where the TCP header begins.
+        end: Where the datagram ends by its IP header; `data` may end before it, where it was truncated.
+
+    Returns:
+        The segment; None where the header's own size is impossible.
+
+    Raises:
+        struct.error: The header is incomplete.
+    """
+    source_port, target_port, seq, ack, data_offset, flags = _TCP_HEADER.unpack_from(data, offset)
+    start = offset + (data_offset >> 4) * 4
+    if start < offset + TCP_HEADER_BYTES or start > end:
         return None
-    held = data[start:end]
-    return Segment(when, (ends[0], source), (ends[1], target), seq, ack, flags, held, end - start - len(held))
+    payload = data[start:end]
+    source = (addresses[0], source_port)
+    target = (addresses[1], target_port)
+    return Segment(at_ns, source, target, seq, ack, flags, payload, end - start - len(payload))
--- a/message_sender/pcap/messages.py
+++ b/message_sender/pcap/messages.py
@@ -30,16 +30,16 @@
 class HttpMessage:
     """A request, or an answer. Times are ns since the epoch."""
 
-    at: int  # of the segment with its first byte
-    until: int = 0  # of the one with its last
+    first_at_ns: int
+    last_at_ns: int = 0
     method: str = ""
     target: str = ""
     status: int = 0  # 0: a request
     headers: list[tuple[str, str]] = field(default_factory=list)
     body: bytes = b""
-    whole: bool = True
+    is_complete: bool = True
     notes: list[str] = field(default_factory=list)
-    answers: int | None = None  # of an answer: the number of its request on the connection, from 0
+    request_number: int | None = None
     number: int = 0  # on its connection
 
 
@@ -131,7 +131,7 @@
             message.method, message.target = "POST", match[1].decode("latin-1")
         lines = (line.partition(b":") for line in match[2].split(b"\r\n")[:-1])
         message.headers = [(name.decode(), value.strip(b" \t").decode("latin-1")) for name, _, value in lines]
-        message.until, message.body = at, body
+        message.last_at_ns, message.body = at, body
         self.headed(message)
         self.out(message)
         return True
@@ -196,12 +196,12 @@
         assert self.message is not None
         if text not in self.message.notes:
             self.message.notes.append(text)
-        self.message.whole = self.message.whole and whole
+        self.message.is_complete = self.message.is_complete and whole
 
     def done(self, at: int) -> None:
         """The message at hand is read to its end; the next one's codec begins with what lies there."""
         assert self.message is not None and self.codec is not None
-        self.message.until, self.message.body = at, bytes(self.body)
+        self.message.last_at_ns, self.message.body = at, bytes(self.body)
         self.rest = self.codec.trailing_data[0]
         self.leave()
 
@@ -220,7 +220,7 @@
         if self.message is None:
             self.message = self.begun(at)
         self.note(why, whole=False)
-        self.message.until, self.message.body = at, bytes(self.body)
+        self.message.last_at_ns, self.message.body = at, bytes(self.body)
         self.lost, self.rest = True, b""
         self.leave()
 
@@ -250,7 +250,7 @@
             self.spoilt(at, "the connection ended before it: " + why)
 
 
-class Pairs:
+class MessagePairs:
     """Both directions of one connection: its requests, and its answers with the request of each."""
 
     def __init__(self, out: Callable[[HttpMessage], None]) -> None:
@@ -272,7 +272,7 @@
         message.number = self.answers
         self.answers += 1
         if self.waiting:
-            message.answers, method = self.waiting.popleft()
+            message.request_number, method = self.waiting.popleft()
             if message.status == 101 or (method == "CONNECT" and 200 <= message.status < 300):
                 for side in self.sides:
                     side.switched = True
--- a/message_sender/pcap/replay.py
+++ b/message_sender/pcap/replay.py
@@ -13,7 +13,7 @@
 
 import h11
 
-from message_sender.pcap.capture import Found
+from message_sender.pcap.capture import CapturedMessage
 
 MOST_OPEN = 256  # connections at once; a request for which there is none is counted and not sent
 PATIENCE = 30.0  # s for an answer
@@ -42,20 +42,22 @@
         return self.known[name]
 
 
-def plan(found: Iterable[Found], speed: float = 1.0, new_ids: NewIds | None = None) -> Iterator[Planned]:
+def plan(
+    found: Iterable[CapturedMessage], speed: float = 1.0, new_ids: NewIds | None = None
+) -> Iterator[Planned]:
     """What to send, and when. A request that the capture does not hold whole is left out; where its clock
     went back, a request is due with the one before it."""
     first, last = None, 0.0
     for each in found:
         message = each.message
-        if not message.whole:
+        if not message.is_complete:
             continue
-        first = message.at if first is None else first
-        last = max(last, (message.at - first) / 1e9 / speed)
+        first = message.first_at_ns if first is None else first
+        last = max(last, (message.first_at_ns - first) / 1e9 / speed)
         yield Planned(last, message.method, written(each, new_ids))
 
 
-def written(found: Found, new_ids: NewIds | None) -> bytes:
+def written(found: CapturedMessage, new_ids: NewIds | None) -> bytes:
     message = found.message
     lines = [f"{message.method} {message.target} HTTP/1.1"]
     for name, value in message.headers:
--- a/message_sender/pcap/writer.py
+++ b/message_sender/pcap/writer.py
@@ -7,7 +7,7 @@
 import ipaddress
 import struct
 
-from message_sender.pcap.files import Writer
+from message_sender.pcap.files import PcapWriter
 from message_sender.pcap.layers import ACK, FIN, RST, SYN
 from message_sender.pcap.reassembly import SEQUENCE_MODULUS
 
@@ -44,7 +44,7 @@
 class Conversation:
     """One connection. `side` 0 is the client's. Times are ns since the epoch."""
 
-    def __init__(self, out: Writer, client: Place, server: Place, at: int, first: int = 1000) -> None:
+    def __init__(self, out: PcapWriter, client: Place, server: Place, at: int, first: int = 1000) -> None:
         """Writes the handshake. `first`: the client's sequence number. Raises ValueError for a place that is
         no IP address, or for two of different versions."""
         self.out = out
--- a/tests/captures.py
+++ b/tests/captures.py
@@ -4,9 +4,8 @@
 import struct
 from collections.abc import Sequence
 
-from message_sender.pcap.capture import Capture, Found
-from message_sender.pcap.files import Packet, Writer
-from message_sender.pcap.files import read as read_file
+from message_sender.pcap.capture import Capture, CapturedMessage
+from message_sender.pcap.files import Packet, PcapWriter, read_packets
 from message_sender.pcap.writer import Conversation
 
 T0 = 1_790_000_000_123_456_789  # ns
@@ -30,7 +29,7 @@
 
     def __init__(self, ends: Sequence[tuple[str, int]] = (CLIENT, SERVER), first: int = 1000) -> None:
         self.out = io.BytesIO()
-        self.writer = Writer(self.out)
+        self.writer = PcapWriter(self.out)
         self.talk = Conversation(self.writer, ends[0], ends[1], T0, first)
 
     def says(self, side: int, after_ms: float, *pieces: bytes) -> "Made":
@@ -43,28 +42,31 @@
         return self
 
     def packets(self) -> list[Packet]:
-        return list(read_file(io.BytesIO(self.out.getvalue())))
+        return list(read_packets(io.BytesIO(self.out.getvalue())))
 
-    def found(self) -> list[Found]:
+    def found(self) -> list[CapturedMessage]:
         return read(self.out.getvalue())
 
 
-def read(*captures: bytes) -> list[Found]:
+def read(*captures: bytes) -> list[CapturedMessage]:
     return list(Capture(*map(io.BytesIO, captures)).messages())
 
 
 def written(packets: Sequence[Packet]) -> bytes:
     """The packets as a file again; a size above the data says that the capture snapped them."""
     out = io.BytesIO()
-    Writer(out)
+    PcapWriter(out)
     for each in packets:
-        head = struct.pack("<IIII", each.at // 10**9, each.at % 10**9, len(each.data), each.size)
+        head = struct.pack(
+            "<IIII", each.at_ns // 10**9, each.at_ns % 10**9, len(each.data), each.original_size
+        )
         out.write(head + each.data)
     return out.getvalue()
 
 
-def told(found: Sequence[Found]) -> list[tuple[object, ...]]:
+def told(found: Sequence[CapturedMessage]) -> list[tuple[object, ...]]:
     """What matters of messages, in few words."""
     return [
-        (each.message.status or each.message.target, each.message.body, each.message.whole) for each in found
+        (each.message.status or each.message.target, each.message.body, each.message.is_complete)
+        for each in found
     ]
--- a/tests/conformance/test_captured.py
+++ b/tests/conformance/test_captured.py
@@ -8,7 +8,7 @@
 
 from conformance.sides import PATIENCE, SIDES, DaemonSide, Message
 from conformance.test_generated import Plan, plan
-from message_sender.pcap.capture import Found, requests
+from message_sender.pcap.capture import CapturedMessage, read_requests
 from message_sender.pcap.replay import HttpLine, Replay
 from message_sender.pcap.replay import plan as planned
 from message_sender.pcap.traffic_tap import TrafficTap
@@ -16,7 +16,7 @@
 SEEDS = (3, 5, 8, 21)  # plans without a restart, of all kinds
 
 
-async def recorded(made: Plan, folder: Path) -> list[Found]:
+async def recorded(made: Plan, folder: Path) -> list[CapturedMessage]:
     """What clients sent to a daemon that writes its traffic, as its capture has it."""
     async with DaemonSide(folder / "recorded", made.acts) as side:
         tap = TrafficTap(folder / "captures", 10**7)
@@ -27,10 +27,10 @@
         port = side.sender.server.address()[1]
     tap.close()
     with (folder / "captures" / "capture-1.pcap").open("rb") as file:
-        return [each for each in requests([file]) if each.flow.ends[1][1] == port]
+        return [each for each in read_requests([file]) if each.flow.endpoints[1][1] == port]
 
 
-def message_of(found: Found) -> Message:
+def message_of(found: CapturedMessage) -> Message:
     fields = {name.lower(): value for name, value in found.message.headers}
     destination = int(fields["x-route-to"].removeprefix("dest="))
     kind, key = fields["x-service-class"], fields.get("x-session-key", "")
--- a/tests/test_pcap.py
+++ b/tests/test_pcap.py
@@ -12,9 +12,9 @@
 
 from message_sender.pcap import files
 from message_sender.pcap.capture import Capture, as_json
-from message_sender.pcap.files import MalformedCaptureError, Packet, Writer
-from message_sender.pcap.flows import Flows
-from message_sender.pcap.layers import Layers
+from message_sender.pcap.files import MalformedCaptureError, Packet, PcapWriter
+from message_sender.pcap.flows import FlowTable
+from message_sender.pcap.layers import SegmentDecoder
 from message_sender.pcap.writer import Conversation
 
 logging.getLogger("scapy.runtime").setLevel(logging.ERROR)
@@ -35,8 +35,8 @@
         ("/b", b"", True),
         (429, b"later", True),
     ]
-    assert [each.message.at - T0 for each in found] == [10 * MS, 30 * MS, 40 * MS, 55_500_000]
-    assert [each.message.answers for each in found if each.message.status] == [0, 1]
+    assert [each.message.first_at_ns - T0 for each in found] == [10 * MS, 30 * MS, 40 * MS, 55_500_000]
+    assert [each.message.request_number for each in found if each.message.status] == [0, 1]
     shown = as_json(found[0])
     assert (shown["at"], shown["client"]) == (
         "1790000000.133456789",
@@ -65,15 +65,17 @@
     options += struct.pack(order + "HHq", 14, 8, offset) + bytes(4)
     parts = 10**6 if resolution is None else 2 ** (resolution & 127) if resolution & 128 else 10**resolution
     out = block(0x0A0D0D0A, struct.pack(order + "IHHq", 0x1A2B3C4D, 1, 0, -1))
-    out += block(1, struct.pack(order + "HHI", files.RAW, 0, 0) + options) + block(0xBAD, b"unknown")
+    out += block(1, struct.pack(order + "HHI", files.LINK_RAW, 0, 0) + options) + block(0xBAD, b"unknown")
     for each in packets:
         if simple:
-            out += block(3, struct.pack(order + "I", each.size) + each.data)
+            out += block(3, struct.pack(order + "I", each.original_size) + each.data)
             continue
-        units = -(-(each.at - offset * 10**9) * parts // 10**9)
+        units = -(-(each.at_ns - offset * 10**9) * parts // 10**9)
         out += block(
             6,
-            struct.pack(order + "IIIII", 0, units >> 32, units & 0xFFFFFFFF, len(each.data), each.size)
+            struct.pack(
+                order + "IIIII", 0, units >> 32, units & 0xFFFFFFFF, len(each.data), each.original_size
+            )
             + each.data,
         )
     return out
@@ -85,10 +87,10 @@
 )
 def test_pcapng_in_any_order_and_resolution(order: str, resolution: int | None, offset: int) -> None:
     packets = exchange().packets()
-    kept = list(files.read(io.BytesIO(pcapng(packets, order, resolution, offset) * 2)))
+    kept = list(files.read_packets(io.BytesIO(pcapng(packets, order, resolution, offset) * 2)))
     unit = {None: 1000, 9: 1, 0x80 | 30: 1, 3: MS}[resolution]
     assert [each.data for each in kept] == [each.data for each in packets] * 2  # two sections
-    assert all(abs(a.at - b.at) <= unit for a, b in zip(kept, packets * 2, strict=True))
+    assert all(abs(a.at_ns - b.at_ns) <= unit for a, b in zip(kept, packets * 2, strict=True))
     assert {each.interface for each in kept} == {0, 1}
 
 
@@ -97,12 +99,18 @@
     assert told(read(pcapng(made.packets(), "<", 9, simple=True))) == told(made.found())
 
 
-@pytest.mark.parametrize(("magic", "order", "unit"), [(k, *v) for k, v in files.MAGIC.items()])
+@pytest.mark.parametrize(("magic", "order", "unit"), [(k, *v) for k, v in files.PCAP_MAGIC.items()])
 def test_pcap_in_any_order_and_unit(magic: bytes, order: str, unit: int) -> None:
-    data = magic + struct.pack(order + "HHiIII", 2, 4, 0, 0, 65535, files.RAW)
+    data = magic + struct.pack(order + "HHiIII", 2, 4, 0, 0, 65535, files.LINK_RAW)
     for each in exchange().packets():
         data += (
-            struct.pack(order + "IIII", each.at // 10**9, each.at % 10**9 // unit, len(each.data), each.size)
+            struct.pack(
+                order + "IIII",
+                each.at_ns // 10**9,
+                each.at_ns % 10**9 // unit,
+                len(each.data),
+                each.original_size,
+            )
             + each.data
         )
     assert told(read(data)) == told(exchange().found())
@@ -111,10 +119,10 @@
 @pytest.mark.parametrize("data", [b"", b"\xd4\xc3", b"GET / HTTP/1.1\r\n", b"\xd4\xc3\xb2\xa1\x02\x00"])
 def test_what_is_no_capture_is_one_error(data: bytes) -> None:
     with pytest.raises(MalformedCaptureError):
-        list(files.read(io.BytesIO(data)))
+        list(files.read_packets(io.BytesIO(data)))
 
 
-@pytest.mark.parametrize("claim", [files.MOST + 1, 2**32 - 1])
+@pytest.mark.parametrize("claim", [files.BLOCK_BYTES_LIMIT + 1, 2**32 - 1])
 def test_a_length_that_lies_ends_the_reading_with_a_note(claim: int) -> None:
     data = exchange().out.getvalue() + struct.pack("<IIII", 1, 0, claim, claim) + bytes(50)
     capture = Capture(io.BytesIO(data))
@@ -133,7 +141,7 @@
         found = read(bytes(spoilt))
     except MalformedCaptureError:
         return
-    assert all(each.message.until >= 0 for each in found)
+    assert all(each.message.last_at_ns >= 0 for each in found)
 
 
 def test_a_file_that_is_cut_at_any_byte_gives_what_was_whole_before() -> None:
@@ -144,7 +152,7 @@
         assert [each for each in some if each[2]] == found[: sum(each[2] for each in some)]
 
 
-# Layers.
+# SegmentDecoder.
 
 
 def scapy_file(layers: Any, path: Any) -> bytes:  # noqa: ANN401
@@ -197,11 +205,13 @@
         113: bytes(14) + b"\x08\x00", 228: b"", 276: b"\x08\x00" + bytes(18),
     }  # fmt: skip
     for link, head in heads.items():
-        layers = Layers()
-        kept = [layers.segment(each._replace(link=link, data=head + each.data)) for each in raw]
-        assert all(kept) and not layers.left_out, link
-    layers = Layers()
-    assert not any(layers.segment(each._replace(link=147)) for each in raw) and layers.left_out == len(raw)
+        layers = SegmentDecoder()
+        kept = [layers.decode(each._replace(link_type=link, data=head + each.data)) for each in raw]
+        assert all(kept) and not layers.skipped_packets, link
+    layers = SegmentDecoder()
+    assert not any(
+        layers.decode(each._replace(link_type=147)) for each in raw
+    ) and layers.skipped_packets == len(raw)
 
 
 # Messages.
@@ -233,8 +243,8 @@
     data = request("/a", b"abc")
     made = Made().says(0, 1, data[:5]).says(0, 2, data[5:-1]).says(0, 7, data[-1:] + request("/b"))
     first, second = made.found()
-    assert (first.message.at - T0, first.message.until - T0) == (1 * MS, 7 * MS)
-    assert (second.message.at - T0, second.message.until - T0) == (7 * MS, 7 * MS)
+    assert (first.message.first_at_ns - T0, first.message.last_at_ns - T0) == (1 * MS, 7 * MS)
+    assert (second.message.first_at_ns - T0, second.message.last_at_ns - T0) == (7 * MS, 7 * MS)
 
 
 def test_an_upgrade_ends_the_reading_of_both_sides() -> None:
@@ -258,10 +268,10 @@
     )
     found = read(written(lose(made, 4)))
     (first,) = (each.message for each in found if each.message.target == "/a")
-    assert (first.target, len(first.body), first.whole) == ("/a", 5000, False)
+    assert (first.target, len(first.body), first.is_complete) == ("/a", 5000, False)
     assert first.body.count(b"\0") == 1460 and "1460 bytes" in first.notes[0]
     assert told(found)[-1] == ("/b", b"", True)
-    assert [each.message.answers for each in found if each.message.status] == [0]
+    assert [each.message.request_number for each in found if each.message.status] == [0]
 
 
 def test_a_lost_head_spoils_its_message_alone() -> None:
@@ -291,7 +301,7 @@
     assert told(read(written(side))) == [("/a", b"x" * 4000, True), ("/b", b"", True)]
     other = [each for each in made.packets() if each.data[12:16] == bytes([10, 0, 0, 9])]
     found = read(written(other))
-    assert [each.message.answers for each in found] == [None, None]
+    assert [each.message.request_number for each in found] == [None, None]
     assert all("its request is not in the capture" in each.message.notes for each in found)
 
 
@@ -317,17 +327,17 @@
             io.BytesIO(Made().says(0, 1, start).says(0, 2, b"0" * 200_000).ends().out.getvalue())
         )
         found = list(capture.messages())
-        assert all(not each.message.whole for each in found)
+        assert all(not each.message.is_complete for each in found)
 
 
 def test_connections_that_stay_open_are_bounded() -> None:
     out = io.BytesIO()
-    writer, count = Writer(out), 600
+    writer, count = PcapWriter(out), 600
     for number in range(count):
         talk = Conversation(writer, (f"10.0.{number // 250}.{number % 250}", 999), SERVER, T0 + number)
         talk.data(0, T0 + number, request("/a", b"abc")[:-1])
     capture = Capture(io.BytesIO(out.getvalue()))
-    capture.flows = Flows(most=50)
+    capture.flows = FlowTable(open_limit=50)
     found = list(capture.messages())
     assert len(found) == count and not capture.pairs and not capture.flows.open
     assert sum("silent" in each.message.notes[-1] for each in found) == count - 50
@@ -335,6 +345,6 @@
 
 def test_a_clock_that_jumps_back_is_a_note() -> None:
     packets = exchange().packets()
-    packets[-1] = packets[-1]._replace(at=T0 - 5 * 10**9)
+    packets[-1] = packets[-1]._replace(at_ns=T0 - 5 * 10**9)
     capture = Capture(io.BytesIO(written(packets)))
     assert len(list(capture.messages())) == 4 and any("clock" in text for text in capture.notes)
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -111,8 +111,8 @@
 
 def test_a_clock_that_went_back_sends_with_the_one_before_and_the_spoilt_are_left_out() -> None:
     messages = made(0, 20, 40).found()[::2]
-    messages[1].message.at = T0 - 60_000 * MS
-    messages[0].message.whole = False
+    messages[1].message.first_at_ns = T0 - 60_000 * MS
+    messages[0].message.is_complete = False
     assert [each.due for each in plan(messages)] == [0.0, pytest.approx(60.04)]
 
 
@@ -171,7 +171,7 @@
         scribe.write(what, 1, 0, T0, some)
     scribe.close()
     (found,) = read(scribe.written()[0].read_bytes())
-    assert not found.message.whole and "100 bytes" in found.message.notes[0]
+    assert not found.message.is_complete and "100 bytes" in found.message.notes[0]
 
 
 def test_a_scribe_that_falls_behind_costs_records_and_no_time(
@@ -249,7 +249,7 @@
         value for each in found for name, value in each.message.headers if name.lower() == "idempotency-key"
     }
     assert len(secrets) == 1 and set(secrets.pop()) == {"x"}
-    assert all(each.message.whole for each in found)
+    assert all(each.message.is_complete for each in found)
 
 
 def test_the_commands_of_a_capture_for_the_demonstration(tmp_path: Path) -> None:
