--- a/message_sender/testbed/cluster.py
+++ b/message_sender/testbed/cluster.py
@@ -31,6 +31,21 @@
 STARTED = re.compile(r"ready on \S+:(\d+)")
 
 
+def message_fields(
+    name: str, message_class: str, destination: int, time_left: float, key: str, tenant: str
+) -> dict[str, str]:
+    """Return the header fields with which a message is submitted; its id is also its idempotency key."""
+    return {
+        "X-Correlation-Id": name,
+        "X-Service-Class": message_class,
+        "X-Time-Left": str(time_left),
+        "X-Route-To": f"dest={destination}",
+        "X-Session-Key": key,
+        "Idempotency-Key": name,
+        "X-Account": tenant,
+    }
+
+
 class Cluster:
     """Members that run as processes; an async context manager that ends them all."""
 
@@ -254,29 +269,14 @@
         to: Iterable[str] = (),
         tenant: str = "",
     ) -> str | None:
-        """Submit a message to these members (default: all) in turn until one accepts it.
+        """Submit a message to the members `to` (default: all) in turn until one accepts it.
 
-        Args:
-            name: The id of the message, which is also its idempotency key.
-            message_class: Its class.
-            destination: Its destination.
-            time_left: The time until its deadline, in seconds.
-            key: Its ordering key.
-            to: The members to try.
-            tenant: Its tenant.
+        Its deadline is `time_left` seconds from each try.
 
         Returns:
             The name of the member that accepted it, or None.
         """
-        fields = {
-            "X-Correlation-Id": name,
-            "X-Service-Class": message_class,
-            "X-Time-Left": str(time_left),
-            "X-Route-To": f"dest={destination}",
-            "X-Session-Key": key,
-            "Idempotency-Key": name,
-            "X-Account": tenant,
-        }
+        fields = message_fields(name, message_class, destination, time_left, key, tenant)
         for member in self.select_members(to):
             now = self.history.clock()
             if not member.port:
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -24,7 +24,7 @@
 
 POWER = Path(__file__).parent.parent / "scenarios" / "power"
 RATE = 60  # calls a second that a hub takes
-MORE = """
+EXTRA_CONFIG = """
 [limits]
 max_open = 400
 max_attempts = 20
@@ -73,24 +73,24 @@
     link: bool = True,
     member_factory: MemberFactory | None = None,
 ) -> AsyncIterator[tuple[Cluster, ReceiverStub]]:
-    """A fleet that is up, and its hub."""
+    """Runs a cluster and its hub."""
     cluster = Cluster(folder, size, seed, sync, link, member_factory=member_factory)
     async with ReceiverStub("hub", cluster.history, RATE) as hub:
-        cluster.extra_config = MORE.format(size=size) + hub.to_config()
+        cluster.extra_config = EXTRA_CONFIG.format(size=size) + hub.to_config()
         async with cluster:
             await cluster.start()
             yield cluster, hub
 
 
-async def hold(cluster: Cluster, count: int, kind: str = "keyed") -> int:
-    """Hands in as many at each sender; how many were answered 202."""
+async def submit_to_each(cluster: Cluster, count: int, kind: str = "keyed") -> int:
+    """Submits `count` messages to each member; returns how many were accepted."""
     names = [(f"{each}-{number}", each) for number in range(count) for each in cluster.members]
     taken = [await cluster.submit(name, kind, 1, 8, f"key {name}", [each]) for name, each in names]
     return len([each for each in taken if each])
 
 
-async def over(cluster: Cluster) -> None:
-    """Until each message that was answered 202 has its final answer, of the one that said so."""
+async def wait_for_completions(cluster: Cluster) -> None:
+    """Waits until each accepted message has been completed by the member that accepted it."""
 
     def all_ended() -> bool:
         notified = {(each["by"], each["id"]) for each in cluster.completions()}
@@ -99,7 +99,7 @@
     await cluster.wait_until(all_ended, 40)
 
 
-def said(cluster: Cluster, text: str) -> int:
+def count_log_lines(cluster: Cluster, text: str) -> int:
     return sum(text in line for each in cluster.members.values() for line in each.log)
 
 
@@ -107,18 +107,18 @@
     async def play() -> None:
         async with fleet(tmp_path) as (cluster, hub):
             hub.is_down = True
-            assert await hold(cluster, 12) == 60
+            assert await submit_to_each(cluster, 12) == 60
             await cluster.cut(keeps=0.0)
             hub.is_down, hub.response_delay = False, 0.3  # long enough for all to try who do not ask
             hub.call_times.clear()
-            before = said(cluster, "trial=True")
+            before = count_log_lines(cluster, "trial=True")
             await cluster.start()
-            await over(cluster)
-            assert said(cluster, "trial=True") - before == 1
+            await wait_for_completions(cluster)
+            assert count_log_lines(cluster, "trial=True") - before == 1
             assert (
                 len([each for each in hub.call_times if each < hub.call_times[0] + hub.response_delay]) == 1
             )
-            assert said(cluster, "4 of 4 others spoke, 4 are returning too") >= 5
+            assert count_log_lines(cluster, "4 of 4 others spoke, 4 are returning too") >= 5
             # Cold it takes a fifth: what any 100 ms may bring, with one call that was on its way.
             assert hub.max_count_within(0.1) <= RATE * 0.1 * 1.5 + 1 and not hub.rejected
             assert not cluster.check_history(RULES)
@@ -133,7 +133,7 @@
     async def play() -> None:
         async with fleet(tmp_path, 2, sync="none", link=False) as (cluster, hub):
             hub.is_down = True
-            assert await hold(cluster, 5) == 10
+            assert await submit_to_each(cluster, 5) == 10
             await cluster.cut(keeps=0.0)
             hub.is_down = False
             await cluster.start()
@@ -142,7 +142,7 @@
     asyncio.run(play())
 
 
-def drawn(seed: int) -> list[Fault]:
+def draw_faults(seed: int) -> list[Fault]:
     """Faults of one life: the power of all or of some goes, of some a second time, and the link is split
     meanwhile."""
     rng = random.Random(f"faults {seed}")
@@ -157,7 +157,7 @@
     return [*plan, Fault(cut + 1.0, "start")]
 
 
-async def life(
+async def run_with_faults(
     folder: Path, seed: int, member_factory: MemberFactory | None = None, plan: list[Fault] | None = None
 ) -> list[str]:
     """Traffic with a hub that is down for a part of it, faults, and the referee's word on the whole."""
@@ -177,8 +177,8 @@
                     await cluster.wait_until(lambda: any(each.port for each in cluster.members.values()))
                 hub.is_down = 30 <= number < 80
 
-        await asyncio.gather(traffic(), cluster.run(drawn(seed) if plan is None else plan))
-        await over(cluster)
+        await asyncio.gather(traffic(), cluster.run(draw_faults(seed) if plan is None else plan))
+        await wait_for_completions(cluster)
         return [f"seed {seed}: {each.rule}: {each.text}" for each in cluster.check_history(RULES)]
 
 
@@ -188,7 +188,7 @@
 
         async def one(seed: int) -> list[str]:
             async with turns:
-                return await life(tmp_path / str(seed), seed, member_factory)
+                return await run_with_faults(tmp_path / str(seed), seed, member_factory)
 
         async with MemberFactory() as member_factory:
             found = await asyncio.gather(*(one(seed) for seed in range(20)))
@@ -199,15 +199,15 @@
 
 @pytest.mark.parametrize("file", sorted(POWER.glob("*.toml")), ids=lambda file: file.stem)
 def test_each_scenario_breaks_no_rule(tmp_path: Path, file: Path) -> None:
-    assert asyncio.run(life(tmp_path, 1, plan=load_faults(file))) == []
+    assert asyncio.run(run_with_faults(tmp_path, 1, plan=load_faults(file))) == []
 
 
-def told(cluster: Cluster, text: str, times: int) -> bool:
-    return said(cluster, text) == times
+def has_logged(cluster: Cluster, text: str, times: int) -> bool:
+    return count_log_lines(cluster, text) == times
 
 
-def heard(member: Member) -> int:
-    """Datagrams that it believed."""
+def authenticated_datagrams(member: Member) -> int:
+    """Returns how many datagrams a member has authenticated."""
     return int(send_request(member.state, {"do": "fleet"})["value"]["heard"])
 
 
@@ -220,10 +220,13 @@
                 for each in cluster.members.values():
                     (each.folder / "fleet.key").write_text("\n".join(keys) + "\n")
                     cluster.signal(each, signal.SIGHUP)
-                await cluster.wait_until(partial(told, cluster, "keys replaced: count=", 2 * number))
-            before = [heard(each) for each in cluster.members.values()]
+                await cluster.wait_until(partial(has_logged, cluster, "keys replaced: count=", 2 * number))
+            before = [authenticated_datagrams(each) for each in cluster.members.values()]
             await cluster.wait_until(
-                lambda: all(heard(x) > y for x, y in zip(cluster.members.values(), before, strict=True))
+                lambda: all(
+                    authenticated_datagrams(x) > y
+                    for x, y in zip(cluster.members.values(), before, strict=True)
+                )
             )
 
     asyncio.run(play())
@@ -238,7 +241,7 @@
                 for each in cluster.members["n1"].state.iterdir()
                 if each.is_file()
             }
-            assert await hold(cluster, 5) == 20
+            assert await submit_to_each(cluster, 5) == 20
             await cluster.cut()
             await cluster.lose_disk("n0")
             for name, data in old.items():  # a copy of before, under the same name
@@ -252,11 +255,11 @@
             for name in ("n0", "n1"):  # what they held is gone with their disks, and no client's to wait for
                 cluster.accepted_by = {x: by for x, by in cluster.accepted_by.items() if by != name}
             cluster.accepted_by.pop("n2-1")
-            await over(cluster)
+            await wait_for_completions(cluster)
             assert all(len(each) == 1 for each in hub.served_at.values())
             # The one lost record held no attempt, as the counts around it tell: nobody else comes into doubt.
-            assert said(cluster, "reason=unreadable may_have_run=none") == 1
-            assert said(cluster, "may_have_run=n2-0") == 0
+            assert count_log_lines(cluster, "reason=unreadable may_have_run=none") == 1
+            assert count_log_lines(cluster, "may_have_run=n2-0") == 0
 
     asyncio.run(play())
 
@@ -269,7 +272,7 @@
             ReceiverStub("hub", cluster.history, RATE) as hub,
             ReceiverStub("old", cluster.history, RATE) as old,
         ):
-            cluster.extra_config = MORE.format(size=3) + hub.to_config() + "\n" + old.to_config()
+            cluster.extra_config = EXTRA_CONFIG.format(size=3) + hub.to_config() + "\n" + old.to_config()
             async with cluster:
                 await cluster.start()
                 now = time.time_ns() // 1000
@@ -281,7 +284,7 @@
                     await cluster.lose_disk("n0")
                 await cluster.start("n0")
                 assert all([await cluster.submit(f"m{x}", "safe", 1, 8, to=["n0"]) for x in range(6)])
-                await over(cluster)
+                await wait_for_completions(cluster)
                 kept = (await cluster.request("n0", {"do": "list"}))["overrides"]
                 if by == "cut":
                     assert not old.call_times and len(hub.call_times) == 6
@@ -304,15 +307,15 @@
             await cluster.wait_until(lambda: bool(hub.served_at["m"]))
             await cluster.start("n0")
             await cluster.wait_until(lambda: any(each["by"] == "n0" for each in cluster.completions()))
-            await over(cluster)
+            await wait_for_completions(cluster)
             assert len(hub.served_at["m"]) == 1
-            assert said(cluster, "id=m member=n1 ") == 1
+            assert count_log_lines(cluster, "id=m member=n1 ") == 1
 
     asyncio.run(play())
 
 
-def waits(state: Path) -> bool:
-    """Whether its snapshot tells one."""
+def has_stored_wait(state: Path) -> bool:
+    """Returns whether the stored snapshot has a wait."""
     snapshot = (
         learned_snapshot.decode((state / learned_snapshot.LEARNED_FILE).read_bytes())
         if (state / learned_snapshot.LEARNED_FILE).exists()
@@ -326,13 +329,15 @@
         async with fleet(tmp_path, 3) as (cluster, hub):
             hub.retry_after = 5.0
             assert await cluster.submit("m", "keyed", 1, 8, to=["n0"])
-            await cluster.wait_until(lambda: bool(hub.call_times) and waits(cluster.members["n0"].state))
-            told = hub.call_times[0]
+            await cluster.wait_until(
+                lambda: bool(hub.call_times) and has_stored_wait(cluster.members["n0"].state)
+            )
+            rejected_at = hub.call_times[0]
             hub.retry_after = 0.0
             await cluster.cut(keeps=0.0)
             await cluster.start()
             await cluster.wait_until(lambda: len(hub.call_times) > 1)
-            assert hub.call_times[1] >= told + 5.0
+            assert hub.call_times[1] >= rejected_at + 5.0
 
     asyncio.run(play())
 
@@ -341,20 +346,20 @@
     async def play() -> None:
         async with fleet(tmp_path, 3) as (cluster, hub):
             hub.is_down = True
-            assert await hold(cluster, 4) == 12
+            assert await submit_to_each(cluster, 4) == 12
             await cluster.cut()
             hub.is_down, hub.response_delay = False, 1.0
             hub.call_times.clear()
             await cluster.start()
             await cluster.wait_until(lambda: len(hub.call_times) == 1)
-            told = send_request(cluster.members["n0"].state, {"do": "fleet"})["value"]["destinations"]["1"]
-            (holder,) = told["tried_by"]
+            status = send_request(cluster.members["n0"].state, {"do": "fleet"})["value"]["destinations"]["1"]
+            (holder,) = status["tried_by"]
             await cluster.stop(holder)
             await cluster.wait_until(lambda: len(hub.call_times) >= 2)
             assert hub.call_times[1] >= hub.call_times[0] + TRIAL_TIMEOUT_S - 0.2
             await cluster.wait_until(lambda: len(hub.call_times) >= 6)
             await cluster.wake(holder)
-            await over(cluster)
+            await wait_for_completions(cluster)
             assert not [each for each in cluster.check_history(RULES) if each.rule != "one end"]
             assert all(len(each) == 1 for each in hub.served_at.values())
 
@@ -375,7 +380,7 @@
     async def play() -> None:
         async with fleet(tmp_path, 4) as (cluster, hub):
             hub.is_down = True
-            assert await hold(cluster, 4) == 16
+            assert await submit_to_each(cluster, 4) == 16
             await cluster.cut()
             for name, (what, value) in trouble.items():
                 setattr(cluster.members[name], what, value)
@@ -385,14 +390,14 @@
             well = [name for name, each in cluster.members.items() if each.is_alive and not each.disk_fault]
             assert {"n3"} <= set(well)
             cluster.accepted_by = {name: by for name, by in cluster.accepted_by.items() if by in well}
-            await over(cluster)
+            await wait_for_completions(cluster)
             await cluster.wait_until(
                 lambda: (
                     sum("stage entered: stage=open " in x for x in cluster.members["n3"].log) == opened + 1
                 )
             )
             assert await cluster.submit("later", "keyed", 1, 8, to=["n3"]) == "n3"
-            await over(cluster)
+            await wait_for_completions(cluster)
             assert all(len(each) == 1 for each in hub.served_at.values())
 
     asyncio.run(play())
