--- a/benchmarks/pcap.py
+++ b/benchmarks/pcap.py
@@ -27,7 +27,7 @@
 from message_sender.pcap.flows import FlowTable
 from message_sender.pcap.layers import SegmentDecoder
 from message_sender.pcap.traffic_tap import TrafficTap
-from message_sender.pcap.writer import Conversation
+from message_sender.pcap.writer import ConnectionWriter
 from message_sender.service.standalone import CompletionWriter, StandaloneSender
 from message_sender.testbed.history import History
 from message_sender.testbed.http import HttpClient, HttpEndpoint
@@ -45,19 +45,19 @@
     writer, at = PcapWriter(out), 10**18
     while True:
         open_now = [
-            Conversation(writer, ("10.0.0.1", 1024 + each), ("10.0.0.2", 80), at, at // 10**6)
+            ConnectionWriter(writer, ("10.0.0.1", 1024 + each), ("10.0.0.2", 80), at, at // 10**6)
             for each in range(talks)
         ]
         for _ in range(rounds):
-            for talk in open_now:
+            for connection in open_now:
                 at += 10_000
-                talk.data(0, at, REQUEST % (len(body), body))
-                talk.data(1, at + 5_000, ANSWER)
+                connection.write_data(0, at, REQUEST % (len(body), body))
+                connection.write_data(1, at + 5_000, ANSWER)
             yield out.getvalue()
             out.seek(0)
             out.truncate()
-        for talk in open_now:
-            talk.end(0, at)
+        for connection in open_now:
+            connection.end(0, at)
 
 
 def capture_of(packets: int, body: bytes) -> bytes:
--- a/message_sender/cli/pcap.py
+++ b/message_sender/cli/pcap.py
@@ -128,28 +128,28 @@
     with exit_on_capture_error():
         difference = compare(read_requests([one]), read_requests([other]), ignore)
     print_difference(difference, as_lines)
-    is_too_far_apart = within is not None and difference.apart > within * NS_PER_MS
-    context.exit(0 if difference.same() and not is_too_far_apart else 1)
+    is_too_far_apart = within is not None and difference.max_apart_ns > within * NS_PER_MS
+    context.exit(0 if difference.is_same() and not is_too_far_apart else 1)
 
 
 def print_difference(difference: Difference, as_object: bool) -> None:
     """Prints the result of a comparison as lines or as a JSON object."""
-    apart_ms = difference.apart / NS_PER_MS
+    apart_ms = difference.max_apart_ns / NS_PER_MS
     if as_object:
         result = {
-            "same": difference.same(),
+            "same": difference.is_same(),
             "requests": difference.requests,
             "apart_ms": apart_ms,
-            "apart_at": difference.apart_at,
-            "differ": difference.differ,
-            "more": difference.more,
+            "apart_at": difference.max_apart_request,
+            "differ": difference.descriptions,
+            "more": difference.omitted_descriptions,
         }
         click.echo(json.dumps(result))
         return
-    for text in difference.differ:
+    for text in difference.descriptions:
         click.echo(text)
-    if difference.more:
-        click.echo(f"and {difference.more} more")
+    if difference.omitted_descriptions:
+        click.echo(f"and {difference.omitted_descriptions} more")
     one_count, other_count = difference.requests
     click.echo(f"{one_count} | {other_count} requests; times within {apart_ms:.6f} ms")
 
--- a/message_sender/pcap/capture_writer.py
+++ b/message_sender/pcap/capture_writer.py
@@ -14,7 +14,7 @@
 from typing import BinaryIO
 
 from message_sender.pcap.files import PcapWriter
-from message_sender.pcap.writer import Conversation, Place
+from message_sender.pcap.writer import Address, ConnectionWriter
 
 #: Of a record: what, connection, side, ns since the epoch, bytes of data that follow.
 HEAD = struct.Struct("<BIBQI")
@@ -83,8 +83,8 @@
         self.folder, self.most_bytes, self.files = folder, most_bytes, files
         self.secrets = tuple(secrets)
         folder.mkdir(parents=True, exist_ok=True)
-        self.talks: dict[int, Conversation] = {}  # in the file at hand
-        self.places: dict[int, tuple[Place, Place]] = {}
+        self.talks: dict[int, ConnectionWriter] = {}  # in the file at hand
+        self.places: dict[int, tuple[Address, Address]] = {}
         self.blankers: dict[tuple[int, int], Blanker] = {}
         self.number = max((int(each.stem.split("-")[1]) for each in self.written()), default=0)
         self.out = self.next_file()
@@ -116,7 +116,7 @@
         elif connection not in self.places:
             return  # its beginning was lost, or it is over
         elif what == PASSED:
-            self.talk(connection, at).data(side, at, self.blanker(connection, side)(data))
+            self.talk(connection, at).write_data(side, at, self.blanker(connection, side)(data))
         elif what == LOST:
             self.rest(connection, side, at)
             self.talk(connection, at).skip(side, int(data))
@@ -130,11 +130,11 @@
     def begin(self, connection: int, at: int) -> None:
         client, server = self.places[connection]
         try:
-            self.talks[connection] = Conversation(self.out, client, server, at, connection << 16)
+            self.talks[connection] = ConnectionWriter(self.out, client, server, at, connection << 16)
         except ValueError:
             del self.places[connection]
 
-    def talk(self, connection: int, at: int) -> Conversation:
+    def talk(self, connection: int, at: int) -> ConnectionWriter:
         if connection not in self.talks:
             self.begin(connection, at)
         return self.talks[connection]
@@ -147,7 +147,7 @@
     def rest(self, connection: int, side: int, at: int) -> None:
         """What a blanker has kept back: nothing more comes that could make it a header."""
         if (found := self.blankers.pop((connection, side), None)) and (rest := found.rest()):
-            self.talk(connection, at).data(side, at, rest)
+            self.talk(connection, at).write_data(side, at, rest)
 
     def over(self, connection: int, side: int, at: int, reset: bool) -> None:
         for each in (0, 1):
@@ -157,11 +157,11 @@
 
     def close(self) -> None:
         for connection, side in list(self.blankers):
-            self.rest(connection, side, self.talk(connection, 0).last)
+            self.rest(connection, side, self.talk(connection, 0).last_packet_at_ns)
         self.file.close()
 
 
-def place(text: str) -> Place:
+def place(text: str) -> Address:
     host, _, port = text.rpartition(":")
     return host, int(port)
 
--- a/message_sender/pcap/compare.py
+++ b/message_sender/pcap/compare.py
@@ -1,70 +1,114 @@
-"""Whether two captures hold the same requests, in the same order, and how far apart in time."""
+"""Comparison of the requests of two captures: contents, order, and distance in time."""
 
 import hashlib
 import itertools
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from message_sender.pcap.capture import CapturedMessage
 
-MOST_NAMED = 20  # differences that are told one by one
+REPORTED_DIFFERENCES_LIMIT = 20
+DIGEST_BYTES = 16
+TITLE_TARGET_LENGTH = 60
 
 
 @dataclass(slots=True)
 class Difference:
-    """Times are ns. `apart`: the most by which a request's time since the first one differs."""
+    """The result of a comparison.
+
+    Attributes:
+        requests: Number of requests in each capture.
+        descriptions: Descriptions of the first differences.
+        omitted_descriptions: Number of differences without a description.
+        max_apart_ns: The largest difference of a request's time since the first one.
+        max_apart_request: Number of the request with that difference; -1 for none.
+    """
 
     requests: tuple[int, int] = (0, 0)
-    differ: list[str] = field(default_factory=list)
-    more: int = 0  # differences that are not named
-    apart: int = 0
-    apart_at: int = -1  # the request at which it does; -1: none
-
-    def same(self) -> bool:
-        return not (self.differ or self.more)
-
-
-def print_of(found: CapturedMessage, ignored: frozenset[str]) -> bytes:
-    """What a request is, but for its time and its connection: 16 bytes."""
-    message = found.message
-    kept = [(name.lower(), value) for name, value in message.headers if name.lower() not in ignored]
-    told = repr((message.method, message.target, kept, message.is_complete)).encode()
-    return hashlib.blake2b(told + b"\0" + message.body, digest_size=16).digest()
-
-
-def shape(found: Iterable[CapturedMessage], ignored: frozenset[str]) -> Iterator[tuple[int, bytes, str]]:
-    """Time since the first request, what it is, and how to name it, in the order of the times. Only these are
-    kept of each request."""
-    kept = [
-        (
-            each.message.first_at_ns,
-            place,
-            print_of(each, ignored),
-            f"{each.message.method} {each.message.target[:60]}",
-        )
-        for place, each in enumerate(found)
+    descriptions: list[str] = field(default_factory=list)
+    omitted_descriptions: int = 0
+    max_apart_ns: int = 0
+    max_apart_request: int = -1
+
+    def is_same(self) -> bool:
+        """Returns whether both captures hold the same requests in the same order."""
+        return not (self.descriptions or self.omitted_descriptions)
+
+
+class RequestSummary(NamedTuple):
+    """What a comparison keeps of a request.
+
+    Attributes:
+        since_first_ns: Time since the first request of its capture.
+        digest: Digest of its contents.
+        title: Method and target, for descriptions.
+    """
+
+    since_first_ns: int
+    digest: bytes
+    title: str
+
+
+def digest_request(request: CapturedMessage, ignored_headers: frozenset[str]) -> bytes:
+    """Returns a digest of a request without its time and its connection."""
+    message = request.message
+    headers = [
+        (name.lower(), value) for name, value in message.headers if name.lower() not in ignored_headers
     ]
-    kept.sort()
-    for at, _, what, name in kept:
-        yield at - kept[0][0], what, name
+    head = repr((message.method, message.target, headers, message.is_complete)).encode()
+    return hashlib.blake2b(head + b"\0" + message.body, digest_size=DIGEST_BYTES).digest()
+
+
+def summarize_requests(
+    requests: Iterable[CapturedMessage], ignored_headers: frozenset[str]
+) -> Iterator[RequestSummary]:
+    """Yields a summary of each request, in the order of their times."""
+    rows = []
+    for index, request in enumerate(requests):
+        message = request.message
+        title = f"{message.method} {message.target[:TITLE_TARGET_LENGTH]}"
+        rows.append((message.first_at_ns, index, digest_request(request, ignored_headers), title))
+    rows.sort()
+    for at_ns, _, digest, title in rows:
+        yield RequestSummary(at_ns - rows[0][0], digest, title)
+
+
+def describe_difference(number: int, one: RequestSummary | None, other: RequestSummary | None) -> str:
+    """Returns the line on requests that differ."""
+    one_title = one.title if one else "none"
+    other_title = other.title if other else "none"
+    return f"request {number}: {one_title} | {other_title}"
 
 
 def compare(
     one: Iterable[CapturedMessage], other: Iterable[CapturedMessage], ignored: Iterable[str] = ()
 ) -> Difference:
-    """`ignored` names headers that do not count."""
-    names = frozenset(name.lower() for name in ignored)
-    found, counts = Difference(), [0, 0]
-    both = itertools.zip_longest(shape(one, names), shape(other, names))
-    for number, (left, right) in enumerate(both):
-        counts[0] += left is not None
-        counts[1] += right is not None
-        if left is None or right is None or left[1] != right[1]:
-            text = f"request {number}: {left[2] if left else 'none'} | {right[2] if right else 'none'}"
-            found.differ.append(text)
-        elif (apart := abs(left[0] - right[0])) > found.apart:
-            found.apart, found.apart_at = apart, number
-    found.more = max(len(found.differ) - MOST_NAMED, 0)
-    del found.differ[MOST_NAMED:]
-    found.requests = counts[0], counts[1]
-    return found
+    """Compares the requests of two captures.
+
+    Args:
+        one: Requests of the first capture.
+        other: Requests of the second capture.
+        ignored: Names of headers that are not compared.
+    """
+    ignored_headers = frozenset(name.lower() for name in ignored)
+    difference = Difference()
+    one_count = 0
+    other_count = 0
+    pairs = itertools.zip_longest(
+        summarize_requests(one, ignored_headers), summarize_requests(other, ignored_headers)
+    )
+    for number, (left, right) in enumerate(pairs):
+        one_count += left is not None
+        other_count += right is not None
+        if left is None or right is None or left.digest != right.digest:
+            difference.descriptions.append(describe_difference(number, left, right))
+            continue
+        apart_ns = abs(left.since_first_ns - right.since_first_ns)
+        if apart_ns > difference.max_apart_ns:
+            difference.max_apart_ns = apart_ns
+            difference.max_apart_request = number
+    difference.omitted_descriptions = max(len(difference.descriptions) - REPORTED_DIFFERENCES_LIMIT, 0)
+    del difference.descriptions[REPORTED_DIFFERENCES_LIMIT:]
+    difference.requests = (one_count, other_count)
+    return difference
--- a/message_sender/pcap/messages.py
+++ b/message_sender/pcap/messages.py
@@ -1,11 +1,12 @@
 """HTTP/1.1 messages in a direction of a connection, with the times of their first and last bytes.
 
-The reading is h11's (RFC 9112); what stands here is what a capture adds. A gap within a body of known length
-is bridged, and the message is named as not whole. Any other gap, and what h11 does not take, spoils the
-message at hand: reading goes on at the next segment that begins with a first line, and what was passed over
-is a note of the message that comes next.
+h11 parses them (RFC 9112); this module adds what a capture needs. A gap within a body of known length is
+filled with zeros, and the message is marked as incomplete. Any other gap, and bytes that h11 rejects, end the
+current message: reading resumes at the next segment that begins with a start line, and the skipped bytes are
+a note of the message that follows.
 """
 
+import contextlib
 import re
 from collections import deque
 from collections.abc import Callable
@@ -16,11 +17,15 @@
 from message_sender.http import fast_path
 from message_sender.pcap.reassembly import Gap, Part
 
-HEAD_MOST = 64 * 1024  # bytes of a head, or of a chunk's
-BODY_MOST = 16 * 1024 * 1024  # bytes kept of a body
-BRIDGE_MOST = 16 * 1024 * 1024  # bytes of a body that may be lost and its message still be read on
-BRIDGE_STEP = 64 * 1024
-BEGINS = (
+HEAD_BYTES_LIMIT = 64 * 1024  # of a message, or of a chunk
+BODY_BYTES_LIMIT = 16 * 1024 * 1024  # kept of a body
+FILLED_GAP_BYTES_LIMIT = 16 * 1024 * 1024
+FILL_STEP_BYTES = 64 * 1024
+SWITCHING_PROTOCOLS = 101
+CLIENT_SIDE = 0
+SERVER_SIDE = 1
+#: By side: a start line at the beginning of a segment.
+START_LINES = (
     re.compile(rb"[A-Z]{3,16} [^ \r\n]{1,8192} HTTP/1\.[01]\r?\n"),
     re.compile(rb"HTTP/1\.[01] [1-5][0-9]{2}[ \r]"),
 )
@@ -28,258 +33,315 @@
 
 @dataclass(slots=True)
 class HttpMessage:
-    """A request, or an answer. Times are ns since the epoch."""
+    """A request or a response.
+
+    Attributes:
+        first_at_ns: Capture time, since the epoch, of the segment with its first byte.
+        last_at_ns: Capture time of the segment with its last byte.
+        method: Method of a request.
+        target: Target of a request.
+        status: Status of a response; 0 for a request.
+        headers: Names and values, in order.
+        body: At most `BODY_BYTES_LIMIT` bytes of its body.
+        is_complete: Whether the capture holds all of it.
+        notes: Irregularities.
+        request_number: Number of the request that a response belongs to, where that is known.
+        number: Number among the requests or responses of its connection, from 0.
+    """
 
     first_at_ns: int
     last_at_ns: int = 0
     method: str = ""
     target: str = ""
-    status: int = 0  # 0: a request
+    status: int = 0
     headers: list[tuple[str, str]] = field(default_factory=list)
     body: bytes = b""
     is_complete: bool = True
     notes: list[str] = field(default_factory=list)
     request_number: int | None = None
-    number: int = 0  # on its connection
+    number: int = 0
 
 
-Method = Callable[[], str | None]
+MessageListener = Callable[[HttpMessage], None]
+MethodSource = Callable[[], str | None]
 
 
-class Reader:
-    """One direction: requests (`side` 0) or answers (1). What is read whole, or given up, goes to `out`."""
+def unknown_method() -> str | None:
+    """Returns None: the method of the request is not known."""
+    return None
+
+
+def ignore_message(_: HttpMessage) -> None:
+    """Drops a message."""
+
+
+class MessageReader:
+    """Reads the requests or the responses of one connection."""
 
     def __init__(
         self,
         side: int,
-        out: Callable[[HttpMessage], None],
-        method: Method = lambda: None,
-        headed: Callable[[HttpMessage], None] = lambda message: None,
+        on_message: MessageListener,
+        request_method: MethodSource = unknown_method,
+        on_head: MessageListener = ignore_message,
     ) -> None:
-        """`method` gives the method of the request that the next answer is for; None: it is not known.
-        `headed` hears of a message whose head has been read."""
-        self.side, self.out, self.method, self.headed = side, out, method, headed
-        self.message: HttpMessage | None = None
-        self.body = bytearray()
-        self.codec: h11.Connection | None = None
-        self.rest = b""  # bytes behind the message that was just done
-        self.passed_over = 0  # bytes, since the last message
-        self.lost = False  # out of step: reading goes on at the next beginning
-        self.switched = False  # another protocol is spoken from here on
-        self.pending: list[str] = []  # notes for the message that comes next
-        self.left: int | None = None  # bytes of the body at hand that are still to come, where that is known
+        """Creates a reader at the beginning of a direction.
+
+        Args:
+            side: `CLIENT_SIDE` for requests, `SERVER_SIDE` for responses.
+            on_message: Called with each message that ended, complete or not.
+            request_method: Returns the method of the request that the next response belongs to.
+            on_head: Called with a message whose head has been read.
+        """
+        self.side = side
+        self.has_switched_protocol = False
+        self._on_message = on_message
+        self._request_method = request_method
+        self._on_head = on_head
+        self._message: HttpMessage | None = None
+        self._body = bytearray()
+        self._remaining_body: int | None = None  # bytes to come, where that is known
+        self._codec: h11.Connection | None = None
+        self._trailing_data = b""  # behind the message that has just ended
+        self._is_resyncing = False
+        self._skipped_bytes = 0  # while resyncing
+        self._next_notes: list[str] = []  # of the message that comes next
 
     def feed(self, part: Part) -> None:
-        if self.switched:
+        """Reads the next part of the direction."""
+        if self.has_switched_protocol:
             return
         if isinstance(part, Gap):
-            self.gap(part)
+            self._read_gap(part)
             return
-        if self.lost:
-            if not BEGINS[self.side].match(part.data):
-                self.passed_over += len(part.data)
+        if self._is_resyncing:
+            if not START_LINES[self.side].match(part.data):
+                self._skipped_bytes += len(part.data)
                 return
-            self.lost = False
-            self.codec = None
-            self.pending.append(f"{self.passed_over} bytes before it could not be read")
-            self.passed_over = 0
-        self.read(part.at_ns, part.data)
-
-    def fresh(self) -> h11.Connection:
-        """A codec for the next message."""
-        if self.side == 0:
-            return h11.Connection(h11.SERVER, max_incomplete_event_size=HEAD_MOST)
-        codec = h11.Connection(h11.CLIENT, max_incomplete_event_size=HEAD_MOST)
-        method = self.method() or "GET"
-        asked = [("Host", "x"), ("Upgrade", "any")]  # so that a switch of protocols is no surprise
-        codec.send(h11.Request(method=method, target="/", headers=asked))
+            self._is_resyncing = False
+            self._codec = None
+            self._next_notes.append(f"{self._skipped_bytes} bytes before it could not be read")
+            self._skipped_bytes = 0
+        self._read(part.at_ns, part.data)
+
+    def end(self, at_ns: int, reason: str) -> None:
+        """Ends the direction.
+
+        A response without a length ends here, if the connection was closed without a reset.
+        """
+        if self.has_switched_protocol or self._is_resyncing or self._codec is None or self._message is None:
+            return
+        if reason == "closed":
+            with contextlib.suppress(h11.RemoteProtocolError):
+                self._codec.receive_data(b"")
+                self._process_events(at_ns)
+        if self._message is not None:
+            self._abort_message(at_ns, "the connection ended before it: " + reason)
+
+    def _create_codec(self) -> h11.Connection:
+        """Returns a codec for the next message."""
+        if self.side == CLIENT_SIDE:
+            return h11.Connection(h11.SERVER, max_incomplete_event_size=HEAD_BYTES_LIMIT)
+        codec = h11.Connection(h11.CLIENT, max_incomplete_event_size=HEAD_BYTES_LIMIT)
+        method = self._request_method() or "GET"
+        # With "Upgrade" in the request, h11 accepts a switch of protocols.
+        codec.send(h11.Request(method=method, target="/", headers=[("Host", "x"), ("Upgrade", "any")]))
         codec.send(h11.EndOfMessage())
         return codec
 
-    def read(self, at: int, data: bytes) -> None:
-        while data and not (self.switched or self.lost):
-            self.rest = b""
+    def _read(self, at_ns: int, data: bytes) -> None:
+        while data and not (self.has_switched_protocol or self._is_resyncing):
+            self._trailing_data = b""
             try:
-                if self.codec is None:
-                    if self.take_usual(at, data):
+                if self._codec is None:
+                    if self._read_fast(at_ns, data):
                         return
-                    self.codec = self.fresh()
-                if self.message is None:
-                    self.message = self.begun(at)
-                self.codec.receive_data(data)
-                self.events(at)
+                    self._codec = self._create_codec()
+                if self._message is None:
+                    self._message = self._begin_message(at_ns)
+                self._codec.receive_data(data)
+                self._process_events(at_ns)
             except h11.RemoteProtocolError as error:
-                self.spoilt(at, f"it cannot be read: {error}")
-            data = self.rest
+                self._abort_message(at_ns, f"it cannot be read: {error}")
+            data = self._trailing_data
+
+    def _read_fast(self, at_ns: int, data: bytes) -> bool:
+        """Reads a plain message that one segment holds completely, without the state machine.
 
-    def take_usual(self, at: int, data: bytes) -> bool:
-        """A plain message that is whole in one segment, read without the state machine. What these patterns
-        take, h11 takes and reads alike (tests/test_usual.py)."""
-        pattern = fast_path.ANSWER if self.side else fast_path.REQUEST
+        What these patterns match, h11 accepts and reads alike (tests/test_usual.py).
+
+        Returns:
+            False: the message has another form and is to be read by h11.
+        """
+        is_response = self.side == SERVER_SIDE
+        pattern = fast_path.ANSWER if is_response else fast_path.REQUEST
         match = pattern.match(data, 0, fast_path.HEAD_MOST)
-        if not match or not (read := fast_path.fields_of(match[2])):
+        if not match or not (parsed := fast_path.fields_of(match[2])):
             return False
-        body = fast_path.body_of(data, match.end(), read[1], BODY_MOST)
-        if body is None or (self.side == 0 and b"host" not in read[1]):
+        fields = parsed[1]
+        body = fast_path.body_of(data, match.end(), fields, BODY_BYTES_LIMIT)
+        if body is None or (not is_response and b"host" not in fields):
             return False
-        if self.side and (int(match[1]) in fast_path.BODILESS or self.method() in ("HEAD", "CONNECT")):
+        if is_response and (
+            int(match[1]) in fast_path.BODILESS or self._request_method() in ("HEAD", "CONNECT")
+        ):
             return False
-        message = self.begun(at)
-        if self.side:
+        message = self._begin_message(at_ns)
+        if is_response:
             message.status = int(match[1])
         else:
-            message.method, message.target = "POST", match[1].decode("latin-1")
+            message.method = "POST"
+            message.target = match[1].decode("latin-1")
         lines = (line.partition(b":") for line in match[2].split(b"\r\n")[:-1])
         message.headers = [(name.decode(), value.strip(b" \t").decode("latin-1")) for name, _, value in lines]
-        message.last_at_ns, message.body = at, body
-        self.headed(message)
-        self.out(message)
+        message.last_at_ns = at_ns
+        message.body = body
+        self._on_head(message)
+        self._on_message(message)
         return True
 
-    def begun(self, at: int) -> HttpMessage:
-        notes, self.pending = self.pending, []
-        return HttpMessage(at, notes=notes)
+    def _begin_message(self, at_ns: int) -> HttpMessage:
+        notes = self._next_notes
+        self._next_notes = []
+        return HttpMessage(at_ns, notes=notes)
 
-    def events(self, at: int) -> None:
-        while self.codec is not None and not self.switched:
-            event = self.codec.next_event()
+    def _process_events(self, at_ns: int) -> None:
+        while self._codec is not None and not self.has_switched_protocol:
+            event = self._codec.next_event()
             if event is h11.NEED_DATA or event is h11.PAUSED or isinstance(event, h11.ConnectionClosed):
                 return
             assert isinstance(event, h11.Event)
-            self.hear(at, event)
+            self._process_event(at_ns, event)
 
-    def hear(self, at: int, event: h11.Event) -> None:
-        assert self.message is not None
+    def _process_event(self, at_ns: int, event: h11.Event) -> None:
+        assert self._message is not None
         if isinstance(event, h11.Request):
-            self.message.method, self.message.target = event.method.decode(), event.target.decode("latin-1")
-            self.head(event)
-        elif isinstance(event, h11.Response):
-            self.message.status = event.status_code
-            self.head(event)
-            self.may_switch(at)
-        elif isinstance(event, h11.InformationalResponse):
-            if event.status_code == 101:
-                self.message.status = 101
-                self.head(event)
-                self.may_switch(at)
+            self._message.method = event.method.decode()
+            self._message.target = event.target.decode("latin-1")
+            self._set_head(event)
+        elif isinstance(event, h11.Response) or (
+            isinstance(event, h11.InformationalResponse) and event.status_code == SWITCHING_PROTOCOLS
+        ):
+            self._message.status = event.status_code
+            self._set_head(event)
+            self._check_protocol_switch(at_ns)
         elif isinstance(event, h11.Data):
-            self.data(bytes(event.data))
+            self._add_body(bytes(event.data))
         elif isinstance(event, h11.EndOfMessage):
-            self.done(at)
+            self._complete_message(at_ns)
 
-    def may_switch(self, at: int) -> None:
-        assert self.codec is not None
-        if self.codec.their_state is h11.SWITCHED_PROTOCOL:
-            self.done(at)
-            self.switched = True
+    def _check_protocol_switch(self, at_ns: int) -> None:
+        assert self._codec is not None
+        if self._codec.their_state is h11.SWITCHED_PROTOCOL:
+            self._complete_message(at_ns)
+            self.has_switched_protocol = True
 
-    def head(self, event: h11.Request | h11.Response | h11.InformationalResponse) -> None:
-        assert self.message is not None
-        self.message.headers = [
+    def _set_head(self, event: h11.Request | h11.Response | h11.InformationalResponse) -> None:
+        assert self._message is not None
+        self._message.headers = [
             (name.decode("latin-1"), value.decode("latin-1")) for name, value in event.headers.raw_items()
         ]
         lengths = [value for name, value in event.headers if name == b"content-length"]
-        chunked = any(name == b"transfer-encoding" for name, _ in event.headers)
-        self.left = int(lengths[0]) if lengths and not chunked else None
-        self.headed(self.message)
-
-    def data(self, data: bytes) -> None:
-        assert self.message is not None
-        if self.left is not None:
-            self.left -= len(data)
-        if len(self.body) + len(data) > BODY_MOST:
-            data = data[: BODY_MOST - len(self.body)]
-            self.note(f"of its body {BODY_MOST} bytes are kept", whole=False)
-        self.body += data
-
-    def note(self, text: str, whole: bool) -> None:
-        assert self.message is not None
-        if text not in self.message.notes:
-            self.message.notes.append(text)
-        self.message.is_complete = self.message.is_complete and whole
-
-    def done(self, at: int) -> None:
-        """The message at hand is read to its end; the next one's codec begins with what lies there."""
-        assert self.message is not None and self.codec is not None
-        self.message.last_at_ns, self.message.body = at, bytes(self.body)
-        self.rest = self.codec.trailing_data[0]
-        self.leave()
-
-    def leave(self) -> None:
-        """The message at hand is told; one of which nothing is known but that it was there is a note."""
-        assert self.message is not None
-        message, self.message, self.codec = self.message, None, None
-        self.body, self.left = bytearray(), None
+        is_chunked = any(name == b"transfer-encoding" for name, _ in event.headers)
+        self._remaining_body = int(lengths[0]) if lengths and not is_chunked else None
+        self._on_head(self._message)
+
+    def _add_body(self, data: bytes) -> None:
+        if self._remaining_body is not None:
+            self._remaining_body -= len(data)
+        if len(self._body) + len(data) > BODY_BYTES_LIMIT:
+            data = data[: BODY_BYTES_LIMIT - len(self._body)]
+            self._mark_incomplete(f"of its body {BODY_BYTES_LIMIT} bytes are kept")
+        self._body += data
+
+    def _mark_incomplete(self, note: str) -> None:
+        assert self._message is not None
+        if note not in self._message.notes:
+            self._message.notes.append(note)
+        self._message.is_complete = False
+
+    def _complete_message(self, at_ns: int) -> None:
+        assert self._message is not None
+        assert self._codec is not None
+        self._trailing_data = self._codec.trailing_data[0]
+        self._end_message(at_ns)
+
+    def _abort_message(self, at_ns: int, reason: str) -> None:
+        """Ends the current message as incomplete; reading resumes at the next start line."""
+        if self._message is None:
+            self._message = self._begin_message(at_ns)
+        self._mark_incomplete(reason)
+        self._is_resyncing = True
+        self._trailing_data = b""
+        self._end_message(at_ns)
+
+    def _end_message(self, at_ns: int) -> None:
+        """Reports the current message; without a start line, only its notes are kept for the next one."""
+        assert self._message is not None
+        message = self._message
+        message.last_at_ns = at_ns
+        message.body = bytes(self._body)
+        self._message = None
+        self._codec = None
+        self._body = bytearray()
+        self._remaining_body = None
         if message.method or message.status:
-            self.out(message)
+            self._on_message(message)
         else:
-            self.pending = message.notes
-
-    def spoilt(self, at: int, why: str) -> None:
-        """Nothing can be read on here."""
-        if self.message is None:
-            self.message = self.begun(at)
-        self.note(why, whole=False)
-        self.message.last_at_ns, self.message.body = at, bytes(self.body)
-        self.lost, self.rest = True, b""
-        self.leave()
-
-    def gap(self, gap: Gap) -> None:
-        text = f"{gap.size} bytes are not in the capture"
-        if self.left is not None and 0 < gap.size <= min(self.left, BRIDGE_MOST) and self.message:
-            self.note(text + "; they stand as zeros in its body", whole=False)
-            for start in range(0, gap.size, BRIDGE_STEP):
-                self.read(gap.at_ns, bytes(min(BRIDGE_STEP, gap.size - start)))
-        elif self.message:
-            self.spoilt(gap.at_ns, text)
+            self._next_notes = message.notes
+
+    def _read_gap(self, gap: Gap) -> None:
+        note = f"{gap.size} bytes are not in the capture"
+        remaining_body = self._remaining_body
+        if self._message is None:
+            self._next_notes.append(note)
+            self._is_resyncing = True
+            self._codec = None
+        elif remaining_body is not None and 0 < gap.size <= min(remaining_body, FILLED_GAP_BYTES_LIMIT):
+            self._mark_incomplete(note + "; they stand as zeros in its body")
+            for start in range(0, gap.size, FILL_STEP_BYTES):
+                self._read(gap.at_ns, bytes(min(FILL_STEP_BYTES, gap.size - start)))
         else:
-            self.pending.append(text)
-            self.lost, self.codec = True, None
-
-    def end(self, at: int, why: str) -> None:
-        """Nothing more comes. An answer without a length ends here, if the connection was closed well."""
-        if self.switched or self.lost or self.codec is None or self.message is None:
-            return
-        try:
-            if why == "closed":
-                self.codec.receive_data(b"")
-                self.events(at)
-        except h11.RemoteProtocolError:
-            pass
-        if self.message is not None:
-            self.spoilt(at, "the connection ended before it: " + why)
+            self._abort_message(gap.at_ns, note)
 
 
 class MessagePairs:
-    """Both directions of one connection: its requests, and its answers with the request of each."""
-
-    def __init__(self, out: Callable[[HttpMessage], None]) -> None:
-        self.out = out
-        self.waiting: deque[tuple[int, str]] = deque()  # requests without an answer: number and method
-        self.requests = self.answers = 0
-        self.sides = Reader(0, out, headed=self.request), Reader(1, self.answer, self.method)
-
-    def method(self) -> str | None:
-        return self.waiting[0][1] if self.waiting else None
-
-    def request(self, message: HttpMessage) -> None:
-        """Its answer may come before its last byte, or before what was lost of it is given up."""
-        message.number = self.requests
-        self.requests += 1
-        self.waiting.append((message.number, message.method))
-
-    def answer(self, message: HttpMessage) -> None:
-        message.number = self.answers
-        self.answers += 1
-        if self.waiting:
-            message.request_number, method = self.waiting.popleft()
-            if message.status == 101 or (method == "CONNECT" and 200 <= message.status < 300):
+    """Reads both directions of a connection, and relates responses to requests."""
+
+    def __init__(self, on_message: MessageListener) -> None:
+        """Creates the readers; `on_message` is called with each message that ended."""
+        self.sides = (
+            MessageReader(CLIENT_SIDE, on_message, on_head=self._add_request),
+            MessageReader(SERVER_SIDE, self._add_response, self._next_request_method),
+        )
+        self._on_message = on_message
+        self._unanswered: deque[tuple[int, str]] = deque()  # number and method of each request
+        self._request_count = 0
+        self._response_count = 0
+
+    def end(self, at_ns: int, reason: str) -> None:
+        """Ends both directions."""
+        for side in self.sides:
+            side.end(at_ns, reason)
+
+    def _next_request_method(self) -> str | None:
+        return self._unanswered[0][1] if self._unanswered else None
+
+    def _add_request(self, message: HttpMessage) -> None:
+        """Adds a request as soon as its head was read: the response may come before its last byte."""
+        message.number = self._request_count
+        self._request_count += 1
+        self._unanswered.append((message.number, message.method))
+
+    def _add_response(self, message: HttpMessage) -> None:
+        message.number = self._response_count
+        self._response_count += 1
+        if self._unanswered:
+            message.request_number, method = self._unanswered.popleft()
+            is_tunnel = method == "CONNECT" and 200 <= message.status < 300
+            if message.status == SWITCHING_PROTOCOLS or is_tunnel:
                 for side in self.sides:
-                    side.switched = True
+                    side.has_switched_protocol = True
         else:
             message.notes.append("its request is not in the capture")
-        self.out(message)
-
-    def end(self, at: int, why: str) -> None:
-        for side in self.sides:
-            side.end(at, why)
+        self._on_message(message)
--- a/message_sender/pcap/traffic_tap.py
+++ b/message_sender/pcap/traffic_tap.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 
 from message_sender.pcap.capture_writer import ENDED, HEAD, LOST, OPENED, PASSED, RESET
-from message_sender.pcap.writer import Place
+from message_sender.pcap.writer import Address
 
 MOST_WAITING = 4_000_000  # bytes that wait for the pipe
 AGAIN = 0.02  # s until the next try where the pipe is full
@@ -52,7 +52,7 @@
         self.failed = ""  # why nothing more is told
         self.connections = 0
 
-    def opened(self, client: Place, server: Place) -> int:
+    def opened(self, client: Address, server: Address) -> int:
         """A connection has come up; its number."""
         self.connections += 1
         ends = f"{client[0]}:{client[1]} {server[0]}:{server[1]}"
--- a/message_sender/pcap/writer.py
+++ b/message_sender/pcap/writer.py
@@ -1,25 +1,35 @@
 """Connections written as a capture that other tools read: handshakes, segments, ends, checksums.
 
-What is known of a connection is what a program saw: bytes and when they came or went. Sequence numbers, the
-handshake and the acknowledgements are made up from these; the times of the data are as told.
+A program knows of a connection the bytes and the times at which it read or wrote them. Sequence numbers, the
+handshake and the acknowledgements are synthetic; the times of the data are the program's.
 """
 
 import ipaddress
 import struct
 
 from message_sender.pcap.files import PcapWriter
-from message_sender.pcap.layers import ACK, FIN, RST, SYN
+from message_sender.pcap.layers import ACK, FIN, PROTOCOL_TCP, RST, SYN, TCP_HEADER_BYTES, Endpoint
 from message_sender.pcap.reassembly import SEQUENCE_MODULUS
 
-MSS = 1460  # bytes of data in a segment: an Ethernet's, for IPv4
-WINDOW = 65535
+SEGMENT_DATA_BYTES = 1460  # what an Ethernet frame holds with IPv4
+WINDOW_BYTES = 65535
+HOP_LIMIT = 64
+DONT_FRAGMENT = 0x4000
 PSH = 8
+MAXIMUM_SEGMENT_SIZE_OPTION = struct.pack(">BBH", 2, 4, SEGMENT_DATA_BYTES)
+DEFAULT_CLIENT_SEQ = 1000
+SERVER_SEQ_DISTANCE = 0x10000
+IPV4_ADDRESS_BYTES = 4
+IPV4_HEADER_BYTES = 20
+_TCP_CHECKSUM = slice(16, 18)
+_IPV4_CHECKSUM = slice(10, 12)
 
-Place = tuple[str, int]
+#: IP address as text, and port.
+Address = tuple[str, int]
 
 
-def checksum(data: bytes) -> int:
-    """The Internet checksum (RFC 1071)."""
+def compute_checksum(data: bytes) -> int:
+    """Returns the Internet checksum (RFC 1071)."""
     if len(data) % 2:
         data += b"\0"
     total: int = sum(struct.unpack(f">{len(data) // 2}H", data))
@@ -28,65 +38,102 @@
     return ~total & 0xFFFF
 
 
-def datagram(source: bytes, target: bytes, payload: bytes) -> bytes:
-    """A segment in an IP datagram, version by the addresses' length. The segment's checksum is put in."""
-    if len(source) == 4:
-        pseudo = source + target + struct.pack(">BBH", 0, 6, len(payload))
-        head = struct.pack(">BBHHHBBH", 0x45, 0, 20 + len(payload), 0, 0x4000, 64, 6, 0) + source + target
-        head = head[:10] + struct.pack(">H", checksum(head)) + head[12:]
-    else:
-        pseudo = source + target + struct.pack(">II", len(payload), 6)
-        head = struct.pack(">IHBB", 6 << 28, len(payload), 6, 64) + source + target
-    total = checksum(pseudo + payload)
-    return head + payload[:16] + struct.pack(">H", total) + payload[18:]
+def with_checksum(header: bytes, field: slice, checksum: int) -> bytes:
+    """Returns the header with a checksum in one of its fields."""
+    return header[: field.start] + struct.pack(">H", checksum) + header[field.stop :]
 
 
-class Conversation:
-    """One connection. `side` 0 is the client's. Times are ns since the epoch."""
+def build_datagram(source: bytes, target: bytes, segment: bytes) -> bytes:
+    """Returns an IP datagram with a TCP segment, and sets the checksums.
 
-    def __init__(self, out: PcapWriter, client: Place, server: Place, at: int, first: int = 1000) -> None:
-        """Writes the handshake. `first`: the client's sequence number. Raises ValueError for a place that is
-        no IP address, or for two of different versions."""
-        self.out = out
-        self.ends = [(ipaddress.ip_address(host).packed, port) for host, port in (client, server)]
-        if len(self.ends[0][0]) != len(self.ends[1][0]):
+    Args:
+        source: Source address: 4 bytes for IPv4, 16 bytes for IPv6.
+        target: Target address of the same version.
+        segment: TCP segment with a checksum of 0.
+    """
+    addresses = source + target
+    size = len(segment)
+    if len(source) == IPV4_ADDRESS_BYTES:
+        pseudo_header = addresses + struct.pack(">BBH", 0, PROTOCOL_TCP, size)
+        total_size = IPV4_HEADER_BYTES + size
+        fields = (0x45, 0, total_size, 0, DONT_FRAGMENT, HOP_LIMIT, PROTOCOL_TCP, 0)
+        header = struct.pack(">BBHHHBBH", *fields) + addresses
+        header = with_checksum(header, _IPV4_CHECKSUM, compute_checksum(header))
+    else:
+        pseudo_header = addresses + struct.pack(">II", size, PROTOCOL_TCP)
+        header = struct.pack(">IHBB", 6 << 28, size, PROTOCOL_TCP, HOP_LIMIT) + addresses
+    return header + with_checksum(segment, _TCP_CHECKSUM, compute_checksum(pseudo_header + segment))
+
+
+class ConnectionWriter:
+    """Writes one connection. Side 0 is the client, side 1 the server; times are ns since the epoch."""
+
+    def __init__(
+        self,
+        capture: PcapWriter,
+        client: Address,
+        server: Address,
+        at_ns: int,
+        client_seq: int = DEFAULT_CLIENT_SEQ,
+    ) -> None:
+        """Writes the handshake.
+
+        Args:
+            capture: Where the packets go.
+            client: Address of the client.
+            server: Address of the server.
+            at_ns: Time of the handshake.
+            client_seq: First sequence number of the client.
+
+        Raises:
+            ValueError: An address is no IP address, or the versions differ.
+        """
+        self.last_packet_at_ns = at_ns
+        self._capture = capture
+        self._endpoints: list[Endpoint] = [
+            (ipaddress.ip_address(host).packed, port) for host, port in (client, server)
+        ]
+        if len(self._endpoints[0][0]) != len(self._endpoints[1][0]):
             raise ValueError(f"{client[0]} and {server[0]} are of different versions of IP")
-        self.seq = [first % SEQUENCE_MODULUS, (first + 0x10000) % SEQUENCE_MODULUS]
-        self.ended = False
-        self.last = at  # ns, of the newest packet
-        self.send(0, at, SYN)
-        self.send(1, at, SYN | ACK)
-        self.send(0, at, ACK)
-
-    def send(self, side: int, at: int, flags: int, data: bytes = b"") -> None:
-        (source, port), (target, other) = self.ends[side], self.ends[1 - side]
-        options = struct.pack(">BBH", 2, 4, MSS) if flags & SYN else b""
-        ack = self.seq[1 - side] if flags & ACK else 0
-        offset = (20 + len(options)) << 2
-        head = struct.pack(">HHIIBBHHH", port, other, self.seq[side], ack, offset, flags, WINDOW, 0, 0)
-        self.last = at
-        self.out.write(at, datagram(source, target, head + options + data))
-        self.seq[side] = (self.seq[side] + len(data) + bool(flags & (SYN | FIN))) % SEQUENCE_MODULUS
-
-    def data(self, side: int, at: int, data: bytes) -> None:
-        """Bytes that one side sent, cut into segments, and the other side's acknowledgement."""
-        for start in range(0, len(data), MSS):
-            self.send(side, at, ACK | PSH, data[start : start + MSS])
+        server_seq = client_seq + SERVER_SEQ_DISTANCE
+        self._seqs = [client_seq % SEQUENCE_MODULUS, server_seq % SEQUENCE_MODULUS]
+        self._has_ended = False
+        self._write_segment(0, at_ns, SYN)
+        self._write_segment(1, at_ns, SYN | ACK)
+        self._write_segment(0, at_ns, ACK)
+
+    def write_data(self, side: int, at_ns: int, data: bytes) -> None:
+        """Writes bytes that a side sent, in segments, and the acknowledgement of the other side."""
+        for start in range(0, len(data), SEGMENT_DATA_BYTES):
+            self._write_segment(side, at_ns, ACK | PSH, data[start : start + SEGMENT_DATA_BYTES])
         if data:
-            self.send(1 - side, at, ACK)
+            self._write_segment(1 - side, at_ns, ACK)
 
     def skip(self, side: int, size: int) -> None:
-        """So many bytes from that side are not known: they are a gap for whoever reads."""
-        self.seq[side] = (self.seq[side] + size) % SEQUENCE_MODULUS
+        """Leaves a gap of `size` bytes in what a side sent."""
+        self._seqs[side] = (self._seqs[side] + size) % SEQUENCE_MODULUS
 
-    def end(self, side: int, at: int, reset: bool = False) -> None:
-        """It ends from this side: by a reset, or well."""
-        if self.ended:
+    def end(self, side: int, at_ns: int, is_reset: bool = False) -> None:
+        """Writes the end of the connection from a side: by RST, or by FIN in both directions."""
+        if self._has_ended:
             return
-        self.ended = True
-        if reset:
-            self.send(side, at, RST | ACK)
+        self._has_ended = True
+        if is_reset:
+            self._write_segment(side, at_ns, RST | ACK)
             return
-        self.send(side, at, FIN | ACK)
-        self.send(1 - side, at, FIN | ACK)
-        self.send(side, at, ACK)
+        self._write_segment(side, at_ns, FIN | ACK)
+        self._write_segment(1 - side, at_ns, FIN | ACK)
+        self._write_segment(side, at_ns, ACK)
+
+    def _write_segment(self, side: int, at_ns: int, flags: int, data: bytes = b"") -> None:
+        source, source_port = self._endpoints[side]
+        target, target_port = self._endpoints[1 - side]
+        options = MAXIMUM_SEGMENT_SIZE_OPTION if flags & SYN else b""
+        seq = self._seqs[side]
+        ack = self._seqs[1 - side] if flags & ACK else 0
+        offset = (TCP_HEADER_BYTES + len(options)) << 2
+        fields = (source_port, target_port, seq, ack, offset, flags, WINDOW_BYTES, 0, 0)
+        header = struct.pack(">HHIIBBHHH", *fields)
+        self.last_packet_at_ns = at_ns
+        self._capture.write(at_ns, build_datagram(source, target, header + options + data))
+        self._seqs[side] = (seq + len(data) + bool(flags & (SYN | FIN))) % SEQUENCE_MODULUS
--- a/tests/captures.py
+++ b/tests/captures.py
@@ -6,7 +6,7 @@
 
 from message_sender.pcap.capture import Capture, CapturedMessage
 from message_sender.pcap.files import Packet, PcapWriter, read_packets
-from message_sender.pcap.writer import Conversation
+from message_sender.pcap.writer import ConnectionWriter
 
 T0 = 1_790_000_000_123_456_789  # ns
 MS = 1_000_000  # ns
@@ -30,15 +30,15 @@
     def __init__(self, ends: Sequence[tuple[str, int]] = (CLIENT, SERVER), first: int = 1000) -> None:
         self.out = io.BytesIO()
         self.writer = PcapWriter(self.out)
-        self.talk = Conversation(self.writer, ends[0], ends[1], T0, first)
+        self.connection = ConnectionWriter(self.writer, ends[0], ends[1], T0, first)
 
     def says(self, side: int, after_ms: float, *pieces: bytes) -> "Made":
         for piece in pieces:
-            self.talk.data(side, T0 + round(after_ms * MS), piece)
+            self.connection.write_data(side, T0 + round(after_ms * MS), piece)
         return self
 
     def ends(self, after_ms: float = 1000, *, side: int = 0, reset: bool = False) -> "Made":
-        self.talk.end(side, T0 + round(after_ms * MS), reset)
+        self.connection.end(side, T0 + round(after_ms * MS), reset)
         return self
 
     def packets(self) -> list[Packet]:
--- a/tests/test_pcap.py
+++ b/tests/test_pcap.py
@@ -15,7 +15,7 @@
 from message_sender.pcap.files import MalformedCaptureError, Packet, PcapWriter
 from message_sender.pcap.flows import FlowTable
 from message_sender.pcap.layers import SegmentDecoder
-from message_sender.pcap.writer import Conversation
+from message_sender.pcap.writer import ConnectionWriter
 
 logging.getLogger("scapy.runtime").setLevel(logging.ERROR)
 
@@ -312,7 +312,7 @@
 
 def test_ports_that_are_used_again_are_another_connection() -> None:
     made = Made().says(0, 1, request("/a", b"abc")[:-1])
-    Conversation(made.writer, CLIENT, SERVER, T0 + 5 * MS, 77).data(0, T0 + 6 * MS, request("/b"))
+    ConnectionWriter(made.writer, CLIENT, SERVER, T0 + 5 * MS, 77).write_data(0, T0 + 6 * MS, request("/b"))
     found = made.found()
     assert told(found) == [("/a", b"ab", False), ("/b", b"", True)]
     assert found[0].flow.number != found[1].flow.number
@@ -334,8 +334,10 @@
     out = io.BytesIO()
     writer, count = PcapWriter(out), 600
     for number in range(count):
-        talk = Conversation(writer, (f"10.0.{number // 250}.{number % 250}", 999), SERVER, T0 + number)
-        talk.data(0, T0 + number, request("/a", b"abc")[:-1])
+        connection = ConnectionWriter(
+            writer, (f"10.0.{number // 250}.{number % 250}", 999), SERVER, T0 + number
+        )
+        connection.write_data(0, T0 + number, request("/a", b"abc")[:-1])
     capture = Capture(io.BytesIO(out.getvalue()))
     capture.flows = FlowTable(open_limit=50)
     found = list(capture.messages())
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -38,12 +38,12 @@
 def test_the_same_requests_are_the_same_and_how_far_apart() -> None:
     one, other = made(0, 20, 40).found(), made(5, 25.25, 45).found()
     comparison = compare(one[::2], other[::2])
-    assert comparison.same() and comparison.requests == (3, 3)
-    assert (comparison.apart, comparison.apart_at) == (250_000, 1)
-    assert not compare(one[::2], made(0, 20).found()[::2]).same()
+    assert comparison.is_same() and comparison.requests == (3, 3)
+    assert (comparison.max_apart_ns, comparison.max_apart_request) == (250_000, 1)
+    assert not compare(one[::2], made(0, 20).found()[::2]).is_same()
     other = made(0, 20, 40, **IDS).found()
-    assert not compare(one[::2], other[::2]).same()
-    assert compare(one[::2], other[::2], ["x-correlation-id", "idempotency-key"]).same()
+    assert not compare(one[::2], other[::2]).is_same()
+    assert compare(one[::2], other[::2], ["x-correlation-id", "idempotency-key"]).is_same()
 
 
 class FakeLine:
