--- a/benchmarks/pcap.py
+++ b/benchmarks/pcap.py
@@ -185,7 +185,7 @@
         spent = asyncio.run(deliver(state, tap))
         if tap:
             tap.close()
-            assert not tap.lost, tap.lost
+            assert not tap.dropped_records, tap.dropped_records
         return spent
 
 
--- a/message_sender/cli/pcap.py
+++ b/message_sender/cli/pcap.py
@@ -13,7 +13,7 @@
 from message_sender.pcap.capture import Capture, as_json, format_decimal_seconds, read_requests
 from message_sender.pcap.compare import Difference, compare
 from message_sender.pcap.files import MalformedCaptureError
-from message_sender.pcap.replay import HttpLine, NewIds, Outcome, Replay, plan
+from message_sender.pcap.replay import HttpReplayConnection, IdReplacer, ReplayOutcome, Replay, plan
 
 CAPTURE_FILE = click.File("rb", lazy=False)
 FILES_ARGUMENT = click.argument("files", type=CAPTURE_FILE, nargs=-1, required=True)
@@ -188,23 +188,23 @@
 
     latencies = HdrHistogram(1, LONGEST_LATENCY_US, LATENCY_DIGITS)
 
-    async def open_connection() -> HttpLine:
-        return await HttpLine.open(*target)
+    async def open_connection() -> HttpReplayConnection:
+        return await HttpReplayConnection.open(*target)
 
     with exit_on_capture_error():
-        planned = plan(read_requests(files), speed, NewIds(seed) if new_ids else None)
+        planned = plan(read_requests(files), speed, IdReplacer(seed) if new_ids else None)
         outcome = asyncio.run(Replay(open_connection, latencies).run(planned))
     print_outcome(outcome, latencies)
     context.exit(0 if outcome.sent and not outcome.not_sent else 1)
 
 
-def print_outcome(outcome: Outcome, latencies: Any) -> None:  # noqa: ANN401
+def print_outcome(outcome: ReplayOutcome, latencies: Any) -> None:  # noqa: ANN401
     """Prints the counts of a replay and percentiles of its latencies, an HdrHistogram in microseconds."""
-    click.echo(f"sent {outcome.sent}, {outcome.late * 1e3:.1f} ms late at most")
+    click.echo(f"sent {outcome.sent}, {outcome.max_delay_s * 1e3:.1f} ms late at most")
     click.echo(f"not sent for want of connections {outcome.not_sent}")
-    for name, count in sorted(outcome.answers.items()):
+    for name, count in sorted(outcome.responses.items()):
         click.echo(f"{name:>24} {count}")
-    if outcome.answers:
+    if outcome.responses:
         for percentile in REPORTED_PERCENTILES:
             latency_ms = latencies.get_value_at_percentile(percentile) / 1e3
             click.echo(f"latency p{percentile:<6g} {latency_ms:10.3f} ms")
--- a/message_sender/pcap/capture_writer.py
+++ b/message_sender/pcap/capture_writer.py
@@ -1,12 +1,12 @@
-"""Writes a sender's traffic as capture files; a process of its own, `python -m
-message_sender.pcap.capture_writer`.
+"""Writes a sender's traffic as capture files, in a process of its own.
 
-It hears records on its standard input (`HEAD` and data, message_sender/pcap/traffic_tap.py sends them) and
-ends with it. Values of the headers that are named are blanked before they reach the disk. Files rotate by
-size, and only so many are kept; each can be read alone. The sender pays for none of this, and what goes wrong
-here ends here.
+The process (`python -m message_sender.pcap.capture_writer`) reads records from its standard input (a
+`RECORD_HEADER` and data, sent by message_sender/pcap/traffic_tap.py) and ends with it. The values of
+configured headers are blanked before they reach the disk. Files rotate by size, and a limited number is kept;
+each can be read alone. A failure ends this process and does not affect the sender.
 """
 
+import enum
 import struct
 import sys
 from collections.abc import Iterable
@@ -16,161 +16,235 @@
 from message_sender.pcap.files import PcapWriter
 from message_sender.pcap.writer import Address, ConnectionWriter
 
-#: Of a record: what, connection, side, ns since the epoch, bytes of data that follow.
-HEAD = struct.Struct("<BIBQI")
-OPENED, PASSED, LOST, ENDED, RESET = range(5)
+#: Kind, connection, side, ns since the epoch, bytes of data that follow.
+RECORD_HEADER = struct.Struct("<BIBQI")
+DEFAULT_FILES_LIMIT = 4
+CLIENT_SEQ_SHIFT = 16
 
 
-class Blanker:
-    """Blanks the values of some headers in one direction of a connection, however its bytes are cut. They are
-    replaced one by one, so that nothing moves; the beginning of a line that might still become such a header
-    is kept back until that is known. Lines of a body that look like one are blanked too."""
+class RecordKind(enum.IntEnum):
+    """What a record reports of a connection."""
+
+    OPENED = 0  # data: client and server address
+    DATA = 1
+    LOST = 2  # data: the number of lost bytes
+    ENDED = 3
+    RESET = 4
+
+
+class HeaderBlanker:
+    """Blanks the values of some headers in one direction of a connection, wherever its bytes are cut.
+
+    Values are replaced byte by byte, so that positions stay. The beginning of a line that may still become
+    such a header is held back until that is decided. Lines of a body that look like such a header are blanked
+    too.
+    """
 
     def __init__(self, names: Iterable[str]) -> None:
-        self.names = tuple(name.lower().encode() + b":" for name in names)
-        self.kept = b""
-        self.fresh = True  # what comes next begins a line
-        self.inside = False  # of a value that is being blanked
-        self.folds = False  # the line before was blanked; one that begins with a space goes on with it
-
-    def __call__(self, data: bytes) -> bytes:
-        data, self.kept = self.kept + data, b""
-        done = []
+        """Creates a blanker of the headers with these names."""
+        self._prefixes = tuple(name.lower().encode() + b":" for name in names)
+        self._held_back = b""
+        self._is_line_start = True  # the next byte begins a line
+        self._is_in_value = False  # the next byte belongs to a blanked value
+        self._may_fold = False  # a next line that begins with a space continues a blanked value
+
+    def blank(self, data: bytes) -> bytes:
+        """Returns what can be shown of the bytes so far."""
+        data = self._held_back + data
+        self._held_back = b""
+        lines = []
         for line in data.splitlines(keepends=True):
-            ends = line.endswith((b"\r", b"\n"))
-            if self.fresh:
-                if not ends and self.may_become(line):
-                    self.kept = line
-                    break
-                size = self.named(line)
-                if line != b"\n":  # the second half of a line's end
-                    self.inside = self.folds = size is not None
-            else:
-                size = 0 if self.inside else None
-            done.append(line if size is None else line[:size] + hide(line[size:]))
-            self.fresh = ends
-            self.inside = self.inside and not ends
-        return b"".join(done)
-
-    def named(self, line: bytes) -> int | None:
-        """How much of a line that begins here may be shown; None: all of it."""
-        if self.folds and line[:1] in (b" ", b"\t"):
+            is_terminated = line.endswith((b"\r", b"\n"))
+            if self._is_line_start and not is_terminated and self._may_become_header(line):
+                self._held_back = line
+                break
+            lines.append(self._blank_line(line))
+            self._is_line_start = is_terminated
+            self._is_in_value = self._is_in_value and not is_terminated
+        return b"".join(lines)
+
+    def flush(self) -> bytes:
+        """Returns the bytes held back, at the end of the direction."""
+        data = self._held_back
+        self._held_back = b""
+        return data
+
+    def _blank_line(self, line: bytes) -> bytes:
+        if self._is_line_start:
+            shown_size = self._find_value(line)
+            if line != b"\n":  # the second half of a CRLF changes nothing
+                self._is_in_value = shown_size is not None
+                self._may_fold = self._is_in_value
+        else:
+            shown_size = 0 if self._is_in_value else None
+        if shown_size is None:
+            return line
+        return line[:shown_size] + blank_value(line[shown_size:])
+
+    def _find_value(self, line: bytes) -> int | None:
+        """Returns where the value to blank begins in a line; None without one."""
+        if self._may_fold and line[:1] in (b" ", b"\t"):
             return 0
-        low = line.lower()
-        return next((len(name) for name in self.names if low.startswith(name)), None)
+        lower_line = line.lower()
+        return next((len(prefix) for prefix in self._prefixes if lower_line.startswith(prefix)), None)
 
-    def may_become(self, line: bytes) -> bool:
-        low = line.lower()
-        return any(len(low) < len(name) and name.startswith(low) for name in self.names)
+    def _may_become_header(self, line: bytes) -> bool:
+        lower_line = line.lower()
+        return any(
+            len(lower_line) < len(prefix) and prefix.startswith(lower_line) for prefix in self._prefixes
+        )
 
-    def rest(self) -> bytes:
-        """What is kept back, when nothing more comes."""
-        kept, self.kept = self.kept, b""
-        return kept
 
+def blank_value(value: bytes) -> bytes:
+    """Returns a value with each byte before the line's end replaced."""
+    content = value.rstrip(b"\r\n")
+    return b"x" * len(content) + value[len(content) :]
 
-def hide(value: bytes) -> bytes:
-    shown = value.rstrip(b"\r\n")
-    return b"x" * len(shown) + value[len(shown) :]
 
+def file_number(path: Path) -> int:
+    """Returns the number in the name of a capture file."""
+    return int(path.stem.split("-")[1])
 
-class CaptureWriter:
-    """What it is told, as files."""
 
-    def __init__(self, folder: Path, most_bytes: int, files: int = 4, secrets: Iterable[str] = ()) -> None:
-        """At most `files` files of `most_bytes` each stand in the folder. Raises OSError where it cannot be
-        used."""
-        self.folder, self.most_bytes, self.files = folder, most_bytes, files
-        self.secrets = tuple(secrets)
+def parse_address(text: str) -> Address:
+    """Returns host and port of `host:port`."""
+    host, _, port = text.rpartition(":")
+    return host, int(port)
+
+
+class CaptureWriter:
+    """Writes records to rotating capture files."""
+
+    def __init__(
+        self,
+        folder: Path,
+        file_bytes_limit: int,
+        files_limit: int = DEFAULT_FILES_LIMIT,
+        blanked_headers: Iterable[str] = (),
+    ) -> None:
+        """Opens the first file.
+
+        Args:
+            folder: Where the files are written; created if it does not exist.
+            file_bytes_limit: Size at which a file is closed.
+            files_limit: Number of files that are kept.
+            blanked_headers: Names of headers whose values are blanked.
+
+        Raises:
+            OSError: The folder cannot be used.
+        """
+        self.folder = folder
+        self.file_bytes_limit = file_bytes_limit
+        self.files_limit = files_limit
+        self.blanked_headers = tuple(blanked_headers)
         folder.mkdir(parents=True, exist_ok=True)
-        self.talks: dict[int, ConnectionWriter] = {}  # in the file at hand
-        self.places: dict[int, tuple[Address, Address]] = {}
-        self.blankers: dict[tuple[int, int], Blanker] = {}
-        self.number = max((int(each.stem.split("-")[1]) for each in self.written()), default=0)
-        self.out = self.next_file()
-
-    def written(self) -> list[Path]:
-        """The files that stand there, the oldest first."""
-        found = [each for each in self.folder.glob("capture-*.pcap") if each.stem.split("-")[1].isdecimal()]
-        return sorted(found, key=lambda each: int(each.stem.split("-")[1]))
-
-    def next_file(self) -> PcapWriter:
-        self.number += 1
-        for each in self.written()[: max(len(self.written()) - self.files + 1, 0)]:
-            each.unlink()
-        self.file: BinaryIO = (self.folder / f"capture-{self.number}.pcap").open("wb")
-        return PcapWriter(self.file)
-
-    def read(self, source: BinaryIO) -> None:
-        """Writes records to the end of their source. Raises OSError as the disk does."""
-        while len(head := source.read(HEAD.size)) == HEAD.size:
-            what, connection, side, at, size = HEAD.unpack(head)
-            self.write(what, connection, side, at, source.read(size))
+        self._connections: dict[int, ConnectionWriter] = {}  # in the current file
+        self._addresses: dict[int, tuple[Address, Address]] = {}
+        self._blankers: dict[tuple[int, int], HeaderBlanker] = {}
+        self.number = max((file_number(path) for path in self.list_files()), default=0)
+        self._file, self._capture = self._open_next_file()
+
+    def list_files(self) -> list[Path]:
+        """Returns the capture files in the folder, the oldest first."""
+        paths = self.folder.glob("capture-*.pcap")
+        return sorted((path for path in paths if path.stem.split("-")[1].isdecimal()), key=file_number)
+
+    def read_records(self, source: BinaryIO) -> None:
+        """Writes records up to the end of their source.
+
+        Raises:
+            OSError: A file cannot be written.
+        """
+        while len(header := source.read(RECORD_HEADER.size)) == RECORD_HEADER.size:
+            kind, connection, side, at_ns, size = RECORD_HEADER.unpack(header)
+            self.write(kind, connection, side, at_ns, source.read(size))
         self.close()
 
-    def write(self, what: int, connection: int, side: int, at: int, data: bytes) -> None:
-        if what == OPENED:
+    def write(self, kind: int, connection: int, side: int, at_ns: int, data: bytes) -> None:
+        """Writes a record; one of an unknown connection is ignored."""
+        if kind == RecordKind.OPENED:
             client, server = data.decode().split(" ")
-            self.places[connection] = place(client), place(server)
-            self.begin(connection, at)
-        elif connection not in self.places:
-            return  # its beginning was lost, or it is over
-        elif what == PASSED:
-            self.talk(connection, at).write_data(side, at, self.blanker(connection, side)(data))
-        elif what == LOST:
-            self.rest(connection, side, at)
-            self.talk(connection, at).skip(side, int(data))
+            self._addresses[connection] = (parse_address(client), parse_address(server))
+            self._begin_connection(connection, at_ns)
+        elif connection not in self._addresses:
+            return  # its beginning was lost, or it has ended
+        elif kind == RecordKind.DATA:
+            blanked_data = self._blanker(connection, side).blank(data)
+            self._connection(connection, at_ns).write_data(side, at_ns, blanked_data)
+        elif kind == RecordKind.LOST:
+            self._flush_blanker(connection, side, at_ns)
+            self._connection(connection, at_ns).skip(side, int(data))
         else:
-            self.over(connection, side, at, reset=what == RESET)
-        if self.out.size >= self.most_bytes:
-            self.file.close()
-            self.out = self.next_file()
-            self.talks.clear()  # each begins anew in the new file
-
-    def begin(self, connection: int, at: int) -> None:
-        client, server = self.places[connection]
-        try:
-            self.talks[connection] = ConnectionWriter(self.out, client, server, at, connection << 16)
-        except ValueError:
-            del self.places[connection]
-
-    def talk(self, connection: int, at: int) -> ConnectionWriter:
-        if connection not in self.talks:
-            self.begin(connection, at)
-        return self.talks[connection]
-
-    def blanker(self, connection: int, side: int) -> Blanker:
-        if (connection, side) not in self.blankers:
-            self.blankers[connection, side] = Blanker(self.secrets)
-        return self.blankers[connection, side]
-
-    def rest(self, connection: int, side: int, at: int) -> None:
-        """What a blanker has kept back: nothing more comes that could make it a header."""
-        if (found := self.blankers.pop((connection, side), None)) and (rest := found.rest()):
-            self.talk(connection, at).write_data(side, at, rest)
-
-    def over(self, connection: int, side: int, at: int, reset: bool) -> None:
-        for each in (0, 1):
-            self.rest(connection, each, at)
-        self.talk(connection, at).end(side, at, reset)
-        del self.talks[connection], self.places[connection]
+            self._end_connection(connection, side, at_ns, is_reset=kind == RecordKind.RESET)
+        if self._capture.size >= self.file_bytes_limit:
+            self._rotate()
 
     def close(self) -> None:
-        for connection, side in list(self.blankers):
-            self.rest(connection, side, self.talk(connection, 0).last_packet_at_ns)
-        self.file.close()
+        """Writes the bytes held back, and closes the file."""
+        for connection, side in list(self._blankers):
+            self._flush_blanker(connection, side, self._connection(connection, 0).last_packet_at_ns)
+        self._file.close()
 
-
-def place(text: str) -> Address:
-    host, _, port = text.rpartition(":")
-    return host, int(port)
-
-
-def main(words: list[str]) -> int:
-    """FOLDER, bytes of a file, files, names of headers. 1 where the disk fails."""
-    folder, most, files, *secrets = words
+    def _open_next_file(self) -> tuple[BinaryIO, PcapWriter]:
+        self.number += 1
+        files = self.list_files()
+        for path in files[: max(len(files) - self.files_limit + 1, 0)]:
+            path.unlink()
+        file = (self.folder / f"capture-{self.number}.pcap").open("wb")
+        return file, PcapWriter(file)
+
+    def _rotate(self) -> None:
+        self._file.close()
+        self._file, self._capture = self._open_next_file()
+        self._connections.clear()  # each begins again in the new file
+
+    def _begin_connection(self, connection: int, at_ns: int) -> None:
+        client, server = self._addresses[connection]
+        client_seq = connection << CLIENT_SEQ_SHIFT
+        try:
+            writer = ConnectionWriter(self._capture, client, server, at_ns, client_seq)
+        except ValueError:
+            del self._addresses[connection]
+        else:
+            self._connections[connection] = writer
+
+    def _connection(self, connection: int, at_ns: int) -> ConnectionWriter:
+        if connection not in self._connections:
+            self._begin_connection(connection, at_ns)
+        return self._connections[connection]
+
+    def _blanker(self, connection: int, side: int) -> HeaderBlanker:
+        if (connection, side) not in self._blankers:
+            self._blankers[connection, side] = HeaderBlanker(self.blanked_headers)
+        return self._blankers[connection, side]
+
+    def _flush_blanker(self, connection: int, side: int, at_ns: int) -> None:
+        """Writes the bytes that a blanker holds back, when no bytes follow that could make them a header."""
+        blanker = self._blankers.pop((connection, side), None)
+        if blanker and (data := blanker.flush()):
+            self._connection(connection, at_ns).write_data(side, at_ns, data)
+
+    def _end_connection(self, connection: int, side: int, at_ns: int, is_reset: bool) -> None:
+        for flushed_side in (0, 1):
+            self._flush_blanker(connection, flushed_side, at_ns)
+        self._connection(connection, at_ns).end(side, at_ns, is_reset)
+        del self._connections[connection]
+        del self._addresses[connection]
+
+
+def main(arguments: list[str]) -> int:
+    """Writes the records on standard input.
+
+    Args:
+        arguments: Folder, limit of a file's bytes, limit of files, names of headers to blank.
+
+    Returns:
+        The exit code: 1 where a file cannot be written.
+    """
+    folder, file_bytes_limit, files_limit, *blanked_headers = arguments
     try:
-        CaptureWriter(Path(folder), int(most), int(files), secrets).read(sys.stdin.buffer)
+        writer = CaptureWriter(Path(folder), int(file_bytes_limit), int(files_limit), blanked_headers)
+        writer.read_records(sys.stdin.buffer)
     except OSError as error:
         print(f"message-sender: nothing more is captured: {error}", file=sys.stderr)
         return 1
--- a/message_sender/pcap/flows.py
+++ b/message_sender/pcap/flows.py
@@ -97,11 +97,9 @@
 
     def _begin(self, segment: Segment) -> Flow:
         has_syn = bool(segment.flags & SYN)
-        if has_syn:
-            is_from_server = bool(segment.flags & ACK)
-        else:
-            # Servers usually have the lower port.
-            is_from_server = segment.source[1] < segment.target[1]
+        is_from_server = bool(segment.flags & ACK)  # in the handshake
+        if not has_syn:
+            is_from_server = segment.source[1] < segment.target[1]  # servers usually have the lower port
         endpoints = (segment.source, segment.target)
         if is_from_server:
             endpoints = (segment.target, segment.source)
--- a/message_sender/pcap/replay.py
+++ b/message_sender/pcap/replay.py
@@ -1,7 +1,7 @@
-"""Recorded requests sent again at their recorded times, whatever becomes of the answers (open loop).
+"""Recorded requests sent again at their recorded times, regardless of the responses (open loop).
 
-What is sent when is decided by `plan`, which is pure. A request's latency counts from the time at which it
-was to go, so that a server that stalls shows in all that had to wait for it, as wrk2 has it.
+`plan` decides what is sent when, and is pure. The latency of a request counts from its planned time, so that
+a server that stalls shows in all requests that had to wait for it, as in wrk2.
 """
 
 import asyncio
@@ -14,183 +14,254 @@
 import h11
 
 from message_sender.pcap.capture import CapturedMessage
+from message_sender.pcap.messages import HttpMessage
 
-MOST_OPEN = 256  # connections at once; a request for which there is none is counted and not sent
-PATIENCE = 30.0  # s for an answer
-#: What frames a message or belongs to one connection; it is told anew.
-HOP = frozenset({"content-length", "transfer-encoding", "connection", "keep-alive", "expect", "upgrade"})
-IDS = frozenset({"x-correlation-id", "idempotency-key"})
+CONNECTIONS_LIMIT = 256  # a request without a free connection is counted and not sent
+RESPONSE_TIMEOUT_S = 30.0
+READ_BYTES = 65536
+NS_PER_S = 1e9
+US_PER_S = 1e6
+#: Headers that frame a message or belong to one connection; they are not copied.
+CONNECTION_HEADERS = frozenset(
+    {"content-length", "transfer-encoding", "connection", "keep-alive", "expect", "upgrade"}
+)
+ID_HEADERS = frozenset({"x-correlation-id", "idempotency-key"})
+METHODS_WITH_BODY = frozenset({"POST", "PUT", "PATCH"})
 
 
 @dataclass(frozen=True, slots=True)
-class Planned:
-    due: float  # s since the first one
+class PlannedRequest:
+    """A request to send.
+
+    Attributes:
+        due_s: Seconds since the first request.
+        method: Its method.
+        data: Its bytes.
+    """
+
+    due_s: float
     method: str
     data: bytes
 
 
-class NewIds:
-    """Other ids for those in a capture, the same for the same: what came twice comes twice again."""
+class IdReplacer:
+    """Replaces the ids in a capture; equal ids get equal replacements, so that repeats stay repeats."""
 
     def __init__(self, seed: int) -> None:
-        self.random = random.Random(seed)
-        self.known: dict[str, str] = {}
+        """Creates a replacer whose replacements depend on the seed and the order of the ids."""
+        self._rng = random.Random(seed)
+        self._replacements: dict[str, str] = {}
 
-    def __call__(self, name: str) -> str:
-        if name not in self.known:
-            self.known[name] = f"{self.random.getrandbits(64):016x}"
-        return self.known[name]
+    def replace(self, recorded_id: str) -> str:
+        """Returns the replacement of an id."""
+        if recorded_id not in self._replacements:
+            self._replacements[recorded_id] = f"{self._rng.getrandbits(64):016x}"
+        return self._replacements[recorded_id]
 
 
 def plan(
-    found: Iterable[CapturedMessage], speed: float = 1.0, new_ids: NewIds | None = None
-) -> Iterator[Planned]:
-    """What to send, and when. A request that the capture does not hold whole is left out; where its clock
-    went back, a request is due with the one before it."""
-    first, last = None, 0.0
-    for each in found:
-        message = each.message
+    requests: Iterable[CapturedMessage], speed: float = 1.0, id_replacer: IdReplacer | None = None
+) -> Iterator[PlannedRequest]:
+    """Yields what to send, and when.
+
+    A request that the capture does not hold completely is left out. Where the recorded clock went back, a
+    request is due at the time of the one before it.
+
+    Args:
+        requests: Recorded requests.
+        speed: Factor of the recorded pace.
+        id_replacer: Replaces correlation ids and idempotency keys; None keeps them.
+    """
+    first_at_ns: int | None = None
+    last_due_s = 0.0
+    for request in requests:
+        message = request.message
         if not message.is_complete:
             continue
-        first = message.first_at_ns if first is None else first
-        last = max(last, (message.first_at_ns - first) / 1e9 / speed)
-        yield Planned(last, message.method, written(each, new_ids))
+        if first_at_ns is None:
+            first_at_ns = message.first_at_ns
+        last_due_s = max(last_due_s, (message.first_at_ns - first_at_ns) / NS_PER_S / speed)
+        yield PlannedRequest(last_due_s, message.method, encode_request(message, id_replacer))
 
 
-def written(found: CapturedMessage, new_ids: NewIds | None) -> bytes:
-    message = found.message
+def encode_request(message: HttpMessage, id_replacer: IdReplacer | None) -> bytes:
+    """Returns the bytes of a recorded request, to be sent on another connection."""
     lines = [f"{message.method} {message.target} HTTP/1.1"]
     for name, value in message.headers:
-        if new_ids and name.lower() in IDS:
-            value = new_ids(value)
-        if name.lower() not in HOP:
-            lines.append(f"{name}: {value}")
-    if message.body or message.method in ("POST", "PUT", "PATCH"):
+        lower_name = name.lower()
+        if lower_name in CONNECTION_HEADERS:
+            continue
+        is_replaced = id_replacer is not None and lower_name in ID_HEADERS
+        sent_value = id_replacer.replace(value) if id_replacer and is_replaced else value
+        lines.append(f"{name}: {sent_value}")
+    if message.body or message.method in METHODS_WITH_BODY:
         lines.append(f"Content-Length: {len(message.body)}")
     return "\r\n".join(lines).encode("latin-1") + b"\r\n\r\n" + message.body
 
 
 class Histogram(Protocol):
-    """As of the library hdrhistogram: whole microseconds."""
+    """A histogram of the library hdrhistogram."""
 
-    def record_value(self, value: int) -> bool: ...
+    def record_value(self, value: int) -> bool:
+        """Records a latency in whole microseconds."""
 
 
 @dataclass(slots=True)
-class Outcome:
-    """What came of a replay. `late`: the most by which a request went after its time, in s."""
+class ReplayOutcome:
+    """The result of a replay.
+
+    Attributes:
+        sent: Requests sent.
+        not_sent: Requests without a free connection.
+        max_delay_s: The longest time from a planned time to the sending.
+        responses: Number of requests by status of the response, or by error.
+    """
 
     sent: int = 0
     not_sent: int = 0
-    late: float = 0.0
-    answers: Counter[str] = field(default_factory=Counter)  # by status, or by what went wrong
+    max_delay_s: float = 0.0
+    responses: Counter[str] = field(default_factory=Counter)
 
 
-class Line(Protocol):
-    """One connection to the server under test."""
+class ReplayConnection(Protocol):
+    """A connection to the server under test."""
 
-    async def ask(self, planned: Planned) -> int:
-        """The status of the answer. Raises OSError where the connection breaks, TimeoutError for none."""
+    async def exchange(self, request: PlannedRequest) -> int:
+        """Sends a request and returns the status of its response.
 
-    def usable(self) -> bool:
-        """Whether another request may go on it."""
+        Raises:
+            OSError: The connection broke.
+            TimeoutError: There was no response in time.
+        """
 
-    def close(self) -> None: ...
+    def is_usable(self) -> bool:
+        """Returns whether another request may be sent on it."""
+
+    def close(self) -> None:
+        """Closes the connection."""
 
 
-class HttpLine:
+class HttpReplayConnection:
     """A connection over TCP."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.reader, self.writer = reader, writer
-        self.good = True
+        """Uses an open connection."""
+        self._reader = reader
+        self._writer = writer
+        self._can_be_reused = True
 
     @classmethod
-    async def open(cls, host: str, port: int) -> "HttpLine":
-        return cls(*await asyncio.open_connection(host, port))
-
-    async def ask(self, planned: Planned) -> int:
-        self.good = False
-        self.writer.write(planned.data)
+    async def open(cls, host: str, port: int) -> "HttpReplayConnection":
+        """Opens a connection.
+
+        Raises:
+            OSError: It cannot be opened.
+        """
+        reader, writer = await asyncio.open_connection(host, port)
+        return cls(reader, writer)
+
+    async def exchange(self, request: PlannedRequest) -> int:
+        """Sends a request and returns the status of its response, as `ReplayConnection` has it."""
+        self._can_be_reused = False
+        self._writer.write(request.data)
         codec = h11.Connection(h11.CLIENT)
-        codec.send(h11.Request(method=planned.method, target="/", headers=[("Host", "x")]))
+        codec.send(h11.Request(method=request.method, target="/", headers=[("Host", "x")]))
         codec.send(h11.EndOfMessage())
-        status = 0
         try:
-            async with asyncio.timeout(PATIENCE):
-                while not isinstance(event := codec.next_event(), h11.EndOfMessage):
-                    if event is h11.NEED_DATA:
-                        codec.receive_data(await self.reader.read(65536))
-                    elif isinstance(event, h11.Response):
-                        status = event.status_code
-                    elif isinstance(event, h11.ConnectionClosed):
-                        raise ConnectionResetError("closed without an answer")
+            async with asyncio.timeout(RESPONSE_TIMEOUT_S):
+                status = await self._read_response(codec)
         except h11.RemoteProtocolError as error:
             raise ConnectionResetError(str(error)) from None
-        self.good = codec.their_state is h11.DONE and not codec.trailing_data[0]
+        self._can_be_reused = codec.their_state is h11.DONE and not codec.trailing_data[0]
         return status
 
-    def usable(self) -> bool:
-        return self.good and not (self.reader.at_eof() or self.writer.is_closing())
+    def is_usable(self) -> bool:
+        """Returns whether another request may be sent on it."""
+        return self._can_be_reused and not (self._reader.at_eof() or self._writer.is_closing())
 
     def close(self) -> None:
-        self.writer.close()
-
+        """Closes the connection."""
+        self._writer.close()
 
-class Replay:
-    """Sends what is planned over as many connections as its answers keep busy, `MOST_OPEN` at the most."""
+    async def _read_response(self, codec: h11.Connection) -> int:
+        status = 0
+        while not isinstance(event := codec.next_event(), h11.EndOfMessage):
+            if event is h11.NEED_DATA:
+                codec.receive_data(await self._reader.read(READ_BYTES))
+            elif isinstance(event, h11.Response):
+                status = event.status_code
+            elif isinstance(event, h11.ConnectionClosed):
+                raise ConnectionResetError("closed without an answer")
+        return status
 
-    def __init__(self, open_line: Callable[[], Awaitable[Line]], latencies: Histogram | None = None) -> None:
-        self.open_line, self.latencies = open_line, latencies
-        self.outcome = Outcome()
-        self.idle: list[Line] = []
-        self.open = 0
-        self.tasks: set[asyncio.Task[None]] = set()
 
-    async def run(self, planned: Iterable[Planned]) -> Outcome:
-        """Returns once the last answer is here or given up."""
+class Replay:
+    """Sends planned requests over as many connections as needed, at most `CONNECTIONS_LIMIT`."""
+
+    def __init__(
+        self,
+        open_connection: Callable[[], Awaitable[ReplayConnection]],
+        latencies: Histogram | None = None,
+    ) -> None:
+        """Creates a replay.
+
+        Args:
+            open_connection: Opens a connection, or raises OSError.
+            latencies: Records the latency of each response.
+        """
+        self._open_connection = open_connection
+        self._latencies = latencies
+        self._outcome = ReplayOutcome()
+        self._idle: list[ReplayConnection] = []
+        self._connection_count = 0
+        self._tasks: set[asyncio.Task[None]] = set()
+
+    async def run(self, planned: Iterable[PlannedRequest]) -> ReplayOutcome:
+        """Sends all requests; returns after the last response or timeout."""
         loop = asyncio.get_running_loop()
-        began = loop.time()
-        for each in planned:
-            due = began + each.due
-            if (wait := due - loop.time()) > 0:
-                await asyncio.sleep(wait)
-            else:
-                await asyncio.sleep(0)  # answers have their turn, also where all are due at once
-            self.outcome.late = max(self.outcome.late, loop.time() - due)
-            self.begin(each, due)
-        await asyncio.gather(*self.tasks)
-        for line in self.idle:
-            line.close()
-        return self.outcome
-
-    def begin(self, planned: Planned, due: float) -> None:
-        if not self.idle and self.open >= MOST_OPEN:
-            self.outcome.not_sent += 1
+        started_at = loop.time()
+        for request in planned:
+            due_at = started_at + request.due_s
+            # A sleep of 0 lets responses be read, also where all requests are due at once.
+            await asyncio.sleep(max(due_at - loop.time(), 0))
+            self._outcome.max_delay_s = max(self._outcome.max_delay_s, loop.time() - due_at)
+            self._begin_request(request, due_at)
+        await asyncio.gather(*self._tasks)
+        for connection in self._idle:
+            connection.close()
+        return self._outcome
+
+    def _begin_request(self, request: PlannedRequest, due_at: float) -> None:
+        if not self._idle and self._connection_count >= CONNECTIONS_LIMIT:
+            self._outcome.not_sent += 1
             return
-        self.outcome.sent += 1
-        line = self.idle.pop() if self.idle else None
-        self.open += line is None
-        task = asyncio.get_running_loop().create_task(self.send(planned, due, line))
-        self.tasks.add(task)
-        task.add_done_callback(self.tasks.discard)
-
-    async def send(self, planned: Planned, due: float, line: Line | None) -> None:
-        """A request is never sent twice: on a kept connection that broke it counts as broken."""
+        self._outcome.sent += 1
+        connection = self._idle.pop() if self._idle else None
+        if connection is None:
+            self._connection_count += 1
+        task = asyncio.get_running_loop().create_task(self._send(request, due_at, connection))
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
+
+    async def _send(
+        self, request: PlannedRequest, due_at: float, connection: ReplayConnection | None
+    ) -> None:
+        """Sends a request once: where a reused connection breaks, the request counts as failed."""
         loop = asyncio.get_running_loop()
+        responses = self._outcome.responses
         try:
-            line = line or await self.open_line()
-            status = await line.ask(planned)
-            self.outcome.answers[str(status)] += 1
-            if self.latencies:
-                self.latencies.record_value(max(round((loop.time() - due) * 1e6), 1))
+            connection = connection or await self._open_connection()
+            status = await connection.exchange(request)
+            responses[str(status)] += 1
+            if self._latencies:
+                self._latencies.record_value(max(round((loop.time() - due_at) * US_PER_S), 1))
         except TimeoutError:
-            self.outcome.answers["no answer"] += 1
+            responses["no answer"] += 1
         except OSError as error:
-            self.outcome.answers[type(error).__name__] += 1
-        if line is not None and line.usable():
-            self.idle.append(line)
+            responses[type(error).__name__] += 1
+        if connection is not None and connection.is_usable():
+            self._idle.append(connection)
             return
-        self.open -= 1
-        if line is not None:
-            line.close()
+        self._connection_count -= 1
+        if connection is not None:
+            connection.close()
--- a/message_sender/pcap/traffic_tap.py
+++ b/message_sender/pcap/traffic_tap.py
@@ -1,9 +1,9 @@
-"""What a running sender receives and sends, told to a scribe: a witness of its connections.
+"""Reports the traffic of a running sender to a process that writes it as capture files.
 
-The sender's turn appends a record to a list; once a pass of the loop the list goes down a pipe to a process
-of its own (message_sender/pcap/capture_writer.py), as far as the pipe takes it at once. Where the scribe
-falls behind by more than `MOST_WAITING`, records are lost and counted, never time; what is lost of a
-connection is told, so that its file has a gap there and not a seam.
+On the event loop a record is only appended to a list; once an iteration the list is written to a pipe, as far
+as the pipe accepts it at once. The other end is a process of its own (message_sender/pcap/capture_writer.py).
+Where it falls behind by more than `PENDING_BYTES_LIMIT`, records are dropped and counted, and the sender does
+not wait. The number of dropped bytes is reported, so that the capture has a gap there.
 """
 
 import asyncio
@@ -15,108 +15,128 @@
 from collections.abc import Iterable
 from pathlib import Path
 
-from message_sender.pcap.capture_writer import ENDED, HEAD, LOST, OPENED, PASSED, RESET
+from message_sender.pcap.capture_writer import DEFAULT_FILES_LIMIT, RECORD_HEADER, RecordKind
 from message_sender.pcap.writer import Address
 
-MOST_WAITING = 4_000_000  # bytes that wait for the pipe
-AGAIN = 0.02  # s until the next try where the pipe is full
-PATIENCE = 10.0  # s for the scribe to end, once it has heard everything
+PENDING_BYTES_LIMIT = 4_000_000  # that wait for the pipe
+RETRY_DELAY_S = 0.02  # while the pipe is full
+EXIT_TIMEOUT_S = 10.0  # of the writing process, from the end of its input
+#: Bound once: the lookup of an enum's member is a cost on each record.
+_DATA_RECORD = RecordKind.DATA
 
 log = logging.getLogger(__name__)
 
 
 class TrafficTap:
-    """A `TrafficObserver`. Its methods are called on the loop and never wait."""
-
-    def __init__(self, folder: Path, most_bytes: int, files: int = 4, secrets: Iterable[str] = ()) -> None:
-        """At most `files` files of `most_bytes` each stand in the folder. Raises OSError where no process can
-        be started."""
-        words = [
-            sys.executable,
-            "-m",
-            "message_sender.pcap.capture_writer",
-            str(folder),
-            str(most_bytes),
-            str(files),
-        ]
-        # In a session of its own: a signal for the sender's group is not for it; it ends with its pipe.
-        self.scribe = subprocess.Popen([*words, *secrets], stdin=subprocess.PIPE, start_new_session=True)
-        assert self.scribe.stdin
-        self.pipe = self.scribe.stdin.fileno()
-        os.set_blocking(self.pipe, False)
-        self.waiting: list[bytes] = []
-        self.size = 0  # bytes that wait
-        self.due = False  # a flush is on its way
-        self.lost = 0  # records
-        self.gaps: dict[tuple[int, int], int] = {}  # bytes lost, of a connection's side
-        self.failed = ""  # why nothing more is told
-        self.connections = 0
+    """A `TrafficObserver` that writes capture files. Its methods run on the event loop and never wait.
+
+    Attributes:
+        dropped_records: Number of records that were not written.
+        dropped_bytes: Bytes not yet reported as lost, by connection and side.
+        failure: Why recording has stopped; empty while it goes on.
+    """
+
+    def __init__(
+        self,
+        folder: Path,
+        file_bytes_limit: int,
+        files_limit: int = DEFAULT_FILES_LIMIT,
+        blanked_headers: Iterable[str] = (),
+    ) -> None:
+        """Starts the writing process; the arguments are those of `CaptureWriter`.
+
+        Raises:
+            OSError: The process cannot be started.
+        """
+        command = [sys.executable, "-m", "message_sender.pcap.capture_writer", str(folder)]
+        command += [str(file_bytes_limit), str(files_limit), *blanked_headers]
+        # In a session of its own: a signal to the sender's process group does not end it, its closed pipe
+        # does.
+        self.process = subprocess.Popen(command, stdin=subprocess.PIPE, start_new_session=True)
+        assert self.process.stdin
+        self._pipe = self.process.stdin.fileno()
+        os.set_blocking(self._pipe, False)
+        self.dropped_records = 0
+        self.dropped_bytes: dict[tuple[int, int], int] = {}
+        self.failure = ""
+        self._pending: list[bytes] = []
+        self._pending_bytes = 0
+        self._is_flush_scheduled = False
+        self._connection_count = 0
 
     def opened(self, client: Address, server: Address) -> int:
-        """A connection has come up; its number."""
-        self.connections += 1
-        ends = f"{client[0]}:{client[1]} {server[0]}:{server[1]}"
-        self.put(OPENED, self.connections, 0, ends.encode())
-        return self.connections
+        """Records a new connection and returns its number."""
+        self._connection_count += 1
+        addresses = f"{client[0]}:{client[1]} {server[0]}:{server[1]}"
+        self._add_record(RecordKind.OPENED, self._connection_count, 0, addresses.encode())
+        return self._connection_count
 
     def passed(self, connection: int, side: int, data: bytes) -> None:
-        """Bytes from the client (side 0) or from the server (1)."""
-        if self.gaps and (size := self.gaps.pop((connection, side), 0)):
-            self.put(LOST, connection, side, b"%d" % size)
-        if not self.put(PASSED, connection, side, data):
-            self.gaps[connection, side] = self.gaps.get((connection, side), 0) + len(data)
+        """Records bytes from the client (side 0) or from the server (side 1)."""
+        if self.dropped_bytes and (size := self.dropped_bytes.pop((connection, side), 0)):
+            self._add_record(RecordKind.LOST, connection, side, b"%d" % size)
+        if not self._add_record(_DATA_RECORD, connection, side, data):
+            dropped_bytes = self.dropped_bytes.get((connection, side), 0)
+            self.dropped_bytes[connection, side] = dropped_bytes + len(data)
 
     def ended(self, connection: int, side: int, reset: bool) -> None:
-        for each in (0, 1):
-            self.gaps.pop((connection, each), None)
-        self.put(RESET if reset else ENDED, connection, side, b"")
-
-    def put(self, what: int, connection: int, side: int, data: bytes) -> bool:
-        """False: it is lost."""
-        if self.failed or self.size > MOST_WAITING:
-            self.lost += 1
-            return False
-        self.waiting += (HEAD.pack(what, connection, side, time.time_ns(), len(data)), data)
-        self.size += HEAD.size + len(data)
-        if not self.due:
-            self.due = True
-            asyncio.get_running_loop().call_soon(self.flush)
-        return True
+        """Records the end of a connection, by the given side."""
+        for ended_side in (0, 1):
+            self.dropped_bytes.pop((connection, ended_side), None)
+        self._add_record(RecordKind.RESET if reset else RecordKind.ENDED, connection, side, b"")
 
     def flush(self) -> None:
-        """What the pipe takes now; the rest a little later."""
-        self.due = False
-        data = b"".join(self.waiting)
+        """Writes as much as the pipe accepts, and schedules the rest."""
+        self._is_flush_scheduled = False
+        data = b"".join(self._pending)
         try:
-            sent = os.write(self.pipe, data) if data else 0
+            written = os.write(self._pipe, data) if data else 0
         except (BlockingIOError, InterruptedError):
-            sent = 0
+            written = 0
         except OSError as error:
-            self.fail(error)
+            self._fail(error)
             return
-        self.waiting = [data[sent:]] if sent < len(data) else []
-        self.size = len(data) - sent
-        if self.waiting:
-            self.due = True
-            asyncio.get_running_loop().call_later(AGAIN, self.flush)
-
-    def fail(self, error: OSError) -> None:
-        log.error("capture stopped: error=%s", error)
-        self.failed, self.waiting, self.size = str(error), [], 0
+        self._pending = [data[written:]] if written < len(data) else []
+        self._pending_bytes = len(data) - written
+        if self._pending:
+            self._is_flush_scheduled = True
+            asyncio.get_running_loop().call_later(RETRY_DELAY_S, self.flush)
 
     def close(self) -> None:
-        """Tells what waits, and waits for the scribe to write it: for the end of a process."""
-        assert self.scribe.stdin
-        os.set_blocking(self.pipe, True)
+        """Writes what is pending and waits for the writing process to end.
+
+        It blocks, and is meant for the end of the sender's process.
+        """
+        assert self.process.stdin
+        os.set_blocking(self._pipe, True)
         try:
-            self.scribe.stdin.write(b"".join(self.waiting))
-            self.scribe.stdin.close()
+            self.process.stdin.write(b"".join(self._pending))
+            self.process.stdin.close()
         except OSError as error:
-            self.fail(error)
+            self._fail(error)
         try:
-            self.scribe.wait(PATIENCE)
+            self.process.wait(EXIT_TIMEOUT_S)
         except subprocess.TimeoutExpired:
-            self.scribe.kill()
-            self.scribe.wait()
-        if self.lost:
-            log.warning("capture incomplete: lost_records=%d", self.lost)
+            self.process.kill()
+            self.process.wait()
+        if self.dropped_records:
+            log.warning("capture incomplete: lost_records=%d", self.dropped_records)
+
+    def _add_record(self, kind: RecordKind, connection: int, side: int, data: bytes) -> bool:
+        """Returns False if the record was dropped."""
+        if self.failure or self._pending_bytes > PENDING_BYTES_LIMIT:
+            self.dropped_records += 1
+            return False
+        header = RECORD_HEADER.pack(kind, connection, side, time.time_ns(), len(data))
+        self._pending += (header, data)
+        self._pending_bytes += RECORD_HEADER.size + len(data)
+        if not self._is_flush_scheduled:
+            self._is_flush_scheduled = True
+            asyncio.get_running_loop().call_soon(self.flush)
+        return True
+
+    def _fail(self, error: OSError) -> None:
+        log.error("capture stopped: error=%s", error)
+        self.failure = str(error)
+        self._pending = []
+        self._pending_bytes = 0
--- a/tests/conformance/test_captured.py
+++ b/tests/conformance/test_captured.py
@@ -9,7 +9,7 @@
 from conformance.sides import PATIENCE, SIDES, DaemonSide, Message
 from conformance.test_generated import Plan, plan
 from message_sender.pcap.capture import CapturedMessage, read_requests
-from message_sender.pcap.replay import HttpLine, Replay
+from message_sender.pcap.replay import HttpReplayConnection, Replay
 from message_sender.pcap.replay import plan as planned
 from message_sender.pcap.traffic_tap import TrafficTap
 
@@ -78,8 +78,8 @@
             for message in made.messages:
                 side.note(message)
             host, port = side.sender.server.address()[:2]
-            outcome = await Replay(lambda: HttpLine.open(host, port)).run(planned(found))
-            assert outcome.answers == {"202": len(made.messages)}
+            outcome = await Replay(lambda: HttpReplayConnection.open(host, port)).run(planned(found))
+            assert outcome.responses == {"202": len(made.messages)}
             await side.all_ended(*(each.id for each in made.messages))
             assert side.judge() == []
 
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -18,10 +18,10 @@
 from message_sender.configuration.general import ConfigError, load
 from message_sender.emulator.loop import VirtualLoop
 from message_sender.pcap import replay as module
-from message_sender.pcap.capture_writer import ENDED, LOST, OPENED, PASSED, Blanker, CaptureWriter
-from message_sender.pcap.capture_writer import main as scribe_main
+from message_sender.pcap.capture_writer import CaptureWriter, HeaderBlanker, RecordKind
+from message_sender.pcap.capture_writer import main as capture_writer_main
 from message_sender.pcap.compare import compare
-from message_sender.pcap.replay import NewIds, Planned, Replay, plan
+from message_sender.pcap.replay import IdReplacer, PlannedRequest, Replay, plan
 from message_sender.pcap.traffic_tap import TrafficTap
 from message_sender.testbed.demo import Demo
 
@@ -46,18 +46,18 @@
     assert compare(one[::2], other[::2], ["x-correlation-id", "idempotency-key"]).is_same()
 
 
-class FakeLine:
+class FakeConnection:
     """Answers after a while of the loop's own time."""
 
     def __init__(self, world: "Wire") -> None:
         self.world = world
 
-    async def ask(self, planned: Planned) -> int:
+    async def exchange(self, planned: PlannedRequest) -> int:
         self.world.sent.append((asyncio.get_running_loop().time(), planned.data))
         await asyncio.sleep(self.world.takes)
         return 200
 
-    def usable(self) -> bool:
+    def is_usable(self) -> bool:
         return True
 
     def close(self) -> None:
@@ -69,15 +69,15 @@
         self.takes, self.sent, self.opened, self.closed = takes, [], 0, 0  # type: float, list[tuple[float, bytes]], int, int
         self.latencies: list[int] = []
 
-    async def open(self) -> FakeLine:
+    async def open(self) -> FakeConnection:
         self.opened += 1
-        return FakeLine(self)
+        return FakeConnection(self)
 
     def record_value(self, value: int) -> bool:
         self.latencies.append(value)
         return True
 
-    def play(self, planned: list[Planned]) -> module.Outcome:
+    def play(self, planned: list[PlannedRequest]) -> module.ReplayOutcome:
         loop = VirtualLoop(100.0)
         try:
             return loop.run_until_complete(Replay(self.open, self).run(planned))
@@ -93,14 +93,14 @@
     outcome = wire.play(list(plan(capture.found()[::2], speed)))
     times = [at - 100.0 for at, _ in wire.sent]
     assert times == pytest.approx([each / 1000 / speed for each in (0, 20, 40, 1040, 1040.5)], abs=1e-5)
-    assert outcome.answers == {"200": 5} and wire.closed == wire.opened
+    assert outcome.responses == {"200": 5} and wire.closed == wire.opened
     assert wire.latencies == pytest.approx([3_000_000] * 5, abs=20)
 
 
 def test_a_connection_is_used_again_and_none_is_opened_beyond_the_most(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(module, "MOST_OPEN", 2)
+    monkeypatch.setattr(module, "CONNECTIONS_LIMIT", 2)
     wire = Wire(takes=0.001)
     wire.play(list(plan(made(0, 20, 40).found()[::2])))
     assert wire.opened == 1
@@ -113,16 +113,18 @@
     messages = made(0, 20, 40).found()[::2]
     messages[1].message.first_at_ns = T0 - 60_000 * MS
     messages[0].message.is_complete = False
-    assert [each.due for each in plan(messages)] == [0.0, pytest.approx(60.04)]
+    assert [planned.due_s for planned in plan(messages)] == [0.0, pytest.approx(60.04)]
 
 
 def test_new_ids_are_the_same_for_the_same_and_for_one_seed() -> None:
     messages = [*made(0, 20, **IDS).found()[::2]]
-    first, second = (each.data for each in plan(messages, new_ids=NewIds(3)))
+    first, second = (each.data for each in plan(messages, id_replacer=IdReplacer(3)))
     ids = [re.findall(rb"X-Correlation-Id: (\S+)", each)[0] for each in (first, second)]
     assert ids[0] == ids[1] != b"a1" and b"k1" not in first
     assert (
-        first == next(plan(messages, new_ids=NewIds(3))).data != next(plan(messages, new_ids=NewIds(4))).data
+        first
+        == next(plan(messages, id_replacer=IdReplacer(3))).data
+        != next(plan(messages, id_replacer=IdReplacer(4))).data
     )
 
 
@@ -134,11 +136,11 @@
 def test_secrets_are_blanked_wherever_the_bytes_are_cut(cuts: list[int]) -> None:
     data = b"GET / HTTP/1.1\r\nAuthorization: Bearer s3cret\r\n folded s3cret\r\nAuthor: me\r\n"
     data += b"cookie:s3cret\r\n\r\nAuth"
-    blank, out = Blanker(["Authorization", "cookie"]), b""
+    blanker, out = HeaderBlanker(["Authorization", "cookie"]), b""
     places = sorted({0, len(data), *(min(each, len(data)) for each in cuts)})
     for start, end in itertools.pairwise(places):
-        out += blank(data[start:end])
-    out += blank.rest()
+        out += blanker.blank(data[start:end])
+    out += blanker.flush()
     assert len(out) == len(data) and b"s3cret" not in out
     assert out.replace(b"x", b"") == re.sub(rb"(?<=n:) Bearer s3cret| folded s3cret|(?<=e:)s3cret", b"", data)
 
@@ -147,37 +149,37 @@
 
 
 def test_files_rotate_and_only_so_many_are_kept(tmp_path: Path) -> None:
-    scribe = CaptureWriter(tmp_path, most_bytes=2000, files=3)
-    scribe.write(OPENED, 1, 0, T0, ENDS)
+    writer = CaptureWriter(tmp_path, file_bytes_limit=2000, files_limit=3)
+    writer.write(RecordKind.OPENED, 1, 0, T0, ENDS)
     for each in range(40):
-        scribe.write(PASSED, 1, 0, T0 + each, request(f"/{each}", b"y" * 300))
-    scribe.close()
-    kept = scribe.written()
+        writer.write(RecordKind.DATA, 1, 0, T0 + each, request(f"/{each}", b"y" * 300))
+    writer.close()
+    kept = writer.list_files()
     assert len(kept) == 3 and all(each.stat().st_size < 3000 for each in kept)
     seen = [each[0] for path in kept for each in told(read(path.read_bytes()))]
     assert seen and seen == [f"/{each}" for each in range(40 - len(seen), 40)]  # each file can be read alone
-    assert CaptureWriter(tmp_path, 2000, 3).number == scribe.number + 1
+    assert CaptureWriter(tmp_path, 2000, 3).number == writer.number + 1
 
 
-def test_what_the_scribe_was_not_told_is_a_gap_in_its_file(tmp_path: Path) -> None:
-    scribe, data = CaptureWriter(tmp_path, 10**6), request("/a", b"y" * 300)
+def test_what_the_capture_writer_was_not_told_is_a_gap_in_its_file(tmp_path: Path) -> None:
+    writer, data = CaptureWriter(tmp_path, 10**6), request("/a", b"y" * 300)
     for what, some in (
-        (OPENED, ENDS),
-        (PASSED, data[:150]),
-        (LOST, b"100"),
-        (PASSED, data[250:]),
-        (ENDED, b""),
+        (RecordKind.OPENED, ENDS),
+        (RecordKind.DATA, data[:150]),
+        (RecordKind.LOST, b"100"),
+        (RecordKind.DATA, data[250:]),
+        (RecordKind.ENDED, b""),
     ):
-        scribe.write(what, 1, 0, T0, some)
-    scribe.close()
-    (found,) = read(scribe.written()[0].read_bytes())
+        writer.write(what, 1, 0, T0, some)
+    writer.close()
+    (found,) = read(writer.list_files()[0].read_bytes())
     assert not found.message.is_complete and "100 bytes" in found.message.notes[0]
 
 
-def test_a_scribe_that_falls_behind_costs_records_and_no_time(
+def test_a_capture_writer_that_falls_behind_costs_records_and_no_time(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("message_sender.pcap.traffic_tap.MOST_WAITING", 1000)
+    monkeypatch.setattr("message_sender.pcap.traffic_tap.PENDING_BYTES_LIMIT", 1000)
 
     async def test() -> TrafficTap:
         tap = TrafficTap(tmp_path, 10**6)
@@ -186,7 +188,7 @@
         for _ in range(3):
             tap.passed(number, 0, b"x" * 700)
             await turn()
-        assert (tap.lost, tap.gaps) == (1, {(number, 0): 700})
+        assert (tap.dropped_records, tap.dropped_bytes) == (1, {(number, 0): 700})
         monkeypatch.undo()
         tap.flush()
         tap.passed(number, 0, b"end")
@@ -200,11 +202,11 @@
     assert b"x" * 700 in found.read_bytes() and b"end" in found.read_bytes()
 
 
-def test_a_scribe_that_has_ended_ends_the_capture_and_nothing_else(tmp_path: Path) -> None:
+def test_a_capture_writer_that_has_ended_ends_the_capture_and_nothing_else(tmp_path: Path) -> None:
     async def test() -> TrafficTap:
         tap = TrafficTap(tmp_path, 10**6)
-        tap.scribe.kill()
-        tap.scribe.wait()
+        tap.process.kill()
+        tap.process.wait()
         tap.opened(("127.0.0.1", 1), ("127.0.0.1", 2))
         tap.flush()
         tap.passed(1, 0, b"x")
@@ -212,14 +214,14 @@
 
     tap = asyncio.run(test())
     tap.close()
-    assert "Broken pipe" in tap.failed and tap.lost == 1
+    assert "Broken pipe" in tap.failure and tap.dropped_records == 1
 
 
-def test_a_disk_that_fails_ends_the_scribe_with_one_line(
+def test_a_disk_that_fails_ends_the_capture_writer_with_one_line(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     (tmp_path / "file").write_text("")
-    assert scribe_main([str(tmp_path / "file"), "1000", "4"]) == 1
+    assert capture_writer_main([str(tmp_path / "file"), "1000", "4"]) == 1
     assert capsys.readouterr().err.startswith("message-sender: nothing more is captured: ")
 
 
@@ -227,7 +229,7 @@
 async def test_a_sender_s_traffic_is_written_on_both_sides(state: Path) -> None:
     (state / "s").mkdir()
     async with World(state / "s") as world:
-        tap = TrafficTap(state / "c", 1_000_000, secrets=["idempotency-key"])
+        tap = TrafficTap(state / "c", 1_000_000, blanked_headers=["idempotency-key"])
         world.sender.server.observer = world.sender.transport.observer = tap
         reader, writer = await asyncio.open_connection(*world.running.address)
         for name in ("m1", "m2"):
