--- a/message_sender/cli/pcap.py
+++ b/message_sender/cli/pcap.py
@@ -13,7 +13,7 @@
 from message_sender.pcap.capture import Capture, as_json, format_decimal_seconds, read_requests
 from message_sender.pcap.compare import Difference, compare
 from message_sender.pcap.files import MalformedCaptureError
-from message_sender.pcap.replay import HttpLine, NewIds, Outcome, Replay, plan
+from message_sender.pcap.replay import HttpReplayConnection, IdReplacer, ReplayOutcome, Replay, plan
 
 CAPTURE_FILE = click.File("rb", lazy=False)
 FILES_ARGUMENT = click.argument("files", type=CAPTURE_FILE, nargs=-1, required=True)
@@ -128,28 +128,28 @@
     with exit_on_capture_error():
         difference = compare(read_requests([one]), read_requests([other]), ignore)
     print_difference(difference, as_lines)
-    is_too_far_apart = within is not None and difference.apart > within * NS_PER_MS
-    context.exit(0 if difference.same() and not is_too_far_apart else 1)
+    is_too_far_apart = within is not None and difference.max_apart_ns > within * NS_PER_MS
+    context.exit(0 if difference.is_same() and not is_too_far_apart else 1)
 
 
 def print_difference(difference: Difference, as_object: bool) -> None:
     """Prints the result of a comparison as lines or as a JSON object."""
-    apart_ms = difference.apart / NS_PER_MS
+    apart_ms = difference.max_apart_ns / NS_PER_MS
     if as_object:
         result = {
-            "same": difference.same(),
+            "same": difference.is_same(),
             "requests": difference.requests,
             "apart_ms": apart_ms,
-            "apart_at": difference.apart_at,
-            "differ": difference.differ,
-            "more": difference.more,
+            "apart_at": difference.max_apart_request,
+            "differ": difference.descriptions,
+            "more": difference.omitted_descriptions,
         }
         click.echo(json.dumps(result))
         return
-    for text in difference.differ:
+    for text in difference.descriptions:
         click.echo(text)
-    if difference.more:
-        click.echo(f"and {difference.more} more")
+    if difference.omitted_descriptions:
+        click.echo(f"and {difference.omitted_descriptions} more")
     one_count, other_count = difference.requests
     click.echo(f"{one_count} | {other_count} requests; times within {apart_ms:.6f} ms")
 
@@ -188,23 +188,23 @@
 
     latencies = HdrHistogram(1, LONGEST_LATENCY_US, LATENCY_DIGITS)
 
-    async def open_connection() -> HttpLine:
-        return await HttpLine.open(*target)
+    async def open_connection() -> HttpReplayConnection:
+        return await HttpReplayConnection.open(*target)
 
     with exit_on_capture_error():
-        planned = plan(read_requests(files), speed, NewIds(seed) if new_ids else None)
+        planned = plan(read_requests(files), speed, IdReplacer(seed) if new_ids else None)
         outcome = asyncio.run(Replay(open_connection, latencies).run(planned))
     print_outcome(outcome, latencies)
     context.exit(0 if outcome.sent and not outcome.not_sent else 1)
 
 
-def print_outcome(outcome: Outcome, latencies: Any) -> None:  # noqa: ANN401
+def print_outcome(outcome: ReplayOutcome, latencies: Any) -> None:  # noqa: ANN401
     """Prints the counts of a replay and percentiles of its latencies, an HdrHistogram in microseconds."""
-    click.echo(f"sent {outcome.sent}, {outcome.late * 1e3:.1f} ms late at most")
+    click.echo(f"sent {outcome.sent}, {outcome.max_delay_s * 1e3:.1f} ms late at most")
     click.echo(f"not sent for want of connections {outcome.not_sent}")
-    for name, count in sorted(outcome.answers.items()):
+    for name, count in sorted(outcome.responses.items()):
         click.echo(f"{name:>24} {count}")
-    if outcome.answers:
+    if outcome.responses:
         for percentile in REPORTED_PERCENTILES:
             latency_ms = latencies.get_value_at_percentile(percentile) / 1e3
             click.echo(f"latency p{percentile:<6g} {latency_ms:10.3f} ms")
