--- a/message_sender/emulator/play.py
+++ b/message_sender/emulator/play.py
@@ -1,7 +1,8 @@
 """One run of a scenario, at the level that is asked for."""
 
 from message_sender.emulator import fleet, wire
-from message_sender.emulator.fleet import Decide, Outcomes
+from message_sender.emulator.fleet import Outcomes
+from message_sender.emulator.fleet_sender import Decide
 from message_sender.emulator.scenario import Scenario
 from message_sender.policy.dispatcher import Dispatcher
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -15,9 +15,10 @@
 from message_sender.cli import main
 from message_sender.configuration.general import ConfigError
 from message_sender.core.engine import Engine
-from message_sender.emulator import experiment, fleet, scenario
+from message_sender.emulator import experiment, scenario
 from message_sender.emulator.arrivals import Arrivals
 from message_sender.emulator.experiment import Job, RunResult
+from message_sender.emulator.fleet_recorder import FleetRecorder
 from message_sender.emulator.play import play
 from message_sender.emulator.policies import OWN_POLICY, POLICIES
 from message_sender.emulator.receiver import (
@@ -406,7 +407,7 @@
     def broken(self: object, number: int) -> float:
         raise ZeroDivisionError("planted")
 
-    monkeypatch.setattr(fleet.World, "count_call", broken)
+    monkeypatch.setattr(FleetRecorder, "attempt_finished", broken)
     with pytest.raises((RuntimeError, ZeroDivisionError)):
         play(small())
 
