--- a/tests/conformance/test_plugin.py
+++ b/tests/conformance/test_plugin.py
@@ -136,7 +136,7 @@
             await context.abort(Code.INVALID_ARGUMENT, "no such station")
             raise AssertionError
 
-        side.endpoints["c"].play = refuse
+        side.endpoints["c"].answer_call = refuse
         with pytest.raises(grpc.aio.AioRpcError) as said:
             await send(side, "m")
         assert (said.value.code(), said.value.details()) == (Code.INVALID_ARGUMENT, "no such station")
