--- a/message_sender/cli/pcap.py
+++ b/message_sender/cli/pcap.py
@@ -13,7 +13,7 @@
 from message_sender.pcap.capture import Capture, as_json, format_decimal_seconds, read_requests
 from message_sender.pcap.compare import Difference, compare
 from message_sender.pcap.files import MalformedCaptureError
-from message_sender.pcap.replay import HttpReplayConnection, IdReplacer, ReplayOutcome, Replay, plan
+from message_sender.pcap.replay import HttpReplayConnection, IdReplacer, Replay, ReplayOutcome, plan
 
 CAPTURE_FILE = click.File("rb", lazy=False)
 FILES_ARGUMENT = click.argument("files", type=CAPTURE_FILE, nargs=-1, required=True)
