--- a/tests/captures.py
+++ b/tests/captures.py
@@ -44,7 +44,7 @@
     def packets(self) -> list[Packet]:
         return list(read_packets(io.BytesIO(self.out.getvalue())))
 
-    def found(self) -> list[CapturedMessage]:
+    def messages(self) -> list[CapturedMessage]:
         return read(self.out.getvalue())
 
 
@@ -64,9 +64,9 @@
     return out.getvalue()
 
 
-def told(found: Sequence[CapturedMessage]) -> list[tuple[object, ...]]:
+def summarize(captured: Sequence[CapturedMessage]) -> list[tuple[object, ...]]:
     """What matters of messages, in few words."""
     return [
-        (each.message.status or each.message.target, each.message.body, each.message.is_complete)
-        for each in found
+        (item.message.status or item.message.target, item.message.body, item.message.is_complete)
+        for item in captured
     ]
--- a/tests/test_pcap.py
+++ b/tests/test_pcap.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 import pytest
-from captures import CLIENT, MS, SERVER, T0, V6, Made, answer, read, request, told, written
+from captures import CLIENT, MS, SERVER, T0, V6, Made, answer, read, request, summarize, written
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -28,16 +28,16 @@
 
 @pytest.mark.parametrize("ends", [(CLIENT, SERVER), V6])
 def test_what_was_written_is_read_back_to_the_nanosecond(ends: Any) -> None:  # noqa: ANN401
-    found = exchange(ends).found()
-    assert told(found) == [
+    captured = exchange(ends).messages()
+    assert summarize(captured) == [
         ("/a", b"x" * 4000, True),
         (202, b"", True),
         ("/b", b"", True),
         (429, b"later", True),
     ]
-    assert [each.message.first_at_ns - T0 for each in found] == [10 * MS, 30 * MS, 40 * MS, 55_500_000]
-    assert [each.message.request_number for each in found if each.message.status] == [0, 1]
-    shown = as_json(found[0])
+    assert [item.message.first_at_ns - T0 for item in captured] == [10 * MS, 30 * MS, 40 * MS, 55_500_000]
+    assert [item.message.request_number for item in captured if item.message.status] == [0, 1]
+    shown = as_json(captured[0])
     assert (shown["at"], shown["client"]) == (
         "1790000000.133456789",
         f"{'[fd00::7]' if ends == V6 else '10.0.0.7'}:40000",
@@ -96,7 +96,7 @@
 
 def test_simple_packets_have_the_time_of_the_one_before() -> None:
     made = exchange()
-    assert told(read(pcapng(made.packets(), "<", 9, simple=True))) == told(made.found())
+    assert summarize(read(pcapng(made.packets(), "<", 9, simple=True))) == summarize(made.messages())
 
 
 @pytest.mark.parametrize(("magic", "order", "unit"), [(k, *v) for k, v in files.PCAP_MAGIC.items()])
@@ -113,7 +113,7 @@
             )
             + each.data
         )
-    assert told(read(data)) == told(exchange().found())
+    assert summarize(read(data)) == summarize(exchange().messages())
 
 
 @pytest.mark.parametrize("data", [b"", b"\xd4\xc3", b"GET / HTTP/1.1\r\n", b"\xd4\xc3\xb2\xa1\x02\x00"])
@@ -138,18 +138,18 @@
     for _ in range(data.draw(st.integers(0, 8)) if spoilt else 0):
         spoilt[data.draw(st.integers(0, len(spoilt) - 1))] = data.draw(st.integers(0, 255))
     try:
-        found = read(bytes(spoilt))
+        captured = read(bytes(spoilt))
     except MalformedCaptureError:
         return
-    assert all(each.message.last_at_ns >= 0 for each in found)
+    assert all(item.message.last_at_ns >= 0 for item in captured)
 
 
 def test_a_file_that_is_cut_at_any_byte_gives_what_was_whole_before() -> None:
     whole = exchange().out.getvalue()
-    found = told(exchange().found())
+    captured = summarize(exchange().messages())
     for size in range(24, len(whole), 7):
-        some = told(read(whole[:size]))
-        assert [each for each in some if each[2]] == found[: sum(each[2] for each in some)]
+        some = summarize(read(whole[:size]))
+        assert [each for each in some if each[2]] == captured[: sum(each[2] for each in some)]
 
 
 # SegmentDecoder.
@@ -195,7 +195,7 @@
         "raw": segments(six),
     }
     for name, layers in shapes.items():
-        assert told(read(scapy_file(layers, tmp_path / name))) == [("/s", b"y" * 2000, True)], name
+        assert summarize(read(scapy_file(layers, tmp_path / name))) == [("/s", b"y" * 2000, True)], name
 
 
 def test_link_types_that_hold_ip_and_those_that_do_not() -> None:
@@ -233,16 +233,16 @@
 def test_messages_split_at_every_byte_are_the_same() -> None:
     for cut in range(1, len(STREAM)):
         made = Made().says(0, 1, STREAM[:cut]).says(0, 2, STREAM[cut:])
-        found = told(made.says(1, 3, ANSWERS).ends(side=1).found())
-        assert [each[:2] for each in found if isinstance(each[0], str)] == WANTED
-        assert [each[:2] for each in found if not isinstance(each[0], str)] == WANTED_ANSWERS
-        assert all(each[2] for each in found)
+        captured = summarize(made.says(1, 3, ANSWERS).ends(side=1).messages())
+        assert [item[:2] for item in captured if isinstance(item[0], str)] == WANTED
+        assert [item[:2] for item in captured if not isinstance(item[0], str)] == WANTED_ANSWERS
+        assert all(item[2] for item in captured)
 
 
 def test_a_message_has_the_times_of_its_first_and_its_last_byte() -> None:
     data = request("/a", b"abc")
     made = Made().says(0, 1, data[:5]).says(0, 2, data[5:-1]).says(0, 7, data[-1:] + request("/b"))
-    first, second = made.found()
+    first, second = made.messages()
     assert (first.message.first_at_ns - T0, first.message.last_at_ns - T0) == (1 * MS, 7 * MS)
     assert (second.message.first_at_ns - T0, second.message.last_at_ns - T0) == (7 * MS, 7 * MS)
 
@@ -251,7 +251,7 @@
     ask = b"GET /ws HTTP/1.1\r\nHost: x\r\nConnection: upgrade\r\nUpgrade: websocket\r\n\r\n"
     agree = b"HTTP/1.1 101 It\r\nConnection: upgrade\r\nUpgrade: websocket\r\n\r\n"
     made = Made().says(0, 1, ask).says(1, 2, agree + b"\x81\x05hello").says(0, 3, b"\x81\x00")
-    assert told(made.ends().found()) == [("/ws", b"", True), (101, b"", True)]
+    assert summarize(made.ends().messages()) == [("/ws", b"", True), (101, b"", True)]
 
 
 def lose(made: Made, *places: int) -> list[Packet]:
@@ -266,56 +266,56 @@
         .says(0, 500, request("/b"))
         .ends(2000)
     )
-    found = read(written(lose(made, 4)))
-    (first,) = (each.message for each in found if each.message.target == "/a")
+    captured = read(written(lose(made, 4)))
+    (first,) = (item.message for item in captured if item.message.target == "/a")
     assert (first.target, len(first.body), first.is_complete) == ("/a", 5000, False)
     assert first.body.count(b"\0") == 1460 and "1460 bytes" in first.notes[0]
-    assert told(found)[-1] == ("/b", b"", True)
-    assert [each.message.request_number for each in found if each.message.status] == [0]
+    assert summarize(captured)[-1] == ("/b", b"", True)
+    assert [item.message.request_number for item in captured if item.message.status] == [0]
 
 
 def test_a_lost_head_spoils_its_message_alone() -> None:
     made = (
         Made().says(0, 1, request("/a", b"z" * 3000)).says(0, 300, request("/b")).says(0, 900, request("/c"))
     )
-    found = read(written(lose(made.ends(2000), 3)))
-    assert told(found) == [("/b", b"", True), ("/c", b"", True)]
-    assert "bytes are not in the capture" in " ".join(found[0].message.notes)
+    captured = read(written(lose(made.ends(2000), 3)))
+    assert summarize(captured) == [("/b", b"", True), ("/c", b"", True)]
+    assert "bytes are not in the capture" in " ".join(captured[0].message.notes)
 
 
 def test_a_connection_that_is_reset_in_a_message_names_it() -> None:
-    found = Made().says(0, 1, request("/a", b"abc")[:-1]).ends(reset=True).found()
-    assert told(found) == [("/a", b"ab", False)] and "reset" in found[0].message.notes[0]
+    captured = Made().says(0, 1, request("/a", b"abc")[:-1]).ends(reset=True).messages()
+    assert summarize(captured) == [("/a", b"ab", False)] and "reset" in captured[0].message.notes[0]
 
 
 def test_snapped_packets_lack_what_the_capture_left_out() -> None:
     made = Made().says(0, 1, request("/a", b"z" * 300)).says(0, 500, request("/b")).ends(2000)
     snapped = [each._replace(data=each.data[:200]) for each in made.packets()]
-    found = read(written(snapped))
-    assert told(found) == [("/a", found[0].message.body, False), ("/b", b"", True)]
+    captured = read(written(snapped))
+    assert summarize(captured) == [("/a", captured[0].message.body, False), ("/b", b"", True)]
 
 
 def test_one_direction_alone_and_a_capture_that_begins_in_the_middle() -> None:
     made = exchange()
     side = [each for each in made.packets() if each.data[12:16] == bytes([10, 0, 0, 7])][1:]
-    assert told(read(written(side))) == [("/a", b"x" * 4000, True), ("/b", b"", True)]
+    assert summarize(read(written(side))) == [("/a", b"x" * 4000, True), ("/b", b"", True)]
     other = [each for each in made.packets() if each.data[12:16] == bytes([10, 0, 0, 9])]
-    found = read(written(other))
-    assert [each.message.request_number for each in found] == [None, None]
-    assert all("its request is not in the capture" in each.message.notes for each in found)
+    captured = read(written(other))
+    assert [item.message.request_number for item in captured] == [None, None]
+    assert all("its request is not in the capture" in item.message.notes for item in captured)
 
 
 def test_two_captures_of_one_moment_count_once() -> None:
     made = exchange()
-    assert told(read(made.out.getvalue(), made.out.getvalue())) == told(made.found())
+    assert summarize(read(made.out.getvalue(), made.out.getvalue())) == summarize(made.messages())
 
 
 def test_ports_that_are_used_again_are_another_connection() -> None:
     made = Made().says(0, 1, request("/a", b"abc")[:-1])
     ConnectionWriter(made.writer, CLIENT, SERVER, T0 + 5 * MS, 77).write_data(0, T0 + 6 * MS, request("/b"))
-    found = made.found()
-    assert told(found) == [("/a", b"ab", False), ("/b", b"", True)]
-    assert found[0].flow.number != found[1].flow.number
+    captured = made.messages()
+    assert summarize(captured) == [("/a", b"ab", False), ("/b", b"", True)]
+    assert captured[0].flow.number != captured[1].flow.number
 
 
 def test_heads_and_chunks_without_end_are_bounded() -> None:
@@ -326,8 +326,8 @@
         capture = Capture(
             io.BytesIO(Made().says(0, 1, start).says(0, 2, b"0" * 200_000).ends().out.getvalue())
         )
-        found = list(capture.messages())
-        assert all(not each.message.is_complete for each in found)
+        captured = list(capture.messages())
+        assert all(not item.message.is_complete for item in captured)
 
 
 def test_connections_that_stay_open_are_bounded() -> None:
@@ -340,9 +340,9 @@
         connection.write_data(0, T0 + number, request("/a", b"abc")[:-1])
     capture = Capture(io.BytesIO(out.getvalue()))
     capture.flows = FlowTable(open_limit=50)
-    found = list(capture.messages())
-    assert len(found) == count and not capture.pairs and not capture.flows.open
-    assert sum("silent" in each.message.notes[-1] for each in found) == count - 50
+    captured = list(capture.messages())
+    assert len(captured) == count and not capture.pairs and not capture.flows.open
+    assert sum("silent" in item.message.notes[-1] for item in captured) == count - 50
 
 
 def test_a_clock_that_jumps_back_is_a_note() -> None:
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 import pytest
-from captures import MS, T0, Made, answer, read, request, told
+from captures import MS, T0, Made, answer, read, request, summarize
 from faults import turn, until
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -36,12 +36,12 @@
 
 
 def test_the_same_requests_are_the_same_and_how_far_apart() -> None:
-    one, other = made(0, 20, 40).found(), made(5, 25.25, 45).found()
+    one, other = made(0, 20, 40).messages(), made(5, 25.25, 45).messages()
     comparison = compare(one[::2], other[::2])
     assert comparison.is_same() and comparison.requests == (3, 3)
     assert (comparison.max_apart_ns, comparison.max_apart_request) == (250_000, 1)
-    assert not compare(one[::2], made(0, 20).found()[::2]).is_same()
-    other = made(0, 20, 40, **IDS).found()
+    assert not compare(one[::2], made(0, 20).messages()[::2]).is_same()
+    other = made(0, 20, 40, **IDS).messages()
     assert not compare(one[::2], other[::2]).is_same()
     assert compare(one[::2], other[::2], ["x-correlation-id", "idempotency-key"]).is_same()
 
@@ -90,7 +90,7 @@
     """Open loop: three seconds an answer, and no request waits for one."""
     wire = Wire(takes=3.0)
     capture = made(0, 20, 40, 1040, 1040.5)
-    outcome = wire.play(list(plan(capture.found()[::2], speed)))
+    outcome = wire.play(list(plan(capture.messages()[::2], speed)))
     times = [at - 100.0 for at, _ in wire.sent]
     assert times == pytest.approx([each / 1000 / speed for each in (0, 20, 40, 1040, 1040.5)], abs=1e-5)
     assert outcome.responses == {"200": 5} and wire.closed == wire.opened
@@ -102,22 +102,22 @@
 ) -> None:
     monkeypatch.setattr(module, "CONNECTIONS_LIMIT", 2)
     wire = Wire(takes=0.001)
-    wire.play(list(plan(made(0, 20, 40).found()[::2])))
+    wire.play(list(plan(made(0, 20, 40).messages()[::2])))
     assert wire.opened == 1
     wire = Wire(takes=9.0)
-    outcome = wire.play(list(plan(made(0, 20, 40).found()[::2])))
+    outcome = wire.play(list(plan(made(0, 20, 40).messages()[::2])))
     assert (outcome.sent, outcome.not_sent) == (2, 1)
 
 
 def test_a_clock_that_went_back_sends_with_the_one_before_and_the_spoilt_are_left_out() -> None:
-    messages = made(0, 20, 40).found()[::2]
+    messages = made(0, 20, 40).messages()[::2]
     messages[1].message.first_at_ns = T0 - 60_000 * MS
     messages[0].message.is_complete = False
     assert [planned.due_s for planned in plan(messages)] == [0.0, pytest.approx(60.04)]
 
 
 def test_new_ids_are_the_same_for_the_same_and_for_one_seed() -> None:
-    messages = [*made(0, 20, **IDS).found()[::2]]
+    messages = [*made(0, 20, **IDS).messages()[::2]]
     first, second = (each.data for each in plan(messages, id_replacer=IdReplacer(3)))
     ids = [re.findall(rb"X-Correlation-Id: (\S+)", each)[0] for each in (first, second)]
     assert ids[0] == ids[1] != b"a1" and b"k1" not in first
@@ -156,7 +156,7 @@
     writer.close()
     kept = writer.list_files()
     assert len(kept) == 3 and all(each.stat().st_size < 3000 for each in kept)
-    seen = [each[0] for path in kept for each in told(read(path.read_bytes()))]
+    seen = [each[0] for path in kept for each in summarize(read(path.read_bytes()))]
     assert seen and seen == [f"/{each}" for each in range(40 - len(seen), 40)]  # each file can be read alone
     assert CaptureWriter(tmp_path, 2000, 3).number == writer.number + 1
 
@@ -240,18 +240,21 @@
         writer.close()
     tap.close()
     found = read((state / "c" / "capture-1.pcap").read_bytes())
-    assert sorted(each[0] for each in told(found) if isinstance(each[0], str)) == [
+    assert sorted(each[0] for each in summarize(found) if isinstance(each[0], str)) == [
         "/c",
         "/c",
         "/hook",
         "/hook",
     ]
-    assert sorted(each[0] for each in told(found) if isinstance(each[0], int)) == [200, 200, 202, 202]
+    assert sorted(each[0] for each in summarize(found) if isinstance(each[0], int)) == [200, 200, 202, 202]
     secrets = {
-        value for each in found for name, value in each.message.headers if name.lower() == "idempotency-key"
+        value
+        for captured in found
+        for name, value in captured.message.headers
+        if name.lower() == "idempotency-key"
     }
     assert len(secrets) == 1 and set(secrets.pop()) == {"x"}
-    assert all(each.message.is_complete for each in found)
+    assert all(captured.message.is_complete for captured in found)
 
 
 def test_the_commands_of_a_capture_for_the_demonstration(tmp_path: Path) -> None:
