--- a/message_sender/emulator/fleet.py
+++ b/message_sender/emulator/fleet.py
@@ -8,7 +8,6 @@
 """
 
 import asyncio
-import json
 import logging
 import tempfile
 import warnings
@@ -27,7 +26,9 @@
 from message_sender.emulator.isolation import sealed
 from message_sender.emulator.loop import VirtualLoop
 from message_sender.emulator.scenario import Incident, Scenario
-from message_sender.emulator.simulated_run import SECOND, ProcessKilled, told
+from message_sender.emulator.simulated_run import ProcessKilled
+from message_sender.emulator.trace import encode_trace
+from message_sender.emulator.wall_clock import SECOND_US
 from message_sender.message import Message
 from message_sender.policy.dispatcher import Dispatcher
 from message_sender.policy.model import Endpoint
@@ -119,7 +120,7 @@
         # Needed by few scenarios, and imports the daemon's budget service.
         from message_sender.emulator.shared_links import LinkHub
 
-        window_us = int(fleet.budget_span_s * SECOND)
+        window_us = int(fleet.budget_span_s * SECOND_US)
         return LinkHub(self.time, self.call_later, fleet.senders, window_us, fleet.link_loss, self.seed)
 
     def build_sender(self, number: int, folder: Path) -> SimulatedSender:
@@ -149,7 +150,7 @@
         sender = attempt.sender
         if sender.is_alive and sender.incarnation == incarnation and not attempt.has_left:
             # The sender compares the deadline with its own wall clock.
-            deadline_us = message.deadline_us + round(sender.wall_offset_s * SECOND)
+            deadline_us = message.deadline_us + round(sender.wall_offset_s * SECOND_US)
             sender.engine.take(replace(message, deadline_us=deadline_us), attempt)
 
     def send_endpoint_list(self, sender: SimulatedSender) -> None:
@@ -263,7 +264,7 @@
         figures.falls = sum(len(each.falls) for each in self.topology.receivers.values())
         checker = FleetChecker(self.scenario, self.topology, self.recorder.failures)
         violations = checker.find_violations(events)
-        trace = [json.dumps(told(each), sort_keys=True) for each in events] if self.is_traced else []
+        trace = encode_trace(events) if self.is_traced else []
         return Outcomes(figures, violations, trace, self._find_incomplete_messages())
 
     def _find_incomplete_messages(self) -> list[str]:
--- a/message_sender/emulator/fleet_clients.py
+++ b/message_sender/emulator/fleet_clients.py
@@ -11,7 +11,7 @@
 from message_sender.emulator.fleet_topology import Topology
 from message_sender.emulator.loop import VirtualLoop
 from message_sender.emulator.scenario import Scenario
-from message_sender.emulator.simulated_run import EPOCH, SECOND
+from message_sender.emulator.wall_clock import EPOCH_US, SECOND_US
 from message_sender.message import Message
 from message_sender.testbed import history as seen
 from message_sender.testbed.history import History
@@ -73,7 +73,7 @@
             self.name,
             message.message_class,
             message.destination,
-            EPOCH + int((message.at + kind.deadline_s) * SECOND),
+            EPOCH_US + int((message.at + kind.deadline_s) * SECOND_US),
             message.tenant,
             message.key,
             f"m{message.number}",
@@ -125,7 +125,7 @@
         self.is_answered = True
         self.simulation.recorder.answered.add(self.message.number)
         if not is_accepted:
-            self.simulation.clients.retry(self.message, self.number, retry_after_us / SECOND)
+            self.simulation.clients.retry(self.message, self.number, retry_after_us / SECOND_US)
 
     def lose_patience(self) -> None:
         """The client stops waiting.
--- a/message_sender/emulator/fleet_recorder.py
+++ b/message_sender/emulator/fleet_recorder.py
@@ -9,7 +9,7 @@
 from message_sender.emulator.figures import Figures
 from message_sender.emulator.fleet_checks import ObservedFailure, destination_of
 from message_sender.emulator.scenario import Scenario
-from message_sender.emulator.simulated_run import SECOND
+from message_sender.emulator.wall_clock import SECOND_US
 from message_sender.policy.model import Outcome
 from message_sender.testbed import history as seen
 from message_sender.testbed.history import EffectApplied, History
@@ -104,7 +104,7 @@
         self.figures.delivered += 1
         self.figures.earned += weight
         self.figures.tenants[message.tenant][1] += weight
-        self.figures.latency.record_value(max(int(latency_s * SECOND), 1))
+        self.figures.latency.record_value(max(int(latency_s * SECOND_US), 1))
         second = self.figures.second(message.at)
         second.good += latency_s <= kind.aim_s
         second.late += latency_s > kind.aim_s
--- a/message_sender/emulator/fleet_sender.py
+++ b/message_sender/emulator/fleet_sender.py
@@ -13,9 +13,10 @@
 from message_sender.emulator.arrivals import ClientMessage
 from message_sender.emulator.fleet_recorder import FleetRecorder
 from message_sender.emulator.fleet_topology import Topology
-from message_sender.emulator.receiver import Fate
+from message_sender.emulator.receiver import EFFECT_BY_OUTCOME, Fate
 from message_sender.emulator.scenario import Scenario
-from message_sender.emulator.simulated_run import EPOCH, RAN, SECOND, ProcessKilled
+from message_sender.emulator.simulated_run import ProcessKilled
+from message_sender.emulator.wall_clock import EPOCH_US, SECOND_US
 from message_sender.message import Message
 from message_sender.policy.model import EndpointState, Outcome, Settings
 from message_sender.testbed import history as seen
@@ -120,7 +121,7 @@
         call = simulation.history.began(message.id, endpoint, sender.name)
         if not await self._wait_for_answer(fate, client_message, call, deadline, return_s):
             return AttemptResult(Outcome.TIMEOUT)
-        retry_after_us = int(fate.wait * SECOND)
+        retry_after_us = int(fate.wait * SECOND_US)
         if retry_after_us:
             sender.engine.retry_after_received(endpoint, retry_after_us)
         is_final = fate.outcome is Outcome.OK
@@ -130,7 +131,7 @@
         """Waits as long as the connection attempt to an endpoint that does not accept it takes."""
         if fate.after is not None:
             return
-        connect_timeout_s = self.sender.engine.settings.connect_timeout / SECOND
+        connect_timeout_s = self.sender.engine.settings.connect_timeout / SECOND_US
         time_left_s = deadline - asyncio.get_running_loop().time()
         await asyncio.sleep(max(min(connect_timeout_s, time_left_s), 0.0))
 
@@ -142,7 +143,7 @@
         try:
             async with asyncio.timeout_at(deadline):
                 await asyncio.sleep(UNLIMITED_S if fate.after is None else fate.after)
-                recorder.call_finished(fate.ran, message, call, RAN[fate.outcome], fate.wait)
+                recorder.call_finished(fate.ran, message, call, EFFECT_BY_OUTCOME[fate.outcome], fate.wait)
                 await asyncio.sleep(return_s)
         except (TimeoutError, asyncio.CancelledError) as error:
             # The receiver may go on with a call that its sender has abandoned.
@@ -228,7 +229,7 @@
 
     def read_clock_us(self) -> int:
         """Returns its wall clock in microseconds; it runs evenly from each start."""
-        return EPOCH + round((self.simulation.time() + self.wall_offset_s) * SECOND)
+        return EPOCH_US + round((self.simulation.time() + self.wall_offset_s) * SECOND_US)
 
     def start(self) -> None:
         """Starts a process on the state folder."""
--- a/message_sender/emulator/power.py
+++ b/message_sender/emulator/power.py
@@ -9,7 +9,8 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from message_sender.emulator.simulated_run import Outcomes, ProcessKilled, RunSpec, SimulatedRun, quietly
+from message_sender.emulator.run_plan import RunSpec
+from message_sender.emulator.simulated_run import Outcomes, ProcessKilled, SimulatedRun, quietly
 from message_sender.journal.durable import DurableJournal
 from message_sender.journal.process_journal import Journal
 from message_sender.testbed.simulated_disk import MemoryDisk, SimulatedDisk
@@ -46,22 +47,24 @@
             if not self.next:
                 raise ProcessKilled
 
-    def open_journal(self, folder: Path, limit: int) -> Journal:
+    def open_journal(self, folder: Path, limit_bytes: int) -> Journal:
         disk = MemoryDisk(self.platter, self.before)
         disk.takes = lambda: self.power.choice((0.0005, 0.002, 0.02))
-        return self.cuts.journal(folder, limit, self.cuts.gather, disk, f"boot {self.spans}", self.clock)
+        return self.cuts.journal(
+            folder, limit_bytes, self.cuts.gather, disk, f"boot {self.kill_count}", self.read_clock_us
+        )
 
-    def lived(self) -> bool:
-        if super().lived():
+    def run_process(self) -> bool:
+        if super().run_process():
             return True
         self.left -= 1
         self.platter = SimulatedDisk(self.platter.cut(self.power))
         self.draw_next()
         return False
 
-    def bury(self) -> None:
+    def terminate(self) -> None:
         if hasattr(self, "engine"):  # a cut in the very first start leaves none
-            super().bury()
+            super().terminate()
 
 
 def live(seed: int, cuts: Cuts | None = None, spec: RunSpec = SMALL) -> Outcomes:
--- a/message_sender/emulator/receiver.py
+++ b/message_sender/emulator/receiver.py
@@ -23,10 +23,20 @@
 from statistics import NormalDist
 
 from message_sender.policy.model import Outcome
+from message_sender.testbed.history import EffectApplied
 
 NEVER = math.inf
 NORMAL = NormalDist()
 
+#: What a receiver knows of the execution of a call, by its outcome.
+EFFECT_BY_OUTCOME = {
+    Outcome.OK: EffectApplied.YES,
+    Outcome.ERROR: EffectApplied.YES,
+    Outcome.MALFORMED: EffectApplied.YES,
+    Outcome.RESET: EffectApplied.MAYBE,
+    Outcome.FULL: EffectApplied.NEVER,
+}
+
 
 class Spread(Enum):
     """How the times of service are distributed round their mean."""
--- a/message_sender/emulator/search.py
+++ b/message_sender/emulator/search.py
@@ -97,7 +97,7 @@
     case = shrink(seed, found.breaches[0].rule)
     left = case.live()
     case.write(file, left)
-    print(f"seed {seed}, rule {case.rule!r}: {len(left.happenings)} happenings left, in {file}")
-    for line in told(left.happenings):
+    print(f"seed {seed}, rule {case.rule!r}: {len(left.scheduled)} happenings left, in {file}")
+    for line in told(left.scheduled):
         print(f"  {line}")
     return 1
--- a/message_sender/emulator/shrink.py
+++ b/message_sender/emulator/shrink.py
@@ -11,7 +11,8 @@
 from pathlib import Path
 from typing import Any
 
-from message_sender.emulator.simulated_run import Outcomes, ScheduledFault, live
+from message_sender.emulator.run_plan import ScheduledEvent
+from message_sender.emulator.simulated_run import Outcomes, live
 
 
 @dataclass(frozen=True)
@@ -25,7 +26,7 @@
 
     def write(self, file: Path, outcomes: Outcomes) -> None:
         """`outcomes` are those of its life. Raises OSError."""
-        left = [f"{each.at:.3f} s: {each.text}" for each in outcomes.happenings]
+        left = [f"{each.at:.3f} s: {each.text}" for each in outcomes.scheduled]
         told = {"seed": self.seed, "rule": self.rule, "without": sorted(self.without), "left": left}
         file.write_text(json.dumps(told, indent=1) + "\n")
 
@@ -54,7 +55,7 @@
     whole = live(seed)
     if not any(each.rule == rule for each in whole.breaches):
         raise ValueError(f"the life of seed {seed} does not break the rule {rule!r}")
-    left = [each.number for each in whole.happenings]
+    left = [each.number for each in whole.scheduled]
     without: frozenset[int] = frozenset()
     size = max(len(left) // 2, 1)
     while True:
@@ -74,5 +75,5 @@
     return [frozenset(numbers[at : at + size]) for at in reversed(range(0, len(numbers), size))]
 
 
-def told(happenings: list[ScheduledFault]) -> list[str]:
+def told(happenings: list[ScheduledEvent]) -> list[str]:
     return [f"{each.at:8.3f} s  {each.text}" for each in sorted(happenings, key=lambda each: each.at)]
--- a/message_sender/emulator/wire.py
+++ b/message_sender/emulator/wire.py
@@ -24,7 +24,7 @@
 from message_sender.emulator.net import REFUSED, SILENT, Net
 from message_sender.emulator.receiver import Trouble
 from message_sender.emulator.scenario import Incident, Scenario
-from message_sender.emulator.simulated_run import EPOCH, SECOND
+from message_sender.emulator.wall_clock import EPOCH_US, SECOND_US
 from message_sender.emulator.wire_destinations import DestinationServers
 from message_sender.emulator.wire_sender import HTTP_PORT, WireSender
 from message_sender.message import Message
@@ -133,7 +133,7 @@
 
     def note_accepted(self, message: Message, sender: SimulatedSender) -> None:
         """Notes in the history that a sender has accepted a message."""
-        deadline_s = (message.deadline_us - EPOCH) / SECOND - sender.wall_offset_s
+        deadline_s = (message.deadline_us - EPOCH_US) / SECOND_US - sender.wall_offset_s
         self.history.note(
             seen.MessageAdmitted(
                 self.time(),
@@ -166,7 +166,7 @@
             raise AssertionError(f"{attempt.name}: an answer of {status}")
         if not is_accepted:
             self.history.note(seen.MessageRejected(self.time(), attempt.name))
-        retry_after_us = int(float(response_fields.get("retry-after", 0)) * SECOND)
+        retry_after_us = int(float(response_fields.get("retry-after", 0)) * SECOND_US)
         attempt.receive_answer(is_accepted, retry_after_us)
         self.idle_clients[sender_name].append((self.time(), client))
 
--- a/message_sender/emulator/wire_destinations.py
+++ b/message_sender/emulator/wire_destinations.py
@@ -7,8 +7,7 @@
 from message_sender.emulator.fleet_recorder import FleetRecorder
 from message_sender.emulator.fleet_topology import Topology
 from message_sender.emulator.net import HOST
-from message_sender.emulator.receiver import Fate
-from message_sender.emulator.simulated_run import RAN
+from message_sender.emulator.receiver import EFFECT_BY_OUTCOME, Fate
 from message_sender.emulator.wire_sender import HTTP_PORT
 from message_sender.policy.model import Outcome
 from message_sender.testbed.history import EffectApplied
@@ -99,7 +98,7 @@
             self.abandon_call(message_id, name)
             return False
         is_known = fate.connected and not is_abandoned
-        effect = RAN[fate.outcome] if is_known else EffectApplied.MAYBE
+        effect = EFFECT_BY_OUTCOME[fate.outcome] if is_known else EffectApplied.MAYBE
         recorder.call_finished(fate.ran, message, call, effect, 0.0 if is_abandoned else fate.wait)
         if is_abandoned or not fate.connected:
             return False
--- a/tests/conformance/sides.py
+++ b/tests/conformance/sides.py
@@ -13,7 +13,7 @@
 
 from message_sender.configuration import general
 from message_sender.core.ports import Completion
-from message_sender.emulator.simulated_run import kinds
+from message_sender.emulator.run_plan import build_class_rules
 from message_sender.grpc import Channel, open_channel
 from message_sender.service.standalone import CompletionWriter, StandaloneSender
 from message_sender.testbed.grpc import GrpcEndpoint
@@ -40,7 +40,7 @@
     "ordered": {"effect": "keyed", "window_ms": WINDOW * 1000, "in_order": True},
     "ordered-unsafe": {"effect": "unsafe", "in_order": True},
 }
-KINDS = kinds(WINDOW)
+KINDS = build_class_rules(WINDOW)
 #: Two destinations: 1 has endpoints in two zones, 2 has one endpoint.
 ENDPOINTS = {"a": (1, "x"), "b": (1, "y"), "c": (2, "x")}
 
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -252,8 +252,8 @@
     case = shrink.Case.read(file)
     left = case.live()
     assert case.rule == "order" and {each.rule for each in left.breaches} == {"order"}
-    assert 2 <= len(left.happenings) < 20 and "happenings left" in capsys.readouterr().out
-    for each in left.happenings:  # none can be spared
+    assert 2 <= len(left.scheduled) < 20 and "happenings left" in capsys.readouterr().out
+    for each in left.scheduled:  # none can be spared
         assert not shrink.breaks(case.seed, case.rule, case.without | {each.number})
     assert main(["emulate", "replay", "--case", str(file), str(trace)]) == 1
     assert trace.read_text().splitlines() == left.trace
