--- a/message_sender/emulator/fleet_sender.py
+++ b/message_sender/emulator/fleet_sender.py
@@ -13,6 +13,11 @@
 from message_sender.emulator.arrivals import ClientMessage
 from message_sender.emulator.fleet_recorder import FleetRecorder
 from message_sender.emulator.fleet_topology import Topology
+from message_sender.emulator.port_models import (
+    ACKNOWLEDGEMENT_DELAY_S,
+    ConnectionlessTransport,
+    PassiveListener,
+)
 from message_sender.emulator.receiver import EFFECT_BY_OUTCOME, Fate
 from message_sender.emulator.scenario import Scenario
 from message_sender.emulator.simulated_run import ProcessKilled
@@ -25,7 +30,6 @@
 if TYPE_CHECKING:
     from message_sender.emulator.shared_links import LinkHub
 
-ACKNOWLEDGEMENT_DELAY_S = 0.004
 UNLIMITED_S = 1e9
 SEEDS_PER_FLEET = 64  # distance between the engine seeds of two runs
 DEFAULT_DOWNTIME_S = 1.0
@@ -67,11 +71,9 @@
         self.sender = sender
 
 
-class ModelTransport:
+class ModelTransport(ConnectionlessTransport):
     """Calls to modelled destinations."""
 
-    reads_late = False
-
     def __init__(self, sender: "SimulatedSender") -> None:
         """Makes calls on behalf of `sender`."""
         self.sender = sender
@@ -154,23 +156,8 @@
             raise
         return True
 
-    def poll_unread(self) -> None:
-        """Does nothing: every answer is read as soon as it arrives."""
-
-    def close_idle(self, endpoint: str) -> None:
-        """Does nothing: the model keeps no connections."""
-
-    def close_expired(self) -> None:
-        """Does nothing: the model keeps no connections."""
-
-    def endpoints_changed(self) -> None:
-        """Does nothing: the model looks endpoints up at each call."""
 
-    def close(self) -> None:
-        """Does nothing: the model has no resources."""
-
-
-class ModelCompletionListener:
+class ModelCompletionListener(PassiveListener):
     """Records completions and acknowledges them after a short delay."""
 
     def __init__(self, sender: "SimulatedSender") -> None:
@@ -188,10 +175,6 @@
         )
         return True
 
-    async def run(self) -> None:
-        """Waits until it is cancelled."""
-        await asyncio.get_running_loop().create_future()
-
 
 class SimulatedSender:
     """One sender over all its incarnations, which share its state folder.
--- a/message_sender/emulator/run_models.py
+++ b/message_sender/emulator/run_models.py
@@ -8,6 +8,11 @@
 from message_sender.core.engine import Engine
 from message_sender.core.ports import AttemptResult, Completion, CompletionState, Rejected
 from message_sender.emulator.loop import VirtualLoop
+from message_sender.emulator.port_models import (
+    ACKNOWLEDGEMENT_DELAY_S,
+    ConnectionlessTransport,
+    PassiveListener,
+)
 from message_sender.emulator.receiver import EFFECT_BY_OUTCOME
 from message_sender.emulator.wall_clock import EPOCH_US, SECOND_US
 from message_sender.message import Message
@@ -19,7 +24,6 @@
 ONE_WAY_DELAY_S = (0.001, 0.02)
 SLOW_PROBABILITY = 0.15  # of connections and answers; a drain or a Retry-After may overtake them
 MAX_EXTRA_DELAY_S = 0.4
-ACKNOWLEDGEMENT_DELAY_S = 0.004
 UNANSWERED_S = 60.0
 SLOW_FACTOR = 12
 ERROR_OUTCOMES = (Outcome.ERROR, Outcome.RESET, Outcome.MALFORMED, Outcome.OK)
@@ -88,11 +92,9 @@
         self.run.message_completed(self.message.id, completion)
 
 
-class RunTransport:
+class RunTransport(ConnectionlessTransport):
     """Calls to modelled endpoints: a delay, the destination's behavior, a delay back."""
 
-    reads_late = False
-
     def __init__(self, run: RunEnvironment) -> None:
         """Makes the calls of the run's engine."""
         self.run = run
@@ -167,23 +169,8 @@
             case _:
                 return duration_s, Outcome.OK, 0.0
 
-    def poll_unread(self) -> None:
-        """Does nothing: every answer is read as soon as it arrives."""
-
-    def close_idle(self, endpoint: str) -> None:
-        """Does nothing: the model keeps no connections."""
-
-    def close_expired(self) -> None:
-        """Does nothing: the model keeps no connections."""
-
-    def endpoints_changed(self) -> None:
-        """Does nothing: the model looks endpoints up at each call."""
 
-    def close(self) -> None:
-        """Does nothing: the model has no resources."""
-
-
-class RunCompletionListener:
+class RunCompletionListener(PassiveListener):
     """Records completions that no caller waits for, and acknowledges them after a short delay."""
 
     def __init__(self, run: RunEnvironment) -> None:
@@ -198,7 +185,3 @@
             return False
         run.loop.call_later(ACKNOWLEDGEMENT_DELAY_S, run.engine.completion_acknowledged, message)
         return True
-
-    async def run(self) -> None:
-        """Waits until it is cancelled."""
-        await asyncio.get_running_loop().create_future()
