--- a/message_sender/http/client.py
+++ b/message_sender/http/client.py
@@ -284,11 +284,12 @@
     def return_to_pool(self, endpoint: str, connection: ClientConnection) -> bool:
         """Returns a connection to the pool; False: it is too old, or the endpoint has moved."""
         now = asyncio.get_running_loop().time()
-        is_retired = now - connection.opened_at >= self.max_age_s(endpoint)
+        max_age_s = self.max_age_s(endpoint)
+        is_retired = now - connection.opened_at >= max_age_s
         if is_retired or self.dials().get(endpoint) != connection.address:
             return False
         connection.idle_since = now
-        connection.retires_at = connection.opened_at + self.max_age_s(endpoint)
+        connection.retires_at = connection.opened_at + max_age_s
         self.pool.setdefault(endpoint, []).append(connection)
         self.idle[connection] = endpoint
         return True
