--- a/message_sender/recovery/coordinator.py
+++ b/message_sender/recovery/coordinator.py
@@ -1,7 +1,7 @@
-"""Joins one sender's engine to the stages and to the fleet's link.
+"""Connects one sender's engine to the recovery stages and to the fleet's link.
 
-What the engine observes is announced, and what the fleet permits binds the engine (pacing.py). `may_call` is
-asked once more at the last moment before a first byte.
+Observations of the engine are announced to the fleet, and the permissions of the stages are applied to the
+engine (pacing.py). `may_call` is checked once more immediately before the first byte of a call.
 """
 
 import logging
@@ -20,36 +20,36 @@
 from message_sender.recovery.stage_model import Stage, StageAnnouncement
 from message_sender.recovery.stages import Stages, announcement_interval_s
 
-PERMISSION_INTERVAL_S = 0.1  # between two updates of what may go
-ADOPTION_WINDOW_S = 30.0  # from a start, in which what others keep out of service is still adopted
-QUIET_ANNOUNCEMENT_INTERVAL_S = 2.0  # of a member that is open and has nothing new to announce
+PERMISSION_INTERVAL_S = 0.1  # between two updates of the permissions
+ADOPTION_WINDOW_S = 30.0  # after a start, in which endpoints that others keep out of service are adopted
+STEADY_ANNOUNCEMENT_INTERVAL_S = 2.0  # of a member in the stage open that has observed no destination down
 US_PER_S = 1e6
 
 log = logging.getLogger(__name__)
 
 
 def ignore_stage(stage: Stage) -> None:
-    """Does nothing with a new stage."""
+    """The listener that ignores a new stage."""
 
 
 class Coordinator:
-    """Recovery of one sender.
+    """The recovery of one sender.
 
     Attributes:
         node: The link to the fleet.
-        engine: The engine.
-        clock: s.
-        stages: The stages of this member.
-        inquiry: Its questions about ids.
-        pacer: Turns permissions into states of breakers.
-        class_ranks: Classes by their priority weight, the highest 0.
+        engine: The sender's engine.
+        clock: Returns the time in seconds.
+        stages: The recovery stages of this member.
+        inquiry: This member's questions about ids of owed messages.
+        pacer: Translates permissions into states of breakers.
+        class_ranks: The ranks of the classes by priority weight, 0 for the highest, by class name.
         on_stage_changed: Called with each new stage.
     """
 
     def __init__(
         self, node: FleetNode, engine: EnginePort, settings: Settings, clock: Callable[[], float]
     ) -> None:
-        """Begins to inquire; announcements, questions and answers of the link come here from now on."""
+        """Begins the inquiry, and registers for announcements, questions and answers of the link."""
         now = clock()
         self.node = node
         self.engine = engine
@@ -65,10 +65,10 @@
         node.on_query = self._answer_question
         node.on_query_reply = self.id_answer_received
 
-    # The link's side.
+    # Calls from the link.
 
     def announcement_received(self, name: str, announcement: Announcement) -> None:
-        """Another member announces itself."""
+        """Handles another member's announcement; a malformed one is logged and ignored."""
         received = decode_announcement(announcement.text)
         if received is None:
             log.warning("stage announcement malformed: member=%s", name)
@@ -83,7 +83,7 @@
         return answer_question(question, self.engine.id_state)
 
     def id_answer_received(self, name: str, piece: int, content: bytes) -> None:
-        """An answer about ids. What comes after the inquiry is too late: calls may be in flight."""
+        """Handles an answer about ids; after the inquiry it is ignored, because calls may be in flight."""
         if self.stages.stage > Stage.INQUIRING:
             return
         for message_id, state in self.inquiry.receive_answer(name, piece, content).items():
@@ -96,29 +96,29 @@
             self.engine.mark_doubtful(message_id)
 
     def adopt_out_of_service(self, name: str, announcement: StageAnnouncement) -> None:
-        """Takes out of service what another member keeps so: this one's disk may have lost the reason."""
+        """Adopts what another member keeps out of service: this member's disk may have lost the record."""
         own = self.engine.out_of_service()
         for endpoint, duration_s in announcement.out_of_service_s.items():
             if endpoint not in own:
                 self.engine.take_out_of_service(endpoint, duration_s, name)
 
     def send_inquiries(self, now: float) -> None:
-        """Asks the other members about ids that are owed here."""
+        """Sends the other members the questions that are due about ids of messages that are owed here."""
         others = self.node.others()
         for member, piece, content in self.inquiry.due_questions(others, now):
             self.node.send_query(piece, [member], content)
         self.stages.unanswered_questions = self.inquiry.count_unanswered(others)
 
     def step(self, now: float) -> None:
-        """Does what is due; called several times a second."""
+        """Inquires, enters due stages, applies permissions and announces; called several times a second."""
         if self.stages.stage <= Stage.INQUIRING:
             self.send_inquiries(now)
         if now < self._next_permissions_at:
             return
         self._next_permissions_at = now + PERMISSION_INTERVAL_S
         others = self.node.members.others.values()
-        gone = {member.name for member in others if member.state >= MemberState.DEAD}
-        self.stages.remove_members(gone & self.stages.announcements.keys())
+        removed = {member.name for member in others if member.state >= MemberState.DEAD}
+        self.stages.remove_members(removed & self.stages.announcements.keys())
         self._update_stages(now)
         self.apply_permissions(now)
         self.announce(now)
@@ -137,22 +137,22 @@
             self.stages.update(self.stages.owed_counts, now)
 
     def announce(self, now: float, at_once: bool = False) -> None:
-        """Announces this member, if that is due."""
+        """Announces this member if that is due, or in any case with `at_once`."""
         if not at_once and now < self._next_announcement_at:
             return
         interval_s = announcement_interval_s(len(self.stages.announcements))
         is_all_up = all(evidence.is_up for evidence, _ in self.stages.own_evidence.values())
         if self.stages.stage is Stage.OPEN and is_all_up:
-            interval_s = QUIET_ANNOUNCEMENT_INTERVAL_S
+            interval_s = STEADY_ANNOUNCEMENT_INTERVAL_S
         self._next_announcement_at = now + interval_s
         out_of_service_s = self.engine.out_of_service()
         announcement = replace(self.stages.announcement(now), out_of_service_s=out_of_service_s)
         self.node.publish(encode_announcement(announcement), now)
 
-    # The engine's side.
+    # Calls from the engine.
 
     def apply_permissions(self, now: float) -> None:
-        """Gives the policy what binds it, for all destinations that are owed something."""
+        """Passes the permissions for all destinations with owed messages to the policy."""
         if self.stages.stage <= Stage.INQUIRING:
             return
         states = [state for each in self.stages.owed_counts for state in self.pacer.breaker_states(each, now)]
@@ -160,18 +160,18 @@
             self.engine.inherit_state(InheritedState(breakers=tuple(states)))
 
     def message_admitted(self, destination: int) -> None:
-        """A message for a destination is accepted: what binds there has to bind before it can go."""
+        """Applies the destination's permissions before an accepted message can be sent to it."""
         if destination not in self.stages.owed_counts:
             self.stages.owed_counts[destination] = 1
             if states := tuple(self.pacer.breaker_states(destination, self.clock())):
                 self.engine.inherit_state(InheritedState(breakers=states))
 
     def may_call(self, destination: int) -> bool:
-        """Whether a call may go; asked as its first byte goes."""
+        """Whether a call is allowed; checked immediately before its first byte is sent."""
         return self.stages.permission(destination, self.clock()).may_call
 
     def call_started(self, destination: int) -> None:
-        """A call goes out."""
+        """Records and announces a trial if the call that starts is one."""
         now = self.clock()
         is_trial = self.stages.permission(destination, now).is_trial
         if is_trial and destination not in self.stages.own_trials:
@@ -179,7 +179,7 @@
             self.announce(self.clock(), at_once=True)
 
     def call_finished(self, destination: int, outcome: Outcome) -> None:
-        """A call came to its end."""
+        """Records what a call's outcome shows of the destination, and announces a change at once."""
         was_trial = destination in self.stages.own_trials
         if outcome in (Outcome.OK, Outcome.FULL):
             is_up = True
@@ -198,17 +198,17 @@
             self.announce(self.clock(), at_once=True)
 
     def retry_after_received(self, destination: int, retry_after_us: int) -> None:
-        """An answer of the destination has a Retry-After."""
+        """Records and announces the Retry-After, in microseconds, of a response of the destination."""
         self.stages.record_retry_after(destination, retry_after_us / US_PER_S, self.clock())
         self.announce(self.clock(), at_once=True)
 
     def admission_delay_us(self, destination: int, message_class: str) -> int:
-        """Returns after how many us a new message may come again; 0: it is accepted."""
+        """Returns after how many microseconds a client may retry a new message; 0: it is admitted now."""
         rank = self.class_ranks.get(message_class, 0)
         return int(self.stages.admission_delay_s(destination, rank, self.clock()) * US_PER_S)
 
 
 def rank_classes(settings: Settings) -> dict[str, int]:
-    """Returns the rank of each class by its priority weight, the highest 0."""
+    """Returns the rank of each class by its priority weight, 0 for the highest, by class name."""
     weights = sorted({each.priority_weight for each in settings.classes}, reverse=True)
     return {each.name: weights.index(each.priority_weight) for each in settings.classes}
--- a/message_sender/recovery/datagram.py
+++ b/message_sender/recovery/datagram.py
@@ -1,4 +1,4 @@
-"""Announcements of the recovery stages as datagrams (MessagePack). Pure."""
+"""Encodes and decodes stage announcements as datagrams (MessagePack). Pure."""
 
 import math
 
@@ -6,11 +6,11 @@
 
 from message_sender.recovery.stage_model import DestinationEvidence, Stage, StageAnnouncement
 
-DECIMALS = 3  # of times in s
+DECIMALS = 3  # of durations in seconds
 
 
 class StageDatagram(msgspec.Struct, array_like=True):
-    """A `StageAnnouncement` on the wire, as an array: the order of the fields counts, not their names."""
+    """A `StageAnnouncement` on the wire, as an array: the order of the fields matters, not their names."""
 
     stage: int
     owed_counts: dict[int, int]
@@ -20,7 +20,7 @@
 
 
 def encode_announcement(announcement: StageAnnouncement) -> bytes:
-    """Returns the datagram's content, with times in ms."""
+    """Returns the content of the datagram, with durations in seconds."""
     evidence = {
         number: (
             each.is_up,
@@ -42,10 +42,10 @@
 
 
 def decode_announcement(content: bytes) -> StageAnnouncement | None:
-    """Reads a datagram; None for one that is malformed or has a time that none can be."""
+    """Decodes a datagram; None: it is malformed, or has a duration that is negative or not finite."""
     try:
         datagram = msgspec.msgpack.decode(content, type=StageDatagram)
-        if not all(math.isfinite(time_s) and time_s >= 0 for time_s in _times(datagram)):
+        if not all(math.isfinite(duration_s) and duration_s >= 0 for duration_s in _durations_s(datagram)):
             return None
         return StageAnnouncement(
             Stage(datagram.stage),
@@ -58,8 +58,8 @@
         return None
 
 
-def _times(datagram: StageDatagram) -> list[float]:
-    times_s = [*datagram.trial_ages_s.values(), *datagram.out_of_service_s.values()]
+def _durations_s(datagram: StageDatagram) -> list[float]:
+    durations_s = [*datagram.trial_ages_s.values(), *datagram.out_of_service_s.values()]
     for _, age_s, state_age_s, _, retry_after_s in datagram.evidence.values():
-        times_s += [age_s, state_age_s, retry_after_s]
-    return times_s
+        durations_s += [age_s, state_age_s, retry_after_s]
+    return durations_s
--- a/message_sender/recovery/engine_port.py
+++ b/message_sender/recovery/engine_port.py
@@ -1,4 +1,4 @@
-"""What recovery needs of the engine."""
+"""The interface that recovery requires of the engine."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -12,9 +12,10 @@
     """The rate that a destination announces for a route.
 
     Attributes:
-        route: Its name.
-        rate_per_s: Calls a second; 0: not announced.
-        own_gap_us: Between this member's calls if all members have equal shares; 0: not known.
+        route: The route's name.
+        rate_per_s: Calls per second; 0: not announced.
+        own_gap_us: The time between this member's calls, in microseconds, if all members have equal shares of
+            the rate; 0: not known.
     """
 
     route: str
@@ -26,31 +27,37 @@
     """The engine, as recovery sees it."""
 
     def now(self) -> int:
-        """Returns the engine's clock, us."""
+        """Returns the time of the engine's clock in microseconds."""
 
     def owed_counts(self) -> dict[int, int]:
-        """Returns how many messages are owed, by destination."""
+        """Returns the number of messages that are owed, by destination."""
 
     def inherit_state(self, inherited: InheritedState) -> None:
-        """Lets the policy take over the state of breakers."""
+        """Passes states of breakers to the policy, which adopts them."""
 
     def routes(self, number: int) -> list[RouteRate]:
         """Returns the routes of a destination."""
 
     def has_open_breaker(self, number: int) -> bool:
-        """Whether a breaker of the destination is open."""
+        """Whether at least one breaker of the destination is open."""
 
     def restored_ids(self) -> list[str]:
-        """Returns ids of messages that were owed at the start."""
+        """Returns the ids of the messages that were owed at the start."""
 
     def id_state(self, message_id: str) -> IdState | None:
-        """Returns how far a message came here; None: it is not known."""
+        """Returns how far this member has processed a message; None: the id is unknown here."""
 
     def mark_doubtful(self, message_id: str) -> None:
-        """An owed message may have run elsewhere."""
+        """Marks an owed message as one that may have run at another member."""
 
     def out_of_service(self) -> dict[str, float]:
-        """Returns endpoints that are kept out of service, and for how long yet, s."""
+        """Returns how long endpoints are still kept out of service, in seconds, by endpoint."""
 
     def take_out_of_service(self, endpoint: str, duration_s: float, member: str) -> None:
-        """Another member keeps it out of service for so long. What is known here itself counts."""
+        """Takes an endpoint out of service because another member does; this member's own record prevails.
+
+        Args:
+            endpoint: The endpoint's name.
+            duration_s: How long it stays out of service, in seconds.
+            member: The other member's name.
+        """
--- a/message_sender/recovery/id_inquiry.py
+++ b/message_sender/recovery/id_inquiry.py
@@ -1,17 +1,18 @@
-"""What others know of the ids of messages that are owed here. Pure.
+"""Asks the other members what they know about the ids of messages that are owed here. Pure.
 
-A client that had no answer of a sender that lost its power sends the message again elsewhere, under the same
+A client that got no response from a sender that lost power sends the message to another sender, with the same
 id. The rules:
 
-- On a start each other member is asked about all ids that are owed here, as soon as it is heard of, and again
-  every RETRY_INTERVAL_S until it has answered.
-- Whoever owes or owed one answers so, and how far it came: accepted, in flight, completed.
-- An id that anybody else knows counts here as one that may have run: its class says whether it may go again.
-  It is never dropped: it gets a completion here too. So a false answer can end a message without a call, and
-  never cause a second one.
-- Who does not answer while the inquiry lasts is not waited for. What only it knew is run a second time at the
-  most as often as without asking: within its class's window at the receiver, or, unsafe, if both were called
-  before either had an outcome.
+- At a start, each other member is asked about all ids that are owed here, as soon as the member is known, and
+  again every RETRY_INTERVAL_S until it has answered.
+- A member that owes or owed one of the messages answers with its id and state: accepted, in flight or
+  completed.
+- A message that another member knows counts here as one that may have run; its class determines whether it
+  may be sent again. It is never dropped: it gets a completion here too. A false answer can therefore end a
+  message without a call, but never cause a second call.
+- A member that does not answer during the inquiry is not waited for. A message that only this member knows is
+  sent twice no more often than without the inquiry: a keyed one within its class's window, in which the
+  receiver drops the repeat; an unsafe one only if both members called before either had an outcome.
 """
 
 from collections.abc import Callable, Iterable, Mapping
@@ -21,12 +22,12 @@
 import msgspec
 
 RETRY_INTERVAL_S = 0.2
-MAX_QUESTION_BYTES = 800  # of ids
-ID_OVERHEAD_BYTES = 3  # of an encoded id
+MAX_QUESTION_BYTES = 800  # of encoded ids in one question
+ID_OVERHEAD_BYTES = 3  # of each encoded id
 
 
 class IdState(IntEnum):
-    """How far a message came at another member. The numbers are on the wire."""
+    """How far another member has processed a message; the numbers are part of the wire format."""
 
     ACCEPTED = 0
     IN_FLIGHT = 1
@@ -42,7 +43,13 @@
 
 
 class DueQuestion(NamedTuple):
-    """A question to be sent to a member; the piece is its number."""
+    """A question to be sent to a member.
+
+    Attributes:
+        member: The member's name.
+        piece: The number of the question.
+        content: The encoded ids.
+    """
 
     member: str
     piece: int
@@ -50,7 +57,7 @@
 
 
 def encode_questions(ids: Iterable[str]) -> list[bytes]:
-    """Returns the ids in questions that fit a datagram."""
+    """Returns questions about the ids, each of which fits into a datagram."""
     pieces: list[list[str]] = [[]]
     room = MAX_QUESTION_BYTES
     for message_id in ids:
@@ -64,11 +71,11 @@
 
 
 def answer_question(question: bytes, id_state: Callable[[str], IdState | None]) -> bytes | None:
-    """Returns the answer to a question; None for what is none.
+    """Returns the answer to a question; None: the question is malformed.
 
     Args:
-        question: As it was received.
-        id_state: Returns how far a message came here; None: it is not known.
+        question: The question as received.
+        id_state: Returns how far this member has processed a message; None: the id is unknown here.
     """
     try:
         ids = msgspec.msgpack.decode(question, type=list[str])
@@ -82,15 +89,15 @@
     """The questions of one start.
 
     Attributes:
-        ids: Of the messages that are owed here.
-        questions: The ids, in pieces.
-        unanswered_pieces: By member.
-        last_asked_s: By member.
-        known_elsewhere: Ids that others know: who, and how far they came.
+        ids: The ids of the messages that are owed here.
+        questions: The encoded questions; the index is the number of a question.
+        unanswered_pieces: The numbers of the questions that a member has not answered, by member.
+        last_asked_s: When a member was last sent questions, in seconds, by member.
+        known_elsewhere: The first member that reported an id, and the state that it reported, by id.
     """
 
     def __init__(self, ids: Iterable[str]) -> None:
-        """Prepares the questions."""
+        """Encodes the questions about the ids."""
         self.ids = frozenset(ids)
         self.questions = encode_questions(sorted(self.ids))
         self.unanswered_pieces: dict[str, set[int]] = {}
@@ -98,7 +105,7 @@
         self.known_elsewhere: dict[str, tuple[str, IdState]] = {}
 
     def due_questions(self, members: Iterable[str], now: float) -> list[DueQuestion]:
-        """Returns the questions that are to be sent now."""
+        """Returns the questions to be sent now; `now` is in seconds."""
         due = []
         for member in members:
             pieces = self.unanswered_pieces.setdefault(member, set(range(len(self.questions))))
@@ -109,9 +116,9 @@
         return due
 
     def receive_answer(self, member: str, piece: int, content: bytes) -> Mapping[str, IdState]:
-        """Returns owed ids that the member knows and that were not known to be known.
+        """Returns the owed ids that this answer reports and no earlier answer did, with their states.
 
-        Nothing is believed of a member that was not asked.
+        An answer of a member that was not asked, a repeated answer and a malformed one have no effect.
         """
         if piece not in self.unanswered_pieces.get(member, ()):
             return {}
@@ -126,5 +133,5 @@
         return new
 
     def count_unanswered(self, members: Iterable[str]) -> int:
-        """Returns how many questions these members have yet to answer."""
+        """Returns how many questions the members have not answered yet."""
         return sum(len(self.unanswered_pieces.get(member, self.questions)) for member in members)
--- a/message_sender/recovery/learned_snapshot.py
+++ b/message_sender/recovery/learned_snapshot.py
@@ -1,8 +1,9 @@
-"""What a sender has learned of its destinations, written to the disk now and then, and believed by its age.
+"""Periodic snapshots of what a sender has learned about its destinations, trusted by age after a restart.
 
-One file of one checked record (journal/records.py), replaced in one step. It is made in steps of a bounded
-number of destinations, so that ten thousand of them cost no iteration of the loop; beyond MAX_BREAKERS those
-heard of last are kept. What cannot be read is dropped: all of it can be learned again.
+A snapshot is one file with one checksummed record (journal/records.py), replaced atomically. It is built in
+steps of a bounded number of destinations, so that ten thousand of them don't hold up a loop iteration. Beyond
+MAX_BREAKERS, the most recently called breakers are kept. An unreadable snapshot is dropped, because all of
+its content can be learned again.
 """
 
 import json
@@ -23,7 +24,7 @@
 MAX_BREAKERS = 4096
 BREAKERS_PER_STEP = 256
 SNAPSHOT_INTERVAL_S = 1.0  # from the end of one snapshot to the beginning of the next
-#: Fields of a breaker, by the kind of knowledge that they are.
+#: The fields of a breaker, by kind of knowledge.
 FIELDS_BY_KIND = {
     KnowledgeKind.BREAKERS: ("failures", "trial_at", "sick", "unserved"),
     KnowledgeKind.GAPS: ("gap", "gap_changed"),
@@ -31,8 +32,8 @@
     KnowledgeKind.USUAL_RATES: ("calls", "span", "took", "spread", "known"),
     KnowledgeKind.RETRY_AFTER: ("wait_until",),
 }
-#: Of these the higher value is the more careful.
-HIGHER_IS_MORE_CAREFUL = frozenset(
+#: Fields for which a higher value makes the sender more cautious.
+HIGHER_IS_MORE_CAUTIOUS = frozenset(
     {"failures", "gap", "wait_until", "cold_since", "trial_at", "unserved", "sick"}
 )
 TIME_FIELDS = frozenset(
@@ -47,18 +48,18 @@
 
 
 def without_infinities(values: BreakerValues) -> BreakerValues:
-    """Returns the finite values: JSON has no infinity, and such a field is at its default."""
+    """Returns the finite values: JSON has no infinity, and an infinite field has its default value."""
     return {name: value for name, value in values.items() if math.isfinite(value)}
 
 
 def encode(at_us: int, breakers: Breakers) -> bytes:
-    """Returns the content of a snapshot made at `at_us`."""
+    """Returns the content of a snapshot that was made at `at_us`, in microseconds of the clock."""
     rows = [[number, route, without_infinities(values)] for number, route, values in breakers]
     return records.frame_record(json.dumps({"learned": 1, "at": at_us, "breakers": rows}).encode(), 0)
 
 
 def decode(data: bytes) -> tuple[int, Breakers] | None:
-    """Returns when a snapshot was made, us, and its breakers; None: it cannot be read."""
+    """Returns when a snapshot was made, in microseconds, and its breakers; None: it is unreadable."""
     record = records.parse_record(data, 0)
     if record is None or record.payload.get("learned") != 1:
         return None
@@ -75,16 +76,16 @@
 def restore_believed(
     at_us: int, breakers: Breakers, conditions: StartConditions, now_us: int
 ) -> InheritedState:
-    """Returns what of a snapshot is believed.
+    """Returns the part of a snapshot that is trusted.
 
-    Times are moved to the clock of now where nobody knows how much time has passed: what was to last is to
-    last from now on.
+    When the elapsed time is unknown, times are shifted by the snapshot's distance from the current time: a
+    duration that was running when the snapshot was made continues from now.
 
     Args:
-        at_us: When the snapshot was made.
-        breakers: Its content.
-        conditions: Of the start.
-        now_us: A clock that goes on from the latest time on record.
+        at_us: When the snapshot was made, in microseconds.
+        breakers: The content of the snapshot.
+        conditions: The conditions of the start.
+        now_us: The time, in microseconds, of a clock that continues from the latest recorded time.
     """
     is_time_unknown = conditions.elapsed_us is None
     shift_us = now_us - at_us if is_time_unknown else 0
@@ -92,40 +93,41 @@
     confidences = {kind: conditions.confidence_in(kind, age_us) for kind in FIELDS_BY_KIND}
     restored = []
     for number, route, values in breakers:
-        believed = _believed_values(values, confidences, shift_us)
-        if "failures" in believed and "trial_at" not in believed:
-            believed["trial_at"] = now_us
-        restored.append((number, route, believed))
+        trusted = _trusted_values(values, confidences, shift_us)
+        if "failures" in trusted and "trial_at" not in trusted:
+            trusted["trial_at"] = now_us
+        restored.append((number, route, trusted))
     return InheritedState(breakers=tuple(restored))
 
 
-def _believed_values(
+def _trusted_values(
     values: BreakerValues, confidences: dict[KnowledgeKind, Confidence], shift_us: int
 ) -> BreakerValues:
-    believed: BreakerValues = {}
+    trusted: BreakerValues = {}
     for kind, names in FIELDS_BY_KIND.items():
         if confidences[kind] is Confidence.DROPPED:
             continue
-        is_believed = confidences[kind] is Confidence.BELIEVED
+        is_trusted = confidences[kind] is Confidence.TRUSTED
         for name in names:
-            if name in values and (is_believed or name in HIGHER_IS_MORE_CAREFUL):
-                believed[name] = values[name] + (shift_us if name in TIME_FIELDS else 0)
-    return believed
+            if name in values and (is_trusted or name in HIGHER_IS_MORE_CAUTIOUS):
+                trusted[name] = values[name] + (shift_us if name in TIME_FIELDS else 0)
+    return trusted
 
 
 class LearnedSnapshots:
-    """Makes snapshots; `step` is called a few times a second from the loop.
+    """Makes snapshots; the event loop calls `step` a few times a second.
 
     Attributes:
-        folder, disk: Where they are written.
-        list_breakers: Returns the breakers to be kept, MAX_BREAKERS at the most.
-        export_fields: Returns the values of one.
-        clock: us.
-        is_synced: Whether a snapshot is durable before it takes the place of the one before.
-        pending: Breakers of the snapshot being made that are not exported yet.
-        exported: Those that are.
+        folder: The folder of the snapshot file.
+        disk: The file layer.
+        list_breakers: Returns the breakers to be stored, at most MAX_BREAKERS.
+        export_fields: Returns the values of one breaker.
+        clock: Returns the time in microseconds.
+        is_synced: Whether a snapshot is durable before it replaces the previous one.
+        pending: The breakers that the current snapshot still has to export.
+        exported: The breakers that it has exported.
         next_at_us: When the next snapshot begins.
-        is_writing: A snapshot is being written.
+        is_writing: Whether a snapshot is being written.
     """
 
     def __init__(
@@ -137,7 +139,7 @@
         clock: Callable[[], int],
         is_synced: bool,
     ) -> None:
-        """Begins without a snapshot."""
+        """Initializes the state without a snapshot; see the class for the arguments."""
         self.folder = folder
         self.disk = disk
         self.list_breakers = list_breakers
@@ -150,7 +152,7 @@
         self.is_writing = False
 
     def read(self) -> tuple[int, Breakers] | None:
-        """Returns the snapshot on the disk, and when it was made; None: there is none that can be read."""
+        """Returns when the stored snapshot was made, and its breakers; None: it is missing or unreadable."""
         data = self.disk.read(self.folder / LEARNED_FILE)
         if not data:
             return None
@@ -160,7 +162,12 @@
         return snapshot
 
     def step(self) -> Callable[[], None] | None:
-        """Exports some breakers. Returns a job for the disk once all are; call `write_finished` after it."""
+        """Exports up to BREAKERS_PER_STEP breakers, if a snapshot is due.
+
+        Returns:
+            The job that writes the snapshot, once all breakers are exported; the caller runs it away from the
+            loop and calls `write_finished` after it. None: there is nothing to write yet.
+        """
         if self.is_writing or self.clock() < self.next_at_us:
             return None
         if not self.pending:
@@ -177,10 +184,10 @@
         return partial(self.write, encode(self.clock(), breakers))
 
     def write(self, data: bytes) -> None:
-        """Replaces the snapshot on the disk; called away from the loop.
+        """Replaces the stored snapshot; called outside the event loop.
 
         Raises:
-            OSError: The disk refuses it.
+            OSError: The snapshot cannot be written.
         """
         new_path = self.folder / NEW_LEARNED_FILE
         file = self.disk.open(new_path, fresh=True)
@@ -195,6 +202,6 @@
             self.disk.sync_folder(self.folder)
 
     def write_finished(self) -> None:
-        """The job that `step` returned is over, whether it succeeded or not."""
+        """Schedules the next snapshot; called when the job of `step` has ended, successfully or not."""
         self.is_writing = False
         self.next_at_us = self.clock() + int(SNAPSHOT_INTERVAL_S * 1e6)
--- a/message_sender/recovery/pacing.py
+++ b/message_sender/recovery/pacing.py
@@ -1,8 +1,8 @@
-"""Recovery's permissions as states of the policy's breakers.
+"""Translates the permissions of recovery into states of the policy's breakers.
 
-The policy is not changed for recovery. What a destination may be given reaches it as what a process before it
-hands over (`InheritedState`): a Retry-After where nothing may go, an open breaker whose trial is due where
-one call may, a warm-up as the pace where a share of the rate may.
+The policy has no code for recovery. It receives permissions in the same form as state that a previous process
+hands over (`InheritedState`): a Retry-After where no call is allowed, an open breaker with a due trial where
+one call is, and a slow start where a share of the rate is.
 """
 
 import math
@@ -14,15 +14,15 @@
 from message_sender.recovery.stage_model import CallPermission, Stage
 from message_sender.recovery.stages import Stages
 
-HOLD_US = 400_000  # for which a destination is held back, renewed at each update
+HOLD_US = 400_000  # the Retry-After of a destination without permission, renewed at each update
 US_PER_S = 1e6
-TRIAL_FAILURES = 3.0  # of a breaker that is open
+TRIAL_FAILURES = 3.0  # failures of a breaker that is open
 
 BreakerState = tuple[int, str, dict[str, float]]  # destination, route, values of its breaker
 
 
 class Pace(Enum):
-    """What a destination was last given."""
+    """How calls to a destination are limited: none, a single trial, or a share of the rate."""
 
     HELD = "held"
     TRIAL = "trial"
@@ -30,15 +30,18 @@
 
 
 class BreakerPacer:
-    """Turns the permissions of the stages into states of breakers.
+    """Translates the permissions of the stages into states of breakers.
 
     Attributes:
-        paces: What each destination was last given.
-        paced_since_us: Since when, on the engine's clock.
+        stages: The recovery stages of this member.
+        engine: The sender's engine.
+        settings: The policy settings of the sender.
+        paces: The pace that was last passed to the policy, by destination.
+        paced_since_us: Since when, in microseconds of the engine's clock, by destination.
     """
 
     def __init__(self, stages: Stages, engine: EnginePort, settings: Settings) -> None:
-        """Begins with nothing given."""
+        """Initializes the pacer without a pace for any destination; see the class for the arguments."""
         self.stages = stages
         self.engine = engine
         self.settings = settings
@@ -46,7 +49,10 @@
         self.paced_since_us: dict[int, int] = {}
 
     def breaker_states(self, destination: int, now: float) -> Iterator[BreakerState]:
-        """Yields what the policy has to be given for a destination; nothing, if that has not changed."""
+        """Yields the breaker states to be passed to the policy for a destination.
+
+        It yields nothing if this member is in the stage open and the destination was and is free.
+        """
         permission = self.stages.permission(destination, now)
         now_us = self.engine.now()
         pace = _pace_of(permission)
@@ -75,10 +81,10 @@
     def _paced_values(
         self, permission: CallPermission, route: RouteRate, now_us: int, since_us: int
     ) -> dict[str, float]:
-        """Returns the values that pace a destination by the policy's own warm-up.
+        """Returns breaker values that limit the rate of a destination by the policy's own slow start.
 
-        The gap of one that warms up is its usual gap over the part of its rate that it has come to. Where no
-        rate is announced, or this member is open, the policy's own pace holds from here on.
+        During slow start, the gap is the usual gap divided by the fraction of the rate that is reached. If no
+        rate is announced, or this member is in the stage open, the policy's own pace applies from now on.
         """
         settings = self.settings
         values: dict[str, float] = {"failures": 0.0, "wait_until": now_us, "unserved": 0, "sick": 0.0}
@@ -87,7 +93,7 @@
             if permission.warming_for_s is not None:
                 values["cold_since"] = now_us - permission.warming_for_s * US_PER_S
             return values | {"calls": 0.1, "span": 1e5 * max(settings.fleet_size / 4, 1)}
-        gap_us = US_PER_S / (route.rate_per_s * self._warm_part(permission) * permission.rate_share)
+        gap_us = US_PER_S / (route.rate_per_s * self._warm_fraction(permission) * permission.rate_share)
         push = settings.fall_multiple * 0.75 * settings.slow_start_from
         return values | {
             "cold_since": now_us,
@@ -97,13 +103,13 @@
             "gap": gap_us if gap_us > route.own_gap_us / push else 0.0,
         }
 
-    def _warm_part(self, permission: CallPermission) -> float:
-        """The part of its rate that the destination has come to."""
+    def _warm_fraction(self, permission: CallPermission) -> float:
+        """Returns the fraction of its rate that the destination has reached in slow start."""
         if permission.warming_for_s is None:
             return 1.0
-        start_part = self.settings.slow_start_from
+        start_fraction = self.settings.slow_start_from
         progress = min(permission.warming_for_s * US_PER_S / self.settings.slow_start, 1.0)
-        return start_part + (1 - start_part) * progress
+        return start_fraction + (1 - start_fraction) * progress
 
 
 def _pace_of(permission: CallPermission) -> Pace:
--- a/message_sender/recovery/stage_model.py
+++ b/message_sender/recovery/stage_model.py
@@ -1,4 +1,4 @@
-"""Stages of recovery, and what members tell each other of destinations. Pure."""
+"""The stages of recovery, and what members announce to each other about destinations. Pure."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -6,7 +6,7 @@
 
 
 class Stage(IntEnum):
-    """Stages of recovery, in their order. The numbers are on the wire."""
+    """The stages of recovery, in their order; the numbers are part of the wire format."""
 
     READING_JOURNAL = 0
     INQUIRING = 1
@@ -36,11 +36,11 @@
     """What one member has observed of a destination.
 
     Attributes:
-        is_up: The state that it was seen in.
-        age_s: Of the observation.
-        state_age_s: How long it had been up; 0 where that is not known.
-        is_warming_up: It was down before, and warms up since it is up.
-        retry_after_s: What is left of the time for which it asked to be left alone.
+        is_up: Whether the destination was up when observed.
+        age_s: The age of the observation, in seconds.
+        state_age_s: How long the destination has been in this state, in seconds; 0 if not known.
+        is_warming_up: Whether the destination was down before and is in slow start since it came up.
+        retry_after_s: The remaining time of its last Retry-After, in seconds.
     """
 
     is_up: bool
@@ -52,14 +52,14 @@
 
 @dataclass(frozen=True, slots=True)
 class StageAnnouncement:
-    """What a member announces of itself.
+    """What a member announces about itself.
 
     Attributes:
-        stage: Its stage.
-        owed_counts: Messages that it owes, by destination.
-        evidence: What it has observed itself, by destination.
-        trial_ages_s: Its trials in flight and how long they have been, by destination.
-        out_of_service_s: Endpoints that it keeps out of service, and for how long yet.
+        stage: The member's stage.
+        owed_counts: The number of messages that it owes, by destination.
+        evidence: What the member itself has observed, by destination.
+        trial_ages_s: The time since its trials in flight started, in seconds, by destination.
+        out_of_service_s: How long it still keeps endpoints out of service, in seconds, by endpoint.
     """
 
     stage: Stage = Stage.INQUIRING
@@ -71,15 +71,16 @@
 
 @dataclass(frozen=True, slots=True)
 class CallPermission:
-    """What this member may do at a destination now.
+    """Whether this member may call a destination now, and at which rate.
 
     Attributes:
-        may_call: Whether calls may go at all.
-        is_trial: One call alone.
-        rate_share: This member's part of the destination's rate.
-        start_phase: The part of its own gap that its first call waits: one announcement frees all members.
-        warming_for_s: How long the destination has been warming up; None: it is warm.
-        retry_after_s: What is left of the time for which it asked to be left alone.
+        may_call: Whether any call is allowed.
+        is_trial: Whether only a single call, the trial, is allowed.
+        rate_share: This member's fraction of the destination's rate.
+        start_phase: The fraction of its own gap that this member's first call waits. One announcement permits
+            the calls of all members at once, and different phases keep their first calls apart.
+        warming_for_s: How long the destination has been in slow start, in seconds; None: it is warm.
+        retry_after_s: The remaining time of the destination's Retry-After, in seconds.
     """
 
     may_call: bool
@@ -90,16 +91,16 @@
     retry_after_s: float = 0.0
 
 
-def age_evidence(evidence: DestinationEvidence, by_s: float) -> DestinationEvidence:
-    """Returns the evidence as it is `by_s` later; a negative time counts as none.
+def age_evidence(evidence: DestinationEvidence, elapsed_s: float) -> DestinationEvidence:
+    """Returns the evidence as of `elapsed_s` seconds later; a negative duration counts as 0.
 
-    Who read its clock before the evidence came makes it no younger by that.
+    A caller that read its clock before the evidence arrived must not make it younger.
     """
-    by_s = max(by_s, 0.0)
+    elapsed_s = max(elapsed_s, 0.0)
     return DestinationEvidence(
         evidence.is_up,
-        evidence.age_s + by_s,
-        evidence.state_age_s + by_s,
+        evidence.age_s + elapsed_s,
+        evidence.state_age_s + elapsed_s,
         evidence.is_warming_up,
-        max(evidence.retry_after_s - by_s, 0.0),
+        max(evidence.retry_after_s - elapsed_s, 0.0),
     )
--- a/message_sender/recovery/stages.py
+++ b/message_sender/recovery/stages.py
@@ -1,29 +1,35 @@
-"""In which order service returns after a start. Pure: times are seconds of the caller's clock.
+"""The stages in which a member returns to service after a start.
+
+Pure: times are seconds of the caller's clock.
 
 The rules:
 
-- **Inquiring** (from the start): who is there, who else is returning, what they observe, and whether they
-  know an id that is owed here. It ends once as many have announced themselves as the fleet has and have
-  answered about the ids, or INQUIRY_TIMEOUT_S after the first announcement, or after LONE_INQUIRY_TIMEOUT_S
-  with nobody. Nothing is sent.
-- **Probing**: of each destination for which something is owed and of which nobody has fresh evidence, one
-  member of all makes one trial, and tells all. It is the one that a hash of member and destination puts first
-  among those that owe it something; where that one dies or is silent for TRIAL_TIMEOUT_S, the next one. It
-  ends once each destination that this one owes to is known to be up or down, or after PROBING_TIMEOUT_S.
-- **Flushing**: what is owed goes, at each destination by shares of its rate, by the most that each member has
-  owed it, and by its warm share while it warms up. One announcement frees all: the first call of each waits
-  for its phase. New messages are accepted for destinations to which the fleet owes nothing. It ends once this
-  one owes nothing to a destination that is up, or after FLUSHING_TIMEOUT_S.
-- **Admitting**: new messages by class, the one of the highest priority weight first, CLASS_STEP_S apart.
-  After the last one: **open**.
-- A destination that is down delays nobody: its trials go on, one of the whole fleet at a time, in every
-  stage, TRIAL_INTERVAL_S after the last one.
-- A destination that a trial finds up, and of which nobody knew anything, may have come back with us: it warms
-  up from then on, as one that was observed down does.
-- Evidence is what a member observed itself, with its age. Of two the younger one wins, and of two that are as
-  young the more careful. What anybody announces can make a destination wait for a trial, never send without
-  one.
-- Whoever is cut off from all others goes through the same stages alone, in the longest times at the most.
+- **Inquiring** (from the start): the member learns which other members are running, which of them are
+  restarting too, what they have observed, and whether they know an id that is owed here. The stage ends when
+  all other members of the fleet have announced themselves and answered the questions about ids, or
+  INQUIRY_TIMEOUT_S after the first announcement, or after LONE_INQUIRY_TIMEOUT_S without an announcement. No
+  message is sent.
+- **Probing**: for each destination that is owed messages and for which no member has fresh evidence, one
+  member of the fleet makes one trial and announces the result. Of the members that owe messages to the
+  destination, it is the first in the order of a hash of member and destination; if it fails or is silent for
+  TRIAL_TIMEOUT_S, the next one takes over. The stage ends when each destination to which this member owes
+  messages is known to be up or down, or after PROBING_TIMEOUT_S.
+- **Flushing**: owed messages are sent. Each member gets a share of a destination's rate in proportion to the
+  most messages that it has owed to the destination; during slow start the rate is reduced. One announcement
+  permits the calls of all members at once, so the first call of each waits for its phase. New messages are
+  accepted for destinations to which the fleet owes nothing. The stage ends when this member owes nothing to a
+  destination that is up, or after FLUSHING_TIMEOUT_S.
+- **Admitting**: new messages are admitted by class, the highest priority weight first, at intervals of
+  CLASS_STEP_S. After the last class, the stage is **open**.
+- A destination that is down delays no other: its trials go on in every stage, one at a time in the whole
+  fleet, TRIAL_INTERVAL_S after the last one.
+- A destination without previous evidence that a trial finds up may have restarted together with the fleet, so
+  it is in slow start from then on, like one that was observed down.
+- Evidence is what a member has observed itself, with its age. The most recent evidence applies; of evidence
+  of about the same age, the more cautious. An announcement can make a destination wait for a trial, but never
+  cause calls without one.
+- A member that is cut off from all others goes through the same stages alone, at most for the longest
+  duration of each.
 """
 
 from collections.abc import Iterable, Mapping
@@ -42,20 +48,20 @@
 LONE_INQUIRY_TIMEOUT_S = 1.5
 PROBING_TIMEOUT_S = 6.0
 FLUSHING_TIMEOUT_S = 60.0
-CLASS_STEP_S = 0.3  # between two classes
-MAX_CLASS_STEPS = 8  # later classes are admitted with the last one
-TRIAL_TIMEOUT_S = 1.5  # that a trial may take before the next member makes one
+CLASS_STEP_S = 0.3  # between the admission of two classes
+MAX_CLASS_STEPS = 8  # all further classes are admitted at the last step
+TRIAL_TIMEOUT_S = 1.5  # after which the next member makes a trial
 TRIAL_INTERVAL_S = 1.0  # between two trials of a destination that is down
-FRESH_EVIDENCE_S = 10.0  # for which evidence that a destination is up saves it a trial
-ANNOUNCEMENTS_PER_S = 100.0  # datagrams that announcements may cost their sender
-UNKNOWN_AGE_S = 1e6  # the age of what tells nothing
-SAME_AGE_TOLERANCE_S = 0.2  # by which two pieces of evidence are as young
+FRESH_EVIDENCE_S = 10.0  # the greatest age of evidence that a destination is up and needs no trial
+ANNOUNCEMENTS_PER_S = 100.0  # the most announcement datagrams that a member sends
+UNKNOWN_AGE_S = 1e6  # the age of evidence that says nothing about the state
+SAME_AGE_TOLERANCE_S = 0.2  # evidence whose ages differ by no more counts as equally recent
 MIN_ANNOUNCEMENT_INTERVAL_S = 0.1
-ADMISSION_RETRY_S = 0.5  # before anything is admitted
-FLUSHING_RETRY_S = 1.0  # for a destination that is owed something
-LONG_BEFORE_S = -1e9  # a time before all others
+ADMISSION_RETRY_S = 0.5  # while no message is admitted
+FLUSHING_RETRY_S = 1.0  # for a destination to which the fleet still owes messages
+DISTANT_PAST_S = -1e9  # earlier than any time of the clock
 
-#: With nobody answering.
+#: The longest duration of each stage, reached when no other member answers.
 MAX_STAGE_S = {
     Stage.INQUIRING: LONE_INQUIRY_TIMEOUT_S,
     Stage.PROBING: PROBING_TIMEOUT_S,
@@ -71,29 +77,33 @@
     """The stages of one member.
 
     Attributes:
-        own_name, fleet_size: Of this member; how many members the fleet has.
-        stage, stage_since_s, reason: The stage, since when, and what ended the one before.
+        own_name: The name of this member.
+        fleet_size: The number of members of the fleet, including this one.
+        stage: The current stage.
+        stage_since_s: When the current stage began.
+        reason: What ended the previous stage.
         started_at_s: When this member started.
-        first_heard_at_s: When the first announcement came.
-        announcements: Of the others, with ages as of `announced_at_s`.
+        first_announced_at_s: When the first announcement was received; None: not yet.
+        announcements: The last announcement of each other member, by name.
+        announced_at_s: When each was received, by name; the ages in an announcement are as of that time.
         own_evidence: What this member has observed, and when, by destination.
-        own_trials: Its trials in flight, since when, by destination.
-        last_trial_ended_s: When the fleet's last trial was known to be over, by destination.
-        owed_counts: Messages that it owes, by destination.
+        own_trials: The start times of its trials in flight, by destination.
+        last_trial_ended_s: When this member's last trial ended, by destination.
+        owed_counts: The number of messages that this member owes, by destination.
         peak_owed: The most messages ever owed at once, by member and destination.
-        unanswered_questions: About ids that are owed here.
-        changes: All transitions: when, to which stage, and why.
+        unanswered_questions: The number of unanswered questions about ids that are owed here.
+        changes: All transitions: the time, the new stage and the reason.
     """
 
     def __init__(self, own_name: str, fleet_size: int, now: float) -> None:
-        """Begins by inquiring."""
+        """Begins with the inquiry."""
         self.own_name = own_name
         self.fleet_size = fleet_size
         self.stage = Stage.INQUIRING
         self.stage_since_s = now
         self.reason = "started"
         self.started_at_s = now
-        self.first_heard_at_s: float | None = None
+        self.first_announced_at_s: float | None = None
         self.announcements: dict[str, StageAnnouncement] = {}
         self.announced_at_s: dict[str, float] = {}
         self.own_evidence: dict[int, tuple[DestinationEvidence, float]] = {}
@@ -107,21 +117,21 @@
     # Members.
 
     def receive_announcement(self, name: str, announcement: StageAnnouncement, now: float) -> None:
-        """Another member announces itself."""
-        if self.first_heard_at_s is None:
-            self.first_heard_at_s = now
+        """Records another member's announcement."""
+        if self.first_announced_at_s is None:
+            self.first_announced_at_s = now
         self.announcements[name] = announcement
         self.announced_at_s[name] = now
-        self.note_peak_owed(name, announcement.owed_counts)
+        self.record_peak_owed(name, announcement.owed_counts)
 
     def remove_members(self, names: Iterable[str]) -> None:
-        """These members are dead or have left."""
+        """Removes the announcements of members that are dead or have left."""
         for name in names:
             self.announcements.pop(name, None)
             self.announced_at_s.pop(name, None)
 
     def announcement(self, now: float) -> StageAnnouncement:
-        """Returns what this member announces of itself."""
+        """Returns what this member announces about itself."""
         evidence = {number: age_evidence(each, now - at) for number, (each, at) in self.own_evidence.items()}
         trial_ages_s = {number: now - started for number, started in self.own_trials.items()}
         return StageAnnouncement(self.stage, self.owed_counts, evidence, trial_ages_s)
@@ -131,89 +141,105 @@
     def record_call_result(
         self, destination: int, is_up: bool, now: float, retry_after_s: float = 0.0
     ) -> None:
-        """A call of this member came to an end there."""
+        """Records the result of this member's call to a destination.
+
+        Args:
+            destination: The number of the destination.
+            is_up: Whether the result shows that the destination is up.
+            now: The time in seconds.
+            retry_after_s: The remaining time of its Retry-After, in seconds.
+        """
         before = self.best_evidence(destination, now)
         was_trial = self.own_trials.pop(destination, None) is not None
         if is_up:
             self.own_evidence[destination] = _evidence_of_up(before, was_trial, retry_after_s), now
-        elif was_trial or before is None or not before.is_up or self._is_trial_long_ago(destination, now):
+        elif (
+            was_trial or before is None or not before.is_up or self._is_trial_interval_over(destination, now)
+        ):
             self.own_evidence[destination] = DestinationEvidence(False, 0.0, 0.0, True, retry_after_s), now
         if was_trial:
             self.last_trial_ended_s[destination] = now
 
-    def _is_trial_long_ago(self, destination: int, now: float) -> bool:
-        return now - self.last_trial_ended_s.get(destination, LONG_BEFORE_S) > TRIAL_INTERVAL_S
+    def _is_trial_interval_over(self, destination: int, now: float) -> bool:
+        return now - self.last_trial_ended_s.get(destination, DISTANT_PAST_S) > TRIAL_INTERVAL_S
 
     def record_retry_after(self, destination: int, retry_after_s: float, now: float) -> None:
-        """The destination asks to be left alone for so long."""
+        """Records a Retry-After, in seconds, of a response of the destination."""
         known, at = self.own_evidence.get(destination, (DestinationEvidence(True, 0.0), now))
         state_age_s = known.state_age_s + now - at
         evidence = DestinationEvidence(known.is_up, 0.0, state_age_s, known.is_warming_up, retry_after_s)
         self.own_evidence[destination] = evidence, now
 
     def restore_retry_after(self, destination: int, retry_after_s: float, now: float) -> None:
-        """A Retry-After from before the start; it says nothing of the destination's state."""
+        """Records a Retry-After from before the start, which says nothing about the destination's state."""
         evidence = DestinationEvidence(True, UNKNOWN_AGE_S, retry_after_s=retry_after_s)
         self.own_evidence[destination] = evidence, now
 
     def best_evidence(self, destination: int, now: float) -> DestinationEvidence | None:
-        """Returns the youngest evidence of anybody, of two as young the more careful.
+        """Returns the most recent evidence of all members; of evidence of the same age, the most cautious.
 
-        Its Retry-After is the longest of all.
+        Its Retry-After is the longest in the evidence of all members. None: no member has evidence.
         """
-        found = self._all_evidence(destination, now)
-        if not found:
+        all_evidence = self._all_evidence(destination, now)
+        if not all_evidence:
             return None
-        max_age_s = min(since + each.age_s for since, each in found) + SAME_AGE_TOLERANCE_S
-        since, best = min((pair for pair in found if pair[0] + pair[1].age_s <= max_age_s), key=_carefulness)
-        retry_after_s = max(each.retry_after_s - age for age, each in found)
+        max_age_s = min(elapsed_s + each.age_s for elapsed_s, each in all_evidence) + SAME_AGE_TOLERANCE_S
+        elapsed_s, best = min(
+            (pair for pair in all_evidence if pair[0] + pair[1].age_s <= max_age_s), key=_caution_order
+        )
+        retry_after_s = max(each.retry_after_s - elapsed for elapsed, each in all_evidence)
         return DestinationEvidence(
             best.is_up,
-            best.age_s + since,
-            best.state_age_s + since,
+            best.age_s + elapsed_s,
+            best.state_age_s + elapsed_s,
             best.is_warming_up,
             max(retry_after_s, 0.0),
         )
 
     def _all_evidence(self, destination: int, now: float) -> list[tuple[float, DestinationEvidence]]:
-        """Evidence of all members, each with the time since it came."""
-        found = [
+        """Returns the evidence of all members, each with the seconds since its arrival here."""
+        all_evidence = [
             (max(now - self.announced_at_s[name], 0.0), evidence)
             for name, announcement in self.announcements.items()
             if (evidence := announcement.evidence.get(destination))
         ]
         if destination in self.own_evidence:
             own, at = self.own_evidence[destination]
-            found.append((max(now - at, 0.0), own))
-        return found
+            all_evidence.append((max(now - at, 0.0), own))
+        return all_evidence
 
     def is_fresh(self, evidence: DestinationEvidence) -> bool:
-        """Whether evidence that a destination is up saves it a trial."""
+        """Whether evidence is recent enough that a destination needs no trial."""
         return evidence.age_s <= FRESH_EVIDENCE_S
 
     def is_up(self, destination: int, now: float) -> bool:
-        """Whether a destination is up, as far as anybody knows."""
+        """Whether a destination is up by the best evidence of all members."""
         evidence = self.best_evidence(destination, now)
         return evidence is not None and evidence.is_up
 
     # Stages.
 
     def update(self, owed_counts: Mapping[int, int], now: float) -> None:
-        """Enters the next stage if this one is over. `owed_counts`: what this member owes, by destination."""
+        """Enters the next stage if the current one is over.
+
+        Args:
+            owed_counts: The number of messages that this member owes, by destination.
+            now: The time in seconds.
+        """
         self.owed_counts = dict(owed_counts)
-        self.note_peak_owed(self.own_name, owed_counts)
+        self.record_peak_owed(self.own_name, owed_counts)
         if transition := self.next_stage(now):
             self.enter_stage(*transition, now)
 
     def enter_stage(self, stage: Stage, reason: str, now: float) -> None:
-        """Enters a stage."""
+        """Enters a stage, and records the transition and its reason."""
         self.stage = stage
         self.stage_since_s = now
         self.reason = reason
         self.changes.append((now, stage, reason))
 
     def next_stage(self, now: float) -> Transition | None:
-        """Returns the stage that is due, with the reason; None: this one goes on."""
+        """Returns the next stage and the reason if it is due; None: the current stage continues."""
         match self.stage:
             case Stage.INQUIRING:
                 return self.stage_after_inquiry(now)
@@ -226,7 +252,7 @@
         return None
 
     def stage_after_inquiry(self, now: float) -> Transition | None:
-        """Returns the transition that ends the inquiry, if it is due."""
+        """Returns the transition that ends the inquiry if it is due; None: the inquiry continues."""
         if self.fleet_size <= 1:
             return Stage.PROBING, "a fleet of one"
         others = self.fleet_size - 1
@@ -234,9 +260,9 @@
         reason = f"{len(self.announcements)} of {others} others spoke, {returning} are returning too"
         if len(self.announcements) >= others and not self.unanswered_questions:
             return Stage.PROBING, reason
-        if self.first_heard_at_s is not None:
-            first_heard_at_s = max(self.first_heard_at_s, self.started_at_s)
-            if now - first_heard_at_s >= INQUIRY_TIMEOUT_S:
+        if self.first_announced_at_s is not None:
+            first_announced_at_s = max(self.first_announced_at_s, self.started_at_s)
+            if now - first_announced_at_s >= INQUIRY_TIMEOUT_S:
                 return Stage.PROBING, reason
         if now - self.started_at_s >= LONE_INQUIRY_TIMEOUT_S:
             return Stage.PROBING, reason if self.announcements else "nobody answered"
@@ -264,16 +290,16 @@
     # Trials.
 
     def trial_candidates(self, destination: int) -> list[str]:
-        """Returns those that owe the destination something; the one that is to try it is the first."""
-        found = [name for name, each in self.announcements.items() if each.owed_counts.get(destination)]
+        """Returns the members that owe the destination messages, in the order in which they make a trial."""
+        names = [name for name, each in self.announcements.items() if each.owed_counts.get(destination)]
         if self.owed_counts.get(destination):
-            found.append(self.own_name)
+            names.append(self.own_name)
         return sorted(
-            found, key=lambda name: xxhash.xxh3_64_intdigest(f"{name} {destination}".encode()), reverse=True
+            names, key=lambda name: xxhash.xxh3_64_intdigest(f"{name} {destination}".encode()), reverse=True
         )
 
     def is_trial_in_flight_elsewhere(self, destination: int, now: float) -> bool:
-        """Whether another member's trial is in flight, as far as is known."""
+        """Whether another member has announced a trial in flight that is younger than TRIAL_TIMEOUT_S."""
         ages_s = (
             announcement.trial_ages_s[destination] + now - self.announced_at_s[name]
             for name, announcement in self.announcements.items()
@@ -282,7 +308,7 @@
         return any(age_s < TRIAL_TIMEOUT_S for age_s in ages_s)
 
     def may_start_trial(self, destination: int, now: float) -> bool:
-        """Whether it is this member's turn to try it. The next one's comes TRIAL_TIMEOUT_S later."""
+        """Whether it is this member's turn to make a trial; the next candidate's is TRIAL_TIMEOUT_S later."""
         if destination in self.own_trials:
             return True
         if self.is_trial_in_flight_elsewhere(destination, now):
@@ -301,13 +327,13 @@
         return now >= due_at_s + candidates.index(self.own_name) * TRIAL_TIMEOUT_S
 
     def start_trial(self, destination: int, now: float) -> None:
-        """This member's trial goes out."""
+        """Records that this member starts a trial."""
         self.own_trials[destination] = now
 
-    # What is allowed.
+    # Permissions.
 
     def permission(self, destination: int, now: float) -> CallPermission:
-        """Returns what this member may do at a destination; asked again as a first byte goes."""
+        """Returns whether and how this member may call a destination; checked again before the first byte."""
         if self.stage <= Stage.INQUIRING:
             return NO_CALLS
         evidence = self.best_evidence(destination, now)
@@ -326,11 +352,12 @@
         return NO_CALLS
 
     def rate_share(self, destination: int) -> tuple[float, float]:
-        """Returns this member's share of a destination's rate, and the sum of those before it by name.
+        """Returns this member's share of a destination's rate, and the sum of the shares of earlier names.
 
-        Shares are by the most that each member has owed, while it owes any; whoever owes nothing leaves all
-        to the others. By what each owes at the moment, whoever is a call behind would have the larger share
-        and catch up: all would come to call at the same instants.
+        Shares are in proportion to the most messages that each member has owed, as long as it owes any; a
+        member that owes none leaves its share to the others. With shares by the current counts, a member that
+        is one call behind would have a larger share and catch up, so that in the end all members would call
+        at the same instants.
         """
         own_peak = max(self.peak_owed.get((self.own_name, destination), 0), 1)
         other_peaks = [
@@ -342,18 +369,18 @@
         before = sum(peak for name, peak in other_peaks if name < self.own_name)
         return own_peak / total, before / total
 
-    def note_peak_owed(self, name: str, owed_counts: Mapping[int, int]) -> None:
-        """Notes what a member owes, if it never owed more."""
+    def record_peak_owed(self, name: str, owed_counts: Mapping[int, int]) -> None:
+        """Records the numbers of messages that a member owes where they exceed the previous peak."""
         for number, count in owed_counts.items():
             self.peak_owed[name, number] = max(self.peak_owed.get((name, number), 0), count)
 
     def admission_delay_s(self, destination: int, class_rank: int, now: float) -> float:
-        """Returns after how many seconds a new message may come again; 0: it is accepted.
+        """Returns after how many seconds a client may retry a new message; 0: it is admitted now.
 
         Args:
-            destination: Of the message.
-            class_rank: Of its class by priority weight, 0 the highest.
-            now: s.
+            destination: The destination of the message.
+            class_rank: The rank of its class by priority weight; 0 is the highest.
+            now: The time in seconds.
         """
         if self.stage is Stage.OPEN:
             return 0.0
@@ -376,15 +403,16 @@
     return DestinationEvidence(True, 0.0, before.state_age_s, before.is_warming_up, retry_after_s)
 
 
-def _carefulness(pair: tuple[float, DestinationEvidence]) -> tuple[bool, float, float]:
-    """Sorts the more careful evidence first: down before up, up for a short time before a long one."""
-    since, evidence = pair
-    return evidence.is_up, since + evidence.state_age_s, since + evidence.age_s
+def _caution_order(pair: tuple[float, DestinationEvidence]) -> tuple[bool, float, float]:
+    """Sort key, the most cautious evidence first: down before up, then up for a short before a long time."""
+    elapsed_s, evidence = pair
+    return evidence.is_up, elapsed_s + evidence.state_age_s, elapsed_s + evidence.age_s
 
 
 def announcement_interval_s(others: int) -> float:
-    """Returns the time between two announcements that say nothing new but figures.
+    """Returns the interval, in seconds, between two announcements of which only the figures have changed.
 
-    What a member sends does not grow with the square of the fleet.
+    It grows with the number of other members, so that the traffic of announcements does not grow with the
+    square of the fleet's size.
     """
     return max(others / ANNOUNCEMENTS_PER_S, MIN_ANNOUNCEMENT_INTERVAL_S)
--- a/message_sender/recovery/startup.py
+++ b/message_sender/recovery/startup.py
@@ -1,4 +1,4 @@
-"""Opens the journal that survives a power loss, and decides what is believed of it."""
+"""Opens the durable journal at a start, and limits its content to what is trusted (trust.py)."""
 
 import logging
 from collections.abc import Callable
@@ -16,7 +16,7 @@
 
 
 def read_boot_id() -> str:
-    """Returns the id of this boot of the machine; "" if there is none."""
+    """Returns the id of the machine's current boot; "" if it cannot be read."""
     try:
         return BOOT_ID_PATH.read_text().strip()
     except OSError:
@@ -24,15 +24,15 @@
 
 
 class RecoveryStart:
-    """One start of a sender: its journal, and what came before.
+    """One start of a sender: its journal, and the end of the previous run.
 
     Attributes:
-        settings: Of the sender.
-        sync_interval_s: Between two syncs of the journal; None: nothing is synced.
-        clock: The wall clock, us.
+        settings: The policy settings of the sender.
+        sync_interval_s: The time between two syncs of the journal, in seconds; None: it is not synced.
+        clock: Returns the wall clock in microseconds.
         disk: The file layer.
-        boot_id: Names the machine's boot.
-        conditions: Of this start; known once the journal is open.
+        boot_id: The id of the machine's current boot.
+        conditions: The conditions of this start; valid once the journal is open.
     """
 
     def __init__(
@@ -43,7 +43,7 @@
         disk: Disk | None = None,
         boot_id: str | None = None,
     ) -> None:
-        """Prepares a start. A `disk` or `boot_id` of None is the system's."""
+        """Prepares a start; see the class for the arguments. None for `disk` or `boot_id`: the system's."""
         self.settings = settings
         self.sync_interval_s = sync_interval_s
         self.clock = clock
@@ -52,24 +52,24 @@
         self.conditions = StartConditions(PreviousEnd.FIRST)
 
     def now(self) -> int:
-        """Returns the wall clock, us, or what goes on from the latest time on record where that is later.
+        """Returns the wall clock in microseconds, never earlier than a time recorded before the start.
 
-        It never stands before a time that it has returned before the start.
+        A clock that was behind the latest recorded time at the start is shifted to continue from it.
         """
         return self.clock() + self.conditions.clock_lag_us
 
     def is_state_current(self) -> bool:
-        """Whether the disk tells all that the run before knew."""
+        """Whether the disk has all that the previous run knew."""
         return self.conditions.previous_end in (PreviousEnd.CLEAN, PreviousEnd.PROCESS)
 
     def open_journal(self, folder: Path, limit_bytes: int) -> DurableJournal:
-        """Opens the journal in `folder`; its files take at most `limit_bytes`."""
+        """Opens the journal in `folder`, whose files take at most `limit_bytes`."""
         return DurableJournal(
             folder, limit_bytes, self.sync_interval_s, self.disk, self.boot_id, self.now, self.apply_trust
         )
 
     def apply_trust(self, journal: DurableJournal) -> None:
-        """Changes what the journal replayed to what is believed of it."""
+        """Limits the replayed entries to what is trusted, and logs the recovery; called by the journal."""
         self.conditions = trust.judge_start(journal.previous_run, self.boot_id, self.clock())
         deadlines_us = {each.name: each.deadline for each in self.settings.classes}
         trust.limit_entries(journal.entries, self.conditions, self.now(), deadlines_us)
--- a/message_sender/recovery/status.py
+++ b/message_sender/recovery/status.py
@@ -1,4 +1,7 @@
-"""The status of recovery as JSON, for people and for `message-sender fleet status`."""
+"""The status of recovery as JSON, as `message-sender fleet status` reads it.
+
+The keys of the dictionaries are an output format: they don't follow the names in the code.
+"""
 
 from message_sender.recovery.coordinator import Coordinator
 from message_sender.recovery.stages import Stages
@@ -7,7 +10,7 @@
 
 
 def recovery_status(coordinator: Coordinator) -> dict[str, object]:
-    """Returns the members, their stages, and the destinations."""
+    """Returns the status of the members, their stages and the destinations."""
     now = coordinator.clock()
     stages = coordinator.stages
     node = coordinator.node
@@ -52,7 +55,7 @@
 
 
 def _numbers(stages: Stages) -> list[int]:
-    """All destinations of which anything is known, in order."""
+    """Returns the numbers of all destinations with owed messages here or with evidence, in order."""
     numbers = {*stages.owed_counts, *stages.own_evidence}
     for announcement in stages.announcements.values():
         numbers |= announcement.evidence.keys()
@@ -61,14 +64,14 @@
 
 def _destination(stages: Stages, number: int, now: float) -> dict[str, object]:
     evidence = stages.best_evidence(number, now)
-    trying = [name for name, each in stages.announcements.items() if number in each.trial_ages_s]
+    trial_members = [name for name, each in stages.announcements.items() if number in each.trial_ages_s]
     if number in stages.own_trials:
-        trying.append(stages.own_name)
+        trial_members.append(stages.own_name)
     return {
         "up": evidence.is_up if evidence else None,
         "age_s": round(evidence.age_s, 3) if evidence else None,
         "wait_s": round(evidence.retry_after_s, 3) if evidence else 0.0,
         "owed_here": stages.owed_counts.get(number, 0),
-        "tried_by": trying,
+        "tried_by": trial_members,
         "next_to_try": stages.trial_candidates(number)[:TRIAL_CANDIDATES_SHOWN],
     }
--- a/message_sender/recovery/trust.py
+++ b/message_sender/recovery/trust.py
@@ -1,19 +1,21 @@
-"""What a sender believes of what it knew before it ended. Pure.
-
-Three kinds of ends are told apart: a *clean* one (the journal was closed), one of the *process* (the
-machine's boot id is the same) and one of the *power* (the boot id is another one). After the last one, and
-wherever the wall clock stands before the latest time on record, nobody knows how much time has passed.
-
-The rules, for each kind of knowledge (`TRUST_RULES`):
-
-- What is **owed** is believed always: the journal alone tells it. Time only takes from it: a message has at
-  the most the time left that it had when it was last on record, and never more than its class allows. An
-  attempt that may have run keeps that for ever; how long a repeat is dropped is counted in time, so where
-  nobody knows how much has passed, that window is over.
-- What is **observed** (breakers, waits, rates) has an age. Young, it is believed; older, only what makes a
-  sender more careful; oldest, nothing. A Retry-After is believed in full from the restart on where the time
-  is not known: it can only be shorter in truth.
-- What is **granted** (leases, trials) is never believed over a restart: its end cannot be counted.
+"""How far a sender trusts its stored state after a restart. Pure.
+
+A run ends in one of three ways: *clean* (the journal was closed), *process* (the process ended, but the
+machine's boot id is unchanged) or *power* (the boot id has changed). After a power loss, and whenever the
+wall clock is before the latest recorded time, the elapsed time is unknown.
+
+The rules for each kind of knowledge (`TRUST_RULES`):
+
+- **Owed messages** are always trusted, because the journal is their only record. Elapsed time can only
+  shorten a message's remaining time: it is at most what remained when the message was last recorded, and
+  never more than its class allows. An attempt that may have run keeps that mark without a time limit. The
+  window in which the receiver drops a repeat is measured in time, so it counts as over when the elapsed time
+  is unknown.
+- **Observations** (breakers, Retry-After, rates) have an age. Recent ones are trusted; of older ones only
+  values that make the sender more cautious; the oldest are dropped. When the elapsed time is unknown, a
+  Retry-After applies in full from the restart on, because its actual remainder can only be shorter.
+- **Grants** (leases, trials) are never trusted across a restart, because the time until they end cannot be
+  determined.
 """
 
 from collections.abc import Mapping
@@ -28,7 +30,7 @@
 
 
 class PreviousEnd(Enum):
-    """How the run before ended. The texts are shown to people."""
+    """How the previous run ended. The log shows the member's name in lower case."""
 
     FIRST = "there was none"
     CLEAN = "closed"
@@ -37,15 +39,15 @@
 
 
 class Confidence(Enum):
-    """How far a kind of knowledge is believed."""
+    """How far a kind of knowledge is trusted."""
 
-    BELIEVED = "believed"
-    CAREFUL = "believed where it is the more careful"
+    TRUSTED = "believed"
+    CONSERVATIVE = "believed where it is the more careful"
     DROPPED = "dropped"
 
 
 class KnowledgeKind(Enum):
-    """What a sender knows."""
+    """The kinds of state that a sender keeps."""
 
     OWED_MESSAGES = "owed messages and their attempts"
     FINISHED_IDS = "ids that are over"
@@ -62,46 +64,47 @@
 
 @dataclass(frozen=True, slots=True)
 class TrustRule:
-    """How long one kind of knowledge is believed.
+    """How long one kind of knowledge is trusted.
 
     Attributes:
-        storage: Where it is kept.
-        believed_us: Until which age it is believed; FOREVER: always.
-        careful_us: Until which age it is believed where it is the more careful of two.
-        best_after_power_loss: The most that it is believed once nobody knows how much time has passed.
+        storage: Where it is stored.
+        trusted_us: The greatest age at which it is trusted, in microseconds; FOREVER: no limit.
+        conservative_us: The greatest age at which values that make the sender more cautious are trusted, in
+            microseconds.
+        max_if_time_unknown: The highest confidence when the elapsed time is unknown.
     """
 
     storage: str
-    believed_us: float
-    careful_us: float
-    best_after_power_loss: Confidence = Confidence.CAREFUL
+    trusted_us: float
+    conservative_us: float
+    max_if_time_unknown: Confidence = Confidence.CONSERVATIVE
 
 
 TRUST_RULES = {
-    KnowledgeKind.OWED_MESSAGES: TrustRule("journal", FOREVER, FOREVER, Confidence.BELIEVED),
-    KnowledgeKind.FINISHED_IDS: TrustRule("journal", FOREVER, FOREVER, Confidence.BELIEVED),
+    KnowledgeKind.OWED_MESSAGES: TrustRule("journal", FOREVER, FOREVER, Confidence.TRUSTED),
+    KnowledgeKind.FINISHED_IDS: TrustRule("journal", FOREVER, FOREVER, Confidence.TRUSTED),
     KnowledgeKind.RESTING_KEYS: TrustRule("journal", FOREVER, FOREVER),
     KnowledgeKind.RETRY_AFTER: TrustRule("snapshot", FOREVER, FOREVER),
     KnowledgeKind.BREAKERS: TrustRule("snapshot", 10 * SECOND_US, 60 * SECOND_US),
     KnowledgeKind.GAPS: TrustRule("snapshot", 10 * SECOND_US, 60 * SECOND_US),
     KnowledgeKind.WARM_UPS: TrustRule("snapshot", 10 * SECOND_US, 3600 * SECOND_US),
     KnowledgeKind.USUAL_RATES: TrustRule(
-        "snapshot", 3600 * SECOND_US, 24 * 3600 * SECOND_US, Confidence.BELIEVED
+        "snapshot", 3600 * SECOND_US, 24 * 3600 * SECOND_US, Confidence.TRUSTED
     ),
-    KnowledgeKind.OUT_OF_SERVICE: TrustRule("overrides", FOREVER, FOREVER, Confidence.BELIEVED),
-    KnowledgeKind.ENDPOINT_LIST: TrustRule("configuration", FOREVER, FOREVER, Confidence.BELIEVED),
+    KnowledgeKind.OUT_OF_SERVICE: TrustRule("overrides", FOREVER, FOREVER, Confidence.TRUSTED),
+    KnowledgeKind.ENDPOINT_LIST: TrustRule("configuration", FOREVER, FOREVER, Confidence.TRUSTED),
     KnowledgeKind.GRANTS: TrustRule("nowhere", 0, 0, Confidence.DROPPED),
 }
 
 
 @dataclass(frozen=True, slots=True)
 class StartConditions:
-    """How a run begins: what came before, and what its clock is worth.
+    """The conditions under which a run starts.
 
     Attributes:
-        previous_end: How the run before ended.
-        clock_lag_us: By which the wall clock stands before the latest time on record.
-        elapsed_us: Since that time; None: nobody knows.
+        previous_end: How the previous run ended.
+        clock_lag_us: How far the wall clock is behind the latest recorded time, in microseconds, or 0.
+        elapsed_us: The time since the latest recorded time, in microseconds; None: unknown.
     """
 
     previous_end: PreviousEnd
@@ -109,26 +112,31 @@
     elapsed_us: int | None = 0
 
     def confidence_in(self, kind: KnowledgeKind, age_us: int = 0) -> Confidence:
-        """Returns how far knowledge is believed. `age_us`: its age at the end of the run before."""
+        """Returns how far knowledge is trusted.
+
+        Args:
+            kind: The kind of knowledge.
+            age_us: Its age at the end of the previous run, in microseconds.
+        """
         rule = TRUST_RULES[kind]
         is_time_unknown = self.elapsed_us is None
-        if is_time_unknown and rule.best_after_power_loss is Confidence.DROPPED:
+        if is_time_unknown and rule.max_if_time_unknown is Confidence.DROPPED:
             return Confidence.DROPPED
         age_now_us = age_us + (self.elapsed_us or 0)
-        if age_now_us > rule.careful_us:
+        if age_now_us > rule.conservative_us:
             return Confidence.DROPPED
-        if age_now_us > rule.believed_us:
-            return Confidence.CAREFUL
-        return rule.best_after_power_loss if is_time_unknown else Confidence.BELIEVED
+        if age_now_us > rule.trusted_us:
+            return Confidence.CONSERVATIVE
+        return rule.max_if_time_unknown if is_time_unknown else Confidence.TRUSTED
 
 
 def judge_start(previous_run: PreviousRun, boot_id: str, now_us: int) -> StartConditions:
     """Returns the conditions of a start.
 
     Args:
-        previous_run: What the journal tells.
-        boot_id: Names the machine's boot.
-        now_us: Its wall clock.
+        previous_run: What the journal recorded about the previous run.
+        boot_id: The id of the machine's current boot.
+        now_us: The machine's wall clock, in microseconds.
     """
     if not previous_run.latest_us:
         return StartConditions(PreviousEnd.FIRST)
@@ -153,13 +161,13 @@
     now_us: int,
     deadlines_us: Mapping[str, int],
 ) -> None:
-    """Changes what is owed to what is believed of it.
+    """Limits the deadlines and repeat windows of owed messages to what is trusted after a restart.
 
     Args:
-        entries: Of the journal; changed in place.
-        conditions: Of the start.
-        now_us: The clock that goes on from the latest time on record.
-        deadlines_us: The most time of a message, by class.
+        entries: The entries of the journal, by message id; changed in place.
+        conditions: The conditions of the start.
+        now_us: The time, in microseconds, of a clock that continues from the latest recorded time.
+        deadlines_us: The longest time that a message may take, in microseconds, by class.
     """
     for entry in entries.values():
         message = entry.message
--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -339,7 +339,7 @@
     start = StartConditions(
         PreviousEnd.CLEAN if known else PreviousEnd.POWER, elapsed_us=0 if known else None
     )
-    order = [Confidence.BELIEVED, Confidence.CAREFUL, Confidence.DROPPED]
+    order = [Confidence.TRUSTED, Confidence.CONSERVATIVE, Confidence.DROPPED]
     assert order.index(start.confidence_in(kind, age)) <= order.index(start.confidence_in(kind, age + more))
     if not known and kind != KnowledgeKind.OWED_MESSAGES:
         at_once = StartConditions(PreviousEnd.CLEAN, elapsed_us=0)
@@ -356,8 +356,8 @@
         for kind in (KnowledgeKind.BREAKERS, KnowledgeKind.RETRY_AFTER, KnowledgeKind.GRANTS)
     }
     assert beliefs == {
-        KnowledgeKind.BREAKERS: (Confidence.BELIEVED, Confidence.DROPPED),
-        KnowledgeKind.RETRY_AFTER: (Confidence.BELIEVED, Confidence.BELIEVED),
+        KnowledgeKind.BREAKERS: (Confidence.TRUSTED, Confidence.DROPPED),
+        KnowledgeKind.RETRY_AFTER: (Confidence.TRUSTED, Confidence.TRUSTED),
         KnowledgeKind.GRANTS: (Confidence.DROPPED, Confidence.DROPPED),
     }
 
