--- a/message_sender/budget/__init__.py
+++ b/message_sender/budget/__init__.py
@@ -1,1 +1,1 @@
-"""Limits that all senders of a fleet share: leases, their division and their enforcement."""
+"""Shared budgets: limits that apply to all senders of a fleet together, divided by leases."""
--- a/message_sender/budget/definition.py
+++ b/message_sender/budget/definition.py
@@ -6,9 +6,9 @@
 
 from message_sender.budget.lease import Terms
 
-#: A clock that is 1% fast shows a true duration as 1.0101 times as long.
+#: A clock that is 1% fast measures a duration as up to 1.0101 times as long as it is.
 FAST_CLOCK_FACTOR = 1.0102
-#: The drift between two clocks of 1% each.
+#: The greatest relative drift between two clocks, each of which is at most 1% fast or slow.
 MAX_CLOCK_DRIFT = 0.021
 
 
@@ -17,15 +17,15 @@
     """One budget as this member's configuration defines it.
 
     Attributes:
-        name: The same at all members.
+        name: The budget's name, the same at all members.
         resource: What is counted, such as calls or in_flight.
-        limit: The most that all members may spend: in a window, or at once.
+        limit: The most units that all members together may spend within a window, or hold at once.
         max_members: The largest number of members.
-        window_us: The window of a rate; None: things that are held are counted.
-        max_hold_us: The longest that a thing is held.
-        floor: What each member may spend without a lease.
-        lease_us: How long a lease is valid.
-        slack_us: By how much the transit times of two calls may differ.
+        window_us: The window of a rate, in microseconds; None: units that are held are counted.
+        max_hold_us: The longest time that a unit is held, in microseconds.
+        floor: The units that each member may spend without a lease.
+        lease_us: How long a lease is valid, in microseconds.
+        slack_us: The greatest difference between the transit times of two calls, in microseconds.
     """
 
     name: str
@@ -40,13 +40,13 @@
 
     @cached_property
     def timing_checksum(self) -> int:
-        """Differs between definitions whose leases cannot be combined."""
+        """A checksum that differs between definitions whose leases cannot be combined."""
         text = f"{self.resource} {self.window_us} {self.max_hold_us} {self.lease_us} {self.slack_us}"
         return zlib.crc32(text.encode())
 
     @cached_property
     def usage_window_us(self) -> int:
-        """How long usage counts, by a fast clock; the slack concerns rates alone."""
+        """How long usage counts, in microseconds of a fast clock; the slack applies to rates only."""
         counted_us = self.window_us + self.slack_us if self.window_us else self.max_hold_us
         return int(FAST_CLOCK_FACTOR * counted_us) + 1
 
--- a/message_sender/budget/enforcer.py
+++ b/message_sender/budget/enforcer.py
@@ -1,8 +1,8 @@
 """Enforces one member's share of a budget. Pure; times are microseconds of the member's own clock.
 
-The usage of a rate is kept call by call for its window, so that no window, wherever it begins, holds more
-than the member's share. A thing that is held counts until it ends. A call is reserved first and spent with
-its first byte, so that calls that pile up on a slow connection cannot all go at once.
+The usage of a rate is recorded call by call for its window, so that no window, wherever it begins, contains
+more than the member's share. A unit that is held counts until it is released. A call reserves a unit first
+and spends it with its first byte, so that calls that queue up on a slow connection cannot all start at once.
 """
 
 from collections import deque
@@ -14,15 +14,15 @@
     """Counts the usage of one budget at one member.
 
     Attributes:
-        window_us: The window of a rate, in microseconds; None: things that are held count until they end.
-        spent_at_us: When each use within the window was spent, the oldest first.
-        reserved: Names of calls that are about to be spent.
-        active: Names of things that are held.
-        spent_total: How many were spent since the member started.
+        window_us: The window of a rate, in microseconds; None: units that are held count until their release.
+        spent_at_us: When each unit within the window was spent, the oldest first.
+        reserved: The names of calls that have reserved a unit and not spent it.
+        active: The names under which units are held.
+        spent_total: The number of units spent since the member started.
     """
 
     def __init__(self, window_us: int | None) -> None:
-        """Begins without usage; `window_us`: see the class."""
+        """Initializes the enforcer without usage; `window_us`: see the class."""
         self.window_us = window_us
         self.spent_at_us: deque[int] = deque()
         self.reserved: set[str] = set()
@@ -30,7 +30,7 @@
         self.spent_total = 0
 
     def count_spent(self, now_us: int) -> int:
-        """Returns what counts as spent at this time."""
+        """Returns the number of units that count as spent at this time."""
         if self.window_us is None:
             return len(self.active)
         while self.spent_at_us and self.spent_at_us[0] <= now_us - self.window_us:
@@ -38,7 +38,7 @@
         return len(self.spent_at_us)
 
     def usage(self, now_us: int) -> int:
-        """Returns what is spent or reserved."""
+        """Returns the number of units that are spent or reserved."""
         return self.count_spent(now_us) + len(self.reserved)
 
     def reserve(self, name: str) -> None:
@@ -53,11 +53,11 @@
         return True
 
     def has_capacity(self, now_us: int, share: int) -> bool:
-        """Whether less than the share is spent; reservations don't count."""
+        """Whether fewer units than the share are spent; reservations don't count."""
         return self.count_spent(now_us) < share
 
     def spend(self, name: str, now_us: int) -> None:
-        """Spends one unit, in place of the name's reservation."""
+        """Spends one unit, and removes the name's reservation."""
         self.reserved.discard(name)
         self.spent_total += 1
         if self.window_us is None:
@@ -66,12 +66,12 @@
             self.spent_at_us.append(now_us)
 
     def release(self, name: str) -> None:
-        """Ends the reservation or the hold of this name; what was spent of a rate counts on."""
+        """Ends the reservation or hold of this name; a spent unit of a rate still counts for its window."""
         self.reserved.discard(name)
         self.active.discard(name)
 
     def free_at(self, now_us: int, share: int) -> int:
-        """Returns when one more unit is free if the share stays the same: now, later or NEVER_US."""
+        """Returns when one more unit is free if the share stays the same: now, a later time or NEVER_US."""
         excess = self.usage(now_us) - share
         if excess < 0:
             return now_us
--- a/message_sender/budget/granting.py
+++ b/message_sender/budget/granting.py
@@ -1,4 +1,4 @@
-"""The grantor's side of one budget: how much of its limit each request gets."""
+"""Decides, at the grantor of one budget, how much of the limit each lease request gets."""
 
 from message_sender.budget import division, lease
 from message_sender.budget.lease import LeaseMessage, LeaseMessageKind, Terms
@@ -11,20 +11,20 @@
     """Handles a lease request.
 
     Args:
-        ledger: The budget at the grantor.
-        requester_name: The member that sent the request.
-        request: The request.
-        warm_permille: The requester's estimate of how much of the limit can be spent, in thousandths.
+        ledger: The budget's ledger at the grantor.
+        requester_name: The name of the member that sent the request.
+        request: The lease request.
+        warm_permille: The requester's estimate of the part of the limit that can be spent, in thousandths.
 
     Returns:
-        The grant, which is on record unless its amount is 0; None: the request gets no reply.
+        The grant, which is recorded unless its amount is 0; None: the request gets no reply.
     """
     now_us = ledger.clock()
     if request.amount < 0:
         return None
     requester = record_request(ledger, requester_name, request.amount, warm_permille, now_us)
     if not lease.is_grantor(ledger.member) or now_us < ledger.member.grants_from:
-        return None  # the request is counted, so that the first grants go by the demand of all members
+        return None  # the request is recorded, so that the first grants consider the demand of all members
     terms = ledger.effective_terms()
     share = decide_share(ledger, terms, requester_name, now_us)
     if share <= 0:
@@ -38,7 +38,7 @@
 
 
 def record_request(ledger: Ledger, name: str, amount: int, warm_permille: int, now_us: int) -> Requester:
-    """Records a member's demand, and drops the requests that have become too old."""
+    """Records a member's demand, and drops requests older than two leases."""
     previous = ledger.requesters.get(name)
     previous_share = previous.share if previous else 0
     requester = Requester(min(amount, ledger.budget.limit), now_us, previous_share, warm_permille)
@@ -52,7 +52,7 @@
 
 
 def decide_share(ledger: Ledger, terms: Terms, requester_name: str, now_us: int) -> int:
-    """Returns the requester's share of what can be spent at present."""
+    """Returns the requester's share of the amount that can be spent at present."""
     demands = {name: each.demand for name, each in sorted(ledger.requesters.items())}
     available = warm_amount(ledger, terms.leasable_amount())
     shares = division.divide(available, demands, now_us // (2 * ledger.budget.lease_us))
@@ -61,7 +61,7 @@
 
 
 def warm_amount(ledger: Ledger, amount: int) -> int:
-    """Returns the part of the amount that the median estimate of the members with demand allows."""
+    """Returns the part of the amount that can be spent by the median estimate of the members with demand."""
     estimates = sorted(each.warm_permille for each in ledger.requesters.values() if each.demand > 0)
     if not estimates:
         return amount
--- a/message_sender/budget/lease.py
+++ b/message_sender/budget/lease.py
@@ -6,26 +6,28 @@
 Rules:
 
 - **One grantor.** A member is the grantor for `grantor_term` once more than half of `max_members` have
-  promised to support it. It counts the term from its vote request; the voters count from their promise, and
-  `margin` longer. Until then they promise nobody else. A candidate that is not elected waits until its
-  promise to itself has run out, or abandons its election in favour of another candidate.
-- **No state survives a restart.** For `grantor_term` and `margin` after its start a member promises nobody,
+  promised to support it. It measures the term from its vote request; a voter measures it from its promise,
+  for `margin` longer, and makes no promise to another member until then. A candidate that is not elected
+  waits until its promise to itself has expired, or abandons its election in favour of another candidate.
+- **No state survives a restart.** For `grantor_term` and `margin` after its start a member makes no promise,
   so that it cannot break a promise of its previous session. Its leases end with its session: a grant to an
   earlier session is ignored.
-- **A grantor knows all valid grants.** A new grantor grants nothing for the longest usage of a lease and
-  `margin`: by then all grants of its predecessors have run out. It records a grant before it sends it.
-- **A lease lasts from the request** for its holder, and from the grant and `margin` longer for its grantor.
-  Of several grants a holder uses the one that it requested last; the grantor counts the largest.
-- **An early release** names a request time: the holder ignores all grants that it requested up to then, and
-  sends the release afterwards.
-- **Usage counts on** for `usage_window`: the window of a rate, or the longest hold. The grantor counts a
-  lease that ran out for so long; a member that starts spends nothing for so long, because its previous
-  session may have spent.
-- **A smaller lease** binds at once. The larger ones before it are released (`release_superseded`) once the
-  usage is within the smaller one, and the usage of the previous session has expired.
+- **A grantor knows all valid grants.** A new grantor makes no grants for the lease duration, `margin` and
+  `usage_window`: by then all grants of its predecessors have expired. It records a grant before it sends it.
+- **The lease duration** is measured from the request by the holder, and from the grant, for `margin` longer,
+  by the grantor. Of several grants, the holder uses the one that it requested last; the grantor counts the
+  largest.
+- **An early release** states a request time. The holder first ignores all grants that it requested up to that
+  time, and then sends the release.
+- **Usage counts for `usage_window`**: the window of a rate, or the longest hold. For this long, the grantor
+  counts an expired lease, and a member that starts spends nothing, because its previous session may have
+  spent.
+- **A smaller lease** applies at once. The larger leases before it are released (`release_superseded`) once
+  the usage is within the smaller one and the usage of the previous session has expired.
 - **The floor** is available to each member without a lease. Leases share the limit less `max_members` floors.
 
-`margin` covers the drift between two clocks: at 1% each, 2.1% of the lease and the term, and one unit.
+`margin` covers the drift between two clocks: with an error of 1% each, 2.1% of the lease, which is as long as
+the term, and of the usage window, plus one unit (definition.py).
 """
 
 from enum import IntEnum
@@ -39,12 +41,12 @@
     """The figures of a budget; durations are in units of the members' clocks.
 
     Attributes:
-        limit: The most that all members may spend together.
+        limit: The most units that all members may spend together.
         max_members: The largest number of members.
         lease_duration: How long a lease is valid.
-        grantor_term: How long a grantor stays in office without renewal.
-        margin: Allowance for the drift of clocks.
-        floor: What each member may spend without a lease.
+        grantor_term: How long a grantor remains grantor without a renewal.
+        margin: The allowance for the drift between two clocks.
+        floor: The units that each member may spend without a lease.
         usage_window: How long usage counts.
     """
 
@@ -57,7 +59,7 @@
     usage_window: int = 0
 
     def leasable_amount(self) -> int:
-        """The limit less the floors of all members."""
+        """Returns the limit less the floors of all members."""
         return self.limit - self.max_members * self.floor
 
 
@@ -74,7 +76,13 @@
 class LeaseMessage(NamedTuple):
     """A message between two members.
 
-    `session` and `requested_at` belong to the member that requested votes or a lease; a reply repeats them.
+    Attributes:
+        kind: The kind of the message.
+        sender: The number of the member that sends it.
+        receiver: The number of the member that receives it.
+        session: The session of the member that requested votes or a lease; a reply repeats it.
+        requested_at: The time of that request, on the requester's clock; a reply repeats it.
+        amount: The units that are requested or granted.
     """
 
     kind: LeaseMessageKind
@@ -86,9 +94,14 @@
 
 
 class Grant(NamedTuple):
-    """A lease on the grantor's record.
+    """A lease that the grantor has recorded.
 
-    `requested_at` is on the holder's clock, `expires_at` on the grantor's.
+    Attributes:
+        holder: The number of the lease holder.
+        session: The holder's session when it requested the lease.
+        requested_at: When the holder requested the lease, on the holder's clock.
+        amount: The units that are leased.
+        expires_at: When usage under the lease no longer counts, on the grantor's clock.
     """
 
     holder: int
@@ -103,7 +116,7 @@
 
     Attributes:
         number: The member's number.
-        session: Above the sessions of its earlier starts.
+        session: The number of its session, above those of its earlier sessions.
         clock: The current time.
         started_at: When the session started.
         promised_to: The candidate that it supports, or NO_MEMBER.
@@ -111,9 +124,9 @@
         votes_requested_at: When it last requested votes.
         votes: The members that support it.
         grantor_until: When its term as grantor ends.
-        grants_from: From when on it may grant leases.
-        grants: The leases on its record.
-        leased: The amount that it holds.
+        grants_from: The time from which it may grant leases.
+        grants: The leases that it has recorded as grantor.
+        leased: The amount of the lease that it holds.
         leased_until: When its lease ends.
         lease_requested_at: When it requested its lease; grants that it requested up to then are ignored.
     """
@@ -143,7 +156,7 @@
 
 
 def advance_clock(member: Member, clock: int) -> Member:
-    """Sets the member's clock and drops what has expired."""
+    """Sets the member's clock, and drops its promise, its lease and recorded grants if they have expired."""
     return member._replace(
         clock=clock,
         promised_to=member.promised_to if clock < member.promised_until else NO_MEMBER,
@@ -153,7 +166,7 @@
 
 
 def spendable_amount(member: Member, terms: Terms) -> int:
-    """Returns what the member may spend at this moment of its clock."""
+    """Returns the units that the member may spend at the current time of its clock."""
     if not has_previous_usage_expired(member, terms):
         return 0
     leased = member.leased if member.clock < member.leased_until else 0
@@ -161,17 +174,17 @@
 
 
 def has_previous_usage_expired(member: Member, terms: Terms) -> bool:
-    """Whether nothing that the previous session spent still counts."""
+    """Whether the usage of the previous session no longer counts."""
     return member.clock >= member.started_at + terms.usage_window
 
 
 def has_previous_promise_expired(member: Member, terms: Terms) -> bool:
-    """Whether no promise of the previous session can still be valid."""
+    """Whether all promises of the previous session have expired."""
     return member.clock >= member.started_at + terms.grantor_term + terms.margin
 
 
 def is_grantor(member: Member) -> bool:
-    """Whether the member's term as grantor lasts."""
+    """Whether the member is in its term as grantor."""
     return member.clock < member.grantor_until
 
 
@@ -181,8 +194,8 @@
 def request_votes(member: Member, terms: Terms) -> Transition:
     """Starts an election, or renews the member's term as grantor.
 
-    A candidate that was not elected waits until its promise to itself has run out, since two candidates that
-    renewed theirs would block each other for ever. The caller chooses who becomes a candidate: the first of
+    A candidate that was not elected waits until its promise to itself has expired, since two candidates that
+    renewed such promises would block each other indefinitely. The caller chooses the candidate: the first of
     the live members in an order that all of them know.
     """
     if not has_previous_promise_expired(member, terms):
@@ -200,7 +213,7 @@
 
 
 def is_own_grantor(member: Member) -> bool:
-    """Whether the member is grantor and supports itself."""
+    """Whether the member is the grantor and supports itself."""
     return member.promised_to == member.number and is_grantor(member)
 
 
@@ -232,7 +245,7 @@
 
 
 def count_vote(member: Member, terms: Terms, voter: int) -> Member:
-    """Counts a vote for the member, which becomes grantor with a majority of `max_members`."""
+    """Counts a vote for the member, which becomes the grantor with a majority of `max_members`."""
     member = member._replace(votes=tuple(sorted({*member.votes, voter})))
     until = member.votes_requested_at + terms.grantor_term
     if 2 * len(member.votes) <= terms.max_members or member.clock >= until:
@@ -243,7 +256,7 @@
 
 
 def max_usage_duration(terms: Terms) -> int:
-    """How long a grant of another grantor may be spent, or count as spent."""
+    """Returns how long after a grant it may be spent or its usage may count, by any member's clock."""
     return terms.lease_duration + terms.margin + terms.usage_window
 
 
@@ -251,7 +264,7 @@
 
 
 def request_lease(member: Member, terms: Terms, grantor: int, amount: int) -> Transition:
-    """Requests a lease of `amount` in place of the one that the member holds."""
+    """Requests a lease of `amount` to replace the one that the member holds."""
     request = LeaseMessage(
         LeaseMessageKind.LEASE_REQUEST, member.number, grantor, member.session, member.clock, amount
     )
@@ -264,13 +277,13 @@
 
 
 def granted_to_others(member: Member, requester: int) -> int:
-    """Returns the most that all members but the requester may spend by the grantor's record."""
+    """Returns the most units that all members but the requester may spend under the recorded grants."""
     holders = {each.holder for each in member.grants} - {requester}
     return sum(max(each.amount for each in member.grants if each.holder == holder) for holder in holders)
 
 
 def handle_lease_request(member: Member, terms: Terms, request: LeaseMessage) -> Transition:
-    """Grants what is requested as far as the other members' leases leave it."""
+    """Grants the requested amount, limited to what the leases of the other members leave."""
     if not is_grantor(member) or member.clock < member.grants_from:
         return member, ()
     amount = min(request.amount, terms.leasable_amount() - granted_to_others(member, request.sender))
@@ -295,7 +308,7 @@
 
 
 def handle_grant(member: Member, terms: Terms, grant: LeaseMessage) -> Member:
-    """Takes a lease; ignores one above the limit, a superseded one and one that has expired."""
+    """Accepts a lease; ignores one above the limit, a superseded one and an expired one."""
     until = grant.requested_at + terms.lease_duration
     if not is_for_current_session(member, grant) or grant.requested_at <= member.lease_requested_at:
         return member
@@ -305,16 +318,16 @@
 
 
 def release_lease(member: Member, terms: Terms, grantor: int) -> Transition:
-    """Gives up the lease and all grants that the member has requested so far."""
+    """Releases the lease and all grants that the member has requested so far."""
     member = member._replace(leased=0, leased_until=LONG_AGO, lease_requested_at=member.clock)
     release = LeaseMessage(LeaseMessageKind.RELEASE, member.number, grantor, member.session, member.clock)
     return member, (release,) if has_previous_usage_expired(member, terms) else ()
 
 
 def release_superseded(member: Member, terms: Terms, grantor: int) -> tuple[LeaseMessage, ...]:
-    """Releases all leases before the current one.
+    """Releases all leases that were requested before the current one.
 
-    The caller makes sure that the usage is within the current lease.
+    The caller ensures that the usage is within the current lease.
     """
     release = LeaseMessage(
         LeaseMessageKind.RELEASE, member.number, grantor, member.session, member.lease_requested_at - 1
--- a/message_sender/budget/ledger.py
+++ b/message_sender/budget/ledger.py
@@ -1,4 +1,4 @@
-"""What one member knows of one budget: its lease, its usage, and what other members reported."""
+"""The state of one budget at one member: its lease, its usage, and the reports of other members."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field, replace
@@ -19,10 +19,10 @@
     """The last lease request of a member, at the grantor.
 
     Attributes:
-        demand: The amount that it requested.
-        requested_at_us: When the request came, on the grantor's clock.
-        share: What it was granted.
-        warm_permille: Its estimate of how much of the limit can be spent, in thousandths.
+        demand: The amount that the member requested.
+        requested_at_us: When the request was received, on the grantor's clock.
+        share: The amount that was granted.
+        warm_permille: The member's estimate of the part of the limit that can be spent, in thousandths.
     """
 
     demand: int
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReportedTerms:
-    """The figures that another member has for the same budget."""
+    """The limit and the floor that another member has for the same budget."""
 
     limit: int
     floor: int
@@ -49,10 +49,10 @@
 
 
 class LeaseStatus(NamedTuple):
-    """What is logged when it changes."""
+    """The share and the grantor, whose changes are recorded for operators."""
 
     share: int
-    grantor: str  # empty: not known
+    grantor: str  # empty: unknown
 
 
 INITIAL_STATUS = LeaseStatus(share=0, grantor="")
@@ -63,26 +63,27 @@
     """One budget at one member. Times are microseconds of the member's clock.
 
     Attributes:
-        budget: Its definition.
+        budget: The definition of the budget.
         member: The state of the lease protocol.
         enforcer: The usage at this member.
-        clock: Returns the time.
-        pending_demand: Returns what waits for the budget, besides its usage.
-        warm_permille: Returns this member's estimate of how much of the limit can be spent, in thousandths.
+        clock: Returns the time in microseconds.
+        pending_demand: Returns the number of units that are waited for, besides the usage.
+        warm_permille: Returns this member's estimate of the part of the limit that can be spent, in
+            thousandths.
         member_numbers: The numbers of members in the lease protocol, by name.
-        is_transient: Whether it may be closed once nobody uses it.
-        last_needed_us: When any member, as far as is known here, last had demand.
+        is_transient: Whether the budget may be closed once it is idle and unused.
+        last_needed_us: When a member, as far as is known here, last had demand.
         last_request_us: When this member last requested a lease.
         demand_lowered_us: When `requested_amount` last decayed.
         last_vote_request_us: When this member last requested votes.
         last_promised_us: When this member last supported a candidate.
-        requested_amount: The demand that it requests; it decays slowly.
+        requested_amount: The amount that this member requests, which follows a falling demand slowly.
         has_superseded_leases: Whether usage under an earlier, larger lease may still count.
-        requesters: Members that requested leases here lately, by name.
-        reported_terms: The figures of other members, by name.
-        changes: The latest changes.
-        rejections: How many datagrams were rejected, by reason.
-        last_noted: The status at the last change.
+        requesters: The last lease requests received here, by member name; old ones are dropped.
+        reported_terms: The figures of other members, by name; old ones are dropped.
+        changes: The last CHANGES_KEPT changes, for operators.
+        rejections: The number of rejected datagrams, by reason.
+        last_status: The status at the last recorded change.
     """
 
     budget: Budget
@@ -104,27 +105,27 @@
     reported_terms: dict[str, ReportedTerms] = field(default_factory=dict)
     changes: list[Change] = field(default_factory=list)
     rejections: dict[str, int] = field(default_factory=dict)
-    last_noted: LeaseStatus = INITIAL_STATUS
+    last_status: LeaseStatus = INITIAL_STATUS
 
     def share(self) -> int:
-        """Returns what this member may spend now: its lease and its floor."""
-        member = self.member._replace(clock=self.clock())  # without what has run out by now
+        """Returns the number of units that this member may spend now: its lease and its floor."""
+        member = self.member._replace(clock=self.clock())  # excludes a lease that has expired by now
         return min(lease.spendable_amount(member, self.budget.terms), max(self.budget.limit, 0))
 
     def grantor(self) -> str:
-        """Returns the name of the member that this one supports as grantor; empty for none."""
+        """Returns the name of the member that this one supports as grantor; empty: none."""
         for name, number in self.member_numbers.items():
             if number == self.member.promised_to:
                 return name
         return ""
 
     def demand(self) -> int:
-        """Returns the lease that this member needs now."""
+        """Returns the amount of the lease that this member needs now."""
         total = self.enforcer.usage(self.clock()) + self.pending_demand() - self.budget.floor
         return max(min(total, self.budget.terms.leasable_amount()), 0)
 
     def is_idle(self) -> bool:
-        """Whether it is transient and no member has had demand for `IDLE_TIMEOUT_US`."""
+        """Whether the budget is transient and no member has had demand for `IDLE_TIMEOUT_US`."""
         if not self.is_transient:
             return False
         now_us = self.clock()
@@ -147,9 +148,9 @@
         return not self.enforcer.usage(now_us)
 
     def update_budget(self, budget: Budget) -> None:
-        """Changes the figures; the largest number of members that was ever reported stays.
+        """Adopts a new definition; the largest number of members that was ever reported is kept.
 
-        What is leased above the new limit is no longer spendable.
+        The part of a lease that exceeds the new limit is no longer spendable.
         """
         budget = replace(budget, max_members=max(budget.max_members, self.budget.max_members))
         if budget == self.budget:
@@ -157,10 +158,10 @@
         leasable = max(budget.terms.leasable_amount(), 0)
         self.member = self.member._replace(leased=min(self.member.leased, leasable))
         self.budget = budget
-        self.note_change(f"the whole is {budget.limit} from now on")
+        self.record_change(f"the whole is {budget.limit} from now on")
 
     def effective_terms(self) -> Terms:
-        """Returns the terms for a grantor: the smallest limit and the largest floor reported lately."""
+        """Returns a grantor's terms: the smallest limit and the largest floor reported within two leases."""
         since_us = self.clock() - 2 * self.budget.lease_us
         self.reported_terms = {
             name: each for name, each in self.reported_terms.items() if each.reported_at_us > since_us
@@ -169,23 +170,23 @@
         floor = max([self.budget.floor, *(each.floor for each in self.reported_terms.values())])
         return replace(self.budget, limit=limit, floor=floor).terms
 
-    def note_status(self) -> None:
-        """Notes a change of the share or of the grantor."""
-        previous = self.last_noted
+    def record_status(self) -> None:
+        """Records a change of the share or of the grantor."""
+        previous = self.last_status
         status = LeaseStatus(self.share(), self.grantor())
         if status == previous:
             return
-        self.last_noted = status
+        self.last_status = status
         if status.grantor != previous.grantor:
             if status.grantor:
-                self.note_change(f"kept by {status.grantor}")
+                self.record_change(f"kept by {status.grantor}")
             else:
-                self.note_change(f"{previous.grantor} keeps it no more, as far as known")
+                self.record_change(f"{previous.grantor} keeps it no more, as far as known")
         if status.share != previous.share:
-            self.note_change(f"from {previous.share} to {status.share}, {self.requested_amount} needed")
+            self.record_change(f"from {previous.share} to {status.share}, {self.requested_amount} needed")
 
-    def note_change(self, text: str) -> None:
-        """Adds a change for operators; the texts are part of the output of `fleet budgets`."""
+    def record_change(self, text: str) -> None:
+        """Records a change for operators; the texts are part of the output of `fleet budgets`."""
         self.changes = [*self.changes[1 - CHANGES_KEPT :], Change(self.clock(), text)]
 
     def record_rejection(self, reason: str) -> None:
--- a/message_sender/budget/manager.py
+++ b/message_sender/budget/manager.py
@@ -1,29 +1,33 @@
-"""All budgets of one member: which leases it requests and grants, and what it may spend.
+"""All budgets of one member: the leases that it requests and grants, and what it may spend.
 
 The lease protocol (lease.py) keeps the sum of all shares within the limit whatever happens here; this module
-drives it and decides about utilization alone. It does no I/O: datagrams are queued in `LeaseManager.outbox`.
+drives it and affects utilization only. It does no I/O: datagrams are queued in `LeaseManager.outbox`.
 
 Rules:
 
 - Each budget has its own grantor, chosen by rendezvous hashing among the live members, so that the load is
-  spread. A grantor stays in office as long as it lives. When no grantor is known, the first member in the
-  order of the hash becomes a candidate at once, and each next one an eighth of a lease later, because the
-  first may have failed unnoticed. A candidate withdraws for one before it, and for a grantor that renews.
-- A member requests a lease four times in a lease's duration, for its usage and its pending demand. The
-  requested amount decays by an eighth each time, so that a short pause changes nothing.
-- A demand above the current lease is requested at once, but at most once in `MIN_REQUEST_INTERVAL_US`; so is
-  a request that was not answered.
-- While a change of configuration spreads, members may have different figures for a budget: the smallest limit
+  spread. A grantor renews its term as long as it runs. When no grantor is known, the first member in the
+  order of the hash becomes a candidate at once, and each further one an eighth of a lease later, because the
+  first may have failed undetected. A candidate withdraws for one that precedes it in the order of the hash,
+  and for a grantor that renews its term.
+- A member requests a lease four times within a lease's duration, for its usage and its pending demand. The
+  requested amount decays by an eighth, and at least one unit, each time, so that a short pause in demand does
+  not give up the lease.
+- A demand above the current lease is requested at once, and a request without an answer is repeated, but at
+  most once in `MIN_REQUEST_INTERVAL_US`.
+- While a change of configuration spreads, members may have different figures for a budget. The smallest limit
   and the largest floor that the grantor received within two leases apply, and so does the largest number of
-  members ever reported; a candidate with a smaller number gets no promise. Datagrams with other timing
-  (resource, window, lease) are rejected.
-- Each request carries an estimate of how much of the limit can be spent while its endpoint recovers. The
-  grantor divides the share that the median of the members with demand allows: one member whose connections
-  fail limits nobody, and an endpoint that recovers does not get its full rate at once.
+  members ever reported; a candidate with a smaller number gets no promise. Datagrams with a different
+  resource or timing (window, hold, lease, slack) are rejected.
+- Each request carries an estimate of the part of the limit that can be spent while its endpoint recovers. The
+  grantor divides the part that the median of the members with demand allows: a single member whose
+  connections fail does not limit the others, and an endpoint that recovers does not get its full rate at
+  once.
 - A transient budget, one of many that come and go with destinations, is idle once no member has had demand
-  for `IDLE_TIMEOUT_US`: nobody renews or requests anything. It is closed when it is unused, and can be opened
-  again at any time.
-- The lease protocol knows members by numbers that are local to this process; a new session begins anew.
+  for `IDLE_TIMEOUT_US`; then no member renews its term or requests a lease. It is closed when it is unused,
+  and can be opened again at any time.
+- The lease protocol identifies members by numbers that are local to this process. A new session starts with a
+  new protocol state.
 """
 
 import hashlib
@@ -43,30 +47,35 @@
 REQUESTS_PER_LEASE = 4
 CANDIDATE_DELAYS_PER_LEASE = 8
 DEMAND_DECAY_DIVISOR = 8
-OWN_NUMBER = 0  # of this member in the lease protocol
+OWN_NUMBER = 0  # this member's number in the lease protocol
 
 
 class ShareListener(Protocol):
-    """Is called when this member's share of a budget has grown."""
+    """A callback for an increase of this member's share of a budget."""
 
     def __call__(self, budget: str, /) -> None:
-        """Takes the budget's name."""
+        """Handles the increase; `budget`: the budget's name."""
 
 
 @dataclass(frozen=True, slots=True)
 class OutgoingDatagram:
-    """A datagram that waits to be sent to a member."""
+    """A datagram that is queued for a member.
+
+    Attributes:
+        receiver: The member's name.
+        datagram: The content.
+    """
 
     receiver: str
     datagram: LeaseDatagram
 
 
 def ignore_share_increase(budget: str) -> None:
-    """The listener that does nothing."""
+    """The listener that ignores an increase."""
 
 
 def fully_warm() -> int:
-    """The estimate that the whole limit can be spent, in thousandths."""
+    """Returns the estimate, in thousandths, that the whole limit can be spent."""
     return FULLY_WARM_PERMILLE
 
 
@@ -75,17 +84,17 @@
 
     Attributes:
         name: The member's name.
-        session: Its number of this session, above those of all earlier ones.
-        clock: Returns microseconds of a clock that goes on while the machine sleeps.
-        ledgers: The open budgets, by name.
-        outbox: Datagrams to be sent; the caller takes them out.
-        share_increased: Is called when a share has grown.
+        session: The number of its session, above those of all earlier sessions.
+        clock: Returns microseconds of a clock that continues while the machine sleeps.
+        ledgers: The ledgers of the open budgets, by name.
+        outbox: The datagrams to be sent; the caller removes them.
+        share_increased: Called with the budget's name when a share has grown.
         created_at_us: When the manager was created.
         session_started_us: When the session started.
     """
 
     def __init__(self, name: str, session: int, clock: Callable[[], int]) -> None:
-        """Begins without budgets; see the class for the arguments."""
+        """Initializes the manager without budgets; see the class for the arguments."""
         self.name = name
         self.session = session
         self.clock = clock
@@ -105,9 +114,9 @@
         """Opens a budget.
 
         Args:
-            budget: Its definition.
-            pending_demand: Returns what waits for it, besides what is in use.
-            warm_permille: Returns an estimate of how much of the limit can be spent, in thousandths.
+            budget: The definition of the budget.
+            pending_demand: Returns the number of units that are waited for, besides those in use.
+            warm_permille: Returns an estimate of the part of the limit that can be spent, in thousandths.
             is_transient: Whether `close_idle` may close it.
 
         Returns:
@@ -132,11 +141,11 @@
         return lease.new_member(OWN_NUMBER, self.session, self.session_started_us)
 
     def update_budget(self, budget: Budget) -> None:
-        """Changes the figures of an open budget."""
+        """Adopts a new definition of an open budget."""
         self.ledgers[budget.name].update_budget(budget)
 
     def restart_session(self, session: int) -> None:
-        """Begins a new session, because another member knows a later one of this name."""
+        """Begins a new session, because another member knows a later session of this member's name."""
         self.session = session
         self.session_started_us = self.clock()
         for ledger in self.ledgers.values():
@@ -146,15 +155,23 @@
     # Spending.
 
     def free_at(self, name: str) -> int:
-        """Returns when one more unit is free, in us of the clock.
+        """Returns when one more unit is free, in microseconds of the clock.
 
-        NEVER_US: not before the share grows or a thing that is held ends.
+        NEVER_US: not before the share grows or a held unit is released.
         """
         ledger = self.ledgers[name]
         return ledger.enforcer.free_at(self.clock(), ledger.share())
 
     def try_spend(self, names: Iterable[str], spent_by: str) -> bool:
-        """Spends one unit of each of the budgets, as the first byte goes; False: one of them has none."""
+        """Spends one unit of each budget; called immediately before the first byte of a call.
+
+        Args:
+            names: The names of the budgets.
+            spent_by: The name under which the units are spent.
+
+        Returns:
+            Whether all budgets had a unit left; otherwise none is spent.
+        """
         ledgers = [self.ledgers[name] for name in names]
         now_us = self.clock()
         if not all(each.enforcer.has_capacity(now_us, each.share()) for each in ledgers):
@@ -166,7 +183,11 @@
     # Periodic work.
 
     def tick(self, live_members: Iterable[str]) -> None:
-        """Renews what is due; called several times a second with the names of the other live members."""
+        """Renews terms and leases that are due; called several times a second.
+
+        Args:
+            live_members: The names of the other live members.
+        """
         others = sorted(live_members)
         for ledger in self.ledgers.values():
             ledger.member = lease.advance_clock(ledger.member, self.clock())
@@ -174,7 +195,7 @@
                 self.request_votes(ledger, others)
                 self.request_lease(ledger)
             self.release_superseded(ledger)
-            ledger.note_status()
+            ledger.record_status()
 
     def close_idle(self) -> list[str]:
         """Closes the transient budgets that are idle and unused, and returns their names."""
@@ -184,7 +205,7 @@
         return closed
 
     def request_votes(self, ledger: Ledger, others: list[str]) -> None:
-        """Becomes a candidate, or renews this member's term as grantor, when that is due."""
+        """Starts this member's candidacy, or renews its term as grantor, if that is due."""
         budget = ledger.budget
         now_us = self.clock()
         if ledger.member.promised_to != lease.NO_MEMBER:
@@ -203,13 +224,13 @@
                 self.send(ledger, name, requests[0]._replace(amount=int(is_renewal)))
 
     def candidate_delay_us(self, budget: Budget, others: list[str]) -> int:
-        """How long this member leaves the candidacy to the members before it in the order of the hash."""
+        """Returns how long, in microseconds, this member waits for candidates that precede it by the hash."""
         own_rank = grantor_rank(budget.name, self.name)
         position = sum(grantor_rank(budget.name, name) < own_rank for name in others)
         return position * (budget.lease_us // CANDIDATE_DELAYS_PER_LEASE)
 
     def request_lease(self, ledger: Ledger) -> None:
-        """Requests a lease when one is due or the demand has grown."""
+        """Requests a lease if one is due or the demand has grown."""
         now_us = self.clock()
         grantor = ledger.grantor()
         demand = ledger.demand()
@@ -251,7 +272,7 @@
                 self.send(ledger, grantor, release)
 
     def release_all(self) -> None:
-        """Releases the leases that are not in use, before the process ends; the others run out."""
+        """Releases the leases that are not in use, before the process ends; the others expire."""
         for ledger in self.ledgers.values():
             grantor = ledger.grantor()
             number = ledger.member_numbers.get(grantor, OWN_NUMBER)
@@ -282,7 +303,7 @@
     # Received datagrams.
 
     def handle_datagram(self, sender: str, datagram: LeaseDatagram) -> None:
-        """Handles a datagram of another member; one of an unknown budget is ignored."""
+        """Handles a datagram of another member; one for an unknown budget is ignored."""
         ledger = self.ledgers.get(datagram.budget)
         if ledger is None or not check_terms(ledger, sender, datagram):
             return
@@ -305,7 +326,7 @@
                 ledger.member, _ = lease.handle_message(ledger.member, ledger.budget.terms, message)
 
     def handle_vote_request(self, ledger: Ledger, sender: str, request: LeaseMessage) -> None:
-        """Withdraws this member's candidacy if the sender's has precedence, and votes."""
+        """Withdraws this member's candidacy if the sender's has precedence, and answers the vote request."""
         budget = ledger.budget
         is_renewal = request.amount != 0
         if is_renewal or grantor_rank(budget.name, sender) < grantor_rank(budget.name, self.name):
@@ -315,7 +336,7 @@
             self.send(ledger, sender, promise)
 
     def apply_grant(self, ledger: Ledger, grant: LeaseMessage) -> None:
-        """Takes a lease, unless its amount is impossible."""
+        """Accepts a granted lease; an amount that is negative or above the limit is rejected."""
         terms = ledger.budget.terms
         previous_share = ledger.share()
         if grant.amount > terms.leasable_amount() or grant.amount < 0:
@@ -333,7 +354,7 @@
 
 
 def is_request_due(ledger: Ledger, demand: int, now_us: int) -> bool:
-    """Whether the lease is to be renewed, the last request was not answered, or the demand has grown."""
+    """Whether the lease is due for renewal, the last request is unanswered, or the demand has grown."""
     elapsed_us = now_us - ledger.last_request_us
     is_answered = ledger.member.lease_requested_at >= ledger.last_request_us
     if is_answered and elapsed_us >= ledger.budget.lease_us // REQUESTS_PER_LEASE:
@@ -343,13 +364,13 @@
 
 
 def check_terms(ledger: Ledger, sender: str, datagram: LeaseDatagram) -> bool:
-    """Compares a datagram's figures with this member's; False: it is rejected."""
+    """Compares a datagram's figures with this member's; False: the datagram is rejected."""
     if datagram.form != ledger.budget.timing_checksum:
         ledger.record_rejection(f"other times under its name, by {sender}")
         return False
     if datagram.size > ledger.budget.max_members:
         ledger.budget = replace(ledger.budget, max_members=datagram.size)
-        ledger.note_change(f"up to {datagram.size} members, says {sender}")
+        ledger.record_change(f"up to {datagram.size} members, says {sender}")
     is_vote_request = datagram.kind == LeaseMessageKind.VOTE_REQUEST
     if is_vote_request and datagram.size < ledger.budget.max_members:
         ledger.record_rejection(f"{sender} counts on {datagram.size} members alone")
@@ -358,8 +379,8 @@
 
 
 def grantor_rank(budget: str, name: str) -> bytes:
-    """Returns the member's rank for a budget; the lowest becomes grantor.
+    """Returns the member's rank for a budget; the member with the lowest rank becomes the grantor.
 
-    This is rendezvous hashing: when a member fails, only its own budgets move.
+    This is rendezvous hashing: when a member fails, only the budgets that it granted get another grantor.
     """
     return hashlib.blake2b(f"{budget}\0{name}".encode(), digest_size=8).digest()
--- a/message_sender/budget/retry_allowance.py
+++ b/message_sender/budget/retry_allowance.py
@@ -1,10 +1,10 @@
 """Limits retries to a fraction of first attempts, at one member. Pure; times are microseconds of its clock.
 
-No member has to ask another one: where each keeps its retries within the fraction of its own first attempts,
-all members together do, whatever messages are lost and whichever members fail. At each retry, the retries in
-the window that ends with it are at most `minimum` and `fraction` times the first attempts in that window.
+This needs no communication: if each member keeps its retries within the fraction of its own first attempts,
+so does the whole fleet, whichever datagrams are lost and members fail. At each retry, the number of retries
+in the window that ends with it is at most `minimum` plus `fraction` times the first attempts in that window.
 
-A session begins without attempts, and allows no retry for one window, since retries of the previous session
+A session begins without attempts and allows no retry for one window, because retries of the previous session
 may still count in it.
 """
 
@@ -17,15 +17,24 @@
     """Counts first attempts and retries of one budget at one member.
 
     Attributes:
-        fraction: Retries for each first attempt.
-        window_us: The window in which both are counted.
-        minimum: Retries in a window that need no first attempt.
+        fraction: The number of retries that each first attempt allows.
+        window_us: The window in which both are counted, in microseconds.
+        minimum: The number of retries in a window that are allowed without first attempts.
         blocked_until_us: When the first retry of this session is allowed.
-        reserved: Names of calls that are about to be spent.
+        first_attempts_us: When each first attempt within the window started, the oldest first.
+        retries_us: When each retry within the window started, the oldest first.
+        reserved: The names of calls that have reserved a retry and not started.
     """
 
     def __init__(self, fraction: float, window_us: int, minimum: int, started_at_us: int) -> None:
-        """Begins without attempts; `started_at_us`: when the session started."""
+        """Initializes the allowance without attempts.
+
+        Args:
+            fraction: See the class.
+            window_us: See the class.
+            minimum: See the class.
+            started_at_us: When the session started.
+        """
         self.fraction = fraction
         self.window_us = window_us
         self.minimum = minimum
@@ -46,7 +55,7 @@
         return self.minimum + self.fraction * len(self.first_attempts_us) - len(self.retries_us)
 
     def free_at(self, now_us: int) -> int:
-        """Returns when to ask again for a retry; NEVER_US: not before there are more first attempts."""
+        """Returns when to check again for a retry; NEVER_US: not before there are more first attempts."""
         if now_us < self.blocked_until_us:
             return self.blocked_until_us
         if self.remaining(now_us) - len(self.reserved) >= 1:
@@ -58,14 +67,14 @@
         self.reserved.add(name)
 
     def release(self, name: str) -> None:
-        """Ends the reservation of this name; a retry that was spent counts on."""
+        """Ends the reservation of this name; a counted retry still counts for its window."""
         self.reserved.discard(name)
 
     def has_capacity(self, now_us: int) -> bool:
-        """Whether a retry may go now."""
+        """Whether a retry is allowed now; reservations don't count."""
         return now_us >= self.blocked_until_us and self.remaining(now_us) >= 1
 
     def spend(self, name: str, now_us: int) -> None:
-        """Counts a retry, in place of the name's reservation."""
+        """Counts a retry, and removes the name's reservation."""
         self.reserved.discard(name)
         self.retries_us.append(now_us)
--- a/message_sender/budget/status.py
+++ b/message_sender/budget/status.py
@@ -1,4 +1,4 @@
-"""The state of a member's budgets for operators, as `fleet budgets` prints it.
+"""The state of a member's budgets for operators, as `fleet budgets` shows it.
 
 The keys of the dictionaries are an output format: they don't follow the names in the code.
 """
@@ -21,7 +21,7 @@
 
 
 def describe_ledger(manager: LeaseManager, ledger: Ledger) -> dict[str, object]:
-    """Returns the state of one budget: the member's share and why, and its grants if it is the grantor."""
+    """Returns the state of one budget: the member's share and its reasons, and the grants of a grantor."""
     now_us = manager.clock()
     budget, terms = ledger.budget, ledger.budget.terms
     member = lease.advance_clock(ledger.member, now_us)
@@ -49,7 +49,7 @@
 
 
 def describe_grants(ledger: Ledger, member: lease.Member, now_us: int) -> dict[str, object]:
-    """Returns the grants on the grantor's record, by the holder's name."""
+    """Returns the grants that the grantor has recorded, by the holder's name."""
     names = {number: name for name, number in ledger.member_numbers.items()}
     described: dict[str, object] = {}
     for number in sorted({each.holder for each in member.grants}):
