--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -1,4 +1,4 @@
-"""The sum of all shares never exceeds the limit: the lease protocol, explored completely."""
+"""The sum of all shares never exceeds the limit: an exhaustive exploration of the lease protocol's states."""
 
 import multiprocessing
 import os
@@ -15,14 +15,14 @@
 from message_sender.emulator.explore import Limits, explore, quiet
 
 TWO = Terms(limit=1, max_members=2, lease_duration=1, grantor_term=2, margin=1)
-STATES = int(os.environ.get("BUDGET_STATES", "40000"))  # all of them on request
-ALL = 150_000  # more than any of these has
-SPENT = TWO._replace(usage_window=2)  # usage counts for two ticks
+STATES = int(os.environ.get("BUDGET_STATES", "40000"))  # BUDGET_STATES above ALL_STATES visits all states
+ALL_STATES = 150_000  # more states than any of these worlds has
+WITH_USAGE = TWO._replace(usage_window=2)  # usage counts for two ticks
 
 
-#: Terms, limits, and whether all states are visited.
+#: The terms, the limits of the exploration, and whether it visits all states, by world.
 WORLDS = {
-    "a member starts anew": (SPENT, Limits(words=1, lags=0, states=STATES), STATES > ALL),
+    "a member restarts": (WITH_USAGE, Limits(words=1, lags=0, states=STATES), STATES > ALL_STATES),
     "a clock falls behind": (TWO, Limits(words=1, restarts=0, lags=1), True),
     "a limit of three": (TWO._replace(limit=3), Limits(words=1, restarts=0, lags=0), True),
     "the limit falls": (TWO._replace(limit=2), Limits(words=1, restarts=0, lags=0, falls=True), True),
@@ -31,8 +31,11 @@
 
 
 def explore_world(name: str) -> tuple[list[str], bool, int, int]:
-    """Returns the trace of a violation, whether all states were visited, their number, and how many sampled
-    states there are from which, once faults end, the limit cannot be granted completely."""
+    """Returns the trace of a violation, whether all states were visited, and the number of visited states.
+
+    The last item is the number of sampled states from which the limit cannot be granted completely after all
+    faults have ended.
+    """
     terms, limits, _ = WORLDS[name]
     result = explore(terms, limits)
     ends = [quiet(world, terms, wants) for world in result.some for wants in range(terms.max_members)]
@@ -67,7 +70,7 @@
 
 
 @pytest.mark.parametrize(
-    ("what", "defect", "terms", "limits"),
+    ("target", "defect", "terms", "limits"),
     [
         ("", None, TWO._replace(margin=0), Limits(words=1, restarts=0)),
         ("record_grant", record_no_grant, TWO, Limits(words=1, restarts=0, lags=0)),
@@ -75,19 +78,19 @@
         (
             "has_previous_usage_expired",
             lambda member, terms: True,
-            SPENT,
+            WITH_USAGE,
             Limits(words=1, restarts=1, lags=0),
         ),
         (
             "max_usage_duration",
             lambda terms: terms.lease_duration + terms.margin,
-            SPENT,
+            WITH_USAGE,
             Limits(words=1, restarts=0, lags=1),
         ),
         (
             "message_sender.emulator.explore.in_use",
             lambda world, number, terms: False,
-            SPENT._replace(limit=2),
+            WITH_USAGE._replace(limit=2),
             Limits(words=1, restarts=0, lags=0),
         ),
         (
@@ -107,27 +110,28 @@
             lambda member, terms: True,
             TWO._replace(max_members=3, grantor_term=3),
             Limits(words=2, lags=0),
-            marks=pytest.mark.skipif(STATES < ALL, reason="on request: BUDGET_STATES"),
+            marks=pytest.mark.skipif(STATES < ALL_STATES, reason="on request: BUDGET_STATES"),
         ),
     ],
     ids=[
         "no margin",
-        "grant not on record",
-        "spent after its release",
+        "grant not recorded",
+        "lease spent after its release",
         "a new session spends and releases at once",
-        "expired leases count no longer",
-        "released while in use",
+        "expired leases no longer count",
+        "lease released while in use",
         "floor counted twice",
-        "a fall of the limit is ignored",
+        "a lower limit is ignored",
         "a restart forgets a promise",
     ],
 )
-def test_a_planted_defect_has_a_shortest_trace(
-    what: str, defect: Callable[..., Any], terms: Terms, limits: Limits, monkeypatch: pytest.MonkeyPatch
+def test_a_planted_defect_is_found_with_a_shortest_trace(
+    target: str, defect: Callable[..., Any], terms: Terms, limits: Limits, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    if what:
+    if target:
         monkeypatch.setattr(
-            what if what.startswith("message_sender.") else f"message_sender.budget.lease.{what}", defect
+            target if target.startswith("message_sender.") else f"message_sender.budget.lease.{target}",
+            defect,
         )
     result = explore(terms, limits)
     assert result.trace and result.trace[0] == "all have been up for long"
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -1,5 +1,8 @@
-"""Budgets that a fleet shares, on virtual time: the receiver never gets more than the limit in any window,
-through random faults; shares follow demand, and are divided anew as members come and go."""
+"""Shared budgets of a simulated fleet, on virtual time.
+
+The receiver never gets more calls than the limit in any window, also with random faults. Shares follow the
+demand, and are redistributed when members start and fail.
+"""
 
 import multiprocessing
 import os
@@ -41,7 +44,7 @@
 
 
 def run_with_faults(seed: int) -> Fleet:
-    """Runs a few members for 12 s with random faults, and as long without."""
+    """Runs three to six members with random faults in the first 12 s, and without faults until 26.2 s."""
     size = 3 + seed % 4
     works = [60 / (1 + (each + seed) % size) for each in range(size)]
     fleet = Fleet(budget(size, floor=seed % 3), size, seed, works)
@@ -54,8 +57,8 @@
     ledger, limit = fleet.ledger, fleet.budget.limit
     if ledger.most() > limit or ledger.most_parts > limit:
         return f"{ledger.most()} in a window and {ledger.most_parts} at one instant, of {limit}"
-    used = ledger.used(20, 20 + 6 * 1.0203, limit)  # complete windows, with their slack
-    return "" if used > 0.9 else f"only {used:.2f} used long after the last fault"
+    used = ledger.used(20, 20 + 6 * 1.0203, limit)  # complete windows, including their slack
+    return "" if used > 0.9 else f"only {used:.2f} of the limit used long after the last fault"
 
 
 def find_violation_of_seed(seed: int) -> str:
@@ -69,32 +72,34 @@
 
 
 def test_a_planted_defect_exceeds_the_limit_for_some_seed(monkeypatch: pytest.MonkeyPatch) -> None:
-    plain = Budget.terms
-    planted: dict[str, Callable[[], None]] = {
-        "what ran out counts no longer": lambda: monkeypatch.setattr(
-            Budget, "terms", property(lambda self: plain.func(self)._replace(usage_window=0))
+    original_terms = Budget.terms
+    defects: dict[str, Callable[[], None]] = {
+        "usage under expired leases does not count": lambda: monkeypatch.setattr(
+            Budget, "terms", property(lambda self: original_terms.func(self)._replace(usage_window=0))
         ),
-        "a start spends at once": lambda: monkeypatch.setattr(
+        "a member spends at once after a start": lambda: monkeypatch.setattr(
             lease, "spendable_amount", lambda member, terms: terms.floor + member.leased
         ),
-        "settled while in use": lambda: monkeypatch.setattr(LimitEnforcer, "usage", lambda self, now: 0),
+        "larger leases are released while in use": lambda: monkeypatch.setattr(
+            LimitEnforcer, "usage", lambda self, now: 0
+        ),
     }
-    for what, plant in planted.items():
+    for name, plant in defects.items():
         plant()
-        assert any("in a window" in find_violation(run_with_faults(seed)) for seed in range(24)), what
+        assert any("in a window" in find_violation(run_with_faults(seed)) for seed in range(24)), name
         monkeypatch.undo()
 
 
 def test_shares_follow_demand_as_it_moves_between_members() -> None:
     fleet = Fleet(budget(5, 60, floor=2), 5, 1, [50, 5, 5, 5, 5])
     fleet.hall.run(15.0)
-    first = fleet.ledger.by(10, 15)
+    calls_before = fleet.ledger.by(10, 15)
     fleet.works |= {0: 5.0, 3: 50.0}
     fleet.held = dict.fromkeys(fleet.held, 0.0)
     fleet.hall.run(30.0)
-    later = fleet.ledger.by(22, 30)
-    assert first["n0"] >= 5 * 60 * 0.5 and later["n3"] >= 8 * 60 * 0.5
-    assert all(first[f"n{each}"] >= 5 * 4 for each in range(1, 5)), "five a second each, or nearly"
+    calls_after = fleet.ledger.by(22, 30)
+    assert calls_before["n0"] >= 5 * 60 * 0.5 and calls_after["n3"] >= 8 * 60 * 0.5
+    assert all(calls_before[f"n{each}"] >= 5 * 4 for each in range(1, 5)), "at least four of five a second"
     assert fleet.ledger.most() <= 60
 
 
@@ -116,7 +121,7 @@
     fleet.hall.split(["n0", "n1"], ["n2", "n3", "n4"])
     fleet.hall.run(30.0)
     calls = fleet.ledger.by(20, 30)
-    assert all(34 <= calls[name] <= 40 for name in ("n0", "n1")), "4 a second"
+    assert all(34 <= calls[name] <= 40 for name in ("n0", "n1")), "the floor is 4 calls per second"
     assert sum(calls[name] for name in ("n2", "n3", "n4")) >= (60 - 8) * 10 * 0.9
     assert fleet.ledger.most() <= 60
 
@@ -132,7 +137,7 @@
     fleet = Fleet(budget(4, 40), 4, 5, [40.0] * 4)
     fleet.hall.run(10.0)
     fleet.lower(20)
-    fleet.hall.run(13.2)  # a lease, its margin and a span
+    fleet.hall.run(13.2)  # for a lease, its margin and a window
     fleet.ledger.calls.clear()
     fleet.hall.run(20.0)
     assert fleet.ledger.most() <= 20 and fleet.ledger.used(14, 20, 20) > 0.9
@@ -153,16 +158,19 @@
     fleet.hall.run(8.0)
     fleet.works = dict.fromkeys(fleet.works, 0.0)
     fleet.hall.run(90.0)
-    quiet = fleet.hall.sent
+    sent_before = fleet.hall.sent
     assert [manager.close_idle() for manager in fleet.desks.values()] == [["hub"]] * 3
     for name, manager in fleet.desks.items():
         manager.open(fleet.budget, lambda name=name: int(fleet.held[name]))  # type: ignore[misc]
     fleet.works = dict.fromkeys(fleet.works, 20.0)
     fleet.hall.run(105.0)
-    assert fleet.hall.sent > quiet and fleet.ledger.used(98, 105, 30) > 0.9 and fleet.ledger.most() <= 30
+    assert (
+        fleet.hall.sent > sent_before and fleet.ledger.used(98, 105, 30) > 0.9 and fleet.ledger.most() <= 30
+    )
 
 
-def alone(size: int = 3) -> tuple[LeaseManager, dict[str, int]]:
+def single_manager(size: int = 3) -> tuple[LeaseManager, dict[str, int]]:
+    """Returns the manager of one member with an open budget, and the time of its clock."""
     time = {"now": 10**9}
     manager = LeaseManager("a", 7, lambda: time["now"])
     manager.open(budget(size), lambda: 30)
@@ -170,17 +178,19 @@
 
 
 @pytest.mark.parametrize(
-    ("what", "why"),
+    ("changed_fields", "reason"),
     [
         ({"amount": 31}, "more than the whole"),
         ({"form": 1}, "other times"),
         ({"kind": LeaseMessageKind.VOTE_REQUEST, "size": 2}, "2 members alone"),
     ],
 )
-def test_an_invalid_datagram_is_counted_and_has_no_effect(what: dict[str, Any], why: str) -> None:
-    manager, time = alone()
+def test_an_invalid_datagram_is_counted_and_has_no_effect(
+    changed_fields: dict[str, Any], reason: str
+) -> None:
+    manager, time = single_manager()
     time["now"] += 5 * US
-    figures = {
+    fields = {
         "kind": LeaseMessageKind.GRANT,
         "session": 7,
         "asked": time["now"] - 1,
@@ -191,9 +201,9 @@
         "form": budget(3).timing_checksum,
         "warm": FULLY_WARM_PERMILLE,
     }
-    manager.handle_datagram("b", LeaseDatagram("hub", **figures | what))
+    manager.handle_datagram("b", LeaseDatagram("hub", **fields | changed_fields))
     assert manager.free_at("hub") == NEVER_US
-    assert any(why in each for each in manager.ledgers["hub"].rejections)
+    assert any(reason in each for each in manager.ledgers["hub"].rejections)
 
 
 def test_a_held_unit_counts_until_it_is_released() -> None:
@@ -256,7 +266,7 @@
     assert not budgets.manager.ledgers
     engine.hooks.release_limits("m")
     assert not budgets.reservations.calls and budgets.reservations.free_at(listed, 0) > 0, (
-        "opened anew, and asked for"
+        "the budget is open again and its capacity is waited for"
     )
 
 
@@ -266,21 +276,21 @@
 
 
 @given(st.lists(st.tuples(st.integers(0, 40), st.booleans()), max_size=80), st.integers(0, 2))
-def test_retries_stay_within_their_allowance(steps: list[tuple[int, bool]], least: int) -> None:
-    """By a plain count over the window that ends with each retry."""
-    allowance, now = RetryAllowance(0.4, 100, least, 0), 100
+def test_retries_stay_within_their_allowance(steps: list[tuple[int, bool]], minimum: int) -> None:
+    """Compares each decision with a plain count over the window that ends with the retry."""
+    allowance, now = RetryAllowance(0.4, 100, minimum, 0), 100
     first_attempts, retries = list[int](), list[int]()
-    for passed, again in steps:
-        now += passed
-        if not again:
+    for elapsed, is_retry in steps:
+        now += elapsed
+        if not is_retry:
             allowance.record_first_attempt(now)
             first_attempts.append(now)
             continue
         counted = [sum(now - 100 < each for each in times) for times in (first_attempts, retries)]
-        goes = counted[1] + 1 <= least + 0.4 * counted[0]
-        assert allowance.has_capacity(now) is goes
-        assert (allowance.free_at(now) == now) is goes
-        if goes:
+        is_allowed = counted[1] + 1 <= minimum + 0.4 * counted[0]
+        assert allowance.has_capacity(now) is is_allowed
+        assert (allowance.free_at(now) == now) is is_allowed
+        if is_allowed:
             allowance.spend("", now)
             retries.append(now)
 
@@ -309,13 +319,13 @@
 
 
 class DenyingLimits:
-    """Limits without capacity for trials, or for retries, which keep what was reserved."""
+    """Limits without capacity for trials, or for retries; they record the reservations."""
 
-    def __init__(self, what: str) -> None:
-        self.what, self.reserved = what, list[tuple[str, bool, bool]]()
+    def __init__(self, denied: str) -> None:
+        self.denied, self.reserved = denied, list[tuple[str, bool, bool]]()
 
     def free_at(self, listed: Endpoint, now: int, trial: bool = False, again: bool = False) -> float:
-        return NEVER_US if {"trials": trial, "repeats": again}[self.what] else now
+        return NEVER_US if {"trials": trial, "repeats": again}[self.denied] else now
 
     def reserve(self, listed: Endpoint, message: str, trial: bool = False, again: bool = False) -> None:
         self.reserved.append((message, trial, again))
@@ -326,7 +336,7 @@
     world.dispatcher.registry.shared_limits = limits = DenyingLimits("trials")
     world.open_breaker()
     assert not sent(world.take()) and not sent(world.step(WakeUp(), after=3 * US))
-    limits.what = "repeats"
+    limits.denied = "repeats"
     world.dispatcher.registry.limits_raised(1)
     assert len(sent(world.step(WakeUp()))) == 1
     assert limits.reserved[-1][1:] == (True, False)
@@ -337,18 +347,18 @@
     world.dispatcher.registry.shared_limits = limits = DenyingLimits("repeats")
     assert sent(world.take()) == ["m1"] and not sent(world.answer("m1", Outcome.ERROR))
     assert sent(world.take(after=US)) == ["m2"] and not sent(world.answer("m2", Outcome.OK))
-    limits.what = "trials"
+    limits.denied = "trials"
     world.dispatcher.registry.limits_raised(1)
     assert sent(world.step(WakeUp(), after=US)) == ["m1"]
     assert limits.reserved == [("m1", False, False), ("m2", False, False), ("m1", False, True)]
 
 
 def test_a_chart_counts_usage_across_restarts_and_gaps() -> None:
-    run, sample = BudgetSeries(), {"part": 5, "whole": 9, "per_ms": 1000}
+    series, sample = BudgetSeries(), {"part": 5, "whole": 9, "per_ms": 1000}
     for now, spent in enumerate((7, 9, None, 1, 4)):
-        run.add(now, {} if spent is None else {"n0": sample | {"spent": spent}})
-    assert run.granted["n0"] == [5, 5, 0, 5, 5] and run.limits == [9] * 5
-    assert run.spent["n0"] == [0, 2, 2, 3, 6] and run.usage_per_period("n0") == [0, 2, 0, 1, 3]
+        series.add(now, {} if spent is None else {"n0": sample | {"spent": spent}})
+    assert series.granted["n0"] == [5, 5, 0, 5, 5] and series.limits == [9] * 5
+    assert series.spent["n0"] == [0, 2, 2, 3, 6] and series.usage_per_period("n0") == [0, 2, 0, 1, 3]
 
 
 def test_a_reported_larger_size_survives_a_change_of_the_limit() -> None:
@@ -380,20 +390,20 @@
     links.join("n0", engine, 1)
     _, budgets = links.ends["n0"]
     calls = SharedBudget("calls", "calls", "destination", 3, 10, None, US, 0, US, 0, 0)
-    out = replace(calls, name="out", of="in_flight", value=None, span=None)
-    was = tuple(budgets.registry.definitions.values())
-    budgets.configure((*was, calls, out), 1)
+    in_flight = replace(calls, name="out", of="in_flight", value=None, span=None)
+    initial = tuple(budgets.registry.definitions.values())
+    budgets.configure((*initial, calls, in_flight), 1)
     assert sorted(budgets.registry.budgets_of(listed).calls) == ["calls", "out/3", "rate/3"]
-    budgets.configure((*was, replace(calls, whole=4), replace(out, lease=2 * US)), 1)
+    budgets.configure((*initial, replace(calls, whole=4), replace(in_flight, lease=2 * US)), 1)
     assert budgets.manager.ledgers["calls"].budget.limit == 4
     assert budgets.manager.ledgers["out/3"].budget.lease_us == US
     assert "budget change waits for the next start: budget=out fields=lease_ms" in caplog.text
     engine.transport = transport = HttpTransport(10, 10, 4, dict)
-    budgets.configure((*was, replace(calls, name="new ones", of="handshakes")), 1)
+    budgets.configure((*initial, replace(calls, name="new ones", of="handshakes")), 1)
     assert (
         transport.reserve_connection == budgets.connections.open_connection
         and budgets.registry.budgets_of(listed).connections == ["new ones"]
     )
     transport.close()
-    budgets.configure(was, 1)
+    budgets.configure(initial, 1)
     assert "removed budget applies until the next start: budget=calls" in caplog.text
