--- a/message_sender/core/__init__.py
+++ b/message_sender/core/__init__.py
@@ -1,4 +1,5 @@
-"""The engine round the delivery policy: one loop iteration, one message table, the journal before any byte.
+"""The engine that runs the delivery policy: the loop iteration, the message table and the attempts.
 
-It knows ports and no protocol; see docs/design/core.md.
+An attempt is in the journal before its first byte is sent. The package depends on ports, not on a
+protocol; see docs/design/core.md.
 """
--- a/message_sender/core/arrivals.py
+++ b/message_sender/core/arrivals.py
@@ -1,4 +1,4 @@
-"""Submitted messages, from a server's call to the answer that they are accepted or rejected."""
+"""Submitted messages, from the server's call to the answer that the message is accepted or rejected."""
 
 import logging
 from collections.abc import Callable
@@ -19,18 +19,22 @@
 
 
 def is_acceptance_of(event: PolicyEvent, message_id: str) -> bool:
-    """Whether the event tells the policy of this message."""
+    """Whether the event announces this message to the policy."""
     return isinstance(event, MessageAccepted) and event.message == message_id
 
 
 class ArrivalOwner(EventSink, Protocol):
-    """What arrivals need of the engine: a sink for events, and microseconds since the epoch."""
+    """The part of the engine that `Arrivals` uses.
+
+    Attributes:
+        now: Returns the time in microseconds since the epoch.
+    """
 
     now: Callable[[], int]
 
 
 class Arrivals:
-    """Checks submitted messages, and answers their callers once the policy has decided."""
+    """Checks submitted messages and answers their callers once the policy has decided."""
 
     def __init__(
         self,
@@ -39,7 +43,14 @@
         hooks: EngineHooks,
         owner: "ArrivalOwner",
     ) -> None:
-        """`owner`: the engine."""
+        """Creates the checks of one engine.
+
+        Args:
+            dispatcher: The delivery policy.
+            table: The engine's messages.
+            hooks: The hooks of the sender's optional parts.
+            owner: The engine.
+        """
         self.dispatcher = dispatcher
         self.table = table
         self.hooks = hooks
@@ -47,13 +58,14 @@
         self.max_messages = dispatcher.settings.max_open
 
     def submit(self, message: Message, caller: Caller) -> None:
-        """A client submits a message. Its caller hears in this iteration or the next."""
-        is_same = self.table.is_same_message(message)
-        if is_same:
+        """Handles a submitted message; its caller is answered in this loop iteration or the next."""
+        has_same_content = self.table.is_same_message(message)
+        if has_same_content:
             self.table.accept_again(message.id, caller)
-        elif is_same is not None:
-            # Protects a client whose id another one has used: none of its message would be accepted, and the
-            # order of its key would not wait for it. It may come again, under a new id.
+        elif has_same_content is not None:
+            # Another client's message has this id. If this submission were taken for a repetition of it, the
+            # client would be told that its message is accepted, although the message would not be delivered
+            # and its key's order would not include it. The client may submit the message under a new id.
             log.warning("message rejected: id=%s reason=another message has this id", message.id)
             self.reject(message, caller, RejectReason.OTHER_ID)
         elif self._is_full():
@@ -62,14 +74,14 @@
             self.table.reject(message, caller, RejectReason.NOT_YET, delay_us)
         else:
             self.table.arrivals[message.id] = message, caller
-            self.owner.post(self.acceptance_of(message))
+            self.owner.post(self.acceptance_event(message))
 
     def _is_full(self) -> bool:
         messages = len(self.dispatcher.messages) + len(self.table.arrivals)
         return messages >= self.max_messages
 
-    def acceptance_of(self, message: Message) -> MessageAccepted:
-        """The event by which the policy hears of a message."""
+    def acceptance_event(self, message: Message) -> MessageAccepted:
+        """The event that announces a message to the policy."""
         return MessageAccepted(
             message=message.id,
             message_class=message.message_class,
@@ -82,24 +94,26 @@
         )
 
     def reject(self, message: Message, caller: Caller, reason: RejectReason) -> None:
-        """Rejects a message, with the policy's proposal when to come again."""
+        """Rejects a message with the Retry-After that the policy suggests."""
         self.table.reject(message, caller, reason, self.dispatcher.suggest_retry_after())
 
-    def answer(self, arrivals: dict[str, Arrival], gone: set[str], actions: list[PolicyAction]) -> set[str]:
-        """Puts new messages on record and answers their callers.
+    def answer(
+        self, arrivals: dict[str, Arrival], abandoned_ids: set[str], actions: list[PolicyAction]
+    ) -> set[str]:
+        """Records new messages in the journal and answers their callers.
 
         Args:
-            arrivals: The messages of this iteration, by id.
-            gone: Ids of those whose callers wait no more.
-            actions: What the policy decided.
+            arrivals: The messages of this loop iteration with their callers, by id.
+            abandoned_ids: Ids of the messages whose callers no longer wait.
+            actions: The decisions of the policy.
 
         Returns:
-            The ids of messages that are not accepted.
+            The ids of the messages that are rejected.
         """
         decisions = {each.message: each for each in actions if isinstance(each, Reject | Fail)}
         rejected = set()
         for message_id, (message, caller) in arrivals.items():
-            if message_id in gone:
+            if message_id in abandoned_ids:
                 caller.withdrawn()
             elif message_id in decisions:
                 self._reject_by_policy(decisions[message_id], message, caller)
@@ -117,7 +131,7 @@
         self.table.confirm(message, caller, retry_after_us, is_durable)
 
     def _reject_by_policy(self, action: Reject | Fail, message: Message, caller: Caller) -> None:
-        """The final answer of a message that was never accepted. Nothing of it has run."""
+        """Rejects a message that the policy ended before it was accepted; no attempt of it has started."""
         if isinstance(action, Reject):
             self.table.reject(message, caller, RejectReason.REFUSED, action.retry_after_us)
         else:
--- a/message_sender/core/clock.py
+++ b/message_sender/core/clock.py
@@ -4,16 +4,19 @@
 
 
 class Clock:
-    """Wall time as it was at the start, and from there on a time that never goes back.
+    """A monotonic clock that starts at the wall time.
 
-    A process that takes over from another one on this machine counts from the same `base`.
+    A process that takes over from a predecessor on the same machine uses the same `base`.
+
+    Attributes:
+        base: Nanoseconds that are added to the monotonic clock.
     """
 
     def __init__(self, base: int | None = None) -> None:
-        """Begins at the present wall time.
+        """Starts the clock.
 
         Args:
-            base: Nanoseconds to add to the monotonic clock; None: the present difference to the wall clock.
+            base: Nanoseconds to add to the monotonic clock; None: its current difference to the wall clock.
         """
         self.base = time.time_ns() - time.monotonic_ns() if base is None else base
 
--- a/message_sender/core/counts.py
+++ b/message_sender/core/counts.py
@@ -1,15 +1,15 @@
-"""Completions since this process began, as the operators' figures have them.
+"""Counters of completions since the start of this process, as reported to operators.
 
-A message is counted once, where the message table forgets or rejects it. Messages that were rejected before
-they were accepted count as deferred: they may be submitted again.
+A message is counted once, when the message table removes or rejects it. A message that was rejected before it
+was accepted counts as deferred: it may be submitted again.
 """
 
 from collections.abc import Iterable
 
 from message_sender.core.ports import CompletionState
 
-#: Names in the figures.
-FIGURE_NAMES = {
+#: Names of the counters, by state.
+COUNTER_NAMES = {
     CompletionState.DELIVERED: "answered",
     CompletionState.REFUSED: "deferred",
     CompletionState.FAILED: "errored",
@@ -17,24 +17,24 @@
 
 
 class CompletionCounts:
-    """Counts by message class and by the figures' names of completions.
+    """Counts completions by message class and counter name.
 
     Attributes:
-        classes: Counts by class, then by name.
-        sends: Messages written whole to endpoints.
+        classes: Counts by class, then by counter name.
+        sends: Number of requests that were written completely to endpoints.
     """
 
     def __init__(self, classes: Iterable[str]) -> None:
-        """Begins at zero for each class."""
-        self.classes = {name: dict.fromkeys(FIGURE_NAMES.values(), 0) for name in classes}
+        """Starts all counters of the classes at zero."""
+        self.classes = {name: dict.fromkeys(COUNTER_NAMES.values(), 0) for name in classes}
         self.sends = 0
 
     def ended(self, message_class: str, state: CompletionState) -> None:
-        """Counts a completion; withdrawn messages and those of an unknown class are not counted."""
+        """Counts a completion; withdrawn messages and messages of an unknown class are not counted."""
         counts = self.classes.get(message_class)
-        if counts and state in FIGURE_NAMES:
-            counts[FIGURE_NAMES[state]] += 1
+        if counts and state in COUNTER_NAMES:
+            counts[COUNTER_NAMES[state]] += 1
 
     def sent(self) -> None:
-        """Counts a message that was written whole."""
+        """Counts a request that was written completely to an endpoint."""
         self.sends += 1
--- a/message_sender/core/engine_config.py
+++ b/message_sender/core/engine_config.py
@@ -1,4 +1,4 @@
-"""What an engine is built from, and what one engine hands over to the next."""
+"""The configuration of an engine, and the state that it hands over to its successor."""
 
 from dataclasses import dataclass, field
 from pathlib import Path
@@ -10,16 +10,16 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineConfig:
-    """What the engine itself needs to know.
+    """The configuration of an engine, without its ports.
 
     Attributes:
-        name: The sender's name, the same after a restart.
-        state: The folder that outlasts the process.
-        seed: Of the policy's random generator.
-        disk_bytes: How much may stand in the state folder.
+        name: The sender's name, which stays the same after a restart.
+        state: The state folder, which persists across restarts.
+        seed: Seed of the policy's random generator.
+        disk_bytes: Limit of the size of the state folder, in bytes.
         settings: The settings of the delivery policy.
-        known: The endpoints as they were listed last; may be old.
-        returned: Of these, ids that were out of service and are to be warmed up.
+        known: The endpoints as they were last listed; possibly outdated.
+        returned: Ids of those `known` endpoints that were out of service and need a slow start.
     """
 
     name: str
@@ -33,13 +33,13 @@
 
 @dataclass(frozen=True, slots=True)
 class HandoverState:
-    """What an engine knows that its journal does not, for the engine of the process that follows.
+    """The state of an engine that is not in its journal, for the engine of the successor process.
 
     Attributes:
         inherited: State of the delivery policy.
-        calls: Calls in flight by message, each with the number of its attempt.
-        ending: Completions that were notified and are not acknowledged yet, by message.
-        shares: What is left of the priority weight of accepted messages, by message.
+        calls: The calls in flight by message id, each with the number of its attempt.
+        ending: Completions that were notified and are not acknowledged yet, by message id.
+        shares: The remaining factor of the priority weight of each accepted message, by message id.
         ended: Ids of completed messages.
     """
 
--- a/message_sender/core/explain.py
+++ b/message_sender/core/explain.py
@@ -1,4 +1,7 @@
-"""Where a message would go now, and why not elsewhere; for people. It asks the policy and changes nothing."""
+"""Explains to operators where a message would be sent now, and why not to other endpoints.
+
+The policy is only queried, its state does not change.
+"""
 
 from dataclasses import asdict, dataclass
 from typing import Any
@@ -16,18 +19,19 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointView:
-    """An endpoint that is listed as ready. The names of its fields are those in the control socket's answers.
+    """An endpoint that is listed as ready. The field names appear in responses of the control socket.
 
     Attributes:
-        id: Of the endpoint.
+        id: Id of the endpoint.
         destination: Number of its destination.
-        zone: As listed.
-        weight: Its share of the calls, against the other endpoints of its destination.
-        state: Of its breaker: closed, open, half-open, waits, warming; asleep where it has none.
-        ready_ms: Until a call may go; None: the result of a trial decides it.
-        gap_ms: Between two calls.
-        wait_ms: What is left of a Retry-After.
-        out: Calls in flight.
+        zone: Its zone, as listed.
+        weight: Its share of the calls, relative to the other endpoints of its destination.
+        state: State of its breaker: closed, open, half-open, waits (for a Retry-After), warming (slow start);
+            asleep if it has no breaker.
+        ready_ms: Milliseconds until the next call may be sent; None: this depends on the result of a trial.
+        gap_ms: Minimum interval between two calls, in milliseconds.
+        wait_ms: Remaining time of a Retry-After, in milliseconds.
+        out: Number of calls in flight.
         rate: Calls per second, as listed.
     """
 
@@ -44,13 +48,18 @@
 
 
 def endpoints(dispatcher: Dispatcher, now: int) -> list[dict[str, Any]]:
-    """All endpoints that the policy takes to be ready, by destination and id. `now`: microseconds."""
+    """All endpoints that the policy considers ready, ordered by destination and id.
+
+    Args:
+        dispatcher: The policy.
+        now: Microseconds on the policy's clock.
+    """
     views = [endpoint_view(each, now) for each in dispatcher.endpoints.values()]
     return [asdict(each) for each in sorted(views, key=lambda view: (view.destination, view.id))]
 
 
 def endpoint_view(endpoint: TrackedEndpoint, now: int) -> EndpointView:
-    """What is shown of one endpoint."""
+    """The view of one endpoint. `now`: microseconds on the policy's clock."""
     listed, breaker = endpoint.listed, endpoint.breaker
     if breaker is None:
         state, ready_at, gap, wait = "asleep", float(now), 0.0, 0.0
@@ -74,7 +83,7 @@
 
 
 def explain(dispatcher: Dispatcher, destination: int, key: str, now: int) -> dict[str, Any]:
-    """What would become of a message for this destination, submitted now.
+    """Where a message for this destination would be sent if it were submitted now.
 
     Args:
         dispatcher: The policy.
@@ -82,26 +91,30 @@
         key: The message's key; empty for none.
         now: Microseconds on the policy's clock.
 
+    Returns:
+        The response of the control socket: the chosen endpoint, the messages that the key waits for, the
+        number of messages that wait for the destination, and why endpoints may not be called, by their ids.
+
     Raises:
         ValueError: The destination is not listed.
     """
-    found = dispatcher.destinations.get(destination)
-    if found is None:
+    entry = dispatcher.destinations.get(destination)
+    if entry is None:
         raise ValueError(f"destination {destination} is not listed")
-    reasons = {each.listed.id: blocking_reason(dispatcher, each, now) for each in found.endpoints}
+    reasons = {each.listed.id: blocking_reason(dispatcher, each, now) for each in entry.endpoints}
     blocker = key_blocker(dispatcher, key)
-    endpoint = None if blocker else chosen_endpoint(dispatcher, found, reasons, key, now)
+    endpoint = None if blocker else chosen_endpoint(dispatcher, entry, reasons, key, now)
     return {
         "destination": destination,
         "goes_to": endpoint,
         "waits_for": blocker,
-        "held_there": len(found.pending or ()),
+        "held_there": len(entry.pending or ()),
         "why_not": {endpoint_id: reason for endpoint_id, reason in reasons.items() if reason},
     }
 
 
 def key_blocker(dispatcher: Dispatcher, key: str) -> str:
-    """Which messages of the same key go before; empty for none."""
+    """A text on the messages of the same key that are delivered first; empty for none."""
     queue = dispatcher.keys.get(key) if key else None
     return f"{len(queue.messages)} of its key are before it" if queue and queue.messages else ""
 
@@ -109,26 +122,30 @@
 def chosen_endpoint(
     dispatcher: Dispatcher, destination: Destination, reasons: dict[str, str], key: str, now: int
 ) -> str | None:
-    """The endpoint to which the policy would send a message of the first class; None: none may be called."""
-    free = [endpoint_id for endpoint_id, reason in reasons.items() if not reason]
-    if not free:
+    """Id of the endpoint that the policy would choose for a message of the first class.
+
+    Returns:
+        None: no endpoint may be called.
+    """
+    callable_ids = [endpoint_id for endpoint_id, reason in reasons.items() if not reason]
+    if not callable_ids:
         return None
     if all(each.breaker for each in destination.endpoints):
-        kind = dispatcher.settings.classes[0]
-        event = MessageAccepted("?", kind.name, destination.number, kind.deadline, key=key)
-        chosen = dispatcher.choose_endpoint(PendingMessage(event, kind, now, 1.0), {})
+        message_class = dispatcher.settings.classes[0]
+        event = MessageAccepted("?", message_class.name, destination.number, message_class.deadline, key=key)
+        chosen = dispatcher.choose_endpoint(PendingMessage(event, message_class, now, 1.0), {})
         if chosen:
             return chosen.listed.id
-    return free[0]
+    return callable_ids[0]
 
 
 def blocking_reason(dispatcher: Dispatcher, endpoint: TrackedEndpoint, now: int) -> str:
-    """Why the endpoint may not be called now; empty: it may."""
+    """Why the endpoint may not be called now; empty if it may be called."""
     if len(dispatcher.active_calls) >= dispatcher.settings.slots:
         return f"all {dispatcher.settings.slots} slots are taken"
     breaker = endpoint.breaker
     if breaker is None:
-        return ""  # asleep: the first message wakes it
+        return ""  # asleep: the first message creates its breaker
     if breaker.is_open():
         if breaker.trial:
             return "its breaker is half-open: one trial is out"
--- a/message_sender/core/inventory.py
+++ b/message_sender/core/inventory.py
@@ -1,8 +1,7 @@
-"""What a sender keeps for each destination: its state, age and size; for people. Nothing is decided by it.
+"""An inventory of a sender's destinations for operators: state, age and memory of each. No decision uses it.
 
-A file of it is one JSON object: `at` (Unix seconds) and `destinations` (objects with the fields of
-`DestinationRecord`, in the order of their numbers). It is replaced in one step, so that who reads it never
-sees half of one.
+The inventory file is one JSON object: `at` (Unix seconds) and `destinations` (objects with the fields of
+`DestinationRecord`, ordered by number). The file is replaced atomically: a reader never sees a partial file.
 """
 
 import json
@@ -17,24 +16,26 @@
 from message_sender.policy.destination import Destination
 from message_sender.policy.dispatcher import Dispatcher
 
-FILE = "destinations.json"
-#: States of breakers, the most troubled first.
+FILE_NAME = "destinations.json"
+#: States of breakers, the most severe first.
 ORDER = ("open", "half-open", "waits", "warming", "closed")
 
 
 @dataclass(frozen=True, slots=True)
 class DestinationRecord:
-    """One destination. The names of its fields are those in the file.
+    """One destination. The field names are written to the file.
 
     Attributes:
-        number: Of the destination.
-        state: listed, asleep, or of its breakers: closed, open, half-open, waits, warming.
-        endpoints: How many are listed.
-        held: Messages that wait.
-        out: Calls in flight.
-        silent_s: Since the last call; None if there was none.
-        gap_ms: Between calls, the widest of its routes'.
-        bytes: Of the objects kept for it alone, by `sys.getsizeof`; texts and what is shared are not counted.
+        number: Number of the destination.
+        state: listed (never used), asleep (its breakers were removed when it was idle), or the most severe
+            state of its breakers: open, half-open, waits (for a Retry-After), warming (slow start), closed.
+        endpoints: Number of listed endpoints.
+        held: Number of messages that wait.
+        out: Number of calls in flight.
+        silent_s: Seconds since the last call; None if there was none.
+        gap_ms: Minimum interval between calls in milliseconds; the longest of its routes.
+        bytes: Size by `sys.getsizeof` of the objects that belong to this destination alone; strings and
+            shared objects are not counted.
     """
 
     number: int
@@ -48,12 +49,12 @@
 
 
 def inventory(dispatcher: Dispatcher, now: int) -> list[DestinationRecord]:
-    """All destinations by number. `now`: microseconds on the policy's clock."""
-    return [record_of(each, now) for _, each in sorted(dispatcher.destinations.items())]
+    """All destinations, ordered by number. `now`: microseconds on the policy's clock."""
+    return [destination_record(each, now) for _, each in sorted(dispatcher.destinations.items())]
 
 
-def record_of(destination: Destination, now: int) -> DestinationRecord:
-    """What is kept for one destination."""
+def destination_record(destination: Destination, now: int) -> DestinationRecord:
+    """The record of one destination. `now`: microseconds on the policy's clock."""
     breakers = list((destination.breakers_by_route or {}).values())
     last_used = max((each.last_sent for each in breakers), default=-NEVER)
     if last_used == -NEVER and destination.inactive_since is not None:
@@ -61,18 +62,18 @@
     gaps = [max(each.gap, each.warm_up_gap(now)) for each in breakers]
     return DestinationRecord(
         number=destination.number,
-        state=state_of(destination, now),
+        state=destination_state(destination, now),
         endpoints=len(destination.endpoints),
         held=len(destination.pending or ()),
         out=sum(each.in_flight for each in breakers),
         silent_s=None if last_used == -NEVER else round((now - last_used) / 1e6, 3),
         gap_ms=round(max(gaps, default=0.0) / 1e3, 1),
-        bytes=sum(sys.getsizeof(each) for each in objects_of(destination)),
+        bytes=sum(sys.getsizeof(each) for each in owned_objects(destination)),
     )
 
 
-def state_of(destination: Destination, now: int) -> str:
-    """The destination's state; of several routes the most troubled one's."""
+def destination_state(destination: Destination, now: int) -> str:
+    """The state of a destination; with several routes, the most severe state."""
     if destination.breakers_by_route is None:
         return "listed" if destination.inactive_since is None else "asleep"
     states = [breaker_state(each, now) for each in destination.breakers_by_route.values()]
@@ -80,7 +81,7 @@
 
 
 def breaker_state(breaker: Breaker, now: int) -> str:
-    """One of `ORDER`."""
+    """The state of a breaker, one of `ORDER`. `now`: microseconds on the policy's clock."""
     if breaker.is_open():
         return "half-open" if breaker.trial else "open"
     if breaker.wait_until > now:
@@ -88,8 +89,8 @@
     return "warming" if breaker.warm_up_gap(now) else "closed"
 
 
-def objects_of(destination: Destination) -> Iterator[object]:
-    """The objects that are kept for the destination alone."""
+def owned_objects(destination: Destination) -> Iterator[object]:
+    """Yields the objects that belong to this destination alone."""
     yield destination
     for part in (
         destination.endpoints,
@@ -110,30 +111,41 @@
 
 
 def write(dispatcher: Dispatcher, now: int, folder: Path) -> Path:
-    """Writes the file into the folder and returns its path.
+    """Writes the inventory file.
+
+    Args:
+        dispatcher: The policy.
+        now: Microseconds on the policy's clock.
+        folder: The folder of the file.
+
+    Returns:
+        The path of the file.
 
     Raises:
-        OSError: It could not be written.
+        OSError: The file could not be written.
     """
-    path = folder / FILE
+    path = folder / FILE_NAME
     destinations = [asdict(each) for each in inventory(dispatcher, now)]
     replace_json(path, {"at": now / 1e6, "destinations": destinations}, sync=False)
     return path
 
 
 def read(path: Path) -> tuple[float, list[DestinationRecord]]:
-    """When the file was written, and its records.
+    """Reads an inventory file.
 
     Args:
         path: The file or its folder.
 
+    Returns:
+        When the file was written, in Unix seconds, and its records.
+
     Raises:
-        OSError: It cannot be read.
-        ValueError: It is something else; the text is one line.
+        OSError: The file cannot be read.
+        ValueError: The content is not an inventory; the text is one line.
     """
-    file = path / FILE if path.is_dir() else path
+    file = path / FILE_NAME if path.is_dir() else path
     try:
         content: dict[str, Any] = json.loads(file.read_text())
         return float(content["at"]), [DestinationRecord(**each) for each in content["destinations"]]
     except (KeyError, TypeError, AttributeError, ValueError) as error:
-        raise ValueError(f"{file} is no file of destinations: {' '.join(str(error).split())}") from None
+        raise ValueError(f"{file} is not a destination inventory: {' '.join(str(error).split())}") from None
--- a/message_sender/core/lock.py
+++ b/message_sender/core/lock.py
@@ -1,4 +1,4 @@
-"""The lock on a state folder, under the name by which the packages above the core import it."""
+"""The lock on a state folder, re-exported for the packages that use the core."""
 
 from message_sender.journal.lock import LOCK_FILE, Lock, LockTakenError, read_holder_pid
 
--- a/message_sender/core/message_table.py
+++ b/message_sender/core/message_table.py
@@ -1,12 +1,12 @@
-"""The messages of one engine: which ones are known, who waits for them, and how they are completed.
+"""The messages of one engine: which ids are known, which callers wait, and how messages are completed.
 
 Rules:
 
-- Each accepted message has one completion. It goes to the caller that waits for it, or else to the completion
-  listener.
-- The journal forgets a message before its caller hears of the completion, since a crash between the two ends
-  both. A journal that survives the machine has the completion on record first: the same one is given again
-  after a restart.
+- Each accepted message has exactly one completion. It is given to the caller that waits for it or, without a
+  waiting caller, to the completion listener.
+- The journal removes a message before its caller receives the completion, since a crash between the two also
+  ends the caller's connection. A durable journal, which survives a failure of the machine, first records the
+  completion, so that the same completion is given again after a restart.
 - Ids of completed messages stay known for a while, so that a message that is submitted again is not delivered
   again.
 """
@@ -33,8 +33,8 @@
 from message_sender.policy.model import Outcome
 
 COMPLETED_IDS_LIMIT = 4096  # more than are completed within the longest deadline
-UNKNOWN_CONTENT = -1  # no hash has this value: only the id is known, from an earlier process
-#: What a caller gets in place of the reply of a message that an earlier process delivered.
+UNKNOWN_CONTENT = -1  # no hash has this value; only the id is known, from a predecessor process
+#: The status in the completion of a message that an earlier process delivered, in place of its reply.
 REPLY_LOST = "UNKNOWN delivered; its reply was lost with the process"
 ALREADY_COMPLETED = "it is over, and its answer was given before"
 
@@ -42,7 +42,10 @@
 
 
 def content_hash(message: Message) -> int:
-    """Tells whether two submissions under one id are the same message; their deadlines may differ."""
+    """A hash of the fields that identify a message's content, without the deadline.
+
+    Two submissions with one id and the same hash are the same message.
+    """
     return hash(
         (
             message.id,
@@ -58,23 +61,23 @@
 
 
 class EventSink(Protocol):
-    """Takes events for the delivery policy."""
+    """Accepts events for the delivery policy."""
 
     def post(self, event: PolicyEvent) -> None:
         """Queues an event for the next iteration."""
 
 
 class MessageTable:
-    """Accepted and recently completed messages, beside the journal that owns them.
+    """Accepted and recently completed messages, in addition to the journal, which owns accepted messages.
 
     Attributes:
-        arrivals: Messages that wait for the policy's first decision, by id, with their callers.
-        callers: Who waits for the completion of an accepted message, by id.
-        withdrawn: Messages that their callers withdrew while an attempt was in flight.
+        arrivals: Messages that wait for the policy's first decision, with their callers, by id.
+        callers: The callers that wait for the completion of an accepted message, by message id.
+        withdrawn: Ids of messages that their callers withdrew while an attempt was in flight.
         completed: Content hashes of completed messages by id, the oldest first.
-        pending_completions: Completions that were notified and not acknowledged yet, by id.
-        counts: Completions by class, for the operators.
-        completion_listener: Hears completions that no caller waits for; set by the engine's `plug`.
+        pending_completions: Completions that are not acknowledged yet, by message id.
+        counts: Counters of completions by class, for operators.
+        completion_listener: Receives completions that no caller waits for; set by the engine's `plug`.
     """
 
     completion_listener: CompletionListener
@@ -82,7 +85,14 @@
     def __init__(
         self, journal: Journal, classes: Iterable[str], events: EventSink, hooks: EngineHooks
     ) -> None:
-        """Begins with what the journal holds."""
+        """Creates the table; messages of the journal are known at once.
+
+        Args:
+            journal: The engine's journal.
+            classes: Names of the message classes.
+            events: Accepts events for the policy.
+            hooks: The hooks of the sender's optional parts.
+        """
         self.journal = journal
         self.events = events
         self.hooks = hooks
@@ -96,26 +106,26 @@
     # Which messages are known.
 
     def is_known(self, message_id: str) -> bool:
-        """Whether the message is accepted, was completed lately, or is about to be accepted."""
-        return message_id in self.arrivals or self.known_content(message_id) is not None
+        """Whether the message is accepted, was completed recently, or waits for the policy's decision."""
+        return message_id in self.arrivals or self.known_content_hash(message_id) is not None
 
-    def known_content(self, message_id: str) -> int | None:
-        """The content hash of an accepted or completed message; None: the id is not known."""
+    def known_content_hash(self, message_id: str) -> int | None:
+        """The content hash of an accepted or completed message; None if the id is not known."""
         if entry := self.journal.entries.get(message_id):
             return content_hash(entry.message)
         return self.completed.get(message_id)
 
     def is_same_message(self, message: Message) -> bool | None:
-        """Whether a known message of this id has the same content; None: the id is free."""
-        known = self.known_content(message.id)
-        if known is not None:
-            return known in (content_hash(message), UNKNOWN_CONTENT)
+        """Whether a known message with this id has the same content; None if the id is unused."""
+        known_hash = self.known_content_hash(message.id)
+        if known_hash is not None:
+            return known_hash in (content_hash(message), UNKNOWN_CONTENT)
         return False if message.id in self.arrivals else None
 
     # Acceptance.
 
     def accept_again(self, message_id: str, caller: Caller) -> None:
-        """The same message is submitted once more. The later caller takes the place of the earlier one."""
+        """Accepts a repeated submission of a known message; its caller replaces the earlier caller."""
         if not caller.accepted():
             return
         if message_id in self.journal.entries:
@@ -124,7 +134,7 @@
             caller.completed(Completion(CompletionState.FAILED, status=ALREADY_COMPLETED))
 
     def confirm(self, message: Message, caller: Caller, retry_after_us: int, is_durable: bool) -> None:
-        """The message is on record, or could not be made durable: its caller hears."""
+        """Answers the caller once the message is recorded; rejects it if the record is not durable."""
         if is_durable:
             if caller.accepted():
                 self.callers[message.id] = caller
@@ -135,22 +145,23 @@
             self.events.post(MessageWithdrawn(message.id))
 
     def reject(self, message: Message, caller: Caller, reason: RejectReason, retry_after_us: int) -> None:
-        """The message is not accepted. Nothing of it has run."""
+        """Rejects a message that was not accepted; no attempt of it has started."""
         self.counts.ended(message.message_class, CompletionState.REFUSED)
         caller.rejected(Rejected(reason, retry_after_us))
 
     # Completion.
 
     def complete(self, message_id: str, completion: Completion) -> None:
-        """The policy's final answer for an accepted message."""
+        """Records the policy's completion of an accepted message and delivers it."""
         self.pending_completions[message_id] = completion
         self.journal.record_completion(message_id, completion.state.value, completion.retry_after_us)
         self.journal.when_durable(partial(self.deliver_completion, message_id, completion))
 
     def deliver_completion(self, message_id: str, completion: Completion, is_durable: bool) -> None:
-        """Gives the completion to the waiting caller or to the listener, once it is on record."""
+        """Gives the completion to the waiting caller or to the listener, once it is recorded."""
         if not is_durable and completion.state is CompletionState.REFUSED:
-            # A later process may find the message accepted: nothing is promised.
+            # After a crash, a later process may find the message still accepted and send it: FAILED promises
+            # nothing about the effect.
             completion = self.pending_completions[message_id] = Completion(CompletionState.FAILED)
         caller = self.take_caller(message_id)
         if caller is None and self.completion_listener.notify(message_id, completion):
@@ -162,7 +173,7 @@
             caller.completed(completion)
 
     def acknowledge(self, message_id: str) -> None:
-        """Somebody has the completion of the message: nothing more is owed."""
+        """Removes a message once its completion was received by a caller or acknowledged by the listener."""
         completion = self.pending_completions.pop(message_id, None)
         if message_id in self.journal.entries:
             self.forget(message_id, completion.state if completion else CompletionState.FAILED)
@@ -170,7 +181,7 @@
         self.hooks.work_finished()
 
     def notify_again(self, message_id: str, state: str, retry_after_us: int) -> None:
-        """Gives a completion that an earlier process has put on record; it is the same one."""
+        """Notifies the listener again of a completion that an earlier process recorded."""
         completion = Completion(CompletionState(state), retry_after_us)
         self.pending_completions[message_id] = completion
         if not self.completion_listener.notify(message_id, completion):
@@ -178,13 +189,13 @@
             del self.pending_completions[message_id]
 
     def finish_delivered(self, message_id: str) -> None:
-        """An earlier process ended between the endpoint's answer and the end on record."""
+        """Completes a message of an earlier process that recorded its delivery but not its completion."""
         completion = Completion(CompletionState.DELIVERED, status=REPLY_LOST)
         self.completion_listener.notify(message_id, completion)
         self.forget(message_id, CompletionState.DELIVERED)
 
     def finish(self, message_id: str, result: AttemptResult) -> None:
-        """The endpoint has the message, or does not want it any more."""
+        """Completes a message that its endpoint has received, or has cancelled."""
         is_delivered = result.outcome is Outcome.OK
         state = CompletionState.DELIVERED if is_delivered else CompletionState.WITHDRAWN
         completion = Completion(state, reply=result.reply, status=result.status)
@@ -194,10 +205,10 @@
     def deliver_result(
         self, message_id: str, completion: Completion, is_withdrawn: bool, is_durable: bool
     ) -> None:
-        """Gives the completion of a finished message, whether or not its outcome could be made durable."""
+        """Gives the completion of a finished message, even if its outcome could not be made durable."""
         caller = self.take_caller(message_id)
         if caller is None and not is_withdrawn:
-            self.completion_listener.notify(message_id, completion)  # before the journal forgets it
+            self.completion_listener.notify(message_id, completion)  # before the journal removes it
         if caller and self.journal.is_durable:
             caller.completed(completion)
         self.forget(message_id, completion.state)
@@ -205,7 +216,7 @@
             caller.completed(completion)
 
     def forget(self, message_id: str, state: CompletionState) -> None:
-        """The message is complete; its id stays known for a while."""
+        """Removes a completed message from the journal; its id stays known for a while."""
         if entry := self.journal.entries.get(message_id):
             self.completed[message_id] = content_hash(entry.message)
             self.counts.ended(entry.message.message_class, state)
@@ -214,17 +225,17 @@
             del self.completed[next(iter(self.completed))]
 
     def take_caller(self, message_id: str) -> Caller | None:
-        """The caller that waits for this message's completion, if one still does."""
+        """Removes and returns the caller of a message; None if no caller waits any more."""
         caller = self.callers.pop(message_id, None)
         return None if caller is None or caller.is_gone() else caller
 
     # Handover.
 
     def inherit_completed(self, message_ids: Iterable[str]) -> None:
-        """Ids of messages that the process before completed."""
+        """Adds the ids of messages that the predecessor process completed."""
         self.completed = {**dict.fromkeys(message_ids, UNKNOWN_CONTENT), **self.completed}
 
     def resubmit_completion(self, message_id: str, completion: Completion) -> None:
-        """A completion that the process before notified, and nobody has acknowledged yet."""
+        """Notifies the listener of a completion of the predecessor that is not acknowledged yet."""
         self.pending_completions[message_id] = completion
         self.completion_listener.notify(message_id, completion)
--- a/message_sender/core/ports.py
+++ b/message_sender/core/ports.py
@@ -1,11 +1,11 @@
-"""The ports of the core: what a protocol implements to stand before or behind the engine.
+"""The ports of the core: the interfaces that a protocol implements to be used with the engine.
 
-A server submits messages with `Engine.take` and gives a `Caller` with each: it hears once whether the message
-is accepted or rejected, and later its one completion. A `Transport` carries attempts and reports their
-results. A `Directory` tells which endpoints there are. A `CompletionListener` hears the completions that no
-caller waits for.
+A server submits messages with `Engine.take` and passes a `Caller` with each. The engine calls it once when
+the message is accepted or rejected, and later with the message's one completion. A `Transport` performs
+attempts and reports their results. A `Directory` lists the endpoints. A `CompletionListener` receives the
+completions that no caller waits for.
 
-Everything here is called on the engine's loop.
+All methods are called on the engine's loop.
 """
 
 import math
@@ -17,19 +17,19 @@
 from message_sender.message import Message
 from message_sender.policy.model import Outcome
 
-MAX_RETRY_AFTER_S = 3600.0  # no message lives so long; a longer one would only keep its breaker for ever
+MAX_RETRY_AFTER_S = 3600.0  # no deadline is longer; a longer wait would only keep its breaker indefinitely
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptResult:
-    """The result of one attempt, as its transport knows it.
+    """The result of one attempt, as reported by its transport.
 
     Attributes:
-        outcome: How it ended.
-        is_final: Nothing more is owed for the message.
-        retry_after_us: How long the destination asked to be left alone, microseconds.
-        reply: What the endpoint answered, where its protocol has replies.
-        status: The endpoint's own verdict besides, in its protocol's terms.
+        outcome: The outcome for the policy.
+        is_final: The message is finished; no further attempt is needed.
+        retry_after_us: The Retry-After of the destination, in microseconds; 0 for none.
+        reply: The body of the endpoint's reply, if the protocol has replies.
+        status: The endpoint's status in terms of its protocol.
     """
 
     outcome: Outcome
@@ -40,28 +40,28 @@
 
 
 def clamped_wait(seconds: float) -> int:
-    """A Retry-After in whole microseconds, between 0 and `MAX_RETRY_AFTER_S`."""
+    """Converts a Retry-After in seconds to whole microseconds, between 0 and `MAX_RETRY_AFTER_S`."""
     return math.ceil(min(max(seconds, 0.0), MAX_RETRY_AFTER_S) * 1e6)
 
 
 class CompletionState(Enum):
-    """How a message was completed."""
+    """The final state of a message."""
 
     DELIVERED = "delivered"
-    REFUSED = "refused"  # submitting it again does no harm
-    FAILED = "failed"  # nothing is promised about its effect
-    WITHDRAWN = "withdrawn"  # its endpoint or its caller cancelled it; nobody is owed anything
+    REFUSED = "refused"  # it was not delivered and may safely be submitted again
+    FAILED = "failed"  # it may or may not have had its effect
+    WITHDRAWN = "withdrawn"  # its endpoint or its caller cancelled it; no delivery is due
 
 
 @dataclass(frozen=True, slots=True)
 class Completion:
-    """The one final answer of a message.
+    """The completion of a message.
 
     Attributes:
-        state: How it was completed.
-        retry_after_us: With REFUSED: when to submit it again, microseconds; 0: not stated.
-        reply: The endpoint's reply.
-        status: The endpoint's own verdict.
+        state: The final state.
+        retry_after_us: With REFUSED: microseconds after which to submit the message again; 0: not stated.
+        reply: The body of the endpoint's reply.
+        status: The endpoint's status in terms of its protocol.
     """
 
     state: CompletionState
@@ -71,107 +71,129 @@
 
 
 class RejectReason(Enum):
-    """Why a message was rejected before it was accepted. None of it has run."""
+    """Why a message was rejected before it was accepted. No attempt of it has started."""
 
-    REFUSED = "refused"  # the policy ended it at once
-    NO_ROOM = "no room"  # the settings allow no more messages at once
-    NOT_YET = "not yet"  # service returns in order, and this message's turn has not come
-    NO_DISK = "no disk"  # the journal could not take it
-    OTHER_ID = "other id"  # this id is another message's
+    REFUSED = "refused"  # the policy rejected it
+    NO_ROOM = "no room"  # the settings allow no more accepted messages
+    NOT_YET = "not yet"  # after an outage, messages are admitted in an order, and this one is not due yet
+    NO_DISK = "no disk"  # the journal could not record it
+    OTHER_ID = "other id"  # another message has this id
 
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """Why a message was rejected, and after how many microseconds to come again; 0: not stated."""
+    """A rejection.
+
+    Attributes:
+        reason: Why the message was rejected.
+        retry_after_us: Microseconds after which to submit the message again; 0: not stated.
+    """
 
     reason: RejectReason
     retry_after_us: int
 
 
 class Caller(Protocol):
-    """A server's side of one message. None of its methods may raise."""
+    """The client of one message, as represented by its server. No method may raise."""
 
     def is_gone(self) -> bool:
-        """Whether nobody waits any more; asked before acceptance and before the completion is given."""
+        """Whether the client no longer waits; called before acceptance and before the completion is given."""
 
     def accepted(self) -> bool:
-        """The message is on record. True: the caller waits for `completed`."""
+        """Called when the message is recorded; returns True if the caller waits for `completed`."""
 
     def rejected(self, rejection: Rejected) -> None:
-        """The message is not accepted. Nothing follows."""
+        """Called when the message is rejected; no other call follows."""
 
     def withdrawn(self) -> None:
-        """The message was withdrawn before it was accepted, since `is_gone`. Nothing follows."""
+        """Called when the message was dropped before acceptance, since `is_gone`; no other call follows."""
 
     def completed(self, completion: Completion) -> None:
-        """The final answer, for a caller that waits. The journal has forgotten the message."""
+        """Called with the completion, if the caller waits for it.
+
+        A journal that is not durable has removed the message by then.
+        """
 
 
 class Transport(Protocol):
-    """Calls out, by one protocol."""
+    """Performs calls to endpoints by one protocol."""
 
     def call(
         self, endpoint: str, message: Message, timeout: float, may_go: Callable[[], bool]
     ) -> Coroutine[Any, Any, AttemptResult]:
-        """One attempt.
+        """Performs one attempt.
 
-        Whatever the endpoint or the network does comes back as a result; an exception is a defect.
-        Cancelled, it gives the attempt up as far as the protocol can.
+        Any behaviour of the endpoint or the network is reported as a result; an exception is a defect. If the
+        coroutine is cancelled, it cancels the attempt as far as the protocol allows.
 
         Args:
             endpoint: Id of the endpoint.
-            message: What is to be delivered.
-            timeout: Seconds that it may take at most.
-            may_go: Asked as the first byte goes; False: the attempt is not sent.
+            message: The message to deliver.
+            timeout: The maximum duration in seconds.
+            may_go: Called right before the first byte is sent; if it returns False, the attempt is not sent.
+
+        Returns:
+            A coroutine that returns the result.
         """
 
     def poll_unread(self) -> None:
-        """Reads what lies unread in sockets, so that it binds before what the engine does next.
+        """Handles unread data of the sockets, so that it takes effect before the engine's next decisions.
 
-        Called before each iteration. One that cannot poll says so with `reads_late`.
+        Called before each loop iteration. A transport that cannot poll sets `reads_late`.
         """
 
     @property
     def reads_late(self) -> bool:
-        """Whether results are heard only in later iterations of the loop.
+        """Whether results are received only in later loop iterations.
 
-        After a late iteration the engine then waits before it begins or cancels an attempt.
+        If so, the engine waits after a late iteration before it starts or cancels an attempt.
         """
 
     def close_idle(self, endpoint: str) -> None:
         """Closes idle connections to an endpoint."""
 
     def close_expired(self) -> None:
-        """Called a few times a second: closes what has been idle for too long."""
+        """Closes connections that have been idle for too long; called several times per second."""
 
     def endpoints_changed(self) -> None:
-        """Called after each update of the directory: closes connections to endpoints that left or moved."""
+        """Closes connections to endpoints that were removed or moved; called after each directory update."""
 
     def close(self) -> None:
-        """Closes everything at once."""
+        """Closes all connections immediately."""
 
 
 class Directory(Protocol):
-    """Which endpoints there are. Updates go to `Engine.endpoints_updated`."""
+    """Lists the endpoints. Updates are passed to `Engine.endpoints_updated`."""
 
     def poll_unread(self) -> None:
-        """Reads what lies unread: a drain binds before what the engine does next."""
+        """Handles unread data, so that a drain takes effect before the engine's next decisions."""
 
     async def watch(self) -> None:
-        """One watch, to its end; the engine then gets a FAILED update and subscribes again."""
+        """Runs one watch until it ends; the engine then gets a FAILED update and subscribes again."""
 
     def knows(self, destination: int) -> bool:
-        """Whether there ever was such a destination; its endpoints may have left for now."""
+        """Whether the destination was ever listed, even if it has no endpoint at present."""
 
     def remember(self, destination: int) -> None:
-        """A message for this destination was restored from the journal."""
+        """Marks a destination as known, since a message for it was restored from the journal."""
 
 
 class CompletionListener(Protocol):
-    """Hears completions that no caller took; `Engine.completion_acknowledged` follows once one was heard."""
+    """Receives completions that no caller waits for.
+
+    For each completion that is acknowledged, it calls `Engine.completion_acknowledged`.
+    """
 
     def notify(self, message: str, end: Completion) -> bool:
-        """Takes a completion. False: nothing is to be acknowledged, the message is over at once."""
+        """Accepts a completion.
+
+        Args:
+            message: Id of the message.
+            end: The completion.
+
+        Returns:
+            False: no acknowledgement follows, and the message is removed at once.
+        """
 
     async def run(self) -> None:
-        """Its work in the background, until it is cancelled."""
+        """Performs the listener's background work until it is cancelled."""
--- a/message_sender/core/restoration.py
+++ b/message_sender/core/restoration.py
@@ -1,4 +1,4 @@
-"""What an engine takes over at its start: messages of the journal and of a process that still runs."""
+"""Messages that an engine takes over at its start, from the journal and from a running predecessor."""
 
 from collections.abc import Callable, Iterator
 from dataclasses import replace
@@ -15,7 +15,7 @@
 
 
 class Restoration:
-    """Turns the journal's entries into events for the policy, and completes those that are over."""
+    """Turns journal entries into events for the policy, and completes the messages that are finished."""
 
     def __init__(
         self,
@@ -25,7 +25,15 @@
         directory: Directory,
         now: Callable[[], int],
     ) -> None:
-        """`now`: microseconds since the epoch."""
+        """Creates the restoration of one engine.
+
+        Args:
+            table: The engine's messages, with the journal.
+            attempts: The engine's attempts.
+            arrivals: Creates the events that announce messages.
+            directory: Receives the destinations of the restored messages.
+            now: Returns the time in microseconds since the epoch.
+        """
         self.table = table
         self.attempts = attempts
         self.arrivals = arrivals
@@ -33,10 +41,10 @@
         self.now = now
 
     def events(self, handed_over: HandoverState | None) -> Iterator[MessageRestored]:
-        """An event for each message that is not complete.
+        """Yields an event for each message that is not completed.
 
         Args:
-            handed_over: What a process that still runs knows of them.
+            handed_over: The state that a running predecessor hands over; None: there is no predecessor.
         """
         for entry in list(self.table.journal.entries.values()):
             message_id = entry.message.id
@@ -51,7 +59,10 @@
                 yield self.restored(entry)
 
     def _handed_over(self, entry: JournalEntry, handed_over: HandoverState) -> MessageRestored:
-        """A message of a process that still runs: it may be complete already, or in flight there."""
+        """The event for a message of a predecessor that still runs.
+
+        The message may already be completed, or its call may be in flight in that process.
+        """
         message_id = entry.message.id
         completion = handed_over.ending.get(message_id)
         number, call = handed_over.calls.get(message_id, (NO_ATTEMPT, None))
@@ -72,14 +83,14 @@
         """The event for a message of the journal.
 
         Args:
-            entry: What the journal has of it.
-            in_flight: The attempt whose result will still come, if any.
+            entry: The journal's entry of the message.
+            in_flight: Number of the attempt whose result is still expected; `NO_ATTEMPT` for none.
         """
-        risk = entry.first_risky_attempt(in_flight)
+        risky_attempt = entry.first_risky_attempt(in_flight)
         return MessageRestored(
-            accepted=self.arrivals.acceptance_of(entry.message),
+            accepted=self.arrivals.acceptance_event(entry.message),
             attempts=max(entry.attempts, default=-1) + 1,
-            uncertain_since=min(risk.started_us, self.now()) if risk else None,
-            uncertain_zone=risk.zone if risk else "",
+            uncertain_since=min(risky_attempt.started_us, self.now()) if risky_attempt else None,
+            uncertain_zone=risky_attempt.zone if risky_attempt else "",
             outcomes=tuple((each.endpoint, each.outcome) for each in entry.attempts.values() if each.outcome),
         )
--- a/message_sender/core/socket_errors.py
+++ b/message_sender/core/socket_errors.py
@@ -1,11 +1,11 @@
-"""What a peer can cause, and what only a defect can: the one place that decides.
+"""Classification of socket errors by their cause: the peer, a resource shortage, or a defect of the sender.
 
-Three sorts of errors reach a sender through its sockets:
-
-- A *peer* broke, reset, half-closed or vanished. Its connection ends; nobody else notices.
-- There is a *shortage* of descriptors, ports or memory. It passes; idle connections make room.
-- A *defect* of the sender's own. Where it touched one client's connection alone, that connection ends and
-  the log shows where; anywhere else the process ends, with one line; the next one starts from the journal.
+- A *peer* broke, reset, half-closed or lost the connection. That connection is closed; no other is affected.
+- There is a *shortage* of descriptors, ports or memory. It is temporary; idle connections are closed to free
+  resources.
+- There is a *defect* in the sender. If it affects one client's connection alone, that connection is closed
+  and the log shows the place; otherwise the process ends with one log line, and the next process starts from
+  the journal.
 
 The errors are those that Linux documents for the calls on a TCP socket: socket(7), tcp(7), ip(7), accept(2),
 connect(2), send(2), recv(2), shutdown(2), getpeername(2).
@@ -21,15 +21,15 @@
 from pathlib import Path
 from typing import Any
 
-REPORTS_LIMIT = 20  # lines in an interval: protects the log from a storm of connections that break
+REPORTS_LIMIT = 20  # log lines per interval: bounds the log when many connections break
 REPORT_INTERVAL_S = 10.0
-FRAMES_LIMIT = 4  # innermost calls named in a defect's line
+FRAMES_LIMIT = 4  # innermost stack frames in a defect's log line
 
 log = logging.getLogger(__name__)
 
 
 class Cause(Enum):
-    """Who or what is to blame for an error."""
+    """The cause of an error."""
 
     PEER = "peer"
     SHORTAGE = "shortage"
@@ -48,7 +48,7 @@
         errno.EPIPE,
         errno.ESHUTDOWN,
         errno.ETIMEDOUT,
-        # What the network said of an earlier packet; accept(2) passes these on from the new connection.
+        # Network errors of earlier packets; accept(2) passes pending errors of the new connection on.
         errno.EHOSTUNREACH,
         errno.EHOSTDOWN,
         errno.ENETUNREACH,
@@ -58,10 +58,10 @@
         errno.EPROTO,
         errno.ENOPROTOOPT,
         errno.EOPNOTSUPP,
-        # A firewall's rule.
+        # Caused by a firewall rule.
         errno.EPERM,
         errno.EACCES,
-        # Nothing went wrong at all.
+        # Not failures: the call has to be repeated, or is in progress or done.
         errno.EAGAIN,
         errno.EINTR,
         errno.EINPROGRESS,
@@ -72,10 +72,11 @@
 
 
 def cause_of(error: BaseException) -> Cause:
-    """Who is to blame for an error raised by a call on a peer's socket.
+    """The cause of an error raised by a call on a peer's socket.
 
-    A timeout of the loop's own has no number and is the peer's. What is not an OSError (a state that the code
-    did not reckon with, a descriptor of -1) and numbers such as EBADF, ENOTSOCK or EINVAL are a defect's.
+    A timeout raised by the event loop has no error number and is attributed to the peer. Exceptions other
+    than OSError (an unexpected state, a descriptor of -1) and error numbers such as EBADF, ENOTSOCK or EINVAL
+    are attributed to a defect.
     """
     if not isinstance(error, OSError):
         return Cause.DEFECT
@@ -86,49 +87,54 @@
     return Cause.DEFECT
 
 
-def describe(error: BaseException | None, doing: str) -> str:
-    """One line that names a defect.
+def describe(error: BaseException | None, operation: str) -> str:
+    """Describes a defect in one line.
 
     Args:
-        error: What was raised; None where nothing was.
-        doing: What was being done.
+        error: The exception; None if none was raised.
+        operation: What failed.
 
     Returns:
-        What was being done, the error, and the calls that led there, the innermost first.
+        The operation, the exception, and the stack frames that led to it, the innermost first.
     """
     if error is None:
-        return doing
+        return operation
     frames = traceback.extract_tb(error.__traceback__)[-FRAMES_LIMIT:]
     calls = " < ".join(f"{Path(each.filename).name}:{each.lineno} {each.name}" for each in reversed(frames))
     text = " ".join(str(error).split()) or "no text"
     place = f" (at {calls})" if calls else ""
-    return f"{doing}: {type(error).__name__}: {text}{place}"
+    return f"{operation}: {type(error).__name__}: {text}{place}"
 
 
 def monotonic_now() -> float:
-    """Seconds; the clock is looked up at each call, since emulated time replaces it."""
+    """The monotonic time in seconds; the clock is looked up at each call, since emulated time replaces it."""
     return time.monotonic()
 
 
 class ErrorReports:
-    """Log lines on connections that ended, at most `REPORTS_LIMIT` in each `REPORT_INTERVAL_S`.
+    """Logs connections that ended on errors, at most `REPORTS_LIMIT` lines per `REPORT_INTERVAL_S`.
 
-    Lines that were left out are counted and reported with the first line of a later interval.
+    Suppressed lines are counted, and their number is logged with the first line of a later interval.
     """
 
     def __init__(self, clock: Callable[[], float] = monotonic_now) -> None:
-        """`clock`: seconds."""
+        """Starts the first interval. `clock`: returns seconds."""
         self.clock = clock
-        self.began = self.clock()
-        self.lines = 0
-        self.left_out = 0
+        self.interval_start = self.clock()
+        self.line_count = 0
+        self.suppressed_count = 0
 
     def report(self, error: BaseException, operation: str) -> None:
-        """Logs on which error a connection ended. A defect is an error, the rest are information."""
+        """Logs the error that ended a connection; a defect at level ERROR, other causes at level INFO.
+
+        Args:
+            error: The exception.
+            operation: What failed.
+        """
         self._begin_interval_if_due()
-        self.lines += 1
-        if self.lines > REPORTS_LIMIT:
-            self.left_out += 1
+        self.line_count += 1
+        if self.line_count > REPORTS_LIMIT:
+            self.suppressed_count += 1
             return
         cause = cause_of(error)
         if cause is Cause.DEFECT:
@@ -138,23 +144,26 @@
 
     def _begin_interval_if_due(self) -> None:
         now = self.clock()
-        if now - self.began < REPORT_INTERVAL_S:
+        if now - self.interval_start < REPORT_INTERVAL_S:
             return
-        if self.left_out:
-            log.warning("connections closed on errors: unreported=%d", self.left_out)
-        self.began = now
-        self.lines = 0
-        self.left_out = 0
+        if self.suppressed_count:
+            log.warning("connections closed on errors: unreported=%d", self.suppressed_count)
+        self.interval_start = now
+        self.line_count = 0
+        self.suppressed_count = 0
 
 
 def transport_in(context: dict[str, Any]) -> asyncio.BaseTransport | None:
-    """The transport that the context of the loop's exception handler is about.
+    """The transport that an exception handler's context refers to.
 
-    The loop names it where it closed the transport itself; where one of the transport's own callbacks raised
-    (a delayed shutdown, say), it names only that callback's handle.
+    If the loop closed the transport, the context has the transport itself. If a callback of the transport
+    raised (such as a delayed shutdown), the context has only the handle of that callback.
+
+    Args:
+        context: The context that the loop passes to its exception handler.
 
     Returns:
-        None where the error is not one connection's alone.
+        None if the error is not limited to one connection.
     """
     transport = context.get("transport")
     if transport is None:
--- a/message_sender/core/traffic_observer.py
+++ b/message_sender/core/traffic_observer.py
@@ -1,7 +1,7 @@
-"""A port for records of the traffic on a sender's connections.
+"""A port for recording the traffic on a sender's connections.
 
-An observer is called on the sender's loop and may neither wait nor raise. Without one, nothing is paid but
-the question whether there is one.
+An observer is called on the sender's loop and must neither block nor raise. Without an observer, the only
+cost is the check whether one is set.
 """
 
 from typing import Protocol
@@ -13,20 +13,31 @@
 
 
 class TrafficObserver(Protocol):
-    """Hears of connections and of the bytes of either side (`CLIENT_SIDE`, `SERVER_SIDE`)."""
+    """Receives the connections and the bytes of each side (`CLIENT_SIDE`, `SERVER_SIDE`)."""
 
     def opened(self, client: SocketAddress, server: SocketAddress) -> int:
-        """A connection is up. Returns its number, from 1 on."""
+        """Called when a connection is open; returns its number, counted from 1."""
 
     def passed(self, connection: int, side: int, data: bytes) -> None:
-        """Bytes that this side sent."""
+        """Called with bytes that a side sent."""
 
     def ended(self, connection: int, side: int, reset: bool) -> None:
-        """This side ended the connection; of several calls the first counts."""
+        """Called when a side ended the connection; only the first call for a connection counts.
+
+        Args:
+            connection: Its number.
+            side: The side that ended the connection.
+            reset: The connection was reset.
+        """
 
 
 class ObservedConnection:
-    """One connection and its observer."""
+    """One connection and its observer.
+
+    Attributes:
+        observer: The observer.
+        number: The connection's number; 0: it is not observed, or has ended.
+    """
 
     __slots__ = ("number", "observer")
 
@@ -34,9 +45,9 @@
         """Announces the connection.
 
         Args:
-            observer: Hears of its traffic.
-            client: The client's end as the socket tells it.
-            server: The server's end; where either is no IP address, the connection is not observed.
+            observer: Receives the connection's traffic.
+            client: The client's address, as returned by the socket.
+            server: The server's address; if either is not an IP address, the connection is not observed.
         """
         self.observer = observer
         self.number = 0
@@ -44,12 +55,12 @@
             self.number = observer.opened(client[:2], server[:2])
 
     def passed(self, side: int, data: bytes) -> None:
-        """Bytes that this side sent."""
+        """Reports bytes that a side sent."""
         if self.number:
             self.observer.passed(self.number, side, data)
 
     def ended(self, side: int, reset: bool) -> None:
-        """This side ended the connection."""
+        """Reports that a side ended the connection, and stops observing it."""
         if self.number:
             self.observer.ended(self.number, side, reset)
             self.number = 0
