--- a/message_sender/__init__.py
+++ b/message_sender/__init__.py
@@ -1,4 +1,4 @@
-"""Delivers each message once, in key order and on time, by calls to endpoints of its destination."""
+"""Delivers each message once, before its deadline and in the order of its key, by calls to endpoints."""
 
 from typing import TYPE_CHECKING, Any
 
@@ -9,7 +9,11 @@
 
 
 def __getattr__(name: str) -> Any:  # noqa: ANN401
-    """On first use: what starts a process has its signals in hand before anything larger is read."""
+    """Imports `Dispatcher` on first use, so that `__main__` sets its signal handlers before larger imports.
+
+    Raises:
+        AttributeError: The module has no attribute of this name.
+    """
     if name != "Dispatcher":
         raise AttributeError(f"module {__name__!r} has no attribute {name!r}")
     from message_sender.policy.dispatcher import Dispatcher
--- a/message_sender/__main__.py
+++ b/message_sender/__main__.py
@@ -1,6 +1,6 @@
 """Entry point of `python -m message_sender`.
 
-Without arguments it runs the platform's sender, with arguments the command line.
+Without arguments the module runs the platform's sender; with arguments it runs the command line.
 """
 
 import signal
@@ -13,8 +13,8 @@
         from message_sender.cli import main as run_command
 
         return run_command()
-    # SIGHUP would end a process that has no handler for it yet. The configuration is read after this, so that
-    # no change of it is missed.
+    # Without this, SIGHUP would end the process until the sender installs its handler. Ignoring the signal is
+    # safe: the configuration is read after that handler is installed, so that no change is missed.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     from message_sender.start import main as run_sender
 
--- a/message_sender/files.py
+++ b/message_sender/files.py
@@ -6,15 +6,15 @@
 
 
 def replace_json(path: Path, content: object, sync: bool) -> None:
-    """Writes a JSON file that takes the place of the one at `path` in one step.
+    """Writes a JSON file and atomically replaces the file at `path` with it.
 
     Args:
-        path: The file to replace; a file of that name with `.new` behind it is written first.
-        content: What `json.dump` can write.
-        sync: Whether the content is on the disk before the file is replaced.
+        path: The file to replace; the content is first written to a file of this name with the suffix `.new`.
+        content: An object that `json.dump` can serialize.
+        sync: Whether the content is synced to disk before the file is replaced.
 
     Raises:
-        OSError: The file could not be written; the one at `path` is as it was.
+        OSError: The file could not be written; the file at `path` is unchanged.
     """
     new_path = path.with_name(path.name + ".new")
     try:
--- a/message_sender/start.py
+++ b/message_sender/start.py
@@ -1,4 +1,4 @@
-"""Start of the platform's sender: reads the configuration that the platform names, and runs the sender."""
+"""Starts the platform's sender: reads its configuration from the environment and runs it."""
 
 import asyncio
 import json
@@ -24,29 +24,29 @@
 BYTES_PER_MB = 1_000_000
 
 # Environment variables that the platform sets.
-CONFIG_VARIABLE = "BALANCER_CONFIG"  # path of the configuration
+CONFIG_VARIABLE = "BALANCER_CONFIG"  # path of the configuration file
 STATE_VARIABLE = "BALANCER_STATE"  # path of the state folder
-MANAGEMENT_VARIABLE = "BALANCER_MANAGEMENT"  # where operators connect
+MANAGEMENT_VARIABLE = "BALANCER_MANAGEMENT"  # address where operators connect
 LISTENER_VARIABLE = "BALANCER_SOCKET_FD"  # descriptor of the listening socket
 
 log = logging.getLogger(__name__)
 
 
 class StartupConfigError(Exception):
-    """The configuration cannot be used; the text says why, in one line."""
+    """The configuration cannot be used; the text gives the reason in one line."""
 
 
 def decode_management_address(values: dict[str, Any]) -> Address | None:
-    """The address where operators connect, from the configuration or the environment.
+    """Decodes the address where operators connect, from the configuration or the environment.
 
     Args:
         values: The platform's configuration.
 
     Returns:
-        None where there is no such address.
+        None if neither has an address.
 
     Raises:
-        ValueError: It is not an address.
+        ValueError: The text is not an address.
     """
     text = values.get("management") or os.environ.get(MANAGEMENT_VARIABLE)
     try:
@@ -59,11 +59,11 @@
     """Builds the daemon's configuration.
 
     Args:
-        values: The platform's configuration, as its JSON has it.
+        values: The platform's configuration, decoded from JSON.
         state: The state folder.
 
     Raises:
-        StartupConfigError: A value is missing or cannot be used.
+        StartupConfigError: A value is missing or invalid.
     """
     try:
         limits = values["limits"]
@@ -86,10 +86,10 @@
 
 
 def read_config() -> DaemonConfig:
-    """Reads the configuration that the environment names.
+    """Reads the configuration file that the environment names.
 
     Raises:
-        StartupConfigError: It is not named, cannot be read or cannot be used.
+        StartupConfigError: A variable is not set, or the file cannot be read or is invalid.
     """
     try:
         text = Path(os.environ[CONFIG_VARIABLE]).read_text()
@@ -101,7 +101,7 @@
 
 
 def reload_configuration(sender: PlatformSender) -> None:
-    """Reads the configuration anew; one that cannot be used changes nothing."""
+    """Reloads the configuration; if the new one is invalid, the sender keeps the old one."""
     try:
         sender.reconfigure(read_config())
     except StartupConfigError as error:
@@ -109,7 +109,7 @@
 
 
 def inherited_listener() -> socket.socket | None:
-    """The listening socket that the platform holds; None: it holds none, or nothing that can be used."""
+    """The listening socket that the platform passes to this process; None if it passes no usable one."""
     if not (text := os.environ.get(LISTENER_VARIABLE)):
         return None
     try:
@@ -120,14 +120,17 @@
 
 
 def reject_call(_call: ManagementCall) -> ManagementReply:
-    """Answers operators before the sender is built."""
+    """Rejects calls of operators until the sender is built."""
     return ManagementReply(503, "not yet: this process does not take clients")
 
 
 async def build_sender(config: DaemonConfig) -> PlatformSender:
-    """Builds a sender that owns its state folder, taken over from a process that still runs if there is one.
+    """Builds a sender that owns its state folder; a predecessor that still runs hands the folder over.
 
-    The operators' address is bound first: a start that fails must leave that process serving.
+    The address for operators is bound first: if the start fails, the predecessor must continue to serve.
+
+    Args:
+        config: The daemon's configuration.
 
     Raises:
         OSError: The state folder or an address cannot be used.
@@ -145,13 +148,13 @@
 
 
 class Reload:
-    """Handles SIGHUP from before the configuration is read.
+    """Handles SIGHUP, from before the configuration is read.
 
-    A signal that comes before the sender serves is kept until then.
+    A signal that arrives before the sender serves is handled once it does.
 
     Attributes:
-        sender: Whose configuration is read anew; None before it serves.
-        is_pending: A signal came before the sender served.
+        sender: The sender whose configuration is reloaded; None before it serves.
+        is_pending: A signal arrived before the sender served.
     """
 
     def __init__(self) -> None:
@@ -161,14 +164,14 @@
         asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, self.request)
 
     def request(self) -> None:
-        """Reloads now, or once there is a sender."""
+        """Reloads the configuration now, or once the sender serves."""
         if self.sender:
             reload_configuration(self.sender)
         else:
             self.is_pending = True
 
     def bind(self, sender: PlatformSender) -> None:
-        """Reloads the configuration of this sender from now on."""
+        """Sets the sender whose configuration is reloaded, and handles a pending signal."""
         self.sender = sender
         if self.is_pending:
             self.request()
@@ -184,7 +187,7 @@
 
 
 def main() -> int:
-    """Runs the platform's sender and reports in one line why it cannot start; returns the exit code."""
+    """Runs the platform's sender, and reports in one line why it cannot start; returns the exit code."""
     logging.basicConfig(
         level=logging.INFO, stream=sys.stderr, format="%(asctime)s %(levelname)s %(name)s: %(message)s"
     )
@@ -192,8 +195,8 @@
         return asyncio.run(serve())
     except StartupConfigError as error:
         print(f"message-sender: configuration: {error}", file=sys.stderr)
-    except OSError as error:  # the state folder or an address to listen on
+    except OSError as error:  # the state folder or a listening address cannot be used
         print(f"message-sender: {error}", file=sys.stderr)
-    except Exception as error:  # boundary of the process: a defect is one line for the platform's log
+    except Exception as error:  # last resort: the platform's log gets one line for a defect
         print(f"message-sender: a defect: {describe(error, 'start')}", file=sys.stderr)
     return 1
