--- a/message_sender/admission/__init__.py
+++ b/message_sender/admission/__init__.py
@@ -1,1 +1,1 @@
-"""Load shedding: which requests are admitted when there is no capacity. Pure decisions, free of I/O."""
+"""Load shedding: which requests are admitted when capacity is exhausted. Pure decisions without I/O."""
--- a/message_sender/control_socket.py
+++ b/message_sender/control_socket.py
@@ -1,11 +1,11 @@
-"""A Unix socket in the state folder for requests to a running sender: a line of JSON each way.
+"""A Unix socket in the state folder for requests to a running sender, as lines of JSON.
 
-A request is an object with the key `do`, which names a command. The response has `ok`, and either `value` or
-`faults`, a list of texts.
+A request is an object whose key `do` names a command. The response is an object with `ok`, and either `value`
+or `faults`, a list of texts.
 
-Only the process' own user and root are served: the socket has mode 0600, and the user of the other side is
-checked (SO_PEERCRED, unix(7)). A client can occupy no more than one of `CONNECTIONS_LIMIT` connections for
-`REQUEST_TIMEOUT_S`.
+Only the user of the process and root are served: the socket has mode 0600, and the peer's user id is checked
+(SO_PEERCRED, unix(7)). There are at most `CONNECTIONS_LIMIT` connections, and a connection without a complete
+request is closed after `REQUEST_TIMEOUT_S`.
 """
 
 import asyncio
@@ -20,41 +20,49 @@
 from typing import Any
 
 SOCKET_NAME = "control"
-CONNECTIONS_LIMIT = 16  # at once; one more is closed without a response
+CONNECTIONS_LIMIT = 16  # concurrent connections; further connections are closed without a response
 REQUEST_BYTES_LIMIT = 64 * 1024
-REQUEST_TIMEOUT_S = 5.0  # for a request to come
-RESPONSE_CHUNK_BYTES = 65_536  # read at once by a client
+REQUEST_TIMEOUT_S = 5.0  # time for a complete request to arrive
+RESPONSE_CHUNK_BYTES = 65_536  # read by a client in one call
 PEER_CREDENTIALS = struct.Struct("3i")  # process, user and group id
 
 log = logging.getLogger(__name__)
 
-#: Takes the request and returns the response's value, or an awaitable of it; a client that waits for it keeps
-#: its connection meanwhile.
+#: Handles a request and returns the value of the response, or an awaitable of it; the client's connection
+#: stays open until the value is known.
 Command = Callable[[Mapping[str, Any]], Any]
 
 
 class InvalidRequestError(ValueError):
-    """A request cannot be executed.
+    """A request that cannot be executed.
 
     Attributes:
-        faults: The reasons.
+        faults: The reasons, one text each.
     """
 
     def __init__(self, *faults: str) -> None:
-        """Takes the reasons."""
+        """Creates the error from its reasons."""
         super().__init__("; ".join(faults))
         self.faults = list(faults)
 
 
 class ControlSocket:
-    """Executes commands for clients of the socket."""
+    """Executes commands for clients of the socket.
+
+    Attributes:
+        path: Path of the socket.
+        commands: The commands by name.
+        open_connections: Number of open connections.
+        server: The listening server; None before `start`.
+        tasks: The tasks of the open connections.
+    """
 
     def __init__(self, folder: Path, commands: Mapping[str, Command]) -> None:
-        """Does not listen yet.
+        """Creates a socket that does not listen yet.
 
         Args:
-            folder: Where the socket is made.
-            commands: By name.
+            folder: The folder in which the socket is created.
+            commands: The commands by name.
         """
         self.path = folder / SOCKET_NAME
         self.commands = commands
@@ -63,10 +71,12 @@
         self.tasks: set[asyncio.Task[None]] = set()
 
     async def start(self) -> None:
-        """Listens; a socket of an earlier process is replaced: the folder's lock says that it is unused.
+        """Starts to listen. The socket of an earlier process is replaced.
+
+        The caller holds the folder's lock, so that no other process uses that socket.
 
         Raises:
-            OSError: The socket cannot be made.
+            OSError: The socket cannot be created.
         """
         self.path.unlink(missing_ok=True)
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
@@ -89,7 +99,7 @@
         self.path.unlink(missing_ok=True)
 
     async def handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serves a client until it leaves; one too many, or of another user, is disconnected."""
+        """Serves a client until it disconnects; rejects clients of other users and beyond the limit."""
         if self.open_connections >= CONNECTIONS_LIMIT or not is_authorized(writer.get_extra_info("socket")):
             writer.transport.abort()
             return
@@ -106,7 +116,7 @@
             writer.close()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Answers requests until the client leaves, or sends none in time."""
+        """Answers requests until the client disconnects, or sends no request in time."""
         while True:
             try:
                 async with asyncio.timeout(REQUEST_TIMEOUT_S):
@@ -120,14 +130,14 @@
                     return
                 response = self.answer(line)
                 if isinstance(response.get("value"), Awaitable):
-                    response = await self.answer_later(response["value"])
+                    response = await self.await_value(response["value"])
             writer.write(json.dumps(response).encode() + b"\n")
             await writer.drain()
 
     def answer(self, line: bytes) -> dict[str, Any]:
         """Executes a request and returns the response, whose value may be an awaitable.
 
-        Boundary of the commands: whatever one raises becomes a response, and never ends the sender.
+        An exception of a command becomes a response and never ends the sender.
         """
         try:
             request = json.loads(line)
@@ -138,8 +148,8 @@
         except Exception as error:
             return failure_response(error)
 
-    async def answer_later(self, value: Awaitable[Any]) -> dict[str, Any]:
-        """The response with a value that is awaited; a boundary as `answer` is."""
+    async def await_value(self, value: Awaitable[Any]) -> dict[str, Any]:
+        """Awaits the value of a response; like in `answer`, an exception becomes a response."""
         try:
             return {"ok": True, "value": await value}
         except Exception as error:
@@ -157,7 +167,7 @@
 
 
 def is_authorized(sock: socket.socket) -> bool:
-    """Whether the other side of a Unix socket is the process' own user, or root."""
+    """Whether the peer of a Unix socket runs as the user of this process, or as root."""
     credentials = sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, PEER_CREDENTIALS.size)
     _, user, _ = PEER_CREDENTIALS.unpack(credentials)
     return user in (0, os.geteuid())
@@ -170,11 +180,11 @@
 
     Args:
         folder: The state folder.
-        request: An object with `do`.
-        timeout_s: For each step: the connection, and each part of the response.
+        request: An object with the key `do`.
+        timeout_s: Timeout in seconds of the connection, and of each read of the response.
 
     Raises:
-        OSError: No sender listens there, or none responds in time.
+        OSError: No sender listens there, or the sender does not respond in time.
         ValueError: The response is not a JSON object.
     """
     with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as sock:
@@ -186,5 +196,5 @@
             data += chunk
     response = json.loads(data)
     if not isinstance(response, dict):
-        raise ValueError("the answer is none")
+        raise ValueError(f"the sender's response must be a JSON object, not {type(response).__name__}")
     return response
