--- a/tests/test_backlog.py
+++ b/tests/test_backlog.py
@@ -27,7 +27,7 @@
 def test_shedding_begins_and_ends_at_its_two_bounds(
     steps: list[tuple[str, float]], crowded_length: int
 ) -> None:
-    """In a crowded backlog, at the lower bound alone."""
+    """In a crowded backlog, shedding begins and ends at the lower bound."""
     backlog, now = Backlog(0.0, crowded_length), 0.0
     arrivals: list[float] = []
     for step, elapsed in steps:
@@ -36,7 +36,7 @@
         if arrivals and now - arrivals[0] >= (TARGET_QUEUE_DELAY_S if crowded else MAX_QUEUE_DELAY_S):
             assert backlog.should_reject(now)
         if backlog.should_reject(now):
-            assert arrivals  # never while nothing waits
+            assert arrivals  # an empty backlog never sheds
         elif step == "arrival":
             backlog.request_arrived(now)
             arrivals.append(now)
@@ -53,21 +53,21 @@
         assert len(backlog.arrival_times) == len(arrivals)
 
 
-@pytest.mark.parametrize("times", [1.0, 2.0, 4.0])
-def test_retry_after_grows_with_the_overload(times: float) -> None:
+@pytest.mark.parametrize("overload", [1.0, 2.0, 4.0])
+def test_retry_after_grows_with_the_overload(overload: float) -> None:
     backlog, now = Backlog(0.0), 0.0
     for each in range(2000):
         now = each / 500
         backlog.request_arrived(now)
         backlog.request_taken(now)
-        for _ in range(int(times) - 1):
+        for _ in range(int(overload) - 1):
             backlog.request_rejected(now)
-    assert backlog.overload_ratio == pytest.approx(times, rel=0.05)
+    assert backlog.overload_ratio == pytest.approx(overload, rel=0.05)
     assert backlog.retry_after_s(60.0) == pytest.approx(
-        max(RATE_WINDOW_S * (times - 0.5), MIN_RETRY_AFTER_S), rel=0.1
+        max(RATE_WINDOW_S * (overload - 0.5), MIN_RETRY_AFTER_S), rel=0.1
     )
     assert backlog.retry_after_s(0.1) == 0.1 and backlog.retry_after_s(0.0) == 0.0
-    backlog.roll_window(now + 10 * RATE_WINDOW_S)  # a window that ended unobserved says nothing
+    backlog.roll_window(now + 10 * RATE_WINDOW_S)  # a window that ended without events has no ratio
     assert backlog.overload_ratio == 1.0
 
 
@@ -92,7 +92,7 @@
 
 
 async def crowded(world: World) -> None:
-    """From now on the server rejects what it has not begun to read."""
+    """Puts the server into shedding: it rejects requests that it has not begun to read."""
     server = world.sender.server
     server.backlog.request_arrived(server.loop.time() - 2 * MAX_QUEUE_DELAY_S)
 
@@ -109,7 +109,7 @@
             reply = await read_reply(client.reader)
             assert reply.status == 503 and MIN_RETRY_AFTER_S <= float(reply.headers["retry-after"]) <= 2.0
         assert "again" not in world.sender.engine.journal.entries and server.backlog.rejected_total == 3
-        server.backlog.request_taken(server.loop.time())  # the last of the crowd has been read
+        server.backlog.request_taken(server.loop.time())  # the request that began shedding has been read
         client.writer.write(message("after"))
         assert (await read_reply(client.reader)).status == 202
         assert {(await world.receiver.next()).id for _ in range(2)} == {"before", "after"}
@@ -118,7 +118,7 @@
 
 @play
 async def test_a_repeat_of_an_accepted_message_is_never_rejected_unread(state: Path) -> None:
-    """A rejection says that it may be submitted elsewhere, which would be a second delivery."""
+    """A rejection tells the client that it may submit the message elsewhere: a second delivery."""
     async with World(state) as world:
         assert (await world.hand_in("m")).status == 202
         await crowded(world)
@@ -159,7 +159,7 @@
 
 @play
 async def test_a_crowded_backlog_sheds_sooner(state: Path) -> None:
-    """Otherwise clients wait that find no connection left."""
+    """Guards against waiting requests that occupy all connections, so that new clients find none."""
     async with World(state) as world:
         server = world.sender.server
         with pytest.MonkeyPatch.context() as patch:
--- a/tests/test_inventory.py
+++ b/tests/test_inventory.py
@@ -1,4 +1,4 @@
-"""What is kept for each destination, as a file and on the command line."""
+"""The destination inventory: its content, its file and the command that prints it."""
 
 import io
 import json
@@ -16,8 +16,12 @@
 from message_sender.service.standalone import CompletionWriter, StandaloneSender, write_destination_inventory
 
 
-def world_of_states() -> World:
-    """1 is open, 2 waits, 3 serves, 4 was used a day ago, 5 never; 6 has a message and no endpoint."""
+def world_with_all_states() -> World:
+    """A sender with one destination in each state.
+
+    The breaker of 1 is open, 2 waits for a Retry-After, 3 has a call in flight, 4 was used a day ago and is
+    asleep, 5 was never used, and 6 has a message but no endpoint.
+    """
     world = World(*(endpoint(f"e{each}", each) for each in range(1, 6)))
     world.take(destination=4)
     world.answer("m1", Outcome.OK)
@@ -35,25 +39,25 @@
     return world
 
 
-def test_each_destination_is_told_with_its_state_and_what_it_holds() -> None:
-    world = world_of_states()
-    found = {each.number: each for each in inventory.inventory(world.dispatcher, world.now)}
-    states = {number: each.state for number, each in found.items()}
+def test_inventory_has_state_and_message_counts_of_each_destination() -> None:
+    world = world_with_all_states()
+    rows = {each.number: each for each in inventory.inventory(world.dispatcher, world.now)}
+    states = {number: each.state for number, each in rows.items()}
     assert states == {1: "open", 2: "waits", 3: "closed", 4: "asleep", 5: "listed", 6: "closed"}
-    assert (found[1].held, found[1].out, found[3].held, found[3].out, found[6].held) == (1, 0, 0, 1, 1)
-    assert found[4].silent_s and found[4].silent_s > 3600 and found[5].silent_s is None
-    assert found[6].endpoints == 0 and found[5].bytes < found[3].bytes < 3000
+    assert (rows[1].held, rows[1].out, rows[3].held, rows[3].out, rows[6].held) == (1, 0, 0, 1, 1)
+    assert rows[4].silent_s and rows[4].silent_s > 3600 and rows[5].silent_s is None
+    assert rows[6].endpoints == 0 and rows[5].bytes < rows[3].bytes < 3000
     world.step(WakeUp(), after=2 * SECOND)
     trial = {each.number: each for each in inventory.inventory(world.dispatcher, world.now)}[1]
     assert trial.state == "half-open" and trial.out == 1
 
 
-def test_the_file_is_read_as_it_was_written_and_anything_else_is_refused(tmp_path: Path) -> None:
-    world = world_of_states()
+def test_written_file_is_read_back_and_other_content_is_rejected(tmp_path: Path) -> None:
+    world = world_with_all_states()
     path = inventory.write(world.dispatcher, world.now, tmp_path)
-    for place in (path, tmp_path):
-        at, found = inventory.read(place)
-        assert at == world.now / 1e6 and found == inventory.inventory(world.dispatcher, world.now)
+    for path_or_folder in (path, tmp_path):
+        at, rows = inventory.read(path_or_folder)
+        assert at == world.now / 1e6 and rows == inventory.inventory(world.dispatcher, world.now)
     assert list(tmp_path.iterdir()) == [path]
     ends = ('[{"number": 1}]}', "3}")
     for text in ("", "[]", "{}", *('{"at": 1, "destinations": ' + each for each in ends)):
@@ -62,10 +66,10 @@
             inventory.read(path)
 
 
-def test_the_command_shows_the_most_troubled_first(
+def test_command_lists_the_most_severe_states_first(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    world = world_of_states()
+    world = world_with_all_states()
     inventory.write(world.dispatcher, world.now, tmp_path)
     assert main(["destinations", str(tmp_path), "--most", "2"]) == 0
     head, _, first, second, more = capsys.readouterr().out.splitlines()
@@ -80,18 +84,20 @@
 
 
 @play
-async def test_who_asks_gets_the_file_and_one_that_cannot_be_written_ends_nothing(state: Path) -> None:
+async def test_sender_writes_the_file_on_request_and_survives_a_write_error(state: Path) -> None:
     from message_sender.configuration import general
 
     listed = {"id": "a", "destination": 1, "dial": "127.0.0.1:9"}
     classes = {"c": {"effect": "safe", "aim_ms": 1000, "deadline_ms": 2000}}
-    told = general.read({"name": "n", "classes": classes, "endpoints": [listed], "listen": "127.0.0.1:0"})
-    sender = StandaloneSender(told, state, CompletionWriter(io.StringIO()))
+    configuration = general.read(
+        {"name": "n", "classes": classes, "endpoints": [listed], "listen": "127.0.0.1:0"}
+    )
+    sender = StandaloneSender(configuration, state, CompletionWriter(io.StringIO()))
     sender.engine.start()
     write_destination_inventory(sender)
     assert [each.number for each in inventory.read(state)[1]] == [1]
     (state / (inventory.FILE_NAME + ".new")).mkdir()
-    write_destination_inventory(sender)  # it cannot be written: the sender goes on
+    write_destination_inventory(sender)  # the file cannot be written: the sender continues
     assert not sender.engine.defect
     sender.engine.close()
     sender.lock.release()
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -1,4 +1,4 @@
-"""The program as the platform starts it: SIGKILL, SIGTERM, and a bad configuration."""
+"""The sender as a process that the platform starts: SIGKILL, SIGTERM, SIGHUP and invalid configurations."""
 
 import asyncio
 import json
@@ -27,22 +27,31 @@
     return await launch(config, state)
 
 
-async def launch(config: Path, state: Path, most_open: int = 0, **more: str) -> asyncio.subprocess.Process:
-    """`most_open` descriptors are all that the system gives it; 0: as many as ever."""
+async def launch(
+    config: Path, state: Path, descriptor_limit: int = 0, **more: str
+) -> asyncio.subprocess.Process:
+    """Starts the process.
 
-    def few() -> None:
-        if most_open:
-            resource.setrlimit(resource.RLIMIT_NOFILE, (most_open, most_open))
+    Args:
+        config: The configuration file.
+        state: The state folder.
+        descriptor_limit: The process' limit of open descriptors; 0: the limit of this process.
+        more: Further environment variables.
+    """
+
+    def limit_descriptors() -> None:
+        if descriptor_limit:
+            resource.setrlimit(resource.RLIMIT_NOFILE, (descriptor_limit, descriptor_limit))
 
     environment = os.environ | {"BALANCER_CONFIG": str(config), "BALANCER_STATE": str(state)} | more
     return await asyncio.create_subprocess_exec(
         sys.executable, "-m", "message_sender", cwd=ROOT, env=environment, stderr=asyncio.subprocess.PIPE,
-        preexec_fn=few,
+        preexec_fn=limit_descriptors,
     )  # fmt: skip
 
 
 @asynccontextmanager
-async def running(
+async def running_process(
     config_values: dict[str, Any], state: Path
 ) -> AsyncIterator[tuple[asyncio.subprocess.Process, Any]]:
     process = await start(config_values, state)
@@ -58,12 +67,12 @@
 
 
 @play
-async def test_sigkill_loses_nothing_that_was_taken_on(tmp_path: Path) -> None:
+async def test_accepted_messages_survive_sigkill(tmp_path: Path) -> None:
     state = tmp_path / "state"
     state.mkdir()
     async with Peer() as receiver, Platform() as platform:
         config_values = config_json(platform, host(receiver.dial))
-        async with running(config_values, state) as (process, address):
+        async with running_process(config_values, state) as (process, address):
             for name in ("m1", "m2", "m3"):
                 assert (await ask(address, message(name))).status == 202
             (await receiver.next()).answer(200)
@@ -72,7 +81,7 @@
             await soon(process.wait())
         while not receiver.requests.empty():
             receiver.requests.get_nowait()
-        async with running(config_values, state) as (process, address):
+        async with running_process(config_values, state) as (process, address):
             assert (await ask(address, READY)).status == 200
             seen = set()
             while not {"m2", "m3"} <= seen:
@@ -82,23 +91,26 @@
 
 
 @play
-async def test_sigterm_ends_the_process_well(tmp_path: Path) -> None:
+async def test_sigterm_ends_the_process_with_exit_code_0(tmp_path: Path) -> None:
     state = tmp_path / "state"
     state.mkdir()
-    async with Platform() as platform, running(config_json(platform), state) as (process, _):
+    async with Platform() as platform, running_process(config_json(platform), state) as (process, _):
         process.send_signal(signal.SIGTERM)
         assert await soon(process.wait()) == 0
 
 
 @play
-async def test_a_hangup_while_the_configuration_is_read_is_heard_in_the_end(tmp_path: Path) -> None:
-    """The configuration is a pipe: that somebody reads it is known, and it goes on when it is written."""
+async def test_sighup_while_the_configuration_is_read_is_handled_later(tmp_path: Path) -> None:
+    """Holds the process while it reads its configuration, by means of a pipe, and sends SIGHUP meanwhile.
+
+    The pipe can be opened for writing once the process reads it.
+    """
     state, pipe = tmp_path / "state", tmp_path / "config.json"
     state.mkdir()
     async with Platform() as old, Platform() as new:
         os.mkfifo(pipe)
         process = await launch(pipe, state)
-        write = await aside(lambda: os.open(pipe, os.O_WRONLY))
+        write = await run_in_thread(lambda: os.open(pipe, os.O_WRONLY))
         pipe.unlink()
         pipe.write_text(json.dumps(config_json(new)))
         process.send_signal(signal.SIGHUP)
@@ -109,8 +121,8 @@
         assert await soon(process.wait()) == 0
 
 
-async def aside(work: Callable[[], Any]) -> Any:  # noqa: ANN401
-    """What blocks until the other process comes; a thread that waits for ever keeps nobody from ending."""
+async def run_in_thread(work: Callable[[], Any]) -> Any:  # noqa: ANN401
+    """Runs a call that blocks until the other process acts; a daemon thread cannot delay the exit."""
     loop = asyncio.get_running_loop()
     done: asyncio.Future[Any] = loop.create_future()
 
@@ -133,8 +145,8 @@
 
 
 @play
-async def test_a_hangup_while_the_program_is_still_imported_does_not_end_it(tmp_path: Path) -> None:
-    """A library that waits as it is imported holds the start at that step."""
+async def test_sighup_during_imports_does_not_end_the_process(tmp_path: Path) -> None:
+    """A replacement of h11 that blocks while it is imported holds the start at that step."""
     state, library = tmp_path / "state", tmp_path / "library"
     state.mkdir(), library.mkdir()
     (library / "h11.py").write_text(SLOW_IMPORT)
@@ -145,15 +157,15 @@
         config = tmp_path / "config.json"
         config.write_text(json.dumps(config_json(platform)))
         process = await launch(config, state, PYTHONPATH=str(library), **pipes)
-        await aside(Path(pipes["STEP"]).read_text)
+        await run_in_thread(Path(pipes["STEP"]).read_text)
         process.send_signal(signal.SIGHUP)
-        await aside(lambda: Path(pipes["GO"]).write_text("go"))
+        await run_in_thread(lambda: Path(pipes["GO"]).write_text("go"))
         assert (await soon(platform.watches.get())).target
         process.send_signal(signal.SIGTERM)
         assert await soon(process.wait()) == 0
 
 
-def test_a_hangup_before_the_sender_serves_is_kept_for_it(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_sighup_before_the_sender_serves_is_handled_once_it_does(monkeypatch: pytest.MonkeyPatch) -> None:
     reloaded: list[object] = []
     monkeypatch.setattr(start_module, "reload_configuration", reloaded.append)
 
@@ -170,8 +182,8 @@
 
 
 @play
-async def test_idle_clients_that_take_every_descriptor_keep_nobody_from_discovery(tmp_path: Path) -> None:
-    """The system gives the process just as many as its configuration says; discovery is down meanwhile."""
+async def test_discovery_is_reachable_while_idle_clients_take_every_descriptor(tmp_path: Path) -> None:
+    """The process' descriptor limit equals its configured limit; discovery is down while clients connect."""
     state, sockets = tmp_path / "state", 96
     state.mkdir()
     async with Peer() as receiver, Platform() as platform:
@@ -180,7 +192,7 @@
         platform.server.close()
         config = tmp_path / "config.json"
         config.write_text(json.dumps(config_values))
-        process = await launch(config, state, most_open=sockets)
+        process = await launch(config, state, descriptor_limit=sockets)
         assert process.stderr is not None
         while not (match := re.search(rb"ready on (\S+):(\d+)", await soon(process.stderr.readline()))):
             assert process.returncode is None
@@ -198,7 +210,7 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "words"),
+    ("change", "expected"),
     [
         ({"settings": {}}, "limits"),
         ({"listen": "here"}, "host:port"),
@@ -210,7 +222,7 @@
         ("[]", "list"),
     ],
 )
-def test_a_bad_configuration_ends_in_one_plain_line(tmp_path: Path, change: Any, words: str) -> None:  # noqa: ANN401
+def test_invalid_configuration_is_reported_in_one_line(tmp_path: Path, change: Any, expected: str) -> None:  # noqa: ANN401
     async def test(_: Path) -> None:
         state = tmp_path / "state"
         state.mkdir()
@@ -219,13 +231,13 @@
             process = await start(config_values, state)
             _, text = await soon(process.communicate())
             assert process.returncode == 1
-            assert len(text.splitlines()) == 1 and words in text.decode()
+            assert len(text.splitlines()) == 1 and expected in text.decode()
 
     play(test)(tmp_path)
 
 
 @play
-async def test_a_state_folder_that_is_not_there_ends_in_one_plain_line(tmp_path: Path) -> None:
+async def test_missing_state_folder_is_reported_in_one_line(tmp_path: Path) -> None:
     async with Platform() as platform:
         process = await start(config_json(platform), tmp_path / "nowhere")
         _, text = await soon(process.communicate())
@@ -233,12 +245,12 @@
 
 
 @play
-async def test_sighup_moves_discovery_and_a_bad_file_changes_nothing(tmp_path: Path) -> None:
+async def test_sighup_moves_discovery_and_an_invalid_file_changes_nothing(tmp_path: Path) -> None:
     state = tmp_path / "state"
     state.mkdir()
     async with Peer() as receiver, Platform() as old, Platform() as new:
         config_values = config_json(old, host(receiver.dial))
-        async with running(config_values, state) as (process, address):
+        async with running_process(config_values, state) as (process, address):
             await soon(old.watches.get())
             (tmp_path / "config.json").write_text("{")
             process.send_signal(signal.SIGHUP)
