--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,10 +1,10 @@
-"""Two events in the same moment, on real sockets: each step of a message meets each event that can come then.
+"""Race conditions on real sockets: each step of a message is combined with each event that can occur then.
 
-A step is a moment that is held: what has come is in the system's hands, or a hook stands where the sender
-would go on. The event is then done by hand, and all goes on; a sender that ended is started again on its
-folder. What must hold is the same for each pair: the client hears one answer unless it left or the process
-was killed; what was taken on has one end; no effect twice; nothing new goes where a drain was told. What
-cannot meet, and why, is in docs/design/acceptance.md.
+At a step, the sender is held: received data is still in the system's buffers, or a hook blocks the sender.
+The event is then triggered, and the sender continues; a sender that ended is started again on its state
+folder. For each pair the same must hold: the client gets one answer unless it left or the process was killed;
+an accepted message has one completion; no effect happens twice; no new call is sent to an endpoint that
+drains. Pairs that cannot occur, and why, are in docs/design/acceptance.md.
 """
 
 import asyncio
@@ -33,7 +33,22 @@
 
 
 class Crossing:
-    """A sender, a client with one message, and what became of it."""
+    """A sender, a client with one message, and a record of what happened to the message.
+
+    Attributes:
+        left: The client has closed its connection, or its sending side.
+        killed: The process was killed.
+        stopping: The process received SIGTERM.
+        notices: Id and state of each notice to the platform.
+        calls: The requests for the message that arrived completely at the receiver.
+        served_count: Number of answers of the receiver.
+        request: The unanswered request at the receiver.
+        calls_at_drain: Number of calls when the endpoint was listed as draining; None: it is not draining.
+        go_on: Set when a held connection attempt may continue.
+        dialled: Set when the sender starts to connect to the receiver.
+        lost_answer: The receiver may have served the message although its answer is lost.
+        step: Name of the step.
+    """
 
     def __init__(self, world: World) -> None:
         self.world, self.sender, self.engine = world, world.sender, world.sender.engine
@@ -41,21 +56,21 @@
         self.client = Client(self.sender.server.address())
         self.left = self.killed = self.stopping = False
         self.notices: list[tuple[str, str]] = []
-        self.calls: list[Request] = []  # that came whole for the message
-        self.served = 0
-        self.request: Request | None = None  # the one that the step holds
-        self.drained: int | None = None  # calls so far as a drain was told
+        self.calls: list[Request] = []
+        self.served_count = 0
+        self.request: Request | None = None
+        self.calls_at_drain: int | None = None
         self.go_on = asyncio.Event()
         self.dialled = asyncio.Event()
         self.platform = asyncio.create_task(
             answer_notices(world.platform, lambda name, state: self.notices.append((name, state)))
         )
 
-    async def whole(self) -> None:
+    async def submit(self) -> None:
         self.client.send(WHOLE)
-        await until(lambda: self.heard().startswith(STATUS))
+        await until(lambda: self.received().startswith(STATUS))
 
-    def heard(self) -> bytes:
+    def received(self) -> bytes:
         self.client.sock.setblocking(False)
         try:
             return self.client.sock.recv(4096, socket.MSG_PEEK)
@@ -68,12 +83,12 @@
         return request
 
     async def serve(self) -> None:
-        """The receiver serves whatever comes from now on."""
+        """Answers all calls at the receiver from now on."""
         while True:
             (await self.next_call()).answer(200)
-            self.served += 1
+            self.served_count += 1
 
-    # Steps.
+    # Steps. Their names are the ids of the test cases.
 
     async def connected(self) -> None:
         await until(lambda: any(each.transport for each in self.sender.server.connections))
@@ -87,19 +102,23 @@
         await until(lambda: any(each.reader.request for each in self.sender.server.connections))
 
     async def unread(self) -> None:
+        """The client's request is in the system's buffers."""
         await self.connected()
         self.client.send(WHOLE)
 
     async def held(self) -> None:
+        """The message is accepted and waits, since its destination has no endpoint."""
         self.client.send(WHOLE.replace(b"dest=3", b"dest=9"))
-        await until(lambda: self.heard().startswith(STATUS))
+        await until(lambda: self.received().startswith(STATUS))
 
     async def dialling(self) -> None:
-        await self.whole()
+        """The sender connects to the receiver."""
+        await self.submit()
         await soon(self.dialled.wait())
 
     async def written(self) -> None:
-        await self.whole()
+        """The request has arrived at the receiver."""
+        await self.submit()
         self.request = await self.next_call()
 
     async def part_of_an_answer(self) -> None:
@@ -110,10 +129,12 @@
         await until(lambda: bool(connection.codec.trailing_data[0]))
 
     async def answer_unread(self) -> None:
+        """The receiver's answer is in the system's buffers."""
         await self.written()
         self.answer()
 
     async def resting(self) -> None:
+        """The message is completed, and the connections are idle."""
         await self.written()
         self.answer()
         await until(lambda: not self.engine.journal.entries)
@@ -125,9 +146,9 @@
                     self.request.write("0 It\r\nContent-Length: 0\r\n\r\n")
                 else:
                     self.request.answer(200)
-            self.request, self.served = None, self.served + 1
+            self.request, self.served_count = None, self.served_count + 1
 
-    # Events.
+    # Events. Their names are the ids of the test cases.
 
     def sigterm(self) -> None:
         self.sender.terminate()
@@ -144,7 +165,7 @@
         self.sender.end_drain_grace()
 
     def sigkill(self) -> None:
-        """All that a process does ends; its descriptors close, and what they had unread resets."""
+        """Ends all work of the process; its descriptors are closed, and those with unread data are reset."""
         self.killed = True
         self.engine.close()
         self.engine.stop(0)
@@ -152,13 +173,14 @@
             each.close()
 
     def hangup(self) -> None:
+        """SIGHUP, with another address of discovery."""
         config = self.sender.config
-        self.sender.discovery.address = ("127.0.0.1", 9)  # as if it had stood there before
+        self.sender.discovery.address = ("127.0.0.1", 9)  # the address before the reload
         self.sender.reconfigure(config)
 
     def list_drains(self) -> None:
-        self.sender.receive_endpoints(self.news("draining"))
-        self.drained = len(self.calls)
+        self.sender.receive_endpoints(self.endpoint_update("draining"))
+        self.calls_at_drain = len(self.calls)
 
     def list_lost(self) -> None:
         for each in self.world.platform.watched:
@@ -166,11 +188,11 @@
 
     def operators_drain(self) -> None:
         self.sender.operator_commands.apply_change("r", self.sender.maintenance.take_out_of_service("r"))
-        self.drained = len(self.calls)
+        self.calls_at_drain = len(self.calls)
 
-    def news(self, health: str) -> EndpointsUpdated:
-        told = Endpoint("r", 3, EndpointState(health), "k", "z", 1.0)
-        return EndpointsUpdated(ListingKind.CHANGES, (told,))
+    def endpoint_update(self, health: str) -> EndpointsUpdated:
+        listed = Endpoint("r", 3, EndpointState(health), "k", "z", 1.0)
+        return EndpointsUpdated(ListingKind.CHANGES, (listed,))
 
     def idle_limit(self) -> None:
         for each in self.sender.server.connections:
@@ -210,7 +232,7 @@
     def disk_full(self) -> None:
         self.engine.journal.limit_bytes = 0
 
-    # What follows, and what must hold.
+    # What follows the event, and what must hold.
 
     async def settle(self) -> None:
         serving = asyncio.create_task(self.serve())
@@ -219,82 +241,84 @@
             await turn()
         self.answer()
         with contextlib.suppress(OSError):
-            if self.client.sock.fileno() >= 0 and not self.left and not self.heard():
-                self.rest_of_request()
+            if self.client.sock.fileno() >= 0 and not self.left and not self.received():
+                self.send_rest_of_request()
         if self.stopping or self.killed:
             await self.end()
         else:
             self.engine.journal.limit_bytes = 3_000_000
-            await self.bring_back()
-        await self.until_over(self.engine if not (self.stopping or self.killed) else None)
+            await self.restore_endpoints()
+        await self.wait_until_completed(self.engine if not (self.stopping or self.killed) else None)
         serving.cancel()
 
-    def rest_of_request(self) -> None:
-        """Whoever was in the middle of a request goes on with it."""
-        sent = {"connected": 0, "part_of_a_head": 50, "part_of_a_body": len(WHOLE) - 5}
-        if self.step in sent:
-            self.client.send(WHOLE[sent[self.step] :])
+    def send_rest_of_request(self) -> None:
+        """Sends the rest of the request that the step has sent in part."""
+        sent_bytes = {"connected": 0, "part_of_a_head": 50, "part_of_a_body": len(WHOLE) - 5}
+        if self.step in sent_bytes:
+            self.client.send(WHOLE[sent_bytes[self.step] :])
 
-    async def bring_back(self) -> None:
-        """What was drained, or lost from the list, is there again."""
+    async def restore_endpoints(self) -> None:
+        """Lists the endpoints as ready again, after a drain or a lost watch."""
         self.sender.maintenance.out_of_service = frozenset()
         for _ in range(40):
             await turn()
-        if self.drained is not None:
-            assert len(self.calls) == self.drained  # nothing new went there
-            self.drained = None
+        if self.calls_at_drain is not None:
+            assert len(self.calls) == self.calls_at_drain  # no new call was sent to the draining endpoint
+            self.calls_at_drain = None
         ready = EndpointState.READY
-        told = tuple(Endpoint(name, place, ready, "k", "z") for name, place in (("r", 3), ("d", 9)))
+        listed = tuple(Endpoint(name, number, ready, "k", "z") for name, number in (("r", 3), ("d", 9)))
         self.sender.discovery.dials |= {name: self.world.receiver.address for name in ("r", "d")}
-        self.sender.receive_endpoints(EndpointsUpdated(ListingKind.CHANGES, told))
+        self.sender.receive_endpoints(EndpointsUpdated(ListingKind.CHANGES, listed))
 
     async def end(self) -> None:
-        """The process ends, and another one begins on its folder."""
+        """Ends the process, and starts another on its state folder."""
         if not self.killed:
             self.sender.stop(0)
         await soon(self.running.task)
         assert self.engine.defect == ""
-        told = self.world.told | {"known": {"seq": 50, "whole": True, "hosts": self.hosts()}}
-        async with Running(told, self.world.state) as again:
-            await self.until_over(again.sender.engine)
+        config = self.world.told | {"known": {"seq": 50, "whole": True, "hosts": self.hosts()}}
+        async with Running(config, self.world.state) as restarted:
+            await self.wait_until_completed(restarted.sender.engine)
 
     def hosts(self) -> list[dict[str, Any]]:
         return [host(self.world.receiver.dial), host(self.world.receiver.dial, "d", block=9)]
 
-    async def until_over(self, engine: Any) -> None:  # noqa: ANN401
+    async def wait_until_completed(self, engine: Any) -> None:  # noqa: ANN401
         if engine is None:
             return
         for _ in range(400):
             if not (engine.journal.entries or engine.table.arrivals or engine.inbox):
                 return
-            await asyncio.wait_for(asyncio.shield(self.tick()), 1)
-        raise AssertionError(f"{list(engine.journal.entries)} have no end")
+            await asyncio.wait_for(asyncio.shield(self.wait_briefly()), 1)
+        raise AssertionError(f"{list(engine.journal.entries)} are not completed")
 
-    async def tick(self) -> None:
-        """Lets the loop wait for its sockets and timers for a moment."""
+    async def wait_briefly(self) -> None:
+        """Lets the loop wait briefly for its sockets and timers."""
         passed = asyncio.get_running_loop().create_future()
         asyncio.get_running_loop().call_later(0.02, passed.set_result, None)
         await passed
 
-    def judge(self, once: bool) -> None:
+    def check(self, is_unsafe: bool) -> None:
         assert self.engine.defect == ""
-        text = b"" if self.left else self.answer_text()
-        taken = text.startswith(b"HTTP/1.1 202")
-        ends = {state for name, state in self.notices if name == NAME}
+        text = b"" if self.left else self.read_answer()
+        is_accepted = text.startswith(b"HTTP/1.1 202")
+        states = {state for name, state in self.notices if name == NAME}
         if not (self.left or self.killed) and self.step != "connected":
-            assert text.startswith(STATUS), "the client heard nothing"
-        if taken:
-            assert self.served or ends, "what was taken on has no end"
-            assert len(ends) <= 1 and not (once and self.served and ends and not self.lost_answer)
-        if text and not taken:
-            assert not self.calls, "what was turned away was sent on"
-        if once:
-            assert len(self.calls) <= 1, "an effect twice"
-
-    lost_answer = False  # the receiver served it, and its answer could not come
+            assert text.startswith(STATUS), "the client received no answer"
+        if is_accepted:
+            assert self.served_count or states, "an accepted message has no completion"
+            assert len(states) <= 1 and not (
+                is_unsafe and self.served_count and states and not self.lost_answer
+            )
+        if text and not is_accepted:
+            assert not self.calls, "a rejected message was sent"
+        if is_unsafe:
+            assert len(self.calls) <= 1, "the message had its effect twice"
+
+    lost_answer = False
     step = ""
 
-    def answer_text(self) -> bytes:
+    def read_answer(self) -> bytes:
         self.client.sock.setblocking(True)
         self.client.sock.settimeout(2)
         try:
@@ -340,42 +364,43 @@
         Crossing.disk_full,
     )
 }
-CALLED = ("written", "part_of_an_answer", "answer_unread", "resting")
+STEPS_WITH_CALL = ("written", "part_of_an_answer", "answer_unread", "resting")
 PAIRS = [
     (step, event)
     for step in STEPS
     for event in EVENTS
-    if not (event.startswith("receivers") and step not in CALLED)  # no connection to a receiver is up
+    # Without a call, no connection to a receiver is open.
+    if not (event.startswith("receivers") and step not in STEPS_WITH_CALL)
 ]
 
 
 @pytest.mark.parametrize("effect", ["once", "repeatable"])
 @pytest.mark.parametrize(("step", "event"), PAIRS)
-def test_a_step_meets_an_event(
+def test_event_at_each_step_of_a_message(
     step: str, event: str, effect: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    real: Callable[[Address], Awaitable[ClientConnection]] = ClientConnection.open
-    held: list[Crossing] = []
+    open_connection: Callable[[Address], Awaitable[ClientConnection]] = ClientConnection.open
+    crossings: list[Crossing] = []
 
-    async def opened(address: Address) -> ClientConnection:
-        if held and address == held[0].world.receiver.address and step == "dialling":
-            held[0].dialled.set()
-            await held[0].go_on.wait()
-        return await real(address)
+    async def delayed_open(address: Address) -> ClientConnection:
+        if crossings and address == crossings[0].world.receiver.address and step == "dialling":
+            crossings[0].dialled.set()
+            await crossings[0].go_on.wait()
+        return await open_connection(address)
 
-    monkeypatch.setattr(ClientConnection, "open", opened)
+    monkeypatch.setattr(ClientConnection, "open", delayed_open)
 
     async def test(state: Path) -> None:
         async with World(state, semantics=effect) as world:
             tell(await soon(world.platform.watches.get()), 42, host(world.receiver.dial))
             crossing = Crossing(world)
-            held.append(crossing)
+            crossings.append(crossing)
             crossing.step = step
             await STEPS[step](crossing)
             EVENTS[event](crossing)
             crossing.lost_answer = event.startswith("receivers") or event in ("sigkill", "deadline")
             await crossing.settle()
-            crossing.judge(effect == "once")
+            crossing.check(effect == "once")
             crossing.platform.cancel()
             if not crossing.left:
                 crossing.client.sock.close()
