--- a/tests/test_late.py
+++ b/tests/test_late.py
@@ -1,7 +1,8 @@
-"""What lies unread when a late loop goes on: it binds before anything leaves on what was heard before.
+"""Unread data after a late loop iteration takes effect before anything is sent on older information.
 
-A peer's act here is done, in the system, when its call returns, and the sender's turn is then called by hand:
-that is a process that was given no core between looking at its sockets and acting on what it found.
+A peer's action has reached the system's buffers when its call returns, and the test then calls the sender's
+loop iteration directly. This reproduces a process that got no core between polling its sockets and acting on
+the result.
 """
 
 import asyncio
@@ -23,11 +24,11 @@
 from message_sender.policy.model import Outcome
 
 
-class Waiting:
-    """A caller that hears everything."""
+class WaitingCaller:
+    """A caller that waits for its completion; a rejection or withdrawal fails the test."""
 
     def __init__(self) -> None:
-        self.ends: list[Completion] = []
+        self.completions: list[Completion] = []
 
     def is_gone(self) -> bool:
         return False
@@ -35,70 +36,78 @@
     def accepted(self) -> bool:
         return True
 
-    def rejected(self, told: Rejected) -> None:
-        raise AssertionError(told)
+    def rejected(self, rejection: Rejected) -> None:
+        raise AssertionError(rejection)
 
     def withdrawn(self) -> None:
         raise AssertionError
 
-    def completed(self, end: Completion) -> None:
-        self.ends.append(end)
+    def completed(self, completion: Completion) -> None:
+        self.completions.append(completion)
 
 
-class Scene:
-    """A sender with one call out at its receiver, and a second connection to it kept idle."""
+class Scenario:
+    """A sender with one call in flight at its receiver, and a second, idle connection to the receiver."""
 
     def __init__(self, world: World) -> None:
         self.world, self.engine, self.late = world, world.sender.engine, Late(world)
         self.engine.dispatcher.stops_at = float("inf")
-        self.caller = Waiting()
-
-    def take(self, name: str, **changes: Any) -> Waiting:  # noqa: ANN401
-        caller = Waiting()
-        until = self.engine.now() + changes.pop("left", 8_000_000)
-        fields = {"id": name, "deadline_us": until, "body": b"x", "is_repeat": False, "extras": ()}
+        self.caller = WaitingCaller()
+
+    def submit(self, message_id: str, **changes: Any) -> WaitingCaller:  # noqa: ANN401
+        caller = WaitingCaller()
+        deadline_us = self.engine.now() + changes.pop("left", 8_000_000)
+        fields = {
+            "id": message_id,
+            "deadline_us": deadline_us,
+            "body": b"x",
+            "is_repeat": False,
+            "extras": (),
+        }
         fields |= {"message_class": "c", "destination": 3, "tenant": "", "key": "", "idempotency_key": "i"}
         self.engine.take(type(handed_in())(**fields | changes), caller)
         return caller
 
-    async def begin(self, **changes: Any) -> Request:  # noqa: ANN401
+    async def start(self, **changes: Any) -> Request:  # noqa: ANN401
         self.watch = await self.world.platform.watches.get()
-        self.take("first"), self.take("m", **changes)
+        self.submit("first"), self.submit("m", **changes)
         self.caller = self.engine.table.arrivals["m"][1]  # type: ignore[assignment]
         requests = {each.id: each for each in [await self.world.receiver.next() for _ in range(2)]}
         requests["first"].answer(200)
-        kept, owed = self.world.sender.transport.idle, self.engine.journal.entries
-        await until(lambda: bool(kept) and "first" not in owed)
+        idle_connections, entries = self.world.sender.transport.idle, self.engine.journal.entries
+        await until(lambda: bool(idle_connections) and "first" not in entries)
         return requests["m"]
 
-    def calls(self) -> list[str]:
-        """Messages whose calls have come since."""
-        requests, found = self.world.receiver.requests, []
+    def new_calls(self) -> list[str]:
+        """Ids of the messages whose calls arrived since the last time."""
+        requests, ids = self.world.receiver.requests, []
         while not requests.empty():
-            found.append(requests.get_nowait().id)
-        return found
+            ids.append(requests.get_nowait().id)
+        return ids
 
-    def as_a_call_begins(self, act: Callable[[], None]) -> None:
-        """Does it between the turn that decides on a call and the call's first byte."""
+    def before_first_byte(self, action: Callable[[], None]) -> None:
+        """Performs an action between the iteration that decides on a call and the call's first byte."""
         transport = self.world.sender.transport
         take_idle = transport.take_idle
 
-        def acting(endpoint: str) -> Any:  # noqa: ANN401
-            act()
+        def take_idle_after_action(endpoint: str) -> Any:  # noqa: ANN401
+            action()
             return take_idle(endpoint)
 
-        transport.take_idle = acting  # type: ignore[method-assign]
+        transport.take_idle = take_idle_after_action  # type: ignore[method-assign]
 
-    async def passes(self, count: int = 30) -> None:
+    async def run_iterations(self, count: int = 30) -> None:
         for _ in range(count):
             await turn()
 
 
-def scene(**kind: object) -> Callable[[Callable[[Scene], Coroutine[Any, Any, None]]], Callable[[Path], None]]:
-    def wrap(test: Callable[[Scene], Coroutine[Any, Any, None]]) -> Callable[[Path], None]:
+def run_scenario(
+    **kind: object,
+) -> Callable[[Callable[[Scenario], Coroutine[Any, Any, None]]], Callable[[Path], None]]:
+    def wrap(test: Callable[[Scenario], Coroutine[Any, Any, None]]) -> Callable[[Path], None]:
         async def run(state: Path) -> None:
             async with World(state, **kind) as world:
-                await test(Scene(world))
+                await test(Scenario(world))
 
         run.__name__, run.__doc__ = test.__name__, test.__doc__
         return play(run)
@@ -106,139 +115,139 @@
     return wrap
 
 
-WAIT = "Retry-After: 5"
+RETRY_AFTER = "Retry-After: 5"
 
 
-@scene()
-async def test_a_wait_that_lies_unread_binds_a_message_that_came_meanwhile(s: Scene) -> None:
-    request = await s.begin()
-    s.take("n")
-    request.answer(429, WAIT)
-    s.engine.run_iteration()
-    await s.passes()
-    assert s.calls() == [] and not s.engine.attempts.calls
+@run_scenario()
+async def test_unread_retry_after_holds_back_a_new_message(scenario: Scenario) -> None:
+    request = await scenario.start()
+    scenario.submit("n")
+    request.answer(429, RETRY_AFTER)
+    scenario.engine.run_iteration()
+    await scenario.run_iterations()
+    assert scenario.new_calls() == [] and not scenario.engine.attempts.calls
 
 
-@scene()
-async def test_a_wait_that_came_after_the_turn_binds_until_the_first_byte(s: Scene) -> None:
-    request = await s.begin()
-    s.take("n")
-    s.as_a_call_begins(lambda: request.answer(429, WAIT))
-    await s.passes()
-    assert s.calls() == [] and not s.engine.attempts.calls
+@run_scenario()
+async def test_retry_after_received_before_the_first_byte_stops_the_call(scenario: Scenario) -> None:
+    request = await scenario.start()
+    scenario.submit("n")
+    scenario.before_first_byte(lambda: request.answer(429, RETRY_AFTER))
+    await scenario.run_iterations()
+    assert scenario.new_calls() == [] and not scenario.engine.attempts.calls
 
 
-@scene()
-async def test_a_wait_that_lies_unread_binds_what_a_timer_sends(s: Scene) -> None:
-    request = await s.begin()
-    s.engine.retry_after_received("r", 100_000)
-    s.take("n")
-    s.engine.run_iteration()
-    s.late.passed += 0.3
-    request.answer(429, WAIT)
-    s.engine.post(WakeUp())
-    s.engine.run_iteration()
-    await s.passes()
-    assert s.calls() == [] and "n" in s.engine.dispatcher.messages
+@run_scenario()
+async def test_unread_retry_after_holds_back_a_call_that_a_timer_starts(scenario: Scenario) -> None:
+    request = await scenario.start()
+    scenario.engine.retry_after_received("r", 100_000)
+    scenario.submit("n")
+    scenario.engine.run_iteration()
+    scenario.late.passed += 0.3
+    request.answer(429, RETRY_AFTER)
+    scenario.engine.post(WakeUp())
+    scenario.engine.run_iteration()
+    await scenario.run_iterations()
+    assert scenario.new_calls() == [] and "n" in scenario.engine.dispatcher.messages
 
 
-@scene()
-async def test_a_wait_in_a_call_whose_time_is_up_unread_binds(s: Scene) -> None:
-    request = await s.begin(left=1_000_000)
-    request.answer(429, WAIT)
-    s.late.passed += 1.2  # the loop finds the answer and the end of its time in one pass
-    await until(lambda: not s.engine.attempts.calls)
-    s.take("n")
-    s.engine.run_iteration()
-    await s.passes()
-    assert s.calls() == [] and len(s.caller.ends) == 1
+@run_scenario()
+async def test_unread_retry_after_of_a_call_past_its_deadline_is_observed(scenario: Scenario) -> None:
+    request = await scenario.start(left=1_000_000)
+    request.answer(429, RETRY_AFTER)
+    scenario.late.passed += 1.2  # one loop iteration finds both the answer and the deadline
+    await until(lambda: not scenario.engine.attempts.calls)
+    scenario.submit("n")
+    scenario.engine.run_iteration()
+    await scenario.run_iterations()
+    assert scenario.new_calls() == [] and len(scenario.caller.completions) == 1
 
 
 @pytest.mark.parametrize("before", [True, False], ids=["before the turn", "before the byte"])
 @pytest.mark.parametrize("whole", [True, False])
-def test_a_drain_that_lies_unread_binds(before: bool, whole: bool, tmp_path: Path) -> None:
-    @scene()
-    async def test(s: Scene) -> None:
-        await s.begin()
-        s.take("n")
-        hosts = () if whole else (host(s.world.receiver.dial, health="draining"),)
+def test_unread_drain_holds_back_a_new_message(before: bool, whole: bool, tmp_path: Path) -> None:
+    @run_scenario()
+    async def test(scenario: Scenario) -> None:
+        await scenario.start()
+        scenario.submit("n")
+        hosts = () if whole else (host(scenario.world.receiver.dial, health="draining"),)
         if before:
-            tell(s.watch, 42, *hosts, whole=whole)
-            s.engine.run_iteration()
+            tell(scenario.watch, 42, *hosts, whole=whole)
+            scenario.engine.run_iteration()
         else:
-            s.as_a_call_begins(lambda: tell(s.watch, 42, *hosts, whole=whole))
-        await s.passes()
-        assert s.calls() == [] and "n" in s.engine.dispatcher.messages
+            scenario.before_first_byte(lambda: tell(scenario.watch, 42, *hosts, whole=whole))
+        await scenario.run_iterations()
+        assert scenario.new_calls() == [] and "n" in scenario.engine.dispatcher.messages
 
     test(tmp_path)
 
 
-@scene()
-async def test_a_line_that_a_look_cannot_read_ends_the_watch_as_ever(s: Scene) -> None:
-    await s.begin()
-    s.watch.write("5\r\nnoise\r\n2\r\n\n\n\r\n")
-    s.engine.attempts.poll_unread()
-    tell_again = s.world.platform.watches
-    calls = s.engine.dispatcher.registry.list_polling
-    calls.next_poll_at = float("inf")
-    await until(lambda: calls.next_poll_at < float("inf"))  # it has failed
-    assert s.engine.defect == "" and tell_again.empty()
+@run_scenario()
+async def test_malformed_line_found_by_polling_ends_the_watch(scenario: Scenario) -> None:
+    await scenario.start()
+    scenario.watch.write("5\r\nnoise\r\n2\r\n\n\n\r\n")
+    scenario.engine.attempts.poll_unread()
+    new_watches = scenario.world.platform.watches
+    list_polling = scenario.engine.dispatcher.registry.list_polling
+    list_polling.next_poll_at = float("inf")
+    await until(lambda: list_polling.next_poll_at < float("inf"))  # the watch has failed
+    assert scenario.engine.defect == "" and new_watches.empty()
 
 
 @pytest.mark.parametrize(
     ("status", "outcome"), [(200, None), (500, Outcome.ERROR), (429, Outcome.FULL), (503, Outcome.FULL)]
 )
-def test_an_answer_that_lies_unread_as_its_call_is_called_off_is_its_fate(
+def test_unread_answer_is_the_result_of_a_cancelled_call(
     status: int, outcome: Outcome | None, tmp_path: Path
 ) -> None:
-    """Else a delivered message would be sent again, and a served destination blamed."""
-
-    @scene()
-    async def test(s: Scene) -> None:
-        request = await s.begin()
-        heard: list[AttemptEnded] = []
-        post = s.engine.post
-        s.engine.post = lambda event: (heard.append(event), post(event))  # type: ignore
+    """Guards against sending a delivered message again, and against blaming a destination that served it."""
+
+    @run_scenario()
+    async def test(scenario: Scenario) -> None:
+        request = await scenario.start()
+        posted: list[AttemptEnded] = []
+        post = scenario.engine.post
+        scenario.engine.post = lambda event: (posted.append(event), post(event))  # type: ignore
         request.answer(status)
-        s.engine.act(CancelAttempt("m", 0), set())
-        await until(lambda: any(isinstance(each, AttemptEnded) for each in heard))
-        (ended,) = [each for each in heard if isinstance(each, AttemptEnded)]
+        scenario.engine.act(CancelAttempt("m", 0), set())
+        await until(lambda: any(isinstance(each, AttemptEnded) for each in posted))
+        (ended,) = [each for each in posted if isinstance(each, AttemptEnded)]
         assert ended.outcome is (outcome or Outcome.OK) and ended.finished is (outcome is None)
 
     test(tmp_path)
 
 
-@scene(serial_by_key=True)
-async def test_a_key_goes_on_at_once_after_a_served_call_that_was_called_off_unread(s: Scene) -> None:
-    """Its rest of 100 ms follows what may still run; an answer that only lay unread is none of that."""
-    request = await s.begin(key="k")
-    s.take("next", key="k")
-    s.engine.run_iteration()
+@run_scenario(serial_by_key=True)
+async def test_key_continues_at_once_after_a_cancelled_call_with_an_unread_answer(scenario: Scenario) -> None:
+    """A key pauses for 100 ms after a call that may still run, but not after one with an unread answer."""
+    request = await scenario.start(key="k")
+    scenario.submit("next", key="k")
+    scenario.engine.run_iteration()
     request.answer(200)
-    s.engine.act(CancelAttempt("m", 0), set())
-    assert (await s.world.receiver.next()).id == "next"
-    assert len(s.caller.ends) == 1
+    scenario.engine.act(CancelAttempt("m", 0), set())
+    assert (await scenario.world.receiver.next()).id == "next"
+    assert len(scenario.caller.completions) == 1
 
 
-@scene()
-async def test_a_kept_connection_that_has_ended_unseen_is_not_used(s: Scene) -> None:
-    await s.begin()
-    (idle,) = s.world.sender.transport.idle
-    for writer in s.world.receiver.writers:
+@run_scenario()
+async def test_idle_connection_closed_by_the_peer_is_not_used(scenario: Scenario) -> None:
+    await scenario.start()
+    (idle,) = scenario.world.sender.transport.idle
+    for writer in scenario.world.receiver.writers:
         if writer.transport.get_extra_info("peername") == idle.sock.getsockname():
             writer.transport.abort()
     await turn()
-    s.engine.attempts.poll_unread()
-    assert not s.world.sender.transport.idle and idle.sock.fileno() < 0
+    scenario.engine.attempts.poll_unread()
+    assert not scenario.world.sender.transport.idle and idle.sock.fileno() < 0
 
 
-class DeafTransport:
-    """It hears what an endpoint told some passes of the loop after it came, as from a library's threads."""
+class LateTransport:
+    """A transport that receives answers some loop iterations late, as from the threads of a library."""
 
     reads_late = True
 
     def __init__(self, engine: Any) -> None:  # noqa: ANN401
-        self.engine, self.went, self.fates = engine, [], {}  # type: ignore[var-annotated]
+        self.engine, self.sent_ids, self.futures = engine, [], {}  # type: ignore[var-annotated]
 
     async def call(
         self,
@@ -249,19 +258,19 @@
     ) -> AttemptResult:
         if not may_go():
             return AttemptResult(Outcome.NOT_SENT)
-        self.went.append(message.id)
-        self.fates[message.id] = asyncio.get_running_loop().create_future()
-        return await self.fates[message.id]  # type: ignore[no-any-return]
-
-    def tells_later(self, name: str, answer: AttemptResult, passes: int = 3) -> None:
-        """As a completion queue: the answer is here, and its reader's turn is some passes away."""
-        if passes:
-            asyncio.get_running_loop().call_soon(self.tells_later, name, answer, passes - 1)
+        self.sent_ids.append(message.id)
+        self.futures[message.id] = asyncio.get_running_loop().create_future()
+        return await self.futures[message.id]  # type: ignore[no-any-return]
+
+    def deliver_later(self, name: str, answer: AttemptResult, iterations: int = 3) -> None:
+        """Delivers a result some loop iterations later, as a completion queue does."""
+        if iterations:
+            asyncio.get_running_loop().call_soon(self.deliver_later, name, answer, iterations - 1)
             return
         if answer.retry_after_us:
             self.engine.retry_after_received("r", answer.retry_after_us)
-        if not self.fates[name].done():
-            self.fates[name].set_result(answer)
+        if not self.futures[name].done():
+            self.futures[name].set_result(answer)
 
     def poll_unread(self) -> None: ...
     def close_expired(self) -> None: ...
@@ -271,77 +280,80 @@
 
 
 @pytest.mark.parametrize("late", [True, False])
-def test_a_courier_that_cannot_look_is_given_time_after_a_late_pass(late: bool, tmp_path: Path) -> None:
-    """On a loop that is on time its calls wait for nothing."""
-
-    @scene()
-    async def test(s: Scene) -> None:
-        transport = s.engine.transport = DeafTransport(s.engine)
-        s.take("m")
-        await until(lambda: transport.went == ["m"])
-        s.take("n")
-        s.late.passed += 0.2 if late else 0.0
-        transport.tells_later("m", AttemptResult(Outcome.FULL, retry_after_us=5_000_000))
-        s.engine.run_iteration()
+def test_transport_that_reads_late_is_given_time_after_a_late_iteration(late: bool, tmp_path: Path) -> None:
+    """On a loop without lag, its calls do not wait."""
+
+    @run_scenario()
+    async def test(scenario: Scenario) -> None:
+        transport = scenario.engine.transport = LateTransport(scenario.engine)
+        scenario.submit("m")
+        await until(lambda: transport.sent_ids == ["m"])
+        scenario.submit("n")
+        scenario.late.passed += 0.2 if late else 0.0
+        transport.deliver_later("m", AttemptResult(Outcome.FULL, retry_after_us=5_000_000))
+        scenario.engine.run_iteration()
         await until(
-            lambda: "n" not in {name for name, _ in s.engine.attempts.calls} or transport.went == ["m", "n"]
+            lambda: (
+                "n" not in {name for name, _ in scenario.engine.attempts.calls}
+                or transport.sent_ids == ["m", "n"]
+            )
         )
-        assert transport.went == (["m"] if late else ["m", "n"])
+        assert transport.sent_ids == (["m"] if late else ["m", "n"])
 
     test(tmp_path)
 
 
-def test_such_a_courier_hears_an_answer_before_its_call_is_called_off(tmp_path: Path) -> None:
-    @scene()
-    async def test(s: Scene) -> None:
-        transport = s.engine.transport = DeafTransport(s.engine)
-        caller = s.take("m")
-        await until(lambda: transport.went == ["m"])
-        s.engine.inbox_since = s.engine.loop.time() - 0.2
-        transport.tells_later("m", AttemptResult(Outcome.OK, is_final=True))
-        s.engine.act(CancelAttempt("m", 0), set())
-        await until(lambda: bool(caller.ends))
-        assert caller.ends[0].state.value == "delivered" and transport.went == ["m"]
+def test_transport_that_reads_late_receives_an_answer_before_a_cancellation(tmp_path: Path) -> None:
+    @run_scenario()
+    async def test(scenario: Scenario) -> None:
+        transport = scenario.engine.transport = LateTransport(scenario.engine)
+        caller = scenario.submit("m")
+        await until(lambda: transport.sent_ids == ["m"])
+        scenario.engine.inbox_since = scenario.engine.loop.time() - 0.2
+        transport.deliver_later("m", AttemptResult(Outcome.OK, is_final=True))
+        scenario.engine.act(CancelAttempt("m", 0), set())
+        await until(lambda: bool(caller.completions))
+        assert caller.completions[0].state.value == "delivered" and transport.sent_ids == ["m"]
 
     test(tmp_path)
 
 
-# The figure.
+# Event loop lag.
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_a_percentile_is_at_most_a_tenth_too_high(seed: int) -> None:
-    rng, lateness = random.Random(seed), EventLoopLag(0.0)
+def test_percentile_is_at_most_a_tenth_too_high(seed: int) -> None:
+    rng, lag = random.Random(seed), EventLoopLag(0.0)
     samples = sorted(rng.expovariate(1 / 10 ** rng.uniform(-4, 0)) for _ in range(2000))
     for each in samples:
-        lateness.note(each)
+        lag.note(each)
     for share in (0.5, 0.9, 0.99, 0.999, 1.0):
-        truth = samples[max(round(share * len(samples)) - 1, 0)]
+        exact = samples[max(round(share * len(samples)) - 1, 0)]
         assert (
-            max(truth, FIRST_BUCKET_S)
-            <= lateness.percentile(share) * (1 + 1e-9)
-            <= max(truth, FIRST_BUCKET_S) * 1.1001
+            max(exact, FIRST_BUCKET_S)
+            <= lag.percentile(share) * (1 + 1e-9)
+            <= max(exact, FIRST_BUCKET_S) * 1.1001
         )
 
 
-def test_a_late_loop_is_told_with_what_was_held_and_a_timely_one_is_not(
+def test_late_loop_is_logged_with_message_counts_and_a_timely_one_is_not(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     caplog.set_level(logging.WARNING)
-    lateness = EventLoopLag(0.0)
-    lateness.note(REPORTED_LAG_S / 2)
-    lateness.record(REPORT_INTERVAL_S, 3, 2)
+    lag = EventLoopLag(0.0)
+    lag.note(REPORTED_LAG_S / 2)
+    lag.record(REPORT_INTERVAL_S, 3, 2)
     assert not caplog.records
-    lateness.note(REPORTED_LAG_S * 4)
-    lateness.record(REPORT_INTERVAL_S * 1.5, 3, 2)  # not before the span is over
+    lag.note(REPORTED_LAG_S * 4)
+    lag.record(REPORT_INTERVAL_S * 1.5, 3, 2)  # the interval is not over
     assert not caplog.records
-    lateness.record(REPORT_INTERVAL_S * 2, 30, 20)
+    lag.record(REPORT_INTERVAL_S * 2, 30, 20)
     assert "max_ms=200 " in caplog.text and "messages=30 calls=20" in caplog.text
-    assert lateness.count == 0 and lateness.max_lag_s == 0.0
+    assert lag.count == 0 and lag.max_lag_s == 0.0
 
 
 @play
-async def test_a_restarted_sender_gives_its_descriptor_back(state: Path) -> None:
+async def test_stopped_sender_closes_its_epoll_descriptor(state: Path) -> None:
     async with World(state) as world:
         told = config_json(world.platform, host(world.receiver.dial))
         async with Running(told, state / "..") as running:
