--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -121,7 +121,7 @@
     "what may have run is refused": (PendingQueue, "may_reject", refuse_anything, {"no effect twice"}),
     "a key does not rest": (PendingQueue, "pause_key", no_rest, {"order"}),
     "a key's messages go at once": (PendingQueue, "is_next_of_key", any_turn, {"order"}),
-    "waits and drains do not bind while connecting": (Attempts, "may_go", go_anyway, {"waits"}),
+    "waits and drains do not bind while connecting": (Attempts, "may_send", go_anyway, {"waits"}),
     "an endpoint that drains stays": (EndpointRegistry, "remove_endpoint", keep_the_endpoint, {"drains"}),
     "an attempt is not on record": (
         Journal,
