--- a/message_sender/core/arrivals.py
+++ b/message_sender/core/arrivals.py
@@ -64,7 +64,7 @@
             self.table.accept_again(message.id, caller)
         elif has_same_content is not None:
             # Another client's message has this id. If this submission were taken for a repetition of it, the
-            # client would be told that its message is accepted, although the message would not be delivered
+            # client would get the answer that its message is accepted, although it would not be delivered
             # and its key's order would not include it. The client may submit the message under a new id.
             log.warning("message rejected: id=%s reason=another message has this id", message.id)
             self.reject(message, caller, RejectReason.OTHER_ID)
--- a/message_sender/core/attempts.py
+++ b/message_sender/core/attempts.py
@@ -280,7 +280,7 @@
             if result.is_final:
                 self.table.finish(message_id, result)
             elif message_id in withdrawn:
-                self.table.forget(message_id, CompletionState.WITHDRAWN)
+                self.table.remove_completed(message_id, CompletionState.WITHDRAWN)
         withdrawn.discard(message_id)
         self.owner.post(
             AttemptEnded(message_id, number, result.outcome, result.is_final, result.retry_after_us)
--- a/message_sender/core/engine.py
+++ b/message_sender/core/engine.py
@@ -312,7 +312,7 @@
         if self.attempts.cancel_of_message(message_id):
             self.table.withdrawn.add(message_id)  # removed once the result of its attempt is known
         else:
-            self.table.forget(message_id, CompletionState.WITHDRAWN)
+            self.table.remove_completed(message_id, CompletionState.WITHDRAWN)
 
     def endpoints_updated(self, event: EndpointsUpdated) -> None:
         """Handles an update of the directory."""
--- a/message_sender/core/message_table.py
+++ b/message_sender/core/message_table.py
@@ -173,10 +173,10 @@
             caller.completed(completion)
 
     def acknowledge(self, message_id: str) -> None:
-        """Removes a message once its completion was received by a caller or acknowledged by the listener."""
+        """Removes a message whose completion is taken by a caller or acknowledged by the listener."""
         completion = self.pending_completions.pop(message_id, None)
         if message_id in self.journal.entries:
-            self.forget(message_id, completion.state if completion else CompletionState.FAILED)
+            self.remove_completed(message_id, completion.state if completion else CompletionState.FAILED)
         self.events.post(EndAcknowledged(message_id))
         self.hooks.work_finished()
 
@@ -185,14 +185,14 @@
         completion = Completion(CompletionState(state), retry_after_us)
         self.pending_completions[message_id] = completion
         if not self.completion_listener.notify(message_id, completion):
-            self.forget(message_id, completion.state)
+            self.remove_completed(message_id, completion.state)
             del self.pending_completions[message_id]
 
     def finish_delivered(self, message_id: str) -> None:
         """Completes a message of an earlier process that recorded its delivery but not its completion."""
         completion = Completion(CompletionState.DELIVERED, status=REPLY_LOST)
         self.completion_listener.notify(message_id, completion)
-        self.forget(message_id, CompletionState.DELIVERED)
+        self.remove_completed(message_id, CompletionState.DELIVERED)
 
     def finish(self, message_id: str, result: AttemptResult) -> None:
         """Completes a message that its endpoint has received, or has cancelled."""
@@ -211,11 +211,11 @@
             self.completion_listener.notify(message_id, completion)  # before the journal removes it
         if caller and self.journal.is_durable:
             caller.completed(completion)
-        self.forget(message_id, completion.state)
+        self.remove_completed(message_id, completion.state)
         if caller and not self.journal.is_durable:
             caller.completed(completion)
 
-    def forget(self, message_id: str, state: CompletionState) -> None:
+    def remove_completed(self, message_id: str, state: CompletionState) -> None:
         """Removes a completed message from the journal; its id stays known for a while."""
         if entry := self.journal.entries.get(message_id):
             self.completed[message_id] = content_hash(entry.message)
--- a/tests/test_backlog.py
+++ b/tests/test_backlog.py
@@ -164,11 +164,11 @@
         server = world.sender.server
         with pytest.MonkeyPatch.context() as patch:
             patch.setattr("message_sender.admission.backlog.MAX_QUEUE_DELAY_S", 1e9)
-            for most, status in (
+            for length, status in (
                 (server.backlog.crowded_length - 1, 202),
                 (server.backlog.crowded_length, 503),
             ):
-                while len(server.backlog.arrival_times) < most:
+                while len(server.backlog.arrival_times) < length:
                     server.backlog.request_arrived(server.loop.time() - 1.5 * TARGET_QUEUE_DELAY_S)
                 assert (await world.hand_in(f"m{status}")).status == status
         assert server.backlog.crowded_length < server.connection_limit / 2
@@ -179,13 +179,13 @@
     async with World(state) as world:
         server = world.sender.server
         loop, before = server.loop, server.accepted
-        for most, taken in ((before + ACCEPTS_FREE + 40, ACCEPTS_FREE), (0, ACCEPTS)):
+        for free_slots, accepted_count in ((before + ACCEPTS_FREE + 40, ACCEPTS_FREE), (0, ACCEPTS)):
             loop.remove_reader(server.listener)
-            held = [socket.create_connection(world.running.address) for _ in range(ACCEPTS_FREE + 20)]
-            server.connection_limit, before = most + len(server.connections), server.accepted
+            sockets = [socket.create_connection(world.running.address) for _ in range(ACCEPTS_FREE + 20)]
+            server.connection_limit, before = free_slots + len(server.connections), server.accepted
             server.accept()
-            assert server.accepted - before == taken
+            assert server.accepted - before == accepted_count
             loop.add_reader(server.listener, server.accept)
-            for each in held:
+            for each in sockets:
                 each.close()
-            await until(lambda: server.accepted == before + len(held))  # noqa: B023
+            await until(lambda: server.accepted == before + len(sockets))  # noqa: B023
--- a/tests/test_late.py
+++ b/tests/test_late.py
@@ -355,7 +355,7 @@
 @play
 async def test_stopped_sender_closes_its_epoll_descriptor(state: Path) -> None:
     async with World(state) as world:
-        told = config_json(world.platform, host(world.receiver.dial))
-        async with Running(told, state / "..") as running:
+        config = config_json(world.platform, host(world.receiver.dial))
+        async with Running(config, state / "..") as running:
             epoll = running.sender.transport.unread.epoll
         assert epoll.closed
