--- a/message_sender/journal/answer_store.py
+++ b/message_sender/journal/answer_store.py
@@ -1,8 +1,9 @@
-"""Final answers that nobody waited for, kept in a file until they are collected.
+"""Store of final answers that have no waiting caller; each is kept in a file until it is collected.
 
-A host that was started again finds here how the messages of its earlier run ended. One JSON object a line:
-`{"id", "state", "retry_after", "reply" (base64), "status"}` for an answer, `{"collected": id}` once it is
-taken. The number of answers is bounded: the oldest one is dropped and counted.
+After a restart, a host application finds here how the messages of its previous run ended. The file has one
+JSON object per line: `{"id", "state", "retry_after", "reply" (base64), "status"}` for an answer,
+`{"collected": id}` once the answer has been collected. The number of answers is bounded: when the store is
+full, the oldest answer is dropped and counted.
 """
 
 import base64
@@ -17,7 +18,7 @@
 
 log = logging.getLogger(__name__)
 
-Answer = dict[str, Any]  # the JSON object of a line
+Answer = dict[str, Any]  # JSON object of one line
 
 
 def _encode_line(content: Answer) -> str:
@@ -25,18 +26,18 @@
 
 
 class AnswerStore:
-    """Answers by message id, with their file.
+    """Answers by message id, backed by a file.
 
     Attributes:
         folder: The state folder.
-        max_answers: Answers that are kept at most.
-        answers: The oldest first.
-        lost_answers: How many were dropped for want of room.
-        line_count: Lines in the file.
+        max_answers: Maximum number of answers to keep.
+        answers: Answers by message id, oldest first.
+        lost_answers: Number of answers dropped because the store was full.
+        line_count: Number of lines in the file.
     """
 
     def __init__(self, folder: Path, max_answers: int = 4096) -> None:
-        """Opens the file and reads it; a torn or damaged line is dropped.
+        """Opens the file and replays it; torn or damaged lines are dropped.
 
         Raises:
             OSError: The file cannot be opened or read.
@@ -67,20 +68,21 @@
             log.warning("answer dropped: reason=%s", error)
 
     def close(self) -> None:
-        """Closes the file; to be called once."""
+        """Closes the file; must be called only once."""
         os.close(self.file)
 
     def add(self, message_id: str, state: str, retry_after: int, reply: bytes, status: str) -> None:
-        """Keeps an answer; it is in the file when this returns.
+        """Stores an answer; it has been written to the file when this returns.
 
-        On a full disk it is kept in memory alone, and lost to a later process.
+        If the write fails, for example on a full disk, the answer is kept in memory only and is lost when the
+        process ends.
 
         Args:
-            message_id: The message that it answers.
-            state: Its completion state.
-            retry_after: us.
-            reply: The body of the reply.
-            status: The status of the call; "" where there is none.
+            message_id: Id of the message that the answer belongs to.
+            state: Completion state of the message.
+            retry_after: Delay before a retry, us.
+            reply: Body of the reply.
+            status: Status of the call; "" if there is none.
         """
         body = base64.b64encode(reply).decode()
         answer = {
@@ -97,9 +99,9 @@
             self.lost_answers += 1
 
     def collect(self, message_id: str) -> Answer | None:
-        """Returns the answer of a message once, with its reply decoded; None: there is none.
+        """Removes and returns the answer of a message, with its reply decoded; None if there is none.
 
-        It is marked as collected before it is returned.
+        The answer is marked as collected in the file before it is returned.
         """
         answer = self.answers.pop(message_id, None)
         if answer is None:
@@ -110,7 +112,7 @@
         return answer | {"reply": base64.b64decode(answer["reply"])}
 
     def append(self, content: Answer) -> None:
-        """Appends a line; one that cannot be written is logged."""
+        """Appends a line; a failed write is logged."""
         try:
             os.write(self.file, _encode_line(content).encode())
             self.line_count += 1
@@ -118,7 +120,7 @@
             log.error("answer not written: reason=%s", error)
 
     def rewrite(self) -> None:
-        """Replaces the file in one step by one without what was collected."""
+        """Atomically replaces the file by one that holds only the uncollected answers."""
         new_path = self.folder / NEW_ANSWERS_FILE
         try:
             new_path.write_text("".join(_encode_line(answer) for answer in self.answers.values()))
--- a/message_sender/journal/disk.py
+++ b/message_sender/journal/disk.py
@@ -1,8 +1,8 @@
-"""The disk operations of a journal that survives a power loss: few, so that a simulated disk can stand in.
+"""Disk operations of the durable journal, kept to a small set so that a simulated disk can replace them.
 
-Content and names are durable apart: `sync` makes what was written to a file durable, `sync_folder` which
-names stand for which files. A file system promises nothing between the two (docs/design/power.md). Each
-operation raises OSError where the system refuses it.
+The contents and the name of a file become durable separately: `sync` makes the data written to a file
+durable, `sync_folder` the entries of its directory. A file system guarantees no order between the two
+(docs/design/power.md). Each operation raises OSError if the operating system reports an error.
 """
 
 import asyncio
@@ -17,48 +17,48 @@
     """Operations on the files of one folder."""
 
     def open(self, path: Path, fresh: bool = False) -> int:
-        """Opens a file to read and append to, made if there is none. `fresh`: emptied."""
+        """Opens a file for reading and appending; creates it if missing, truncates it if `fresh`."""
 
     def read(self, path: Path) -> bytes:
-        """Returns all of a file; b"" where there is none."""
+        """Returns the contents of a file; b"" if the file does not exist."""
 
     def write(self, file: int, data: bytes) -> None:
         """Appends all of `data`.
 
         Raises:
-            OSError: It was not all written; a part that was written is cut off again.
+            OSError: The write failed or was short; a partial write is truncated again.
         """
 
     def truncate(self, file: int, size: int) -> None:
-        """Cuts a file to `size` bytes."""
+        """Truncates a file to `size` bytes."""
 
     def sync(self, file: int) -> None:
-        """Makes durable what was written to the file; may take long."""
+        """Makes the data written to the file durable; may block for a long time."""
 
     def sync_folder(self, path: Path) -> None:
-        """Makes durable the names in the folder; may take long."""
+        """Makes the directory entries of the folder durable; may block for a long time."""
 
     def replace(self, old: Path, new: Path) -> None:
-        """Renames a file over another one, in one step."""
+        """Atomically renames a file, replacing an existing one."""
 
     def unlink(self, path: Path) -> None:
-        """Removes a name, if it is there."""
+        """Removes a directory entry, if it exists."""
 
     def close(self, file: int) -> None:
-        """Closes a descriptor."""
+        """Closes a file descriptor."""
 
     async def run(self, job: Callable[[], None]) -> None:
-        """Runs what may take long away from the loop, one job at a time; raises what the job raises."""
+        """Runs a blocking job outside the event loop, one at a time; raises what the job raises."""
 
     def finish(self) -> None:
-        """Waits for a job that is running. None is run after it."""
+        """Waits for the running job, if any; no further jobs are accepted."""
 
 
 class SystemDisk:
-    """The operating system's files, and a thread for what takes long."""
+    """Files of the operating system, with one thread for blocking operations."""
 
     def __init__(self) -> None:
-        """Starts no thread before the first `run`."""
+        """Creates the executor; its thread starts with the first `run`."""
         self.thread = ThreadPoolExecutor(1, "sync")
 
     def open(self, path: Path, fresh: bool = False) -> int:
--- a/message_sender/journal/entries.py
+++ b/message_sender/journal/entries.py
@@ -1,4 +1,4 @@
-"""What the journal keeps of messages and attempts in memory."""
+"""In-memory state of the journal: messages and their attempts."""
 
 from dataclasses import dataclass, field
 from typing import NamedTuple
@@ -12,11 +12,11 @@
     """One attempt of a message.
 
     Attributes:
-        started_us: Wall clock; 0 where that is not known any more.
+        started_us: Start time, wall clock, us; 0 if it is not known.
         endpoint: Id of the endpoint.
         zone: Zone of the endpoint.
-        outcome: None while it is in flight; after a restart None means that it was in flight as the process
-            ended.
+        outcome: None while the attempt is in flight; after a restart, None means that it was in flight when
+            the process ended.
     """
 
     started_us: int
@@ -25,15 +25,15 @@
     outcome: Outcome | None = None
 
     def may_have_run(self) -> bool:
-        """Whether the attempt may have had its effect."""
+        """Whether the endpoint may have processed the attempt."""
         return self.outcome not in NEVER_RAN
 
 
-UNKNOWN_ATTEMPT = AttemptRecord(0, "", "")  # stands for an attempt whose record is lost
+UNKNOWN_ATTEMPT = AttemptRecord(0, "", "")  # placeholder for an attempt whose record is lost
 
 
 class RecordedCompletion(NamedTuple):
-    """A completion that is on record and may not have been delivered to the caller yet."""
+    """A recorded completion that may not have been delivered to the caller yet."""
 
     state: str
     retry_after_us: int
@@ -41,14 +41,15 @@
 
 @dataclass(slots=True)
 class JournalEntry:
-    """An accepted message that is not over.
+    """An accepted message that has not finished.
 
     Attributes:
-        message: As it was accepted.
-        attempts: By number, in the order in which they started.
-        size_bytes: Of its records.
-        is_doubtful: A record that may have been one of this message's cannot be read, so an unknown attempt
-        may have run. completion: Its completion, once that is on record.
+        message: The message as it was accepted.
+        attempts: Attempts by number, in the order in which they started.
+        size_bytes: Total size of the message's records.
+        is_doubtful: Whether an unreadable record may have belonged to this message, so that an unknown
+            attempt may have run.
+        completion: The completion, once it has been recorded.
     """
 
     message: Message
@@ -65,7 +66,8 @@
         """Returns the first attempt that may have run.
 
         Args:
-            excluded_number: An attempt that is still in flight and whose outcome will be reported.
+            excluded_number: Number of an attempt to leave out, because it is still in flight and its outcome
+                will be reported.
         """
         if self.is_doubtful:
             return UNKNOWN_ATTEMPT
@@ -77,10 +79,10 @@
 
 @dataclass(frozen=True, slots=True)
 class FinishedMessage:
-    """What is kept of a message that is over.
+    """The data kept for a finished message.
 
     Attributes:
-        finished_us: Wall clock.
+        finished_us: Time at which it finished, wall clock, us.
         state: Its completion state.
         key: Its ordering key.
     """
--- a/message_sender/journal/lock.py
+++ b/message_sender/journal/lock.py
@@ -1,4 +1,4 @@
-"""One sender to a state folder: two that share a journal would each send what is in it."""
+"""Lock on a state folder: two senders that shared a journal would both send the messages in it."""
 
 import fcntl
 import os
@@ -8,18 +8,18 @@
 
 
 class LockTakenError(OSError):
-    """Another process, or another sender in this one, has the folder."""
+    """Another process, or another sender in this process, holds the lock on the folder."""
 
 
 class Lock:
-    """An exclusive lock on a folder, until `release` or the end of the process (flock(2))."""
+    """An exclusive lock on a folder, held until `release` or the end of the process (flock(2))."""
 
     def __init__(self, folder: Path) -> None:
-        """Takes the lock and writes this process' number into its file.
+        """Acquires the lock and writes the PID of this process to the lock file.
 
         Raises:
-            LockTakenError: Another one has it.
-            OSError: The folder cannot be used.
+            LockTakenError: The lock is held by another holder.
+            OSError: The lock file cannot be opened or written.
         """
         self.file = os.open(folder / LOCK_FILE, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
@@ -31,12 +31,12 @@
         os.pwrite(self.file, str(os.getpid()).encode(), 0)
 
     def release(self) -> None:
-        """Lets go of the lock; to be called once."""
+        """Releases the lock; must be called only once."""
         os.close(self.file)
 
 
 def read_holder_pid(folder: Path) -> int | None:
-    """Returns the number of the process that has the folder, as it wrote it; None: there is none."""
+    """Returns the PID in the folder's lock file; None if the file is missing or holds no number."""
     try:
         return int((folder / LOCK_FILE).read_text())
     except (OSError, ValueError):
--- a/message_sender/journal/records.py
+++ b/message_sender/journal/records.py
@@ -1,21 +1,27 @@
-r"""Framed records with checksums, and what a damaged file still tells. Pure.
-
-    2 LENGTH CHECKSUM MARK PAYLOAD\n
-
-Version, then length (8 hex digits, bytes of the payload), CRC-32C (8, over length, mark and payload), mark
-(10) and one JSON object. After damage the next record is searched for at every byte: a record counts only if
-its checksum is right, and none can stand inside another one's payload, as JSON escapes the quotes in a text.
-
-The mark says how many bytes of the file were durable when the record was written. The first record of a file
-is its header; its field `whole` says how much was durable before the file got its name. A file is proven
-durable up to the highest of these numbers. Bytes that are no record are a `Gap`, of one of three kinds:
-
-- `DURABLE`: it begins below the proven size. Something may have been done on the strength of what it held.
-- `UNPROVEN`: it begins above, and whole records follow. It is treated as `DURABLE`, the more careful way.
-- `NEVER_WRITTEN`: it begins above, whole records follow, and it holds zeros, which no record does. That is
-  what a power loss leaves of what was written and not synced: nothing was done on its strength.
-
-Bytes at the end that are no record and not proven are the tail: what was being written as the process ended.
+r"""Framed records with checksums, and the recovery of records from a damaged file. Pure.
+
+    2 LENGTH CHECKSUM DURABLE PAYLOAD\n
+
+The fields of a record are the format version 2, the length of the payload in bytes (8 hex digits), a CRC-32C
+over length, durable size and payload (8 hex digits), the durable size in bytes (10 hex digits), and the
+payload, one JSON object. After damage, the search for the next record tries every byte. A record is accepted
+only if its checksum matches, and no record can start inside the payload of another one, because JSON escapes
+the quotes in a string.
+
+The durable size says how many bytes of the file were durable when the record was written. The first record of
+a file is its header; its field `whole` says how many bytes were durable before the file got its name. A file
+is proven durable up to the highest of these numbers. Bytes that belong to no valid record form a `Gap`, which
+is of one of three kinds:
+
+- `DURABLE`: the gap begins below the proven size. The sender may have acted on the lost records.
+- `UNPROVEN`: the gap begins above the proven size, and valid records follow. It is treated as `DURABLE`,
+  which is the safe choice.
+- `NEVER_WRITTEN`: the gap begins above the proven size, valid records follow, and it contains zero bytes,
+  which no record does. A power loss leaves such gaps where data was written and not synced; the sender never
+  acted on these records.
+
+Bytes at the end of the file that are neither valid records nor proven durable are the tail: a write that was
+torn when the process ended.
 """
 
 import json
@@ -27,13 +33,13 @@
 import google_crc32c
 
 FRAME_PATTERN = re.compile(rb"2 ([0-9a-f]{8}) ([0-9a-f]{8}) ([0-9a-f]{10}) ")
-FRAME_BYTES = 31  # before the payload
-MAX_PAYLOAD_BYTES = 64 * 1024 * 1024  # a greater length is damage
-UNWRITTEN_BYTES = bytes(8)  # so many zero bytes in a row are no flipped bit
+FRAME_BYTES = 31  # size of the frame before the payload
+MAX_PAYLOAD_BYTES = 64 * 1024 * 1024  # a greater length means that the frame is damaged
+UNWRITTEN_BYTES = bytes(8)  # 8 consecutive zero bytes cannot come from a flipped bit
 
 
 class GapKind(Enum):
-    """Whether the bytes of a gap were durable. The texts are shown to people."""
+    """Whether the bytes of a gap were durable. The values are shown to operators."""
 
     DURABLE = "were durable"
     UNPROVEN = "may have been durable"
@@ -42,13 +48,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """A record whose checksum is right.
+    """A record whose checksum matches.
 
     Attributes:
-        offset: Its first byte in the file.
-        size_bytes: With its frame.
-        durable_bytes: Its mark: bytes of the file that were durable when it was written.
-        payload: Its JSON object.
+        offset: Position of its first byte in the file.
+        size_bytes: Size including the frame.
+        durable_bytes: How many bytes of the file were durable when the record was written.
+        payload: The decoded JSON object.
     """
 
     offset: int
@@ -59,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Gap:
-    """Bytes that are no record."""
+    """A range of bytes that belongs to no valid record."""
 
     offset: int
     size_bytes: int
@@ -68,13 +74,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ScanResult:
-    """What a file holds.
+    """The records and gaps of a file.
 
     Attributes:
-        records: All whole records, in the order of the file.
-        gaps: Those of kind DURABLE or UNPROVEN: something may have been done on the strength of each.
-        unwritten_gaps: Those of kind NEVER_WRITTEN.
-        tail_bytes: Bytes at the end that were never durable, and are dropped.
+        records: All valid records, in file order.
+        gaps: The gaps of kind DURABLE or UNPROVEN; the sender may have acted on the lost records.
+        unwritten_gaps: The gaps of kind NEVER_WRITTEN.
+        tail_bytes: Number of bytes at the end that were never durable and are dropped.
     """
 
     records: tuple[Record, ...]
@@ -84,21 +90,22 @@
 
 
 def frame_record(payload: bytes, durable_bytes: int) -> bytes:
-    """Returns the bytes of a record. `durable_bytes`: how much of its file is durable."""
+    """Returns the encoded record; `durable_bytes` is how many bytes of its file are durable."""
     checked = b"%08x %010x " % (len(payload), durable_bytes)
     checksum = google_crc32c.value(checked + payload)
     return b"2 %08x %08x %010x %s\n" % (len(payload), checksum, durable_bytes, payload)
 
 
 def parse_record(data: bytes, offset: int) -> Record | None:
-    """Reads the record that begins at `offset`; None: there is no whole one.
+    """Parses the record that begins at `offset`; returns None if there is no valid one.
 
-    Its line end is not checked: it tells nothing, and damage to it would cost the next record too.
+    The line end is not checked: it carries no information, and a check would let damage to this one byte cost
+    a further record.
     """
-    head = FRAME_PATTERN.match(data, offset)
-    if head is None:
+    frame = FRAME_PATTERN.match(data, offset)
+    if frame is None:
         return None
-    length, checksum, durable_bytes = (int(digits, 16) for digits in head.groups())
+    length, checksum, durable_bytes = (int(digits, 16) for digits in frame.groups())
     begin = offset + FRAME_BYTES
     end = begin + length
     if length > MAX_PAYLOAD_BYTES or end >= len(data):
@@ -115,7 +122,7 @@
 
 
 def scan_records(data: bytes) -> ScanResult:
-    """Finds all whole records of a file, and the gaps between them. Never raises for what the file holds."""
+    """Finds all valid records of a file and the gaps between them; raises for no content of the file."""
     records, ranges = _records_and_gaps(data)
     proven_bytes = max((proven_bytes_after(record) for record in records), default=0)
     tail_bytes = 0
@@ -134,7 +141,7 @@
 
 
 def _records_and_gaps(data: bytes) -> tuple[list[Record], list[tuple[int, int]]]:
-    """The whole records, and of each gap the first byte and the one after it."""
+    """Returns the valid records, and the start and end offset of each gap."""
     records: list[Record] = []
     gaps: list[tuple[int, int]] = []
     offset = 0
@@ -151,16 +158,16 @@
 
 
 def find_record(data: bytes, offset: int) -> Record | None:
-    """Returns the first whole record that begins at `offset` or behind it."""
-    while head := FRAME_PATTERN.search(data, offset):
-        if record := parse_record(data, head.start()):
+    """Returns the first valid record that begins at or after `offset`."""
+    while frame := FRAME_PATTERN.search(data, offset):
+        if record := parse_record(data, frame.start()):
             return record
-        offset = head.start() + 1
+        offset = frame.start() + 1
     return None
 
 
 def classify_gap(content: bytes, is_proven: bool) -> GapKind:
-    """Returns the kind of a gap. `is_proven`: the file is proven durable beyond its first byte."""
+    """Returns the kind of a gap; `is_proven` says whether the gap begins below the proven size."""
     if is_proven:
         return GapKind.DURABLE
     if UNWRITTEN_BYTES in content or content.endswith(b"\0"):
@@ -169,6 +176,6 @@
 
 
 def proven_bytes_after(record: Record) -> int:
-    """Returns how many bytes of the file were durable, as far as this record tells."""
+    """Returns how many bytes of the file this record proves durable."""
     header_bytes = record.payload.get("whole", 0) if "journal" in record.payload else 0
     return max(record.durable_bytes, header_bytes if isinstance(header_bytes, int) else 0)
