--- a/message_sender/journal/__init__.py
+++ b/message_sender/journal/__init__.py
@@ -1,1 +1,1 @@
-"""Write-ahead log of accepted messages: record format, files, replay and compaction."""
+"""Write-ahead log of accepted messages: record format, files, syncs, replay and compaction."""
--- a/message_sender/journal/checkpoints.py
+++ b/message_sender/journal/checkpoints.py
@@ -1,17 +1,19 @@
-"""Which record a gap has taken, as far as the records around it tell. Pure.
-
-A *decisive* record is one whose loss could let a message run again or complete in another way: `sent`,
-`verdict` and `doubt`. The writer counts them and combines the checksums of their messages' ids; each proof
-and each header carries these two numbers as of its place (a `Checkpoint`). The reader compares them with what
-it found between the checkpoints on either side of a gap:
-
-- none is missing: no message that is owed is in doubt, whatever else the gap held;
-- one is missing: the difference of the checksums is that of its message's id, and only messages with this
-  checksum are in doubt;
-- more are missing, or a checkpoint is (a journal of an earlier version has none): all that are owed are.
-
-The last proof may be the damaged record itself, with no checkpoint behind it. What it must have contained is
-known then from the records before it, and it is recognized by that.
+"""Identifies the messages whose records may be lost in a gap, from the records around the gap. Pure.
+
+A *decisive* record is one whose loss could cause a message to be sent again or to complete with a different
+state: `sent`, `verdict` and `doubt`. The writer counts these records and combines the checksums of their
+messages' ids. Each sync record and each header stores both numbers for the part of the file before it (a
+`Checkpoint`). The reader compares the difference of the checkpoints on either side of a gap with the records
+that it found between them:
+
+- No decisive record is missing: no pending message is in doubt, whatever other records the gap contained.
+- One is missing: the difference of the checksums is the checksum of its message's id, and only messages with
+  this checksum are in doubt.
+- More than one is missing, or there is no checkpoint (journals of an earlier version have none): all pending
+  messages are in doubt.
+
+If the last sync record is itself damaged, no checkpoint follows it. Its contents can be derived from the
+records before it, so it is recognized by comparing the damaged bytes with them.
 """
 
 from bisect import bisect_left
@@ -24,10 +26,9 @@
 from message_sender.journal import records
 from message_sender.journal.records import Gap, GapKind, Record
 
-MAX_PROOF_DAMAGE_BYTES = (
-    8  # that a damaged proof may differ in to be known as one; other records differ in more
-)
-#: Kinds of decisive records, and the field of each that holds the message's id.
+#: Bytes in which a damaged sync record may differ from the expected one; other records differ in more.
+MAX_SYNC_RECORD_DAMAGE_BYTES = 8
+#: Kinds of decisive records, and the field of each kind that holds the message's id.
 DECISIVE_KINDS = (("sent", "sent"), ("verdict", "of"), ("doubt", "doubt"))
 
 
@@ -38,27 +39,27 @@
 
 @dataclass(slots=True)
 class DecisiveDigest:
-    """Decisive records from the beginning of a file up to some place.
+    """Summary of the decisive records of a file up to some offset.
 
     Attributes:
-        count: How many there are.
-        id_checksum: Exclusive or of the checksums of their messages' ids.
+        count: Number of decisive records.
+        id_checksum: Exclusive or (XOR) of the checksums of their messages' ids.
     """
 
     count: int = 0
     id_checksum: int = 0
 
     def add(self, message_id: str) -> None:
-        """Counts one more record."""
+        """Adds a record of the message."""
         self.count += 1
         self.id_checksum ^= checksum_of_id(message_id)
 
     def difference(self, earlier: "DecisiveDigest") -> "DecisiveDigest":
-        """Returns the digest of the records behind `earlier`."""
+        """Returns the digest of the records that are in this digest and not in `earlier`."""
         return DecisiveDigest(self.count - earlier.count, self.id_checksum ^ earlier.id_checksum)
 
     def may_include(self, message_id: str) -> bool:
-        """Whether one of these records may be of this message."""
+        """Whether one of the records may belong to this message."""
         if self.count == 1:
             return checksum_of_id(message_id) == self.id_checksum
         return self.count != 0
@@ -66,27 +67,31 @@
 
 @dataclass(frozen=True, slots=True)
 class Checkpoint:
-    """The digest of what was written before byte `offset` of the file."""
+    """The digest of the records written before byte `offset` of the file."""
 
     offset: int
     digest: DecisiveDigest
 
 
-def frame_proof(durable_bytes: int, digest: DecisiveDigest | None) -> bytes:
-    """Returns a proof: `durable_bytes` of the file are durable, and `digest` is that of the file up to it.
+def frame_sync_record(durable_bytes: int, digest: DecisiveDigest | None) -> bytes:
+    """Returns a sync record, which is written after a sync to prove how much of the file is durable.
 
-    Earlier versions read the mark alone. `digest` is None where it is not known.
+    Earlier versions read only the durable size in its frame.
+
+    Args:
+        durable_bytes: How many bytes of the file are durable.
+        digest: Digest of the file up to this record; None if it is not known.
     """
     counts = b',"decisive":%d,"names":%d' % (digest.count, digest.id_checksum) if digest else b""
     return records.frame_record(b'{"journal":2%s}' % counts, durable_bytes)
 
 
 def frame_header(body_bytes: int, digest: DecisiveDigest) -> bytes:
-    """Returns the record that makes a file complete.
+    """Returns the header record, which makes a replacement file complete.
 
     Args:
         body_bytes: Size of the file without this record.
-        digest: Of all the file.
+        digest: Digest of the whole file.
     """
     template = b'{"journal":2,"whole":%12d,"decisive":%12d,"names":%12d}'
     header_bytes = len(records.frame_record(template % (0, 0, 0), 0))
@@ -95,7 +100,7 @@
 
 
 def decisive_message_id(payload: dict[str, Any]) -> str | None:
-    """Returns the id of the message of a decisive record; None for any other record."""
+    """Returns the message id of a decisive record; None for any other record."""
     for kind, id_field in DECISIVE_KINDS:
         if kind in payload:
             return str(payload.get(id_field))
@@ -103,7 +108,7 @@
 
 
 def parse_checkpoint(record: Record) -> Checkpoint | None:
-    """Reads a proof or a header; None for any other record, and for those of earlier versions."""
+    """Parses a sync record or header; returns None for other records and for those of earlier versions."""
     payload = record.payload
     if "journal" not in payload:
         return None
@@ -116,14 +121,14 @@
 
 
 class DigestComparison:
-    """What was written, as the checkpoints tell, beside what was found."""
+    """Comparison of the decisive records found in a file with those that its checkpoints count."""
 
     def __init__(self, data: bytes, found_records: Sequence[Record]) -> None:
-        """Prepares the comparison. `found_records`: all whole records of the file `data`, in its order."""
+        """Indexes the file `data`; `found_records` are all its valid records, in file order."""
         self.data = data
         self.proven_bytes = max((records.proven_bytes_after(each) for each in found_records), default=0)
         self.offsets = [record.offset for record in found_records]
-        self.digests = [DecisiveDigest()]  # before each record, and after the last one
+        self.digests = [DecisiveDigest()]  # digest before each record, and after the last one
         checkpoints = [Checkpoint(0, DecisiveDigest())]
         for record in found_records:
             before = self.digests[-1]
@@ -137,31 +142,31 @@
         self.checkpoints = sorted(checkpoints, key=lambda checkpoint: checkpoint.offset)
 
     def missing_in(self, gap: Gap) -> DecisiveDigest | None:
-        """Returns the digest of the decisive records missing between the checkpoints around a gap.
+        """Returns the digest of the decisive records that are missing between the checkpoints around a gap.
 
-        None: there is no checkpoint behind it, or the checkpoints contradict what was found.
+        Returns None if no checkpoint follows the gap, or if the checkpoints contradict the records found.
         """
         gap_end = gap.offset + gap.size_bytes
         first = next(each for each in reversed(self.checkpoints) if each.offset <= gap.offset)
         last = next((each for each in self.checkpoints if each.offset >= gap_end), None)
         if last is None:
-            return DecisiveDigest() if self.is_damaged_proof(gap) else None
+            return DecisiveDigest() if self.is_damaged_sync_record(gap) else None
         written = last.digest.difference(first.digest)
         found = self.digest_before(last.offset).difference(self.digest_before(first.offset))
         missing = written.difference(found)
         return missing if missing.count >= 0 else None
 
-    def is_damaged_proof(self, gap: Gap) -> bool:
-        """Whether the gap is a proof with a few damaged bytes, and behind it at most what was never durable.
+    def is_damaged_sync_record(self, gap: Gap) -> bool:
+        """Whether the gap is a sync record with a few damaged bytes, and any rest of it was never durable.
 
-        The payload of such a proof is known from the records before it.
+        The expected payload of the sync record is derived from the records before it.
         """
-        expected = frame_proof(0, self.digest_before(gap.offset))
+        expected = frame_sync_record(0, self.digest_before(gap.offset))
         content = self.data[gap.offset : gap.offset + gap.size_bytes]
         if len(content) < len(expected):
             return False
         pairs = zip(expected[records.FRAME_BYTES :], content[records.FRAME_BYTES :], strict=False)
-        if sum(a != b for a, b in pairs) > MAX_PROOF_DAMAGE_BYTES:
+        if sum(a != b for a, b in pairs) > MAX_SYNC_RECORD_DAMAGE_BYTES:
             return False
         rest = content[len(expected) :]
         is_rest_proven = gap.offset + len(expected) < self.proven_bytes
--- a/message_sender/journal/compaction.py
+++ b/message_sender/journal/compaction.py
@@ -1,17 +1,20 @@
-"""Compaction of the journal: a replacement file is written from memory, and takes the old one's place.
-
-- *A name never stands for less than was durable under it.* The replacement is written into NEXT_FILE, synced,
-  and only then renamed; until then each record is written to both files, so that whichever a power loss
-  leaves is complete. The folder is synced before anybody hears of it.
-- *In steps* of `STEP_BYTES` in an iteration of the loop, so that nobody waits for all that is owed. A record
-  of a message that is still pending goes to the old file alone: the message is written as it is then. Other
-  records come behind all of these, so that messages keep the order in which they were accepted. The
-  replacement is synced and renamed only once all is there. At a start, and after a failed sync, it is written
-  at once.
-- *A replacement that misses a record* is dropped before it is synced. Where that begins while it is being
-  installed, it counts as a failed sync: it may have the name, and the next file is written from memory again.
-- *The format refuses an older program*, which would read no record and begin with nothing: the folder
-  GUARD_FOLDER stands where it deletes a file before anything else.
+"""Compaction of the journal: a replacement file is written from memory and renamed over the old file.
+
+- *The file named JOURNAL_FILE never holds less than was durable under that name.* The replacement is written
+  to NEXT_FILE, synced, and only then renamed. Until then each record is written to both files, so that either
+  file is complete after a power loss. The folder is synced before callbacks report success.
+- *The replacement is written in steps* of `STEP_BYTES` per loop iteration, so that no other work has to wait
+  until all unfinished messages are written. While a message is still in `pending_ids`, new records of it go
+  to the old file only, because the message is written later with its state at that time. Other records are
+  deferred until all messages are written, so that messages keep the order in which they were accepted. The
+  replacement is synced and renamed only once it is complete. At start-up and after a failed sync, it is
+  written in one go.
+- *A replacement that misses a record* is dropped before it is synced. If the write fails while the
+  replacement is being installed, this counts as a failed sync: the file may already have the journal's name,
+  and the next file is written from memory again.
+- *Older versions refuse to open this format*; otherwise they would find no record that they can read and
+  start with an empty journal. The folder GUARD_FOLDER has the name of the file that they delete first, and
+  the deletion fails.
 """
 
 import asyncio
@@ -28,26 +31,26 @@
 GUARD_FOLDER = COMPACTED_FILE
 NEXT_FILE = "journal.next"
 BALLAST_FILE = "journal.room"
-STEP_BYTES = 16 * 1024  # about a millisecond's work
-BALLAST_BYTES = 64 * 1024  # the ends of some five hundred messages
+STEP_BYTES = 16 * 1024  # takes about 1 ms to write
+BALLAST_BYTES = 64 * 1024  # room for the end records of about 500 messages
 
 log = logging.getLogger(__name__)
 
 
 @dataclass(slots=True)
 class ReplacementFile:
-    """A file that is to take the journal's place.
+    """A file that will replace the journal file.
 
     Attributes:
-        file: Its descriptor.
-        size_bytes: What was written to it.
-        is_installed: It was synced, and may have the journal's name.
-        is_complete: All that is owed is there.
-        is_installing: `install_replacement` is running: nobody else may close it.
-        misses_record: A record that came meanwhile could not be written to it.
-        pending_ids: Messages that are not there yet.
-        deferred_records: Records that come behind what is owed.
-        digest: Of its records.
+        file: File descriptor.
+        size_bytes: Number of bytes written to the file.
+        is_installed: Whether the file has been synced, so that it may have the journal's name.
+        is_complete: Whether all unfinished messages are in the file.
+        is_installing: Whether `install_replacement` is running; the file must not be closed meanwhile.
+        misses_record: Whether a record that was added meanwhile could not be written to the file.
+        pending_ids: Ids of the messages that are not in the file yet.
+        deferred_records: Records to write after all unfinished messages.
+        digest: Digest of the records in the file.
     """
 
     file: int
@@ -62,16 +65,16 @@
 
 
 class CompactingJournal(JournalContents):
-    """Contents with a file on a disk, and a second one while it is compacted.
+    """Journal contents in a file, with a second file during compaction.
 
     Attributes:
-        step_bytes: What is written in an iteration of the loop.
+        step_bytes: Number of bytes to write to a replacement per loop iteration.
         disk: The file layer.
-        sync_interval_s: From the beginning of one sync to that of the next at least; None: nothing is synced.
-        replacement: The file that is being written, if any.
-        sync_task: The sync that is running, if any.
-        durable_bytes: How much of the file is durable.
-        digest: Of the file's records; None: it begins with records that were not counted.
+        sync_interval_s: Minimum time between the starts of two syncs, s; None disables syncing.
+        replacement: The replacement file that is being written, if any.
+        sync_task: The running sync, if any.
+        durable_bytes: How many bytes of the file are durable.
+        digest: Digest of the file's records; None if the file begins with records that were not counted.
     """
 
     step_bytes = STEP_BYTES
@@ -83,11 +86,11 @@
     digest: DecisiveDigest | None
 
     def schedule_sync(self, within_s: float) -> None:
-        """Lets a sync begin within so many seconds."""
+        """Schedules a sync to begin within `within_s` seconds."""
         raise NotImplementedError
 
     def compact(self) -> bool:
-        """Begins to compact the file. Returns whether it is compacted already."""
+        """Starts a compaction, if possible; returns whether it has already completed."""
         if self.file < 0 or self.sync_task or self.replacement or self.size_bytes <= self.live_bytes:
             return False
         if self.sync_interval_s is None:
@@ -102,7 +105,7 @@
     # Writing.
 
     def open_replacement(self) -> ReplacementFile | None:
-        """Opens an empty replacement; None: the disk refuses it."""
+        """Opens an empty replacement file; returns None if that fails."""
         try:
             self.replacement = ReplacementFile(self.disk.open(self.folder / NEXT_FILE, fresh=True))
         except OSError as error:
@@ -111,7 +114,11 @@
         return self.replacement
 
     def begin_complete_replacement(self) -> bool:
-        """Writes a replacement with all contents at once; from now on each record goes to both files."""
+        """Writes a replacement with all contents in one go; from now on each record goes to both files.
+
+        Returns:
+            Whether there is a replacement file now.
+        """
         if self.replacement and self.replacement.is_complete:
             return True
         self.discard_replacement()
@@ -120,9 +127,9 @@
         return self.replacement is not None
 
     def write_step(self, replacement: ReplacementFile, parts: Iterator[bytes]) -> None:
-        """Writes some more of the contents, and schedules the next step or the sync."""
+        """Writes the next `step_bytes` of the contents, then schedules the next step or the sync."""
         if self.replacement is not replacement or self.file < 0:
-            return  # it was discarded meanwhile
+            return  # the replacement was discarded or the journal released since the last step
         data = bytearray()
         while len(data) < self.step_bytes and not replacement.is_complete:
             part = next(parts, None)
@@ -139,20 +146,21 @@
             asyncio.get_running_loop().call_soon(self.write_step, replacement, parts)
 
     def append_to_replacement(self, replacement: ReplacementFile, record: bytes) -> bool:
-        """Adds a record that came while the replacement is written; returns whether it will be there."""
+        """Writes or defers a record added during compaction; returns whether the replacement will hold it."""
         if replacement.is_complete:
             return self.write_replacement(replacement, record)
         replacement.deferred_records += record
         return True
 
     def write_replacement(self, replacement: ReplacementFile, data: bytes) -> bool:
-        """Writes to the replacement, which is discarded where the disk refuses it."""
+        """Writes to the replacement; returns False and discards the replacement if the write fails."""
         try:
             self.disk.write(replacement.file, data)
         except OSError as error:
             log.error("journal not compacted: reason=%s", error)
             replacement.misses_record = True
-            # While it is installed the end of that sees to it: it may have the journal's name already.
+            # While it is being installed, the file may already have the journal's name: the code that waits
+            # for the installation handles the missing record.
             if not replacement.is_installing:
                 self.discard_replacement()
             return False
@@ -160,7 +168,7 @@
         return True
 
     def discard_replacement(self) -> None:
-        """Drops the replacement, if there is one, with its file."""
+        """Closes and removes the replacement file, if there is one."""
         if self.replacement:
             self.disk.close(self.replacement.file)
             self.replacement = None
@@ -170,9 +178,9 @@
     # Installing.
 
     def install_replacement(self, replacement: ReplacementFile) -> None:
-        """Syncs the replacement and gives it the journal's name; called away from the loop.
+        """Syncs the replacement and renames it over the journal file; runs outside the event loop.
 
-        From the first sync on, all that anybody heard of is in either file.
+        From the first sync on, every record that was reported as durable is in both files.
         """
         self.disk.sync(replacement.file)
         replacement.is_installed = True
@@ -180,7 +188,7 @@
         self.disk.sync_folder(self.folder)
 
     def switch_to(self, replacement: ReplacementFile, durable_bytes: int) -> None:
-        """Goes on with an installed replacement, of which so many bytes are durable."""
+        """Makes an installed replacement the journal file; its first `durable_bytes` bytes are durable."""
         self.disk.close(self.file)
         self.file = replacement.file
         self.size_bytes = replacement.size_bytes
@@ -189,7 +197,11 @@
         self.replacement = None
 
     def rewrite_now(self) -> bool:
-        """Writes and installs a replacement at once; for a start, when nobody waits."""
+        """Writes and installs a replacement synchronously; for start-up and shutdown, when no work waits.
+
+        Returns:
+            Whether the journal file has been replaced.
+        """
         if not self.begin_complete_replacement():
             return False
         assert self.replacement
@@ -209,15 +221,15 @@
         self.switch_to(self.replacement, durable_bytes)
         return True
 
-    # Room for ends.
+    # Reserved space.
 
     def create_ballast(self) -> None:
-        """Writes the file that is given up where the disk is full."""
+        """Writes the ballast file, whose space is released when the disk is full."""
         with suppress(OSError):
             (self.folder / BALLAST_FILE).write_bytes(bytes(min(BALLAST_BYTES, self.limit_bytes // 16)))
 
     def release_ballast(self) -> bool:
-        """Gives up the ballast, so that ends still go on record; False: there is none."""
+        """Deletes the ballast file to make room for end records; returns False if there is none."""
         path = self.folder / BALLAST_FILE
         if not path.exists():
             return False
--- a/message_sender/journal/contents.py
+++ b/message_sender/journal/contents.py
@@ -1,16 +1,18 @@
-"""What the records of the journal that survives a power loss mean. Pure but for its base class.
+"""Interpretation of the durable journal's records. Pure, apart from its base class.
 
-Records are read into `JournalContents`: messages that are owed, that are over, that are in doubt; and all of
-it is returned as records again. It writes nothing.
+`JournalContents` replays records into messages that are pending, finished or in doubt, and converts this
+state back to records. It writes no file.
 
-Every whole record is used, also behind damage, and also one that was never durable. The last is harmless:
+Every valid record is replayed, including records behind damage and records that were never durable. Replaying
+a record that was never durable does no harm:
 
-- `taken`, not answered 202: the message is sent once more than its client knows of. If the client comes again
-  with the same id it is answered as a repeat; if it went elsewhere, the fleet is asked for the id at a start.
-- `sent`: the attempt counts as one that may have run, which is the more careful way.
-- `outcome`: it was written after the attempt had ended so, and says what happened, durable or not.
-- `verdict`: the completion was decided and not delivered. The same one is delivered now.
-- `end`: it was written after the completion had been delivered.
+- `taken`, not answered with 202: the message is sent although its client may not know that it was accepted.
+  If the client submits it again with the same id, it is recognized as a repeat; if the client submitted it to
+  another sender, the fleet is asked for the id at start-up.
+- `sent`: the attempt counts as one that may have run, which is the safe choice.
+- `outcome`: the record was written after the attempt ended, so it is correct whether durable or not.
+- `verdict`: the completion was decided and not delivered; the same completion is delivered now.
+- `end`: the record was written after the completion had been delivered.
 """
 
 import json
@@ -32,22 +34,22 @@
 from message_sender.journal.process_journal import RECORD_ERRORS, Journal
 from message_sender.policy.model import Outcome
 
-MAX_FINISHED_MESSAGES = 4096  # that are over and still known by their ids
-MAX_LOGGED_IDS = 30  # in a line of the log
+MAX_FINISHED_MESSAGES = 4096  # whose ids are kept
+MAX_LOGGED_IDS = 30  # per log line
 
 log = logging.getLogger(__name__)
 
 
 @dataclass(frozen=True, slots=True)
 class PreviousRun:
-    """What the file tells of the process before.
+    """Information about the previous process, as read from the file.
 
     Attributes:
-        boot_id: The machine's boot in which it ran; "" where none is on record.
+        boot_id: Identifies the machine's boot in which it ran; "" if not recorded.
         was_closed: Whether the journal was closed cleanly.
-        latest_us: The latest time on record, wall clock; 0: none.
-        damage: Gaps in what was, or may have been, durable.
-        dropped_bytes: Bytes at the end of the file that were never durable.
+        latest_us: The latest recorded time, wall clock, us; 0 if none is recorded.
+        damage: Gaps in data that was, or may have been, durable.
+        dropped_bytes: Number of bytes at the end of the file that were never durable.
     """
 
     boot_id: str
@@ -58,19 +60,19 @@
 
 
 class JournalContents(Journal):
-    """State and its records; where and when they are written is its subclasses' part.
+    """The journal's state and its conversion from and to records; subclasses write the records.
 
     Attributes:
-        finished: Messages that are over, the oldest first.
-        run_records: Records of starts and stops that the next file has to carry.
-        lost_ids: Ids of messages whose `taken` cannot be read, as far as they are known.
-        latest_us: The latest time on record, wall clock.
-        previous_run: What the file told of the process before.
-        reading: What the file held.
+        finished: Finished messages by id, oldest first.
+        run_records: Records of starts and stops that the next file must contain.
+        lost_ids: Ids of messages whose `taken` record is unreadable, as far as other records name them.
+        latest_us: The latest recorded time, wall clock, us.
+        previous_run: Information about the previous process.
+        reading: The records and gaps found in the file.
     """
 
     def clear_contents(self) -> None:
-        """Begins with nothing."""
+        """Resets the state to that of an empty journal."""
         self.finished: dict[str, FinishedMessage] = {}
         self.run_records: list[dict[str, Any]] = []
         self.lost_ids: dict[str, None] = {}
@@ -81,7 +83,7 @@
     # Replay.
 
     def replay_process_format(self, data: bytes) -> None:
-        """Reads a file of the format that outlasts a process."""
+        """Replays a file of the process journal's format (process_journal.py)."""
         for line in data.split(b"\n")[:-1]:
             try:
                 self.apply_record(json.loads(line), len(line) + 1)
@@ -91,7 +93,7 @@
         log.info("journal converted from the process format: messages=%d", len(self.entries))
 
     def replay_checksummed(self, data: bytes) -> None:
-        """Reads a file of the format that survives a power loss."""
+        """Replays a file of the durable journal's format (records.py)."""
         self.reading = records.scan_records(data)
         gaps = deque(self.reading.gaps)
         comparison = DigestComparison(data, self.reading.records if gaps else ())
@@ -121,7 +123,7 @@
         return PreviousRun(boot_id, was_closed, self.latest_us, scan.gaps, scan.tail_bytes)
 
     def log_losses(self) -> None:
-        """Logs what the file has lost, beside the gaps that put messages in doubt."""
+        """Logs lost bytes and lost messages; `mark_doubtful` logs the gaps that put messages in doubt."""
         for gap in self.reading.unwritten_gaps:
             log.warning("journal bytes were never durable: offset=%d bytes=%d", gap.offset, gap.size_bytes)
         if self.reading.tail_bytes:
@@ -135,12 +137,12 @@
     def mark_doubtful(
         self, gap: records.Gap, missing: DecisiveDigest | None, reason: str = "unreadable"
     ) -> None:
-        """Marks the messages of which an unknown attempt may have been on record in a gap.
+        """Marks the messages that may have a lost record in a gap: an unknown attempt of these may have run.
 
         Args:
-            gap: The bytes that are lost; all messages before it have been replayed, none behind it.
-            missing: The decisive records that it may have held; None: not known.
-            reason: For the log.
+            gap: The lost bytes; all records before the gap have been replayed, and none after it.
+            missing: Digest of the decisive records that may be lost; None if it is not known.
+            reason: Reason for the log line.
         """
         doubtful_ids = [
             message_id
@@ -158,10 +160,10 @@
         )
 
     def apply_record(self, record: dict[str, Any], record_bytes: int) -> None:
-        """Applies a record of the file.
+        """Applies a replayed record to the state.
 
         Raises:
-            ValueError, KeyError, TypeError, AttributeError: It is no record of this format.
+            ValueError, KeyError, TypeError, AttributeError: The record is not one of this format.
         """
         self.latest_us = max(self.latest_us, record.get("at", 0))
         if "verdict" in record:
@@ -174,7 +176,7 @@
         elif "began" in record or "closed" in record:
             self.run_records.append(record)
         elif "sent" in record and record["sent"] not in self.entries:
-            self.lost_ids[str(record["sent"])] = None  # it tells nothing of any other message
+            self.lost_ids[str(record["sent"])] = None  # no other message is affected
         elif "outcome" in record and record["of"] in self.entries:
             self.apply_outcome_record(record, record_bytes)
         elif "journal" not in record:
@@ -188,28 +190,28 @@
             self.add_record_size(record["of"], record_bytes)
 
     def apply_outcome_record(self, record: dict[str, Any], record_bytes: int) -> None:
-        """Applies an outcome, also of an attempt whose `sent` cannot be read: its start is not known then."""
+        """Applies an outcome; if the attempt's `sent` record is lost, its start time is unknown (0)."""
         attempts = self.entries[record["of"]].attempts
         attempt = attempts.setdefault(int(record["number"]), AttemptRecord(0, "", ""))
         attempt.outcome = Outcome(record["outcome"])
         self.add_record_size(record["of"], record_bytes)
 
     def remember_finished(self, message_id: str, finished: FinishedMessage) -> None:
-        """Keeps what is known of a message that is over; the oldest one is dropped for it."""
+        """Keeps a finished message, and drops the oldest one if there are more than the maximum."""
         self.lost_ids.pop(message_id, None)
         self.finished[message_id] = finished
         if len(self.finished) > MAX_FINISHED_MESSAGES:
             del self.finished[next(iter(self.finished))]
 
-    # All of it as records.
+    # Snapshot.
 
     def snapshot_parts(self, pending_ids: dict[str, None], digest: DecisiveDigest) -> Iterator[bytes]:
-        """Yields all contents as framed records, those of a message together.
+        """Yields the state as framed records, with all records of a message in one part.
 
         Args:
-            pending_ids: Messages that are to be yielded; each leaves it as its turn comes. One that is taken
-                out before is passed over.
-            digest: Counts the records that were yielded.
+            pending_ids: Ids of the messages to yield. Each id is removed when its message is yielded; a
+                message whose id the caller removes earlier is skipped.
+            digest: Digest to which the yielded records are added.
         """
         yield b"".join(records.frame_record(json.dumps(each).encode(), 0) for each in self.run_records[-2:])
         for message_id, finished in list(self.finished.items()):
@@ -220,7 +222,7 @@
                 yield self.entry_records(message_id, self.entries[message_id], digest)
 
     def entry_records(self, message_id: str, entry: JournalEntry, digest: DecisiveDigest) -> bytes:
-        """Returns the framed records of a message, and corrects its size to theirs."""
+        """Returns the framed records of a message, and sets its recorded size to theirs."""
         lines = list(entry_lines(entry))
         decisive_count = len(entry.attempts)
         if entry.is_doubtful:
@@ -237,14 +239,15 @@
         return data
 
     def snapshot(self, digest: DecisiveDigest) -> bytes:
-        """Returns the bytes of a complete file. `digest` counts its records."""
+        """Returns the contents of a complete file; its records are added to `digest`."""
         body = b"".join(self.snapshot_parts(dict.fromkeys(self.entries), digest))
         return frame_header(len(body), digest) + body
 
     def resting_keys(self, quiet_us: int) -> set[str]:
-        """Returns ordering keys whose last message was over less than `quiet_us` before the latest record.
+        """Returns ordering keys with a message that finished less than `quiet_us` before the latest record.
 
-        How long the power was away is not counted: the machine's clock may have lost that.
+        Keys of messages with an undelivered completion are included. The duration of a power loss is not
+        counted, because the machine's clock may not have advanced during it.
         """
         since_us = self.latest_us - quiet_us
         keys = {finished.key for finished in self.finished.values() if finished.finished_us >= since_us}
@@ -257,7 +260,7 @@
 
 
 def format_ids(message_ids: list[str]) -> str:
-    """Returns ids for a line of the log: the first ones, and how many there are beside."""
+    """Formats message ids for a log line: the first `MAX_LOGGED_IDS` ids and the number of others."""
     if not message_ids:
         return "none"
     text = ", ".join(message_ids[:MAX_LOGGED_IDS])
--- a/message_sender/journal/durable.py
+++ b/message_sender/journal/durable.py
@@ -1,13 +1,14 @@
-"""The journal that survives a power loss: checked records, synced before anything is done on their strength.
+"""The journal that survives a power loss: records with checksums, synced before the sender acts on them.
 
-- *What a sync guards.* `when_durable` calls back once all that was written before is on the disk, and the
-  engine does then, and not before, what rests on it: the 202 (`taken`), the first byte of an attempt whose
-  effect is not safe (`sent`), the delivery of a completion (`outcome`, `verdict`). An end's own record and an
-  outcome that nobody waits for go with the next sync: lost, the recorded completion is delivered again, or
-  the attempt counts as may have run.
-- *Room for ends.* A ballast is given up where the disk is full, so that ends still go on record.
+- *Syncs.* `when_durable` calls back once all records written before are on the disk. Only then does the
+  engine perform the actions that depend on them: the 202 answer (`taken`), the first byte of an attempt that
+  is not safe to repeat (`sent`), the delivery of a completion (`outcome`, `verdict`). An `end` record, or an
+  outcome that no delivery waits for, becomes durable with the next sync. If it is lost, the recorded
+  completion is delivered again, or the attempt counts as one that may have run.
+- *Reserved space.* A ballast file is deleted when the disk is full, so that the records of ends can still be
+  written.
 
-When syncs begin is in syncing.py, what the records mean in contents.py, compaction in compaction.py.
+syncing.py schedules the syncs, contents.py interprets the records, compaction.py compacts the file.
 """
 
 import logging
@@ -30,21 +31,22 @@
 
 
 def unknown_time_us() -> int:
-    """A wall clock that is not known."""
+    """Default clock of a journal without a wall clock; 0 means that the time is unknown."""
     return 0
 
 
-def trust_everything(journal: "DurableJournal") -> None:
-    """Leaves what was replayed as it is."""
+def keep_replayed_state(journal: "DurableJournal") -> None:
+    """Default of `on_replayed`: leaves the replayed state unchanged."""
 
 
 class DurableJournal(SyncingJournal):
-    """A journal on a disk that is synced.
+    """A journal that survives a power loss.
 
     Attributes:
-        boot_id: Names the machine's boot.
+        boot_id: Identifies the current boot of the machine.
         clock: The wall clock, us.
-        on_replayed: Changes what was read to what is believed of it, before that is put on record.
+        on_replayed: Called after the replay, before the state is written to a new file; reduces the replayed
+            state to what can still be trusted.
     """
 
     is_durable = True
@@ -57,18 +59,19 @@
         disk: Disk | None = None,
         boot_id: str = "",
         clock: Callable[[], int] = unknown_time_us,
-        on_replayed: Callable[["DurableJournal"], None] = trust_everything,
+        on_replayed: Callable[["DurableJournal"], None] = keep_replayed_state,
     ) -> None:
-        """Opens and replays the journal, and writes it into a new file.
+        """Opens and replays the journal, and rewrites it to a new file.
 
         Args:
             folder: The state folder.
-            limit_bytes: What its files may take on the disk.
-            sync_interval_s: Between the beginnings of two syncs at least; None: nothing is ever synced.
-            disk: The file layer; None: the operating system's.
-            boot_id: Names the machine's boot.
+            limit_bytes: Maximum disk space of the journal's files.
+            sync_interval_s: Minimum time between the starts of two syncs; None disables syncing.
+            disk: The file layer; None selects the operating system's files.
+            boot_id: Identifies the current boot of the machine.
             clock: The wall clock, us.
-            on_replayed: Changes what was read to what is believed of it, before that is put on record.
+            on_replayed: Called after the replay, before the state is written to a new file; reduces the
+                replayed state to what can still be trusted.
 
         Raises:
             OSError: The folder cannot be used.
@@ -83,14 +86,14 @@
         super().__init__(folder, limit_bytes)
 
     def open_file(self) -> int:
-        """Opens the file."""
+        """Opens the journal file through the file layer."""
         return self.disk.open(self.folder / JOURNAL_FILE)
 
     def replay(self) -> None:
-        """Reads the file in either format, and writes what is believed of it into a new one.
+        """Replays a file of either format, and writes the trusted state to a new file.
 
         Raises:
-            OSError: The file cannot be read, or has the process format and cannot be converted.
+            OSError: The file cannot be read, or it has another format and no new file can be written.
         """
         data = self.disk.read(self.folder / JOURNAL_FILE)
         if data.startswith(b"{"):
@@ -98,31 +101,34 @@
         else:
             self.replay_checksummed(data)
         if self.previous_run.damage:
-            with suppress(OSError):  # a copy for people; the start goes on without it
+            with suppress(OSError):  # the copy is for operators only; start-up continues without it
                 (self.folder / DAMAGED_FILE).write_bytes(data)
         self.on_replayed(self)
         self.run_records.append({"began": self.boot_id, "at": max(self.clock(), self.latest_us)})
         if self.rewrite_now() or (self.release_ballast() and self.rewrite_now()):
             return
         if not data.startswith(b"2"):
-            raise OSError(f"the journal in {self.folder} cannot be rewritten")
-        self.size_bytes = (
-            len(data) - self.previous_run.dropped_bytes
-        )  # it goes on as it is; nothing new may fit
+            raise OSError(f"the journal in {self.folder} cannot be rewritten in the durable format")
+        # The old file stays in use, although there may be no room for new records.
+        self.size_bytes = len(data) - self.previous_run.dropped_bytes
         self.disk.truncate(self.file, self.size_bytes)
 
-    # Append.
+    # Appending.
 
     def append(
         self, record: bytes, is_end: bool = False, message_id: str = "", is_decisive: bool = False
     ) -> bool:
-        """Appends a record to the file, and to the replacement while one is written.
+        """Appends a record to the file, and to the replacement during a compaction.
 
         Args:
-            record: Its payload, with a line end.
-            is_end: It belongs to the end of a message, for which the ballast is given up.
-            message_id: The message, where it has been on record for a while.
-            is_decisive: Lost, the message could run again (checkpoints.py).
+            record: The payload with its line end.
+            is_end: Whether the record belongs to the end of a message, so that the ballast is released for it
+                if the disk is full.
+            message_id: Id of the message, if the message was already recorded before.
+            is_decisive: Whether the message could be sent again if the record were lost (checkpoints.py).
+
+        Returns:
+            Whether the record was written.
         """
         if self.failed_at_s is not None:
             return False
@@ -145,13 +151,13 @@
     def _copy_to_replacement(
         self, replacement: ReplacementFile, record: bytes, message_id: str, is_decisive: bool
     ) -> None:
-        # Nothing of that file has been durable yet, and its marks say so.
+        # No byte of the replacement is durable yet, so the durable size in its frames is 0.
         framed = records.frame_record(record[:-1], 0)
         if self.append_to_replacement(replacement, framed) and is_decisive:
             replacement.digest.add(message_id)
 
     def record_attempt(self, message_id: str, number: int, attempt: AttemptRecord) -> bool:
-        """Puts the start of an attempt on record."""
+        """Records the start of an attempt; returns whether the record was written."""
         self.latest_us = max(self.latest_us, attempt.started_us)
         record = attempt_line(message_id, number, attempt)
         if not self.append(record, message_id=message_id, is_decisive=True):
@@ -161,7 +167,7 @@
         return True
 
     def record_outcome(self, message_id: str, number: int, outcome: Outcome) -> None:
-        """Puts the outcome of an attempt on record."""
+        """Records the outcome of an attempt."""
         entry = self.entries[message_id]
         if attempt := entry.attempts.get(number):
             attempt.outcome = outcome
@@ -170,7 +176,7 @@
                 self.add_record_size(message_id, len(record) + records.FRAME_BYTES)
 
     def record_completion(self, message_id: str, state: str, retry_after_us: int) -> None:
-        """Puts a completion on record before it is delivered."""
+        """Records a completion before it is delivered; `retry_after_us` is in us."""
         if entry := self.entries.get(message_id):
             entry.completion = RecordedCompletion(state, retry_after_us)
             record = completion_line(message_id, state, retry_after_us)
@@ -178,30 +184,30 @@
                 self.add_record_size(message_id, len(record) + records.FRAME_BYTES)
 
     def record_end(self, message_id: str, state: str = "") -> None:
-        """Puts on record that a message is over, and keeps its id for a while."""
+        """Records that a message has finished, and keeps its id in `finished`."""
         entry = self.entries.pop(message_id)
         self.live_bytes -= entry.size_bytes
         finished = FinishedMessage(self.clock(), state, entry.message.key)
         self.remember_finished(message_id, finished)
         if self.replacement:
-            self.replacement.pending_ids.pop(message_id, None)  # the record of its end tells all
+            self.replacement.pending_ids.pop(message_id, None)  # its end record replaces all others
         self.append(end_line(message_id, finished), is_end=True)
         self.compact_if_worthwhile()
 
     def has_room_for(self, record_bytes: int) -> bool:
-        """Whether a new message fits, and the disk takes it."""
+        """Whether the journal accepts records and has room for those of a new message."""
         return self.failed_at_s is None and super().has_room_for(record_bytes + records.FRAME_BYTES)
 
-    # The end.
+    # Closing.
 
     def release(self) -> None:
-        """Lets go of the file as the end of the process would."""
+        """Closes the file without recording a clean stop, as if the process had been killed."""
         if self.file >= 0:
             self.disk.close(self.file)
         self.file = -1
 
     def close(self) -> None:
-        """Puts a clean stop on record, durably."""
+        """Records a clean stop, syncs the file and closes it."""
         if self.file < 0:
             return
         self.disk.finish()
@@ -219,7 +225,7 @@
         self.release()
 
     def _record_clean_stop(self) -> None:
-        self.write_proof()  # its digest covers what was not synced yet
+        self.write_sync_record()  # its digest also covers the records that are not synced yet
         try:
             if self.append(b'{"closed":1,"at":%d}\n' % self.clock()):
                 self.disk.sync(self.file)
--- a/message_sender/journal/inspection.py
+++ b/message_sender/journal/inspection.py
@@ -1,4 +1,4 @@
-"""Reads a folder's journal for people, and makes a complete journal of a damaged one."""
+"""Read-only inspection of a folder's journal, and repair of a damaged one into another folder."""
 
 import os
 from pathlib import Path
@@ -11,17 +11,17 @@
 
 
 class InspectedJournal(JournalContents):
-    """A journal that is only read: nothing in the folder changes, and it may be in use.
+    """A read-only journal: its folder is never changed, and may be in use by a sender.
 
     Attributes:
-        has_checksums: Whether it has the format that survives a power loss.
+        has_checksums: Whether the file has the durable journal's format.
     """
 
     def __init__(self, folder: Path) -> None:
         """Reads the journal in `folder`.
 
         Raises:
-            OSError: There is none that can be read.
+            OSError: There is no journal, or it cannot be read.
         """
         self.folder = folder
         self.limit_bytes = 0
@@ -39,12 +39,13 @@
             self.replay_process_format(data)
 
     def save(self, folder: Path) -> None:
-        """Writes what was read as a complete journal into another folder.
+        """Writes the replayed state as a complete journal to another folder.
 
-        No record of the machine's boot goes with it: a start from it does not know how much time has passed.
+        The machine's boot is not recorded, so a process that starts from the copy does not know how much time
+        has passed.
 
         Raises:
-            OSError: It cannot be written, or the folder has a journal.
+            OSError: The journal cannot be written, or the folder already has one.
         """
         (folder / GUARD_FOLDER).mkdir()
         with open(folder / JOURNAL_FILE, "xb") as file:
--- a/message_sender/journal/process_journal.py
+++ b/message_sender/journal/process_journal.py
@@ -1,7 +1,7 @@
-"""The journal that outlasts its process: append, replay, compact.
+"""The process journal, which survives the end of its process: append, replay, compact.
 
-One JSON object a line. `os.write` hands each record to the system at once; that outlasts SIGKILL without a
-sync, and surviving a power loss is not asked of this journal.
+The file has one JSON object per line. `os.write` passes each record to the operating system immediately, so
+that it survives SIGKILL without a sync. This journal is not meant to survive a power loss; durable.py is.
 """
 
 import json
@@ -25,30 +25,30 @@
 
 JOURNAL_FILE = "journal"
 COMPACTED_FILE = "journal.new"
-BLOCK_BYTES = 512  # a file counts in whole blocks
-RESERVE_DIVISOR = 8  # this part of the limit is kept free of new messages, for records of accepted ones
+BLOCK_BYTES = 512  # file sizes are rounded up to whole blocks
+RESERVE_DIVISOR = 8  # 1/8 of the limit is reserved for records of messages that are already accepted
 
-#: What reading a record raises where it is none.
+#: Exceptions raised by applying data that is not a valid record.
 RECORD_ERRORS = (ValueError, KeyError, TypeError, AttributeError)
 
 log = logging.getLogger(__name__)
 
 
 class Journal:
-    """Accepted messages that are not over, and their file.
+    """Accepted messages that have not finished, backed by a file.
 
-    The methods that record something return whether the record is written; if it is not, what it stands for
-    must not happen.
+    `record_accepted` and `record_attempt` return whether the record was written; if it was not, the recorded
+    action must not be performed.
 
     Attributes:
-        is_durable: Whether it survives a power loss: then what a record stands for happens only after
-            `when_durable`.
+        is_durable: Whether the journal survives a power loss. If so, a recorded action must not be performed
+            before `when_durable` has called back.
         folder: The state folder.
-        limit_bytes: What its files may take on the disk.
-        reserve_bytes: Of these, kept free of new messages.
-        entries: Messages that are not over, in the order in which they were accepted.
-        size_bytes: Of the file.
-        live_bytes: Of the records of `entries`.
+        limit_bytes: Maximum disk space of the journal's files.
+        reserve_bytes: Part of `limit_bytes` that is not used for new messages.
+        entries: Unfinished messages by id, in the order in which they were accepted.
+        size_bytes: Size of the file.
+        live_bytes: Total size of the records of `entries`.
         file: Descriptor of the file; -1 once it is closed.
     """
 
@@ -70,16 +70,16 @@
         self.replay()
 
     def open_file(self) -> int:
-        """Opens the file, and removes what a process left that ended while it compacted."""
+        """Opens the file, and removes the incomplete file of an interrupted compaction."""
         (self.folder / COMPACTED_FILE).unlink(missing_ok=True)
         return os.open(self.folder / JOURNAL_FILE, os.O_RDWR | os.O_CREAT | os.O_APPEND, 0o600)
 
     def close(self) -> None:
-        """Closes the journal; a second time does nothing."""
+        """Closes the journal; further calls do nothing."""
         self.release()
 
     def release(self) -> None:
-        """Lets go of the file as the end of the process would."""
+        """Closes the file without recording a clean stop, as if the process had been killed."""
         if self.file >= 0:
             os.close(self.file)
         self.file = -1
@@ -87,13 +87,16 @@
     # Replay.
 
     def replay(self) -> None:
-        """Reads the file, and cuts off a record at its end that SIGKILL tore: nothing rests on it."""
+        """Replays the file and truncates a record at its end that was torn by SIGKILL.
+
+        The sender never acted on a torn record.
+        """
         with open(self.folder / JOURNAL_FILE, "rb") as file:
             for line in file:
                 is_complete = line.endswith(b"\n")
                 try:
                     if not is_complete:
-                        raise ValueError("no end of line")
+                        raise ValueError("missing line end")
                     self.apply_record(json.loads(line), len(line))
                 except RECORD_ERRORS as error:
                     log.warning("journal record dropped: offset=%d reason=%s", self.size_bytes, error)
@@ -105,10 +108,10 @@
             self.compact()
 
     def apply_record(self, record: dict[str, Any], record_bytes: int) -> None:
-        """Applies a record of the file to `entries`.
+        """Applies a replayed record to `entries`.
 
         Raises:
-            ValueError, KeyError, TypeError, AttributeError: It is no record of this format.
+            ValueError, KeyError, TypeError, AttributeError: The record is not one of this format.
         """
         if fields := record.get("taken"):
             message = parse_message(fields)
@@ -119,7 +122,7 @@
             self.entries[message_id].attempts[record["number"]] = attempt
             self.add_record_size(message_id, record_bytes)
         elif "outcome" in record:
-            # An outcome may come after the end, from an attempt at a message that was over.
+            # An outcome may follow the end record: attempts can be in flight when their message finishes.
             if entry := self.entries.get(record["of"]):
                 entry.attempts[record["number"]].outcome = Outcome(record["outcome"])
                 self.add_record_size(record["of"], record_bytes)
@@ -127,14 +130,14 @@
             self.live_bytes -= entry.size_bytes
 
     def add_record_size(self, message_id: str, record_bytes: int) -> None:
-        """Counts a record of a message."""
+        """Adds the size of a record to that of its message."""
         self.entries[message_id].size_bytes += record_bytes
         self.live_bytes += record_bytes
 
-    # Append.
+    # Appending.
 
     def record_accepted(self, message: Message) -> bool:
-        """Puts a message on record, if there is room for a new one."""
+        """Records an accepted message, if there is room; returns whether the record was written."""
         record = accepted_line(message)
         if not self.has_room_for(len(record)) or not self.append(record):
             return False
@@ -143,7 +146,7 @@
         return True
 
     def record_attempt(self, message_id: str, number: int, attempt: AttemptRecord) -> bool:
-        """Puts the start of an attempt on record."""
+        """Records the start of an attempt; returns whether the record was written."""
         record = attempt_line(message_id, number, attempt)
         if not self.append(record):
             return False
@@ -152,9 +155,10 @@
         return True
 
     def record_outcome(self, message_id: str, number: int, outcome: Outcome) -> None:
-        """Puts the outcome of an attempt on record.
+        """Records the outcome of an attempt.
 
-        If the record is lost, it reads as a reset after a restart: more careful than needed, never less.
+        If the record is lost, the attempt counts as one that may have run after a restart, which is always
+        safe.
         """
         record = outcome_line(message_id, number, outcome)
         if attempt := self.entries[message_id].attempts.get(number):
@@ -163,35 +167,35 @@
             self.add_record_size(message_id, len(record))
 
     def record_completion(self, message_id: str, state: str, retry_after_us: int) -> None:
-        """Puts a completion on record before it is delivered. What only outlasts its process needs none."""
+        """Records a completion before it is delivered; the process journal needs no such record."""
 
     def resting_keys(self, quiet_us: int) -> set[str]:
-        """Returns ordering keys whose last message was over less than `quiet_us` before.
+        """Returns ordering keys with a message that finished less than `quiet_us` ago.
 
-        What only outlasts its process knows none.
+        The process journal does not keep them and returns an empty set.
         """
         return set()
 
     def when_durable(self, callback: Callable[[bool], None]) -> None:
-        """Calls `callback` once what was written so far is durable; here that is at once.
+        """Calls `callback` once all records written so far are durable; for this journal, immediately.
 
         Args:
-            callback: Gets False if that failed; what the records stand for must not happen then.
+            callback: Called with False on failure; the recorded actions must then not be performed.
         """
         callback(True)
 
     def record_end(self, message_id: str, state: str = "") -> None:
-        """Puts on record that a message is over, and forgets it.
+        """Records that a message has finished, and removes it.
 
-        If the record is lost, the message is tried or its completion delivered once more after a restart,
-        which does no harm.
+        If the record is lost, the message is sent or its completion delivered again after a restart, which
+        does no harm.
         """
         self.live_bytes -= self.entries.pop(message_id).size_bytes
         self.append(end_line(message_id))
         self.compact_if_worthwhile()
 
     def append(self, record: bytes) -> bool:
-        """Appends a record; False: it could not be written."""
+        """Appends a record; returns whether it was written."""
         if self.exceeds_limit(self.size_bytes + len(record)) and not self.compact():
             log.error("journal full: record_bytes=%d", len(record))
             return False
@@ -199,22 +203,22 @@
             written = os.write(self.file, record)
             if written < len(record):
                 os.ftruncate(self.file, self.size_bytes)
-                raise OSError("a short write")
+                raise OSError(f"short write: {written} of {len(record)} bytes")
         except OSError as error:
             log.error("journal write failed: reason=%s", error)
             return False
         self.size_bytes += len(record)
         return True
 
-    # Room.
+    # Disk space.
 
     def exceeds_limit(self, file_bytes: int, other_file_bytes: int = 0) -> bool:
-        """Whether files of these sizes take more than the limit."""
+        """Whether files of these sizes need more disk space than `limit_bytes`."""
         blocks = -(-file_bytes // BLOCK_BYTES) + -(-other_file_bytes // BLOCK_BYTES)
         return blocks * BLOCK_BYTES > self.limit_bytes
 
     def has_room_for(self, record_bytes: int) -> bool:
-        """Whether a new message fits such that the file can still be copied to compact it."""
+        """Whether a new message fits and still leaves room for the second file of a compaction."""
         if self._fits_with_copy(record_bytes):
             return True
         return self.compact() and self._fits_with_copy(record_bytes)
@@ -224,12 +228,12 @@
         return not self.exceeds_limit(self.size_bytes + record_bytes, copy_bytes)
 
     def compact_if_worthwhile(self) -> None:
-        """Compacts the file once most of it is records of messages that are over."""
+        """Compacts the file once most of its records belong to finished messages."""
         if self.size_bytes > 2 * self.live_bytes + self.reserve_bytes:
             self.compact()
 
     def compact(self) -> bool:
-        """Replaces the file in one step by one that holds only `entries`; returns whether it did."""
+        """Atomically replaces the file by one that holds only `entries`; returns whether it did."""
         if self.size_bytes <= self.live_bytes or self.exceeds_limit(self.size_bytes, self.live_bytes):
             return False
         new_path = self.folder / COMPACTED_FILE
