--- a/message_sender/handover/__init__.py
+++ b/message_sender/handover/__init__.py
@@ -1,1 +1,1 @@
-"""Handover from one process of a sender to the next: ownership, link, listening socket, drain."""
+"""Handover from one process of a sender to its successor: ownership, link, listening socket, drain."""
--- a/message_sender/handover/link.py
+++ b/message_sender/handover/link.py
@@ -1,4 +1,4 @@
-"""The link between two processes of one sender: packets of JSON and descriptors over a Unix socket."""
+"""The link between two processes of one sender: JSON packets with file descriptors over a Unix socket."""
 
 import asyncio
 import contextlib
@@ -13,27 +13,27 @@
 from typing import Any
 
 SOCKET_FILE = "handover"
-MAX_PACKET_BYTES = 192 * 1024  # below what the system buffers for a socket
-MAX_TEXT_CHARS = 48 * 1024  # of a long text that go in one packet
-MAX_PACKETS_PER_ITERATION = 32  # read in an iteration of the loop
-MAX_DESCRIPTORS = 8  # in a packet
-MAX_PATH_BYTES = 100  # of a Unix socket's path; a longer one goes by its folder's descriptor
-RETRY_DELAY_S = 0.01  # where the system takes no more descriptors on their way
+MAX_PACKET_BYTES = 192 * 1024  # below the size of the system's socket buffer
+MAX_TEXT_CHARS = 48 * 1024  # characters of a long text per packet
+MAX_PACKETS_PER_ITERATION = 32  # packets read per loop iteration
+MAX_DESCRIPTORS = 8  # per packet
+MAX_PATH_BYTES = 100  # of a Unix socket's path; longer paths are reached through the folder's descriptor
+RETRY_DELAY_S = 0.01  # after the system has refused more descriptors in transit
 BACKLOG = 4
 
 log = logging.getLogger(__name__)
 
 Packet = Mapping[str, Any]
-PacketReceiver = Callable[[Packet, list[int]], None]  # gets the descriptors too, to close or to keep
+PacketReceiver = Callable[[Packet, list[int]], None]  # takes ownership of the descriptors
 
 
 def do_nothing() -> None:
-    """Is called where nobody waits for a packet to be sent."""
+    """Default callback that does nothing."""
 
 
 @dataclass(frozen=True, slots=True)
 class OutgoingPacket:
-    """A packet that waits to be sent, and what is called once the system has it."""
+    """A queued packet, with a callback for when the system has accepted it."""
 
     data: bytes
     descriptors: list[int]
@@ -42,7 +42,7 @@
 
 @contextlib.contextmanager
 def socket_path(folder: Path) -> Iterator[str]:
-    """Gives the socket's path, however deep its folder."""
+    """Provides a path to the socket in `folder` that is short enough for a Unix socket address."""
     path = str(folder / SOCKET_FILE)
     if len(os.fsencode(path)) <= MAX_PATH_BYTES:
         yield path
@@ -57,10 +57,11 @@
 def listen(folder: Path) -> socket.socket:
     """Returns a listening socket in `folder`.
 
-    What an earlier process left there is replaced: the lock says that it is not used.
+    A socket file left by an earlier process is replaced; the caller holds the folder's lock, so no other
+    process uses it.
 
     Raises:
-        OSError: The folder takes no socket.
+        OSError: The socket cannot be created in the folder.
     """
     (folder / SOCKET_FILE).unlink(missing_ok=True)
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
@@ -76,7 +77,7 @@
 
 
 def connect(folder: Path) -> socket.socket | None:
-    """Returns a connection to the process that listens in `folder`; None: there is none."""
+    """Returns a connection to the process that listens in `folder`; None if no process does."""
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     try:
         sock.setblocking(False)
@@ -93,14 +94,14 @@
 
     Attributes:
         sock: The socket.
-        on_packet: Gets each packet and its descriptors, to close or to keep.
+        on_packet: Called with each packet and its descriptors, whose ownership it takes.
         on_closed: Called once, when the link is closed by either side.
         outbox: Packets that wait to be sent.
         is_closed: Whether the link is closed.
     """
 
     def __init__(self, sock: socket.socket, on_packet: PacketReceiver, on_closed: Callable[[], None]) -> None:
-        """Reads from `sock` from now on."""
+        """Starts to read from `sock`."""
         self.sock = sock
         self.on_packet = on_packet
         self.on_closed = on_closed
@@ -116,9 +117,9 @@
         """Sends a packet.
 
         Args:
-            packet: Its content.
-            descriptors: Go with it.
-            on_sent: Called once the system has the packet: its descriptors are on their way.
+            packet: Content of the packet.
+            descriptors: File descriptors to send with it.
+            on_sent: Called once the system has accepted the packet with its descriptors.
         """
         if self.is_closed:
             return
@@ -127,13 +128,13 @@
         if len(self.outbox) == 1:
             self.write_packets()
 
-    def send_text(self, do: str, text: str) -> None:
-        """Sends a long text in packets of kind `do`."""
+    def send_text(self, kind: str, text: str) -> None:
+        """Sends a long text in several packets of kind `kind`."""
         for start in range(0, len(text), MAX_TEXT_CHARS):
-            self.send({"do": do, "text": text[start : start + MAX_TEXT_CHARS]})
+            self.send({"do": kind, "text": text[start : start + MAX_TEXT_CHARS]})
 
     def write_packets(self) -> None:
-        """Writes what waits, as far as the system takes it."""
+        """Writes queued packets until the system accepts no more."""
         self.loop.remove_writer(self.sock)
         while self.outbox and not self.is_closed:
             packet = self.outbox[0]
@@ -152,12 +153,12 @@
             packet.on_sent()
 
     def retry_write(self) -> None:
-        """Writes what waits, unless the link was closed meanwhile."""
+        """Writes queued packets, unless the link was closed meanwhile."""
         if not self.is_closed:
             self.write_packets()
 
     def read_packets(self) -> None:
-        """Reads what has come."""
+        """Reads the packets that have arrived, up to `MAX_PACKETS_PER_ITERATION`."""
         for _ in range(MAX_PACKETS_PER_ITERATION):
             if self.is_closed:
                 return
@@ -173,11 +174,11 @@
             self.handle_packet(data, descriptors)
 
     def handle_packet(self, data: bytes, descriptors: list[int]) -> None:
-        """Passes a packet on; one that is malformed is dropped with its descriptors."""
+        """Passes a packet to `on_packet`; a malformed one is dropped and its descriptors are closed."""
         try:
             packet = json.loads(data)
             if not isinstance(packet, dict):
-                raise ValueError("no object")
+                raise ValueError("not a JSON object")
         except ValueError as error:
             log.error("handover packet malformed: reason=%s", error)
             for descriptor in descriptors:
@@ -186,7 +187,7 @@
         self.on_packet(packet, descriptors)
 
     def close(self) -> None:
-        """Closes the link; a second time does nothing."""
+        """Closes the link; further calls do nothing."""
         if self.is_closed:
             return
         self.is_closed = True
--- a/message_sender/handover/listening_socket.py
+++ b/message_sender/handover/listening_socket.py
@@ -1,16 +1,17 @@
-"""The clients' listening socket, which the platform holds and each process inherits."""
+"""The listening socket for clients, which the platform keeps open and each process inherits."""
 
 import socket
 
 
 def open_listening_socket(descriptor: str) -> socket.socket:
-    """Returns the listening socket of a descriptor that this process has inherited.
+    """Returns the listening socket of an inherited file descriptor.
 
     Args:
-        descriptor: Its number, as the environment has it.
+        descriptor: Number of the descriptor, as text from the environment.
 
     Raises:
-        ValueError: It is no listening TCP socket; the text is one line. The descriptor stays as it is.
+        ValueError: The descriptor is not a listening TCP socket; the text is one line. The descriptor is left
+            open.
     """
     try:
         sock = socket.socket(fileno=int(descriptor))
--- a/message_sender/handover/ownership.py
+++ b/message_sender/handover/ownership.py
@@ -1,25 +1,27 @@
-"""Who owns the journal, the table of messages and every decision. Pure; the owner's side of a handover.
-
-The rules:
-
-- **Owner**: holds the lock. A successor that requests it is told everything once this process is frozen: it
-  decides, sends and records nothing from then on. Then the lock is released and ownership is *offered*.
-- **Offered**: nobody has changed anything yet. If the successor says that it has the lock, ownership is
-  *handed over*. If the successor is lost first, the lock decides: got back, this process is owner again and
-  goes on as it was; taken by somebody, it has *ended*.
-- **Handed over**: never owner again. Its calls come to their ends and are reported; then the process ends.
-  Where the successor is lost first, they end at once: who starts from the journal knows nothing of them.
-- Whoever requests ownership that is offered or handed over is told nothing, and tries again.
-
-The successor says *owned* before it opens the journal: so nothing has changed while that packet can still be
-lost.
+"""Ownership of the journal, the message table and all decisions: the owner's side of a handover. Pure.
+
+The states are:
+
+- **Owner**: the process holds the lock. When a successor requests ownership, this process freezes, so that it
+  decides, sends and records nothing more, and sends its whole state. Then it releases the lock, and ownership
+  is *offered*.
+- **Offered**: neither process has changed anything yet. If the successor confirms that it has the lock,
+  ownership is *handed over*. If the successor is lost before that, this process tries to take the lock back:
+  with the lock it is the owner again and resumes; if another process holds the lock, it has *ended*.
+- **Handed over**: the process never becomes the owner again. Its attempts in flight complete and their
+  outcomes are reported; then the process ends. If the successor is lost before that, the attempts are aborted
+  at once, because a process that starts from the journal does not know about them.
+- A request for ownership that is already offered or handed over is not answered; the requester retries.
+
+The successor sends `owned` before it opens the journal, so that nothing has changed as long as that packet
+can still be lost.
 """
 
 from enum import Enum
 
 
 class OwnershipState(Enum):
-    """How far a process has handed over."""
+    """Progress of a process' handover to its successor."""
 
     OWNER = "owner"
     OFFERED = "offered"
@@ -28,31 +30,31 @@
 
 
 class Ownership:
-    """Ownership as one process has it."""
+    """The ownership state of one process."""
 
     def __init__(self) -> None:
-        """Begins as the owner."""
+        """Begins in state OWNER."""
         self.state = OwnershipState.OWNER
 
     def request_handover(self) -> bool:
-        """A successor requests ownership. Returns whether it is told everything now."""
+        """Handles a successor's request for ownership; returns whether to send it the state now."""
         if self.state is not OwnershipState.OWNER:
             return False
         self.state = OwnershipState.OFFERED
         return True
 
     def confirm_handover(self) -> bool:
-        """The successor has the lock. Returns whether everything is to be released now."""
+        """Handles the successor's confirmation of the lock; returns whether to release everything now."""
         if self.state is not OwnershipState.OFFERED:
             return False
         self.state = OwnershipState.HANDED_OVER
         return True
 
     def lose_successor(self, is_locked: bool) -> bool:
-        """The successor has ended. Returns whether all goes on as it was.
+        """Handles the end of the successor; returns whether this process is the owner again and resumes.
 
         Args:
-            is_locked: This process has the lock again.
+            is_locked: Whether this process has the lock again.
         """
         if self.state is not OwnershipState.OFFERED:
             return False
--- a/message_sender/handover/predecessor.py
+++ b/message_sender/handover/predecessor.py
@@ -1,4 +1,4 @@
-"""The process that owned before, as its successor sees it."""
+"""The previous owner process, as seen by its successor."""
 
 import asyncio
 import contextlib
@@ -10,14 +10,14 @@
 
 from message_sender.handover.link import HandoverLink, Packet, PacketReceiver, do_nothing
 
-EXIT_WAIT_S = 0.1  # from the end of a link to its process' own, where the system cannot say when that is
+EXIT_WAIT_S = 0.1  # from the closing of a link to the assumed end of its process, without a pidfd to watch
 
 
 def peer_pid(sock: socket.socket) -> int:
-    """Returns the number of the process at the other end of a Unix socket.
+    """Returns the PID of the process at the other end of a Unix socket.
 
     Raises:
-        OSError: The system does not say.
+        OSError: The system does not provide it.
     """
     credentials = sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, struct.calcsize("3i"))
     pid: int = struct.unpack("3i", credentials)[0]
@@ -25,24 +25,25 @@
 
 
 class Predecessor:
-    """The process before, as long as it runs.
+    """The previous owner process, as long as it runs.
 
-    It has *ended* once the system says so: then its connections are closed, and results that it has not
-    reported will not come.
+    The process counts as ended only once the system reports its end: from then on its connections are closed,
+    and outcomes that it has not reported will never arrive.
 
     Attributes:
-        link: To that process.
-        process_fd: A descriptor of it; -1: none.
-        pending_packets: Came before anybody was attached.
-        on_packet: Gets later ones.
-        on_ended: Called once no more can come.
+        link: Link to that process.
+        process_fd: PID file descriptor of the process; -1 if there is none.
+        pending_packets: Packets received before `attach`.
+        packet_event: Set when a packet was queued or the link was closed.
+        on_packet: Called with each packet received after `attach`.
+        on_ended: Called once no more packets can arrive.
     """
 
     def __init__(self, sock: socket.socket) -> None:
-        """Reads from `sock` from now on.
+        """Starts to read from `sock`.
 
         Raises:
-            OSError: The system does not say which process it is.
+            OSError: The system does not provide the PID of the process.
         """
         pid = peer_pid(sock)
         self.loop = asyncio.get_running_loop()
@@ -56,7 +57,7 @@
         self.link = HandoverLink(sock, self.receive_packet, self.link_closed)
 
     def receive_packet(self, packet: Packet, descriptors: list[int]) -> None:
-        """Passes a packet on, or keeps it."""
+        """Passes a packet to `on_packet`, or queues it until `attach`."""
         if self.on_packet:
             self.on_packet(packet, descriptors)
         else:
@@ -64,11 +65,11 @@
             self.packet_event.set()
 
     def attach(self, on_packet: PacketReceiver, on_ended: Callable[[], None]) -> None:
-        """Passes packets on from now on, first those that have come already.
+        """Sets the callbacks, and passes the queued packets to `on_packet`.
 
         Args:
-            on_packet: Gets each packet and its descriptors.
-            on_ended: Called once no more can come.
+            on_packet: Called with each packet and its descriptors.
+            on_ended: Called once no more packets can arrive.
         """
         self.on_packet = on_packet
         self.on_ended = on_ended
@@ -78,13 +79,13 @@
             self.link_closed()
 
     async def request_state(self, deadline: float) -> str | None:
-        """Requests ownership; returns the state that the process hands over.
+        """Requests ownership.
 
         Args:
-            deadline: s, the loop's clock.
+            deadline: Time until which to wait, s on the loop's clock.
 
         Returns:
-            None where the process does not answer, or not in time.
+            The state that the process hands over; None if it does not answer in time.
         """
         self.link.send({"do": "take over"})
         text = ""
@@ -103,7 +104,7 @@
         return None
 
     def link_closed(self) -> None:
-        """The link is closed: the process ends, and then nothing more can come."""
+        """Handles the closing of the link: calls `on_ended` once the process has ended."""
         self.packet_event.set()
         if self.on_packet is None:
             return
@@ -113,12 +114,12 @@
             self.loop.add_reader(self.process_fd, self.process_ended)
 
     def process_ended(self) -> None:
-        """The system says that the process has ended."""
+        """Handles the end of the process, as reported by the system."""
         self._close_process_fd()
         self.on_ended()
 
     def close(self) -> None:
-        """Lets go of the process; nothing more of it is passed on."""
+        """Closes the link; no more packets are passed on."""
         self.on_packet = None
         self.link.close()
         if self.process_fd >= 0:
--- a/message_sender/handover/takeover.py
+++ b/message_sender/handover/takeover.py
@@ -1,12 +1,14 @@
-"""Ownership of a state folder: how a process acquires it, from nobody or a predecessor, and hands it over.
+"""Acquires the ownership of a state folder, with or without a predecessor, and hands it over to a successor.
 
-`ownership.py` has the owner's rules. The successor's:
+`ownership.py` has the rules of the owner. These are the rules of the successor:
 
-- It owns once it has the lock. With nobody there, it starts as after a crash.
-- An owner is asked over its Unix socket. The state that it hands over is parsed before the lock is taken:
-  what cannot be read (of another version, say) is as if it had not answered.
-- An owner that does not answer for ANSWER_TIMEOUT_S is ended by SIGKILL, so that none of its bytes goes
-  later, by a descriptor of its process: the one that the lock's file names, and only while the lock is taken.
+- A process is the owner once it has the lock. Without a predecessor, it starts from the journal, as after a
+  crash.
+- A running owner is asked for its state over its Unix socket. The state is parsed before the lock is taken: a
+  state that cannot be parsed, for example one of another version, counts as no answer.
+- An owner that does not answer for ANSWER_TIMEOUT_S is killed with SIGKILL, so that it cannot send anything
+  later. The signal goes through a pidfd of the process named in the lock file, and only while the lock is
+  held.
 """
 
 import asyncio
@@ -34,37 +36,37 @@
 
 
 class Owner(Protocol):
-    """What a handover asks of the sender that owns. None of it may raise."""
+    """Operations that a handover calls on the sender. None of them may raise."""
 
     def export_state(self) -> str:
-        """Freezes the sender, and returns what the successor has to know."""
+        """Freezes the sender, and returns its state for the successor."""
 
     def resume(self) -> None:
-        """Goes on as before `export_state`."""
+        """Resumes the sender that `export_state` froze."""
 
     def release(self) -> None:
-        """The successor owns everything."""
+        """Releases all resources to the successor, which is the owner now."""
 
     def message_received(self, packet: Packet) -> None:
-        """A later packet of the successor."""
+        """Handles a packet of the successor that is not part of the handover itself."""
 
     def successor_lost(self) -> None:
-        """The successor has ended after it took over: calls in flight end now, with this process."""
+        """Aborts attempts in flight and ends this process: the successor ended after it took over."""
 
     def superseded(self) -> None:
-        """An unknown process owns everything: this one ends."""
+        """Ends this process, because an unknown process has become the owner."""
 
 
 class OwnershipHandover:
-    """One process' side of both handovers: from its predecessor, and to its successor.
+    """One process' part in two handovers: from its predecessor, and to its successor.
 
     Attributes:
         folder: The state folder.
-        lock: Its lock, while this process has it.
-        predecessor: The process that has handed over to this one, while it runs.
-        ownership: How far this process has handed over.
-        listener: Where successors connect.
-        successor_link: To the successor.
+        lock: The folder's lock, while this process holds it.
+        predecessor: The process that handed over to this one, while it runs.
+        ownership: State of the handover to the successor.
+        listener: Listening socket for successors.
+        successor_link: Link to the successor.
         owner: The sender of this process.
     """
 
@@ -80,7 +82,7 @@
         self.owner: Owner | None = None
 
     def try_lock(self) -> bool:
-        """Takes the lock if it is free; returns whether this process has it.
+        """Takes the lock if it is free; returns whether this process holds it.
 
         Raises:
             OSError: The folder cannot be used.
@@ -90,17 +92,16 @@
                 self.lock = Lock(self.folder)
         return self.lock is not None
 
-    # The successor.
+    # Takeover from a predecessor.
 
     async def acquire(self, parse: Callable[[str], State]) -> State | None:
-        """Returns once this process owns.
+        """Waits until this process is the owner.
 
         Args:
-            parse: Reads the state that a predecessor hands over. Raises ValueError for what it does not
-            understand.
+            parse: Parses the state that a predecessor hands over; raises ValueError if it cannot.
 
         Returns:
-            The predecessor's state; None: there was no predecessor.
+            The predecessor's state; None if the process starts from the journal.
 
         Raises:
             OSError: The folder cannot be used.
@@ -121,7 +122,7 @@
     async def take_over_from(
         self, sock: socket.socket, parse: Callable[[str], State], deadline: float
     ) -> State | None:
-        """Takes over from the owner at the other end of `sock`; None: that failed."""
+        """Takes over from the owner at the other end of `sock`; returns its state, or None on failure."""
         try:
             predecessor = Predecessor(sock)
         except OSError:
@@ -142,7 +143,7 @@
         return None
 
     def kill_holder(self) -> None:
-        """Ends the owner: one that stands still would go on when it wakes, and break all rules."""
+        """Kills an unresponsive owner: once it ran again, it would act as a second owner."""
         pid = read_holder_pid(self.folder)
         if pid is None or pid == os.getpid():
             return
@@ -155,10 +156,10 @@
             finally:
                 os.close(process_fd)
 
-    # The owner.
+    # Handover to a successor.
 
     def serve(self, owner: Owner) -> None:
-        """Lets a successor request ownership from now on."""
+        """Starts to accept requests for ownership from a successor."""
         self.owner = owner
         try:
             self.listener = listen(self.folder)
@@ -181,7 +182,7 @@
         self.successor_link = HandoverLink(sock, self.receive_packet, self.successor_link_closed)
 
     def receive_packet(self, packet: Packet, descriptors: list[int]) -> None:
-        """A packet of the successor."""
+        """Handles a packet of the successor; its descriptors are closed."""
         assert self.owner is not None
         for descriptor in descriptors:
             os.close(descriptor)
@@ -201,18 +202,18 @@
         link = self.successor_link
         link.send_text("state", owner.export_state())
         if link.is_closed:
-            return  # the successor was lost meanwhile, and all goes on here
+            return  # the successor was lost meanwhile, and this process has resumed
         if self.lock:
             self.lock.release()
             self.lock = None
         link.send({"do": "released"})
 
     def successor_link_closed(self) -> None:
-        """The successor has ended."""
+        """Handles the closing of the link: the successor has ended."""
         self.successor_link = None
         assert self.owner is not None
         if self.ownership.state is OwnershipState.HANDED_OVER:
-            # The next process starts from the journal and cannot know of calls in flight here.
+            # The next process starts from the journal and does not know about attempts in flight here.
             self.owner.successor_lost()
         if self.ownership.state is not OwnershipState.OFFERED:
             return
@@ -227,14 +228,14 @@
             self.owner.superseded()
 
     def close_listener(self) -> None:
-        """Lets no successor connect."""
+        """Closes the listening socket for successors."""
         if self.listener:
             self.loop.remove_reader(self.listener)
             self.listener.close()
             self.listener = None
 
     def close(self) -> None:
-        """Lets go of everything."""
+        """Closes the listener and all links, and releases the lock."""
         self.close_listener()
         if self.successor_link:
             self.successor_link.close()
