--- a/tests/conformance/test_replaced.py
+++ b/tests/conformance/test_replaced.py
@@ -1,4 +1,4 @@
-"""Real processes replaced under load, one of them killed at each step of it, judged by the referee."""
+"""Real processes are replaced under load and killed at each step; the history checker judges the result."""
 
 import asyncio
 from contextlib import AsyncExitStack
@@ -29,8 +29,8 @@
 KEYED = {"semantics": "by_key", "dedup_window": int(WINDOW * 1e6), "key_scope": "all", "serial_by_key": True}
 MESSAGES = 24
 KEYS = 4
-#: The process that is killed, and when; none for a hand-over that goes well.
-STEPS = [
+#: The process that is killed, and the step (see killed.py); empty for a handover without a failure.
+KILL_STEPS = [
     ("", ""),
     ("new", "after take over"),
     ("new", "before owned"),
@@ -47,16 +47,16 @@
 
 
 class Service:
-    """A sender's platform, one endpoint with a script, clients, and what the referee has to know."""
+    """A platform for sender processes, one scripted endpoint, clients, and the recorded history."""
 
     def __init__(self, folder: Path) -> None:
         self.history = History()
-        # Some calls outlast the hand-over; one is refused with a wait, one breaks.
-        acts = {
+        # Some calls last longer than the handover; one is rejected with a retry-after, one is reset.
+        scripted_answers = {
             "m3": [ScriptedAnswer(EndpointBehavior.FULL, 0.4), ScriptedAnswer(EndpointBehavior.SERVE)],
             "m6": [ScriptedAnswer(EndpointBehavior.RESET), ScriptedAnswer(EndpointBehavior.SERVE)],
         }
-        self.script = Script(acts, default=ScriptedAnswer(EndpointBehavior.SERVE, 0.15))
+        self.script = Script(scripted_answers, default=ScriptedAnswer(EndpointBehavior.SERVE, 0.15))
         self.state = folder / "state"
         self.state.mkdir()
         self.stack = AsyncExitStack()
@@ -66,36 +66,38 @@
         self.endpoint = await enter(HttpEndpoint("r", self.script, self.history))
         self.discovery = await enter(Discovery())
         dial = f"127.0.0.1:{self.endpoint.port}"
-        told = config_json(self.discovery, host(dial), **KEYED)
-        told["settings"]["safety"]["key_quiet"] = 100_000
-        self.platform = await enter(Platform(self.state, told))
-        self.task = asyncio.create_task(answer_notices(self.discovery, self.notice))
+        config = config_json(self.discovery, host(dial), **KEYED)
+        config["settings"]["safety"]["key_quiet"] = 100_000
+        self.platform = await enter(Platform(self.state, config))
+        self.task = asyncio.create_task(answer_notices(self.discovery, self.record_notice))
         return self
 
     async def __aexit__(self, *_: object) -> None:
         self.task.cancel()
         await self.stack.aclose()
 
-    def notice(self, name: str, state: str) -> None:
-        told = {"returned": "refused", "failed": "failed"}[state]
-        self.history.record(MessageCompleted(self.history.clock(), name, told))
+    def record_notice(self, message_id: str, state: str) -> None:
+        completion_state = {"returned": "refused", "failed": "failed"}[state]
+        self.history.record(MessageCompleted(self.history.clock(), message_id, completion_state))
 
-    async def client(self, number: int) -> None:
-        """Hands in its messages, one after another, each until it is taken on; a connection that breaks is a
-        sender that died, and the message comes again."""
+    async def run_client(self, number: int) -> None:
+        """Submits the messages of one key, one after another, each until it is accepted.
+
+        A broken connection means that the sender was killed; the message is then submitted again.
+        """
         client = HttpClient(self.platform.address)
-        self.stack.callback(client.close)  # it is kept until the test ends
-        for at in range(number, MESSAGES, KEYS):
-            await self.hand_in(client, f"m{at}", f"k{number}")
+        self.stack.callback(client.close)  # the connection stays open until the test ends
+        for message_number in range(number, MESSAGES, KEYS):
+            await self.submit(client, f"m{message_number}", f"k{number}")
 
-    async def hand_in(self, client: HttpClient, name: str, key: str) -> None:
+    async def submit(self, client: HttpClient, message_id: str, key: str) -> None:
         fields = {
-            "X-Correlation-Id": name,
+            "X-Correlation-Id": message_id,
             "X-Service-Class": "c",
             "X-Time-Left": str(DEADLINE),
             "X-Route-To": "dest=3",
             "X-Session-Key": key,
-            "Idempotency-Key": name,
+            "Idempotency-Key": message_id,
         }
         while True:
             now = self.history.clock()
@@ -108,80 +110,90 @@
                 await asyncio.sleep(0)
                 continue
             assert status == 202
-            self.history.record(MessageAdmitted(now, name, "c", 3, now + DEADLINE, key))
+            self.history.record(MessageAdmitted(now, message_id, "c", 3, now + DEADLINE, key))
             return
 
-    def gone(self) -> None:
-        """A process died with calls out: the next one cannot know their fate."""
+    def record_restart(self) -> None:
+        """Records that a process ended with calls in flight, whose outcomes the next process cannot know."""
         self.history.record(SenderRestarted(self.history.clock()))
 
-    async def settle(self) -> None:
-        """Until each message has an end, as far as the endpoint and the notices tell."""
+    async def wait_for_completions(self) -> None:
+        """Waits until each message has completed, according to the endpoint and the notices."""
         while (
-            len({each.message for each in ends_of(self.history) if isinstance(each, MessageCompleted)})
+            len(
+                {
+                    event.message
+                    for event in add_completions(self.history)
+                    if isinstance(event, MessageCompleted)
+                }
+            )
             < MESSAGES
         ):
             await asyncio.sleep(0.01)
 
 
-async def replace(service: Service, who: str, step: str) -> Process:
-    """The process that serves after a hand-over in which `who` is killed."""
+async def replace_process(service: Service, killed_process: str, step: str) -> Process:
+    """Returns the process that serves after a handover in which `killed_process` is killed."""
     platform, old = service.platform, service.platform.processes[0]
-    new = await platform.start(ready=False, killed=step if who == "new" else "")
-    if who == "new":
-        await new.end()
+    new = await platform.start(wait_until_ready=False, kill_step=step if killed_process == "new" else "")
+    if killed_process == "new":
+        await new.wait_for_exit()
         if "owned" not in step or "before" in step:
-            await old.says("serving resumed" if "take over" not in step else "ready on")
+            await old.wait_for_log("serving resumed" if "take over" not in step else "ready on")
             return old
-        await old.end()  # nobody may have calls out that the next one does not know
-        service.gone()
+        # The next process starts from the journal, so the old one must not have calls in flight any more.
+        await old.wait_for_exit()
+        service.record_restart()
         return await platform.start()
-    await new.says("ready on")
-    if who == "old" and "fate" not in step:
-        await old.end()
-        service.gone()
+    await new.wait_for_log("ready on")
+    if killed_process == "old" and "fate" not in step:
+        await old.wait_for_exit()
+        service.record_restart()
     return new
 
 
-@pytest.mark.parametrize(("who", "step"), STEPS)
-def test_a_hand_over_under_load(who: str, step: str, tmp_path: Path) -> None:
+@pytest.mark.parametrize(("killed_process", "step"), KILL_STEPS)
+def test_no_rule_is_broken_by_a_handover_under_load(killed_process: str, step: str, tmp_path: Path) -> None:
     @play
     async def test(folder: Path) -> None:
         async with Service(folder) as service:
-            await service.platform.start(killed=step if who == "old" else "")
-            clients = [asyncio.create_task(service.client(number)) for number in range(KEYS)]
+            await service.platform.start(kill_step=step if killed_process == "old" else "")
+            clients = [asyncio.create_task(service.run_client(number)) for number in range(KEYS)]
             while sum(service.script.call_counts.values()) < 6:
                 await asyncio.sleep(0.001)
-            serving = await replace(service, who, step)
+            serving = await replace_process(service, killed_process, step)
             if "fate" in step:
-                await service.platform.processes[0].end()
-                service.gone()
+                await service.platform.processes[0].wait_for_exit()
+                service.record_restart()
             async with asyncio.timeout(DEADLINE):
                 await asyncio.gather(*clients)
-                await service.settle()
+                await service.wait_for_completions()
             assert serving.process.returncode is None
-            told = (await serving.call("GET", "/stats")).body.decode()
-            assert "edge_balancer.cluster_size=1" in told
+            stats = (await serving.call("GET", "/stats")).body.decode()
+            assert "edge_balancer.cluster_size=1" in stats
         rules = Rules({"c": ClassRule(Effect.KEYED, WINDOW, is_ordered=True)}, destinations={"r": 3})
-        assert HistoryChecker(rules).check(ends_of(service.history)) == []
+        assert HistoryChecker(rules).check(add_completions(service.history)) == []
 
     test(tmp_path)
 
 
-def ends_of(history: History) -> list[HistoryEvent]:
-    """The history with an end for each message that was delivered: the endpoint's first answer is its end; a
-    notice that comes after it, from a process that could not know, does no harm (the protocol's page)."""
-    names = {each.call: each.message for each in history.events if isinstance(each, AttemptStarted)}
-    found: list[HistoryEvent] = []
-    told = set()
-    for each in history.events:
-        if not (isinstance(each, MessageCompleted) and each.message in told):
-            found.append(each)
+def add_completions(history: History) -> list[HistoryEvent]:
+    """Returns the history with a completion for each delivered message.
+
+    The endpoint's first answer completes a message. A later notice, from a process that could not know about
+    this answer, does no harm (see the page on the protocol) and is left out.
+    """
+    message_ids = {event.call: event.message for event in history.events if isinstance(event, AttemptStarted)}
+    events: list[HistoryEvent] = []
+    delivered = set()
+    for event in history.events:
+        if not (isinstance(event, MessageCompleted) and event.message in delivered):
+            events.append(event)
         if (
-            isinstance(each, AttemptFinished)
-            and each.ran is EffectApplied.YES
-            and names[each.call] not in told
+            isinstance(event, AttemptFinished)
+            and event.ran is EffectApplied.YES
+            and message_ids[event.call] not in delivered
         ):
-            told.add(names[each.call])
-            found.append(MessageCompleted(each.at, names[each.call], "delivered"))
-    return found
+            delivered.add(message_ids[event.call])
+            events.append(MessageCompleted(event.at, message_ids[event.call], "delivered"))
+    return events
--- a/tests/successors.py
+++ b/tests/successors.py
@@ -1,4 +1,4 @@
-"""Real processes of one sender that follow each other, on a listening socket that the test holds."""
+"""Consecutive real processes of one sender, on a listening socket that the test keeps open."""
 
 import asyncio
 import json
@@ -13,32 +13,32 @@
 from peers import Reply, call, read_reply, soon
 
 ROOT = Path(__file__).parent.parent
-KILLED = str(Path(__file__).parent / "killed.py")
+KILLED_SENDER = str(Path(__file__).parent / "killed.py")
 
 
 class Process:
-    """One process: its lines, and where operators call it."""
+    """One sender process, with its log lines and the address of its management interface."""
 
     def __init__(self, process: asyncio.subprocess.Process) -> None:
         self.process, self.lines = process, []  # type: asyncio.subprocess.Process, list[str]
         self.management = ("127.0.0.1", 0)
 
-    async def says(self, words: str) -> re.Match[str]:
-        """Reads its log until a line holds `words`, a pattern; earlier lines count too."""
+    async def wait_for_log(self, pattern: str) -> re.Match[str]:
+        """Reads the log until a line matches `pattern`; lines that were read earlier count too."""
         for line in self.lines:
-            if found := re.search(words, line):
-                return found
+            if match := re.search(pattern, line):
+                return match
         assert self.process.stderr is not None
         while line := (await soon(self.process.stderr.readline())).decode():
             self.lines.append(line)
-            if found := re.search(words, line):
-                return found
-        raise AssertionError(f"ended without saying {words!r}: {self.lines}")
+            if match := re.search(pattern, line):
+                return match
+        raise AssertionError(f"the process ended without a log line that matches {pattern!r}: {self.lines}")
 
-    def kill(self, number: int = signal.SIGKILL) -> None:
-        self.process.send_signal(number)
+    def kill(self, signal_number: int = signal.SIGKILL) -> None:
+        self.process.send_signal(signal_number)
 
-    async def end(self) -> int:
+    async def wait_for_exit(self) -> int:
         return int(await soon(self.process.wait()))
 
     async def call(self, method: str, path: str) -> Reply:
@@ -46,7 +46,7 @@
 
 
 class Platform:
-    """Holds the clients' listening socket and starts `run` with it, as often as a test asks."""
+    """Keeps the listening socket for clients open, and starts sender processes that inherit it."""
 
     def __init__(self, state: Path, config: dict[str, Any]) -> None:
         self.state, self.config = state, config
@@ -58,33 +58,44 @@
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        for each in self.processes:
-            if each.process.returncode is None:
-                each.kill()
-                await each.process.wait()
+        for process in self.processes:
+            if process.process.returncode is None:
+                process.kill()
+                await process.process.wait()
         self.listener.close()
 
-    async def start(self, ready: bool = True, number: str = "", killed: str = "") -> Process:
-        """`number`: what stands in place of the descriptor's; `killed`: see killed.py."""
-        with socket.create_server(("127.0.0.1", 0)) as free:
-            management = free.getsockname()
+    async def start(self, wait_until_ready: bool = True, socket_fd: str = "", kill_step: str = "") -> Process:
+        """Starts a process.
+
+        Args:
+            wait_until_ready: Whether to wait until the process logs that it is ready.
+            socket_fd: Value to pass instead of the number of the listening socket's descriptor.
+            kill_step: Step of a handover at which the process kills itself; see killed.py.
+        """
+        with socket.create_server(("127.0.0.1", 0)) as unused_port:
+            management = unused_port.getsockname()
         config_file = self.state.parent / "config.json"
         config_file.write_text(json.dumps(self.config | {"management": f"127.0.0.1:{management[1]}"}))
         fd = self.listener.fileno()
         environment = os.environ | {
             "BALANCER_CONFIG": str(config_file),
             "BALANCER_STATE": str(self.state),
-            "BALANCER_SOCKET_FD": number or str(fd),
+            "BALANCER_SOCKET_FD": socket_fd or str(fd),
         }
-        words = [KILLED, killed] if killed else ["-m", "message_sender"]
-        found = await asyncio.create_subprocess_exec(
-            sys.executable, *words, cwd=ROOT, env=environment, pass_fds=(fd,), stderr=asyncio.subprocess.PIPE
+        arguments = [KILLED_SENDER, kill_step] if kill_step else ["-m", "message_sender"]
+        subprocess = await asyncio.create_subprocess_exec(
+            sys.executable,
+            *arguments,
+            cwd=ROOT,
+            env=environment,
+            pass_fds=(fd,),
+            stderr=asyncio.subprocess.PIPE,
         )
-        process = Process(found)
+        process = Process(subprocess)
         process.management = management
         self.processes.append(process)
-        if ready:
-            await process.says("ready on")
+        if wait_until_ready:
+            await process.wait_for_log("ready on")
         return process
 
     async def connect(self) -> "Client":
@@ -92,11 +103,11 @@
 
 
 class Client:
-    """One connection that is kept."""
+    """A persistent client connection."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
 
-    async def ask(self, data: bytes) -> Reply:
+    async def request(self, data: bytes) -> Reply:
         self.writer.write(data)
         return await read_reply(self.reader)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""From one process to the next under load: ownership, what is told, and real processes killed on the way."""
+"""Handover between processes: rules of ownership, transferred state, and real processes that are killed."""
 
 import asyncio
 import json
@@ -38,77 +38,90 @@
 
 ORDER = {"semantics": "by_key", "dedup_window": 5_000_000, "key_scope": "zone", "serial_by_key": True}
 
-# Who owns.
+# Rules of ownership.
 
 
 @settings(derandomize=True, max_examples=500)
-@given(st.lists(st.sampled_from(["ask", "lock", "own", "hear", "die", "other", "leave"]), max_size=14))
-def test_there_is_one_owner_whatever_comes_between(steps: list[str]) -> None:
-    """`ask`: a follower asks; `lock`: it takes the free lock; `own`: it says so; `hear`: the owner hears it;
-    `die`: the follower dies and the owner hears; `other`, `leave`: a third one takes the lock, lets it go."""
+@given(
+    st.lists(st.sampled_from(["request", "lock", "confirm", "receive", "die", "other", "leave"]), max_size=14)
+)
+def test_at_most_one_process_is_owner_in_any_order_of_events(steps: list[str]) -> None:
+    """The steps of a handover and of processes that end, in any order.
+
+    `request`: the successor requests ownership. `lock`: it takes the free lock. `confirm`: it sends the
+    confirmation. `receive`: the owner receives the confirmation. `die`: the successor dies and the owner
+    notices. `other`, `leave`: a third process takes the lock, or releases it.
+    """
     owner, lock = Ownership(), "owner"
-    follower = ""  # asked, locked, said
+    successor = ""  # then: requested, locked, confirmed, owner
     for step in steps:
-        if step == "ask" and not follower:
+        if step == "request" and not successor:
             if owner.request_handover():
-                lock, follower = "", "asked"
-        elif step == "lock" and follower == "asked" and not lock:
-            lock, follower = "follower", "locked"
-        elif step == "own" and follower == "locked":
-            follower = "said"
-        elif step == "hear" and follower == "said":
+                lock, successor = "", "requested"
+        elif step == "lock" and successor == "requested" and not lock:
+            lock, successor = "successor", "locked"
+        elif step == "confirm" and successor == "locked":
+            successor = "confirmed"
+        elif step == "receive" and successor == "confirmed":
             assert owner.confirm_handover()
-            follower = "owner"
-        elif step == "die" and follower and follower != "owner":
-            if follower == "said":  # what was said is heard before the end
+            successor = "owner"
+        elif step == "die" and successor and successor != "owner":
+            if successor == "confirmed":  # a packet that was sent arrives before the end of the link
                 assert owner.confirm_handover()
-            lock = "" if lock == "follower" else lock
-            free = not lock
-            if owner.lose_successor(is_locked=free):
+            lock = "" if lock == "successor" else lock
+            is_free = not lock
+            if owner.lose_successor(is_locked=is_free):
                 lock = "owner"
-            follower = ""
+            successor = ""
         elif step == "other" and not lock:
             lock = "other"
         elif step == "leave" and lock == "other":
             lock = ""
         assert (owner.state is OwnershipState.OWNER) == (lock == "owner")
-        assert owner.state is not OwnershipState.OWNER or follower not in ("locked", "said", "owner")
+        assert owner.state is not OwnershipState.OWNER or successor not in ("locked", "confirmed", "owner")
 
 
-# What is told.
+# Transferred state.
 
 
-def follow(world: World, shift: int = 0) -> World:
-    """A world whose decisions were handed over from another one, as a process does it."""
+def hand_over_world(world: World, shift: int = 0) -> World:
+    """Returns a new world that has taken over the state of another one, as a successor process does."""
     dispatcher = world.dispatcher
     inherited = export_state(dispatcher.registry, dispatcher.pending)
-    next_one = World(*[each.listed for each in dispatcher.endpoints.values()])
-    next_one.now, next_one.attempts = world.now + shift, dict(world.attempts)
-    next_one.dispatcher = Dispatcher(dispatcher.settings, seed=7)
-    listed = tuple(each.listed for each in dispatcher.endpoints.values())
+    successor = World(*[endpoint.listed for endpoint in dispatcher.endpoints.values()])
+    successor.now, successor.attempts = world.now + shift, dict(world.attempts)
+    successor.dispatcher = Dispatcher(dispatcher.settings, seed=7)
+    listed = tuple(endpoint.listed for endpoint in dispatcher.endpoints.values())
     events: list[PolicyEvent] = [EndpointsUpdated(ListingKind.CACHED, listed)]
-    for each in dispatcher.messages.values():
-        call = dispatcher.calls.get((each.id, each.attempts - 1))
-        taken = MessageAccepted(
-            each.id, each.message_class.name, each.destination, each.deadline - next_one.now, "", each.key
+    for pending in dispatcher.messages.values():
+        call = dispatcher.calls.get((pending.id, pending.attempts - 1))
+        accepted = MessageAccepted(
+            pending.id,
+            pending.message_class.name,
+            pending.destination,
+            pending.deadline - successor.now,
+            "",
+            pending.key,
         )
-        out = None
+        call_in_flight = None
         if call:
-            listed_there, trial = call.endpoint.listed, call.breaker.trial is call
-            out = CallInFlight(listed_there.id, listed_there.zone, call.sent_at, trial, call.is_overdue)
+            call_target, is_trial = call.endpoint.listed, call.breaker.trial is call
+            call_in_flight = CallInFlight(
+                call_target.id, call_target.zone, call.sent_at, is_trial, call.is_overdue
+            )
         events.append(
             MessageRestored(
-                taken,
-                each.attempts,
-                each.uncertain_since,
-                each.uncertain_zone,
+                accepted,
+                pending.attempts,
+                pending.uncertain_since,
+                pending.uncertain_zone,
                 is_handed_over=True,
-                call=out,
-                weight_factor=each.weight_factor,
+                call=call_in_flight,
+                weight_factor=pending.weight_factor,
             )
         )
-    next_one.first = next_one.step(*events, inherited)  # type: ignore[attr-defined]
-    return next_one
+    successor.first = successor.step(*events, inherited)  # type: ignore[attr-defined]
+    return successor
 
 
 STEP = st.one_of(
@@ -121,15 +134,18 @@
 )
 
 
-def play_on(world: World, steps: list[tuple[str, object, int]]) -> list[tuple[list[str], list[PolicyAction]]]:
+def run_steps(
+    world: World, steps: list[tuple[str, object, int]]
+) -> list[tuple[list[str], list[PolicyAction]]]:
+    """Applies the steps to a world; returns what it sent and what it ended after each step."""
     decisions = []
-    for what, which, after in steps:
-        out = sorted(name for name, _ in world.dispatcher.calls)
-        if what == "take":
-            actions = world.take(str(which), key="k" if which == "ordered" else "", after=after * MS)
-        elif out:
-            wait = 700 * MS if which is Outcome.FULL else 0
-            actions = world.answer(out[0], which, after=after * MS, wait=wait)  # type: ignore[arg-type]
+    for step, detail, after in steps:
+        in_flight = sorted(message_id for message_id, _ in world.dispatcher.calls)
+        if step == "take":
+            actions = world.take(str(detail), key="k" if detail == "ordered" else "", after=after * MS)
+        elif in_flight:
+            wait = 700 * MS if detail is Outcome.FULL else 0
+            actions = world.answer(in_flight[0], detail, after=after * MS, wait=wait)  # type: ignore[arg-type]
         else:
             actions = world.step(WakeUp(), after=after * MS)
         decisions.append((sent(actions), ended(actions)))
@@ -138,49 +154,49 @@
 
 @settings(derandomize=True, max_examples=150, deadline=None)
 @given(st.lists(STEP, max_size=20), st.lists(STEP, max_size=20))
-def test_a_module_that_is_handed_over_decides_as_it_would_have(before: list, after: list) -> None:
-    """Calls out, waits, breakers, trials, gaps, key rests: all that decides goes along."""
+def test_a_policy_decides_the_same_after_a_handover(before: list, after: list) -> None:
+    """Calls in flight, waits, breakers, trials, gaps, key pauses: the transferred state is complete."""
     world = World(endpoint("a"), endpoint("b"))
-    play_on(world, before)
+    run_steps(world, before)
     world.step(WakeUp(), after=1)
-    other = follow(world)
-    other.count = world.count
-    assert sent(other.first) == []  # type: ignore[attr-defined]
-    assert play_on(other, after) == play_on(world, after)
+    successor = hand_over_world(world)
+    successor.count = world.count
+    assert sent(successor.first) == []  # type: ignore[attr-defined]
+    assert run_steps(successor, after) == run_steps(world, after)
 
 
-def test_a_trial_stays_the_only_call() -> None:
+def test_a_trial_in_flight_stays_the_only_call_after_a_handover() -> None:
     world = World()
     world.open_breaker()
     world.take("safe")
     actions = world.step(WakeUp(), after=2 * SECOND)
     assert len(sent(actions)) == 1
-    other = follow(world)
-    other.count = world.count
-    assert sent(other.take("safe", after=SECOND)) == []
-    assert sent(other.answer(sent(actions)[0], Outcome.OK)) == []
-    assert len(sent(other.step(WakeUp(), after=SECOND))) == 1
+    successor = hand_over_world(world)
+    successor.count = world.count
+    assert sent(successor.take("safe", after=SECOND)) == []
+    assert sent(successor.answer(sent(actions)[0], Outcome.OK)) == []
+    assert len(sent(successor.step(WakeUp(), after=SECOND))) == 1
 
 
-def test_what_is_told_is_read_as_it_was() -> None:
+def test_engine_state_is_unchanged_by_encoding_and_decoding() -> None:
     call = CallInFlight("a", "z1", 17, True, False)
     inherited = InheritedState(
         breakers=((3, "", {"gap": 1.5, "full_since": float("inf")}),), endpoints=(("a", {"bad_until": 2.0}),),
         keys=(("k", 9),), credit=(("t", 0.5, 3),), silent=((4, 1.0),),
     )  # fmt: skip
-    handed = HandoverState(
+    state = HandoverState(
         inherited, {"m": (2, call)}, {"n": Completion(CompletionState.REFUSED, 500)}, {"m": 0.1}, ("o",)
     )
-    assert decode_engine_state(json.loads(json.dumps(encode_engine_state(handed)))) == handed
+    assert decode_engine_state(json.loads(json.dumps(encode_engine_state(state)))) == state
 
 
 @pytest.mark.parametrize("text", ["{", "[]", '{"version": 2}', '{"version": 1, "seq": 3}', "3"])
-def test_what_another_version_tells_is_refused_in_one_line(text: str) -> None:
+def test_malformed_state_or_state_of_another_version_is_rejected_with_a_one_line_error(text: str) -> None:
     with pytest.raises(ValueError, match=r"^[^\n]+$"):
         decode_state(text)
 
 
-def test_a_descriptor_that_is_no_listening_socket_is_refused(tmp_path: Path) -> None:
+def test_a_descriptor_that_is_not_a_listening_socket_is_rejected(tmp_path: Path) -> None:
     file = (tmp_path / "file").open("w")
     with socket.socket() as other:
         for bad in ("x", "99999", "-1", str(file.fileno()), str(other.fileno())):
@@ -194,55 +210,56 @@
 
 
 @asynccontextmanager
-async def service(folder: Path, **kind: object) -> AsyncIterator[tuple[Platform, Peer, Discovery]]:
+async def service(folder: Path, **class_settings: object) -> AsyncIterator[tuple[Platform, Peer, Discovery]]:
     state = folder / "state"
     state.mkdir()
     async with Peer() as receiver, Discovery() as discovery:
-        config = config_json(discovery, host(receiver.dial), **kind)
+        config = config_json(discovery, host(receiver.dial), **class_settings)
         async with Platform(state, config) as platform:
             yield platform, receiver, discovery
 
 
-async def replaced(platform: Platform, old: Process) -> Process:
+async def replace_process(platform: Platform, old: Process) -> Process:
+    """Starts a new process and waits until the old one has handed over to it."""
     new = await platform.start()
     assert (await new.call("GET", "/healthcheck")).status == 200
-    await old.says("handover completed")
+    await old.wait_for_log("handover completed")
     return new
 
 
 @play
-async def test_a_process_is_replaced_and_no_client_notices(tmp_path: Path) -> None:
+async def test_clients_keep_their_connections_while_a_process_is_replaced(tmp_path: Path) -> None:
     async with service(tmp_path) as (platform, receiver, _):
         old = await platform.start()
-        idle, half = await platform.connect(), await platform.connect()
-        assert (await idle.ask(message("m1"))).status == 202
+        idle, partial = await platform.connect(), await platform.connect()
+        assert (await idle.request(message("m1"))).status == 202
         request = message("m2", b"0123456789")
-        half.writer.write(request[:-4])
-        assert (await platform.connect()) and (await idle.ask(READY)).status == 200
+        partial.writer.write(request[:-4])
+        assert (await platform.connect()) and (await idle.request(READY)).status == 200
         (await receiver.next()).answer(200)
-        new = await replaced(platform, old)
-        half.writer.write(request[-4:])
-        assert (await idle.ask(message("m3"))).status == 202
-        assert (await idle.ask(READY)).status == 200
-        seen = {(await receiver.next()).id, (await receiver.next()).id}
-        assert seen == {"m2", "m3"}
+        new = await replace_process(platform, old)
+        partial.writer.write(request[-4:])
+        assert (await idle.request(message("m3"))).status == 202
+        assert (await idle.request(READY)).status == 200
+        received = {(await receiver.next()).id, (await receiver.next()).id}
+        assert received == {"m2", "m3"}
         old.kill(signal.SIGTERM)
-        assert await old.end() == 0
-        assert (await idle.ask(message("m4"))).status == 202
+        assert await old.wait_for_exit() == 0
+        assert (await idle.request(message("m4"))).status == 202
         assert (await receiver.next()).id == "m4"
         assert new.process.returncode is None
 
 
 @play
-async def test_a_call_that_is_out_ends_where_it_was_made_and_is_not_made_again(tmp_path: Path) -> None:
+async def test_a_call_in_flight_completes_in_the_old_process_and_is_not_repeated(tmp_path: Path) -> None:
     async with service(tmp_path, **ORDER) as (platform, receiver, _):
         old = await platform.start()
         client = await platform.connect()
         for name in ("m1", "m2"):
-            assert (await client.ask(message(name, X_Session_Key="k"))).status == 202
+            assert (await client.request(message(name, X_Session_Key="k"))).status == 202
         first = await receiver.next()
-        new = await replaced(platform, old)
-        assert receiver.requests.empty()  # m2 waits for m1, of which the other process hears
+        new = await replace_process(platform, old)
+        assert receiver.requests.empty()  # m2 waits for m1, whose answer the old process receives
         first.answer(200)
         second = await receiver.next()
         assert second.id == "m2" and receiver.requests.empty()
@@ -253,46 +270,46 @@
             figures = dict(each.split("=") for each in lines)
         assert figures["edge_balancer.current"] == "0"
         old.kill(signal.SIGTERM)
-        assert await old.end() == 0
+        assert await old.wait_for_exit() == 0
 
 
 @play
-async def test_a_wait_that_the_old_process_hears_binds_the_new_one(tmp_path: Path) -> None:
+async def test_a_retry_after_received_by_the_old_process_applies_to_the_new_one(tmp_path: Path) -> None:
     async with service(tmp_path) as (platform, receiver, _):
         old = await platform.start()
         client = await platform.connect()
-        assert (await client.ask(message("m1"))).status == 202
+        assert (await client.request(message("m1"))).status == 202
         first = await receiver.next()
-        await replaced(platform, old)
+        await replace_process(platform, old)
         loop = asyncio.get_running_loop()
         first.answer(429, "Retry-After: 0.6")
-        began = loop.time()
-        again = await receiver.next()
-        assert again.id == "m1" and loop.time() - began >= 0.59
-        again.answer(200)
+        answered_at = loop.time()
+        second = await receiver.next()
+        assert second.id == "m1" and loop.time() - answered_at >= 0.59
+        second.answer(200)
 
 
 @play
-async def test_a_call_whose_process_is_killed_is_a_reset_told_once_it_is_gone(tmp_path: Path) -> None:
+async def test_a_call_counts_as_reset_once_its_killed_process_has_ended(tmp_path: Path) -> None:
     async with service(tmp_path) as (platform, receiver, _):
         old = await platform.start()
         client = await platform.connect()
-        assert (await client.ask(message("m1"))).status == 202
+        assert (await client.request(message("m1"))).status == 202
         await receiver.next()
-        new = await replaced(platform, old)
+        new = await replace_process(platform, old)
         assert receiver.requests.empty()
         old.kill()
-        await new.says("predecessor ended: unfinished_calls=1")
+        await new.wait_for_log("predecessor ended: unfinished_calls=1")
         await soon(receiver.ends.get())
         assert (await receiver.next()).id == "m1"
 
 
 @play
-async def test_one_that_dies_before_it_owns_leaves_the_old_one_serving(tmp_path: Path) -> None:
+async def test_the_old_process_resumes_if_its_successor_ends_before_it_takes_over(tmp_path: Path) -> None:
     async with service(tmp_path) as (platform, receiver, _):
         old = await platform.start()
         client = await platform.connect()
-        assert (await client.ask(message("m1"))).status == 202
+        assert (await client.request(message("m1"))).status == 202
         first = await receiver.next()
         sock = connect(platform.state)
         assert sock is not None
@@ -303,42 +320,42 @@
         client.writer.write(message("m2"))
         first.answer(200)
         sock.close()
-        await old.says("handover aborted.*serving resumed")
-        assert (await client.ask(b"")).status == 202
+        await old.wait_for_log("handover aborted.*serving resumed")
+        assert (await client.request(b"")).status == 202
         assert (await receiver.next()).id == "m2"
         assert receiver.requests.empty()
-        await replaced(platform, old)
+        await replace_process(platform, old)
 
 
 @play
-async def test_an_owner_that_stands_still_is_ended_and_its_journal_taken_over(tmp_path: Path) -> None:
+async def test_an_unresponsive_owner_is_killed_and_its_journal_taken_over(tmp_path: Path) -> None:
     async with service(tmp_path) as (platform, receiver, _):
         old = await platform.start()
         client = await platform.connect()
-        assert (await client.ask(message("m1"))).status == 202
+        assert (await client.request(message("m1"))).status == 202
         await receiver.next()
         old.kill(signal.SIGSTOP)
         new = await platform.start()
-        await new.says("unresponsive owner killed")
-        assert await old.end() == -signal.SIGKILL
+        await new.wait_for_log("unresponsive owner killed")
+        assert await old.wait_for_exit() == -signal.SIGKILL
         assert (await receiver.next()).id == "m1"
 
 
 @play
-async def test_two_replacements_in_a_row_and_orders_over_both(tmp_path: Path) -> None:
+async def test_operators_commands_survive_two_replacements_in_a_row(tmp_path: Path) -> None:
     async with service(tmp_path) as (platform, receiver, _):
         old = await platform.start()
         assert (await old.call("POST", "/receivers/r/maint")).status == 200
         assert (await old.call("POST", "/healthcheck/fail")).status == 200
-        second = await replaced(platform, old)
-        assert (await old.call("POST", "/receivers/r/ready")).status == 503  # it does not own any more
-        third = await replaced(platform, second)
+        second = await replace_process(platform, old)
+        assert (await old.call("POST", "/receivers/r/ready")).status == 503  # it is no longer the owner
+        third = await replace_process(platform, second)
         client = await platform.connect()
-        assert (await client.ask(READY)).status == 503
+        assert (await client.request(READY)).status == 503
         assert (await third.call("POST", "/healthcheck/ok")).status == 200
         client = await platform.connect()
-        assert (await client.ask(READY)).status == 200
-        assert (await client.ask(message("m1"))).status == 202
+        assert (await client.request(READY)).status == 200
+        assert (await client.request(message("m1"))).status == 202
         assert b"cluster_unhealthy=1" in (await third.call("GET", "/stats")).body
         assert receiver.requests.empty()
         assert (await third.call("POST", "/receivers/r/ready")).status == 200
@@ -346,7 +363,9 @@
 
 
 @play
-async def test_what_is_no_socket_is_logged_and_the_configured_address_is_bound(tmp_path: Path) -> None:
+async def test_an_invalid_socket_descriptor_is_logged_and_the_configured_address_is_bound(
+    tmp_path: Path,
+) -> None:
     async with service(tmp_path) as (platform, _, _):
-        process = await platform.start(number="nothing")
-        assert any("SOCKET_FD is not used" in each for each in process.lines)
+        process = await platform.start(socket_fd="nothing")
+        assert any("SOCKET_FD is not used" in line for line in process.lines)
