--- a/tests/test_power.py
+++ b/tests/test_power.py
@@ -1,4 +1,4 @@
-"""The power goes between any two operations on the disk, thousands of times in simulated time."""
+"""Power losses between any two disk operations, thousands of times in simulated time."""
 
 import asyncio
 import multiprocessing
@@ -15,8 +15,9 @@
 from message_sender.journal.compaction import ReplacementFile
 from message_sender.journal.durable import DurableJournal
 
-#: Right before a sync the most is not durable: what rests on the order of operations is hit more often there.
-SHARP = Cuts(before="sync", apart=8)
+#: The amount of unsynced data is largest right before a sync, so cuts there find defects in the order of
+#: operations more often.
+CUTS_BEFORE_SYNC = Cuts(before="sync", apart=8)
 
 
 class NoFolderSync(DurableJournal):
@@ -26,76 +27,78 @@
         self.disk.replace(self.folder / "journal.next", self.folder / "journal")
 
 
-class NothingAwaited(DurableJournal):
-    """The engine does not wait for `sent` to be on the disk."""
+class SentNotAwaited(DurableJournal):
+    """Makes the engine send without waiting until the `sent` record is durable."""
 
     is_durable = False
 
 
-class Steps(DurableJournal):
-    """Written anew at every chance, a message at a time, with much happening in between."""
+class CompactsInSteps(DurableJournal):
+    """Compacts as often as possible, one message per step, with 4 ms for other operations in between."""
 
     step_bytes = 1
 
     def write_step(self, replacement: ReplacementFile, parts: Iterator[bytes]) -> None:
         asyncio.get_running_loop().call_later(0.004, super().write_step, replacement, parts)
 
-    def record_end(self, name: str, state: str = "") -> None:
+    def record_end(self, message_id: str, state: str = "") -> None:
         self.reserve_bytes = 0
-        super().record_end(name, state)
+        super().record_end(message_id, state)
 
 
-class NamedTooEarly(Steps):
+class RenamesTooEarly(CompactsInSteps):
+    """Installs the replacement before it is complete."""
+
     def compact(self) -> bool:
-        found = super().compact()
+        is_compacted = super().compact()
         if self.replacement:
             self.replacement.is_complete = True
             self.schedule_sync(0.0)
-        return found
+        return is_compacted
 
 
-def broken(seed: int, cuts: Cuts) -> tuple[int, list[str]]:
-    """Cuts of one life, and the rules that it broke."""
+def run_scenario(seed: int, cuts: Cuts) -> tuple[int, list[str]]:
+    """Runs one scenario; returns the number of power cuts and the rules that were broken."""
     outcomes = live(seed, cuts)
-    return outcomes.kills, [each.rule for each in outcomes.breaches]
+    return outcomes.kills, [breach.rule for breach in outcomes.breaches]
 
 
-def lives(cuts: Cuts, seeds: range) -> tuple[int, Counter[str]]:
-    """Cuts of all these lives, and in how many of them each rule was broken."""
+def run_scenarios(cuts: Cuts, seeds: range) -> tuple[int, Counter[str]]:
+    """Runs one scenario per seed; returns the number of power cuts, and per rule the runs that broke it."""
     with ProcessPoolExecutor(min(os.cpu_count() or 1, 6), multiprocessing.get_context("spawn")) as pool:
-        found = list(pool.map(partial(broken, cuts=cuts), seeds, chunksize=10))
-    return sum(cuts for cuts, _ in found), Counter(rule for _, rules in found for rule in {*rules})
+        results = list(pool.map(partial(run_scenario, cuts=cuts), seeds, chunksize=10))
+    return sum(cuts for cuts, _ in results), Counter(rule for _, rules in results for rule in {*rules})
 
 
-def test_no_rule_is_broken_by_five_thousand_cuts() -> None:
-    cuts, rules = lives(Cuts(), range(650))
+def test_no_rule_is_broken_by_five_thousand_power_cuts() -> None:
+    cuts, rules = run_scenarios(Cuts(), range(650))
     assert cuts >= 5000
     assert not rules
 
 
-def test_no_cut_while_the_journal_is_written_anew_in_steps_breaks_a_rule() -> None:
-    cuts, rules = lives(Cuts(journal=Steps), range(120))
+def test_no_rule_is_broken_by_power_cuts_during_stepwise_compaction() -> None:
+    cuts, rules = run_scenarios(Cuts(journal=CompactsInSteps), range(120))
     assert cuts >= 900
     assert not rules
 
 
-@pytest.mark.parametrize("journal", [DurableJournal, Steps])
-def test_no_cut_right_before_a_sync_breaks_a_rule(journal: type[DurableJournal]) -> None:
-    cuts, rules = lives(replace(SHARP, journal=journal), range(70))
+@pytest.mark.parametrize("journal", [DurableJournal, CompactsInSteps])
+def test_no_rule_is_broken_by_power_cuts_right_before_a_sync(journal: type[DurableJournal]) -> None:
+    cuts, rules = run_scenarios(replace(CUTS_BEFORE_SYNC, journal=journal), range(70))
     assert cuts >= 500
     assert not rules
 
 
 @pytest.mark.parametrize(
-    ("defect", "rule", "seeds", "least"),
+    ("defect", "rule", "seeds", "min_breaches"),
     [
         (Cuts(gather=None), "one end", 20, 8),
-        (replace(SHARP, journal=NoFolderSync), "one end", 60, 23),
-        (replace(SHARP, journal=NothingAwaited), "no effect twice", 150, 3),
-        (replace(SHARP, journal=NamedTooEarly), "one end", 60, 3),
+        (replace(CUTS_BEFORE_SYNC, journal=NoFolderSync), "one end", 60, 23),
+        (replace(CUTS_BEFORE_SYNC, journal=SentNotAwaited), "no effect twice", 150, 3),
+        (replace(CUTS_BEFORE_SYNC, journal=RenamesTooEarly), "one end", 60, 3),
     ],
-    ids=["nothing is synced", "no folder sync", "sent not awaited", "named too early"],
+    ids=["nothing is synced", "no folder sync", "sent not awaited", "renamed too early"],
 )
-def test_a_planted_defect_is_found(defect: Cuts, rule: str, seeds: int, least: int) -> None:
-    """In at least so many lives: a check that grows blunt is seen before it finds nothing."""
-    assert lives(defect, range(seeds))[1][rule] >= least
+def test_an_injected_defect_is_detected(defect: Cuts, rule: str, seeds: int, min_breaches: int) -> None:
+    """The minimum number of runs shows a loss of sensitivity before the check detects nothing at all."""
+    assert run_scenarios(defect, range(seeds))[1][rule] >= min_breaches
