--- a/message_sender/handover/takeover.py
+++ b/message_sender/handover/takeover.py
@@ -7,8 +7,8 @@
 - A running owner is asked for its state over its Unix socket. The state is parsed before the lock is taken: a
   state that cannot be parsed, for example one of another version, counts as no answer.
 - An owner that does not answer for ANSWER_TIMEOUT_S is killed with SIGKILL, so that it cannot send anything
-  later. The signal goes through a pidfd of the process named in the lock file, and only while the lock is
-  held.
+  later. The signal is sent through a pidfd of the process that the lock file names, and only while that
+  process holds the lock.
 """
 
 import asyncio
--- a/message_sender/journal/checkpoints.py
+++ b/message_sender/journal/checkpoints.py
@@ -126,7 +126,7 @@
     def __init__(self, data: bytes, found_records: Sequence[Record]) -> None:
         """Indexes the file `data`; `found_records` are all its valid records, in file order."""
         self.data = data
-        self.proven_bytes = max((records.proven_bytes_after(each) for each in found_records), default=0)
+        self.proven_bytes = max((records.proven_bytes_after(record) for record in found_records), default=0)
         self.offsets = [record.offset for record in found_records]
         self.digests = [DecisiveDigest()]  # digest before each record, and after the last one
         checkpoints = [Checkpoint(0, DecisiveDigest())]
@@ -147,13 +147,13 @@
         Returns None if no checkpoint follows the gap, or if the checkpoints contradict the records found.
         """
         gap_end = gap.offset + gap.size_bytes
-        first = next(each for each in reversed(self.checkpoints) if each.offset <= gap.offset)
-        last = next((each for each in self.checkpoints if each.offset >= gap_end), None)
-        if last is None:
+        before = next(x for x in reversed(self.checkpoints) if x.offset <= gap.offset)
+        after = next((x for x in self.checkpoints if x.offset >= gap_end), None)
+        if after is None:
             return DecisiveDigest() if self.is_damaged_sync_record(gap) else None
-        written = last.digest.difference(first.digest)
-        found = self.digest_before(last.offset).difference(self.digest_before(first.offset))
-        missing = written.difference(found)
+        written = after.digest.difference(before.digest)
+        readable = self.digest_before(after.offset).difference(self.digest_before(before.offset))
+        missing = written.difference(readable)
         return missing if missing.count >= 0 else None
 
     def is_damaged_sync_record(self, gap: Gap) -> bool:
--- a/message_sender/journal/contents.py
+++ b/message_sender/journal/contents.py
@@ -213,7 +213,7 @@
                 message whose id the caller removes earlier is skipped.
             digest: Digest to which the yielded records are added.
         """
-        yield b"".join(records.frame_record(json.dumps(each).encode(), 0) for each in self.run_records[-2:])
+        yield b"".join(records.frame_record(json.dumps(x).encode(), 0) for x in self.run_records[-2:])
         for message_id, finished in list(self.finished.items()):
             yield records.frame_record(finished_line(message_id, finished)[:-1], 0)
         for message_id in list(pending_ids):
--- a/message_sender/journal/lock.py
+++ b/message_sender/journal/lock.py
@@ -18,7 +18,7 @@
         """Acquires the lock and writes the PID of this process to the lock file.
 
         Raises:
-            LockTakenError: The lock is held by another holder.
+            LockTakenError: Another process or sender holds the lock.
             OSError: The lock file cannot be opened or written.
         """
         self.file = os.open(folder / LOCK_FILE, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
--- a/tests/test_damage.py
+++ b/tests/test_damage.py
@@ -224,9 +224,9 @@
 
 def test_a_compacted_file_proves_records_durable_that_were_added_before_its_rename(tmp_path: Path) -> None:
     data = write_journal(tmp_path, compacted)
-    found = records.scan_records(data).records
-    at = next(x.offset for x in found if x.payload.get("taken", {}).get("id") == "e")
-    assert max(records.proven_bytes_after(x) for x in found) > at
+    valid_records = records.scan_records(data).records
+    at = next(x.offset for x in valid_records if x.payload.get("taken", {}).get("id") == "e")
+    assert max(records.proven_bytes_after(x) for x in valid_records) > at
 
 
 def records_of(data: bytes, key: str) -> list[records.Record]:
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -267,7 +267,7 @@
         figures: dict[str, str] = {}
         while figures.get("edge_balancer.transactions.c.answered") != "2":
             lines = (await new.call("GET", "/stats")).body.decode().split()
-            figures = dict(each.split("=") for each in lines)
+            figures = dict(line.split("=") for line in lines)
         assert figures["edge_balancer.current"] == "0"
         old.kill(signal.SIGTERM)
         assert await old.wait_for_exit() == 0
