--- a/message_sender/handover/drain.py
+++ b/message_sender/handover/drain.py
@@ -21,7 +21,7 @@
 
 #: The load balancer checks every 0.1 s and assigns connections for up to 0.4 s after the first failed check.
 GRACE_S = 0.6
-EXIT_DELAY_S = 3.3  # after SIGTERM; SIGKILL may follow 3.7 s after it
+EXIT_DELAY_S = 3.3  # from SIGTERM; SIGKILL may follow 3.7 s from SIGTERM
 
 
 class DrainPhase(Enum):
