--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -165,6 +165,21 @@
     assert run_steps(successor, after) == run_steps(world, after)
 
 
+def test_calls_that_are_older_than_a_retry_become_overdue_in_time_after_a_handover() -> None:
+    """Known to be red: calls are inherited in the order of their messages, not of their starts.
+
+    The retry of m1 is the newest call, but the first one in the successor's queue of calls, so that m2 and m3
+    are not found to be overdue until it is.
+    """
+    world = World(endpoint("a"), endpoint("b"))
+    run_steps(world, [*[("take", "safe", 1)] * 3, ("take", "safe", 40), ("answer", Outcome.RESET, 400)])
+    world.step(WakeUp(), after=1)
+    successor = hand_over_world(world)
+    successor.count = world.count
+    steps: list[tuple[str, object, int]] = [("take", "safe", after) for after in (1, 1, 258, 400, 400)]
+    assert run_steps(successor, steps) == run_steps(world, steps)
+
+
 def test_a_trial_in_flight_stays_the_only_call_after_a_handover() -> None:
     world = World()
     world.open_breaker()
