--- a/message_sender/policy/__init__.py
+++ b/message_sender/policy/__init__.py
@@ -1,1 +1,1 @@
-"""The delivery policy: every decision of a sender, from its events and the time alone; no input or output."""
+"""The delivery policy: makes every decision of a sender from its events and the time. It does no I/O."""
--- a/message_sender/policy/actions.py
+++ b/message_sender/policy/actions.py
@@ -1,4 +1,4 @@
-"""Actions: what the delivery policy orders, to be carried out in this order.
+"""The actions that the delivery policy returns; the caller carries them out in the returned order.
 
 Durations are whole microseconds.
 """
@@ -13,7 +13,7 @@
     Attributes:
         message: Id of the message.
         endpoint: Id of the endpoint.
-        timeout_us: How long the attempt may take.
+        timeout_us: Time after which the attempt times out.
         attempt: Number of the attempt, from 0.
     """
 
@@ -29,7 +29,7 @@
 
     Attributes:
         message: Id of the message.
-        retry_after_us: The wait that the client is told; 0 for none.
+        retry_after_us: The Retry-After suggested to the client; 0 for none.
     """
 
     message: str
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Complete a message whose effect is unknown."""
+    """Complete a message that may have run and cannot safely be submitted again."""
 
     message: str
 
@@ -53,14 +53,14 @@
 
 @dataclass(frozen=True, slots=True)
 class WakeAfter:
-    """Send the event `WakeUp` after this time."""
+    """Send the event `WakeUp` after the given delay."""
 
     delay_us: int
 
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
-    """Ask for the list of endpoints and for its changes from now on."""
+    """Request the endpoint list, and its changes from now on."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogLine:
-    """A line for the operators, such as a change of a breaker's state."""
+    """Log a line for operators, such as a change of a breaker's state."""
 
     text: str
 
--- a/message_sender/policy/breaker.py
+++ b/message_sender/policy/breaker.py
@@ -1,23 +1,24 @@
-"""The circuit breaker of a destination, or of each endpoint where these are separate routes.
+"""The circuit breaker of a destination, or of each endpoint where the endpoints are separate routes.
 
 States and transitions:
 
-- **closed**: `failures` is below the threshold. Calls may go, at least `gap` apart. A served call resets
-  the count and shrinks the gap; a refusal (the destination is at capacity) doubles the gap; a failure adds
-  to the count. Where the endpoint list announces rates, a refusal raises the gap to this sender's part of
-  the announced rate. It grows beyond that where all calls are refused for longer than the window of a rate
-  limit, since the destination is then out of service; and in a large fleet, whose limit may have been
-  lowered: there the gap shrinks by the time since its last change.
-- **open**: the threshold is reached. No call goes until `trial_at`, the reset timeout after the last
-  failure.
+- **closed**: `failures` is below the threshold. Calls are sent at least `gap` apart. A served call resets the
+  count and shrinks the gap; a refusal (the destination is at capacity) doubles the gap; a failure adds to
+  the count. Where the endpoint list announces rates, a refusal raises the gap to the time between calls at
+  this sender's part of the announced rate. The gap grows beyond that in two cases: if all calls are refused
+  for longer than the window of a rate limit, since the destination is then out of service; and in a large
+  fleet, since the limit may have been lowered. In a large fleet the gap shrinks by the time since its last
+  change.
+- **open**: the threshold is reached. No call is sent until `trial_at`, which is the reset timeout after the
+  last failure.
 - **half-open**: one call is in flight as `trial`. A success closes the breaker, with a gap that begins at
   the smallest step; any failure or refusal restarts the timeout.
 
-Independently of these states, `wait_until` is the end of a Retry-After that the destination announced (no
-call goes before it), and `warm_up_since` starts the slow start of a destination that may have been down
-(calls go at most at a stated multiple of what a cold destination can serve).
+Independently of these states, `wait_until` is the end of a Retry-After that the destination announced: no
+call is sent before it. `warm_up_since` begins the slow start of a destination that may have been down: calls
+are limited to a stated multiple of the load that a cold destination can serve.
 
-The algorithm is pure: all times are whole microseconds that the caller passes in.
+The algorithm does no I/O and reads no clock: all times are whole microseconds that the caller passes in.
 """
 
 import math
@@ -30,38 +31,39 @@
 NEVER = math.inf
 
 # Opening and closing.
-FAILURE_THRESHOLD = 3  # consecutive failures
-ERROR_WEIGHT = 1 / 3  # of an answer in error, against 1 for a failure without an answer
+FAILURE_THRESHOLD = 3  # consecutive failures that open the breaker
+ERROR_WEIGHT = 1 / 3  # weight of an error answer; a failure without an answer has weight 1
 RESET_TIMEOUT_US = 2_000_000  # from the last failure to the trial call
 
-# The gap between calls, where the list announces no rate.
+# The gap between calls where the endpoint list announces no rate.
 BASE_GAP_US = 100_000  # the smallest gap
-GAP_SHRINK = 0.15  # fraction of the gap that a served call takes off
+GAP_SHRINK = 0.15  # fraction by which each served call shrinks the gap
 
-# The gap where the list announces a rate. Factors of the time between calls at this sender's part of it.
-ANNOUNCED_GAP_FACTOR = 1.2  # first gap: refused calls count against the limit too
-ANNOUNCED_GAP_SHRINK = 0.03  # replaces GAP_SHRINK up to the first gap
+# The gap where the endpoint list announces a rate. The factors multiply the time between calls at this
+# sender's part of that rate.
+ANNOUNCED_GAP_FACTOR = 1.2  # first gap; above 1 because refused calls count against the limit too
+ANNOUNCED_GAP_SHRINK = 0.03  # replaces GAP_SHRINK for a gap up to the first gap
 ANNOUNCED_MAX_GAP_FACTOR = 4  # the longest gap
-MAX_LIMIT_WINDOW_US = 2_000_000  # a rate limit refuses all calls for at most so long
+MAX_LIMIT_WINDOW_US = 2_000_000  # longest time for which a rate limit refuses all calls
 
-# Large fleets, each of whose members sees few calls.
-SMALL_FLEET_SIZE = 4  # up to so many senders the longest gap is the reset timeout
-LARGE_FLEET_SHRINK_TIME_US = 5_000_000  # served calls shrink the gap to 1/e in it, above the first gap
-LARGE_FLEET_ANNOUNCED_SHRINK_TIME_US = 15_000_000  # the same, below the first gap
-LARGE_FLEET_GAP_DIVISOR = 8  # the gap ends at this part of the first gap
+# Large fleets: each member sees few calls.
+SMALL_FLEET_SIZE = 4  # up to this fleet size the longest gap is the reset timeout
+LARGE_FLEET_SHRINK_TIME_US = 5_000_000  # in which served calls shrink a gap above the first gap to 1/e
+LARGE_FLEET_ANNOUNCED_SHRINK_TIME_US = 15_000_000  # the same for a gap up to the first gap
+LARGE_FLEET_GAP_DIVISOR = 8  # the gap ends below the first gap divided by this
 
 # Health and latency.
-DOUBTFUL_FAILURE_RATE = 0.4  # recent failures per call from which a destination is in doubt
-SMOOTHING_WEIGHT = 0.125  # of the newest call in moving averages, as for round-trip times in TCP (RFC 6298)
-OVERDUE_DEVIATIONS = 4  # mean deviations above the mean latency from which a call is overdue (RFC 6298)
+SUSPECT_FAILURE_RATE = 0.4  # recent failures per call from which a destination may have been down
+SMOOTHING_WEIGHT = 0.125  # of the newest call in moving averages, as in TCP round-trip estimation (RFC 6298)
+OVERDUE_DEVIATIONS = 4  # a call is overdue this many mean deviations above the mean latency (RFC 6298)
 
 # Warm-up.
-WARM_UP_LENGTH_FACTOR = 2  # warm-up times for which calls are paced
-WARM_UP_LOAD_FACTOR = 0.75  # of Settings.fall_multiple: the load on a destination that warms up
+WARM_UP_LENGTH_FACTOR = 2  # calls are paced for this multiple of Settings.slow_start
+WARM_UP_LOAD_FACTOR = 0.75  # load during the warm-up, as a fraction of Settings.fall_multiple
 
-#: Failures in which the destination answered.
+#: Failures in which the destination did answer.
 ANSWERED_FAILURES = frozenset({Outcome.ERROR, Outcome.MALFORMED})
-#: Failures that commonly concern one connection alone.
+#: Failures that commonly concern a single connection only.
 ISOLATED_FAILURES = ANSWERED_FAILURES | {Outcome.RESET, Outcome.CONNECT_FAILED}
 
 
@@ -70,11 +72,11 @@
 
     Attributes:
         listed: Its entry in the endpoint list.
-        in_flight: Number of calls.
-        suspect_until: Other endpoints are preferred until then.
+        in_flight: Number of calls in flight.
+        suspect_until: Other endpoints are preferred until this time.
         last_sent: When the newest call was sent.
         connect_refused_at: When a connection was last refused.
-        connections_scarce_until: Until then other senders need the connections that this one holds idle.
+        connections_scarce_until: Until this time other senders need this sender's idle connections.
         weighted_calls: Calls divided by the endpoint's weight, since its destination's list changed.
         breaker: None while its destination is inactive.
     """
@@ -97,19 +99,19 @@
 
 
 class ActiveCall:
-    """A call in flight; several messages share it where they travel as a batch.
+    """A call in flight. A call carries several messages where the destination accepts batches.
 
     Attributes:
-        sent_at: When it was sent.
-        sequence: Order among all calls.
+        sent_at: When the call was sent.
+        sequence: Its position in the order of all calls.
         messages: Its messages that have no result yet, by id.
         is_settled: Its first result has been counted.
-        is_overdue: It takes so long that it has been counted as a failure.
-        is_cancelled: It has been asked to stop.
+        is_overdue: It has taken so long that it has been counted as a failure.
+        is_cancelled: Its cancellation has been requested.
     """
 
     def __init__(self, breaker: "Breaker", endpoint: TrackedEndpoint, now: int, sequence: int) -> None:
-        """Creates a call that is sent now, still without messages."""
+        """Creates a call that is sent now and has no messages yet."""
         self.breaker = breaker
         self.endpoint = endpoint
         self.sent_at = now
@@ -126,13 +128,13 @@
 
 @dataclass(frozen=True, slots=True)
 class BreakerContext:
-    """What all breakers of a sender share.
+    """The data that all breakers of a sender share.
 
     Attributes:
         settings: The settings of the policy.
-        rng: Spreads calls over time.
-        fleet_factor: Fleet size over `SMALL_FLEET_SIZE`; 1 in a small fleet, above 1 in a large one.
-        min_latency_objective: The shortest of all classes, us.
+        rng: Random generator that spreads calls over time.
+        fleet_factor: Fleet size divided by `SMALL_FLEET_SIZE`; 1 in a small fleet, above 1 in a large fleet.
+        min_latency_objective: The shortest latency objective of all classes, us.
     """
 
     settings: Settings
@@ -148,29 +150,29 @@
 
 
 class Breaker:
-    """A circuit breaker with pacing, Retry-After and a warm-up; see the module's description.
+    """A circuit breaker with pacing, Retry-After and slow start; see the description of the module.
 
     Attributes:
         failures: Weighted failures since the last success.
-        trial_at: From when a trial may go while the breaker is open.
-        trial: The trial call in flight.
-        gap: Time between calls; `base_gap` is its smallest step, `max_gap` its bound.
+        trial_at: While the breaker is open: when the trial call may be sent.
+        trial: The trial call in flight; None if there is none.
+        gap: Least time between calls; `base_gap` is its smallest step, `max_gap` its upper bound.
         gap_changed: When the gap last grew.
-        announced_gap: Time between calls at this sender's part of the announced rate; NEVER without one.
-        in_flight: Number of calls.
+        announced_gap: Time between calls at this sender's part of the announced rate; NEVER without a rate.
+        in_flight: Number of calls in flight.
         last_sent: When the newest call was sent.
-        wait_until: End of an announced Retry-After.
+        wait_until: End of the announced Retry-After.
         calls_since_success: Failed and refused calls since the last success.
         failure_rate: Recent failures per call, a moving average.
         warm_up_since: Start of the warm-up.
         newest_success_sent_at: When the newest successful call was sent.
         mean_latency: Moving average over successful calls; `latency_deviation` is the mean deviation and
-            `latency_samples` the number of calls, where the initial guess counts as one.
-        success_count: Successful calls, faded by age; `success_time` is the time between them.
+            `latency_samples` the number of calls, where the initial guess counts as one call.
+        success_count: Successful calls, decayed by age; `success_time` is the time between them, likewise.
         last_success: When a call last succeeded.
-        refused_since: The first refusal since a success.
+        refused_since: When the first refusal since the last success came.
         on_time_calls: Calls in flight that are not overdue, oldest first.
-        overdue_calls: Calls in flight that are.
+        overdue_calls: Calls in flight that are overdue.
     """
 
     __slots__ = (
@@ -182,7 +184,7 @@
     )  # fmt: skip
 
     def __init__(self, context: BreakerContext, destination: int) -> None:
-        """Creates a closed breaker for the destination of that number."""
+        """Creates a closed breaker for the destination with the given number."""
         self.context = context
         self.destination = destination
         self.failures = 0.0
@@ -213,10 +215,10 @@
     def set_announced_rate(self, rate: float) -> None:
         """Scales both bounds of the gap to the announced rate.
 
-        Busy destinations get no long gaps, and no destination gets more calls than its limit allows.
+        This avoids long gaps at busy destinations, and calls beyond its limit at any destination.
 
         Args:
-            rate: Calls a second that the destination takes from all senders; above 0.
+            rate: Calls a second that the destination accepts from all senders together; above 0.
         """
         self.announced_gap = 1e6 * self.context.settings.fleet_size / rate
         self.max_gap = min(
@@ -229,31 +231,34 @@
         return self.failures >= FAILURE_THRESHOLD
 
     def ready_at(self, now: int) -> float:
-        """Returns when the next call may go, estimated from the gap now; NEVER while a trial is in flight."""
+        """Returns when the next call may be sent, estimated from the present gap; NEVER during a trial."""
         if self.is_open():
             return NEVER if self.trial else max(self.wait_until, self.trial_at)
         return max(self.wait_until, self.last_sent + max(self.gap, self.warm_up_gap(now)))
 
     def earliest_ready_at(self, now: int) -> float:
-        """Returns the first microsecond from which a call may go if nothing happens until then.
+        """Returns the first microsecond at which a call may be sent if no event happens until then.
 
-        While a destination warms up the gap shrinks with time, so the call may go before `ready_at(now)`.
+        While a destination warms up the gap shrinks with time, so that may be earlier than `ready_at(now)`.
         """
         estimate = self.ready_at(now)
         if estimate <= now or estimate == NEVER or self.is_open() or self.warm_up_gap(now) <= self.gap:
             return estimate
-        early = now
-        late = math.ceil(estimate)
-        while late - early > 1:
-            middle = (early + late) // 2
+        low = now
+        high = math.ceil(estimate)
+        while high - low > 1:
+            middle = (low + high) // 2
             if self.ready_at(middle) <= middle:
-                late = middle
+                high = middle
             else:
-                early = middle
-        return float(late)
+                low = middle
+        return float(high)
 
     def restart_timeout(self, now: int) -> None:
-        """Restarts the reset timeout; in a large fleet a failed trial adds the gap of a cold destination."""
+        """Restarts the reset timeout.
+
+        In a large fleet a failed trial also restarts the warm-up, whose gap may extend the timeout.
+        """
         timeout: float = RESET_TIMEOUT_US
         if self.trial and self.context.fleet_factor > 1:
             self.warm_up_since = now
@@ -262,11 +267,11 @@
         self.trial_at = now + timeout
 
     def warm_up_gap(self, now: int) -> float:
-        """Returns the time between calls while the destination warms up; 0 after that.
+        """Returns the time between calls while the destination warms up, us; 0 after the warm-up.
 
         The load is this sender's usual rate (or, in a new process, its part of the announced rate) times
-        the warm fraction of the capacity. That fraction goes on to grow beyond 1 for some time, so that the
-        senders do not send all pending messages together the moment the destination is warm.
+        the warm fraction of the capacity. That fraction continues to grow beyond 1 for some time, so that
+        the senders do not send all their pending messages together once the destination is warm.
         """
         settings = self.context.settings
         progress = (now - self.warm_up_since) / settings.slow_start
@@ -277,7 +282,7 @@
         return min(min(self.success_time / self.success_count, self.announced_gap) / load, 2 * self.max_gap)
 
     def overdue_at(self) -> float:
-        """Returns when the oldest call that is on time becomes overdue; NEVER with none in flight."""
+        """Returns when the oldest call that is on time becomes overdue; NEVER if there is no such call."""
         oldest = next(iter(self.on_time_calls), None)
         return oldest.sent_at + self.overdue_after() if oldest else NEVER
 
@@ -291,14 +296,14 @@
     def record_failure(self, now: int, outcome: Outcome = Outcome.TIMEOUT) -> None:
         """Counts a failure.
 
-        Members of a large fleet see few calls of an outage, so one failure that is not commonly isolated
-        is enough for doubt; and as all of them see the outage, their calls are spread apart.
+        A member of a large fleet sees few calls during an outage, so one failure restarts the warm-up unless
+        failures of its kind are commonly isolated. As all members see the outage, their calls are spread.
         """
         self.failures += ERROR_WEIGHT if outcome in ANSWERED_FAILURES else 1
         self.restart_timeout(now)
         self.failure_rate += (1 - self.failure_rate) * SMOOTHING_WEIGHT
-        least_calls = 2 if outcome in ISOLATED_FAILURES else 1
-        self.record_unserved(now, max(FAILURE_THRESHOLD / self.context.fleet_factor, least_calls))
+        min_calls = 2 if outcome in ISOLATED_FAILURES else 1
+        self.record_unserved(now, max(FAILURE_THRESHOLD / self.context.fleet_factor, min_calls))
         if self.context.fleet_factor > 1 and self.warm_up_since == now:
             self.last_sent += self.warm_up_gap(now) * self.context.rng.uniform(-0.5, 0.5)
 
@@ -307,7 +312,7 @@
 
         Args:
             now: The time.
-            call: The refused call. One sent before the gap last grew leaves the gap as it is.
+            call: The refused call. A call that was sent before the gap last grew leaves the gap unchanged.
             retry_after_us: The wait that the destination announced; 0 for none.
         """
         if call is self.trial:
@@ -315,36 +320,36 @@
         if call.sent_at < self.gap_changed:
             return
         self.refused_since = min(self.refused_since, now)
-        # A rate limit refuses until its window ends and announces no longer wait; beyond, it is an outage.
+        # A rate limit neither refuses nor announces a wait beyond the end of its window; an outage does.
         is_out_of_service = max(now - self.refused_since, retry_after_us) > MAX_LIMIT_WINDOW_US
         may_exceed_base = is_out_of_service or self.announced_gap == NEVER or self.context.fleet_factor > 1
         bound = self.max_gap if may_exceed_base else self.base_gap
         self.gap = min(max(2 * self.gap, self.initial_gap()), bound)
         self.gap_changed = now
-        doubt_from = max(FAILURE_THRESHOLD / self.context.fleet_factor, 2) if is_out_of_service else NEVER
-        self.record_unserved(now, doubt_from)
-        # Senders that are told the same wait do not return together.
+        min_calls = max(FAILURE_THRESHOLD / self.context.fleet_factor, 2) if is_out_of_service else NEVER
+        self.record_unserved(now, min_calls)
+        # Spreads senders that received the same Retry-After, so that they do not return together.
         delay = self.context.rng.uniform(0, 2 * self.gap) * (1 - 1 / self.context.fleet_factor)
         self.wait_until = max(self.wait_until, now) + math.ceil(delay)
 
     def initial_gap(self) -> float:
         """Returns the gap after the first refusal.
 
-        Members of a large fleet have unequal parts of the traffic. One with more than the mean would leave
-        unused, at the mean gap, what the others never ask for.
+        Members of a large fleet have unequal parts of the traffic. At the mean gap, a member with more than
+        the mean part would leave capacity unused that the other members never request.
         """
         usual_gap = max(self.success_time / self.success_count, self.base_gap / LARGE_FLEET_GAP_DIVISOR)
         return self.base_gap if self.context.fleet_factor <= 1 else min(self.base_gap, usual_gap)
 
-    def record_unserved(self, now: int, doubt_from: float) -> None:
-        """Counts a call that was not served; what may be an outage restarts the warm-up.
+    def record_unserved(self, now: int, min_calls: float) -> None:
+        """Counts a call that was not served, and restarts the warm-up if there may be an outage.
 
         Args:
             now: The time.
-            doubt_from: Consecutive unserved calls from which the destination may have been down.
+            min_calls: Number of consecutive unserved calls from which the destination may have been down.
         """
         self.calls_since_success += 1
-        if self.calls_since_success >= doubt_from or self.failure_rate >= DOUBTFUL_FAILURE_RATE:
+        if self.calls_since_success >= min_calls or self.failure_rate >= SUSPECT_FAILURE_RATE:
             self.warm_up_since = now
 
     def record_success(self, now: int, call: ActiveCall) -> None:
@@ -357,11 +362,12 @@
         self.mean_latency += (latency - self.mean_latency) * weight
         since_success = now - self.last_success
         if self.calls_since_success == 0 and self.warm_up_gap(now) == 0 and since_success >= 0:
-            fading = math.exp(-since_success / self.context.settings.slow_start)
-            self.success_count = self.success_count * fading + 1
-            self.success_time = self.success_time * fading + since_success
+            decay = math.exp(-since_success / self.context.settings.slow_start)
+            self.success_count = self.success_count * decay + 1
+            self.success_time = self.success_time * decay + since_success
         self.shrink_gap(now, since_success if since_success >= 0 else NEVER)
-        if self.failures and self.context.fleet_factor > 1:  # it returned between the failure and this call
+        if self.failures and self.context.fleet_factor > 1:
+            # The destination recovered between the last failure and the start of this call.
             self.warm_up_since = max((self.warm_up_since + call.sent_at) / 2, self.warm_up_since)
         self.last_success = now
         self.failures = 0
@@ -371,11 +377,11 @@
         self.failure_rate *= 1 - SMOOTHING_WEIGHT
 
     def shrink_gap(self, now: int, since_success: float) -> None:
-        """Takes the share of a served call off the gap; one that has become small ends.
+        """Shrinks the gap after a served call; a gap that has become small ends.
 
         Args:
             now: The time.
-            since_success: Time since the successful call before, us.
+            since_success: Time since the previous successful call, us.
         """
         has_rate = self.announced_gap < NEVER
         is_in_large_fleet = has_rate and self.context.fleet_factor > 1
@@ -383,8 +389,10 @@
         shrink = ANNOUNCED_GAP_SHRINK if is_below_base else GAP_SHRINK
         if is_in_large_fleet and not self.is_open():
             elapsed = min(since_success, now - self.gap_changed)
-            time = LARGE_FLEET_ANNOUNCED_SHRINK_TIME_US if is_below_base else LARGE_FLEET_SHRINK_TIME_US
-            shrink = 1 - math.exp(-elapsed / time)
+            shrink_time = (
+                LARGE_FLEET_ANNOUNCED_SHRINK_TIME_US if is_below_base else LARGE_FLEET_SHRINK_TIME_US
+            )
+            shrink = 1 - math.exp(-elapsed / shrink_time)
         self.gap = max(self.gap, self.base_gap if self.is_open() else 0) * (1 - shrink)
         if self.gap < self.base_gap / (LARGE_FLEET_GAP_DIVISOR if is_in_large_fleet else 2):
             self.gap = 0.0
--- a/message_sender/policy/destination.py
+++ b/message_sender/policy/destination.py
@@ -8,18 +8,21 @@
 class Destination:
     """A destination with its endpoints, breakers and pending messages.
 
-    It is *listed only* until the first message for it, *active* from then on, and *inactive* after a long
-    time without calls: then its breakers are dropped and only the time of its last use is kept.
+    A destination is *listed only* until the first message for it arrives, *active* from then on, and
+    *inactive* after a long time without calls. The breakers of an inactive destination are dropped, and only
+    the time of its last use is kept.
 
     Attributes:
-        endpoints: Those listed as ready.
-        breakers_by_route: By endpoint id where its endpoints are separate routes, else one under ""; None
-            unless it is active.
-        breakers: Those of the listed endpoints.
-        pending: Its pending messages by id; None instead of an empty one, to save memory.
-        ready_groups: Of these, the messages that may go next, by class and weight factor; None if empty.
-        is_weighted: The weights of its endpoints differ from 1.
-        inactive_since: The last call before it became inactive.
+        endpoints: Its endpoints that are listed as ready.
+        breakers_by_route: Its breakers by endpoint id where the endpoints are separate routes, otherwise a
+            single breaker under ""; None unless the destination is active.
+        breakers: The breakers of the listed endpoints.
+        pending: Its pending messages by id; None instead of an empty dictionary, to save memory.
+        ready_groups: The pending messages that may be sent next, by class name and weight factor; None if
+            there are none.
+        is_weighted: Whether an endpoint has a weight other than 1.
+        inactive_since: When the destination was last called before it became inactive, or when its endpoints
+            came back into service; None if neither applies.
     """
 
     __slots__ = (
@@ -44,45 +47,45 @@
         self.pending[message.id] = message
 
     def remove_pending(self, message: PendingMessage) -> None:
-        """Removes a message if it is pending here."""
+        """Removes a message if it is pending at this destination."""
         self.remove_ready(message)
         if self.pending and self.pending.pop(message.id, None) and not self.pending:
             self.pending = None
 
     def add_ready(self, message: PendingMessage, halves_late_weight: bool) -> None:
-        """Adds a pending message to those that may go next."""
+        """Adds a pending message to those that may be sent next."""
         if self.ready_groups is None:
             self.ready_groups = {}
-        name = message.message_class.name, message.weight_factor
-        if name not in self.ready_groups:
+        group_key = message.message_class.name, message.weight_factor
+        if group_key not in self.ready_groups:
             group = ReadyGroup(message.message_class, message.weight_factor, halves_late_weight)
-            self.ready_groups[name] = group
-        self.ready_groups[name].add(message)
+            self.ready_groups[group_key] = group
+        self.ready_groups[group_key].add(message)
         message.is_ready = True
 
     def remove_ready(self, message: PendingMessage) -> None:
-        """Removes a message from those that may go next, if it is one."""
+        """Removes a message from those that may be sent next, if it is one of them."""
         if not message.is_ready:
             return
         assert self.ready_groups is not None
-        name = message.message_class.name, message.weight_factor
-        self.ready_groups[name].remove(message)
+        group_key = message.message_class.name, message.weight_factor
+        self.ready_groups[group_key].remove(message)
         message.is_ready = False
-        if not self.ready_groups[name].messages:
-            del self.ready_groups[name]
+        if not self.ready_groups[group_key].messages:
+            del self.ready_groups[group_key]
         if not self.ready_groups:
             self.ready_groups = None
 
     def most_urgent(self, now: int) -> tuple[Rank, PendingMessage] | None:
-        """Returns the message that goes first, with its rank; None if none may go."""
+        """Returns the message to send first, with its rank; None if no message may be sent."""
         if not self.ready_groups:
             return None
         return min((each.most_urgent(now) for each in self.ready_groups.values()), default=None)
 
     def ready_at(self, now: int) -> float:
-        """Returns when one of its breakers allows a call, estimated now; NEVER without a breaker."""
+        """Returns when the first of its breakers allows a call, as estimated now; NEVER without a breaker."""
         return min((each.ready_at(now) for each in self.breakers), default=NEVER)
 
     def earliest_ready_at(self, now: int) -> float:
-        """Returns the first microsecond at which one of its breakers allows a call."""
+        """Returns the first microsecond at which one of its breakers allows a call; NEVER without one."""
         return min((each.earliest_ready_at(now) for each in self.breakers), default=NEVER)
--- a/message_sender/policy/endpoints.py
+++ b/message_sender/policy/endpoints.py
@@ -1,12 +1,12 @@
-"""The registry of listed endpoints, of destinations with their breakers, and of when to check each of them.
+"""The registry of listed endpoints and of destinations with their breakers, and the schedule of their checks.
 
-Changes are recorded where they happen, so that the cost of an iteration depends only on what changed:
+Each change is recorded when it happens, so that the cost of an iteration depends only on what changed:
 
-- `available`: destinations that may accept a call now; checked while slots are free. One that turns out to
-  accept none moves to `reopenings`, until its gap, wait or timeout ends.
-- `changed_breakers`: breakers that had an event.
-- `overdue_checks`: when the oldest call of a breaker becomes overdue.
-- `idle_checks`: when a destination may have been unused for long enough to drop its breakers.
+- `available`: destinations that may accept a call now; they are checked while slots are free. A destination
+  that turns out to accept no call moves to `reopenings` until its gap, wait or timeout ends.
+- `changed_breakers`: breakers that had an event since the last iteration.
+- `overdue_checks`: the time at which the oldest call of each breaker becomes overdue.
+- `idle_checks`: the time at which a destination may have been unused for long enough to drop its breakers.
 """
 
 from collections import defaultdict
@@ -20,17 +20,17 @@
 from message_sender.policy.model import DestinationKind, Endpoint, EndpointState, ListingKind
 from message_sender.policy.timers import TimerQueue
 
-UNUSED_BREAKER_AGE_US = 60_000_000  # a breaker without listed endpoint is dropped: above any outage's length
-INACTIVE_DESTINATION_AGE_US = 3_600_000_000  # a listed destination becomes inactive
+UNUSED_BREAKER_AGE_US = 60_000_000  # a breaker without a listed endpoint is dropped: longer than any outage
+INACTIVE_DESTINATION_AGE_US = 3_600_000_000  # an unused listed destination becomes inactive
 
 
 class EndpointRegistry:
-    """Endpoints and destinations.
+    """The known endpoints and destinations.
 
     Attributes:
         endpoints: Endpoints that are listed as ready, by id.
-        destinations: All that are listed, active or remembered, by number.
-        shared_limits: The limits that the fleet shares; None where there are none.
+        destinations: All destinations that are listed, active or inactive, by number.
+        shared_limits: The limits that the fleet shares; None if there are none.
     """
 
     def __init__(self, loop: LoopState) -> None:
@@ -49,7 +49,7 @@
         self.shared_limits: SharedLimits | None = None
 
     def activate(self, number: int) -> Destination:
-        """Returns a destination, active; one that was inactive warms up like one that was down."""
+        """Activates a destination and returns it; after inactivity it warms up as after an outage."""
         if (destination := self.destinations.get(number)) is None:
             destination = self.destinations[number] = Destination(number)
         if destination.breakers_by_route is None:
@@ -72,9 +72,9 @@
     # The endpoint list.
 
     def update_endpoints(self, update: EndpointsUpdated) -> None:
-        """Applies a list or a change of it.
+        """Applies an update of the endpoint list.
 
-        A drain takes effect once it is announced, so only endpoints that are ready are kept.
+        A drain takes effect as soon as it is announced, so only endpoints that are ready are kept.
         """
         if update.listing is ListingKind.FAILED:
             self.list_polling.poll_failed(self.loop.now)
@@ -82,7 +82,7 @@
         if update.listing is ListingKind.CACHED:
             self.list_polling.process_started(self.loop.now)
         known = self.endpoints
-        changed: dict[int, None] = {}  # destinations, in the order in which they were named
+        changed: dict[int, None] = {}  # changed destinations, in the order in which the update names them
         if update.listing is not ListingKind.CHANGES:
             known = self.endpoints.copy()
             self.endpoints.clear()
@@ -130,7 +130,7 @@
         endpoint.breaker = None
 
     def warm_up_returned(self, returned: frozenset[str]) -> None:
-        """Warms up destinations whose endpoints all were out of service: messages wait for them.
+        """Warms up destinations whose endpoints were all out of service, since messages are waiting for them.
 
         Args:
             returned: Ids of the endpoints that were out of service.
@@ -147,7 +147,7 @@
                 destination.inactive_since = self.loop.now
 
     def refresh_destination(self, destination: Destination) -> None:
-        """Updates what derives from the endpoints of one destination."""
+        """Updates the data derived from the endpoints of one destination."""
         destination.is_weighted = any(each.listed.weight != 1 for each in destination.endpoints)
         for endpoint in destination.endpoints:
             endpoint.weighted_calls = 0.0
@@ -157,7 +157,7 @@
             del self.destinations[destination.number]
 
     def assign_breakers(self, destination: Destination) -> None:
-        """Gives each listed endpoint of an active destination its breaker."""
+        """Assigns its breaker to each listed endpoint of an active destination."""
         for endpoint in destination.endpoints:
             endpoint.breaker = breaker = self.breaker_for(destination, endpoint.listed)
             if self.settings.announces_rates and endpoint.listed.scale > 0:
@@ -179,8 +179,8 @@
     def delay_first_call(self, number: int) -> None:
         """Delays the first call after a restart at random.
 
-        A large fleet that restarts together would otherwise send all restored messages together. The delay
-        is at most a mean member's time between calls.
+        Otherwise a large fleet that restarts together would send all restored messages together. The delay
+        is at most the time between calls of a member with the mean part of the traffic.
         """
         if self.loop.context.fleet_factor <= 1:
             return
@@ -190,12 +190,12 @@
                 breaker.wait_until = int(self.loop.now + self.loop.random.uniform(0, gap))
 
     def mark_changed(self, breaker: Breaker) -> None:
-        """Records an event of a breaker: it may accept a call, and its next overdue call may be another."""
+        """Records an event of a breaker: it may accept a call, and its overdue check may have moved."""
         self.changed_breakers[breaker] = None
         self.available[breaker.destination] = None
 
     def schedule_overdue_checks(self) -> dict[Breaker, None]:
-        """Schedules a check of each changed breaker for when its oldest call is overdue.
+        """Schedules a check of each changed breaker for the time when its oldest call becomes overdue.
 
         Returns:
             The changed breakers.
@@ -207,7 +207,7 @@
         return changed
 
     def mark_unavailable(self, destination: Destination) -> None:
-        """Records that a destination accepts no call before a time, or before it has an event."""
+        """Records that a destination accepts no call now, and when to check it again; an event may be first."""
         self.available.pop(destination.number, None)
         ready_at = destination.earliest_ready_at(int(self.loop.now))
         if self.shared_limits and destination.endpoints:
@@ -218,7 +218,7 @@
         self.reopenings.schedule(destination.number, ready_at if ready_at > self.loop.now else NEVER)
 
     def limits_raised(self, number: int) -> None:
-        """Makes the next iteration check a destination whose part of a shared limit has grown."""
+        """Makes the next iteration check a destination for which this sender's part of a limit has grown."""
         if number in self.destinations:
             self.available[number] = None
 
@@ -227,7 +227,7 @@
     def expire_unused(self) -> None:
         """Drops unused breakers.
 
-        This bounds the memory of a long-lived process, and no destination is judged by old statistics.
+        This bounds the memory of a long-lived process, and avoids decisions based on outdated statistics.
         """
         for number in self.idle_checks.pop_due(self.loop.now):
             self.loop.examined_items += 1
@@ -247,11 +247,11 @@
                 self.deactivate(destination)
 
     def is_unused(self, breaker: Breaker, age_us: int) -> bool:
-        """Whether the breaker has no call in flight and had none, nor a wait, for this time."""
+        """Whether no call is in flight, and the last call and the last wait are at least `age_us` ago."""
         return not breaker.in_flight and max(breaker.last_sent, breaker.wait_until) + age_us <= self.loop.now
 
     def drop_breaker(self, destination: Destination, route: str) -> None:
-        """Drops an unused breaker; only the time of its last use is kept."""
+        """Drops an unused breaker and keeps only the time of its last call."""
         assert destination.breakers_by_route is not None
         breaker = destination.breakers_by_route.pop(route)
         if breaker.last_sent > -NEVER:
--- a/message_sender/policy/events.py
+++ b/message_sender/policy/events.py
@@ -1,4 +1,4 @@
-"""Events: what happened to this sender, as the delivery policy receives it.
+"""The events that the delivery policy receives.
 
 Durations and times are whole microseconds of the sender's own clock.
 """
@@ -10,12 +10,12 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointsUpdated:
-    """The list of endpoints, or a change of it.
+    """An update of the endpoint list.
 
     Attributes:
-        listing: What the list holds.
+        listing: What the update holds.
         endpoints: The entries.
-        returned: Ids of entries that were out of service and have to warm up.
+        returned: Ids of endpoints that were out of service and have to warm up.
     """
 
     listing: ListingKind
@@ -31,11 +31,12 @@
         message: Id of the message.
         message_class: Name of its class.
         destination: Number of its destination.
-        time_left_us: Until its deadline.
-        tenant: Whose quota it counts against; may be empty.
-        key: Messages of one key are delivered in order; empty: it has no order.
-        is_repeat: The client says that it submitted the message before.
-        pinned_endpoint: The endpoint that it has to go to while that one is listed.
+        time_left_us: Time left until its deadline.
+        tenant: The tenant whose quota it counts against; empty for none.
+        key: Messages of one key are delivered in order; empty for a message without order.
+        is_repeat: The client declares that it submitted the message before.
+        pinned_endpoint: Id of the endpoint that the message must be sent to while this endpoint is listed;
+            empty for none.
     """
 
     message: str
@@ -50,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallInFlight:
-    """A call of the predecessor process, which will forward its result.
+    """A call that the predecessor process has in flight; that process forwards the result.
 
     The names of the fields are keys in the handover packet.
 
@@ -58,8 +59,8 @@
         endpoint: Id of the endpoint.
         zone: The endpoint's zone.
         sent: When the call was sent.
-        trial: It is the trial call of its breaker.
-        overdue: It has been counted as overdue.
+        trial: Whether it is the trial call of its breaker.
+        overdue: Whether it has been counted as overdue.
     """
 
     endpoint: str
@@ -75,14 +76,15 @@
 
     Attributes:
         accepted: The message.
-        attempts: Number of attempts so far; one in flight when the process ended has ended as a reset.
+        attempts: Number of attempts so far. An attempt in flight when the process ended counts as a reset.
         uncertain_since: When the first attempt that may have run was sent; None if there is none.
         uncertain_zone: The zone of that attempt.
-        outcomes: Endpoint and outcome of each attempt that has one.
-        is_handed_over: By a process that still runs: no attempt is in doubt, and `InheritedState` follows.
-        call: With `is_handed_over`, the call of its last attempt, if it is in flight.
-        is_completed: With `is_handed_over`, its completion is sent and not acknowledged.
-        weight_factor: As determined when it was accepted; None: determine it now.
+        outcomes: Endpoint id and outcome of each attempt that has an outcome.
+        is_handed_over: A process that is still running hands the message over: the state of each attempt is
+            known, and `InheritedState` follows.
+        call: With `is_handed_over`: the call of the last attempt, if it is in flight.
+        is_completed: With `is_handed_over`: its completion has been sent and is not acknowledged.
+        weight_factor: As determined when the message was accepted; None to determine it now.
     """
 
     accepted: MessageAccepted
@@ -98,16 +100,16 @@
 
 @dataclass(frozen=True, slots=True)
 class InheritedState:
-    """What the predecessor knew besides its messages; both processes share the clock.
+    """The state of the predecessor process apart from its messages; both processes share the clock.
 
     The names of the fields are keys in the handover packet.
 
     Attributes:
-        breakers: Destination, route and the breaker's fields by recorded name, see `state_transfer`.
-        endpoints: Endpoint id and its fields by recorded name.
-        keys: Key and the end of its pause.
-        credit: Tenant, its unused quota in messages, and as of when.
-        silent: Inactive destinations, and since when.
+        breakers: Destination, route, and the breaker's fields by recorded name (see `state_transfer`).
+        endpoints: Endpoint id, and its fields by recorded name.
+        keys: Key, and the end of its pause.
+        credit: Tenant, its unused quota in messages, and the time of that figure.
+        silent: Each inactive destination, and the time since which it is inactive.
     """
 
     breakers: tuple[tuple[int, str, dict[str, float]], ...] = ()
@@ -119,13 +121,13 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """An attempt has a result.
+    """The result of an attempt is known.
 
     Attributes:
         message: Id of the message.
         attempt: Number of the attempt, from 0.
         outcome: How it ended.
-        finished: Nothing more is owed for the message.
+        finished: The message needs neither another attempt nor a completion by the policy.
         wait: With FULL: the Retry-After that the destination announced; 0 for none.
     """
 
@@ -145,21 +147,21 @@
 
 @dataclass(frozen=True, slots=True)
 class EndAcknowledged:
-    """The client has the rejection or failure of a message, see Settings.acknowledges_completions."""
+    """The client acknowledged a rejection or failure; see `Settings.acknowledges_completions`."""
 
     message: str
 
 
 @dataclass(frozen=True, slots=True)
 class Stopping:
-    """The process ends after this time; a call in flight then ends as a reset."""
+    """The process ends after the given time; calls still in flight then end as resets."""
 
     remaining_us: int
 
 
 @dataclass(frozen=True, slots=True)
 class WakeUp:
-    """The time that the last `WakeAfter` set has come."""
+    """The delay that the last `WakeAfter` requested has passed."""
 
 
 PolicyEvent = (
--- a/message_sender/policy/loop_state.py
+++ b/message_sender/policy/loop_state.py
@@ -1,4 +1,4 @@
-"""State that the parts of the policy share during an iteration."""
+"""State that the parts of the delivery policy share during a loop iteration."""
 
 import itertools
 import random
@@ -9,15 +9,15 @@
 
 
 class LoopState:
-    """The time of the iteration, random numbers and the actions so far.
+    """The time of the iteration, the random generator and the actions so far.
 
     Attributes:
         settings: The settings of the policy.
-        random: Spreads calls over time.
-        context: What all breakers share.
+        random: Random generator that spreads calls over time.
+        context: The data that all breakers share.
         now: Time of the iteration, us; minus infinity before the first one.
-        sequence: Numbers for what has an order.
-        examined_items: Items looked at since the start, a measure of what an iteration costs.
+        sequence: Source of sequence numbers.
+        examined_items: Number of items examined since the start; a measure of the cost of iterations.
         actions: The actions of the iteration so far.
     """
 
--- a/message_sender/policy/model.py
+++ b/message_sender/policy/model.py
@@ -1,4 +1,4 @@
-"""What the delivery policy decides about: settings, message classes, endpoints and outcomes.
+"""The data types of the delivery policy: settings, message classes, endpoints and outcomes.
 
 Durations and times are whole microseconds unless a name says otherwise.
 """
@@ -8,11 +8,11 @@
 
 
 class Effect(Enum):
-    """What a repeated message does at its destination."""
+    """The effect of a repeated message at its destination."""
 
-    IDEMPOTENT = "safe"  # repeats do no harm
-    KEYED = "keyed"  # repeats are dropped for a while, see MessageClass.idempotency_window
-    UNSAFE = "unsafe"  # must never run twice
+    IDEMPOTENT = "safe"  # idempotent: a repeat has no further effect
+    KEYED = "keyed"  # the destination drops repeats within MessageClass.idempotency_window
+    UNSAFE = "unsafe"  # not idempotent: must never run twice
 
 
 class Outcome(Enum):
@@ -20,17 +20,17 @@
 
     OK = "ok"
     ERROR = "error"
-    FULL = "full"
+    FULL = "full"  # refused: the destination is at capacity
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"
-    STALE = "stale"  # a reused connection was closed meanwhile: no evidence on the destination
-    MALFORMED = "spoilt"  # answered, but the answer cannot be read
+    STALE = "stale"  # a reused connection had been closed: not evidence about the destination
+    MALFORMED = "spoilt"  # the destination answered, but the answer cannot be parsed
     CANCELLED = "cancelled"
     NOT_SENT = "not_sent"
 
 
-#: Outcomes that are evidence against the health of the destination.
+#: Outcomes that count as evidence that the destination is unhealthy.
 FAILURES = frozenset(
     {Outcome.ERROR, Outcome.TIMEOUT, Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.MALFORMED}
 )
@@ -40,7 +40,7 @@
 
 
 class EndpointState(Enum):
-    """The state of an endpoint, as listed."""
+    """The state of an endpoint, as the endpoint list reports it."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -48,7 +48,11 @@
 
 
 class ListingKind(Enum):
-    """What an endpoint list holds: changes, everything, an old copy of everything, or nothing."""
+    """What an update of the endpoint list holds.
+
+    CHANGES holds changed entries only, FULL the whole list, CACHED an old copy of the whole list, and FAILED
+    nothing: the poll or watch ended without a list.
+    """
 
     CHANGES = "changes"
     FULL = "full"
@@ -56,12 +60,12 @@
     FAILED = "failed"
 
 
-#: Names of fields in the platform's settings, where they differ from those here.
+#: Names of fields in the platform's settings where they differ from the names in `Settings`.
 SETTING_NAMES = {"key_pause": "key_quiet", "poll_interval_limit": "ask_within", "slow_start": "cold"}
 
 
 def setting_name(field: str) -> str:
-    """Returns the name of a field in the platform's settings."""
+    """Returns the name that a field of `Settings` has in the platform's settings."""
     return SETTING_NAMES.get(field, field)
 
 
@@ -70,15 +74,16 @@
     """A class of messages.
 
     Attributes:
-        name: Its name in the settings.
-        latency_objective: Messages delivered within it keep their full weight.
-        deadline: Messages must be delivered within it.
-        priority_weight: Weight of a message.
+        name: Name of the class in the settings.
+        latency_objective: A message delivered within this time keeps its full weight.
+        deadline: Time within which a message must be delivered.
+        priority_weight: Weight of a message of the class.
         late_priority_weight: Fraction of the weight that is left at the deadline, 0 to 1.
-        effect: What a repeat of a message does.
-        idempotency_window: KEYED: repeats are dropped for so long after the first attempt that may have run.
-        is_window_zonal: KEYED: only endpoints of the same zone drop repeats.
-        is_ordered: Messages of one key go one at a time, in the order in which they were accepted.
+        effect: The effect of a repeated message.
+        idempotency_window: For KEYED: how long after the first attempt that may have run the destination
+            drops repeats.
+        is_window_zonal: For KEYED: only endpoints in the zone of that attempt drop repeats.
+        is_ordered: Messages of one key are sent one at a time, in the order in which they were accepted.
     """
 
     name: str
@@ -97,8 +102,8 @@
     """A kind of destination.
 
     Attributes:
-        batch_size: Messages that one call may carry.
-        has_separate_routes: Each endpoint is a route with its own limit and outages.
+        batch_size: Largest number of messages that one call may carry.
+        has_separate_routes: Each endpoint is a separate route, with its own rate limit and outages.
     """
 
     batch_size: int = 1
@@ -110,34 +115,36 @@
     """The settings of the delivery policy.
 
     Attributes:
-        classes: The classes of messages; at least one.
-        kinds: Kinds of destinations by name.
-        slots: Calls that may be in flight.
-        max_open: Messages that may be accepted and not completed.
-        max_attempts: Attempts of one message.
+        classes: The message classes; at least one.
+        kinds: Name and properties of each kind of destination.
+        slots: Maximum number of calls in flight.
+        max_open: Maximum number of messages that are accepted and not completed.
+        max_attempts: Maximum number of attempts of one message.
         zone: The sender's own zone.
-        tick: Shortest delay of a `WakeAfter`, and the margin of deadlines.
+        tick: Shortest delay of a `WakeAfter`, and the safety margin before deadlines.
         fleet_size: Number of senders that share the load.
-        tenants: Name and quota in messages a second, of all senders together.
-        over_quota_weight: Factor of the weight of messages over the quota.
-        halves_late_weight: The weight of a late message halves with each latency objective, else it falls
-            linearly.
-        zone_fees: Zone and weight lost per message on a separate route there.
-        must_poll: The endpoint list comes only by polls.
-        has_local_list: Polls cost nothing, and a change counts as known once it could have been polled.
+        tenants: Name and quota of each tenant; the quota is in messages a second, over all senders together.
+        over_quota_weight: Factor applied to the weight of a message over its tenant's quota.
+        halves_late_weight: The weight of a late message halves with each latency objective; otherwise it
+            falls linearly.
+        zone_fees: Zone, and the weight that each message on a separate route in this zone costs.
+        must_poll: The endpoint list is available only by polling.
+        has_local_list: Polls cost nothing, and a change counts as known as soon as a poll could have
+            returned it.
         poll_interval_limit: Longest pause between polls that fail at once.
-        announces_rates: `Endpoint.scale` is the rate, in calls a second, that the destination takes.
+        announces_rates: `Endpoint.scale` is the rate, in calls a second, that the destination accepts.
         may_cancel: Attempts may be cancelled.
-        max_retry_after: The longest wait that a client honours; 0: clients are told none.
-        slow_start: Time for which a destination warms up after an outage.
-        slow_start_from: Fraction of its capacity with which it begins, above 0 to 1.
+        max_retry_after: Longest Retry-After that clients honour; with 0, none is suggested to them.
+        slow_start: How long a destination warms up after an outage.
+        slow_start_from: Fraction of its capacity that a destination has when it begins to warm up; above 0
+            and at most 1.
         fall_multiple: Load, as a multiple of its warm capacity, under which a destination fails.
-        conn_idle: Idle connections are closed after it.
-        connect_timeout: A connection that is not established by then has failed.
-        key_pause: Pause of a key after an attempt of unknown result.
-        drain_grace: For how long after the announcement of a drain a new call is tolerated.
-        acknowledges_completions: A message that was rejected or failed is finished only with the event
-            `EndAcknowledged`.
+        conn_idle: Time after which an idle connection is closed.
+        connect_timeout: Time after which a connection that is not established counts as failed.
+        key_pause: Pause of a key after an attempt with an unknown result.
+        drain_grace: How long after the announcement of a drain a new call is still tolerated.
+        acknowledges_completions: A message that was rejected or failed is finished only when the event
+            `EndAcknowledged` arrives.
     """
 
     classes: tuple[MessageClass, ...]
@@ -171,10 +178,10 @@
         """Validates the settings.
 
         Raises:
-            ValueError: A value is out of its range; the text names it as the platform does.
+            ValueError: A value is out of its range; the text has its name in the platform's settings.
         """
         if not isinstance(self.fleet_size, int) or isinstance(self.fleet_size, bool):
-            # Gaps and spreads are multiples of it: NaN or infinity would pass the comparisons below.
+            # Gaps and spreads are multiples of the fleet size: NaN or infinity would pass the checks below.
             raise ValueError(f"fleet_size must be a whole number, not {self.fleet_size!r}")
         counts = ("slots", "max_open", "max_attempts", "fleet_size")
         for name in (*counts, "tick", "poll_interval_limit", "slow_start", "conn_idle", "connect_timeout"):
@@ -201,15 +208,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """An endpoint of a destination, as listed.
+    """An endpoint of a destination, as the endpoint list describes it.
 
     Attributes:
-        id: Its name, unique among all endpoints.
+        id: Name of the endpoint, unique among all endpoints.
         destination: Number of its destination.
         state: Whether it accepts calls.
         kind: Name of its `DestinationKind`.
-        zone: Where it is.
-        scale: With `Settings.announces_rates`, calls a second that it takes from all senders.
+        zone: Zone in which it runs.
+        scale: With `Settings.announces_rates`: calls a second that it accepts from all senders together.
         weight: Its share of the calls, relative to the other endpoints of its destination.
     """
 
--- a/message_sender/policy/pending_message.py
+++ b/message_sender/policy/pending_message.py
@@ -8,17 +8,18 @@
     """A message that the policy has accepted and not completed.
 
     Attributes:
-        deadline: When its time is up.
+        deadline: When the message must have been delivered.
         created_at: When the full deadline of its class began to run.
         received_at: When this process accepted or restored it.
-        weight_factor: Factor of its class's weight; below 1 for a message over its tenant's quota.
+        weight_factor: Factor applied to the weight of its class; below 1 if its tenant is over quota.
         attempts: Number of attempts so far.
-        is_in_flight: An attempt is in flight.
-        is_restored: An earlier process accepted it.
+        is_in_flight: Whether an attempt is in flight.
+        is_completed: Whether it needs no further attempt.
+        is_restored: Whether an earlier process accepted it.
         uncertain_since: When the first attempt that may have run was sent; None if there is none.
         uncertain_zone: The zone of that attempt.
-        sequence: Order among pending messages.
-        is_ready: It is in a `ReadyGroup` of its destination.
+        sequence: Position in the order of pending messages.
+        is_ready: Whether it is in a `ReadyGroup` of its destination.
     """
 
     def __init__(
--- a/message_sender/policy/timers.py
+++ b/message_sender/policy/timers.py
@@ -1,4 +1,4 @@
-"""A queue of timers: items that are due at a time, found without looking at the others."""
+"""A timer queue: finds the items that are due without examining the others."""
 
 import itertools
 from collections.abc import Hashable, Iterator
@@ -7,13 +7,13 @@
 
 from message_sender.policy.breaker import NEVER
 
-MAX_STALE_ENTRIES = 64  # superseded entries above one for each item, from which the heap is rebuilt
+MAX_STALE_ENTRIES = 64  # the heap is rebuilt above two entries per item plus this number
 
 Item = TypeVar("Item", bound=Hashable)
 
 
 class TimerQueue(Generic[Item]):
-    """A heap in which an item has at most one due time; superseded entries are skipped."""
+    """A heap of due times with at most one valid due time for each item; superseded entries are skipped."""
 
     def __init__(self) -> None:
         """Creates an empty queue."""
@@ -22,7 +22,7 @@
         self.sequence = itertools.count()
 
     def schedule(self, item: Item, at: float) -> None:
-        """Sets the item's only due time; NEVER removes the item."""
+        """Sets the due time of an item, replacing an earlier one; NEVER removes the item."""
         if at == NEVER:
             self.times.pop(item, None)
         elif self.times.get(item) != at:
@@ -33,7 +33,7 @@
             heapify(self.heap)
 
     def next_due(self) -> float:
-        """Returns when the next item is due; NEVER with none."""
+        """Returns when the next item is due; NEVER if the queue is empty."""
         while self.heap and self.times.get(self.heap[0][2]) != self.heap[0][0]:
             heappop(self.heap)
         return self.heap[0][0] if self.heap else NEVER
--- a/message_sender/policy/urgency.py
+++ b/message_sender/policy/urgency.py
@@ -1,10 +1,10 @@
-"""Which message goes next: the one that loses most by being passed over.
+"""Selects the message to send next: the one whose weight loses most if another message is sent first.
 
-A message has the weight of its class until the latency objective, and loses weight until the deadline. Its
-urgency is the weight that is expected to be lost by serving another message first. Messages of one
-destination, class and weight factor form a `ReadyGroup`; their urgency follows one curve over their age,
+A message has the weight of its class until the latency objective, and loses weight from then to the deadline.
+Its urgency is the weight that is expected to be lost by serving another message first. The messages of one
+destination, class and weight factor form a `ReadyGroup`. Their urgency is the same function of their age,
 which is monotonic between a few known ages (`urgency_breakpoints`). The most urgent message is therefore at
-an end of such a range, and the search does not depend on the number of messages.
+an end of one of these ranges, and the cost of the search does not depend on the number of messages.
 """
 
 import math
@@ -16,19 +16,19 @@
 from message_sender.policy.model import MessageClass
 from message_sender.policy.pending_message import PendingMessage
 
-LATER_SERVICE_CHANCE = 0.9  # that a message passed over now is served one latency objective later
-LINEAR_SEARCH_LIMIT = 8  # messages that are compared one by one
+LATER_SERVICE_CHANCE = 0.9  # probability that a message passed over now is served one latency objective later
+LINEAR_SEARCH_LIMIT = 8  # up to this number, messages are compared one by one
 
 
 def weight_at_age(message_class: MessageClass, factor: float, age: float, halves_late_weight: bool) -> float:
     """Returns the weight of a message.
 
     Args:
-        message_class: Its class.
-        factor: Its weight factor.
-        age: Time since its full deadline began to run, us.
-        halves_late_weight: The weight halves with each latency objective that it is late; otherwise it falls
-            linearly.
+        message_class: Class of the message.
+        factor: Weight factor of the message.
+        age: Time since the full deadline of the class began to run, us.
+        halves_late_weight: The weight halves with each latency objective by which the message is late;
+            otherwise it falls linearly.
     """
     if age >= message_class.deadline:
         return 0.0
@@ -52,22 +52,23 @@
 def urgency_breakpoints(message_class: MessageClass, halves_late_weight: bool) -> tuple[float, ...]:
     """Returns the ages, in us, between which `urgency` is monotonic.
 
-    The weight begins to fall at the latency objective and ends at the deadline; a halving weight stops at its
-    minimum. The same ages count one latency objective earlier, as `urgency` looks so far ahead.
+    The weight begins to fall at the latency objective and drops to 0 at the deadline; a halving weight stops
+    falling at its minimum. `urgency` looks ahead by one latency objective, so it also bends one latency
+    objective before each of these ages.
     """
     objective = message_class.latency_objective
     late_weight = message_class.late_priority_weight
-    ends = [float(objective), float(message_class.deadline)]
+    bends = [float(objective), float(message_class.deadline)]
     if halves_late_weight and 0 < late_weight < 1:
-        ends.append(objective * (1 - math.log2(late_weight)))
-    ages = {age for end in ends for age in (end, end - objective)}
+        bends.append(objective * (1 - math.log2(late_weight)))
+    ages = {age for bend in bends for age in (bend, bend - objective)}
     return tuple(sorted(age for age in ages if age >= 0))
 
 
 class Rank(NamedTuple):
-    """The order of messages: the most urgent, then the oldest, then the first to become pending."""
+    """Sort key of messages: the most urgent first, then the oldest, then the first to become pending."""
 
-    urgency: float  # negative
+    urgency: float  # negated, so that the most urgent message sorts first
     created_at: int
     sequence: int
 
@@ -76,8 +77,8 @@
     """Messages of one destination, class and weight factor that may be sent, ordered by age.
 
     Attributes:
-        curve: The arguments of `urgency` that they share.
-        breakpoints: Ages between which their urgency is monotonic.
+        curve: The arguments of `urgency` that all messages of the group share.
+        breakpoints: Ages, in us, between which the urgency is monotonic.
         messages: Creation time, sequence number and message, the oldest first.
     """
 
@@ -98,13 +99,13 @@
         del self.messages[bisect_left(self.messages, (message.created_at, message.sequence))]
 
     def most_urgent(self, now: int) -> tuple[Rank, PendingMessage]:
-        """Returns the message that goes first, with its rank; the group must not be empty."""
+        """Returns the message to send first, with its rank; the group must not be empty."""
         if len(self.messages) <= LINEAR_SEARCH_LIMIT:
             return min(self.ranked(now, range(len(self.messages))))
         return min(self.ranked(now, self.candidates(now)))
 
     def ranked(self, now: int, positions: Iterable[int]) -> Iterator[tuple[Rank, PendingMessage]]:
-        """Yields the messages at these positions with their ranks."""
+        """Yields the messages at the given positions, each with its rank."""
         message_class, factor, halves_late_weight = self.curve
         for position in positions:
             created_at, sequence, message = self.messages[position]
@@ -112,10 +113,10 @@
             yield Rank(-loss, created_at, sequence), message
 
     def candidates(self, now: int) -> set[int]:
-        """Returns the positions where the most urgent message may be.
+        """Returns the positions at which the most urgent message can be.
 
-        These are, for each range of ages in which urgency is monotonic, its oldest message and the first of
-        its youngest ones.
+        For each range of ages in which the urgency is monotonic, these are the oldest message of the range
+        and the first one of the youngest messages.
         """
         positions: set[int] = set()
         end = len(self.messages)
