--- a/message_sender/policy/dispatcher.py
+++ b/message_sender/policy/dispatcher.py
@@ -1,10 +1,10 @@
-"""The delivery policy of one sender: from events to actions (see `events` and `actions`).
+"""The delivery policy of one sender: turns events into actions (see `events` and `actions`).
 
-A circuit breaker per destination, or per endpoint where these are separate routes, decides the usual case:
-consecutive failures open it, messages stay pending, one trial call after the reset timeout closes it or
-restarts the timeout, and a gap paces calls while it is closed (`breaker`). The rest enforces the delivery
-rules. `registry` has the endpoints, `pending` the messages and `inflight` the calls; this module selects what
-is sent next, and where.
+In the usual case a circuit breaker per destination, or per endpoint where the endpoints are separate routes,
+decides (`breaker`): consecutive failures open it and messages stay pending; after the reset timeout one trial
+call closes it or restarts the timeout; while it is closed, a gap paces the calls. The other modules enforce
+the delivery rules: `registry` holds the endpoints, `pending` the messages and `inflight` the calls. This
+module selects the message to send next, and its endpoint.
 """
 
 import heapq
@@ -36,10 +36,10 @@
 from message_sender.policy.state_transfer import StateImporter
 from message_sender.policy.urgency import Rank
 
-DESTINATION_SLOT_FRACTION = 0.5  # of the slots that calls to one destination may hold
-MAX_EXAMINED = 256  # destinations per iteration; the next iteration begins with the others
+DESTINATION_SLOT_FRACTION = 0.5  # of the slots: limit on the calls in flight to one destination
+MAX_EXAMINED = 256  # destinations examined per iteration; the next iteration begins with the others
 
-#: Outcomes after which the attempt may still run.
+#: Outcomes after which the attempt may still be running at the destination.
 UNCERTAIN_OUTCOMES = frozenset(
     {Outcome.TIMEOUT, Outcome.RESET, Outcome.STALE, Outcome.MALFORMED, Outcome.CANCELLED}
 )
@@ -49,9 +49,9 @@
     """The delivery policy of one sender.
 
     Attributes:
-        stops_at: When the process ends; NEVER as long as that is not known.
-        wake_at: The time that the newest `WakeAfter` set.
-        active_calls: Distinct calls in flight, oldest first.
+        stops_at: When the process ends; NEVER while that is not known.
+        wake_at: The time requested by the newest `WakeAfter`.
+        active_calls: The distinct calls in flight, oldest first.
     """
 
     def __init__(self, settings: Settings, seed: int) -> None:
@@ -59,7 +59,7 @@
 
         Args:
             settings: The settings.
-            seed: Of the random generator, which only spreads calls over time.
+            seed: Seed of the random generator, which is used only to spread calls over time.
         """
         self.settings = settings
         self.loop = LoopState(settings, random.Random(seed))
@@ -71,7 +71,7 @@
         self.has_batching = any(kind.batch_size > 1 for _, kind in settings.kinds)
         self.wake_at = NEVER
         self.stops_at = NEVER
-        # The parts' own tables and methods, for callers and for short access.
+        # Shortcuts to tables and methods of the parts, also for callers.
         self.endpoints = self.registry.endpoints
         self.destinations = self.registry.destinations
         self.messages = self.pending.messages
@@ -86,8 +86,8 @@
         """Processes the events of one iteration.
 
         Args:
-            now_us: The time; never less than in the call before.
-            events: What happened, in this order.
+            now_us: The time, us; not less than in the previous call.
+            events: The events, in the order in which they happened.
 
         Returns:
             The actions, to be carried out in this order.
@@ -132,7 +132,7 @@
                 self.stops_at = self.loop.now + remaining_us
 
     def attempt_ended(self, ended: AttemptEnded) -> None:
-        """Records a result, and makes the message pending again if it needs another attempt."""
+        """Records the result of an attempt; makes the message pending again if it needs another attempt."""
         if (call := self.calls.pop((ended.message, ended.attempt), None)) is None:
             return
         message = call.messages.pop(ended.message)
@@ -151,13 +151,13 @@
             self.pending.enqueue(message)
             self.pending.schedule_window_check(message)
 
-    # Which message is sent next.
+    # Selection of the message to send next.
 
     def find_available(self) -> list[Destination]:
         """Returns the destinations that accept a call now and have a message to send."""
         for number in self.registry.reopenings.pop_due(self.loop.now):
             self.registry.available[number] = None
-        found: list[Destination] = []
+        accepting: list[Destination] = []
         limit = MAX_EXAMINED if len(self.active_calls) < self.settings.slots else 0
         for number in list(islice(self.registry.available, limit)):
             self.loop.examined_items += 1
@@ -165,25 +165,25 @@
             if destination is None or not destination.ready_groups:
                 del self.registry.available[number]
             elif any(map(self.may_call, destination.breakers)):
-                found.append(destination)
+                accepting.append(destination)
             else:
                 self.registry.mark_unavailable(destination)
         if len(self.registry.available) > MAX_EXAMINED:
-            for destination in found:  # the next iteration begins with the others
+            for destination in accepting:  # moved to the end: the next iteration begins with the others
                 number = destination.number
                 self.registry.available[number] = self.registry.available.pop(number)
-        return found
+        return accepting
 
     def send_next(self) -> None:
-        """Sends what goes next, in one ordered pass over all destinations that accept a call now."""
+        """Sends the next messages, in one ordered pass over all destinations that accept a call now."""
         self.pending.find_ready()
         self.send_in_order(self.find_available())
         self.inflight.close_scarce_connections()
 
     def send_in_order(self, destinations: list[Destination]) -> None:
-        """Sends messages of these destinations, the most urgent first, as long as calls may go."""
+        """Sends messages of these destinations, the most urgent first, as long as calls may be sent."""
         heap: list[tuple[Rank, PendingMessage, Destination]] = []
-        blocked: list[PendingMessage] = []  # limited to endpoints that accept nothing now
+        blocked: list[PendingMessage] = []  # no endpoint that may serve them accepts a call now
         batches: dict[str, ActiveCall] = {}
         for destination in destinations:
             self.push_most_urgent(heap, destination)
@@ -193,7 +193,7 @@
             if not self.pending.may_retry(message):
                 self.pending.complete(message)
             elif not self.pending.is_next_of_key(message):
-                destination.remove_ready(message)  # its key has paused since; the end of that brings it back
+                destination.remove_ready(message)  # its key was paused; the end of the pause adds it again
             elif endpoint := self.choose_endpoint(message, batches):
                 self.send(message, endpoint, batches)
             elif (
@@ -204,7 +204,7 @@
                 destination.remove_ready(message)
                 blocked.append(message)
             else:
-                if len(self.active_calls) < self.settings.slots:  # else only a slot is missing
+                if len(self.active_calls) < self.settings.slots:  # otherwise only a slot is missing
                     self.registry.mark_unavailable(destination)
                 continue
             if len(self.active_calls) >= self.settings.slots and not self.has_batching:
@@ -216,12 +216,12 @@
     def is_retry_budget_exhausted(
         self, message: PendingMessage, destination: Destination, blocked: list[PendingMessage]
     ) -> bool:
-        """Whether shared limits block this retry alone, so that a first attempt may still be sent.
+        """Whether shared limits block only this retry, so that a first attempt could still be sent.
 
         Args:
             message: The message that no endpoint accepts.
             destination: Its destination.
-            blocked: Messages that were passed over in this iteration.
+            blocked: Messages that have been passed over in this iteration.
         """
         limits = self.registry.shared_limits
         if limits is None or not message.attempts or len(blocked) >= MAX_EXAMINED:
@@ -240,22 +240,22 @@
     def push_most_urgent(
         self, heap: list[tuple[Rank, PendingMessage, Destination]], destination: Destination
     ) -> None:
-        """Adds the most urgent message of a destination to the heap, if one may go."""
+        """Adds the most urgent message of a destination to the heap, if it has a message to send."""
         if most_urgent := destination.most_urgent(int(self.loop.now)):
             heapq.heappush(heap, (*most_urgent, destination))
 
-    # Where it is sent.
+    # Selection of the endpoint.
 
     def choose_endpoint(
         self, message: PendingMessage, batches: dict[str, ActiveCall]
     ) -> TrackedEndpoint | None:
-        """Returns the endpoint that the message is sent to; None if none accepts it now.
+        """Returns the endpoint to send the message to; None if no endpoint accepts it now.
 
         Args:
             message: The message.
-            batches: Calls of this iteration that it may join, by endpoint id.
+            batches: Calls of this iteration that the message may join, by endpoint id.
         """
-        options: list[tuple[tuple[float, ...], int, TrackedEndpoint]] = []
+        candidates: list[tuple[tuple[float, ...], int, TrackedEndpoint]] = []
         destination = self.destinations[message.destination]
         is_pinned = self.is_pin_applicable(message)
         limits = self.registry.shared_limits
@@ -264,58 +264,60 @@
             if is_pinned and listed.id != message.pinned_endpoint:
                 continue
             if message.message_class.is_window_zonal and message.uncertain_zone not in ("", listed.zone):
-                continue  # no second effect: only that zone drops the repeat
+                continue  # a repeat elsewhere may have a second effect: only that zone drops it
             assert endpoint.breaker is not None
-            joins = self.may_join(batches.get(listed.id), listed)
-            if not (joins or self.may_call(endpoint.breaker)):
+            can_join = self.may_join(batches.get(listed.id), listed)
+            if not (can_join or self.may_call(endpoint.breaker)):
                 continue
             now = int(self.loop.now)
-            if limits and not joins:
+            if limits and not can_join:
                 is_trial = endpoint.breaker.is_open()
                 if limits.free_at(listed, now, is_trial, message.attempts > 0) > now:
                     continue
-            rank = self.endpoint_rank(endpoint, joins, destination.is_weighted)
-            options.append((rank, len(options), endpoint))
-        return min(options)[-1] if options else None
+            rank = self.endpoint_rank(endpoint, can_join, destination.is_weighted)
+            candidates.append((rank, len(candidates), endpoint))
+        return min(candidates)[-1] if candidates else None
 
-    def endpoint_rank(self, endpoint: TrackedEndpoint, joins: bool, is_weighted: bool) -> tuple[float, ...]:
-        """Returns the sort key of an endpoint, lowest first.
+    def endpoint_rank(
+        self, endpoint: TrackedEndpoint, can_join: bool, is_weighted: bool
+    ) -> tuple[float, ...]:
+        """Returns the sort key of an endpoint; the lowest is preferred.
 
-        In a large fleet, separate routes go by rate times idle time and not by fee: all senders at the
-        cheapest route would exceed its limit.
+        In a large fleet, separate routes are ordered by rate times idle time and not by fee: if all senders
+        used the cheapest route, they would exceed its limit.
 
         Args:
             endpoint: The endpoint.
-            joins: A call of this iteration may carry the message.
-            is_weighted: Endpoints of the destination differ in weight.
+            can_join: Whether a call of this iteration can carry the message.
+            is_weighted: Whether an endpoint of the destination has a weight other than 1.
         """
         listed = endpoint.listed
         is_separate = self.registry.kinds[listed.kind].has_separate_routes
         suspect_until = max(endpoint.suspect_until, self.loop.now)
         load = endpoint.weighted_calls if is_weighted else endpoint.in_flight
         if is_separate and self.loop.context.fleet_factor > 1:
-            return suspect_until, not joins, load, (endpoint.last_sent - self.loop.now) * listed.scale
+            return suspect_until, not can_join, load, (endpoint.last_sent - self.loop.now) * listed.scale
         fee = self.zone_fees.get(listed.zone, 0.0) if is_separate else 0.0
         is_remote = listed.zone != self.settings.zone
-        return suspect_until, fee, not joins, load, is_remote, endpoint.last_sent
+        return suspect_until, fee, not can_join, load, is_remote, endpoint.last_sent
 
     def is_pin_applicable(self, message: PendingMessage) -> bool:
-        """Whether the message has a pinned endpoint that is listed and allowed by the rule on repeats."""
+        """Whether the message has a pinned endpoint that is listed, in a zone where a repeat is allowed."""
         known = self.endpoints.get(message.pinned_endpoint) if message.pinned_endpoint else None
         if known is None or known.listed.destination != message.destination:
             return False
         return not message.message_class.is_window_zonal or message.uncertain_zone in ("", known.listed.zone)
 
     def may_join(self, call: ActiveCall | None, listed: Endpoint) -> bool:
-        """Whether a call of this iteration to the endpoint may carry one more message."""
+        """Whether a call of this iteration to the endpoint can carry one more message."""
         limit = self.registry.kinds[listed.kind].batch_size
         return call is not None and call.breaker.trial is not call and len(call.messages) < limit
 
     def may_call(self, breaker: Breaker) -> bool:
-        """Whether a call may go now, as far as slots and the breaker decide it."""
+        """Whether a call may be sent now according to the slots, the breaker and the end of the process."""
         now = int(self.loop.now)
         slots = self.settings.slots
-        # A call still in flight when the process ends may have run.
+        # A call that is still in flight when the process ends may have run, so it is not started.
         if (
             len(self.active_calls) >= slots
             or breaker.ready_at(now) > now
@@ -325,30 +327,30 @@
         return breaker.in_flight < max(2, slots * DESTINATION_SLOT_FRACTION)
 
     def may_start_call(self, endpoint: str, now: int, message: str = "") -> bool:
-        """Whether a call may still start; to be checked before its first byte, as connecting takes time.
+        """Whether a call may still start; checked before its first byte is sent, since connecting takes time.
 
         Args:
-            endpoint: Id of the endpoint, which may drain or have announced a Retry-After meanwhile.
+            endpoint: Id of the endpoint, which may have begun to drain or announced a Retry-After meanwhile.
             now: The time, us.
-            message: Id of the message, whose repeats may no longer be harmless; empty for none.
+            message: Id of the message, whose idempotency window may have ended meanwhile; empty for none.
         """
         known = self.endpoints.get(endpoint)
         if known is None or (known.breaker and known.breaker.wait_until > now):
             return False
-        sent = self.messages.get(message)
-        return sent is None or self.pending.may_repeat_at(now, sent, sent.uncertain_since)
+        pending = self.messages.get(message)
+        return pending is None or self.pending.may_repeat_at(now, pending, pending.uncertain_since)
 
     def send(
         self, message: PendingMessage, endpoint: TrackedEndpoint, batches: dict[str, ActiveCall]
     ) -> None:
-        """Sends the message with a call of this iteration, or with a new one."""
-        name = endpoint.listed.id
-        call = batches.get(name)
+        """Sends the message with a call of this iteration if it can join one, otherwise with a new call."""
+        endpoint_id = endpoint.listed.id
+        call = batches.get(endpoint_id)
         breaker = endpoint.breaker
         assert breaker is not None
         now = int(self.loop.now)
         if call is None or not self.may_join(call, endpoint.listed):
-            call = batches[name] = ActiveCall(breaker, endpoint, now, next(self.loop.sequence))
+            call = batches[endpoint_id] = ActiveCall(breaker, endpoint, now, next(self.loop.sequence))
             if limits := self.registry.shared_limits:
                 limits.reserve(endpoint.listed, message.id, breaker.is_open(), message.attempts > 0)
             endpoint.weighted_calls += 1 / endpoint.listed.weight
@@ -356,11 +358,11 @@
             if breaker.is_open():
                 breaker.trial = call
         self.inflight.add(call, message, message.attempts)
-        self.loop.actions.append(Send(message.id, name, message.deadline - now, message.attempts))
+        self.loop.actions.append(Send(message.id, endpoint_id, message.deadline - now, message.attempts))
         message.attempts += 1
 
     def schedule_wake_up(self) -> None:
-        """Orders the next iteration for when something is due, and a poll of the list if it is due now."""
+        """Requests the next iteration for the next due time, and a poll of the list if one is due."""
         list_polling = self.registry.list_polling
         if list_polling.take_due(self.loop.now):
             self.loop.actions.append(Subscribe())
@@ -374,7 +376,7 @@
             due.append(self.pending.deadlines[0][0] - self.settings.tick)
         if self.pending.key_pauses:
             due.append(self.pending.key_pauses[0][0])
-        at = min((each for each in due if each > self.loop.now), default=NEVER)
-        if at < self.wake_at or self.wake_at <= self.loop.now < at < NEVER:
-            self.wake_at = at
-            self.loop.actions.append(WakeAfter(max(ceil(at - self.loop.now), self.settings.tick)))
+        wake_at = min((each for each in due if each > self.loop.now), default=NEVER)
+        if wake_at < self.wake_at or self.wake_at <= self.loop.now < wake_at < NEVER:
+            self.wake_at = wake_at
+            self.loop.actions.append(WakeAfter(max(ceil(wake_at - self.loop.now), self.settings.tick)))
--- a/message_sender/policy/endpoints.py
+++ b/message_sender/policy/endpoints.py
@@ -207,7 +207,7 @@
         return changed
 
     def mark_unavailable(self, destination: Destination) -> None:
-        """Records that a destination accepts no call now, and when to check it again; an event may be first."""
+        """Records that a destination accepts no call now, and schedules its next check."""
         self.available.pop(destination.number, None)
         ready_at = destination.earliest_ready_at(int(self.loop.now))
         if self.shared_limits and destination.endpoints:
--- a/message_sender/policy/inflight.py
+++ b/message_sender/policy/inflight.py
@@ -1,4 +1,4 @@
-"""The calls in flight: the evidence of their results on the destinations, and which calls take too long."""
+"""The calls in flight: evaluates their results as evidence about destinations, and finds overdue calls."""
 
 from message_sender.policy.actions import CancelAttempt, CloseIdle
 from message_sender.policy.breaker import RESET_TIMEOUT_US, ActiveCall, TrackedEndpoint
@@ -9,19 +9,19 @@
 from message_sender.policy.pending import PendingQueue
 from message_sender.policy.pending_message import PendingMessage
 
-SCARCE_IDLE_TIMES = 3  # Settings.conn_idle times for which a large fleet closes scarce connections after use
-SCARCITY_WINDOW_US = 1_000_000  # from a refused connection to a success: outages last longer
-GONE_RESET_TIMEOUTS = 4  # reset timeouts for which an endpoint that may be gone is avoided
-CANCEL_OVERDUE_FACTOR = 1.5  # times the overdue limit from which a call may be cancelled for its slot
+SCARCE_IDLE_TIMES = 3  # for this multiple of Settings.conn_idle a large fleet closes connections after use
+SCARCITY_WINDOW_US = 1_000_000  # from a refused connection to a success; an outage lasts longer
+GONE_RESET_TIMEOUTS = 4  # an endpoint that may be gone is avoided for this multiple of the reset timeout
+CANCEL_OVERDUE_FACTOR = 1.5  # a call may be cancelled for its slot from this multiple of the overdue limit
 
 
 class InFlightCalls:
     """The calls in flight.
 
     Attributes:
-        calls: By message id and number of the attempt.
-        active: Distinct calls, oldest first.
-        overdue: Of these, the overdue ones.
+        calls: The calls by message id and number of the attempt.
+        active: The distinct calls, oldest first.
+        overdue: The distinct calls that are overdue.
         just_idle: Endpoints with a call that ended in this iteration, by id.
     """
 
@@ -37,7 +37,7 @@
         self.overdue: dict[ActiveCall, None] = {}
 
     def add(self, call: ActiveCall, message: PendingMessage, attempt: int) -> None:
-        """Records that an attempt of the message is in flight with this call."""
+        """Records that the call carries an attempt of the message."""
         if call not in self.active:
             self.active[call] = call.breaker.on_time_calls[call] = None
             call.breaker.in_flight += 1
@@ -51,7 +51,7 @@
     # Results.
 
     def settle(self, call: ActiveCall, ended: AttemptEnded) -> None:
-        """Records a result; the first one of a call counts for all its messages."""
+        """Records a result; only the first result of a call counts as evidence about the destination."""
         breaker = call.breaker
         endpoint = call.endpoint
         now = int(self.loop.now)
@@ -72,15 +72,15 @@
         elif ended.outcome is Outcome.FULL:
             breaker.record_refusal(now, call, ended.wait)
         elif self.is_evidence(call, ended.outcome):
-            is_alone = ended.outcome is Outcome.CONNECT_FAILED and self.is_endpoint_fault(call)
-            endpoint.suspect_until = now + RESET_TIMEOUT_US * (GONE_RESET_TIMEOUTS if is_alone else 1)
-            if not is_alone:
+            is_isolated = ended.outcome is Outcome.CONNECT_FAILED and self.is_endpoint_fault(call)
+            endpoint.suspect_until = now + RESET_TIMEOUT_US * (GONE_RESET_TIMEOUTS if is_isolated else 1)
+            if not is_isolated:
                 breaker.record_failure(now, ended.outcome)
         elif call is breaker.trial:
             breaker.trial = None
 
     def _remove(self, call: ActiveCall, outcome: Outcome) -> None:
-        """Removes a call whose messages all have their result."""
+        """Removes a call after the last of its messages has a result."""
         breaker = call.breaker
         endpoint = call.endpoint
         breaker.in_flight -= 1
@@ -94,9 +94,9 @@
     def is_evidence(self, call: ActiveCall, outcome: Outcome) -> bool:
         """Whether a result counts against the destination and has not been counted before.
 
-        A timeout before the call is overdue is that of a message with little time left, and is no evidence.
-        In a large fleet it counts all the same: its members see few calls, and a destination that returns
-        must not be overloaded.
+        If a call times out before it is overdue, its message had little time left, so the timeout is no
+        evidence. In a large fleet such a timeout does count, since each member sees few calls and a
+        destination that returns must not be overloaded.
         """
         if outcome not in FAILURES or call.is_overdue:
             return False
@@ -106,7 +106,8 @@
     def is_endpoint_fault(self, call: ActiveCall) -> bool:
         """Whether a refused connection counts against its endpoint alone.
 
-        It does in a large fleet, whose endpoint list may be old, if another endpoint is not known to be bad.
+        It does so in a large fleet, where the endpoint list may be outdated, if another endpoint with the
+        same breaker is not suspected.
         """
         if self.loop.context.fleet_factor <= 1 or call is call.breaker.trial:
             return False
@@ -117,14 +118,14 @@
         )
 
     def retry_after_received(self, endpoint: str, until: int) -> None:
-        """Applies a Retry-After at once, also to calls that begin before the next iteration.
+        """Applies a Retry-After at once, so that it also binds calls that start before the next iteration.
 
         Args:
             endpoint: Id of the endpoint that announced it.
-            until: End of the wait.
+            until: End of the wait, us.
         """
         breakers = {call.breaker for call in self.active if call.endpoint.listed.id == endpoint}
-        if known := self.registry.endpoints.get(endpoint):  # None: it drains or is gone
+        if known := self.registry.endpoints.get(endpoint):  # None if it is draining or gone
             self.registry.activate(known.listed.destination)
             assert known.breaker is not None
             breakers.add(known.breaker)
@@ -134,10 +135,10 @@
     # Overdue calls.
 
     def process_overdue(self) -> None:
-        """Counts overdue calls as failures at once, and cancels hopeless ones.
+        """Counts overdue calls as failures at once, and cancels those that are unlikely to succeed.
 
-        With no slot free the oldest call that is far overdue is cancelled, calls without effects first.
-        A call that was overtaken by a later successful one counts as lost, and is cancelled if its messages
+        If no slot is free, the oldest call that is far overdue is cancelled, calls without effects first.
+        A call that was overtaken by a later successful call counts as lost, and is cancelled if its messages
         may be repeated.
         """
         changed = self.registry.schedule_overdue_checks()
@@ -156,7 +157,7 @@
             return
         changed |= self.registry.schedule_overdue_checks()
         needs_slot = len(self.active) >= self.settings.slots
-        # Without need of a slot, only calls of breakers that had an event can have become hopeless.
+        # If no slot is needed, only calls of breakers that had an event can have come to qualify.
         overdue = (
             self.overdue if needs_slot else [call for breaker in changed for call in breaker.overdue_calls]
         )
@@ -179,11 +180,11 @@
         self.registry.mark_changed(call.breaker)
 
     def should_cancel(self, call: ActiveCall, needs_slot: bool) -> bool:
-        """Whether an overdue call is cancelled.
+        """Whether to cancel an overdue call.
 
         Args:
             call: The call.
-            needs_slot: No slot is free.
+            needs_slot: Whether no slot is free.
         """
         age = self.loop.now - call.sent_at
         is_far_overdue = age > CANCEL_OVERDUE_FACTOR * call.breaker.overdue_after()
@@ -192,7 +193,7 @@
         return is_lost or is_useless or (needs_slot and is_far_overdue)
 
     def may_retry(self, call: ActiveCall) -> bool:
-        """Whether all messages of the call may be sent again although it may have run."""
+        """Whether all messages of the call may be sent again although the call may have run."""
         return all(
             message.attempts < self.settings.max_attempts
             and self.pending.may_repeat_at(self.loop.now, message, call.sent_at)
@@ -200,7 +201,7 @@
         )
 
     def close_scarce_connections(self) -> None:
-        """In a large fleet, closes idle connections to endpoints that accept no more of them."""
+        """In a large fleet, closes idle connections to endpoints that accept no further connections."""
         idle = self.just_idle
         self.just_idle = {}
         if self.loop.context.fleet_factor <= 1:
--- a/message_sender/policy/pending.py
+++ b/message_sender/policy/pending.py
@@ -1,9 +1,9 @@
-"""The messages of a sender: what each may still do, order within a key, limit on their number, completion.
+"""The messages of a sender: permitted repeats, order within a key, limit on their number, completion.
 
-Rules that hold here:
+This module enforces these rules:
 
-- A message is never run twice with an effect: `may_retry`, `may_reject`.
-- Messages of one key go one at a time, in the order in which they were accepted: `KeyQueue`.
+- A message never takes effect twice: `may_retry`, `may_reject`.
+- Messages of one key are sent one at a time, in the order in which they were accepted: `KeyQueue`.
 - No message is lost: each is completed before its deadline, see `expire_due`.
 """
 
@@ -21,30 +21,30 @@
 from message_sender.policy.pending_message import PendingMessage
 from message_sender.policy.urgency import weight_at_age
 
-CREDIT_TOLERANCE = 1e-9  # messages; absorbs rounding errors of a credit that should be 1
+CREDIT_TOLERANCE = 1e-9  # messages; absorbs rounding errors in a credit that should be 1
 CALL_TIME_FRACTION = 1 / 8  # of the latency objective: the expected time of a call
-SHEDDING_AGE_FRACTION = 0.7  # of its lifetime: from then a message may be shed
-SHEDDING_ORDER_AGE_US = 25  # lifetime of the shedding order for each message: bounds what sorting costs
+SHEDDING_AGE_FRACTION = 0.7  # of its lifetime, after which a message may be shed
+SHEDDING_ORDER_AGE_US = 25  # lifetime of the shedding order per message in it; bounds the cost of sorting
 
-#: A message in the shedding order: its expected weight, its sequence number, the message.
+#: An entry of the shedding order: expected weight and sequence number of a message, and the message.
 SheddingRank = tuple[float, int, PendingMessage]
 
 
 class KeyQueue:
-    """The messages of one key; the key pauses after an attempt of unknown result.
+    """The messages of one key. The key pauses after an attempt with an unknown result.
 
     Attributes:
-        messages: By id, in the order in which they were accepted.
+        messages: The messages by id, in the order in which they were accepted.
         paused_until: End of the pause.
     """
 
     def __init__(self) -> None:
-        """Creates an empty queue without a pause."""
+        """Creates an empty queue of a key that is not paused."""
         self.messages: OrderedDict[str, PendingMessage] = OrderedDict()
         self.paused_until = 0
 
     def head(self) -> PendingMessage:
-        """Returns the message that goes next; the queue must not be empty."""
+        """Returns the message to send next; the queue must not be empty."""
         return next(iter(self.messages.values()))
 
 
@@ -53,15 +53,15 @@
 
     Attributes:
         quotas: Messages a second that this sender may accept of each tenant.
-        credit: Unused quota of each tenant in messages, and as of when.
+        credit: Unused quota of each tenant in messages, and the time of that figure.
         messages: Messages that are not completed, by id.
         unacknowledged: Completed messages whose completion is not acknowledged.
         keys: The queue of each key.
-        deadlines: A heap: when a message may have to be completed.
-        key_pauses: A heap: when the pause of a key ends.
+        deadlines: Heap of the times at which a message may have to be completed.
+        key_pauses: Heap of the times at which the pause of a key ends.
         to_examine: Pending messages that may be the next of their key.
-        shedding_order: Messages that may be shed, the least promising first.
-        shedding_order_until: When that order is too old.
+        shedding_order: Messages that may be shed, those with the least expected weight first.
+        shedding_order_until: When the shedding order expires.
     """
 
     def __init__(self, loop: LoopState, registry: EndpointRegistry) -> None:
@@ -87,7 +87,7 @@
 
         Args:
             accepted: The message.
-            weight_factor: As determined by an earlier process; None: determine it from the quota.
+            weight_factor: As determined by an earlier process; None to determine it from the quota.
 
         Raises:
             ValueError: The class is unknown, or the message was accepted before.
@@ -107,9 +107,9 @@
         self.enqueue(message)
 
     def weight_factor_for(self, tenant: str) -> float:
-        """Returns the weight factor of a new message, which uses the tenant's quota up if there is some."""
+        """Returns the weight factor of a new message, and deducts the message from its tenant's quota."""
         if tenant not in self.quotas:
-            return 1.0  # no state is kept under names that clients can invent
+            return 1.0  # clients can invent names, so no state is kept for an unknown tenant
         rate = self.quotas[tenant]
         credit, since = self.credit[tenant]
         credit = min(credit + rate * (self.loop.now - since) / 1e6, max(rate, 1.0))
@@ -118,7 +118,7 @@
         return 1.0 if is_within_quota else self.settings.over_quota_weight
 
     def enqueue(self, message: PendingMessage) -> None:
-        """Makes a message pending: it waits to be sent."""
+        """Makes a message pending, that is, waiting to be sent."""
         destination = self.registry.activate(message.destination)
         message.sequence = next(self.loop.sequence)
         destination.add_pending(message)
@@ -129,25 +129,25 @@
             insort(self.shedding_order, self.shedding_rank(message, destination, position))
 
     def pause_key(self, key: str) -> None:
-        """Pauses a key after an attempt of unknown result."""
+        """Pauses a key after an attempt with an unknown result."""
         if queue := self.keys.get(key):
             queue.paused_until = int(self.loop.now) + self.settings.key_pause
             heapq.heappush(self.key_pauses, (queue.paused_until, key))
 
-    # What a message may still do.
+    # Permitted repeats.
 
     def schedule_window_check(self, message: PendingMessage) -> None:
-        """Schedules a check for when a pending message may no longer be repeated."""
+        """Schedules a check for the time from which a pending message may no longer be repeated."""
         if message.uncertain_since is not None and message.message_class.effect is Effect.KEYED:
-            ends = self.repeat_until(message, message.uncertain_since) + self.settings.tick
-            heapq.heappush(self.deadlines, (ends, next(self.loop.sequence), message))
+            check_at = self.repeat_until(message, message.uncertain_since) + self.settings.tick
+            heapq.heappush(self.deadlines, (check_at, next(self.loop.sequence), message))
 
     def repeat_until(self, message: PendingMessage, sent_at: int) -> float:
-        """Returns until when a repeat may be sent.
+        """Returns the time until which a repeat may be sent, us.
 
         Args:
-            message: A message of a class whose repeats are dropped for a while.
-            sent_at: When an attempt was sent that may have run.
+            message: A message of a KEYED class.
+            sent_at: When an attempt that may have run was sent.
         """
         since = sent_at if message.uncertain_since is None else message.uncertain_since
         return (
@@ -158,19 +158,19 @@
         )
 
     def may_repeat_at(self, now: float, message: PendingMessage, sent_at: int | None) -> bool:
-        """Whether a repeat has no second effect.
+        """Whether a repeat is certain to have no second effect.
 
         Args:
-            now: When the repeat would be sent.
+            now: When the repeat would be sent, us.
             message: The message.
-            sent_at: When an attempt was sent that may have run; None: there is none.
+            sent_at: When an attempt that may have run was sent; None if there is none.
         """
         if sent_at is None or message.message_class.effect is Effect.IDEMPOTENT:
             return True
         return message.message_class.effect is Effect.KEYED and now < self.repeat_until(message, sent_at)
 
     def may_retry(self, message: PendingMessage) -> bool:
-        """Whether another attempt is allowed and has no second effect."""
+        """Whether another attempt is allowed and certain to have no second effect."""
         has_attempts = message.attempts < self.settings.max_attempts
         return has_attempts and self.may_repeat_at(self.loop.now, message, message.uncertain_since)
 
@@ -192,17 +192,17 @@
         self.remove(message)
 
     def suggest_retry_after(self) -> int:
-        """Returns the Retry-After that clients are told, us; 0 for none."""
+        """Returns the Retry-After to suggest to clients, us; 0 for none."""
         return min(RESET_TIMEOUT_US, self.settings.max_retry_after)
 
     def remove(self, message: PendingMessage) -> None:
-        """Removes a completed message; the next one of its key may go once nothing is outstanding."""
+        """Removes a completed message, and releases the next message of its key if nothing is outstanding."""
         if not message.is_completed:
             message.is_completed = True
             del self.messages[message.id]
             self.registry.destinations[message.destination].remove_pending(message)
         if message.id in self.unacknowledged:
-            return  # order: nothing of its key goes before the acknowledgement
+            return  # to keep the order, no message of the key is sent before the acknowledgement
         queue = self.keys.get(message.key)
         if queue and not message.is_in_flight and message.id in queue.messages:
             del queue.messages[message.id]
@@ -212,32 +212,32 @@
                 del self.keys[message.key]
 
     def expire_due(self) -> None:
-        """Completes messages a tick before their deadline, and those that may not be attempted again.
+        """Completes messages one tick before their deadline, and messages that may not be attempted again.
 
-        A message in flight is checked again when its attempt ends.
+        A message in flight is not completed here; it is checked when its attempt ends.
         """
         soon = self.loop.now + self.settings.tick
         while self.deadlines and self.deadlines[0][0] <= soon:
             self.loop.examined_items += 1
             message = heapq.heappop(self.deadlines)[2]
-            is_over = message.deadline <= soon or not self.may_retry(message)
-            if is_over and not message.is_completed and not message.is_in_flight:
+            is_expired = message.deadline <= soon or not self.may_retry(message)
+            if is_expired and not message.is_completed and not message.is_in_flight:
                 self.complete(message)
 
     # Order within a key.
 
     def is_next_of_key(self, message: PendingMessage) -> bool:
-        """Whether it is the message's turn; a retry does not have to await the pause of its key."""
+        """Whether the message is the next one of its key; a retry does not wait for the pause of the key."""
         queue = self.keys.get(message.key)
-        has_paused = not queue or message.attempts > 0 or self.loop.now >= queue.paused_until
-        return not queue or (queue.head() is message and has_paused)
+        is_unpaused = not queue or message.attempts > 0 or self.loop.now >= queue.paused_until
+        return not queue or (queue.head() is message and is_unpaused)
 
     def is_pending(self, message: PendingMessage) -> bool:
-        """Whether it waits to be sent."""
+        """Whether the message is waiting to be sent."""
         return not (message.is_completed or message.is_in_flight)
 
     def find_ready(self) -> None:
-        """Makes messages ready whose turn may have come: by the end of a pause or by another message's."""
+        """Marks pending messages as ready once they are next of their key and its pause has ended."""
         while self.key_pauses and self.key_pauses[0][0] <= self.loop.now:
             self.loop.examined_items += 1
             key = heapq.heappop(self.key_pauses)[1]
@@ -257,15 +257,16 @@
     # Load shedding.
 
     def shedding_rank(self, message: PendingMessage, destination: Destination, position: int) -> SheddingRank:
-        """Returns the place in the shedding order.
+        """Returns the sort key of a message in the shedding order.
 
-        It is the message's weight at the time when it is likely to be sent; of equal ones the first to become
-        pending is shed first. This protects new messages from a queue full of what cannot be sent soon.
+        The key is the weight of the message at the time when it is likely to be sent. Among equal weights,
+        the message that became pending first is shed first. New messages are thus not rejected because the
+        queue is full of messages that cannot be sent soon.
 
         Args:
             message: The message.
             destination: Its destination.
-            position: Number of messages of its key that go before it.
+            position: Number of messages of its key that are ahead of it.
         """
         message_class = message.message_class
         delay = message_class.latency_objective * (0.5 + position * CALL_TIME_FRACTION)
@@ -276,11 +277,12 @@
         return weight, message.sequence, message
 
     def may_shed(self, message: PendingMessage) -> bool:
-        """Whether a message may be completed to make room.
+        """Whether a message may be completed to make room in the queue.
 
-        It may if it is late. Unless it was restored, it also may if the destination announced a wait beyond
-        its deadline, in its first iteration (the client does not have the acceptance yet), or in a small
-        fleet, whose members can tell whose turn comes.
+        It may be if most of its lifetime has passed. A message that was not restored may also be completed in
+        three other cases: the destination announced a wait beyond the deadline; it is the iteration that
+        accepted the message, so that the client has not received the acceptance; or the fleet is small, so
+        that its members can predict which message will be sent.
         """
         age = self.loop.now - message.received_at
         lifetime = message.deadline - message.received_at
@@ -290,12 +292,12 @@
         return age >= SHEDDING_AGE_FRACTION * lifetime or (may_shed_early and not message.is_restored)
 
     def shed_excess(self, below: float = NEVER) -> None:
-        """Completes the least promising pending messages while the queue is full.
+        """Completes the pending messages with the least expected weight while the queue is full.
 
-        The order is rebuilt only now and then, which bounds the CPU time of sorting all messages.
+        The shedding order is rebuilt only once it has expired, which bounds the CPU time spent on sorting.
 
         Args:
-            below: Only messages with a weight factor below this one are shed.
+            below: Only messages with a weight factor below this value are shed.
         """
         excess = len(self.messages) - self.settings.max_open + 1
         if self.loop.now >= self.shedding_order_until:
@@ -307,7 +309,7 @@
                 excess -= 1
 
     def rank_for_shedding(self) -> list[SheddingRank]:
-        """Returns all messages that may be rejected, the least promising first."""
+        """Returns all messages that may be rejected, those with the least expected weight first."""
         positions: dict[str, int] = {}
         for queue in self.keys.values():
             positions |= {name: position for position, name in enumerate(queue.messages)}
--- a/message_sender/policy/state_transfer.py
+++ b/message_sender/policy/state_transfer.py
@@ -1,9 +1,9 @@
-"""Takes up messages and state of an earlier process, and exports the state for the next one. Pure.
+"""Imports messages and state of an earlier process, and exports the state for the next process. Does no I/O.
 
 Breakers and endpoints are exported by recorded field names, so that another version leaves the fields that it
-does not know at their defaults. The recorded names are data: they are keys in the handover packet and in the
-file of learned state. Calls in flight are not part of it: each goes with its message
-(`MessageRestored.call`).
+does not find at their defaults. The recorded names are stored data: they are keys in the handover packet and
+in the file of learned state. Calls in flight are not part of the exported state: each is handed over with its
+message (`MessageRestored.call`).
 """
 
 import heapq
@@ -17,7 +17,7 @@
 from message_sender.policy.pending import KeyQueue, PendingQueue
 from message_sender.policy.pending_message import PendingMessage
 
-RESTORED_REFUSALS_LIMIT = 2  # refusals of restored messages from which a destination is in doubt
+RESTORED_REFUSALS_LIMIT = 2  # refusals of restored messages from which a destination may be down
 
 #: Recorded names of a breaker's fields.
 BREAKER_FIELDS = {
@@ -49,12 +49,12 @@
 
 
 def export_fields(source: object, names: Mapping[str, str]) -> dict[str, float]:
-    """Returns the values of an object by their recorded names."""
+    """Returns the values of an object's fields by recorded name."""
     return {recorded: getattr(source, name) for recorded, name in names.items()}
 
 
 def import_fields(target: Breaker | TrackedEndpoint, values: Mapping[str, float]) -> None:
-    """Sets those of the recorded values that this version knows."""
+    """Sets the recorded values that this version knows; the other fields keep their values."""
     names = BREAKER_FIELDS if isinstance(target, Breaker) else ENDPOINT_FIELDS
     for recorded, name in names.items():
         if recorded in values:
@@ -87,7 +87,7 @@
 
 
 class StateImporter:
-    """Takes up what an earlier process left."""
+    """Imports the messages and the state of an earlier process."""
 
     def __init__(self, registry: EndpointRegistry, pending: PendingQueue, inflight: InFlightCalls) -> None:
         """Creates an importer into these parts of the policy."""
@@ -97,10 +97,10 @@
         self.inflight = inflight
 
     def restore_message(self, restored: MessageRestored) -> None:
-        """Takes up a message.
+        """Imports a message.
 
-        An attempt that was in flight when its process ended may have run, or may still run: the message's key
-        pauses.
+        An attempt that was in flight when its process ended may have run, or may still run, so the key of the
+        message pauses.
         """
         self.pending.accept(restored.accepted, restored.weight_factor)
         message = self.pending.messages[restored.accepted.message]
@@ -125,10 +125,11 @@
             self.restore_outcome(endpoint, outcome)
 
     def restore_outcome(self, endpoint: str, outcome: Outcome) -> None:
-        """Counts an outcome on record as if it had happened now.
+        """Counts a recorded outcome as if it had happened now.
 
-        This protects a destination that came back meanwhile and is cold. A cancelled attempt was far overdue.
-        In a large fleet one failure without an answer is enough for doubt, as no success is known here.
+        This protects a destination that has returned in the meantime and is cold. A cancelled attempt counts
+        as a failure, since it was far overdue. In a large fleet one failure without an answer restarts the
+        warm-up, as no successes are known here.
         """
         known = self.registry.endpoints.get(endpoint)
         if known is None or known.breaker is None:
@@ -144,7 +145,7 @@
             breaker.record_unserved(now, RESTORED_REFUSALS_LIMIT)
 
     def adopt_call(self, message: PendingMessage, inherited: CallInFlight) -> None:
-        """Takes up a call of the predecessor: it occupies message, key and trial until it ends."""
+        """Imports a call of the predecessor, which occupies its message, key and trial until it ends."""
         number = message.destination
         destination = self.registry.activate(number)
         endpoint = self.registry.endpoints.get(inherited.endpoint)
@@ -163,7 +164,7 @@
             breaker.overdue_calls[call] = self.inflight.overdue[call] = None
 
     def apply_inherited(self, state: InheritedState) -> None:
-        """Takes up the state of breakers, endpoints, keys, quotas and inactive destinations."""
+        """Imports the state of breakers, endpoints, keys, quotas and inactive destinations."""
         for number, route, values in state.breakers:
             by_route = self.registry.activate(number).breakers_by_route
             assert by_route is not None
