--- a/message_sender/adapter.py
+++ b/message_sender/adapter.py
@@ -1,8 +1,8 @@
-"""The simulator's wire on standard input and output.
+"""The simulator's line protocol on standard input and output.
 
-One process serves many instances of the delivery policy, which share nothing. The input comes in batches of
-lines, from `sync` to `over_to_you`; each batch is answered by the actions of its instances and one `end`.
-The names of fields and values on the wire are the simulator's.
+One process serves many instances of the delivery policy, which share no state. The input comes in batches of
+lines, each from `sync` to `over_to_you`. The reply to a batch is the actions of its instances and one `end`
+line. The names of fields and values are defined by the simulator.
 """
 
 import json
@@ -51,7 +51,7 @@
     "3": ListingKind.FAILED,
 }
 FLAGS = {"0": False, "1": True}
-#: Types of lines with a field of free text up to the end of the line, and how that field begins.
+#: Types of lines whose last field is free text up to the end of the line, and the text that begins the field.
 TEXT_FIELDS = {"power_on": " env="}
 IS_REPEAT_BIT = 2  # in the field `bitmap` of a message
 IGNORED_EVENTS = {"head_received", "probe_result", "whisper"}
@@ -60,13 +60,13 @@
 
 
 class WireError(Exception):
-    """The input is not what the wire describes.
+    """The input violates the line protocol.
 
     Attributes:
         line: Number of the line, from 1.
-        line_type: Its type.
-        field: The field that is wrong, or a place in brackets.
-        reason: What is wrong with it.
+        line_type: Type of the line.
+        field: The invalid field, or another place in brackets.
+        reason: Why it is invalid.
     """
 
     def __init__(self, line: int, line_type: str, field: str, reason: str) -> None:
@@ -89,7 +89,7 @@
             text: The line.
 
         Raises:
-            WireError: A field is not name=value.
+            WireError: A field does not have the form name=value.
         """
         self.number = number
         text = text.rstrip("\n")
@@ -106,26 +106,34 @@
             self.fields[name] = value
 
     def error(self, field: str, reason: str) -> WireError:
-        """Returns the error that a field of this line is wrong."""
+        """Returns an error for a field of this line."""
         return WireError(self.number, self.type or "(empty)", field, reason)
 
     def text(self, field: str, default: str | None = None) -> str:
-        """Returns a field. Raises WireError if it is missing and has no default, as the next methods do."""
+        """Returns a field as text.
+
+        Args:
+            field: Name of the field.
+            default: The value if the field is missing; None if it must be present.
+
+        Raises:
+            WireError: The field is missing and has no default.
+        """
         value = self.fields.get(field, default)
         if value is None:
             raise self.error(field, "is missing")
         return value
 
     def integer(self, field: str, default: str | None = None) -> int:
-        """Returns a field that is an integer."""
+        """Returns a field as an integer. Raises WireError if it is missing or is not an integer."""
         return self._convert(field, default, int)
 
     def real(self, field: str, default: str | None = None) -> float:
-        """Returns a field that is a number."""
+        """Returns a field as a number. Raises WireError if it is missing or is not a number."""
         return self._convert(field, default, float)
 
     def one_of(self, field: str, choices: Mapping[str, Value], default: str | None = None) -> Value:
-        """Returns the choice that a field names."""
+        """Returns the choice that a field names. Raises WireError if it is missing or names no choice."""
         return self._convert(field, default, choices.__getitem__)
 
     def _convert(self, field: str, default: str | None, convert: Callable[[str], Value]) -> Value:
@@ -137,7 +145,7 @@
 
 
 def read_settings(line: Line) -> Settings:
-    """Reads the settings of an instance. Raises WireError if they are malformed."""
+    """Reads the settings of an instance. Raises WireError if they are invalid."""
     try:
         return decode_settings(json.loads(line.text("env")))
     except KeyError as error:
@@ -147,7 +155,7 @@
 
 
 def read_endpoint(line: Line) -> Endpoint:
-    """Reads an entry of a list of endpoints."""
+    """Reads an entry of an endpoint list. Raises WireError if it is invalid."""
     return Endpoint(
         id=line.text("receiver"),
         destination=line.integer("destination"),
@@ -159,7 +167,7 @@
 
 
 def read_message(line: Line) -> MessageAccepted:
-    """Reads a message of a client."""
+    """Reads a message that a client submitted. Raises WireError if it is invalid."""
     return MessageAccepted(
         message=line.text("ref"),
         message_class=line.text("service"),
@@ -172,7 +180,7 @@
 
 
 def read_result(line: Line) -> AttemptEnded:
-    """Reads the result of an attempt."""
+    """Reads the result of an attempt. Raises WireError if it is invalid."""
     outcome = line.one_of("outcome", OUTCOMES)
     wait_ms = line.integer("note", "0") if outcome is Outcome.FULL else 0
     return AttemptEnded(
@@ -184,36 +192,36 @@
     )
 
 
-def write_action(who: str, action: PolicyAction) -> str:
-    """Returns the line of an action of the instance `who`."""
+def write_action(instance: str, action: PolicyAction) -> str:
+    """Returns the line for an action of the named instance."""
     match action:
         case Send(message, endpoint, timeout):
-            return f"place who={who} ref={message} give_up_after={timeout} receiver={endpoint}\n"
+            return f"place who={instance} ref={message} give_up_after={timeout} receiver={endpoint}\n"
         case Reject(message, retry_after):
-            return f"shed who={who} ref={message} retry_after={retry_after}\n"
+            return f"shed who={instance} ref={message} retry_after={retry_after}\n"
         case Fail(message):
-            return f"error who={who} ref={message}\n"
+            return f"error who={instance} ref={message}\n"
         case CancelAttempt(message, attempt):
-            return f"stop_attempt who={who} ref={message} go={attempt}\n"
+            return f"stop_attempt who={instance} ref={message} go={attempt}\n"
         case WakeAfter(delay):
-            return f"set_alarm who={who} handle=0 delay={delay}\n"
+            return f"set_alarm who={instance} handle=0 delay={delay}\n"
         case Subscribe():
-            return f"listen who={who} on=1\n"
+            return f"listen who={instance} on=1\n"
         case CloseIdle(endpoint):
-            return f"release who={who} receiver={endpoint}\n"
+            return f"release who={instance} receiver={endpoint}\n"
         case LogLine(text):
-            return f"remark who={who} message={text}\n"
+            return f"remark who={instance} message={text}\n"
 
 
 class Adapter:
-    """Turns batches of lines into events, and the actions that follow into lines."""
+    """Converts batches of lines into events, and the resulting actions into lines."""
 
     def __init__(self, source: IO[str], sink: IO[str]) -> None:
         """Creates an adapter without instances."""
         self.source = source
         self.sink = sink
         self.senders: dict[str, Dispatcher] = {}
-        self.sheets: dict[int, tuple[Endpoint, ...]] = {}
+        self.endpoint_lists: dict[int, tuple[Endpoint, ...]] = {}
         self.line_number = 0
 
     def read_line(self) -> Line | None:
@@ -225,10 +233,10 @@
         return Line(self.line_number, text)
 
     def run(self) -> None:
-        """Serves all batches. Raises WireError for malformed input."""
+        """Serves all batches until the input ends. Raises WireError for malformed input."""
         while (line := self.read_line()) is not None:
             if line.type == "":
-                continue  # an empty line between batches
+                continue  # empty lines between batches are allowed
             if line.type != "sync":
                 raise line.error("(type)", "a batch begins with sync")
             now_us, sequence = line.integer("wall"), line.integer("seq")
@@ -238,54 +246,57 @@
         """Reads the lines of a batch.
 
         Returns:
-            The events of each instance that has a line in it, by the instance's name.
+            The events by the name of the instance, for each instance that has a line in the batch.
+
+        Raises:
+            WireError: A line is invalid, or the input ends inside the batch.
         """
-        inbox: dict[str, list[PolicyEvent]] = {}
+        events_by_instance: dict[str, list[PolicyEvent]] = {}
         while True:
             line = self.read_line()
             if line is None:
                 raise WireError(self.line_number, "sync", "(end)", "the input ends inside a batch")
             if line.type == "over_to_you":
-                return inbox
+                return events_by_instance
             if line.type == "sheet":
-                self.sheets[line.integer("table")] = self.read_sheet(line.integer("elements"))
+                self.endpoint_lists[line.integer("table")] = self.read_endpoint_list(line.integer("elements"))
             else:
-                self.read_instance_line(line, inbox)
+                self.read_instance_line(line, events_by_instance)
 
-    def read_instance_line(self, line: Line, inbox: dict[str, list[PolicyEvent]]) -> None:
-        """Applies a line that concerns one instance: its start, its end or an event."""
-        who = line.text("who")
+    def read_instance_line(self, line: Line, events_by_instance: dict[str, list[PolicyEvent]]) -> None:
+        """Applies the start, the end or an event of an instance. Raises WireError if the line is invalid."""
+        instance = line.text("who")
         if line.type == "power_on":
-            self.senders[who] = Dispatcher(read_settings(line), line.integer("nonce64"))
-            inbox[who] = []
+            self.senders[instance] = Dispatcher(read_settings(line), line.integer("nonce64"))
+            events_by_instance[instance] = []
             return
         if line.type == "destroy":
-            self.senders.pop(who, None)
-            inbox.pop(who, None)
+            self.senders.pop(instance, None)
+            events_by_instance.pop(instance, None)
             return
         event = self.read_event(line)
-        if who not in self.senders:
-            raise line.error("who", f"{who} is not running")
-        events = inbox.setdefault(who, [])
+        if instance not in self.senders:
+            raise line.error("who", f"{instance} is not running")
+        events = events_by_instance.setdefault(instance, [])
         if event is not None:
             events.append(event)
 
-    def answer(self, now_us: int, sequence: int, inbox: dict[str, list[PolicyEvent]]) -> None:
-        """Runs an iteration of each instance with events, and writes the actions."""
-        out: list[str] = []
-        for who, events in inbox.items():
+    def answer(self, now_us: int, sequence: int, events_by_instance: dict[str, list[PolicyEvent]]) -> None:
+        """Runs an iteration of each instance in the batch, and writes the actions."""
+        lines: list[str] = []
+        for instance, events in events_by_instance.items():
             try:
-                actions = self.senders[who].handle(now_us, events)
-            except Exception as error:  # boundary: one instance's fault must not end the others
+                actions = self.senders[instance].handle(now_us, events)
+            except Exception as error:  # boundary: a fault of one instance must not end the others
                 text = " ".join(f"{type(error).__name__}: {error}".split())
-                out.append(f"panic who={who} message={text}\n")
+                lines.append(f"panic who={instance} message={text}\n")
                 continue
-            out.extend(write_action(who, action) for action in actions)
-        self.sink.write("".join(out) + f"end seq={sequence}\n")
+            lines.extend(write_action(instance, action) for action in actions)
+        self.sink.write("".join(lines) + f"end seq={sequence}\n")
         self.sink.flush()
 
-    def read_sheet(self, count: int) -> tuple[Endpoint, ...]:
-        """Reads a list of endpoints, one a line."""
+    def read_endpoint_list(self, count: int) -> tuple[Endpoint, ...]:
+        """Reads an endpoint list of `count` lines. Raises WireError if a line is missing or invalid."""
         entries = []
         for _ in range(count):
             line = self.read_line()
@@ -295,7 +306,7 @@
         return tuple(entries)
 
     def read_event(self, line: Line) -> PolicyEvent | None:
-        """Reads an event; None for one that the policy does not use."""
+        """Reads an event; None if the policy does not use it. Raises WireError if it is invalid."""
         match line.type:
             case "view":
                 return self.read_update(line)
@@ -314,14 +325,14 @@
                 raise line.error("(type)", "unknown event")
 
     def read_update(self, line: Line) -> EndpointsUpdated:
-        """Reads an update of the list of endpoints, which refers to a sheet by number."""
+        """Reads an update of the endpoint list, whose entries are in the `sheet` with the given number."""
         listing = line.one_of("how", LISTINGS)
         if listing is ListingKind.FAILED:
             return EndpointsUpdated(listing)
         table = line.integer("table")
-        if table not in self.sheets:
+        if table not in self.endpoint_lists:
             raise line.error("table", f"no sheet {table}")
-        return EndpointsUpdated(listing, self.sheets[table])
+        return EndpointsUpdated(listing, self.endpoint_lists[table])
 
 
 def main() -> int:
