--- a/message_sender/policy/dispatcher.py
+++ b/message_sender/policy/dispatcher.py
@@ -317,7 +317,7 @@
         """Whether a call may be sent now according to the slots, the breaker and the end of the process."""
         now = int(self.loop.now)
         slots = self.settings.slots
-        # A call that is still in flight when the process ends may have run, so it is not started.
+        # The last condition: a call that is still in flight when the process ends may have run.
         if (
             len(self.active_calls) >= slots
             or breaker.ready_at(now) > now
--- a/message_sender/policy/inflight.py
+++ b/message_sender/policy/inflight.py
@@ -9,7 +9,7 @@
 from message_sender.policy.pending import PendingQueue
 from message_sender.policy.pending_message import PendingMessage
 
-SCARCE_IDLE_TIMES = 3  # for this multiple of Settings.conn_idle a large fleet closes connections after use
+SCARCE_IDLE_TIMES = 3  # a large fleet closes scarce connections after use for this multiple of conn_idle
 SCARCITY_WINDOW_US = 1_000_000  # from a refused connection to a success; an outage lasts longer
 GONE_RESET_TIMEOUTS = 4  # an endpoint that may be gone is avoided for this multiple of the reset timeout
 CANCEL_OVERDUE_FACTOR = 1.5  # a call may be cancelled for its slot from this multiple of the overdue limit
@@ -94,9 +94,9 @@
     def is_evidence(self, call: ActiveCall, outcome: Outcome) -> bool:
         """Whether a result counts against the destination and has not been counted before.
 
-        If a call times out before it is overdue, its message had little time left, so the timeout is no
-        evidence. In a large fleet such a timeout does count, since each member sees few calls and a
-        destination that returns must not be overloaded.
+        If a call other than a trial times out before it is overdue, its message had little time left, so the
+        timeout is no evidence. In a large fleet such a timeout does count, since each member sees few calls
+        and a destination that returns must not be overloaded.
         """
         if outcome not in FAILURES or call.is_overdue:
             return False
--- a/message_sender/policy/pending.py
+++ b/message_sender/policy/pending.py
@@ -23,8 +23,8 @@
 
 CREDIT_TOLERANCE = 1e-9  # messages; absorbs rounding errors in a credit that should be 1
 CALL_TIME_FRACTION = 1 / 8  # of the latency objective: the expected time of a call
-SHEDDING_AGE_FRACTION = 0.7  # of its lifetime, after which a message may be shed
-SHEDDING_ORDER_AGE_US = 25  # lifetime of the shedding order per message in it; bounds the cost of sorting
+SHEDDING_AGE_FRACTION = 0.7  # of the lifetime of a message, after which it may be shed
+SHEDDING_ORDER_AGE_US = 25  # lifetime of the shedding order per message; bounds the cost of sorting
 
 #: An entry of the shedding order: expected weight and sequence number of a message, and the message.
 SheddingRank = tuple[float, int, PendingMessage]
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""The wire: round trips, split batches and malformed input."""
+"""The adapter's line protocol: round trips, order within a batch and malformed input."""
 
 import io
 import json
@@ -29,11 +29,11 @@
     return sink.getvalue().splitlines()
 
 
-def test_message_goes_out_and_its_answer_comes_back() -> None:
+def test_a_message_is_sent_and_its_result_is_read() -> None:
     answer = "answer who=sender-0 ref=rq_a go=0 receiver=10.0.0.1:1 outcome=OK lag=5 finished=1"
-    out = replies([*START, "sync wall=9000 seq=2", answer, "over_to_you"])
-    assert "place who=sender-0 ref=rq_a give_up_after=8000000 receiver=10.0.0.1:1" in out
-    assert [line for line in out if line.startswith("end")] == ["end seq=1", "end seq=2"]
+    lines = replies([*START, "sync wall=9000 seq=2", answer, "over_to_you"])
+    assert "place who=sender-0 ref=rq_a give_up_after=8000000 receiver=10.0.0.1:1" in lines
+    assert [line for line in lines if line.startswith("end")] == ["end seq=1", "end seq=2"]
 
 
 def test_sheet_number_is_resolved_in_the_order_of_events() -> None:
@@ -48,7 +48,7 @@
 
 
 @pytest.mark.parametrize(
-    ("line", "words"),
+    ("line", "error_text"),
     [
         ("req who=sender-0 ref=rq_b service=c dest=3", "time_left"),
         ("req who=sender-0 ref=rq_b service=c time_left=soon dest=3", "time_left"),
@@ -58,18 +58,18 @@
         ("answer who=sender-0 ref=rq_a go=0 outcome=MAYBE", "outcome"),
     ],
 )
-def test_malformed_input_names_line_and_field(line: str, words: str) -> None:
-    with pytest.raises(WireError, match=words) as caught:
+def test_malformed_input_names_line_and_field(line: str, error_text: str) -> None:
+    with pytest.raises(WireError, match=error_text) as caught:
         replies([*START[:-1], line, "over_to_you"])
     assert "line 7" in str(caught.value)
 
 
-def test_decision_error_is_told_by_panic() -> None:
+def test_an_error_in_the_policy_is_reported_by_a_panic_line() -> None:
     lines = [*START[:-1], START[5], "over_to_you"]
     assert any(line.startswith("panic who=sender-0 message=ValueError") for line in replies(lines))
 
 
-def test_same_replies_whatever_the_hash_seed_and_the_process_ends_well() -> None:
+def test_the_replies_of_the_process_do_not_depend_on_the_hash_seed() -> None:
     runs = [
         subprocess.run(
             [sys.executable, "-m", "message_sender.adapter"],
@@ -85,7 +85,7 @@
     assert runs[0] == runs[1] != ""
 
 
-def test_malformed_input_ends_the_process_with_one_plain_line() -> None:
+def test_malformed_input_ends_the_process_with_one_error_line() -> None:
     command = [sys.executable, "-m", "message_sender.adapter"]
-    done = subprocess.run(command, input="hello\n", capture_output=True, text=True, cwd=ROOT)
-    assert done.returncode != 0 and done.stdout == "" and len(done.stderr.splitlines()) == 1
+    process = subprocess.run(command, input="hello\n", capture_output=True, text=True, cwd=ROOT)
+    assert process.returncode != 0 and process.stdout == "" and len(process.stderr.splitlines()) == 1
--- a/tests/test_breaker.py
+++ b/tests/test_breaker.py
@@ -11,7 +11,7 @@
 from message_sender.policy.model import ListingKind, Outcome
 
 
-def test_opens_at_the_threshold_and_keeps_messages_pending() -> None:
+def test_the_breaker_opens_at_the_threshold_and_keeps_messages_pending() -> None:
     world = World()
     for number in range(FAILURE_THRESHOLD):
         assert sent(world.take("once")) == [f"m{number + 1}"]
@@ -20,7 +20,7 @@
     assert sent(actions) == [] and ended(actions) == []
 
 
-def test_a_served_call_zeroes_the_count() -> None:
+def test_a_successful_call_resets_the_failure_count() -> None:
     world = World()
     for _ in range(FAILURE_THRESHOLD - 1):
         world.take("once")
@@ -32,7 +32,7 @@
     assert breaker.failures == 0
 
 
-def test_one_trial_at_a_time_and_success_closes() -> None:
+def test_one_trial_is_sent_at_a_time_and_its_success_closes_the_breaker() -> None:
     world = World()
     world.open_breaker()
     world.take()
@@ -44,7 +44,7 @@
     assert len(sent(actions)) + len(later) >= 1
 
 
-def test_failed_trial_restarts_the_timeout() -> None:
+def test_a_failed_trial_restarts_the_reset_timeout() -> None:
     world = World()
     world.open_breaker()
     world.take()
@@ -54,7 +54,7 @@
     assert len(sent(world.step(WakeUp(), after=10 * MS))) == 1
 
 
-def test_gap_grows_with_refusals_and_shrinks_with_served_calls() -> None:
+def test_the_gap_grows_with_refusals_and_shrinks_with_successful_calls() -> None:
     world = World()
     world.take()
     world.answer("m1", Outcome.FULL)
@@ -76,7 +76,7 @@
         assert sent(world.step(WakeUp(), after=9 * SECOND // 2)) == ["m1"]
 
 
-def test_overdue_calls_open_the_breaker_before_any_time_out() -> None:
+def test_overdue_calls_open_the_breaker_before_any_call_times_out() -> None:
     world = World()
     for _ in range(FAILURE_THRESHOLD):
         world.take("once")
@@ -84,19 +84,19 @@
     assert sent(world.take()) == []
 
 
-def test_sends_of_one_round_share_a_call_where_batches_are_taken() -> None:
+def test_messages_sent_in_one_iteration_share_a_call_where_batches_are_accepted() -> None:
     world = World(endpoint("a", kind="apart"), slots=1)
     events = [MessageAccepted(f"x{each}", "safe", 1, 20 * SECOND) for each in range(7)]
     assert len(sent(world.step(*events))) == 5
 
 
-@pytest.mark.parametrize("tries", [1, 5])
-def test_a_local_list_is_polled_again_within_the_grace_of_a_drain(tries: int) -> None:
-    """What a local agent has counts as announced, also while nobody polls it."""
+@pytest.mark.parametrize("polls", [1, 5])
+def test_a_local_list_is_polled_again_within_the_grace_period_of_a_drain(polls: int) -> None:
+    """A change that the local agent has counts as announced, also before the sender polls the agent."""
 
     def pause(**changes: object) -> int:
         world = World(must_poll=True, **changes)
-        for _ in range(tries):
+        for _ in range(polls):
             world.step(EndpointsUpdated(ListingKind.FAILED), after=MS)
             failed_at, asked_at = world.now, math.ceil(world.dispatcher.registry.list_polling.next_poll_at)
             assert Subscribe() in world.step(WakeUp(), after=asked_at - failed_at)
@@ -108,13 +108,13 @@
 def test_same_events_give_the_same_actions() -> None:
     def run() -> list[list[PolicyAction]]:
         world = World(endpoint("a"), endpoint("b"), must_poll=True)
-        out = [world.step(EndpointsUpdated(ListingKind.FAILED))]
+        batches = [world.step(EndpointsUpdated(ListingKind.FAILED))]
         for number in range(30):
             actions = world.take(("safe", "once", "keyed")[number % 3], after=50 * MS)
-            out.append(actions)
+            batches.append(actions)
             for name in sent(actions):
-                out.append(world.answer(name, (Outcome.OK, Outcome.FULL, Outcome.ERROR)[number % 3]))
-        return out
+                batches.append(world.answer(name, (Outcome.OK, Outcome.FULL, Outcome.ERROR)[number % 3]))
+        return batches
 
     assert run() == run()
 
@@ -136,7 +136,7 @@
     assert [each for each in actions if isinstance(each, CancelAttempt)] != []
 
 
-def test_gap_may_grow_further_where_more_senders_share_a_limit() -> None:
+def test_the_gap_may_grow_further_where_more_senders_share_a_limit() -> None:
     def gap_after_refusals(fleet: int) -> float:
         world = World(fleet_size=fleet, max_attempts=99)
         world.take(time_left_us=20 * SECOND)
@@ -151,11 +151,11 @@
     assert gap_after_refusals(12) > gap_after_refusals(2)
 
 
-def test_failures_before_a_restart_open_the_breaker_to_a_trial_and_warm_it_up() -> None:
+def test_failures_before_a_restart_open_the_breaker_for_a_trial_and_start_the_warm_up() -> None:
     world = World()
-    taken = [MessageAccepted(f"m{each}", "safe", 1, 20 * SECOND) for each in range(FAILURE_THRESHOLD)]
+    accepted = [MessageAccepted(f"m{each}", "safe", 1, 20 * SECOND) for each in range(FAILURE_THRESHOLD)]
     failed = (("a", Outcome.CONNECT_FAILED),)
-    actions = world.step(*[MessageRestored(each, 1, None, "", failed) for each in taken])
+    actions = world.step(*[MessageRestored(each, 1, None, "", failed) for each in accepted])
     assert sent(actions) == ["m0"]
     world.attempts["m0"] = 1
     assert sent(world.answer("m0", Outcome.OK)) == []
@@ -164,16 +164,18 @@
 
 def test_an_isolated_failure_before_a_restart_delays_nothing() -> None:
     world = World()
-    taken = [MessageAccepted(f"m{each}", "safe", 1, 20 * SECOND) for each in range(2)]
+    accepted = [MessageAccepted(f"m{each}", "safe", 1, 20 * SECOND) for each in range(2)]
     actions = world.step(
-        MessageRestored(taken[0], 1, 0, "z1", (("a", Outcome.ERROR),)),
-        MessageRestored(taken[1], 0, None, ""),
+        MessageRestored(accepted[0], 1, 0, "z1", (("a", Outcome.ERROR),)),
+        MessageRestored(accepted[1], 0, None, ""),
     )
     assert sent(actions) == ["m0", "m1"]
 
 
 def test_a_call_overtaken_by_successful_ones_is_cancelled_and_retried_within_its_window() -> None:
-    """Seen: connections that fell silent held their messages, and the keys behind them, to the deadline."""
+    """Guards against connections that go silent: they held their messages, and these messages' keys, until
+    the deadline.
+    """
     world = World()
     world.take("zoned")
     assert sent(world.take("zoned", after=100 * MS)) == ["m2"]
@@ -185,19 +187,21 @@
 
 
 def test_an_overdue_call_is_not_cancelled_without_later_successes_or_if_it_may_not_be_retried() -> None:
-    for kind, served in (("zoned", False), ("once", True)):
+    for kind, has_success in (("zoned", False), ("once", True)):
         world = World()
         world.take(kind)
         world.take("zoned", after=100 * MS)
-        if served:
+        if has_success:
             world.answer("m2", Outcome.OK)
         actions = world.step(WakeUp(), after=2 * SECOND)
         assert not [each for each in actions if isinstance(each, CancelAttempt)]
 
 
 def test_the_gap_stays_within_the_bounds_of_the_announced_rate() -> None:
-    """Seen: gaps of 2 s, grown by refusals, at a destination that takes 58 calls a second. And gaps far under
-    the share, where refused calls use the limit up too: a fifth of the attempts was refused."""
+    """Guards against two faults. Refusals raised the gap to 2 s at a destination that accepts 58 calls a
+    second. And with gaps far below the one at this sender's part of the rate, refused calls used up the limit
+    too, so that a fifth of the attempts was refused.
+    """
     world = World(endpoint("a", scale=50.0), fleet_size=2, announces_rates=True)
     (breaker,) = world.dispatcher.registry.activate(1).breakers
     gaps = []
@@ -206,8 +210,8 @@
         world.answer("m1", Outcome.FULL)
         gaps.append(breaker.gap)
         assert sent(world.step(WakeUp(), after=SECOND)) == ["m1"]
-    share = 2 * SECOND / 50  # two senders, 50 calls a second; for 2 s it may be a limit that refuses
-    assert gaps == [1.2 * share, 1.2 * share, 2.4 * share, 4 * share, 4 * share]
+    gap = 2 * SECOND / 50  # two senders share 50 calls a second; refusals for up to 2 s may be a rate limit
+    assert gaps == [1.2 * gap, 1.2 * gap, 2.4 * gap, 4 * gap, 4 * gap]
 
 
 def test_the_gap_shrinks_slowly_below_its_base_and_fast_above() -> None:
@@ -225,23 +229,25 @@
 
 
 @pytest.mark.parametrize(
-    ("pause", "wait", "doubtful"), [(100, 0, False), (100, 400, False), (700, 0, True), (100, 4_000, True)]
+    ("pause", "wait", "is_outage"), [(100, 0, False), (100, 400, False), (700, 0, True), (100, 4_000, True)]
 )
 def test_only_refusals_beyond_a_limit_window_are_taken_for_an_outage(
-    pause: int, wait: int, doubtful: bool
+    pause: int, wait: int, is_outage: bool
 ) -> None:
-    """Seen: three refusals above a limit in a row, and the destination was warmed for 9 s like one that was
-    out. Shut ones refuse for longer than any span lasts, or tell a longer wait; those are warmed."""
+    """Guards against a fault: after three refusals in a row by a rate limit, a destination was warmed up for
+    9 s as after an outage. A destination that is out of service refuses for longer than any limit window, or
+    announces a longer wait; only such a destination is warmed up.
+    """
     world = World(endpoint("a", scale=50.0), announces_rates=True, max_attempts=99)
     (breaker,) = world.dispatcher.registry.activate(1).breakers
     world.take()
     for _ in range(FAILURE_THRESHOLD + 1):
         world.answer("m1", Outcome.FULL, wait=wait * MS)
         world.step(WakeUp(), after=max(pause, wait) * MS)
-    assert (breaker.warm_up_gap(world.now) > 0) is doubtful
+    assert (breaker.warm_up_gap(world.now) > 0) is is_outage
 
 
-def test_a_stale_connection_is_no_evidence_on_the_destination() -> None:
+def test_a_stale_connection_is_no_evidence_about_the_destination() -> None:
     world = World()
     (breaker,) = world.dispatcher.registry.activate(1).breakers
     for _ in range(FAILURE_THRESHOLD + 1):
@@ -250,8 +256,8 @@
     assert breaker.failures == 0 and breaker.failure_rate == 0
 
 
-def test_a_timeout_of_a_message_with_little_time_is_no_evidence() -> None:
-    """Messages that go with little time left time out long before a call is overdue."""
+def test_a_timeout_of_a_message_with_little_time_left_is_no_evidence() -> None:
+    """Messages that are sent with little time left time out long before their calls are overdue."""
     world = World()
     for _ in range(2 * FAILURE_THRESHOLD):
         assert sent(world.take("safe", time_left_us=50 * MS))
@@ -261,7 +267,7 @@
     assert sent(world.take("safe"))
 
 
-def test_a_trial_that_times_out_restarts_the_timeout() -> None:
+def test_a_trial_that_times_out_restarts_the_reset_timeout() -> None:
     world = World()
     world.open_breaker()
     trial = sent(world.step(WakeUp(), after=RESET_TIMEOUT_US))
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -13,7 +13,7 @@
 
 
 def test_the_deploy_file_names_each_policy_module_and_none_is_large() -> None:
-    """The operators lifted their limit of 1,200 lines over all of them; a module stays below 400."""
+    """The operators lifted the limit of 1,200 lines for all modules together; each keeps to 400 lines."""
     named = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
     modules = [
         each for each in (ROOT / "message_sender" / "policy").glob("*.py") if each.name != "__init__.py"
@@ -30,12 +30,12 @@
         ("key_pause", "key_quiet"),
     ],
 )
-def test_contradictory_settings_are_named_as_in_the_settings(field: str, name: str) -> None:
+def test_errors_for_invalid_settings_name_them_as_the_platform_does(field: str, name: str) -> None:
     with pytest.raises(ValueError, match=name):
         settings(**{field: -1})
 
 
-def test_unknown_class_reused_id_and_a_clock_that_goes_back_are_refused() -> None:
+def test_an_unknown_class_a_reused_id_and_a_clock_that_goes_back_raise_errors() -> None:
     world = World()
     with pytest.raises(ValueError, match="unknown class"):
         world.take("nothing")
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""Each of the six rules has its guard here; removing the guard makes its test fail."""
+"""The six delivery rules: a test here fails if the code that enforces a rule is removed."""
 
 import pytest
 from helpers import MS, SECOND, World, ended, endpoint, sent
@@ -18,27 +18,27 @@
 from message_sender.policy.model import EndpointState, ListingKind, Outcome
 
 
-def test_held_message_is_ended_before_its_time() -> None:
+def test_a_pending_message_is_completed_before_its_deadline() -> None:
     world = World(endpoint("other", destination=2))
     assert sent(world.take(time_left_us=SECOND)) == []
     assert ended(world.step(WakeUp(), after=SECOND - 5 * MS)) == [Reject("m1")]
 
 
-def test_message_turned_away_at_the_last_moment_is_still_ended() -> None:
+def test_a_message_refused_just_before_its_deadline_is_completed() -> None:
     world = World()
     world.take(time_left_us=SECOND)
     world.step(WakeUp(), after=SECOND - 4 * MS)
     assert ended(world.answer("m1", Outcome.FULL, after=0)) == [Reject("m1")]
 
 
-def test_last_time_out_is_answered_at_once() -> None:
+def test_a_timeout_at_the_deadline_completes_the_message_at_once() -> None:
     world = World()
     world.take(time_left_us=SECOND)
     assert len(ended(world.answer("m1", Outcome.TIMEOUT, after=SECOND))) == 1
 
 
 @pytest.mark.parametrize("outcome", [Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED])
-def test_once_only_message_that_may_have_run_fails(outcome: Outcome) -> None:
+def test_an_unsafe_message_that_may_have_run_fails(outcome: Outcome) -> None:
     world = World()
     world.take("once")
     actions = world.answer("m1", outcome)
@@ -46,14 +46,14 @@
 
 
 @pytest.mark.parametrize("outcome", [Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT])
-def test_once_only_message_that_never_ran_goes_again(outcome: Outcome) -> None:
+def test_an_unsafe_message_that_never_ran_is_sent_again(outcome: Outcome) -> None:
     world = World()
     world.take("once")
     actions = world.answer("m1", outcome)
     assert sent(actions + world.step(WakeUp(), after=3 * SECOND)) == ["m1"]
 
 
-def test_keyed_message_goes_again_only_inside_its_window() -> None:
+def test_a_keyed_message_is_repeated_only_within_its_window() -> None:
     world = World()
     world.take("keyed")
     actions = world.answer("m1", Outcome.ERROR, after=5 * SECOND)
@@ -62,34 +62,34 @@
     assert sent(world.answer("m2", Outcome.ERROR)) == ["m2"]
 
 
-def test_keyed_message_goes_again_only_in_the_zone_that_drops_repeats() -> None:
+def test_a_zonal_message_is_repeated_only_in_the_zone_that_drops_repeats() -> None:
     world = World(endpoint("a"), endpoint("b", zone="z2"))
     world.take("zoned")
     again = [each for each in world.answer("m1", Outcome.ERROR) if isinstance(each, Send)]
     assert [each.endpoint for each in again] == ["a"]
 
 
-def test_zoned_message_past_its_window_fails_and_is_not_refused() -> None:
+def test_a_zonal_message_past_its_window_fails_and_is_not_rejected() -> None:
     world = World()
     world.take("zoned")
     assert ended(world.answer("m1", Outcome.ERROR, after=5 * SECOND)) == [Fail("m1")]
 
 
 @pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.GONE])
-def test_nothing_goes_to_a_drained_endpoint(state: EndpointState) -> None:
+def test_no_call_is_sent_to_a_draining_or_removed_endpoint(state: EndpointState) -> None:
     world = World()
     world.step(EndpointsUpdated(ListingKind.CHANGES, (endpoint("a", state=state),)))
     assert sent(world.take()) == []
 
 
-def test_full_list_replaces_the_old_one() -> None:
+def test_a_full_list_replaces_the_previous_list() -> None:
     world = World()
     world.step(EndpointsUpdated(ListingKind.FULL, (endpoint("b"),)))
     (action,) = [each for each in world.take() if isinstance(each, Send)]
     assert action.endpoint == "b"
 
 
-def test_a_retry_after_binds_every_message_of_the_destination() -> None:
+def test_a_retry_after_delays_every_message_of_the_destination() -> None:
     world = World()
     world.take()
     world.answer("m1", Outcome.FULL, wait=4 * SECOND)
@@ -97,14 +97,14 @@
     assert sent(world.step(WakeUp(), after=10 * MS)) != []
 
 
-def test_a_retry_after_binds_one_route_where_routes_are_separate() -> None:
+def test_a_retry_after_delays_only_one_route_where_routes_are_separate() -> None:
     world = World(endpoint("a", kind="apart"), endpoint("b", kind="apart"))
     (first,) = [each for each in world.take() if isinstance(each, Send)]
     (again,) = [each for each in world.answer("m1", Outcome.FULL, wait=SECOND) if isinstance(each, Send)]
     assert {first.endpoint, again.endpoint} == {"a", "b"}
 
 
-def test_messages_of_a_key_go_one_at_a_time_in_order() -> None:
+def test_messages_of_a_key_are_sent_one_at_a_time_in_order() -> None:
     world = World()
     assert sent(world.take("ordered", key="k")) == ["m1"]
     assert sent(world.take("ordered", key="k")) == []
@@ -112,7 +112,7 @@
     assert sent(world.answer("m1", Outcome.OK)) == ["m2"]
 
 
-def test_a_key_pauses_after_an_uncertain_attempt() -> None:
+def test_a_key_pauses_after_an_attempt_with_an_unknown_result() -> None:
     world = World()
     world.take("ordered", key="k", time_left_us=SECOND)
     world.take("ordered", key="k")
@@ -121,7 +121,7 @@
     assert sent(world.step(WakeUp(), after=2 * MS)) == ["m2"]
 
 
-def test_key_waits_for_the_answer_of_a_withdrawn_message() -> None:
+def test_a_key_waits_for_the_result_of_a_withdrawn_message() -> None:
     world = World()
     world.take("ordered", key="k")
     world.step(MessageWithdrawn("m1"))
@@ -129,7 +129,7 @@
     assert sent(world.answer("m1", Outcome.OK)) == ["m2"]
 
 
-def test_returning_destination_gets_a_part_of_its_usual_rate() -> None:
+def test_a_returning_destination_gets_a_part_of_its_usual_rate() -> None:
     world = World()
     for _ in range(40):
         world.take(after=90 * MS)
@@ -138,28 +138,28 @@
     calls = 0
     for _ in range(20):
         actions = world.take(after=100 * MS)
-        while went := sent(actions):
-            calls += len(went)
-            actions = [act for name in went for act in world.answer(name, Outcome.OK)]
+        while messages := sent(actions):
+            calls += len(messages)
+            actions = [act for name in messages for act in world.answer(name, Outcome.OK)]
     assert 1 <= calls
     before = calls
     for _ in range(20):
         actions = world.take(after=100 * MS)
-        while went := sent(actions):
-            calls += len(went)
-            actions = [act for name in went for act in world.answer(name, Outcome.OK)]
-    assert calls - before <= 10, "about twenty usual calls would fit here; a cold destination takes a part"
+        while messages := sent(actions):
+            calls += len(messages)
+            actions = [act for name in messages for act in world.answer(name, Outcome.OK)]
+    assert calls - before <= 10, "about twenty calls at the usual rate; a cold destination gets a part"
 
 
 def restored(
-    message: str, attempts: int = 1, risky_since: int | None = 0, **changes: object
+    message: str, attempts: int = 1, uncertain_since: int | None = 0, **changes: object
 ) -> MessageRestored:
     values: dict[str, object] = {"message_class": "zoned", "destination": 1, "time_left_us": 20 * SECOND}
-    taken = MessageAccepted(message=message, **(values | changes))  # type: ignore[arg-type]
-    return MessageRestored(taken, attempts, risky_since, "z2" if risky_since is not None else "")
+    accepted = MessageAccepted(message=message, **(values | changes))  # type: ignore[arg-type]
+    return MessageRestored(accepted, attempts, uncertain_since, "z2" if uncertain_since is not None else "")
 
 
-def test_restored_message_keeps_to_the_zone_and_the_window_of_its_first_risky_attempt() -> None:
+def test_a_restored_message_keeps_to_the_zone_and_window_of_its_first_uncertain_attempt() -> None:
     world = World(endpoint("a"), endpoint("b", zone="z2"))
     actions = world.step(restored("m1"))
     assert [each.endpoint for each in actions if isinstance(each, Send)] == ["b"]
@@ -168,13 +168,13 @@
     assert late.step(restored("m1"), WakeUp())[0] == Fail("m1")
 
 
-def test_restored_once_only_message_that_may_have_run_fails_and_another_goes() -> None:
+def test_a_restored_unsafe_message_fails_if_it_may_have_run_and_is_sent_otherwise() -> None:
     world = World()
     actions = world.step(restored("m1", message_class="once"), restored("m2", 1, None, message_class="once"))
     assert ended(actions) == [Fail("m1")] and sent(actions) == ["m2"]
 
 
-def test_attempts_count_on_after_a_restart() -> None:
+def test_attempts_before_a_restart_count_towards_the_limit() -> None:
     world = World()
     world.step(restored("m1", 5, None))
     world.attempts["m1"] = 5
@@ -205,7 +205,7 @@
     assert sent(world.take(after=2800 * MS)) == []
 
 
-def test_a_retry_after_or_drain_stops_a_call_that_is_connecting() -> None:
+def test_a_retry_after_or_drain_stops_a_call_that_is_still_connecting() -> None:
     world = World(endpoint("a"), endpoint("b", destination=2))
     world.take()
     world.take()
@@ -217,8 +217,8 @@
     assert not world.dispatcher.may_start_call("b", world.now)
 
 
-def test_unused_state_expires_but_not_a_retry_after_that_lasts() -> None:
-    """Guards a process that lasts: endpoints, keys and accounts are ever new."""
+def test_unused_state_expires_but_a_long_retry_after_is_kept() -> None:
+    """Guards the memory of a long-lived process that sees ever new endpoints, keys and tenants."""
     world = World(endpoint("a"), endpoint("b", destination=2))
     world.take("ordered", key="k", time_left_us=SECOND)
     world.answer("m1", Outcome.TIMEOUT, after=SECOND)
@@ -236,7 +236,7 @@
     assert list(world.dispatcher.destinations) == [2]
 
 
-def test_the_end_of_a_key_pause_wakes_the_sender() -> None:
+def test_the_end_of_a_key_pause_wakes_the_policy_up() -> None:
     world = World()
     world.take("ordered", key="k")
     world.take("ordered", key="k")
@@ -245,7 +245,7 @@
     assert sent(world.step(WakeUp(), after=int(world.dispatcher.wake_at) - world.now)) == ["m2"]
 
 
-def test_a_message_whose_window_closes_while_it_is_pending_is_completed_then() -> None:
+def test_a_pending_message_is_completed_when_its_window_ends() -> None:
     world = World(slots=1)
     world.take("keyed")
     world.answer("m1", Outcome.ERROR, wait=60 * SECOND)
@@ -257,10 +257,12 @@
 
 
 def test_a_new_process_paces_a_returning_destination_by_its_part_of_the_announced_rate() -> None:
-    """Seen: after a restart two busy destinations got a call in each 2.8 s, guessed for want of a history."""
+    """Guards against a fault: after a restart two busy destinations got one call every 2.8 s, a rate that was
+    guessed because the new process had no history.
+    """
     gaps = []
-    for exact in (False, True):
-        world = World(endpoint("a", scale=40.0), fleet_size=2, announces_rates=exact)
+    for announces_rates in (False, True):
+        world = World(endpoint("a", scale=40.0), fleet_size=2, announces_rates=announces_rates)
         (breaker,) = world.dispatcher.registry.activate(1).breakers
         for _ in range(3):
             breaker.record_failure(world.now)
@@ -268,7 +270,7 @@
     assert gaps[1] == 2 / 40 * SECOND / (2.0 * WARM_UP_LOAD_FACTOR * 0.2) < gaps[0]
 
 
-def test_a_retry_after_binds_calls_about_to_start_before_its_event_is_handled() -> None:
+def test_a_retry_after_stops_calls_about_to_start_before_its_event_is_handled() -> None:
     world = World()
     world.dispatcher.retry_after_received("a", world.now + SECOND)
     assert not world.dispatcher.may_start_call("a", world.now) and sent(world.take()) == []
@@ -276,25 +278,28 @@
 
 
 def test_refusals_of_restored_messages_warm_a_destination_up_after_a_restart() -> None:
-    """Found by lives in simulated time: after a kill all that was held for a destination that had been shut
-    went to it at once, as refusals were forgotten with the process."""
-    for refusals, cold in ((1, False), (2, True)):
+    """Guards against a fault found in simulation: a killed process lost its record of refusals, so that after
+    the restart all messages pending for a destination out of service were sent to it at once.
+    """
+    for refusals, is_warming_up in ((1, False), (2, True)):
         world = World()
-        taken = MessageAccepted("m1", "safe", 1, 20 * SECOND)
+        accepted = MessageAccepted("m1", "safe", 1, 20 * SECOND)
         outcomes = (("a", Outcome.FULL),) * refusals
-        world.step(MessageRestored(taken, refusals, None, "", outcomes))
+        world.step(MessageRestored(accepted, refusals, None, "", outcomes))
         (breaker,) = world.dispatcher.registry.all_breakers()
-        assert (breaker.warm_up_gap(world.now) > 0) == cold
+        assert (breaker.warm_up_gap(world.now) > 0) == is_warming_up
 
 
-def test_a_repeat_whose_connection_took_too_long_does_not_go_after_its_window() -> None:
-    """Found by lives in simulated time: within its window when it was sent, 0.3 s later when it was up."""
+def test_a_repeat_is_not_started_if_connecting_outlasts_its_window() -> None:
+    """Guards against a fault found in simulation: a repeat was within its window when the policy sent it, but
+    no longer when its connection was established 0.3 s later.
+    """
     world = World()
     world.take("keyed")
     world.answer("m1", Outcome.ERROR)
     message = world.dispatcher.messages["m1"]
     assert message.is_in_flight and message.uncertain_since is not None
-    last = int(world.dispatcher.pending.repeat_until(message, message.uncertain_since))
-    assert world.dispatcher.may_start_call("a", last - 1, "m1")
-    assert not world.dispatcher.may_start_call("a", last, "m1")
-    assert world.dispatcher.may_start_call("a", last, "another")
+    window_end = int(world.dispatcher.pending.repeat_until(message, message.uncertain_since))
+    assert world.dispatcher.may_start_call("a", window_end - 1, "m1")
+    assert not world.dispatcher.may_start_call("a", window_end, "m1")
+    assert world.dispatcher.may_start_call("a", window_end, "another")
