--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -1,4 +1,4 @@
-"""What the policy does differently in a large fleet."""
+"""How the policy of a member of a large fleet differs from that of a small fleet."""
 
 import random
 
@@ -18,11 +18,11 @@
 )
 from message_sender.policy.model import ListingKind, Outcome
 
-CROWD = 200
+LARGE_FLEET_SIZE = 200
 
 
-def test_in_a_large_fleet_a_failed_trial_waits_for_the_gap_of_a_cold_destination() -> None:
-    world = World(fleet_size=CROWD)
+def test_in_a_large_fleet_a_failed_trial_extends_the_timeout_to_the_gap_of_a_cold_destination() -> None:
+    world = World(fleet_size=LARGE_FLEET_SIZE)
     for _ in range(FAILURE_THRESHOLD):
         world.take("once", after=100 * SECOND)
         world.answer(f"m{world.count}", Outcome.RESET)
@@ -34,18 +34,18 @@
 
 
 def test_two_failures_start_the_warm_up_in_a_large_fleet_only() -> None:
-    for fleet, cold in ((2, False), (CROWD, True)):
+    for fleet, is_warming_up in ((2, False), (LARGE_FLEET_SIZE, True)):
         world = World(fleet_size=fleet)
         for _ in range(2):
             world.take("once")
             world.answer(f"m{world.count}", Outcome.RESET)
         (breaker,) = world.dispatcher.registry.all_breakers()
-        assert (breaker.warm_up_gap(world.now) > 0) == cold
+        assert (breaker.warm_up_gap(world.now) > 0) == is_warming_up
 
 
 def test_the_first_gap_is_wide_in_a_large_fleet() -> None:
     gaps = []
-    for fleet in (2, CROWD):
+    for fleet in (2, LARGE_FLEET_SIZE):
         world = World(fleet_size=fleet)
         world.take()
         world.answer("m1", Outcome.FULL)
@@ -55,7 +55,7 @@
 
 def test_senders_with_the_same_retry_after_do_not_return_together() -> None:
     ends = []
-    for fleet in (1, CROWD, CROWD):
+    for fleet in (1, LARGE_FLEET_SIZE, LARGE_FLEET_SIZE):
         world = World(fleet_size=fleet)
         world.dispatcher.loop.random.seed(len(ends))
         world.take()
@@ -69,7 +69,7 @@
 def test_the_gap_of_a_large_fleet_begins_at_the_announced_rate() -> None:
     gaps = []
     for scale in (1.0, 40.0):
-        world = World(endpoint("a", scale=scale), fleet_size=CROWD, announces_rates=True)
+        world = World(endpoint("a", scale=scale), fleet_size=LARGE_FLEET_SIZE, announces_rates=True)
         world.take()
         world.answer("m1", Outcome.FULL)
         gaps += [breaker.gap for breaker in world.dispatcher.registry.all_breakers()]
@@ -77,74 +77,75 @@
 
 
 def test_a_refused_connection_among_successes_closes_idle_connections_in_a_large_fleet_only() -> None:
-    """What refuses all connects is out, and so is what is served again only after a while."""
+    """A destination that refuses all connections, or serves again only after some time, is in an outage."""
     for fleet, refused, after, closes in (
-        (CROWD, "a", 100 * MS, True),
+        (LARGE_FLEET_SIZE, "a", 100 * MS, True),
         (2, "a", 100 * MS, False),
-        (CROWD, "b", 100 * MS, False),
-        (CROWD, "a", 5 * SECOND, False),
+        (LARGE_FLEET_SIZE, "b", 100 * MS, False),
+        (LARGE_FLEET_SIZE, "a", 5 * SECOND, False),
     ):
         world = World(endpoint("a"), endpoint("b", destination=2), fleet_size=fleet)
         world.take(destination=1 if refused == "a" else 2)
-        world.answer("m1", Outcome.CONNECT_FAILED)  # and goes again
+        world.answer("m1", Outcome.CONNECT_FAILED)  # and is sent again
         name = "m1" if refused == "a" else sent(world.take())[0]
         assert (CloseIdle("a") in world.answer(name, Outcome.OK, after=after)) == closes
 
 
 @pytest.mark.parametrize("fleet", [5, 40, 200])
 def test_list_polls_are_spread_and_none_is_delayed_beyond_the_limit(fleet: int) -> None:
-    """For a thousand seeds each delay lies in its range, and in no 100 ms of a start do more than a few of
-    forty ask. Whether discovery can take them is in tests/test_told.py."""
+    """Each delay is in its range for a thousand seeds, and of forty senders that start together only a few
+    poll in the same 100 ms. tests/test_told.py tests whether discovery can serve these polls.
+    """
     times: dict[int, int] = {}
     for seed in range(1000):
-        calls = ListPolling(settings(fleet_size=fleet, must_poll=True), random.Random(seed))
-        calls.process_started(0)
-        assert 0 <= calls.next_poll_at <= LIST_START_SPREAD_US
+        polling = ListPolling(settings(fleet_size=fleet, must_poll=True), random.Random(seed))
+        polling.process_started(0)
+        assert 0 <= polling.next_poll_at <= LIST_START_SPREAD_US
         if seed < fleet:
-            times[int(calls.next_poll_at) // (100 * MS)] = (
-                times.get(int(calls.next_poll_at) // (100 * MS), 0) + 1
+            times[int(polling.next_poll_at) // (100 * MS)] = (
+                times.get(int(polling.next_poll_at) // (100 * MS), 0) + 1
             )
-        for tries in range(5):
-            begun, took = tries * 20 * SECOND, 2 * SECOND * (tries % 2)
-            calls.next_poll_at = begun
-            assert calls.take_due(begun)
-            calls.poll_failed(begun + took)
+        for poll in range(5):
+            started_at, duration = poll * 20 * SECOND, 2 * SECOND * (poll % 2)
+            polling.next_poll_at = started_at
+            assert polling.take_due(started_at)
+            polling.poll_failed(started_at + duration)
             first, last = (
-                (took, took + LIST_RETRY_SPREAD_US)
-                if took
+                (duration, duration + LIST_RETRY_SPREAD_US)
+                if duration
                 else (LIST_RETRY_PAUSE_US / 2, LIST_RETRY_PAUSE_US)
             )
-            assert begun + first <= calls.next_poll_at <= begun + last
+            assert started_at + first <= polling.next_poll_at <= started_at + last
     assert fleet > 40 or max(times.values()) <= 5
 
 
-def test_two_senders_poll_the_list_at_once_and_a_large_fleet_uses_its_cached_list_meanwhile() -> None:
-    for fleet in (2, CROWD):
-        module = Dispatcher(settings(fleet_size=fleet, must_poll=True), seed=7)
-        known = EndpointsUpdated(ListingKind.CACHED, (endpoint("a"),))
-        taken = MessageAccepted("m1", "safe", 1, 20 * SECOND)
-        actions = module.handle(0, [known, taken])
+def test_two_senders_poll_the_list_at_once_and_a_large_fleet_sends_with_its_cached_list() -> None:
+    for fleet in (2, LARGE_FLEET_SIZE):
+        policy = Dispatcher(settings(fleet_size=fleet, must_poll=True), seed=7)
+        cached = EndpointsUpdated(ListingKind.CACHED, (endpoint("a"),))
+        accepted = MessageAccepted("m1", "safe", 1, 20 * SECOND)
+        actions = policy.handle(0, [cached, accepted])
         assert (Subscribe() in actions) == (fleet == 2)
         assert sent(actions) == ["m1"]
 
 
 def test_in_a_large_fleet_a_refused_connection_delays_nothing_while_another_endpoint_may_serve() -> None:
-    """One of two endpoints is gone and the list is old; where both refuse, the breaker opens as ever."""
+    """One of two endpoints is gone and the list is outdated; if both refuse, failures count as usual."""
     for fleet, gone, counted in ((4, "a", 1), (40, "a", 0), (40, "ab", 2)):
         world = World(endpoint("a"), endpoint("b"), fleet_size=fleet)
-        found, calls = 0.0, [each for each in world.take(after=SECOND) if isinstance(each, Send)]
+        max_failures, calls = 0.0, [each for each in world.take(after=SECOND) if isinstance(each, Send)]
         for _ in range(8):
             if not calls or calls[0].endpoint not in gone:
                 break
             actions = world.answer(calls[0].message, Outcome.CONNECT_FAILED)
             calls = [each for each in actions if isinstance(each, Send)]
             (breaker,) = world.dispatcher.registry.all_breakers()
-            found = max(found, breaker.failures)
-        assert (found >= counted) and (found == 0) == (counted == 0)
+            max_failures = max(max_failures, breaker.failures)
+        assert (max_failures >= counted) and (max_failures == 0) == (counted == 0)
 
 
-def test_a_large_fleet_uses_separate_routes_by_rate_and_a_small_one_the_cheapest() -> None:
-    for fleet, fair in ((4, False), (40, True)):
+def test_a_large_fleet_uses_separate_routes_by_rate_and_a_small_fleet_the_cheapest() -> None:
+    for fleet, is_by_rate in ((4, False), (40, True)):
         rates = {"x": 60.0, "y": 30.0}
         routes = [endpoint(name, kind="apart", zone=name, scale=rate) for name, rate in rates.items()]
         world = World(*routes, fleet_size=fleet, announces_rates=True, zone_fees=(("x", 0.05), ("y", 0.0)))
@@ -152,7 +153,7 @@
         for _ in range(60):
             used += [each.endpoint for each in world.take(after=50 * MS) if isinstance(each, Send)]
             world.answer(f"m{world.count}", Outcome.OK)
-        assert (35 <= used.count("x") <= 45) == fair and (used.count("y") == 60) != fair
+        assert (35 <= used.count("x") <= 45) == is_by_rate and (used.count("y") == 60) != is_by_rate
 
 
 def test_the_mean_latency_is_learned_from_the_first_calls() -> None:
@@ -175,22 +176,27 @@
 
 
 @pytest.mark.parametrize(
-    ("fleet", "passed", "gone"),
-    [(CROWD, SECOND, "m7"), (CROWD, 13 * SECOND, "m7"), (CROWD, 14 * SECOND, "m3"), (4, SECOND, "m3")],
+    ("fleet", "passed", "shed"),
+    [
+        (LARGE_FLEET_SIZE, SECOND, "m7"),
+        (LARGE_FLEET_SIZE, 13 * SECOND, "m7"),
+        (LARGE_FLEET_SIZE, 14 * SECOND, "m3"),
+        (4, SECOND, "m3"),
+    ],
 )
-def test_a_large_fleet_does_not_shed_accepted_messages_before_seven_tenths_of_their_time(
-    fleet: int, passed: int, gone: str
+def test_a_large_fleet_does_not_shed_accepted_messages_before_seven_tenths_of_their_lifetime(
+    fleet: int, passed: int, shed: str
 ) -> None:
-    """Two calls take all slots and last; the newcomer would only wait too."""
+    """Two long calls occupy all slots, so the new message would have to wait as well."""
     world = World(max_open=7, slots=2, max_attempts=1, fleet_size=fleet)
     for _ in range(6):
         world.take("once")
     (first,) = ended(world.take("once", after=passed))
-    assert first.message == gone
+    assert first.message == shed
 
 
 def test_a_message_that_cannot_be_sent_before_its_deadline_is_shed_at_once() -> None:
-    world = World(endpoint("a"), endpoint("b", destination=2), max_open=5, fleet_size=CROWD)
+    world = World(endpoint("a"), endpoint("b", destination=2), max_open=5, fleet_size=LARGE_FLEET_SIZE)
     assert sent(world.take())
     world.answer("m1", Outcome.FULL, wait=40 * SECOND)
     for _ in range(3):
@@ -200,15 +206,15 @@
 
 
 @pytest.mark.parametrize("size", [0, -3, None, "forty", 2.5, float("nan"), float("inf"), True, 1e308])
-def test_an_invalid_fleet_size_is_refused_by_name(size: object) -> None:
+def test_an_invalid_fleet_size_raises_an_error_that_names_it(size: object) -> None:
     with pytest.raises(ValueError, match="fleet_size must be"):
         decode_settings(ENV | {"fleet_size": size}, on_sockets=True)
 
 
 def test_a_refusal_limits_a_busy_member_of_a_large_fleet_to_its_usual_rate() -> None:
-    """Its part of the traffic is several times the mean; in a small fleet the announced rate counts."""
-    for fleet, usual in ((CROWD, True), (2, False)):
-        listed = endpoint("a", scale=fleet / 4)  # the mean member's part: a call in 4 s
+    """Its part of the traffic is several times the mean; in a small fleet the announced rate sets the gap."""
+    for fleet, is_usual_rate in ((LARGE_FLEET_SIZE, True), (2, False)):
+        listed = endpoint("a", scale=fleet / 4)  # the mean part of a member: one call in 4 s
         world = World(listed, fleet_size=fleet, announces_rates=True)
         for _ in range(60):
             assert sent(world.take(after=800 * MS))
@@ -216,17 +222,20 @@
         (breaker,) = world.dispatcher.registry.all_breakers()
         assert sent(world.take(after=800 * MS))
         world.answer(f"m{world.count}", Outcome.FULL)
-        assert (700 * MS < breaker.gap < 900 * MS) == usual
-        assert usual or breaker.gap == breaker.base_gap
+        assert (700 * MS < breaker.gap < 900 * MS) == is_usual_rate
+        assert is_usual_rate or breaker.gap == breaker.base_gap
 
 
 @pytest.mark.parametrize(
-    ("fleet", "tenant", "goes"), [(CROWD, "t", False), (CROWD, "", True), (4, "t", True), (4, "", True)]
+    ("fleet", "tenant", "is_sent"),
+    [(LARGE_FLEET_SIZE, "t", False), (LARGE_FLEET_SIZE, "", True), (4, "t", True), (4, "", True)],
 )
 def test_in_a_large_fleet_a_new_message_over_quota_does_not_pass_a_full_queue(
-    fleet: int, tenant: str, goes: bool
+    fleet: int, tenant: str, is_sent: bool
 ) -> None:
-    """A newcomer that has to wait in turn finds no room then; one that could go at once went ahead of it."""
+    """A new message that has to wait finds no room in a full queue. Guards against a fault: a new message
+    over quota that could be sent at once went ahead of such a message.
+    """
     changes = {"fleet_size": fleet, "max_open": 5, "tenants": (("t", 1.0),), "over_quota_weight": 0.1}
     world = World(endpoint("a"), endpoint("b", destination=2), **changes)
     assert sent(world.take())
@@ -234,6 +243,6 @@
     for _ in range(3):
         world.take()
     actions = world.take(destination=2, tenant=tenant)
-    assert sent(actions) == (["m5"] if goes else [])
-    if not goes:
+    assert sent(actions) == (["m5"] if is_sent else [])
+    if not is_sent:
         assert [each.message for each in ended(actions)] == ["m5"]
--- a/tests/test_crowd_limits.py
+++ b/tests/test_crowd_limits.py
@@ -1,4 +1,4 @@
-"""Forty senders in front of a limit that none of them knows: refused calls count against it."""
+"""Forty senders share a rate limit that none of them knows, and that refused calls count against."""
 
 import pytest
 from crowds import LargeFleet
@@ -9,14 +9,14 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_after_a_limit_was_halved_refusals_fade_and_it_is_back_within_seconds(seed: int) -> None:
+def test_refusals_fade_after_a_limit_is_halved_and_the_rate_recovers_within_seconds(seed: int) -> None:
     fleet = LargeFleet(ANNOUNCED_RATE, seed=seed)
     fleet.offer(0.8 * ANNOUNCED_RATE, until=6)
     fleet.receiver.rate = ANNOUNCED_RATE / 2
     fleet.offer(0.8 * ANNOUNCED_RATE, until=16)
     served, refused = (fleet.rate(each, 11, 16) for each in (Outcome.OK, Outcome.FULL))
-    assert served > 0.58 * ANNOUNCED_RATE / 2  # 0.53, where refusals go on using up the next span
-    assert refused < 0.35 * ANNOUNCED_RATE / 2  # 0.57
+    assert served > 0.58 * ANNOUNCED_RATE / 2  # 0.53 if refusals keep using up the next window
+    assert refused < 0.35 * ANNOUNCED_RATE / 2  # 0.57 in that case
     fleet.receiver.rate = ANNOUNCED_RATE
     fleet.offer(0.8 * ANNOUNCED_RATE, until=24)
-    assert fleet.rate(Outcome.OK, 16, 24) > 0.86 * ANNOUNCED_RATE  # 0.74 to 0.84
+    assert fleet.rate(Outcome.OK, 16, 24) > 0.86 * ANNOUNCED_RATE  # 0.74 to 0.84 in that case
--- a/tests/test_schedule.py
+++ b/tests/test_schedule.py
@@ -1,4 +1,4 @@
-"""An iteration costs what changed, and decides what walks over everything would decide."""
+"""An iteration costs only what changed, and decides as a policy that examines everything would decide."""
 
 import dataclasses
 import io
@@ -30,15 +30,15 @@
 from message_sender.testbed.event_stream import Recorder, StreamShape, StreamWorld, read
 
 
-class PlainPendingQueue(PendingQueue):
+class ExhaustivePendingQueue(PendingQueue):
     def find_ready(self) -> None:
         super().find_ready()
         for each in self.messages.values():
-            at = self.registry.destinations[each.destination]
+            destination = self.registry.destinations[each.destination]
             if self.is_pending(each) and self.is_next_of_key(each) and not each.is_ready:
-                at.add_ready(each, self.settings.halves_late_weight)
+                destination.add_ready(each, self.settings.halves_late_weight)
             elif each.is_ready and not (self.is_pending(each) and self.is_next_of_key(each)):
-                at.remove_ready(each)
+                destination.remove_ready(each)
 
     def shed_excess(self, below: float = NEVER) -> None:
         self.shedding_order, self.shedding_order_until = [], -NEVER
@@ -46,28 +46,28 @@
         self.shedding_order, self.shedding_order_until = [], -NEVER
 
 
-class PlainInFlightCalls(InFlightCalls):
+class ExhaustiveInFlightCalls(InFlightCalls):
     def process_overdue(self) -> None:
         now = self.loop.now
-        late = [x for x in self.active if not (x.is_overdue or x.is_settled)]
-        for call in late:
+        on_time = [x for x in self.active if not (x.is_overdue or x.is_settled)]
+        for call in on_time:
             if now >= call.sent_at + call.breaker.overdue_after():
                 self.mark_overdue(call)
-        short = len(self.active) >= self.settings.slots
+        needs_slot = len(self.active) >= self.settings.slots
         for call in sorted((x for x in self.active if x.is_overdue), key=ActiveCall.has_effects):
-            if not call.is_cancelled and self.should_cancel(call, short):
-                call.is_cancelled, short = True, False
-                off = [CancelAttempt(x.id, x.attempts - 1) for x in call.messages.values()]
-                self.loop.actions += off
+            if not call.is_cancelled and self.should_cancel(call, needs_slot):
+                call.is_cancelled, needs_slot = True, False
+                cancellations = [CancelAttempt(x.id, x.attempts - 1) for x in call.messages.values()]
+                self.loop.actions += cancellations
         self.registry.changed_breakers = {}
 
 
-class Plain(Dispatcher):
-    """A plain model: examines all messages, calls and endpoints in each iteration."""
+class ExhaustiveDispatcher(Dispatcher):
+    """A simple model of the policy: examines all messages, calls and endpoints in each iteration."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         super().__init__(settings, seed)
-        self.pending.__class__, self.inflight.__class__ = PlainPendingQueue, PlainInFlightCalls
+        self.pending.__class__, self.inflight.__class__ = ExhaustivePendingQueue, ExhaustiveInFlightCalls
 
     def find_available(self) -> list[Destination]:
         if len(self.active_calls) >= self.settings.slots:
@@ -76,23 +76,29 @@
             x for x in self.destinations.values() if x.ready_groups and any(map(self.may_call, x.breakers))
         ]
 
-    def push_most_urgent(self, heap: list[Any], at: Destination) -> None:
+    def push_most_urgent(self, heap: list[Any], destination: Destination) -> None:
         now = self.loop.now
         ranked = [
-            (urgency_module.Rank(-urgency(*each.curve[:2], now - born, each.curve[2]), born, number), message)
-            for each in (at.ready_groups or {}).values()
-            for born, number, message in each.messages
+            (
+                urgency_module.Rank(
+                    -urgency(*each.curve[:2], now - created_at, each.curve[2]), created_at, number
+                ),
+                message,
+            )
+            for each in (destination.ready_groups or {}).values()
+            for created_at, number, message in each.messages
         ]
         if ranked:
-            heap.append((*min(ranked), at))
+            heap.append((*min(ranked), destination))
             heap.sort()
 
-    def due(self) -> float:
-        """When something is to be done next, found by a walk."""
+    def next_due(self) -> float:
+        """Returns when something is due next, found by examining everything."""
         now = self.loop.now
-        held = [x for x in self.destinations.values() if x.ready_groups]
-        free = len(self.active_calls) < self.settings.slots  # else whatever ends first is heard anyway
-        due = [x.earliest_ready_at(int(now)) for x in held if free]
+        waiting = [x for x in self.destinations.values() if x.ready_groups]
+        # With no slot free, the end of the next call is an event anyway.
+        has_slot = len(self.active_calls) < self.settings.slots
+        due = [x.earliest_ready_at(int(now)) for x in waiting if has_slot]
         due += [
             x.sent_at + x.breaker.overdue_after()
             for x in self.active_calls
@@ -121,40 +127,40 @@
 
 @pytest.mark.parametrize("seed", range(4))
 @pytest.mark.parametrize("name", SHAPES)
-def test_the_policy_decides_as_a_walk_over_everything(
+def test_the_policy_decides_as_a_policy_that_examines_everything(
     name: str, seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """On the wake-ups that the policy orders; and it never sleeps past what a walk finds due."""
-    # Else the order of what makes room may be some ms old.
+    """Both decide at the wake-ups that the policy requests, and the policy never sleeps past a due time."""
+    # Otherwise the shedding order of the policy may be some ms old.
     monkeypatch.setattr(pending, "SHEDDING_ORDER_AGE_US", 0)
     world = StreamWorld(SHAPES[name], seed)
-    module, plain = Dispatcher(world.settings, seed), Plain(world.settings, seed)
+    policy, model = Dispatcher(world.settings, seed), ExhaustiveDispatcher(world.settings, seed)
 
-    def heard(now: int, events: list[PolicyEvent], actions: list[PolicyAction]) -> None:
-        module.pending.shedding_order_until = -NEVER
-        assert without_wake_ups(plain.handle(now, events)) == without_wake_ups(actions), (now, events)
-        due = plain.due()
-        assert due == NEVER or module.wake_at <= max(due, now + world.settings.tick), (now, due)
+    def compare(now: int, events: list[PolicyEvent], actions: list[PolicyAction]) -> None:
+        policy.pending.shedding_order_until = -NEVER
+        assert without_wake_ups(model.handle(now, events)) == without_wake_ups(actions), (now, events)
+        due = model.next_due()
+        assert due == NEVER or policy.wake_at <= max(due, now + world.settings.tick), (now, due)
 
-    world.run(module.handle, heard)
-    assert world.action_counts["Send"] > 20 and module.messages.keys() == plain.messages.keys()
+    world.run(policy.handle, compare)
+    assert world.action_counts["Send"] > 20 and policy.messages.keys() == model.messages.keys()
 
 
 def test_a_recorded_stream_replays_identically() -> None:
-    world, out = StreamWorld(dataclasses.replace(SMALL, seconds=3.0), 5), io.StringIO()
-    recorder = Recorder(out, world.settings, 5, Dispatcher(world.settings, 5).handle)
+    world, sink = StreamWorld(dataclasses.replace(SMALL, seconds=3.0), 5), io.StringIO()
+    recorder = Recorder(sink, world.settings, 5, Dispatcher(world.settings, 5).handle)
     world.run(recorder, lambda *_: None)
-    lines = read(out.getvalue().splitlines())
-    made, seed = next(lines)
-    assert made == world.settings
-    again, calls = Dispatcher(made, seed), 0
+    lines = read(sink.getvalue().splitlines())
+    recorded, seed = next(lines)
+    assert recorded == world.settings
+    replayed, calls = Dispatcher(recorded, seed), 0
     for now, events, actions in lines:
-        assert again.handle(now, events) == actions
+        assert replayed.handle(now, events) == actions
         calls += 1
     assert calls > 100
 
 
-# The curve: the most urgent message of a group, whatever its size.
+# Urgency: the most urgent message of a group, for any size of the group.
 
 KINDS = [
     MessageClass(f"c{number}", aim, deadline, 1.0, late, Effect.IDEMPOTENT)
@@ -171,27 +177,27 @@
     base=st.integers(0, 10**9),
 )
 @settings(max_examples=300, deadline=None, derandomize=True)
-def test_the_most_urgent_message_is_among_the_candidates(
+def test_the_most_urgent_message_of_a_group_is_among_its_candidates(
     kind: MessageClass, halves: bool, shares: list[float], base: int
 ) -> None:
-    now, group, all_of_them = base + 2 * kind.deadline, ReadyGroup(kind, 0.1, halves), []
+    now, group, messages = base + 2 * kind.deadline, ReadyGroup(kind, 0.1, halves), []
     for number, share in enumerate(shares):
         age = int(share * kind.deadline)
-        taken = MessageAccepted(f"m{number}", kind.name, 1, kind.deadline)
-        message = PendingMessage(taken, kind, now - age, 0.1)
+        accepted = MessageAccepted(f"m{number}", kind.name, 1, kind.deadline)
+        message = PendingMessage(accepted, kind, now - age, 0.1)
         message.sequence = number
         group.add(message)
-        all_of_them.append(message)
-    found = group.most_urgent(now)[1]
+        messages.append(message)
+    most_urgent = group.most_urgent(now)[1]
     assert len(group.candidates(now)) <= 2 * (len(group.breakpoints) + 1)
 
-    def value(each: PendingMessage) -> float:
+    def loss(each: PendingMessage) -> float:
         return urgency(kind, 0.1, now - each.created_at, halves)
 
-    most = max(map(value, all_of_them))
-    assert math.isclose(value(found), most, rel_tol=1e-12, abs_tol=1e-15)
-    equal = [x for x in all_of_them if value(x) == value(found)]
-    assert found is min(equal, key=lambda x: (x.created_at, x.sequence))
+    largest = max(map(loss, messages))
+    assert math.isclose(loss(most_urgent), largest, rel_tol=1e-12, abs_tol=1e-15)
+    equal = [x for x in messages if loss(x) == loss(most_urgent)]
+    assert most_urgent is min(equal, key=lambda x: (x.created_at, x.sequence))
 
 
 TIMES = st.integers(0, 50) | st.just(math.inf)
@@ -212,38 +218,38 @@
     assert [table[x] for x in due] == sorted(table[x] for x in due)
 
 
-# Counted work.
+# Number of items examined.
 
 
-def looks_an_event(shape: StreamShape, until: float) -> float:
-    """Items examined for each event, from `until` seconds on. A trial that fails is one, too."""
+def examined_items_per_event(shape: StreamShape, since: float) -> float:
+    """Returns the items examined per event after `since` seconds. A failed trial counts as an event."""
     world = StreamWorld(shape, 3)
-    module, heard_of, before = Dispatcher(world.settings, 3), 0, 0
+    policy, event_count, before = Dispatcher(world.settings, 3), 0, 0
 
-    def heard(now: int, events: list[PolicyEvent], actions: list[PolicyAction]) -> None:
-        nonlocal heard_of, before
-        if now < until * SECOND:
-            before = module.loop.examined_items
+    def count(now: int, events: list[PolicyEvent], actions: list[PolicyAction]) -> None:
+        nonlocal event_count, before
+        if now < since * SECOND:
+            before = policy.loop.examined_items
         else:
-            heard_of += len(events)
+            event_count += len(events)
 
-    world.run(module.handle, heard)
-    return (module.loop.examined_items - before) / heard_of
+    world.run(policy.handle, count)
+    return (policy.loop.examined_items - before) / event_count
 
 
 ROOMY = {"max_open": 10**6, "slots": 64, "announces_rates": False, "fleet_size": 1}
 CALM = StreamShape(fault_share=0, list_change_rate=0, keys=0, rate=100.0, seconds=4.0, settings=ROOMY)
 
 
-@pytest.mark.parametrize("many", [10, 100, 10_000])
-def test_quiet_destinations_add_no_examined_items(many: int) -> None:
-    assert looks_an_event(dataclasses.replace(CALM, destinations=many), 1.0) < 6
+@pytest.mark.parametrize("count", [10, 100, 10_000])
+def test_unused_destinations_add_no_examined_items(count: int) -> None:
+    assert examined_items_per_event(dataclasses.replace(CALM, destinations=count), 1.0) < 6
 
 
 @pytest.mark.parametrize("down", [5, 500, 9_990])
 def test_destinations_that_are_down_add_no_examined_items(down: int) -> None:
     shape = dataclasses.replace(CALM, destinations=down + 10, down=down, seconds=14.0)
-    assert looks_an_event(shape, 10.0) < 6
+    assert examined_items_per_event(shape, 10.0) < 6
 
 
 def test_a_key_used_once_leaves_no_state() -> None:
@@ -277,24 +283,24 @@
 
 
 def test_more_destinations_than_an_iteration_examines_are_all_served() -> None:
-    many = dispatcher.MAX_EXAMINED * 2 + 40
-    world = World(*(endpoint(f"e{each}", each) for each in range(many)), slots=1, max_open=10**6)
-    for each in range(many):
+    count = dispatcher.MAX_EXAMINED * 2 + 40
+    world = World(*(endpoint(f"e{each}", each) for each in range(count)), slots=1, max_open=10**6)
+    for each in range(count):
         world.take(destination=each)
-    gone = []
-    for _ in range(many):
-        (out,) = [name for name, _ in world.dispatcher.calls]
-        gone.append(out)
+    served = []
+    for _ in range(count):
+        (message,) = [name for name, _ in world.dispatcher.calls]
+        served.append(message)
         before = world.dispatcher.loop.examined_items
-        world.answer(out, Outcome.OK, after=MS)
+        world.answer(message, Outcome.OK, after=MS)
         assert world.dispatcher.loop.examined_items - before <= 2 * dispatcher.MAX_EXAMINED + 10
-    assert sorted(gone) == sorted(f"m{each + 1}" for each in range(many))
+    assert sorted(served) == sorted(f"m{each + 1}" for each in range(count))
 
 
 # Memory and age.
 
 
-def bytes_of(make: Callable[[], object]) -> int:
+def bytes_allocated_by(make: Callable[[], object]) -> int:
     tracemalloc.start()
     try:
         before = tracemalloc.get_traced_memory()[0]
@@ -304,36 +310,39 @@
         tracemalloc.stop()
 
 
-MANY = 2000
+DESTINATIONS = 2000
 #: Bytes for a destination with one endpoint, as docs/design/quiet.md states them.
-LISTED_ONLY, AWAKE = 700, 3000
+LISTED_ONLY_BYTES, ACTIVE_BYTES = 700, 3000
 
 
 def test_the_memory_of_a_destination_stays_below_its_bound() -> None:
-    listed = tuple(endpoint(f"e{each}", each) for each in range(MANY))
+    listed = tuple(endpoint(f"e{each}", each) for each in range(DESTINATIONS))
     world = World()
     full = EndpointsUpdated(ListingKind.FULL, listed)
-    only = bytes_of(lambda: world.step(full, after=1) or world)
-    assert only / MANY <= LISTED_ONLY
+    listed_only = bytes_allocated_by(lambda: world.step(full, after=1) or world)
+    assert listed_only / DESTINATIONS <= LISTED_ONLY_BYTES
 
     def use_all() -> World:
-        for each in range(MANY):
+        for each in range(DESTINATIONS):
             world.take(destination=each, after=MS)
             world.answer(f"m{each + 1}", Outcome.OK, after=MS)
         return world
 
-    awake = bytes_of(use_all)
-    assert awake / MANY <= AWAKE
+    active = bytes_allocated_by(use_all)
+    assert active / DESTINATIONS <= ACTIVE_BYTES
     world.step(WakeUp(), after=25 * SECOND)
-    assert len(world.dispatcher.registry.all_breakers()) == MANY
+    assert len(world.dispatcher.registry.all_breakers()) == DESTINATIONS
     for _ in range(3):
         world.step(WakeUp(), after=INACTIVE_DESTINATION_AGE_US + UNUSED_BREAKER_AGE_US)
     assert not world.dispatcher.registry.all_breakers() and not world.dispatcher.pending.deadlines
-    assert len(world.dispatcher.destinations) == MANY and not world.dispatcher.registry.overdue_checks.times
+    assert (
+        len(world.dispatcher.destinations) == DESTINATIONS
+        and not world.dispatcher.registry.overdue_checks.times
+    )
 
 
-def asleep(silence: int, outcome: Outcome, **changes: object) -> World:
-    """A destination that was used, and then not for so long."""
+def world_after_silence(silence: int, outcome: Outcome, **changes: object) -> World:
+    """Returns a world with a destination that was used, and then unused for `silence` microseconds."""
     world = World(**changes)
     for _ in range(3):
         if sent(world.take("once", after=SECOND)):
@@ -350,26 +359,27 @@
 def test_an_inactive_destination_is_warmed_up_and_not_judged_by_old_statistics(
     outcome: Outcome, days: int
 ) -> None:
-    world = asleep(days * 24 * 3600 * SECOND, outcome)
+    world = world_after_silence(days * 24 * 3600 * SECOND, outcome)
     assert not world.dispatcher.messages and not world.dispatcher.registry.all_breakers()
-    assert len(sent(world.take())) == 1  # no old count holds it back
+    assert len(sent(world.take())) == 1  # no outdated count of failures delays it
     for _ in range(30):
         world.take()
     (breaker,) = world.dispatcher.registry.all_breakers()
     assert breaker.warm_up_since == world.now and breaker.failures == 0
-    gone = []
+    sent_at = []
     for _ in range(400):
-        outs = list(world.dispatcher.calls)
-        gone += [world.now] * len(outs)
-        for name, _number in outs:
+        calls = list(world.dispatcher.calls)
+        sent_at += [world.now] * len(calls)
+        for name, _number in calls:
             world.answer(name, Outcome.OK, after=0)
         world.step(WakeUp(), after=10 * MS)
-    first = [each for each in gone if each - gone[0] <= SECOND]
-    assert 1 <= len(first) <= 2 and len(gone) >= 2  # one call, then at the pace of a cold one
+    in_first_second = [each for each in sent_at if each - sent_at[0] <= SECOND]
+    # One call, then more at the pace of a cold destination.
+    assert 1 <= len(in_first_second) <= 2 and len(sent_at) >= 2
 
 
 def test_a_destination_used_again_soon_keeps_its_statistics() -> None:
-    world = asleep(INACTIVE_DESTINATION_AGE_US // 2, Outcome.RESET)
+    world = world_after_silence(INACTIVE_DESTINATION_AGE_US // 2, Outcome.RESET)
     (breaker,) = world.dispatcher.registry.all_breakers()
     assert breaker.is_open() and len(sent(world.take())) == 1 and breaker.trial is not None
 
@@ -392,7 +402,7 @@
     assert world.dispatcher.destinations[1].breakers_by_route[""].in_flight == 0  # type: ignore[index]
 
 
-def test_endpoints_that_swap_destinations_do_not_take_messages_along() -> None:
+def test_endpoints_that_swap_destinations_leave_their_messages_behind() -> None:
     world = World(endpoint("a", 1), endpoint("b", 2))
     world.take(destination=1, message="x"), world.take(destination=2, message="y")
     swapped = (endpoint("a", 2), endpoint("b", 1))
@@ -404,18 +414,18 @@
 
 
 def test_ten_thousand_destinations_activated_within_a_minute_are_all_served() -> None:
-    many, rng = 10_000, random.Random(1)
-    world = World(*(endpoint(f"e{each}", each) for each in range(many)), slots=64, max_open=10**6)
-    places = list(range(many))
-    rng.shuffle(places)
-    before, out = world.dispatcher.loop.examined_items, []
-    for number in places:
-        out += sent(world.take(destination=number, after=6 * MS))
-        if len(out) > 8:
-            world.answer(out.pop(0), Outcome.OK, after=0)
-    for name in out:
+    count, rng = 10_000, random.Random(1)
+    world = World(*(endpoint(f"e{each}", each) for each in range(count)), slots=64, max_open=10**6)
+    numbers = list(range(count))
+    rng.shuffle(numbers)
+    before, in_flight = world.dispatcher.loop.examined_items, []
+    for number in numbers:
+        in_flight += sent(world.take(destination=number, after=6 * MS))
+        if len(in_flight) > 8:
+            world.answer(in_flight.pop(0), Outcome.OK, after=0)
+    for name in in_flight:
         world.answer(name, Outcome.OK)
-    assert not world.dispatcher.messages and (world.dispatcher.loop.examined_items - before) / many < 10
+    assert not world.dispatcher.messages and (world.dispatcher.loop.examined_items - before) / count < 10
 
 
 def test_a_complete_list_sent_repeatedly_changes_nothing() -> None:
@@ -429,14 +439,16 @@
 
 
 def test_a_credit_of_one_message_up_to_rounding_is_enough() -> None:
-    """Rates of 3 a second on a grid of 5 ms hit a credit of 1 exactly, and the last bit decided."""
-    shares = []
+    """Guards against a rounding fault: 3 messages a second at multiples of 5 ms reach a credit of exactly 1,
+    so that the last bit of the sum decided.
+    """
+    factors = []
     for steps in range(1, 60):
         world = World(tenants=(("t", 1.0),), over_quota_weight=0.1, slots=1)
         world.take(tenant="t")
-        # Takes beyond the share, which leave what has come together so far as it is.
+        # Messages over the quota, which leave the accumulated credit unchanged.
         for each in range(1, steps):
             world.take(tenant="t", message=f"x{each}", after=SECOND * each // steps - world.now)
         world.take(tenant="t", message="last", after=SECOND - world.now)
-        shares.append(world.dispatcher.messages["last"].weight_factor)
-    assert set(shares) == {1.0}
+        factors.append(world.dispatcher.messages["last"].weight_factor)
+    assert set(factors) == {1.0}
