--- a/tests/compatibility/test_decisions.py
+++ b/tests/compatibility/test_decisions.py
@@ -1,7 +1,7 @@
-"""Decisions and outcomes stay as they were: digests by value over recorded streams and scenarios.
+"""Decisions and outcomes are unchanged: compares digests of recorded event streams and scenarios.
 
-The digests were made by version 0.2.0. They hold no name of a class or a field of the program, only values
-and the names that the program's figures have in files.
+The digests were made by version 0.2.0. They cover values, and the names that the program's figures have in
+files, but no name of a class or a field of the program.
 """
 
 import dataclasses
@@ -34,40 +34,40 @@
 DIGESTS = json.loads((Path(__file__).parent / "digests.json").read_text())
 STREAMS = 12
 RATES = (30, 60, 120)  # messages a second, in turn
-#: Each action has the number of its place.
+#: The digests identify each type of action by its position here.
 ACTIONS = (
     Send, Reject, Fail, CancelAttempt, WakeAfter, Subscribe, CloseIdle,
     LogLine,
 )  # fmt: skip
 
 
-def values(of: object) -> Any:  # noqa: ANN401
-    """The values of a dataclass in the order of its fields, without any name."""
-    if isinstance(of, Enum):
-        return of.value
-    if dataclasses.is_dataclass(of):
-        return [values(getattr(of, each.name)) for each in dataclasses.fields(of)]
-    return [values(each) for each in of] if isinstance(of, tuple | list) else of
+def values(item: object) -> Any:  # noqa: ANN401
+    """Returns the values of a dataclass in the order of its fields, without any names."""
+    if isinstance(item, Enum):
+        return item.value
+    if dataclasses.is_dataclass(item):
+        return [values(getattr(item, each.name)) for each in dataclasses.fields(item)]
+    return [values(each) for each in item] if isinstance(item, tuple | list) else item
 
 
 def stream_digest(seed: int) -> tuple[int, str]:
-    """How many calls the decision module had, and a digest of all that it said."""
+    """Returns the number of iterations of the policy on a stream, and a digest of its events and actions."""
     world = event_stream.StreamWorld(event_stream.StreamShape(rate=RATES[seed % len(RATES)]), seed)
     dispatcher = Dispatcher(world.settings, seed)
-    found, calls = hashlib.sha256(), 0
+    digest, calls = hashlib.sha256(), 0
 
-    def heard(now: int, events: list[PolicyEvent], actions: list[PolicyAction]) -> None:
+    def record(now: int, events: list[PolicyEvent], actions: list[PolicyAction]) -> None:
         nonlocal calls
         calls += 1
-        told = [[ACTIONS.index(type(each)), values(each)] for each in actions]
-        found.update(json.dumps([now, [values(each) for each in events], told]).encode())
+        action_values = [[ACTIONS.index(type(each)), values(each)] for each in actions]
+        digest.update(json.dumps([now, [values(each) for each in events], action_values]).encode())
 
-    world.run(dispatcher.handle, heard)
-    return calls, found.hexdigest()
+    world.run(dispatcher.handle, record)
+    return calls, digest.hexdigest()
 
 
 def scenario_digest(name: str) -> str:
-    """A digest of all figures of a scenario at its own seed."""
+    """Returns a digest of all figures of a scenario run with its own seed."""
     scenario = load_scenario(SCENARIOS / f"{name}.toml", ())
     outcomes = run_scenario(scenario, scenario.seed, OWN_POLICY)
     return hashlib.sha256(json.dumps(outcomes.as_json(), sort_keys=True).encode()).hexdigest()
