--- a/message_sender/policy/pending.py
+++ b/message_sender/policy/pending.py
@@ -216,11 +216,11 @@
 
         A message in flight is not completed here; it is checked when its attempt ends.
         """
-        soon = self.loop.now + self.settings.tick
-        while self.deadlines and self.deadlines[0][0] <= soon:
+        cutoff = self.loop.now + self.settings.tick
+        while self.deadlines and self.deadlines[0][0] <= cutoff:
             self.loop.examined_items += 1
             message = heapq.heappop(self.deadlines)[2]
-            is_expired = message.deadline <= soon or not self.may_retry(message)
+            is_expired = message.deadline <= cutoff or not self.may_retry(message)
             if is_expired and not message.is_completed and not message.is_in_flight:
                 self.complete(message)
 
