--- a/message_sender/control/leadership.py
+++ b/message_sender/control/leadership.py
@@ -1,4 +1,4 @@
-"""The state of a leader's term: its peers' logs, the heartbeat rounds they answered, what is committed."""
+"""The state of a leader's term: progress of its peers, answered heartbeat rounds, commit index."""
 
 from collections.abc import Sequence
 
@@ -7,16 +7,16 @@
 from message_sender.control.progress import Progress
 from message_sender.control.quorum import Quorum
 
-BATCH_BYTES_LIMIT = 24 * 1024  # data of the entries of one AppendRequest; one larger entry goes alone
+BATCH_BYTES_LIMIT = 24 * 1024  # data of the entries in one AppendRequest; a larger entry is sent alone
 
 
 class Leadership:
-    """Exists from the election to the end of the leadership; see the rules in replica.py."""
+    """A leader's state from its election to the end of its leadership; see the rules in replica.py."""
 
     def __init__(
         self, name: str, term: int, peers: Sequence[str], quorum: Quorum, log: ReplicatedLog, now: float
     ) -> None:
-        """Begins the leadership of `name` in `term`, with nothing known of its peers' logs."""
+        """Begins the leadership of `name` in `term`, with no knowledge of its peers' logs."""
         self._name = name
         self._term = term
         self._quorum = quorum
@@ -27,7 +27,7 @@
         self.authority_at = now  # the start of the last round that a majority answered
 
     def start_round(self, now: float) -> None:
-        """Makes a heartbeat to each peer due, which the next `take_requests` returns."""
+        """Starts a heartbeat round: the next `take_requests` returns a heartbeat to each peer."""
         self._round += 1
         self._round_started_at[self._round] = now
         for progress in self._progress.values():
@@ -37,7 +37,7 @@
     def take_requests(self, commit_index: int) -> list[tuple[str, AppendRequest]]:
         """Returns the requests that are due, each with its receiver.
 
-        They carry entries that a peer lacks, a commit index that rose, or a heartbeat.
+        A request is due if a peer lacks entries, if the commit index rose, or for a heartbeat.
         """
         requests = []
         for peer, progress in self._progress.items():
@@ -48,7 +48,7 @@
         return requests
 
     def _request(self, progress: Progress, commit_index: int, entries_limit: int) -> AppendRequest:
-        """Returns the next request to a peer; without entries if `entries_limit`, in bytes, is 0."""
+        """Returns the next request to a peer; it has no entries if `entries_limit`, in bytes, is 0."""
         previous_index = progress.next_index - 1
         previous_term = self._log.term_at(previous_index)
         entries = self._log.batch(progress.next_index, entries_limit) if entries_limit else ()
@@ -67,15 +67,15 @@
         if reply.is_match:
             progress.note_match(min(reply.match_index, self._log.last_index))
         else:
-            progress.note_refusal(reply.match_index)
+            progress.note_rejection(reply.match_index)
 
     def committed_index(self, durable_index: int) -> int:
-        """Returns the index of the last entry that is durable on a majority, or 0 if it is of an older term.
+        """Returns the index of the last entry that is durable on a majority, or 0 if its term is older.
 
-        Entries of earlier terms are committed only by an entry of this term after them.
+        Entries of earlier terms are committed only by a later entry of this term.
 
         Args:
-            durable_index: The last entry that is durable on the leader's own disk.
+            durable_index: The index of the last entry that is durable on the leader's own disk.
         """
         durable = {peer: progress.match_index for peer, progress in self._voting_peers()}
         durable[self._name] = durable_index
--- a/message_sender/control/log.py
+++ b/message_sender/control/log.py
@@ -1,4 +1,4 @@
-"""The replicated log in memory: entries by index from 1 on, without gaps."""
+"""The replicated log in memory: entries with consecutive indexes that start at 1."""
 
 from collections.abc import Sequence
 
@@ -6,18 +6,18 @@
 
 
 class ReplicatedLog:
-    """All entries of a node's log. Index 0 stands for the beginning, before any entry, with term 0."""
+    """All entries of a node's log. Index 0, with term 0, is the position before the first entry."""
 
     def __init__(self, entries: Sequence[LogEntry]) -> None:
-        """Creates a log of these entries.
+        """Creates a log with these entries.
 
         Raises:
-            ValueError: If an entry does not have the index of its position.
+            ValueError: If the indexes of the entries are not 1, 2, 3 and so on.
         """
         self._entries = list(entries)
         for index, entry in enumerate(self._entries, 1):
             if entry.index != index:
-                raise ValueError(f"log entry {entry.index} stands where {index} should be")
+                raise ValueError(f"expected log entry {index}, got {entry.index}")
 
     @property
     def last_index(self) -> int:
@@ -33,40 +33,40 @@
         """Returns the entry at `index`.
 
         Raises:
-            IndexError: If there is none.
+            IndexError: If there is no such entry.
         """
         if not 1 <= index <= len(self._entries):
-            raise IndexError(f"no log entry {index}; the last one is {len(self._entries)}")
+            raise IndexError(f"expected the index of a log entry from 1 to {len(self._entries)}, got {index}")
         return self._entries[index - 1]
 
     def has(self, index: int, term: int) -> bool:
-        """Returns whether the log has an entry of this term at `index`, or `index` is the beginning."""
+        """Returns whether the log has an entry of `term` at `index`; index 0 has term 0."""
         return index <= len(self._entries) and self.term_at(index) == term
 
     def term_at(self, index: int) -> int:
-        """Returns the term of the entry at `index`; 0 at the beginning."""
+        """Returns the term of the entry at `index`; 0 for index 0."""
         return self._entries[index - 1].term if index else 0
 
     def append(self, entry: LogEntry) -> None:
         """Appends the next entry.
 
         Raises:
-            ValueError: If its index does not follow the last one.
+            ValueError: If its index is not the last index plus 1.
         """
         if entry.index != self.last_index + 1:
-            raise ValueError(f"log entry {entry.index} does not follow {self.last_index}")
+            raise ValueError(f"expected log entry {self.last_index + 1}, got {entry.index}")
         self._entries.append(entry)
 
     def truncate_from(self, index: int) -> None:
-        """Removes the entry at `index` and all after it."""
+        """Removes the entry at `index` and all later entries."""
         del self._entries[index - 1 :]
 
     def between(self, first: int, last: int) -> tuple[LogEntry, ...]:
-        """Returns the entries from `first` to `last`, both included, as far as they exist."""
+        """Returns the existing entries from index `first` to `last`, both included."""
         return tuple(self._entries[first - 1 : last])
 
     def batch(self, first: int, bytes_limit: int) -> tuple[LogEntry, ...]:
-        """Returns entries from `first` on whose data fit `bytes_limit`, but at least one if one exists."""
+        """Returns the entries from `first` on whose data fit `bytes_limit`, at least one if one exists."""
         size = 0
         last = first - 1
         for entry in self._entries[first - 1 :]:
@@ -77,17 +77,17 @@
         return self.between(first, last)
 
     def conflict_hint(self, index: int, commit_index: int) -> int:
-        """Returns where a leader is to try next after this log did not have its entry at `index`.
+        """Returns the index that a leader should try next if this log lacks the leader's entry at `index`.
 
-        That is the log's end, or the last entry before those of the conflicting term, but never an entry
-        before the committed ones.
+        The hint is the end of the log, or the last entry before those of the conflicting term, but never less
+        than `commit_index`.
         """
         if index > self.last_index:
             return self.last_index
         return max(commit_index, self._index_before_term_at(index))
 
     def _index_before_term_at(self, index: int) -> int:
-        """Returns the last index before the run of entries that have the same term as the one at `index`."""
+        """Returns the last index before the run of entries with the same term as the entry at `index`."""
         term = self._entries[index - 1].term
         while index > 0 and self._entries[index - 1].term == term:
             index -= 1
--- a/message_sender/control/log_file.py
+++ b/message_sender/control/log_file.py
@@ -2,16 +2,19 @@
 
 Rules:
 
-- The file begins with `MAGIC`, written when the folder is initialised. Frames follow: the length and the
-  CRC-32C of the content, the CRC-32C of these two, then the content, a `LogBatch` in msgpack.
-- A batch is what the replica needs durable at once: entries to remove, entries to append, the hard state. It
-  is applied completely or not at all, so that one write that a power loss tears is one frame.
-- What a failed write or sync may have left is truncated before the next one, so that no frame follows it.
+- The file begins with `MAGIC`, written when the folder is initialised, followed by frames. A frame has the
+  length and the CRC-32C of its content, the CRC-32C of these two fields, and the content, a `LogBatch` in
+  msgpack.
+- A batch contains everything that the replica needs durable at the same time: entries to remove, entries to
+  append, the hard state. It is applied completely or not at all, because a power loss tears at most one
+  frame.
+- Bytes that a failed write or sync may have left are truncated before the next write, so that no frame
+  follows them.
 - A frame at the end of the file that is cut short, or has a sector of zeros that never reached the disk, is a
-  torn write: it was not confirmed, and is dropped. Any other invalid frame is damage, reported by its offset,
-  and everything from there on is discarded. (The loss of complete frames at the end of a file cannot be
-  distinguished from writes that were never made; the epochs of channel.py detect an old disk.)
-- A damaged file is kept under another name; the frames before the damage are copied to a new one.
+  torn write: it was not confirmed, and is dropped. Any other invalid frame is damage: it is reported with its
+  offset, and everything from that offset on is discarded. (The loss of complete frames at the end of a file
+  cannot be distinguished from writes that were never made; the epochs of channel.py detect an old disk.)
+- A damaged file is kept under another name; the frames before the damage are copied to a new file.
 """
 
 import struct
@@ -29,15 +32,18 @@
 LOG_FILE = "log"
 DAMAGED_SUFFIX = ".damaged"
 MAGIC = b"ELCLOG1\n"
-FRAME_HEADER = struct.Struct(">III")  # length, CRC of the content, CRC of these two
-CHECKED_HEADER_BYTES = 8  # of the header, before its own CRC
+FRAME_HEADER = struct.Struct(">III")  # length of the content, CRC of the content, CRC of these two fields
+CHECKED_HEADER_BYTES = 8  # bytes of the header that its own CRC covers
 FRAME_BYTES_LIMIT = 256 * 1024 * 1024
 SECTOR_BYTES = 512
-EMPTY_SECTOR_BYTES_MIN = 16  # fewer zeros do not show that a sector was never written
+EMPTY_SECTOR_BYTES_MIN = 16  # fewer zeros are no evidence that a sector was never written
 
 
 class LogBatch(msgspec.Struct, array_like=True, frozen=True):
-    """What becomes durable at once; entries from `truncate_from` on are removed first, unless it is 0."""
+    """Changes that become durable together.
+
+    If `truncate_from` is not 0, entries with this index and later ones are removed first.
+    """
 
     truncate_from: Count
     entries: tuple[LogEntry, ...]
@@ -48,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogDamage:
-    """The offset of the first damaged frame, in bytes from the beginning, and the reason."""
+    """The offset of the first damaged frame, in bytes from the start of the file, and the reason."""
 
     offset: int
     reason: str
@@ -56,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadedLog:
-    """The content of a log file; `torn_bytes` is the length of a torn write at its end."""
+    """The content of a log file; `torn_bytes` is the length in bytes of a torn write at its end."""
 
     hard_state: HardState
     entries: tuple[LogEntry, ...]
@@ -74,7 +80,7 @@
 
 
 def encode_frame(batch: LogBatch) -> bytes:
-    """Returns the frame of a batch."""
+    """Returns the encoded frame of a batch."""
     content = msgspec.msgpack.encode(batch)
     head = struct.pack(">II", len(content), google_crc32c.value(content))
     return head + struct.pack(">I", google_crc32c.value(head)) + content
@@ -85,13 +91,13 @@
 
 
 def decode_frame(data: bytes, offset: int) -> tuple[LogBatch, int]:
-    """Decodes the frame at `offset`.
+    """Decodes the frame at byte `offset`.
 
     Returns:
         The batch, and the offset of the next frame.
 
     Raises:
-        FrameError: If there is no valid frame.
+        FrameError: If there is no valid frame at `offset`.
     """
     if len(data) - offset < FRAME_HEADER.size:
         raise FrameError("the header is cut short")
@@ -114,9 +120,9 @@
 
 
 def is_torn(data: bytes, offset: int) -> bool:
-    """Returns whether the bytes from `offset` to the end are a write that a power loss tore.
+    """Returns whether the bytes from `offset` to the end are a torn write.
 
-    They are if no valid frame follows, and they are cut short or have a sector of zeros.
+    This is so if no valid frame follows, and the frame is cut short or has a sector of zeros.
     """
     for later in range(offset + 1, len(data) - FRAME_HEADER.size + 1):
         try:
@@ -147,7 +153,7 @@
 
 @dataclass(slots=True)
 class LogContent:
-    """The entries and the hard state that result from batches."""
+    """The entries and the hard state after a sequence of batches."""
 
     hard_state: HardState
     entries: list[LogEntry]
@@ -156,7 +162,7 @@
         """Applies a batch.
 
         Raises:
-            FrameError: If its entries leave a gap. Nothing was changed.
+            FrameError: If its entries leave a gap; nothing is changed in this case.
         """
         last = len(self.entries)
         if batch.truncate_from:
@@ -171,21 +177,21 @@
 
 
 class LogFile:
-    """The log's file; `load` is called first, then `store` for each batch."""
+    """The file of the log. Call `load` first, then `store` for each batch."""
 
     def __init__(self, folder: Path, disk: Disk) -> None:
-        """Creates an accessor; the file need not exist."""
+        """Creates an accessor for the log in `folder`; the file need not exist."""
         self.folder = folder
         self.path = folder / LOG_FILE
         self.disk = disk
         self._file: int | None = None
         self._durable_size = 0
         self._may_have_partial_write = (
-            False  # a write that failed may have left bytes behind the durable ones
+            False  # whether a failed write may have left bytes after the durable ones
         )
 
     def create(self) -> None:
-        """Creates an empty log durably.
+        """Creates an empty log and makes it durable.
 
         Raises:
             OSError: If it cannot be written.
@@ -202,7 +208,7 @@
         """Reads the file, and opens it for `store` unless it is damaged.
 
         Raises:
-            OSError: If it cannot be read, or a torn write cannot be truncated.
+            OSError: If the file cannot be read, or a torn write cannot be truncated.
         """
         data = self.disk.read(self.path)
         scan = read_log(data)
@@ -213,14 +219,14 @@
             self._durable_size = scan.end
             if torn_bytes:
                 self.disk.truncate(self._file, scan.end)
-            self.disk.sync(self._file)  # a killed process may have left writes without a sync
+            self.disk.sync(self._file)  # a killed process may have left writes that were not synced
         return LoadedLog(scan.content.hard_state, tuple(scan.content.entries), scan.damage, torn_bytes)
 
     def store(self, batch: LogBatch) -> None:
-        """Makes a batch durable, which may take long.
+        """Makes a batch durable; a slow disk can block this call for long.
 
         Raises:
-            OSError: If it cannot be written. It may be stored again.
+            OSError: If the batch cannot be written. The caller may store the same batch again.
         """
         assert self._file is not None
         if self._may_have_partial_write:
@@ -239,9 +245,9 @@
             self._file = None
 
     def replace_damaged(self, loaded: LoadedLog) -> None:
-        """Writes the content before the damage to a new file, and keeps the damaged one under another name.
+        """Replaces a damaged file by one with the content before the damage; the old file is renamed.
 
-        The node must have been marked as a learner durably: the new file does not show the damage.
+        The node must already be marked durably as a learner, because the new file does not show the damage.
 
         Raises:
             OSError: If the new file cannot be written.
@@ -262,12 +268,12 @@
 
 @dataclass(frozen=True, slots=True)
 class LogScan:
-    """The result of reading a log's bytes.
+    """The result of parsing the bytes of a log.
 
     Attributes:
         content: The content of the valid frames.
-        end: The offset at which they end.
-        damage: The damage there, or None if the rest is empty or a torn write.
+        end: The offset in bytes at which the valid frames end.
+        damage: The damage at `end`, or None if the rest is empty or a torn write.
     """
 
     content: LogContent
@@ -276,7 +282,7 @@
 
 
 def read_log(data: bytes) -> LogScan:
-    """Reads a log from its bytes."""
+    """Parses the bytes of a log file."""
     content = LogContent(HardState(), [])
     if not data:
         return LogScan(content, 0, LogDamage(0, "there is no log"))
--- a/message_sender/control/quorum.py
+++ b/message_sender/control/quorum.py
@@ -1,16 +1,16 @@
-"""Weighted votes: a majority is more than half of all votes of the configuration, absent ones included.
+"""Weighted votes: a majority has more than half of all configured votes, including those of absent nodes.
 
-Any two majorities share at least one node, which is what Raft's proof requires of them.
+Any two majorities share at least one node, as Raft's proof requires.
 """
 
 from collections.abc import Iterable, Mapping
 
 
 class Quorum:
-    """The votes of each node; they don't change while a node runs."""
+    """The votes of each node; they do not change while a node runs."""
 
     def __init__(self, votes: Mapping[str, int]) -> None:
-        """Creates a quorum of these votes by node.
+        """Creates a quorum from the votes by node name.
 
         Raises:
             ValueError: If a node has no vote.
@@ -22,18 +22,18 @@
 
     @property
     def names(self) -> tuple[str, ...]:
-        """All nodes of the configuration."""
+        """The names of all configured nodes."""
         return tuple(self._votes)
 
     def is_majority(self, names: Iterable[str]) -> bool:
-        """Returns whether these nodes (each named once) have more than half of all votes."""
+        """Returns whether these nodes, each named once, have more than half of all votes."""
         return 2 * sum(self._votes[name] for name in names) > self._total
 
     def majority_value(self, values: Mapping[str, int]) -> int:
-        """Returns the highest number that a majority has reached, or 0 if there is none.
+        """Returns the highest number that a majority of the votes has reached, or 0 if there is none.
 
         Args:
-            values: What each node has reached. A node that is not in it has reached nothing, but its votes
+            values: The number that each node has reached. A missing node has reached no number, but its votes
                 still count in the total.
         """
         reached = 0
--- a/message_sender/control/raft.py
+++ b/message_sender/control/raft.py
@@ -1,4 +1,4 @@
-"""Types that the replication shares with its users: roles, the durable state, pending work and errors."""
+"""Types that the replica shares with its callers: roles, durable state, pending work and errors."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -7,7 +7,7 @@
 
 
 class Role(StrEnum):
-    """The role of a node in the present term."""
+    """The role of a node in the current term."""
 
     FOLLOWER = "follower"
     PRE_CANDIDATE = "pre-candidate"
@@ -17,7 +17,7 @@
 
 
 class NotLeaderError(Exception):
-    """A proposal at a node that does not lead; `leader` is the leader's name, or empty if it is unknown."""
+    """A proposal at a node that is not the leader; `leader` is the leader's name, empty if unknown."""
 
     def __init__(self, leader: str) -> None:
         """Creates the error with the known leader."""
@@ -26,12 +26,12 @@
 
 
 class ReplicaInvariantError(Exception):
-    """A state that Raft excludes: a disk lost data, or two nodes use one name. The node must stop."""
+    """A state that Raft rules out: a disk lost data, or two nodes use the same name. The node must stop."""
 
 
 @dataclass(frozen=True, slots=True)
 class HardState:
-    """What a node must keep durable besides its log."""
+    """The state that a node must keep durable in addition to its log."""
 
     term: int = 0
     voted_for: str = ""
@@ -39,11 +39,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Ready:
-    """What the caller does next.
+    """Pending work for the caller.
 
-    In this order: it removes the log's entries from `truncate_from` on, appends `entries`, stores
-    `hard_state`, and makes all of it durable; then it sends `messages` (each with its receiver), calls
-    `persisted`, and applies `committed`.
+    The caller does it in this order: remove the log's entries from `truncate_from` on, append `entries`,
+    store `hard_state`, and make all of it durable; then send `messages` (each with its receiver), call
+    `persisted`, and apply `committed`.
     """
 
     hard_state: HardState | None
--- a/message_sender/control/replica.py
+++ b/message_sender/control/replica.py
@@ -5,25 +5,28 @@
 
 Rules:
 
-- **Majority.** More than half of all votes of the configuration, those of absent nodes and learners included.
-- **One vote per term.** A node votes for at most one candidate per term, whose log is at least as new as its
-  own. Term and vote are durable before the answer leaves.
-- **Pre-vote.** A node whose election timeout passed first asks whether it would be elected, without raising
-  its term. A leader refuses, and so does a node that received from one within the minimum timeout.
-- **Log matching.** A follower takes entries only after an entry that its log has with the same term. It
-  truncates what conflicts, and nothing else: a late or duplicate request never shortens the log.
+- **Majority.** More than half of all configured votes, including those of absent nodes and learners.
+- **One vote per term.** A node votes for at most one candidate per term, and only if the candidate's log is
+  at least as new as its own. Term and vote are durable before the reply is sent.
+- **Pre-vote.** A node whose election timeout has passed first asks whether it would be elected, without
+  raising its term. A leader refuses, and so does a node that received from a leader within the minimum
+  timeout.
+- **Log matching.** A follower accepts entries only after an entry that its log has with the same term. It
+  truncates only conflicting entries: a late or duplicate request never shortens the log.
 - **Commitment.** An entry is committed once it is durable on a majority and is of the leader's own term;
-  those before it are committed with it (figure 8 of the paper). The leader counts itself once its own disk
+  earlier entries are committed with it (figure 8 of the paper). The leader counts itself once its own disk
   has the entry. It begins its term with an empty entry, so that entries of earlier terms are committed soon.
-- **Check quorum.** A leader that no majority answered for an election timeout steps down.
+- **Check quorum.** A leader steps down if no majority has answered it for an election timeout.
 - **Learner.** A node that may have lost a vote or an entry copies the log. It never votes, is never counted
-  and is never a candidate. A leader that learns of it does not count that node for the rest of its term.
-- **Leadership transfer.** A leader that is shutting down asks a voter with the complete log to stand for
-  election at once, without pre-vote. For safety this is an election timeout like any other.
-- **Durable first.** A `Ready` holds what is to be made durable, then sent, then applied. There is one at a
-  time; messages of later events are queued for the next one, in a bounded queue, as a disk may hang.
-
-All times are seconds of the caller's monotonic clock; only differences count, and safety needs no clock.
+  and is never a candidate. A leader does not count a learner for the rest of its term once it knows of it.
+- **Leadership transfer.** A leader that is shutting down asks a voter with the complete log to start an
+  election immediately, without pre-vote. For safety this equals an expired election timeout.
+- **Durable first.** A `Ready` holds data to make durable, then messages to send, then entries to apply. Only
+  one is outstanding at a time; messages of later events are queued for the next one. The queue is bounded,
+  because a disk may hang.
+
+All times are seconds of the caller's monotonic clock. Only differences matter, and safety does not depend on
+the clock.
 """
 
 import random
@@ -56,11 +59,11 @@
 HEARTBEAT_INTERVAL_S = 0.1
 ELECTION_TIMEOUT_MIN_S = 0.6
 ELECTION_TIMEOUT_MAX_S = 1.2
-QUEUED_MESSAGES_LIMIT = 256  # beyond it the oldest are dropped, as a network would
+QUEUED_MESSAGES_LIMIT = 256  # at this limit the oldest are dropped, like datagrams lost by the network
 
 
 class Replica:
-    """One control node's part in the replication; see the rules of the module."""
+    """The replication state machine of one control node; see the rules of the module."""
 
     def __init__(
         self,
@@ -74,11 +77,20 @@
     ) -> None:
         """Restores a replica from the hard state and the entries on its disk.
 
+        Args:
+            name: The name of this node.
+            votes: The votes of all configured nodes by name.
+            hard_state: The hard state on the disk.
+            entries: The entries of the log on the disk.
+            rng: Source of the random election timeouts.
+            now: Seconds of the caller's monotonic clock.
+            is_voter: False if the node must start as a learner.
+
         Raises:
             ValueError: If `name` has no votes.
         """
         if name not in votes:
-            raise ValueError(f"{name} has no votes")
+            raise ValueError(f"expected the name of a node with votes, one of {sorted(votes)}, got {name!r}")
         self.name = name
         self.is_voter = is_voter
         self.learner_reason = ""
@@ -90,14 +102,14 @@
         self._log = ReplicatedLog(entries)
         self._hard_state = restore_hard_state(hard_state, self._log)
         self._durable = DurableState(hard_state, self._log.last_index, self._log.last_index)
-        self._delivered_index = 0  # the last committed entry that a Ready has contained
+        self._delivered_index = 0  # the last committed entry that was returned in a Ready
         self._outstanding: Ready | None = None
         self._messages: deque[tuple[str, RaftMessage]] = deque(maxlen=QUEUED_MESSAGES_LIMIT)
         self._votes_granted: frozenset[str] = frozenset()
-        self._leadership: Leadership | None = None  # while it is the leader
+        self._leadership: Leadership | None = None  # None unless this node is the leader
         self._rng = rng
         self._started_at = now
-        self._authority_at: float | None = None  # when it last knew a leader with a majority
+        self._authority_at: float | None = None  # time at which the node last knew a leader with a majority
         self._heartbeat_at = now
         self._restart_election_timer(now)
 
@@ -105,7 +117,7 @@
 
     @property
     def term(self) -> int:
-        """The present term."""
+        """The current term."""
         return self._hard_state.term
 
     @property
@@ -114,14 +126,18 @@
         return self._log.last_index
 
     def entry(self, index: int) -> LogEntry:
-        """Returns the log's entry at `index`; raises IndexError if there is none."""
+        """Returns the log's entry at `index`.
+
+        Raises:
+            IndexError: If there is no such entry.
+        """
         return self._log.entry(index)
 
     def authority_age(self, now: float) -> float:
-        """Returns the seconds since it last knew a leader with a majority, or else since its start.
+        """Returns the seconds since this node last knew a leader with a majority, or since its start.
 
         A leader counts from the start of the last heartbeat round that a majority answered, a follower from
-        the last AppendRequest of the leader.
+        the last AppendRequest of its leader.
         """
         since = self._started_at if self._authority_at is None else self._authority_at
         if self._leadership is not None:
@@ -131,7 +147,7 @@
     # Events.
 
     def receive(self, sender: str, message: RaftMessage, now: float) -> None:
-        """Handles a message of another node; ignored if the sender has no votes or it is not well formed."""
+        """Handles a message from another node; ignores it if the sender has no votes or it is malformed."""
         if sender not in self._peers or not is_well_formed(message):
             return
         match message:
@@ -147,7 +163,7 @@
                 self._start_election(now)
 
     def tick(self, now: float) -> None:
-        """Does what is due by now; to be called at least every HEARTBEAT_INTERVAL_S."""
+        """Handles timers that are due; must be called at least every HEARTBEAT_INTERVAL_S."""
         if self._leadership is not None:
             if now - self._leadership.authority_at > self._election_timeout:
                 self._become_follower(self.term, "", now)
@@ -165,28 +181,28 @@
             self._start_pre_vote(now)
 
     def propose(self, data: bytes, now: float) -> tuple[int, int]:
-        """Appends an entry, which is confirmed once a `Ready` has it among the committed ones.
+        """Appends an entry to the log; it is confirmed once a `Ready` returns it as committed.
 
         Returns:
             The index and the term of the entry.
 
         Raises:
-            NotLeaderError: If this node does not lead.
-            ValueError: If `data` is empty, which only the first entry of a term is.
+            NotLeaderError: If this node is not the leader.
+            ValueError: If `data` is empty, which is reserved for the first entry of a term.
         """
         if not data:
-            raise ValueError("an entry needs data")
+            raise ValueError("expected a log entry with data, got an empty one")
         if self.role is not Role.LEADER:
             raise NotLeaderError(self.leader)
         return self._append_own(data)
 
     def transfer_leadership(self) -> bool:
-        """Asks another node to stand for election at once.
+        """Asks another node to start an election immediately.
 
-        To be repeated until another node leads, without proposals meanwhile.
+        The caller repeats this until another node leads, and makes no proposals meanwhile.
 
         Returns:
-            Whether a node was asked: this one must lead, and a voter must have the complete log.
+            Whether a node was asked, which requires that this node leads and a voter has the complete log.
         """
         successor = self._leadership.successor() if self._leadership is not None else ""
         if successor:
@@ -194,7 +210,11 @@
         return bool(successor)
 
     def become_learner(self, reason: str) -> None:
-        """Makes this node a learner, because its disk was lost or is old and may lack a vote."""
+        """Makes this node a learner, because its disk was lost or is old and may lack a vote.
+
+        Args:
+            reason: The reason, for logs and status reports.
+        """
         self.is_voter = False
         self.learner_reason = reason
         if self.leader == self.name:
@@ -204,7 +224,7 @@
         self._votes_granted = frozenset()
 
     def take_ready(self) -> Ready | None:
-        """Returns the work to do now, or None if there is none or the last one is not `persisted` yet."""
+        """Returns the work to do now, or None if there is none or the last Ready is not `persisted` yet."""
         if self._outstanding is not None:
             return None
         requests: Sequence[tuple[str, RaftMessage]] = ()
@@ -225,9 +245,13 @@
         return ready
 
     def persisted(self, ready: Ready) -> None:
-        """Notes that all of `ready` is durable and its messages were sent."""
+        """Records that all of `ready` is durable and its messages were sent.
+
+        Raises:
+            ValueError: If `ready` is not the outstanding one.
+        """
         if ready is not self._outstanding:
-            raise ValueError("not the Ready that is outstanding")
+            raise ValueError("expected the outstanding Ready, got another one")
         self._outstanding = None
         self._durable = self._durable.after(ready, self._log)
         if self._leadership is not None:
@@ -274,7 +298,7 @@
         self._request_votes(now)
 
     def _request_votes(self, now: float) -> None:
-        """Requests the missing votes; repeated every HEARTBEAT_INTERVAL_S, as requests may be lost."""
+        """Requests the missing votes; repeated every HEARTBEAT_INTERVAL_S, because requests may be lost."""
         self._heartbeat_at = now + HEARTBEAT_INTERVAL_S
         if self._outstanding is not None and self._messages:
             return  # the last requests have not been sent yet
@@ -363,7 +387,9 @@
             self._reply_to_append(sender, request, is_match=False, match_index=self._log.last_index)
             return
         if self.role is Role.LEADER and request.term == self.term:
-            raise ReplicaInvariantError(f"{sender} and {self.name} both lead term {self.term}")
+            raise ReplicaInvariantError(
+                f"term {self.term}: expected one leader, but both {sender} and {self.name} lead"
+            )
         self._become_follower(request.term, sender, now)
         self._authority_at = now
         self._restart_election_timer(now)
@@ -381,7 +407,7 @@
         self._messages.append((sender, reply))
 
     def _merge(self, entries: Sequence[LogEntry]) -> None:
-        """Appends the entries that the log lacks; from the first conflict on they replace its own."""
+        """Appends the entries that the log lacks; they replace its own from the first conflict on."""
         for entry in entries:
             if self._log.has(entry.index, entry.term):
                 continue
@@ -391,6 +417,8 @@
 
     def _truncate_from(self, index: int) -> None:
         if index <= self.commit_index:
-            raise ReplicaInvariantError(f"entry {index} is committed and would be replaced")
+            raise ReplicaInvariantError(
+                f"entry {index} would be replaced, but entries up to {self.commit_index} are committed"
+            )
         self._log.truncate_from(index)
         self._durable = self._durable.with_log_truncated(index)
