--- a/message_sender/control/channel.py
+++ b/message_sender/control/channel.py
@@ -1,17 +1,19 @@
-"""Sealed datagrams between control nodes, and between them and senders. Pure; driver.py sends them.
+"""Sealed datagrams among control nodes, and between control nodes and senders. No I/O; driver.py sends them.
 
 Rules:
 
-- A datagram that is not sealed with one of our keys, or does not decode, is dropped and counted by reason.
-- A datagram is accepted only if it names the present session of this end. A `Hello` tells that session to a
-  peer that does not know it, a bounded number of times per second, counted separately for each configured
-  name; a replayed datagram can cause nothing else.
-- Of each name one start counts, the one with the highest epoch, and of its session each number once.
-- A peer that comes with an epoch below the one known of its name, or with the same one and another session,
-  receives the known epoch. It continues with a higher one, and knows that its disk is old (`is_behind`).
+- A datagram that is not sealed with one of the configured keys, or does not decode, is dropped and counted by
+  reason.
+- A datagram is accepted only if it names the current session of this end. A `Hello` announces that session to
+  a peer that does not know it. The number of these answers per second is bounded, with a separate limit for
+  each configured name; a replayed datagram has no other effect.
+- Only the latest start of a name (the one with the highest epoch) is accepted, and each datagram number of
+  its session once.
+- A peer whose epoch is below the known epoch of its name, or equal to it with another session, receives the
+  known epoch. It continues with a higher epoch and marks its disk as old (`is_behind`).
 - The caller stores the starts of the configured names (`on_start_known`) and passes them to the next
-  channel, so that an old disk is noticed even after the other nodes were restarted.
-- A configured name is reached at its configured address, any other one at the source address of its last
+  channel, so that an old disk is detected even after the other nodes were restarted.
+- A configured name is reached at its configured address, any other name at the source address of its last
   accepted datagram.
 - A body that is larger than a datagram is sent in fragments, which are reassembled within bounds.
 """
@@ -27,16 +29,16 @@
 from message_sender.fleet.seal import DATAGRAM_BYTES_LIMIT, DATAGRAM_BYTES_MIN, RefusedError, Seal
 from message_sender.fleet.session import PeerSession
 
-HELLO_ANSWERS_PER_SECOND = 500  # to all names that are not configured
-PEER_HELLO_ANSWERS_PER_SECOND = 50  # to each configured name, whatever others send or replay
+HELLO_ANSWERS_PER_SECOND = 500  # in total to names that are not configured
+PEER_HELLO_ANSWERS_PER_SECOND = 50  # to each configured name, regardless of traffic under other names
 HELLO_INTERVAL_S = 0.3  # to a peer whose session is unknown
-QUEUED_BODIES_LIMIT = 4  # per peer whose session is unknown; the latest ones are kept
-PEERS_LIMIT = 4096  # beyond it the peer that was silent longest is dropped
-FRAGMENT_BYTES = 1_200  # of an encoded body in one datagram
-MESSAGE_BYTES_LIMIT = 64 * 1024  # of one encoded body: its fragments fit the replay window in any order
-FRAGMENTS_LIMIT = -(-MESSAGE_BYTES_LIMIT // FRAGMENT_BYTES)  # of one body
-PARTIAL_MESSAGES_LIMIT = 8  # of one peer
-PARTIAL_BYTES_LIMIT = 4 * 1024 * 1024  # of all peers
+QUEUED_BODIES_LIMIT = 4  # per peer whose session is unknown; the oldest are dropped
+PEERS_LIMIT = 4096  # at this limit the peer that has been silent longest is dropped
+FRAGMENT_BYTES = 1_200  # bytes of an encoded body per datagram
+MESSAGE_BYTES_LIMIT = 64 * 1024  # per encoded body; its fragments fit the replay window in any order
+FRAGMENTS_LIMIT = -(-MESSAGE_BYTES_LIMIT // FRAGMENT_BYTES)  # per body
+PARTIAL_MESSAGES_LIMIT = 8  # per peer
+PARTIAL_BYTES_LIMIT = 4 * 1024 * 1024  # all peers together
 PARTIAL_AGE_LIMIT_S = 5.0
 
 ENVELOPE_CODEC = MessageCodec(Envelope)
@@ -56,11 +58,11 @@
 
 
 class BodyTooLargeError(ValueError):
-    """A body beyond MESSAGE_BYTES_LIMIT; nothing of it is sent."""
+    """An encoded body is larger than MESSAGE_BYTES_LIMIT; no part of it is sent."""
 
 
 class DroppedError(Exception):
-    """A datagram that is dropped."""
+    """A received datagram is dropped; `refusal` is the reason."""
 
     def __init__(self, refusal: RefusalReason) -> None:
         """Creates the error with its reason."""
@@ -70,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KnownStart:
-    """The latest known start of a name."""
+    """The latest known start of the process that uses a name."""
 
     epoch: int
     session: int
@@ -78,7 +80,7 @@
 
 @dataclass(slots=True)
 class PartialMessage:
-    """The fragments of one message that have arrived."""
+    """The fragments of one message that have arrived so far."""
 
     count: int
     started_at: float  # seconds of the caller's clock
@@ -86,7 +88,7 @@
 
 
 class Channel:
-    """One end of the link, under one name."""
+    """One end of the authenticated datagram link, identified by its name."""
 
     def __init__(
         self,
@@ -97,15 +99,15 @@
         addresses: Mapping[str, Address],
         known_starts: Mapping[str, KnownStart] | None = None,
     ) -> None:
-        """Creates a channel without sessions.
+        """Creates a channel that knows no sessions of its peers.
 
         Args:
             name: The name of this end.
-            epoch: A number above that of each earlier start, as far as the disk knows.
+            epoch: A number above the epochs of all earlier starts that the disk records.
             session: A random number above 0.
             seal: Seals and opens datagrams.
-            addresses: The peers at fixed addresses.
-            known_starts: The starts that were reported to `on_start_known` before.
+            addresses: The configured peers and their fixed addresses.
+            known_starts: The starts that were reported to `on_start_known` by earlier channels.
         """
         self.name = name
         self.epoch = epoch
@@ -113,7 +115,7 @@
         self.seal = seal
         self.addresses = dict(addresses)
         self.known_starts = dict(known_starts or {})
-        self.is_behind = False  # peers know a later start of this name than its disk does
+        self.is_behind = False  # peers know a later start of this name than this disk records
         self.on_behind: Callable[[int], None] | None = None  # called with the epoch to store
         self.on_start_known: Callable[[str, KnownStart], None] | None = None
         self.refused: Counter[RefusalReason] = Counter()
@@ -135,9 +137,9 @@
     # Sending.
 
     def send(self, to: str, body: Body, now: float) -> None:
-        """Sends `body`, or queues it until the session of `to` is known.
+        """Sends `body` to the peer `to`, or queues it until that peer's session is known.
 
-        Nothing is sent to a name whose address is not known.
+        A body to a name without a known address is dropped.
 
         Raises:
             BodyTooLargeError: If the encoded body is larger than MESSAGE_BYTES_LIMIT.
@@ -159,7 +161,7 @@
         return self.addresses.get(name) or self._learned_addresses.get(name)
 
     def has_session(self, name: str) -> bool:
-        """Returns whether the peer's session is known, so that bodies to it are sent at once."""
+        """Returns whether the peer's session is known, so that bodies to it are sent immediately."""
         return name in self._peers
 
     def take_datagrams(self) -> list[tuple[Address, bytes]]:
@@ -174,7 +176,9 @@
             self._send_datagram(address, session, body)
             return
         if len(encoded) > MESSAGE_BYTES_LIMIT:
-            raise BodyTooLargeError(f"{type(body).__name__}: {len(encoded)} bytes of {MESSAGE_BYTES_LIMIT}")
+            raise BodyTooLargeError(
+                f"{type(body).__name__}: expected at most {MESSAGE_BYTES_LIMIT} bytes, got {len(encoded)}"
+            )
         self._message_number += 1
         pieces = [encoded[at : at + FRAGMENT_BYTES] for at in range(0, len(encoded), FRAGMENT_BYTES)]
         for index, piece in enumerate(pieces):
@@ -192,10 +196,15 @@
     # Receiving.
 
     def receive(self, datagram: bytes, source: Address, now: float) -> list[tuple[str, Body]]:
-        """Handles a datagram; never raises for its content.
+        """Handles a received datagram; never raises because of its content.
 
-        Returns:
-            The body that the datagram completes with the name of its sender, or nothing.
+        Args:
+            datagram: The datagram as received.
+            source: The address from which it was received.
+            now: Seconds of the caller's monotonic clock.
+
+        Returns: A pair of the sending peer's name and the body that the datagram completes; empty if it
+        completes none.
         """
         try:
             envelope = self._open(datagram)
@@ -228,7 +237,7 @@
         self._accept_number(envelope, source, now)
         match envelope.body:
             case Hello(known_epoch):
-                self._take_known_epoch(known_epoch)
+                self._handle_known_epoch(known_epoch)
                 body = None
             case Fragment():
                 body = self._reassemble(envelope.name, envelope.body, now)
@@ -238,10 +247,10 @@
         return body
 
     def _accept_number(self, envelope: Envelope, source: Address, now: float) -> None:
-        """Notes the sender's session and the datagram's number.
+        """Records the sending peer's session and the datagram's number.
 
         Raises:
-            DroppedError: For a datagram of an earlier start, and for a replay.
+            DroppedError: If the datagram is of an earlier start or a replay.
         """
         peer = self._peers.get(envelope.name)
         if peer is None or peer.session != envelope.session:
@@ -283,14 +292,14 @@
             self.on_start_known(name, start)
 
     def _find_later_epoch(self, envelope: Envelope) -> int:
-        """Returns the known epoch of the sender if the datagram is not of its latest start; otherwise 0."""
+        """Returns the sending peer's known epoch if the datagram is not of its latest start; otherwise 0."""
         known = self.known_starts.get(envelope.name)
         if known is None or known.session == envelope.session or known.epoch < envelope.epoch:
             return 0
         return known.epoch
 
     def _answer_with_hello(self, envelope: Envelope, source: Address, now: float) -> None:
-        """Sends this session to a peer that does not know it, within the limits per second."""
+        """Announces this session to a peer that does not know it, within the limits per second."""
         if envelope.name in self.addresses:
             is_allowed = self._hello_limit.allow(envelope.name, PEER_HELLO_ANSWERS_PER_SECOND, now)
         else:
@@ -302,11 +311,11 @@
             address, envelope.session, Hello(self._find_later_epoch(envelope), is_answer=True)
         )
 
-    def _take_known_epoch(self, known_epoch: int) -> None:
+    def _handle_known_epoch(self, known_epoch: int) -> None:
         if known_epoch >= self.epoch:
             self.epoch = known_epoch + 1
             self.is_behind = True
-            self._queued_bodies.clear()  # they were made before the old disk was noticed
+            self._queued_bodies.clear()  # they were created before the old disk was detected
             if self.on_behind is not None:
                 self.on_behind(self.epoch)
 
@@ -320,12 +329,12 @@
     # Fragments.
 
     def _reassemble(self, name: str, fragment: Fragment, now: float) -> Body | None:
-        """Returns the complete body once its last missing fragment has arrived, otherwise None.
+        """Returns the complete body if this fragment was the last missing one, otherwise None.
 
         Raises:
-            DroppedError: If the fragment fits no message.
+            DroppedError: If the fragment does not fit its message.
         """
-        self._drop_old_partial(now)
+        self._drop_expired_partials(now)
         if not fragment.index < fragment.count <= FRAGMENTS_LIMIT or len(fragment.data) > FRAGMENT_BYTES:
             raise DroppedError(RefusalReason.FRAGMENT)
         key = name, fragment.message
@@ -346,7 +355,7 @@
         return None
 
     def _begin_partial(self, key: tuple[str, int], fragment: Fragment, now: float) -> PartialMessage:
-        """Begins a partial message, in place of the oldest one of the same peer if it has too many."""
+        """Begins a partial message; drops the oldest one of the same peer if it has too many."""
         keys_of_peer = [other for other in self._partial_messages if other[0] == key[0]]
         if len(keys_of_peer) >= PARTIAL_MESSAGES_LIMIT:
             self._drop_partial(keys_of_peer[0])
@@ -354,7 +363,7 @@
         self._partial_messages[key] = partial
         return partial
 
-    def _drop_old_partial(self, now: float) -> None:
+    def _drop_expired_partials(self, now: float) -> None:
         expired = [
             key
             for key, partial in self._partial_messages.items()
--- a/message_sender/control/configuration.py
+++ b/message_sender/control/configuration.py
@@ -1,4 +1,4 @@
-"""The TOML file of a control node. Checks the complete file and reports every fault with its path."""
+"""The TOML configuration file of a control node. Checks the whole file and reports all faults with paths."""
 
 from dataclasses import dataclass
 from pathlib import Path
@@ -16,7 +16,7 @@
 
 
 def check_node_name(name: str) -> str:
-    """Returns `name` if it can name a node or a cluster.
+    """Returns `name` if it is valid as the name of a node or a cluster.
 
     Raises:
         ValueError: If it is empty, too long or not printable ASCII.
@@ -28,15 +28,15 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeConfiguration:
-    """One control node's configuration.
+    """The configuration of one control node.
 
     Attributes:
-        name: This node, one of `nodes`.
+        name: The name of this node, one of `nodes`.
         cluster: A name that all nodes of a control plane share.
         listen: The UDP address to bind.
-        state: The state folder.
+        state: The path of the state folder.
         key_file: The file with the keys of the sealed datagrams.
-        nodes: All nodes, with the addresses at which the others reach them.
+        nodes: All nodes with their addresses, this node included.
         votes: The votes of each node by name.
     """
 
@@ -63,7 +63,7 @@
 
 
 class NodeFile(Table):
-    """The complete file."""
+    """The tables and fields of the complete file."""
 
     name: Annotated[str, AfterValidator(check_node_name)]
     cluster: Annotated[str, AfterValidator(check_node_name)]
@@ -74,7 +74,11 @@
 
     @model_validator(mode="after")
     def check_consistency(self) -> Self:
-        """Checks what concerns more than one field; raises ValueError with one fault per line."""
+        """Checks rules that involve more than one field.
+
+        Raises:
+            ValueError: If a rule is broken; the text has one fault per line.
+        """
         faults = find_node_faults([(node.name, node.address) for node in self.nodes])
         if self.name not in {node.name for node in self.nodes}:
             faults.append(f"name: {self.name!r} is not among the nodes")
@@ -84,7 +88,7 @@
 
 
 def load(path: Path) -> NodeConfiguration:
-    """Reads the file at `path`; paths in it are relative to its folder.
+    """Reads the configuration file at `path`; relative paths in it start at its folder.
 
     Raises:
         ConfigError: With all faults of the file.
--- a/message_sender/control/driver.py
+++ b/message_sender/control/driver.py
@@ -1,7 +1,7 @@
-"""Runs a control node on an event loop: datagrams, ticks, the disk and the state folder.
+"""Runs a control node on an event loop: datagrams, ticks, disk writes and the state folder.
 
-The clock and the function that sends datagrams are injected, so that the same driver runs on a socket and on
-virtual time.
+The clock and the function that sends datagrams are injected, so that the same driver runs on a real socket
+and on virtual time.
 """
 
 import asyncio
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoggedState:
-    """The state of a node that is logged when it changes."""
+    """The state of a node that is logged whenever it changes."""
 
     role: Role
     leader: str
@@ -34,7 +34,7 @@
 
 
 class NodeDriver:
-    """Drives one control node; see the rules in node.py for the order of storing, sending and applying."""
+    """Drives one control node; the rules in node.py define the order of storing, sending and applying."""
 
     def __init__(
         self,
@@ -52,7 +52,7 @@
             log_file: Stores the node's batches.
             folder_writer: Collects the changes of the node's state folder.
             send: Sends a datagram to an address.
-            on_failure: Called with an unexpected exception; the driver is closed then.
+            on_failure: Called with an unexpected exception, after the driver was closed.
             clock: Monotonic seconds; the event loop's clock if None.
         """
         self.loop = asyncio.get_running_loop()
@@ -73,7 +73,7 @@
         self._spawn(self._run())
 
     def close(self) -> None:
-        """Stops the driver; nothing is sent from now on."""
+        """Stops the driver; no datagrams are sent after this call."""
         self.is_closed = True
         for task in self._tasks:
             task.cancel()
@@ -83,11 +83,11 @@
         self._step(partial(self.node.receive, datagram, source, self.clock()))
 
     def run_action(self, action: Callable[[float], None]) -> None:
-        """Calls `action` with the present time, then stores and sends what the node has produced by it."""
+        """Calls `action` with the current time, then stores and sends the output that the node produced."""
         self._step(partial(action, self.clock()))
 
     def _step(self, action: Callable[[], None]) -> None:
-        """Runs one step of the node. Any exception is a defect and closes the driver."""
+        """Runs one step of the node. Any exception is a defect, which closes the driver."""
         if self.is_closed:
             return
         try:
@@ -136,7 +136,7 @@
         task.add_done_callback(self._task_ended)
 
     def _task_ended(self, task: asyncio.Task[None]) -> None:
-        """Fails on an exception in a task: whatever waits for that task would wait for ever."""
+        """Fails the driver if a task raised an exception; otherwise work waiting for the task would hang."""
         self._tasks.discard(task)
         if task.cancelled():
             return
@@ -147,7 +147,7 @@
     # Logging.
 
     def _log_changes(self) -> None:
-        """Logs what has changed since the last call."""
+        """Logs changes of the node's state since the last call."""
         replica = self.node.replica
         state = LoggedState(replica.role, replica.leader, replica.term, self.node.store.document.version)
         if state != self._logged_state:
--- a/message_sender/control/folder.py
+++ b/message_sender/control/folder.py
@@ -1,12 +1,12 @@
-"""The state folder of a control node besides its log: identity, epoch, known starts, mark of a learner.
+"""The files in a control node's state folder except its log: identity, epoch, known starts, learner mark.
 
 Rules:
 
 - `identity.json` is written last by `initialise`; a folder without it belongs to a learner.
-- A file that was replaced is durable under its name once its write returns: a power loss that reverted an
-  epoch which was already sent would look like an old disk.
-- The mark of a learner is durable before the epoch by which the node learned that its disk is old: after a
-  crash in between, the next start learns it again.
+- A replaced file is durable under its name when the write returns: if a power loss reverted an epoch that was
+  already sent, the disk would look old.
+- The learner mark is durable before the epoch that showed the node that its disk is old: after a crash in
+  between, the next start detects the old disk again.
 """
 
 import os
@@ -25,17 +25,17 @@
 EPOCH_FILE = "epoch.json"
 STARTS_FILE = "starts.json"
 LEARNER_FILE = "learner.json"
-LISTED_NAMES_LIMIT = 8  # in an error message
+LISTED_NAMES_LIMIT = 8  # names of files in an error message
 
 Content = TypeVar("Content")
 
 
 class FolderError(OSError):
-    """A state folder that cannot be used; the text gives the reason."""
+    """A state folder cannot be used; the text gives the reason."""
 
 
 class Identity(msgspec.Struct, frozen=True):
-    """The owner of a folder; `created` is the time of its creation in UTC, for people."""
+    """The node that owns a folder; `created` is its creation time in UTC, for operators only."""
 
     cluster: str
     name: str
@@ -43,14 +43,17 @@
 
 
 class StateFolder:
-    """Files that are replaced atomically. Each write raises OSError if it cannot be made durable."""
+    """Reads the files of a state folder and replaces them atomically.
+
+    Each method that writes raises OSError if the write cannot be made durable.
+    """
 
     def __init__(self, path: Path) -> None:
-        """Creates an accessor; the folder need not exist."""
+        """Creates an accessor for the folder at `path`, which need not exist."""
         self.path = path
 
     def initialise(self, identity: Identity, disk: Disk) -> None:
-        """Creates the folder of a node that never voted.
+        """Creates the state folder of a new node, which has never voted.
 
         Raises:
             FolderError: If the folder is not empty.
@@ -59,7 +62,7 @@
         names = sorted(entry.name for entry in self.path.iterdir())
         if names:
             shown = ", ".join(names[:LISTED_NAMES_LIMIT])
-            raise FolderError(f"{self.path}: is no empty folder; it holds {shown}")
+            raise FolderError(f"{self.path}: expected an empty folder, found {shown}")
         LogFile(self.path, disk).create()
         self._replace(IDENTITY_FILE, msgspec.to_builtins(identity))
 
@@ -86,13 +89,13 @@
         self._replace(STARTS_FILE, pairs)
 
     def learner_reason(self) -> str:
-        """Returns why this node must stay a learner; empty if it need not."""
+        """Returns the reason why this node must stay a learner; empty if it is not marked as one."""
         if not (self.path / LEARNER_FILE).exists():
             return ""
         return self._read(LEARNER_FILE, str) or "it was marked as a learner"
 
     def mark_learner(self, reason: str) -> None:
-        """Marks the node as a learner from now on."""
+        """Marks the node permanently as a learner."""
         self._replace(LEARNER_FILE, reason)
 
     def _replace(self, name: str, content: object) -> None:
--- a/message_sender/control/folder_writer.py
+++ b/message_sender/control/folder_writer.py
@@ -1,4 +1,4 @@
-"""Writes to a control node's state folder what the node learns while it runs."""
+"""Writes the changes that occur while a control node runs to its state folder."""
 
 import logging
 from collections.abc import Callable, Mapping
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FolderChanges:
-    """Values to be written to a state folder; empty, 0 and None mean that there is nothing new."""
+    """Values to write to a state folder; an empty text, 0 and None stand for an unchanged value."""
 
     learner_reason: str = ""
     epoch: int = 0
@@ -39,11 +39,11 @@
 class FolderWriter:
     """Collects changes of the state folder and hands them out as jobs for a worker thread.
 
-    A sync may take seconds, so the event loop never writes itself. A job that failed is retried.
+    A sync may take seconds, so the event loop never writes to the folder itself. A failed job is retried.
     """
 
     def __init__(self, folder: StateFolder, node: ControlNode) -> None:
-        """Subscribes to the events of `node` whose content must be durable."""
+        """Subscribes to the events of `node` that change the state folder."""
         self.folder = folder
         self._channel = node.channel
         self._pending = FolderChanges()
@@ -66,10 +66,11 @@
         self._pending = replace(self._pending, starts=starts)
 
     def take_job(self, now: float) -> Callable[[], None] | None:
-        """Returns a job that writes all pending changes and raises OSError where it cannot.
+        """Returns a job that writes all pending changes, and raises OSError if a write fails.
 
-        Returns None if nothing is pending, a job is in progress, or the last one failed a moment ago. The
-        caller reports the end of the job by `job_succeeded` or `job_failed`.
+        Returns None if nothing is pending, a job is in progress, or the last job failed less than
+        FOLDER_RETRY_INTERVAL_S ago. The caller reports the end of the job with `job_succeeded` or
+        `job_failed`.
         """
         if self._in_progress is not None or now < self._retry_at or self._pending == FolderChanges():
             return None
@@ -78,11 +79,11 @@
         return partial(self._in_progress.write, self.folder)
 
     def job_succeeded(self) -> None:
-        """Notes that the job in progress has ended and its changes are durable."""
+        """Records that the job in progress has ended and its changes are durable."""
         self._in_progress = None
 
     def job_failed(self, error: OSError, now: float) -> None:
-        """Schedules the changes of the failed job again, except those for which there is a newer value."""
+        """Schedules the changes of the failed job again, except values for which a newer one is pending."""
         log.error("control: state folder write failed: error=%s", error)
         assert self._in_progress is not None
         failed = self._in_progress
--- a/message_sender/control/messages.py
+++ b/message_sender/control/messages.py
@@ -1,10 +1,10 @@
 """Messages of the control plane: one envelope per datagram, in msgpack, with every field checked.
 
-`Envelope` identifies the sender: `epoch` counts the starts of that name and is stored on its disk, `session`
-is drawn at random at each start, `to_session` is the receiver's session as far as known (0: unknown),
-`number` counts the datagrams of this session from 1 and serves to drop duplicates.
+`Envelope` identifies the process that sent it: `epoch` counts the starts under its name and is stored on its
+disk, `session` is a random number for each start, `to_session` is the receiver's session (0 if unknown), and
+`number` counts the datagrams of this session from 1, so that duplicates can be dropped.
 
-All structures are encoded as arrays: the order and the types of their fields, and the tags, are the wire
+All structures are encoded as arrays: the order and the types of their fields, and the tags, define the wire
 format.
 """
 
@@ -14,24 +14,24 @@
 import msgspec
 
 Count = Annotated[int, msgspec.Meta(ge=0, le=2**62)]
-Digest = Annotated[int, msgspec.Meta(ge=0)]  # 64 bits, the largest integer of msgpack
+Digest = Annotated[int, msgspec.Meta(ge=0)]  # 64 bits, the largest integer size of msgpack
 Address = tuple[str, int]
 
-CHANGE_BYTES_LIMIT = 32 * 1024  # of one encoded change
+CHANGE_BYTES_LIMIT = 32 * 1024  # per encoded change
 REASON_LENGTH_LIMIT = 400  # characters of the reason for a refused version
-CHUNK_BYTES = 1_000  # of a snapshot
+CHUNK_BYTES = 1_000  # bytes of a snapshot per chunk
 NAME_LENGTH_LIMIT = 64  # characters of the name of a node, a sender or a request
 
 
 class Resource(msgspec.Struct, array_like=True, frozen=True):
-    """One named part of the configuration, such as `endpoints/hub-1`; `value` is canonical JSON."""
+    """One named part of the configuration, for example `endpoints/hub-1`; `value` is canonical JSON."""
 
     name: str
     value: bytes
 
 
 class Change(msgspec.Struct, array_like=True, frozen=True):
-    """A change against the version `base_version`; a retry has the same `request_id`."""
+    """A change based on the version `base_version`; a retry has the same `request_id`."""
 
     request_id: str
     base_version: Count
@@ -44,13 +44,13 @@
     """The outcome of a change."""
 
     APPLIED = 0
-    CONFLICT = 1  # the present version is not the base version
+    CONFLICT = 1  # the current version is not the base version
     INVALID = 2  # the configuration would have faults; nothing was written
-    UNAVAILABLE = 3  # no leader with a majority; a retry finds out whether the change was made
+    UNAVAILABLE = 3  # no leader with a majority; only a retry shows whether the change was made
 
 
 class ChangeResult(msgspec.Struct, array_like=True, frozen=True):
-    """The answer to a change; `version` is the one that it made, or the present one."""
+    """The answer to a change; `version` is the version that it created, otherwise the current one."""
 
     request_id: str
     outcome: Outcome
@@ -62,7 +62,7 @@
 
 
 class Poll(msgspec.Struct, array_like=True, frozen=True, tag=1):
-    """A sender's heartbeat and acknowledgement: the version in force, and the newest version it refused."""
+    """A sender's heartbeat and acknowledgement: its active version, and the newest version it refused."""
 
     version: Count
     digest: Digest
@@ -74,12 +74,12 @@
     """A node's answer to a poll.
 
     Attributes:
-        version: The newest version of the node.
+        version: The node's newest version.
         digest: The digest of its document.
-        needs_snapshot: Whether the sender is to fetch a snapshot, because its version is older than the
+        needs_snapshot: Whether the sender must fetch a snapshot, because its version is older than the
             history or its digest differs.
-        age_ms: The time since the node last knew a leader with a majority.
-        retry_after_ms: If above 0 the node is busy, and is to be polled again after this time.
+        age_ms: The milliseconds since the node last knew a leader with a majority.
+        retry_after_ms: If above 0, the node is busy and must be polled again after this many milliseconds.
     """
 
     version: Count
@@ -90,7 +90,7 @@
 
 
 class Delta(msgspec.Struct, array_like=True, frozen=True, tag=3):
-    """All that changed between two versions; `digest` is that of the document at `to_version`."""
+    """All changes between two versions; `digest` is the digest of the document at `to_version`."""
 
     from_version: Count
     to_version: Count
@@ -116,7 +116,11 @@
 
 
 class Hello(msgspec.Struct, array_like=True, frozen=True, tag=6):
-    """Announces the sender's session; `known_epoch` is the highest known epoch of the receiver's name."""
+    """Announces the session of the process that sent it.
+
+    `known_epoch` is the highest known epoch of the receiver's name if the receiver's disk is old, otherwise
+    0.
+    """
 
     known_epoch: Count = 0
     is_answer: bool = False
@@ -135,7 +139,7 @@
 
 
 class LogEntry(msgspec.Struct, array_like=True, frozen=True):
-    """An entry of the replicated log; `data` is empty in the entry with which a leader begins its term."""
+    """An entry of the replicated log; `data` is empty in the first entry of a leader's term."""
 
     index: Count
     term: Count
@@ -143,7 +147,7 @@
 
 
 class VoteRequest(msgspec.Struct, array_like=True, frozen=True, tag=20):
-    """A candidate's request for a vote; with `is_pre_vote` it only asks whether it would get one."""
+    """A candidate's request for a vote; a pre-vote only asks whether the vote would be granted."""
 
     term: Count
     last_index: Count
@@ -166,7 +170,7 @@
     previous_index: Count
     previous_term: Count
     commit_index: Count
-    round: Count  # counts the leader's heartbeats; a reply repeats it
+    round: Count  # number of the leader's heartbeat round; the reply has the same number
     entries: tuple[LogEntry, ...]
 
 
@@ -179,7 +183,7 @@
         match_index: The index up to which the log is durable and equal to the leader's; if the entries were
             not accepted, the index to try next.
         round: The round of the request.
-        is_voter: False for a learner, whose disk was lost or is old and which counts for no majority.
+        is_voter: False for a learner, a node whose disk was lost or is old and that counts for no majority.
     """
 
     term: Count
@@ -190,7 +194,7 @@
 
 
 class TimeoutNow(msgspec.Struct, array_like=True, frozen=True, tag=24):
-    """A leader that is shutting down asks the receiver to stand for election at once."""
+    """A request from a leader that is shutting down: the receiver must start an election immediately."""
 
     term: Count
 
@@ -211,13 +215,13 @@
 
 
 class StatusRequest(msgspec.Struct, array_like=True, frozen=True, tag=32):
-    """Requests a NodeStatus with the same number."""
+    """A request for a NodeStatus with the same number."""
 
     number: Count
 
 
 class WatcherStatus(msgspec.Struct, array_like=True, frozen=True):
-    """A sender that watches, as a control node knows it."""
+    """The status of a watching sender as a control node knows it."""
 
     name: str
     version: Count
@@ -227,7 +231,7 @@
 
 
 class NodeStatus(msgspec.Struct, array_like=True, frozen=True, tag=33):
-    """A control node's own view, with the senders that watch it."""
+    """The status of a control node as it reports it itself, with the senders that watch it."""
 
     number: Count
     name: str
@@ -238,7 +242,9 @@
     commit_index: Count
     age_ms: Count
     watchers: tuple[WatcherStatus, ...]
-    fault: str = ""  # a disk that cannot be written, or why the node is a learner
+    fault: str = (
+        ""  # faults for the operator: the disk cannot be written, or the reason why the node is a learner
+    )
 
 
 RaftMessage = VoteRequest | VoteReply | AppendRequest | AppendReply | TimeoutNow
@@ -248,7 +254,7 @@
 
 
 class Envelope(msgspec.Struct, array_like=True, frozen=True):
-    """A body with its sender's identity."""
+    """A body with the identity of the process that sent it."""
 
     name: str
     epoch: Count
--- a/message_sender/control/node.py
+++ b/message_sender/control/node.py
@@ -1,14 +1,14 @@
-"""A control node: combines channel, replica, store, fan-out and operators' requests, without I/O.
+"""A control node: combines channel, replica, store, fan-out and operators' requests. No I/O.
 
 Rules:
 
-- What the replica needs durable is passed to the caller as one `LogBatch` (`take_batch`). Only after `stored`
-  are its messages sent and its entries applied. While the disk fails (`store_failed`) the same batch is
-  passed again every `DISK_RETRY_S`; replication stops meanwhile, and watches and status are served.
-- Only nodes of the configuration take part in replication and forward changes; any name may watch.
+- Data that the replica needs durable is passed to the caller as one `LogBatch` (`take_batch`). Messages are
+  sent and entries are applied only after `stored`. While the disk fails (`store_failed`), the same batch is
+  returned again every `DISK_RETRY_S`; replication stops meanwhile, but watches and status are still served.
+- Only configured nodes participate in replication and forward changes; any name may watch.
 - An old disk (`Channel.is_behind`) makes the node a learner before the next message is handled. Its pending
-  messages as a voter are dropped: a vote among them may be its second one of the term.
-- Only the caller's monotonic clock is used, and only differences of it.
+  messages as a voter are dropped, because one of them may be its second vote in the same term.
+- Time is taken only from the caller's monotonic clock, and only as differences.
 """
 
 import logging
@@ -42,8 +42,8 @@
 LEADERSHIP_TRANSFER_RETRY_S = 0.3
 STATUS_TIMEOUT_S = 1.0
 STATUS_REPEAT_S = 0.25
-WATCHERS_BYTES_LIMIT = 48 * 1024  # of the encoded watchers in one status
-WATCHER_OVERHEAD_BYTES = 32  # a watcher's encoded numbers, at most
+WATCHERS_BYTES_LIMIT = 48 * 1024  # for the encoded watchers in one status
+WATCHER_OVERHEAD_BYTES = 32  # upper bound for the encoded numbers of a watcher
 STATUS_REASON_LENGTH_LIMIT = 120  # characters
 STATUS_FAULT_LENGTH_LIMIT = 400  # characters
 MS_PER_SECOND = 1_000
@@ -56,7 +56,7 @@
 
 @dataclass(slots=True)
 class StatusQuery:
-    """A status request of an operator that waits for the answers of other nodes."""
+    """An operator's status request that waits for the answers of other nodes."""
 
     answer: StatusAnswer
     deadline: float
@@ -65,7 +65,10 @@
 
 
 class ControlNode:
-    """One control node, driven by datagrams, ticks and the results of disk writes."""
+    """One control node, driven by datagrams, ticks and the results of disk writes.
+
+    All times are seconds of the caller's monotonic clock.
+    """
 
     def __init__(
         self,
@@ -77,7 +80,7 @@
         now: float,
         learner_reason: str = "",
     ) -> None:
-        """Creates a node; with a `learner_reason` it starts as a learner."""
+        """Creates a node; if `learner_reason` is not empty, it starts as a learner."""
         self.name = channel.name
         self.channel = channel
         self.replica = replica
@@ -89,7 +92,7 @@
         self.on_learner: Callable[[str], None] | None = None  # called with the reason
         self._now = now
         self._ready: Ready | None = None
-        self._is_storing = False  # the caller has the batch
+        self._is_storing = False  # the caller is storing the batch
         self._retry_at = now
         self._transfer_due = now
         self._seen_term = replica.term
@@ -101,18 +104,18 @@
     # Events.
 
     def receive(self, datagram: bytes, source: Address, now: float) -> None:
-        """Handles a datagram from the network; never raises for its content."""
+        """Handles a datagram from the network; never raises because of its content."""
         self._now = now
         bodies = self.channel.receive(datagram, source, now)
-        self._check_disk_age()
+        self._check_for_old_disk()
         for sender, body in bodies:
             self._dispatch(sender, body, now)
         self._advance()
 
     def tick(self, now: float) -> None:
-        """Does what is due by now; to be called at least every 0.05 s."""
+        """Handles timers that are due; must be called at least every 0.05 s."""
         self._now = now
-        self._check_disk_age()
+        self._check_for_old_disk()
         if not self.disk_fault or self.replica.role is Role.LEADER:
             self.replica.tick(now)
         if self.requests.is_shutting_down:
@@ -123,15 +126,15 @@
         self._advance()
 
     def submit(self, change: Change, answer: Answer, now: float) -> None:
-        """Handles an operator's change; `answer` is called once, within a few seconds."""
+        """Handles an operator's change; `answer` is called once, after ANSWER_TIMEOUT_S at the latest."""
         self._now = now
         self.requests.submit(change, answer, now)
         self._advance()
 
     def begin_shutdown(self, now: float) -> None:
-        """Stops proposing, and as long as this node leads, asks another one to lead.
+        """Stops proposing entries; while this node is the leader, asks another node to take over.
 
-        A node that lacked a late proposal could not be elected.
+        Proposals stop because a node that lacks a late proposal could not be elected.
         """
         self._now = now
         self.requests.is_shutting_down = True
@@ -154,11 +157,11 @@
             case StatusRequest():
                 self._send(sender, self.status(now, body.number))
             case NodeStatus():
-                self._take_status(sender, body)
+                self._handle_status(sender, body)
             case _ if isinstance(body, RaftMessage) and not self.disk_fault:
                 self.replica.receive(sender, body, now)
 
-    def _check_disk_age(self) -> None:
+    def _check_for_old_disk(self) -> None:
         if self.channel.is_behind and not self.learner_reason:
             self.learner_reason = BEHIND_REASON
             self.replica.become_learner(BEHIND_REASON)
@@ -168,7 +171,7 @@
     # The disk.
 
     def take_batch(self) -> LogBatch | None:
-        """Returns the batch to store now, or None if there is none or the last one is being stored."""
+        """Returns the batch to store now, or None if there is none or the last one is still being stored."""
         ready = self._ready
         if ready is None or self._is_storing or self._now < self._retry_at:
             return None
@@ -176,7 +179,7 @@
         return make_batch(ready.hard_state, ready.truncate_from, ready.entries)
 
     def stored(self, now: float) -> None:
-        """Notes that the batch is durable."""
+        """Records that the batch is durable."""
         assert self._ready is not None and self._is_storing
         self._now = now
         ready = self._ready
@@ -187,14 +190,14 @@
         self._advance()
 
     def store_failed(self, fault: str, now: float) -> None:
-        """Notes that the batch could not be stored; `take_batch` returns it again later."""
+        """Records that the batch could not be stored; `take_batch` returns it again after DISK_RETRY_S."""
         self._now = now
         self._is_storing = False
         self.disk_fault = fault
         self._retry_at = now + DISK_RETRY_S
 
     def _advance(self) -> None:
-        """Handles the replica's work until something must be durable first, then sends messages."""
+        """Processes the replica's output until part of it must be made durable first, then sends messages."""
         if self.replica.term != self._seen_term:
             self._seen_term = self.replica.term
             self.requests.term_changed()
@@ -211,7 +214,7 @@
 
     def _complete(self, ready: Ready) -> None:
         for to, message in ready.messages:
-            if self.replica.is_voter or not _is_of_a_voter(message):
+            if self.replica.is_voter or not _is_from_voter(message):
                 self._send(to, message)
         self.replica.persisted(ready)
         version = self.store.document.version
@@ -229,7 +232,7 @@
     # Status.
 
     def status(self, now: float, number: int = 0) -> NodeStatus:
-        """Returns this node's own view, with as many watchers as fit, those with the oldest version first."""
+        """Returns this node's status with as many watchers as fit, those with the oldest version first."""
         watchers = sorted(self.fanout.watchers(now), key=lambda watcher: watcher.version)
         return NodeStatus(
             number=number,
@@ -245,7 +248,7 @@
         )
 
     def fault(self) -> str:
-        """Returns the faults that need an operator; empty if there are none."""
+        """Returns a text with the faults that an operator must repair; empty if there are none."""
         faults = []
         if self.disk_fault:
             faults.append(f"the disk takes no writes: {self.disk_fault}")
@@ -254,7 +257,7 @@
         return "; ".join(faults)
 
     def query_status(self, answer: StatusAnswer, now: float) -> None:
-        """Calls `answer` once with the status of every node that answers within STATUS_TIMEOUT_S."""
+        """Calls `answer` once with the status of each node that answers within STATUS_TIMEOUT_S."""
         self._query_number += 1
         query = StatusQuery(answer, now + STATUS_TIMEOUT_S, now, {self.name: self.status(now)})
         self._queries[self._query_number] = query
@@ -275,7 +278,7 @@
                 for name in missing:
                     self._send(name, StatusRequest(number))
 
-    def _take_status(self, sender: str, status: NodeStatus) -> None:
+    def _handle_status(self, sender: str, status: NodeStatus) -> None:
         query = self._queries.get(status.number)
         if query is not None and status.name == sender:
             query.statuses[sender] = status
@@ -286,7 +289,7 @@
         return int(self.replica.authority_age(self._now) * MS_PER_SECOND)
 
 
-def _is_of_a_voter(message: RaftMessage) -> bool:
+def _is_from_voter(message: RaftMessage) -> bool:
     return not isinstance(message, AppendReply) or message.is_voter
 
 
--- a/message_sender/control/operators.py
+++ b/message_sender/control/operators.py
@@ -16,7 +16,7 @@
 
 
 class SetRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """A change as an operator requests it; values are JSON."""
+    """An operator's request for a change; the values of resources are JSON."""
 
     do: str
     request_id: str
@@ -30,20 +30,20 @@
     """Executes the commands of one node's control socket."""
 
     def __init__(self, driver: NodeDriver) -> None:
-        """Creates the commands of the node that `driver` runs."""
+        """Creates the commands for the node that `driver` runs."""
         self.driver = driver
 
     @property
     def node(self) -> ControlNode:
-        """The node."""
+        """The control node that executes the commands."""
         return self.driver.node
 
     def commands(self) -> dict[str, Command]:
-        """Returns the commands by the name that a request has in `do`."""
+        """Returns the commands by name; a request has the name in its field `do`."""
         return {"set": self.set, "get": self.get, "status": self.status}
 
     async def set(self, fields: Mapping[str, Any]) -> dict[str, Any]:
-        """Makes a change; faults of the configuration are part of the answer.
+        """Makes a change. Faults of the configuration are reported in the answer, not raised.
 
         Raises:
             InvalidRequestError: If the request is malformed.
@@ -67,7 +67,7 @@
         return _describe_result(result.outcome, result.version, result.faults)
 
     def get(self, fields: Mapping[str, Any]) -> dict[str, Any]:
-        """Returns the document of this node, and the age of its contact with a majority."""
+        """Returns this node's document, and the milliseconds since its last contact with a majority."""
         document = self.node.store.document
         status = self.node.status(self.driver.clock())
         return {
@@ -80,7 +80,7 @@
         }
 
     async def status(self, fields: Mapping[str, Any]) -> dict[str, Any]:
-        """Returns the status that each node reports; nodes that do not answer in time are not reachable."""
+        """Returns the status of each node; nodes that do not answer in time are marked as unreachable."""
         statuses = await self._wait_for(self.node.query_status)
         nodes: list[dict[str, Any]] = []
         for name in self.node.node_names():
@@ -98,7 +98,7 @@
         return {"nodes": nodes}
 
     async def _wait_for(self, begin: Callable[[Callable[[Any], None], float], None]) -> Any:  # noqa: ANN401
-        """Waits for the value with which `begin` calls the callback that it gets."""
+        """Calls `begin` with a callback and the current time; returns the value passed to the callback."""
         future: asyncio.Future[Any] = self.driver.loop.create_future()
 
         def answer(value: ChangeResult | dict[str, NodeStatus]) -> None:
--- a/message_sender/control/process.py
+++ b/message_sender/control/process.py
@@ -1,7 +1,7 @@
 """A control node as a process: state folder, log, UDP socket, signals and control socket.
 
 `python -m message_sender.control.process FILE` serves with plain log lines; `message-sender control serve`
-does the same with the log format of the other commands.
+does the same with the log format of the other `message-sender` commands.
 """
 
 import asyncio
@@ -57,7 +57,7 @@
 
 
 def run(path: Path) -> int:
-    """Serves by the TOML configuration at `path` until SIGTERM and returns the exit code.
+    """Runs the node with the TOML configuration at `path` until SIGTERM or SIGINT, and returns the exit code.
 
     Raises:
         ConfigError: If the configuration has faults.
@@ -67,7 +67,7 @@
 
 
 async def serve(config: NodeConfiguration, disk: Disk | None = None) -> int:
-    """Serves until SIGTERM or SIGINT and returns the exit code, which is 1 after a defect.
+    """Runs the node until SIGTERM or SIGINT, and returns the exit code, which is 1 after a defect.
 
     Raises:
         ConfigError: If the key file cannot be used.
@@ -88,7 +88,7 @@
 
 
 def read_seal(config: NodeConfiguration) -> Seal:
-    """Returns the seal with the keys of the configured key file.
+    """Returns a seal with the keys from the configured key file.
 
     Raises:
         ConfigError: If the key file cannot be used.
@@ -104,10 +104,10 @@
 ) -> tuple[Replica, str]:
     """Restores the replica from the disk.
 
-    The mark of a learner is durable before a damaged log is replaced.
+    If the log is damaged, the learner mark is made durable before the log is replaced.
 
     Returns:
-        The replica, and why it is a learner; an empty text if it is not.
+        The replica, and the reason why it is a learner; an empty text if it is a voter.
 
     Raises:
         OSError: If the folder belongs to another node, or cannot be read or written.
@@ -147,7 +147,7 @@
     rng: random.Random,
     now: float,
 ) -> ControlNode:
-    """Builds a node from its state folder, after its epoch was raised durably.
+    """Builds a node from its state folder, and first raises its epoch durably.
 
     Raises:
         OSError: If the folder belongs to another node, or cannot be read or written.
@@ -186,7 +186,7 @@
         self.control = ControlSocket(config.state, OperatorCommands(self.driver).commands())
 
     async def run(self) -> int:
-        """Serves until the process is stopped and returns the exit code.
+        """Runs the node until the process is stopped, and returns the exit code.
 
         Raises:
             OSError: If an address cannot be bound.
@@ -208,7 +208,7 @@
             self.log_file.close()
 
     def terminate(self) -> None:
-        """Handles SIGTERM and SIGINT: a leader transfers its leadership first, but not on a second signal."""
+        """Handles SIGTERM and SIGINT: on the first one, a leader transfers its leadership before it stops."""
         if self.shutdown_task is None and self.driver.node.replica.role is Role.LEADER:
             self.shutdown_task = self.loop.create_task(self.transfer_leadership())
         else:
@@ -217,7 +217,7 @@
     async def transfer_leadership(self) -> None:
         """Stops once another node leads, so that changes need not wait for an election timeout.
 
-        Waits for LEADERSHIP_TRANSFER_LIMIT_S at most.
+        Stops after LEADERSHIP_TRANSFER_LIMIT_S at the latest.
         """
         replica = self.driver.node.replica
         deadline = self.loop.time() + LEADERSHIP_TRANSFER_LIMIT_S
@@ -236,12 +236,12 @@
             self.stopped.set_result(code)
 
     def fail(self, error: Exception) -> None:
-        """Stops the process after a defect: a node must not go on from a step that was half done."""
+        """Stops the process after a defect, because a node must not continue after an incomplete step."""
         log.critical("control: unexpected error: node=%s", self.config.name, exc_info=error)
         self.stop(1)
 
     def reread_keys(self) -> None:
-        """Handles SIGHUP."""
+        """Handles SIGHUP: reads the key file again."""
         reread_keys(self.seal, self.config.key_file, "control")
 
 
--- a/message_sender/control/requests.py
+++ b/message_sender/control/requests.py
@@ -3,17 +3,19 @@
 Rules:
 
 - A request waits at the node that received it, and is proposed or forwarded again every `RETRY_INTERVAL_S`
-  until its answer is known. After `ANSWER_TIMEOUT_S` the answer is `unavailable`: a retry under the same
-  id finds out whether the change was made.
-- The leader answers from the store if the id was applied. Otherwise it validates the result of the change
-  against the document that the change names as its base: faults and an older base are answered at once, and
-  nothing is written. A leader that has not applied an entry of its own term yet does not answer: its document
-  may lack changes that were confirmed.
-- A base above the leader's own version may come from a newer leader that this one does not know: it cannot
-  answer that nothing was changed. So the change goes through the log, after all that is applied, where
-  the store answers it with a conflict; a leader that is cut off answers nothing.
-- In one term an id is proposed once. Across terms the store, which remembers ids, applies it once.
-- A node answers its operator once its own document has the version, so that a read there shows the change.
+  until its answer is known. After `ANSWER_TIMEOUT_S` the answer is `unavailable`; a retry with the same
+  request id shows whether the change was made.
+- The leader answers from the store if the id was already applied. Otherwise it validates the result of the
+  change against the base document that the change names: faults and an older base are answered immediately,
+  and no entry is written. A leader that has not yet applied an entry of its own term does not answer, because
+  its document may lack confirmed changes.
+- A base above the leader's own version may come from a newer leader that this one does not know, so this
+  leader cannot answer that nothing was changed. Therefore the change is appended to the log; when it is
+  applied, after all earlier entries, the store answers with a conflict. A leader that is cut off does not
+  answer at all.
+- Within a term an id is proposed once. Across terms the store, which remembers ids, applies it once.
+- A node answers its operator once its own document has the version, so that a read at that node shows the
+  change.
 """
 
 from collections.abc import Callable, Mapping
@@ -35,9 +37,9 @@
 
 RETRY_INTERVAL_S = 0.3
 ANSWER_TIMEOUT_S = 3.0
-FORWARDED_LIMIT = 256  # requests of other nodes, which repeat them
-WAITING_LIMIT = 256  # requests of this node's operators
-FAULTS_LIMIT = 100  # in one answer
+FORWARDED_LIMIT = 256  # requests from other nodes, which repeat them
+WAITING_LIMIT = 256  # requests from this node's operators
+FAULTS_LIMIT = 100  # per answer
 FAULT_LENGTH_LIMIT = 400  # characters
 
 Validate = Callable[[Mapping[str, bytes]], tuple[str, ...]]
@@ -46,7 +48,7 @@
 
 @dataclass(slots=True)
 class WaitingRequest:
-    """A request of an operator at this node; a `result` waits until the own document has its version."""
+    """An operator's request at this node; a `result` is held until this node's document has its version."""
 
     change: Change
     answers: list[Answer]
@@ -57,28 +59,31 @@
 
 @dataclass(slots=True)
 class ForwardedRequest:
-    """A request of other nodes that this node proposed."""
+    """A request from other nodes that this node, as the leader, proposed."""
 
     change: Change
     requesters: set[str] = field(default_factory=set)
 
 
 class ChangeRequests:
-    """The changes in progress at one node."""
+    """The changes in progress at one node.
+
+    All times are seconds of the caller's monotonic clock.
+    """
 
     def __init__(self, replica: Replica, store: ConfigurationStore, validate: Validate) -> None:
         """Creates an empty set; `validate` returns the faults of a complete configuration."""
         self.replica = replica
         self.store = store
         self.validate = validate
-        self.is_shutting_down = False  # if so, nothing is proposed any more
+        self.is_shutting_down = False  # if True, no more changes are proposed
         self._waiting: dict[str, WaitingRequest] = {}
         self._forwarded: dict[str, ForwardedRequest] = {}
-        self._proposed: dict[str, int] = {}  # by request id: the term
+        self._proposed: dict[str, int] = {}  # the term of the proposal by request id
         self._outbox: list[tuple[str, OperatorMessage]] = []
 
     def take_messages(self) -> list[tuple[str, OperatorMessage]]:
-        """Returns the messages to send now, each with its node; each message is returned once."""
+        """Returns the messages to send now, each with its receiving node; each message is returned once."""
         messages = self._outbox
         self._outbox = []
         return messages
@@ -86,7 +91,7 @@
     # Requests of this node's operators.
 
     def submit(self, change: Change, answer: Answer, now: float) -> None:
-        """Calls `answer` once: when the outcome is known, or after ANSWER_TIMEOUT_S."""
+        """Handles a change; calls `answer` once, when the outcome is known or after ANSWER_TIMEOUT_S."""
         fault = _find_format_fault(change)
         if fault:
             answer(self._make_result(change, Outcome.INVALID, (fault,)))
@@ -118,11 +123,11 @@
         if self.replica.role is Role.LEADER:
             result = self._decide(waiting.change, now)
             if result is not None:
-                self._take_result(waiting, result)
+                self._record_result(waiting, result)
         elif self.replica.leader:
             self._outbox.append((self.replica.leader, ForwardedChange(waiting.change)))
 
-    def _take_result(self, waiting: WaitingRequest, result: ChangeResult) -> None:
+    def _record_result(self, waiting: WaitingRequest, result: ChangeResult) -> None:
         waiting.result = result
         if result.outcome is not Outcome.APPLIED or self.store.document.version >= result.version:
             self._finish(waiting, result)
@@ -135,11 +140,11 @@
     # Messages of other nodes.
 
     def receive(self, sender: str, message: ForwardedChange | ForwardedResult, now: float) -> None:
-        """Handles a change that another node forwards, or the result of one that this node forwarded."""
+        """Handles a change forwarded by another node, or the result of a change that this node forwarded."""
         if isinstance(message, ForwardedResult):
             waiting = self._waiting.get(message.result.request_id)
             if waiting is not None and waiting.result is None:
-                self._take_result(waiting, message.result)
+                self._record_result(waiting, message.result)
             return
         change = message.change
         if self.replica.role is not Role.LEADER or _find_format_fault(change):
@@ -168,7 +173,7 @@
             return self._make_result(change, Outcome.CONFLICT)
         if change.base_version > version:
             if self.replica.last_index != self.store.applied_index:
-                return None  # an entry in progress may make that version; this change would follow unchecked
+                return None  # an entry in progress may create that version; do not propose unvalidated
         elif faults := self._validate_change(change):
             return self._make_result(change, Outcome.INVALID, faults)
         self.replica.propose(encode_change(change), now)
@@ -176,7 +181,7 @@
         return None
 
     def _has_applied_own_term(self) -> bool:
-        """Returns whether the document has all that was confirmed before this leader's term."""
+        """Returns whether the document has all changes that were confirmed before this leader's term."""
         applied = self.store.applied_index
         return applied > 0 and self.replica.entry(applied).term == self.replica.term
 
@@ -201,7 +206,7 @@
     # Applied entries.
 
     def entry_applied(self, entry: LogEntry, result: ChangeResult | None) -> None:
-        """Notes that an entry was applied to the store with this result, and answers its requests."""
+        """Records that `entry` was applied to the store with `result`, and answers its requests."""
         if result is not None and entry.data:
             self._proposed.pop(result.request_id, None)
             forwarded = self._forwarded.pop(result.request_id, None)
@@ -212,16 +217,16 @@
                 waiting.result = result
         for waiting in tuple(self._waiting.values()):
             if waiting.result is not None:
-                self._take_result(waiting, waiting.result)
+                self._record_result(waiting, waiting.result)
 
     def term_changed(self) -> None:
-        """Drops the proposals of the previous term, which may be lost; their requesters repeat them."""
+        """Drops the proposals of the previous term, which may be lost; the requesters repeat them."""
         self._proposed.clear()
         self._forwarded.clear()
 
 
 def _find_format_fault(change: Change) -> str:
-    """Returns why a change cannot be an entry of the log; empty if it can."""
+    """Returns the reason why a change cannot be encoded as a log entry; empty if it can."""
     try:
         decode_change(encode_change(change))
     except ChangeFormatError as error:
--- a/tests/test_control_node_disk.py
+++ b/tests/test_control_node_disk.py
@@ -203,7 +203,7 @@
 
 def test_a_folder_is_initialised_once(tmp_path: Path) -> None:
     cluster = Cluster(tmp_path)
-    with pytest.raises(FolderError, match="no empty folder"):
+    with pytest.raises(FolderError, match="expected an empty folder, found"):
         cluster.initialise(cluster.machines["c1"])
 
 
--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -241,7 +241,7 @@
         each.relay_port = number
     cluster.configure(member)
     process.initialise(member.config)
-    with pytest.raises(OSError, match="it holds identity"):
+    with pytest.raises(OSError, match="expected an empty folder, found identity"):
         process.initialise(member.config)
     text = member.config.read_text().replace(f"{HOST}:0", f"{HOST}:5")
     member.config.write_text(text.replace('name = "c1"', 'name = "c2"', 1))
