--- a/message_sender/control/document_file.py
+++ b/message_sender/control/document_file.py
@@ -1,7 +1,8 @@
 """A document on a sender's disk: one file, replaced atomically and protected by a checksum.
 
-The file is a magic line, the length of the rest and its CRC-32C (8 and 4 bytes, big endian), and the document
-as a snapshot. When `store` returns, content and name are durable.
+The file contains a magic line, the length of the body and its CRC-32C (8 and 4 bytes, big endian), and the
+body, which is the document as a snapshot. When `store` returns, the content and the name of the file are
+durable.
 """
 
 import struct
@@ -18,7 +19,7 @@
 
 
 class DamagedDocumentError(ValueError):
-    """A file that does not contain a valid document."""
+    """A file does not contain a valid document."""
 
     def __init__(self, path: Path, offset: int, reason: str) -> None:
         """Creates the error for the damage at byte `offset`."""
@@ -29,15 +30,15 @@
 
 
 class DocumentFile:
-    """The file of one document."""
+    """The file that stores one document."""
 
     def __init__(self, path: Path, disk: Disk) -> None:
-        """Creates an accessor; the file need not exist."""
+        """Creates an accessor for the file at `path`, which need not exist."""
         self.path = path
         self.disk = disk
 
     def load(self) -> Document | None:
-        """Returns the document that was stored last, or None if there is none.
+        """Returns the stored document, or None if the file does not exist or is empty.
 
         Raises:
             DamagedDocumentError: If the file does not contain a valid document.
@@ -47,15 +48,22 @@
         if not data:
             return None
         if not data.startswith(MAGIC):
-            raise self._make_error(0, "it does not begin as a document does")
+            raise self._make_error(
+                0, f"expected the file to begin with {MAGIC!r}, got {data[: len(MAGIC)]!r}"
+            )
         if len(data) < BODY_OFFSET:
-            raise self._make_error(len(data), "it ends within its header")
+            raise self._make_error(
+                len(data), f"expected a header of {BODY_OFFSET} bytes, got {len(data)} bytes"
+            )
         length, checksum = HEADER.unpack_from(data, len(MAGIC))
         body = data[BODY_OFFSET:]
         if len(body) != length:
-            raise self._make_error(BODY_OFFSET, f"{length} bytes should follow, and {len(body)} do")
+            raise self._make_error(BODY_OFFSET, f"expected a body of {length} bytes, got {len(body)}")
         if google_crc32c.value(body) != checksum:
-            raise self._make_error(BODY_OFFSET, "the checksum of what follows is another one")
+            raise self._make_error(
+                BODY_OFFSET,
+                f"expected a body with CRC-32C {checksum:#010x}, got {google_crc32c.value(body):#010x}",
+            )
         try:
             return decode_snapshot(body)
         except SnapshotError as error:
@@ -68,7 +76,7 @@
         """Replaces the stored document.
 
         Raises:
-            OSError: If it cannot be written; the previous document is still stored then.
+            OSError: If the file cannot be written; the previous document is still stored in this case.
         """
         body = encode_snapshot(document)
         new_path = self.path.with_name(f"{self.path.name}.new")
--- a/message_sender/control/fanout.py
+++ b/message_sender/control/fanout.py
@@ -1,19 +1,20 @@
-"""A control node's side of the watches: who watches, what each is sent, and how much at once. Pure.
+"""The server side of the watches on a control node: sessions, pushes, snapshots and rate limits. No I/O.
 
 Rules:
 
-- A poll creates or renews a sender's session, and is answered: by a delta where the sender's version is in
-  the history, by a notice otherwise. The notice says whether a snapshot is needed.
-- A new version is pushed at once to all senders that polled lately and whose version is in the history. It
-  counts as delivered until the next poll; that poll also repairs a push that was lost.
+- A poll creates or renews a sender's session. The answer is a delta if the sender's version is in the
+  history, otherwise a notice, which states whether a snapshot is needed.
+- A new version is pushed immediately to all senders that polled within PUSH_AGE_LIMIT_S and whose version is
+  in the history. The push counts as delivered until the next poll; that poll also repairs a lost push.
 - The version that a sender refused is not sent to it again.
-- Bytes of deltas and snapshots are bounded by a token bucket; a part of it is reserved for deltas, so that
-  fetches of snapshots don't delay changes. A sender that finds it empty gets a notice with a Retry-After of
-  its own: these times follow one another at the rate at which the bucket fills.
+- The bytes of deltas and snapshots are bounded by a token bucket. A part of the bucket is reserved for
+  deltas, so that fetches of snapshots don't delay changes. If the bucket is empty, the sender gets a notice
+  with an individual Retry-After: these times are spaced at the rate at which the bucket fills.
 - A snapshot is sent one window of chunks per request. Encoded versions are cached until the fetches that
-  use them have ended, as long as the history leads on from them; a request for another version gets chunks
-  of the newest one.
-- Sessions are bounded: silent ones are dropped after a day, the longest silent one when there are too many.
+  use them have ended, as long as they are in the history; a request for another version gets chunks of the
+  newest one.
+- The number of sessions is bounded. A session is dropped after a day without a poll; if there are too many,
+  the one that has been silent longest is dropped.
 """
 
 import random
@@ -39,21 +40,21 @@
 SESSION_AGE_LIMIT_S = 86_400.0  # since the last poll
 SNAPSHOT_AGE_LIMIT_S = 60.0  # since the last request
 RETRY_AFTER_LIMIT_S = 10.0
-RETRY_JITTER = 0.2  # of the wait, drawn
+RETRY_JITTER = 0.2  # largest random extension, as a share of the wait
 BYTES_PER_SECOND = 8_000_000
 BURST_BYTES = 1_000_000
-DELTA_RESERVE_BYTES = 250_000  # not available to snapshots
-DATAGRAM_OVERHEAD_BYTES = 130  # headers, seal, envelope
+DELTA_RESERVE_BYTES = 250_000  # reserved for deltas, not available to snapshots
+DATAGRAM_OVERHEAD_BYTES = 130  # per datagram: headers, seal, envelope
 SESSIONS_LIMIT = 4_096
 SNAPSHOTS_LIMIT = 2  # encoded snapshots in the cache
 MS_PER_SECOND = 1_000
 
 
 class ByteBudget:
-    """A token bucket that assigns a time to retry where it is empty."""
+    """A token bucket that assigns a retry time to each request that it cannot serve."""
 
     def __init__(self, bytes_per_second: float, burst: float, now: float) -> None:
-        """Creates a full bucket of `burst` bytes."""
+        """Creates a full bucket of `burst` bytes; `now` is in seconds of the monotonic clock."""
         self.bytes_per_second = bytes_per_second
         self.burst = burst
         self._tokens = burst
@@ -61,12 +62,17 @@
         self._next_slot = now
 
     def take(self, size: int, reserve: float, now: float) -> float:
-        """Takes `size` bytes and returns 0, or returns the seconds to wait.
+        """Takes `size` bytes from the bucket, if it has enough.
+
+        A request larger than the available part of the bucket succeeds once that part is full.
 
         Args:
             size: Bytes to send.
-            reserve: Bytes that must remain in the bucket for others.
+            reserve: Bytes that must remain in the bucket for other requests.
             now: Seconds of the monotonic clock.
+
+        Returns:
+            0 if the bytes were taken, otherwise the seconds to wait before the next attempt.
         """
         if now > self._filled_at:
             filled = (now - self._filled_at) * self.bytes_per_second
@@ -84,7 +90,10 @@
 
 @dataclass(slots=True)
 class Session:
-    """A sender that watches; `assumed_version` is its version once all messages to it have arrived."""
+    """The session of a watching sender.
+
+    `assumed_version` is the version that the sender has if all messages to it have arrived.
+    """
 
     polled_at: float
     version: int = 0
@@ -95,7 +104,7 @@
 
 @dataclass(slots=True)
 class EncodedSnapshot:
-    """A snapshot's bytes, and the time of the last request for it."""
+    """The bytes of an encoded snapshot, and the time of the last request for it."""
 
     data: bytes
     used_at: float
@@ -113,7 +122,7 @@
 
 
 class Fanout:
-    """The senders that watch a control node, and what they are sent."""
+    """The sessions of the senders that watch a control node, and the messages to them."""
 
     def __init__(
         self,
@@ -128,11 +137,11 @@
 
         Args:
             store: The configuration to send.
-            rng: Draws jitter.
+            rng: Source of the random jitter.
             now: Seconds of the monotonic clock.
-            authority_age_ms: Returns the age of the node's contact with a majority.
-            bytes_per_second: Limit of deltas and snapshots to all senders.
-            sessions_limit: Most sessions at once.
+            authority_age_ms: Returns the milliseconds since the node's last contact with a majority.
+            bytes_per_second: Limit for deltas and snapshots to all senders together.
+            sessions_limit: Largest number of sessions.
         """
         self.store = store
         self.counts = FanoutCounts()
@@ -140,18 +149,18 @@
         self._authority_age_ms = authority_age_ms
         self._budget = ByteBudget(bytes_per_second, BURST_BYTES, now)
         self._sessions_limit = sessions_limit
-        self._sessions: OrderedDict[str, Session] = OrderedDict()  # the longest silent first
+        self._sessions: OrderedDict[str, Session] = OrderedDict()  # ordered by the last poll, oldest first
         self._snapshots: dict[int, EncodedSnapshot] = {}
         self._outbox: list[tuple[str, WatchMessage]] = []
 
     def take_messages(self) -> list[tuple[str, WatchMessage]]:
-        """Returns the messages to send now, each with its sender; each message is returned once."""
+        """Returns the messages to send now, each with its receiving sender; each message is returned once."""
         messages = self._outbox
         self._outbox = []
         return messages
 
     def watchers(self, now: float) -> tuple[WatcherStatus, ...]:
-        """Returns the known senders in the order of their names."""
+        """Returns the status of the known senders, in the order of their names."""
         return tuple(
             WatcherStatus(
                 name=name,
@@ -177,7 +186,7 @@
                 del self._snapshots[version]
 
     def version_changed(self, now: float) -> None:
-        """Pushes the store's new version to all senders that can apply a delta."""
+        """Pushes the store's new version to all senders that polled recently and can apply a delta."""
         for name, session in self._sessions.items():
             if now - session.polled_at > PUSH_AGE_LIMIT_S or self._is_refused(session):
                 continue
@@ -188,13 +197,13 @@
     # Messages of senders.
 
     def receive(self, sender: str, message: Poll | SnapshotRequest, now: float) -> None:
-        """Handles a message of a sender."""
+        """Handles a message from a sender."""
         if isinstance(message, Poll):
-            self._answer(sender, self._renew(sender, message, now), message, now)
+            self._answer(sender, self._renew_session(sender, message, now), message, now)
         else:
             self._send_chunks(sender, message, now)
 
-    def _renew(self, sender: str, poll: Poll, now: float) -> Session:
+    def _renew_session(self, sender: str, poll: Poll, now: float) -> Session:
         session = self._sessions.setdefault(sender, Session(now))
         self._sessions.move_to_end(sender)
         while len(self._sessions) > self._sessions_limit:
@@ -207,11 +216,11 @@
         return session
 
     def _answer(self, sender: str, session: Session, poll: Poll, now: float) -> None:
-        present = self.store.document
-        if poll.version > present.version or self._is_refused(session):
+        current = self.store.document
+        if poll.version > current.version or self._is_refused(session):
             self._notify(sender)
-        elif poll.version == present.version:
-            self._notify(sender, needs_snapshot=poll.digest != present.digest)
+        elif poll.version == current.version:
+            self._notify(sender, needs_snapshot=poll.digest != current.digest)
         elif (delta := self.store.delta_from(poll.version)) is not None:
             self._send_delta(sender, session, delta, now)
         else:
@@ -264,13 +273,13 @@
             self._outbox.append((sender, chunk))
 
     def _snapshot_for(self, version: int, now: float) -> tuple[int, bytes]:
-        """Returns the version and bytes of the cached document at `version`, or of the newest one."""
-        present = self.store.document
-        if version != present.version and self.store.delta_from(version) is None:
-            version = present.version
+        """Returns the version and the bytes of the cached snapshot of `version`, or of the newest version."""
+        current = self.store.document
+        if version != current.version and self.store.delta_from(version) is None:
+            version = current.version
         snapshot = self._snapshots.get(version)
         if snapshot is None:
-            version = present.version
+            version = current.version
             snapshot = self._snapshots.get(version) or self._encode(now)
         snapshot.used_at = now
         return version, snapshot.data
@@ -285,7 +294,7 @@
 
 
 def _estimate_size(delta: Delta) -> int:
-    """Returns about how many bytes a delta takes on the network."""
+    """Returns the approximate number of bytes that a delta takes on the network."""
     size = DATAGRAM_OVERHEAD_BYTES + sum(len(name) + RESOURCE_OVERHEAD_BYTES for name in delta.delete)
     size += sum(len(put.name) + len(put.value) + RESOURCE_OVERHEAD_BYTES for put in delta.put)
     return size + size // CHUNK_BYTES * DATAGRAM_OVERHEAD_BYTES
--- a/message_sender/control/schema.py
+++ b/message_sender/control/schema.py
@@ -1,15 +1,17 @@
-"""The schema of a configuration: resources from TOML, their validation, their meaning for a sender. Pure.
+"""The schema of a configuration: reads resources from TOML, validates them, and interprets them for a sender.
 
 Rules:
 
-- A resource's name is its kind, a slash and its own name: `endpoints/hub-1`, `budgets/rate`. Other kinds are
-  faults.
-- Its value is a table as in a sender's own file, without the field that its name already contains (`id` of an
-  endpoint, `name` of a budget), as canonical JSON: defaults left out, keys sorted, no blanks, addresses as
+- A resource's full name is its kind, a slash and its own name: `endpoints/hub-1`, `budgets/rate`. Any other
+  kind is a fault.
+- Its value is a table as in a sender's own file, without the field that the name already contains (`id` of an
+  endpoint, `name` of a budget), as canonical JSON: without defaults, keys sorted, no whitespace, addresses as
   text. Two tables with the same meaning have the same bytes.
-- Validation reports every fault at once, each with its path: `endpoints/hub-1.dial: must be host:port, ...`.
-- A control node doesn't know how many senders a fleet has: it checks a budget's floor against its total for
-  one sender. A sender checks it for the size of its own fleet.
+- Validation reports all faults together, each with its path: `endpoints/hub-1.dial: must be host:port, ...`.
+- A control node does not know how many senders a fleet has, so it checks a budget's floor against its total
+  for one sender. A sender checks it for the size of its own fleet.
+
+The only I/O of this module is that `read_toml` reads a file if it is given a path.
 """
 
 import json
@@ -32,7 +34,7 @@
 
 ENDPOINTS = "endpoints"
 BUDGETS = "budgets"
-VALUE_CACHE_SIZE = 4096  # parsed resources
+VALUE_CACHE_SIZE = 4096  # number of cached parsed resources
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,7 +43,7 @@
 
     name: str
     table: type[Table]
-    key: str  # the field of the table that the resource's name contains
+    key: str  # the field of the table that is part of the resource's name instead of its value
 
 
 KINDS = {
@@ -58,19 +60,19 @@
 
 
 class ConfigurationTable(Endpoints):
-    """A file with resources for the control plane; the field `endpoints` is inherited."""
+    """The tables of a file with resources for the control plane; the field `endpoints` is inherited."""
 
     budgets: tuple[BudgetTable, ...] = ()
 
 
 def encode_value(value: object) -> bytes:
-    """Returns the canonical JSON of any JSON value."""
+    """Returns the canonical JSON encoding of any JSON value."""
     text = json.dumps(value, sort_keys=True, separators=(",", ":"), ensure_ascii=False, allow_nan=False)
     return text.encode()
 
 
 def format_dial(dial: Dial) -> str:
-    """Returns an address in the form that a file has."""
+    """Returns an address as it is written in a configuration file."""
     host, port = dial
     return f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
 
@@ -88,10 +90,10 @@
 
 
 def read_toml(source: Path | str) -> dict[str, bytes]:
-    """Reads resources from a TOML file or a TOML text.
+    """Reads resources from a TOML file, if `source` is a path, or from a TOML text.
 
     Raises:
-        ConfigError: With all faults.
+        ConfigError: If there are faults; it lists all of them.
         OSError: If the file cannot be read.
     """
     origin = str(source) if isinstance(source, Path) else "text"
@@ -113,7 +115,7 @@
 
 
 def write_toml(resources: Mapping[str, bytes]) -> str:
-    """Returns a TOML text that `read_toml` reads as these resources.
+    """Returns a TOML text from which `read_toml` reads the same resources.
 
     Raises:
         ConfigError: If a resource is invalid.
@@ -128,11 +130,11 @@
 
 
 def format_toml_value(value: object) -> str:
-    """Formats a string, a number or a boolean: JSON equals TOML except for one control character."""
+    """Formats a string, a number or a boolean; JSON equals TOML except for the control character U+007F."""
     return json.dumps(value, ensure_ascii=False).replace("\x7f", "\\u007f")
 
 
-# Checking.
+# Validation.
 
 
 @lru_cache(VALUE_CACHE_SIZE)
@@ -140,10 +142,10 @@
     """Parses a resource.
 
     Returns:
-        Its kind and its checked table.
+        The kind and the validated table of the resource.
 
-    Raises:
-        ConfigError: With all faults; their paths begin with the resource's name.
+    Raises: ConfigError: If there are faults; it lists all of them, with paths that begin with the resource's
+    name.
     """
     kind_name, _, own_name = name.partition("/")
     kind = KINDS.get(kind_name)
@@ -174,12 +176,12 @@
 def find_faults(
     resources: Mapping[str, bytes], size: int = 1, known: Mapping[str, bytes] | None = None
 ) -> Iterator[ConfigFault]:
-    """Yields every fault, those of single resources first.
+    """Yields all faults, the faults of single resources first.
 
     Args:
         resources: The complete configuration.
         size: The largest number of senders that share a budget.
-        known: Resources that are known to be valid by themselves, which are not parsed again.
+        known: Resources that are known to be valid individually; they are not parsed again.
     """
     known = known or {}
     invalid: set[str] = set()
@@ -196,23 +198,26 @@
 
 
 def validate(resources: Mapping[str, bytes], size: int = 1) -> tuple[str, ...]:
-    """Returns all faults of a complete configuration as texts with their paths."""
+    """Returns all faults of a complete configuration as texts with their paths.
+
+    `size` is the largest number of senders that share a budget.
+    """
     return tuple(str(fault) for fault in find_faults(resources, size))
 
 
 class Validator:
     """Validates complete configurations one after another, as `validate` does.
 
-    Resources that were valid the last time are not parsed again: a leader validates each change, and its
-    heartbeats wait meanwhile.
+    Resources of the last valid configuration are not parsed again, because a leader validates each change and
+    its heartbeats are delayed meanwhile.
     """
 
     def __init__(self) -> None:
-        """Creates a validator that knows no resources."""
+        """Creates a validator without any resources known to be valid."""
         self._valid_resources: Mapping[str, bytes] = {}
 
     def __call__(self, resources: Mapping[str, bytes]) -> tuple[str, ...]:
-        """Returns all faults as texts with their paths."""
+        """Returns all faults of a complete configuration as texts with their paths."""
         faults = tuple(str(fault) for fault in find_faults(resources, known=self._valid_resources))
         if not faults:
             self._valid_resources = dict(resources)
@@ -220,10 +225,10 @@
 
 
 def read_values(values: Mapping[str, object]) -> dict[str, bytes]:
-    """Returns resources in canonical form from JSON values.
+    """Returns the resources with these JSON values, in canonical form.
 
     Raises:
-        ConfigError: With all faults.
+        ConfigError: If there are faults; it lists all of them.
     """
     resources: dict[str, bytes] = {}
     faults: list[ConfigFault] = []
@@ -242,14 +247,14 @@
     return resources
 
 
-# What a sender uses.
+# Interpretation by a sender.
 
 
 @dataclass(frozen=True, slots=True)
 class Interpretation:
     """The resources of a document as a sender uses them.
 
-    A change costs as much as the resources it concerns, and a copy of the tables of names.
+    The cost of a change is that of parsing the changed resources and of copying the tables of names.
     """
 
     endpoints_by_name: dict[str, StaticEndpoint]
@@ -259,7 +264,7 @@
         """Returns a copy with these changes applied.
 
         Raises:
-            ConfigError: With all faults of the resources in `put`.
+            ConfigError: If resources in `put` have faults; it lists all of them.
         """
         endpoints_by_name = dict(self.endpoints_by_name)
         budgets_by_name = dict(self.budgets_by_name)
@@ -302,7 +307,7 @@
     """Interprets all resources of a document.
 
     Raises:
-        ConfigError: With all faults of single resources.
+        ConfigError: If single resources have faults; it lists all of them.
     """
     return Interpretation({}, {}).with_changes(resources, ())
 
@@ -311,7 +316,7 @@
     """Returns the endpoints in the order of their names.
 
     Raises:
-        ConfigError: With all faults of single resources.
+        ConfigError: If single resources have faults; it lists all of them.
     """
     return interpret(resources).endpoints()
 
@@ -320,17 +325,17 @@
     """Returns the shared budgets in the order of their names.
 
     Raises:
-        ConfigError: With all faults of single resources.
+        ConfigError: If single resources have faults; it lists all of them.
     """
     return interpret(resources).shared_budgets()
 
 
 def has_kind(name: str, kind_name: str) -> bool:
-    """Returns whether a resource's name is of that kind."""
+    """Returns whether the resource `name` is of the kind `kind_name`."""
     return name.startswith(f"{kind_name}/")
 
 
 def compare_resources(old: Mapping[str, bytes], new: Mapping[str, bytes]) -> Difference:
-    """Returns the changes from the old resources to the new ones."""
+    """Returns the changes that lead from the old resources to the new ones."""
     put = {name: value for name, value in new.items() if old.get(name) != value}
     return Difference(put, tuple(sorted(old.keys() - new.keys())))
--- a/message_sender/control/store.py
+++ b/message_sender/control/store.py
@@ -1,15 +1,16 @@
-"""The configuration that results from the committed entries of the log, equal on every node. Pure.
+"""The configuration that results from the committed log entries, equal on every node. No I/O.
 
 Rules:
 
-- Entries are applied in the order of the log, each once. The effect of an entry depends on the earlier log
-  alone: no clock, no randomness, no state of a single node.
-- Compare-and-set: a change that was made against another version than the present one writes nothing.
+- Entries are applied in the order of the log, each once. The effect of an entry depends only on the earlier
+  entries: no clock, no randomness, no state of a single node.
+- Compare-and-set: a change whose base version is not the current version changes nothing.
 - A known request id gets the same answer again. The number of remembered ids is bounded, the oldest is
-  dropped first. A change whose id was dropped isn't made twice either: its base version is old by then.
-- The history has the names that each version changed, without values: a sender needs the present values
-  of all names that changed since its version. It is bounded by versions and by bytes; a sender with an older
-  version needs a snapshot.
+  dropped first. A change whose id was dropped is not made twice either, because its base version is old by
+  then.
+- The history has the names that each version changed, without their values, because a sender needs the
+  current values of all names that changed since its version. It is bounded by versions and by bytes; a sender
+  with an older version needs a snapshot.
 """
 
 from collections import OrderedDict, deque
@@ -30,12 +31,12 @@
 )
 
 HISTORY_VERSIONS_LIMIT = 2_000  # two days at 980 changes a day
-HISTORY_BYTES_LIMIT = 4 * 1024 * 1024  # of names in the history
-RESULTS_LIMIT = 10_000  # remembered request ids
-DELTA_BYTES_LIMIT = CHANGE_BYTES_LIMIT + 8 * 1024  # any single change fits
-DELTA_CACHE_LIMIT = 64  # cached deltas to the present version
-RESOURCE_OVERHEAD_BYTES = 10  # that msgpack adds to a resource, at most
-NAME_OVERHEAD_BYTES = 100  # in memory, for a name in the history, besides its text
+HISTORY_BYTES_LIMIT = 4 * 1024 * 1024  # size of the names in the history
+RESULTS_LIMIT = 10_000  # number of remembered request ids
+DELTA_BYTES_LIMIT = CHANGE_BYTES_LIMIT + 8 * 1024  # large enough for any single change
+DELTA_CACHE_LIMIT = 64  # number of cached deltas to the current version
+RESOURCE_OVERHEAD_BYTES = 10  # upper bound of the bytes that msgpack adds to a resource
+NAME_OVERHEAD_BYTES = 100  # memory for a name in the history in addition to its text
 
 
 class ChangeFormatError(ValueError):
@@ -46,7 +47,7 @@
     """Returns the data of a log entry.
 
     Raises:
-        ChangeFormatError: If it would be too large, or a text or a number cannot be encoded.
+        ChangeFormatError: If the entry would be too large, or a text or a number cannot be encoded.
     """
     try:
         data = msgspec.msgpack.encode(change)
@@ -61,7 +62,7 @@
     """Decodes the data of a log entry.
 
     Raises:
-        ChangeFormatError: If it is not a valid change.
+        ChangeFormatError: If the data is not a valid change.
     """
     if len(data) > CHANGE_BYTES_LIMIT:
         raise ChangeFormatError(f"a change of {len(data)} bytes; {CHANGE_BYTES_LIMIT} at the most")
@@ -79,9 +80,9 @@
     """The change from one version to the next.
 
     Attributes:
-        from_version: The version before.
-        existed_before: Each changed name, and whether it existed in the version before.
-        size: About the bytes in memory.
+        from_version: The version before the change.
+        existed_before: For each changed name whether it existed in `from_version`.
+        size: The approximate size in memory, in bytes.
     """
 
     from_version: int
@@ -90,7 +91,7 @@
 
 
 class ConfigurationStore:
-    """The present document, the results of the latest requests and the history of versions."""
+    """The current document, the results of the latest requests and the history of versions."""
 
     def __init__(
         self,
@@ -99,7 +100,14 @@
         results_limit: int = RESULTS_LIMIT,
         delta_bytes_limit: int = DELTA_BYTES_LIMIT,
     ) -> None:
-        """Creates a store at version 0."""
+        """Creates an empty store at version 0.
+
+        Args:
+            history_limit: Largest number of versions in the history.
+            history_bytes_limit: Largest size of the history in memory, in bytes.
+            results_limit: Largest number of remembered request ids.
+            delta_bytes_limit: Largest size of a delta in bytes; a larger one is replaced by a snapshot.
+        """
         self.document = Document()
         self.applied_index = 0
         self.history_limit = history_limit
@@ -115,7 +123,7 @@
         """Applies the next committed entry.
 
         Returns:
-            The result, or None for an entry that has no change or was applied before.
+            The result, or None for an entry without a change or one that was applied before.
         """
         if entry.index <= self.applied_index:
             return None
@@ -134,14 +142,14 @@
         return result
 
     def known_result(self, request_id: str) -> ChangeResult | None:
-        """Returns the result of a request that was applied, or None if it is unknown or was dropped."""
+        """Returns the result of a request, or None if its id is unknown or was dropped."""
         return self._results.get(request_id)
 
     def delta_from(self, version: int) -> Delta | None:
-        """Returns all that changed since `version`, or None if a snapshot is needed.
+        """Returns the delta from `version` to the current version, or None if a snapshot is needed.
 
-        A snapshot is needed if the version is older than the history or was never made, or if the delta would
-        be too large. For the present version the result is None too.
+        A snapshot is needed if the version is older than the history or never existed, or if the delta would
+        be too large. The result is also None for the current version.
         """
         if version not in self._deltas:
             if len(self._deltas) >= DELTA_CACHE_LIMIT:
@@ -151,12 +159,12 @@
 
     @property
     def oldest_version(self) -> int:
-        """The oldest version from which there is a history."""
+        """The oldest version for which the history has the later changes."""
         return self._history[0].from_version if self._history else self.document.version
 
     @property
     def history_bytes(self) -> int:
-        """About the bytes in memory of the history."""
+        """The approximate size of the history in memory, in bytes."""
         return self._history_bytes
 
     def _apply_change(self, change: Change) -> ChangeResult:
@@ -191,8 +199,8 @@
             self._results.popitem(last=False)
 
     def _merge_from(self, version: int) -> Delta | None:
-        present = self.document
-        if not self.oldest_version <= version < present.version:
+        current = self.document
+        if not self.oldest_version <= version < current.version:
             return None
         existed_before: dict[str, bool] = {}
         for number in range(version - self.oldest_version, len(self._history)):
@@ -200,13 +208,13 @@
                 existed_before.setdefault(name, existed)
         changed_names = sorted(existed_before)
         put = tuple(
-            Resource(name, present.resources[name]) for name in changed_names if name in present.resources
+            Resource(name, current.resources[name]) for name in changed_names if name in current.resources
         )
         delete = tuple(
-            name for name in changed_names if existed_before[name] and name not in present.resources
+            name for name in changed_names if existed_before[name] and name not in current.resources
         )
         size = sum(len(resource.name) + len(resource.value) + RESOURCE_OVERHEAD_BYTES for resource in put)
         size += sum(len(name) + RESOURCE_OVERHEAD_BYTES for name in delete)
         if size > self.delta_bytes_limit:
             return None
-        return Delta(version, present.version, put, delete, present.digest)
+        return Delta(version, current.version, put, delete, current.digest)
--- a/message_sender/control/watch.py
+++ b/message_sender/control/watch.py
@@ -1,20 +1,21 @@
-"""A sender's watch of the configuration: which node it polls, what it applies and what it refuses. Pure.
+"""A sender's watch of the configuration: the node it polls, the versions it applies and refuses. No I/O.
 
 Rules:
 
-- **Versions only rise.** The watch starts with the document stored on this sender's disk; whatever leads to
-  an older version is dropped. A node that is behind, or cut off from a majority, is left after some patience
-  (choice.py).
-- **A delta is applied completely, once, to the version that it was made from**, and only if its digest is
-  that of the document it leads to. Old and duplicate deltas are dropped; one from another version than the
-  present one brings the next poll forward.
-- **A digest that differs** leads to a snapshot, which becomes a delta by comparison with the document.
+- **Versions only rise.** The watch starts with the document stored on this sender's disk; messages that lead
+  to an older version are dropped. A node that lags, or is cut off from a majority, is replaced by the next
+  one after the lag timeout (choice.py).
+- **A delta is applied completely, once, to the version that it was made from**, and only if its digest equals
+  the digest of the resulting document. Old and duplicate deltas are dropped; a delta from another version
+  than the current one brings the next poll forward.
+- **A digest mismatch** leads to a snapshot, which is turned into a delta by comparison with the document.
 - **A refused version** changes nothing. Every poll reports it with its reason, and it is not tried again
-  until another version comes. What could not be stored is retried after `STORE_RETRY_INTERVAL_S`.
-- **Poll** every `POLL_INTERVAL_MIN_S` to `POLL_INTERVAL_MAX_S` (drawn), and soon after anything was applied
-  or refused: the poll is the acknowledgement. Without an answer it is repeated every `POLL_RETRY_INTERVAL_S`;
+  until another version arrives. A version that could not be stored is retried after `STORE_RETRY_INTERVAL_S`.
+- **Poll** every `POLL_INTERVAL_MIN_S` to `POLL_INTERVAL_MAX_S` (random), and soon after a version was applied
+  or refused: the poll is the acknowledgement. An unanswered poll is repeated every `POLL_RETRY_INTERVAL_S`;
   after `UNANSWERED_LIMIT` polls the next node is tried. A busy node is polled again after its Retry-After.
-- **A pause** of the machine or the process is no failure of a node: the watch polls at once and counts anew.
+- **A pause** of the machine or the process does not count as a failure of a node: the watch polls immediately
+  and restarts its counters.
 """
 
 import random
@@ -34,49 +35,49 @@
     WatchMessage,
 )
 
-FIRST_POLL_DELAY_MAX_S = 0.2  # drawn from 0, to spread the polls of senders that start together
+FIRST_POLL_DELAY_MAX_S = 0.2  # random from 0, to spread the polls of senders that start together
 POLL_INTERVAL_MIN_S = 0.8
 POLL_INTERVAL_MAX_S = 1.2
 POLL_RETRY_INTERVAL_S = 0.3
-STALE_AGE_S = 5.0  # a node without a majority for longer is behind
+STALE_AGE_S = 5.0  # a node without a majority for longer than this lags
 RETRY_AFTER_LIMIT_S = 10.0
-PAUSE_THRESHOLD_S = 3.0  # between two ticks
+PAUSE_THRESHOLD_S = 3.0  # a longer time between two ticks is a pause
 STORE_RETRY_INTERVAL_S = 10.0
 DAMAGED_SNAPSHOT_DELAY_S = 10.0
 
 UNANSWERED_LIMIT = 3
-FETCH_STALLS_LIMIT = 12  # requests without a chunk, across changes of node
+FETCH_STALLS_LIMIT = 12  # requests without a chunk in reply, also across changes of node
 MS_PER_SECOND = 1_000
 
 
 class RefusedConfigurationError(ValueError):
-    """A configuration that cannot be put in force on this sender; the text gives the reason."""
+    """This sender cannot activate a configuration; the text gives the reason."""
 
 
 class Applier(Protocol):
-    """Puts a configuration in force."""
+    """Activates a configuration."""
 
     def apply(self, document: Document, delta: Delta) -> None:
-        """Checks, stores durably and puts in force what `delta` makes of `document`, or changes nothing.
+        """Checks the result of `delta` on `document`, stores it durably and activates it; or changes nothing.
 
         Does not change `document`. `delta` may lead from a version to itself, to repair its content.
 
         Raises:
-            RefusedConfigurationError: If the result cannot be put in force. Nothing was changed.
-            OSError: If it cannot be stored. Nothing was changed.
+            RefusedConfigurationError: If the result cannot be activated; nothing was changed.
+            OSError: If the result cannot be stored; nothing was changed.
         """
 
 
 @dataclass(frozen=True, slots=True)
 class WatchStatus:
-    """What a sender has in force.
+    """The state of a sender's watch.
 
     Attributes:
-        version: The version in force.
-        age: Seconds since a majority was known to confirm it, or since the start if it never was.
+        version: The active version.
+        age: Seconds since a majority was last known to confirm the version, or since the start if never.
         refused_version: The refused version; 0 if there is none.
-        reason: Why it was refused.
-        node: The control node that is watched.
+        reason: The reason why the version was refused; empty if there is none.
+        node: The name of the control node that is watched.
     """
 
     version: int
@@ -88,24 +89,24 @@
 
 @dataclass(slots=True)
 class WatchCounts:
-    """Counts of events, for status reports and tests."""
+    """Counts of events since the start, for status reports and tests."""
 
     applied: int = 0
     refused: int = 0
     store_failures: int = 0
-    old: int = 0  # deltas and chunks that lead to no newer version
-    unfit: int = 0  # deltas from another version than the present one
-    refused_again: int = 0  # deltas to the refused version
-    mismatches: int = 0  # digests that differ
+    old: int = 0  # deltas and chunks that do not lead to a newer version
+    unfit: int = 0  # deltas from another version than the current one
+    refused_again: int = 0  # repeated deltas to the refused version
+    mismatches: int = 0  # deltas and notices whose digest differs from the document's
     snapshots: int = 0
     damaged_snapshots: int = 0
-    unexpected: int = 0  # messages of unknown nodes, or that no node sends
+    unexpected: int = 0  # messages from unknown nodes, or of a type that nodes do not send
     pauses: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class RefusedVersion:
-    """A version that was refused, and the time until which it is not tried again."""
+    """A version that was refused, its reason, and the time until which it is not tried again."""
 
     version: int
     reason: str
@@ -113,7 +114,7 @@
 
 
 class Watch:
-    """Keeps the newest configuration in force on one sender. To be ticked at least every 0.1 s."""
+    """Keeps the newest configuration active on one sender. `tick` must be called at least every 0.1 s."""
 
     def __init__(
         self,
@@ -125,15 +126,15 @@
         rng: random.Random,
         now: float,
     ) -> None:
-        """Creates a watch that polls its first choice soon.
+        """Creates a watch; it polls its first choice within FIRST_POLL_DELAY_MAX_S.
 
         Args:
-            name: The sender.
+            name: The name of the sender.
             nodes: The control nodes, in any order.
             region: The sender's region.
-            document: The document in force, which the watch changes.
-            applier: Puts new versions in force.
-            rng: Draws intervals.
+            document: The active document, which the watch changes.
+            applier: Activates new versions.
+            rng: Source of random intervals.
             now: Seconds of the monotonic clock.
         """
         self.name = name
@@ -145,7 +146,7 @@
         self._outbox: list[tuple[str, WatchMessage]] = []
         self._ticked_at = now
         self._polled_at = now - POLL_RETRY_INTERVAL_S
-        self._polled_version = document.version  # as reported by the last poll
+        self._polled_version = document.version  # the version that the last poll reported
         self._poll_due = now + rng.uniform(0, FIRST_POLL_DELAY_MAX_S)
         self._unanswered = 0
         self._refusal: RefusedVersion | None = None
@@ -157,11 +158,11 @@
 
     @property
     def node(self) -> str:
-        """The control node that is watched."""
+        """The name of the control node that is watched."""
         return self.choice.node
 
     def status(self, now: float) -> WatchStatus:
-        """Returns what is in force, and which node is watched."""
+        """Returns the active and the refused version, and the watched node."""
         refusal = self._refusal
         return WatchStatus(
             version=self.document.version,
@@ -172,7 +173,7 @@
         )
 
     def take_messages(self) -> list[tuple[str, WatchMessage]]:
-        """Returns the messages to send now, each with its control node; each message is returned once."""
+        """Returns the messages to send now, each with its receiving node; each message is returned once."""
         messages = self._outbox
         self._outbox = []
         return messages
@@ -180,7 +181,7 @@
     # Time.
 
     def tick(self, now: float) -> None:
-        """Sends what is due."""
+        """Sends the messages that are due at `now`, in seconds of the monotonic clock."""
         if now - self._ticked_at > PAUSE_THRESHOLD_S:
             self._resume_after_pause(now)
         self._ticked_at = now
@@ -198,12 +199,12 @@
         self.counts.pauses += 1
         self._unanswered = 0
         self._fetch_stalls = 0
-        self.choice.reset_times()
+        self.choice.reset_lag_timer()
         self._poll_due = now
 
     def _poll(self, now: float) -> None:
         if self._unanswered >= UNANSWERED_LIMIT:
-            self.choice.move_on(now)
+            self.choice.select_next(now)
             self._restart_polling(now)
         self._outbox.append((self.node, self._poll_message()))
         self._unanswered += 1
@@ -221,7 +222,7 @@
         self._poll_due = min(self._poll_due, max(now, self._polled_at + POLL_RETRY_INTERVAL_S))
 
     def _restart_polling(self, now: float) -> None:
-        """Begins to poll a node that was just chosen; a fetch continues with it."""
+        """Begins to poll a newly selected node; a fetch in progress continues with it."""
         self._unanswered = 0
         self._poll_due = now
         self._fetch_due = now
@@ -229,48 +230,48 @@
     # Messages of nodes.
 
     def receive(self, node: str, message: WatchMessage, now: float) -> None:
-        """Handles a message of a control node."""
+        """Handles a message from a control node."""
         if node not in self.choice.names:
             self.counts.unexpected += 1
             return
-        if node == self.choice.probed and self._is_good_answer(message):
-            self.choice.return_to_probed(now)
+        if node == self.choice.probed and self._permits_return(message):
+            self.choice.select_probed(now)
             self._restart_polling(now)
             self._polled_at = now
             self._poll_due = now + POLL_RETRY_INTERVAL_S
             self._unanswered = 1
         if node == self.node:
-            self._note_answer(now)
+            self._record_answer(now)
         if isinstance(message, Delta):
-            self._take_delta(message, now)
+            self._handle_delta(message, now)
         elif isinstance(message, SnapshotChunk):
-            self._take_chunk(message, now)
+            self._handle_chunk(message, now)
         elif isinstance(message, VersionNotice) and node == self.node:
-            self._take_notice(message, now)
+            self._handle_notice(message, now)
         else:
             self.counts.unexpected += 1
 
-    def _note_answer(self, now: float) -> None:
+    def _record_answer(self, now: float) -> None:
         if self._unanswered:
             self._unanswered = 0
             self._poll_due = max(
                 now, self._polled_at + self._rng.uniform(POLL_INTERVAL_MIN_S, POLL_INTERVAL_MAX_S)
             )
 
-    def _is_good_answer(self, message: WatchMessage) -> bool:
-        """Returns whether the answer of a probed node allows to return to it."""
+    def _permits_return(self, message: WatchMessage) -> bool:
+        """Returns whether the answer of a probed node permits a return to it."""
         if isinstance(message, VersionNotice):
-            return not self._is_behind(message) and not message.retry_after_ms
+            return not self._is_lagging(message) and not message.retry_after_ms
         return isinstance(message, Delta) and message.to_version > self.document.version
 
-    def _is_behind(self, notice: VersionNotice) -> bool:
+    def _is_lagging(self, notice: VersionNotice) -> bool:
         return notice.version < self.document.version or notice.age_ms > STALE_AGE_S * MS_PER_SECOND
 
-    def _take_notice(self, notice: VersionNotice, now: float) -> None:
-        if not self._is_behind(notice):
+    def _handle_notice(self, notice: VersionNotice, now: float) -> None:
+        if not self._is_lagging(notice):
             self.choice.note_up_to_date()
-        elif self.choice.note_behind(now):
-            self.choice.move_on(now)
+        elif self.choice.note_lagging(now):
+            self.choice.select_next(now)
             self._restart_polling(now)
             return
         if notice.version >= self.document.version:
@@ -280,7 +281,7 @@
         is_newer = notice.version > self.document.version
         differs = notice.version == self.document.version and notice.digest != self.document.digest
         self.counts.mismatches += differs
-        is_poll_current = self._polled_version == self.document.version  # otherwise a poll is due soon
+        is_poll_current = self._polled_version == self.document.version  # if not, a poll is due soon
         if differs or (is_newer and notice.needs_snapshot and is_poll_current):
             self._start_fetch(notice.version, notice.digest, now)
 
@@ -293,7 +294,7 @@
 
     # Deltas.
 
-    def _take_delta(self, delta: Delta, now: float) -> None:
+    def _handle_delta(self, delta: Delta, now: float) -> None:
         if delta.to_version <= self.document.version:
             self.counts.old += 1
         elif delta.from_version != self.document.version:
@@ -302,12 +303,12 @@
         elif self._is_refused(delta.to_version):
             self.counts.refused_again += 1
         else:
-            self._apply_if_equal(delta, now)
+            self._apply_if_digest_matches(delta, now)
 
     def _is_refused(self, version: int) -> bool:
         return self._refusal is not None and self._refusal.version == version
 
-    def _apply_if_equal(self, delta: Delta, now: float) -> None:
+    def _apply_if_digest_matches(self, delta: Delta, now: float) -> None:
         try:
             self.document.check(delta)
         except DeltaMismatchError:
@@ -326,7 +327,7 @@
             self.counts.store_failures += 1
             self._refuse(delta.to_version, f"cannot be stored: {error}", now + STORE_RETRY_INTERVAL_S)
         else:
-            self._put_in_force(delta, now)
+            self._activate(delta, now)
         self._poll_soon(now)
 
     def _refuse(self, version: int, reason: str, until: float) -> None:
@@ -334,7 +335,7 @@
         if self._fetch and self._fetch.version == version:
             self._fetch = None
 
-    def _put_in_force(self, delta: Delta, now: float) -> None:
+    def _activate(self, delta: Delta, now: float) -> None:
         self.document.apply(delta)
         self.counts.applied += 1
         self._confirmed_at = now
@@ -357,18 +358,18 @@
         self._fetch_due = now + POLL_RETRY_INTERVAL_S
 
     def _repeat_fetch(self, now: float) -> None:
-        """Requests the missing chunks again, or gives the fetch up; a later poll may begin another one."""
+        """Requests the missing chunks again, or aborts the fetch; a later poll may begin another one."""
         self._fetch_stalls += 1
         if self._fetch and self._fetch_stalls <= FETCH_STALLS_LIMIT:
             self._request_chunks(self._fetch, now)
         else:
             self._fetch = None
 
-    def _take_chunk(self, chunk: SnapshotChunk, now: float) -> None:
+    def _handle_chunk(self, chunk: SnapshotChunk, now: float) -> None:
         if self._fetch is None or chunk.version < self._fetch.version:
             self.counts.old += 1
             return
-        if chunk.version > self._fetch.version:  # the node no longer has the requested one
+        if chunk.version > self._fetch.version:  # the node no longer has the requested version
             if self._is_refused(chunk.version):
                 self._fetch = None
                 return
--- a/message_sender/control/watch_link.py
+++ b/message_sender/control/watch_link.py
@@ -12,17 +12,17 @@
 
 
 class WatchLink:
-    """Connects a watch and its channel to a socket; its user calls `tick` periodically."""
+    """Connects a watch and its channel to a UDP socket; the caller must call `tick` periodically."""
 
     def __init__(self, channel: Channel, watch: Watch, clock: Callable[[], float]) -> None:
-        """Creates a link that is not open yet; `clock` returns monotonic seconds."""
+        """Creates a link that is not open yet; `clock` returns seconds of a monotonic clock."""
         self.channel = channel
         self.watch = watch
         self._clock = clock
         self._socket = UdpSocket()
 
     async def open(self, listen: Address) -> None:
-        """Binds the socket.
+        """Binds the socket to the address `listen`.
 
         Raises:
             OSError: If the address cannot be bound.
@@ -30,7 +30,7 @@
         await self._socket.open(listen, self.receive)
 
     def receive(self, datagram: bytes, source: Address) -> None:
-        """Handles a datagram from the network, and sends what follows from it."""
+        """Handles a datagram from the network, and sends the resulting datagrams."""
         now = self._clock()
         for name, body in self.channel.receive(datagram, source, now):
             if name in self.channel.addresses and isinstance(body, WatchMessage):
@@ -38,7 +38,7 @@
         self.flush(now)
 
     def tick(self, now: float) -> None:
-        """Does what is due by now."""
+        """Handles the watch's timers that are due, and sends the resulting datagrams."""
         self.watch.tick(now)
         self.flush(now)
 
--- a/tests/test_control_chaos.py
+++ b/tests/test_control_chaos.py
@@ -147,7 +147,7 @@
 DEFECTS = {
     "an older version is accepted": Defect(
         (
-            (Watch, "_take_notice", fetch_any_other_version),
+            (Watch, "_handle_notice", fetch_any_other_version),
             (Watch, "_install", install_anything),
             (Document, "check", check_digest_alone),
             (Document, "apply", apply_unchecked),
@@ -156,7 +156,7 @@
     ),
     "a delta is applied twice": Defect(
         (
-            (Watch, "_take_delta", take_any_delta),
+            (Watch, "_handle_delta", take_any_delta),
             (Document, "check", check_nothing),
             (Document, "apply", apply_unchecked),
         ),
@@ -164,7 +164,7 @@
     ),
     "the base is not checked": Defect(
         (
-            (Watch, "_take_delta", take_newer_delta),
+            (Watch, "_handle_delta", take_newer_delta),
             (Document, "check", check_nothing),
             (Document, "apply", apply_unchecked),
         ),
