--- a/tests/raft_cluster.py
+++ b/tests/raft_cluster.py
@@ -1,4 +1,4 @@
-"""Replicas in one process whose messages and syncs a test controls."""
+"""Replicas in one process; the test controls their messages and syncs."""
 
 from collections.abc import Iterable, Mapping
 from random import Random
@@ -21,7 +21,7 @@
 
 
 class Cluster:
-    """Replicas with disks that never fail and a network that loses all between nodes that are apart."""
+    """Replicas with disks that never fail; the network loses messages between nodes in different `parts`."""
 
     def __init__(self, votes: Mapping[str, int], learners: Iterable[str] = ()) -> None:
         self.now = 1000.0
@@ -43,11 +43,11 @@
             self.exchange()
 
     def exchange(self) -> None:
-        """Until there is nothing left to send."""
-        while any([self.exchange_of(name) for name in self.replicas]):
+        """Delivers messages until none is left to send."""
+        while any([self.exchange_one(name) for name in self.replicas]):
             pass
 
-    def exchange_of(self, name: str) -> bool:
+    def exchange_one(self, name: str) -> bool:
         replica = self.replicas[name]
         ready = replica.take_ready()
         if ready is None:
@@ -62,7 +62,7 @@
         return True
 
     def leaders(self) -> list[Replica]:
-        return [each for each in self.replicas.values() if each.role is Role.LEADER]
+        return [replica for replica in self.replicas.values() if replica.role is Role.LEADER]
 
     def leader(self) -> Replica:
         (leader,) = self.leaders()
@@ -86,7 +86,7 @@
 
 
 def flush(replica: Replica) -> Ready | None:
-    """Takes what is ready, makes it durable, and gives it."""
+    """Takes a Ready, reports it as persisted, and returns it."""
     ready = replica.take_ready()
     if ready is not None:
         replica.persisted(ready)
@@ -94,7 +94,7 @@
 
 
 def elected(replica: Replica, now: float) -> float:
-    """Makes it the leader by the votes of all others; the time at which it is."""
+    """Makes the replica the leader by the votes of all others; returns the time of its election."""
     now += ELECTION_TIMEOUT_MAX_S
     replica.tick(now)
     for is_pre_vote in (True, False):
--- a/tests/raft_model.py
+++ b/tests/raft_model.py
@@ -1,14 +1,15 @@
-"""Every state that a few replicas can come to within bounds, breadth first, over the real `Replica`.
+"""Explores, breadth first and within bounds, every state that a few real `Replica` objects can reach.
 
 The network is a set of messages: each may be delivered at any time, any number of times and in any order, or
-never. A message leaves the set once its receiver could only repeat itself or name a newer term, for good
-(`is_dead`). Time-outs are events that may happen at any moment, so pre-vote and heartbeats, which only
-decide when elections happen, are left out. A crash loses what was not durable: `is_sync_separate` has an
-event and its sync as two steps, with other events of that node between them only if the world says so; a
-crash there may leave the hard state alone, the entries alone, or neither.
-
-A replica's step depends on nothing but its own state and the event, so each such step is run once and
-remembered; a state of the whole is a few numbers.
+never. A message is removed once its receiver can only repeat an earlier answer or report a newer term from
+then on (`is_dead`). Timeouts are events that may happen at any time, so pre-vote and heartbeats, which only
+decide when elections happen, are omitted. A crash loses data that was not durable. With `is_sync_separate`,
+an event and its sync are two steps; other events of that node happen between them only with
+`has_events_before_sync`. A crash between the two steps may leave the hard state alone, the entries alone, or
+neither.
+
+A step of a replica depends only on its own state and the event, so each step is run once and cached; a state
+of the whole system is a few numbers.
 """
 
 from collections.abc import Iterator, Sequence
@@ -46,7 +47,7 @@
 
 
 class Explorer:
-    """One exploration; `run` gives its result."""
+    """One exploration; `run` returns its result."""
 
     def __init__(self, world: World) -> None:
         self.world = world
@@ -57,8 +58,10 @@
         self.local_numbers: dict[object, int] = {}
         self.messages: list[tuple[int, int, RaftMessage]] = []  # sender, receiver, message
         self.message_numbers: dict[tuple[int, int, RaftMessage], int] = {}
-        self.dead: dict[int, tuple[int, int]] = {}  # for a local state: messages looked at, and dead ones
-        self.inbox = [0] * len(self.names)  # for each node the messages to it, a bit each
+        self.dead: dict[
+            int, tuple[int, int]
+        ] = {}  # by local state: the checked messages, and the dead ones among them
+        self.inbox = [0] * len(self.names)  # by node: the messages to it, a bit each
         self.steps: dict[Event, Step | str] = {}
         self.confirmed: list[Confirmed] = [()]
         self.confirmed_numbers: dict[Confirmed, int] = {(): 0}
@@ -88,22 +91,22 @@
         return number
 
     def live(self, messages: int, node: int, number: int) -> int:
-        """The messages without those to a node that bring it nothing any more."""
+        """Returns the messages except those to a node that can no longer change it."""
         mine = messages & self.inbox[node]
-        looked_at, dead = self.dead.get(number, (0, 0))
-        if mine & ~looked_at:
+        checked, dead = self.dead.get(number, (0, 0))
+        if mine & ~checked:
             replica = self.locals[number].replica
-            for each in bits(mine & ~looked_at):
-                sender, _, message = self.messages[each]
+            for candidate in bits(mine & ~checked):
+                sender, _, message = self.messages[candidate]
                 if not is_dead(replica, self.names[sender], message, self.world.is_sync_separate):
                     continue
-                if message.term < replica.term or self.is_without_effect(node, number, each):
-                    dead |= 1 << each
-            self.dead[number] = looked_at | mine, dead
+                if message.term < replica.term or self.is_without_effect(node, number, candidate):
+                    dead |= 1 << candidate
+            self.dead[number] = checked | mine, dead
         return messages & ~(dead & mine)
 
     def is_without_effect(self, node: int, number: int, message: int) -> bool:
-        """Whether a message leaves its receiver as it is: `is_dead` is not taken at its word."""
+        """Returns whether a message leaves its receiver unchanged; this verifies the result of `is_dead`."""
         if self.world.is_sync_separate:
             return True
         step = self.step(("deliver", node, message), number)
@@ -120,7 +123,7 @@
         return Local(replica, disk, False)
 
     def flushed(self, replica: Replica, disk: Disk) -> tuple[Disk, list[tuple[str, RaftMessage]]]:
-        """Makes all durable and gives the messages that leave then."""
+        """Makes everything durable, and returns the new disk and the messages sent after that."""
         sent: list[tuple[str, RaftMessage]] = []
         while (ready := replica.take_ready()) is not None:
             disk = disk.written(ready)
@@ -129,7 +132,7 @@
         return disk, sent
 
     def step(self, event: Event, number: int) -> Step | str:
-        """Runs an event on a copy of a node's local state; a text: the invariant that broke."""
+        """Runs an event on a copy of a node's local state; returns a text if an invariant was violated."""
         kind, node, argument = event
         local = self.locals[number]
         if kind == "crash":
@@ -158,7 +161,10 @@
         return clone(replica).take_ready() is not None
 
     def torn(self, local: Local, variant: int) -> Disk:
-        """The disk after a crash: 0 without what was not durable, 1 with its hard state, 2 its entries."""
+        """Returns the disk after a crash in one of three variants.
+
+        Variant 0 has nothing of the data that was not durable, 1 has its hard state, 2 has its entries.
+        """
         if variant == 0:
             return local.disk
         ready = clone(local.replica).take_ready()
@@ -173,7 +179,7 @@
             if replica.role is Role.LEADER:
                 replica._become_follower(replica.term, "", NOW)
             replica._start_election(NOW)
-        elif kind == "hand over":
+        elif kind == "transfer":
             replica.transfer_leadership()
         elif kind == "propose":
             replica.propose(b"%d" % argument, NOW)
@@ -194,21 +200,25 @@
                     continue
             if replica.role is Role.LEADER and state.proposals < self.world.proposals:
                 yield "propose", node, state.proposals + 1
-            if replica.role is Role.LEADER and self.world.has_hand_overs:
-                yield "hand over", node, 0
-            if replica.role is not Role.LEARNER and self.may_stand(node, replica.term + 1):
+            if replica.role is Role.LEADER and self.world.has_transfers:
+                yield "transfer", node, 0
+            if replica.role is not Role.LEARNER and self.may_be_candidate(node, replica.term + 1):
                 yield "elect", node, 0
             for message in bits(state.messages & self.inbox[node]):
-                is_hand_over = isinstance(self.messages[message][2], TimeoutNow)
-                if not is_hand_over or replica.term < len(self.world.candidates):
+                is_transfer = isinstance(self.messages[message][2], TimeoutNow)
+                if not is_transfer or replica.term < len(self.world.candidates):
                     yield "deliver", node, message
 
-    def may_stand(self, node: int, term: int) -> bool:
+    def may_be_candidate(self, node: int, term: int) -> bool:
         candidates = self.world.candidates
         return term <= len(candidates) and self.names[node] in candidates[term - 1]
 
     def next_state(self, state: Global, event: Event) -> Global:
-        """The state after an event; ViolationError if an invariant does not hold in it."""
+        """Returns the state after an event.
+
+        Raises:
+            ViolationError: If an invariant is violated in that state.
+        """
         kind, node, argument = event
         number = state.nodes[node]
         memo = (kind, number, argument)
@@ -241,9 +251,13 @@
     def votes_after(
         self, votes: tuple[tuple[int, int], ...], sent: Sequence[int]
     ) -> tuple[tuple[int, int], ...]:
-        """Takes in the votes told; a node votes once a term, and in no term behind its last vote."""
-        for each in sent:
-            voter, receiver, message = self.messages[each]
+        """Returns the last votes after messages were sent.
+
+        Raises:
+            ViolationError: If a node votes twice in a term, or in a term before that of its last vote.
+        """
+        for number in sent:
+            voter, receiver, message = self.messages[number]
             if isinstance(message, VoteRequest):
                 vote = message.term, voter
             elif isinstance(message, VoteReply) and message.is_granted:
@@ -266,7 +280,7 @@
         return (*leaders[: replica.term], node, *leaders[replica.term + 1 :])
 
     def checked(self, nodes: Sequence[int], changed: int, confirmed: int) -> int:
-        """Checks the logs after a node has changed; gives the confirmed log after it."""
+        """Checks the logs after a node has changed; returns the number of the confirmed log after that."""
         number = nodes[changed]
         for other in nodes:
             if other != number and not self.is_matching(number, other):
@@ -276,8 +290,8 @@
             raise ViolationError(after)
         if after:
             others = nodes if after != confirmed else (number,)
-            for each in others:
-                self.check_leader(after, each)
+            for local in others:
+                self.check_leader(after, local)
             held = sum(
                 self.votes[name]
                 for name, each in zip(self.names, nodes, strict=True)
@@ -325,12 +339,12 @@
                 raise ViolationError(f"the leader of term {replica.term} lacks a confirmed entry")
 
     def is_held(self, confirmed: int, number: int) -> bool:
-        """Whether a node's disk has the whole confirmed log."""
+        """Returns whether a node's disk has the complete confirmed log."""
         where = (confirmed, number)
         known = self.holdings.get(where)
         if known is None:
-            wanted = tuple(entry for entry, _ in self.confirmed[confirmed])
-            known = self.holdings[where] = self.locals[number].disk.entries[: len(wanted)] == wanted
+            expected = tuple(entry for entry, _ in self.confirmed[confirmed])
+            known = self.holdings[where] = self.locals[number].disk.entries[: len(expected)] == expected
         return known
 
     # The search.
@@ -345,23 +359,23 @@
         frontier = [first]
         result = Result()
         while frontier:
-            following = []
+            next_frontier = []
             for state in frontier:
                 for event in self.events(state):
                     try:
                         after = self.next_state(state, event)
                     except ViolationError as error:
                         result.violation = str(error)
-                        result.trace = [*self.trace(origins, state), self.told(event)]
+                        result.trace = [*self.trace(origins, state), self.describe(event)]
                         result.states = len(origins)
                         return result
                     if after not in origins:
                         origins[after] = (state, event)
-                        following.append(after)
+                        next_frontier.append(after)
             if len(origins) > self.world.states_limit:
                 result.states = len(origins)
                 return result
-            frontier = following
+            frontier = next_frontier
         result.states = len(origins)
         result.is_complete = True
         result.confirmed = max(len(each) for each in self.confirmed)
@@ -374,10 +388,10 @@
         events = []
         while (origin := origins[state]) is not None:
             state, event = origin
-            events.append(self.told(event))
+            events.append(self.describe(event))
         return events[::-1]
 
-    def told(self, event: Event) -> str:
+    def describe(self, event: Event) -> str:
         kind, node, argument = event
         if kind == "deliver":
             sender, _, message = self.messages[argument]
@@ -390,5 +404,5 @@
 
 
 def one_entry_a_batch(log: ReplicatedLog, first: int, bytes_limit: int) -> tuple[LogEntry, ...]:
-    """In place of `ReplicatedLog.batch`: the shortest batches."""
+    """Replaces `ReplicatedLog.batch` by the shortest possible batches."""
     return log.between(first, first)
--- a/tests/raft_simulation.py
+++ b/tests/raft_simulation.py
@@ -1,9 +1,9 @@
-"""Replicas on virtual time over a faulty network, from a seed: loss, delay, cuts, crashes, slow disks.
+"""Seeded simulations of replicas on virtual time: loss, delay, partitions, crashes and slow disks.
 
-Each node has a clock of its own rate. A disk's write takes a while, in which the node takes further events; a
-crash in that time loses it, or the first part of it stays. One node at most comes back with an old disk or an
-empty one, and is a learner from then on. After the faults everything heals, and a proposal
-has to be committed everywhere within `HEALED_LIMIT_S`.
+The clock of each node has a different rate. During a disk write the node handles further events; a crash in
+that time loses the write, or keeps only its first part. At most one node returns with an old or an empty
+disk, and is a learner from then on. After the faults everything heals, and a proposal must be committed
+everywhere within `HEALED_LIMIT_S`.
 """
 
 import heapq
@@ -28,7 +28,7 @@
 
 @dataclass
 class Machine:
-    """A node: its replica while it is up, its disk, and the write under way."""
+    """One node: its replica while it runs, its disk, and the write in progress."""
 
     name: str
     rate: float
@@ -36,10 +36,10 @@
     disk: Disk = field(default_factory=Disk)
     replica: Replica | None = None
     writing: Ready | None = None
-    life: int = 0
+    start_number: int = 0
     is_learner: bool = False
-    old_disk: Disk = field(default_factory=Disk)  # as it stood at some time before
-    lost_disk: Disk = field(default_factory=Disk)  # as it stood when the old one took its place
+    old_disk: Disk = field(default_factory=Disk)  # a copy of the disk at an earlier time
+    lost_disk: Disk = field(default_factory=Disk)  # a copy of the disk when `old_disk` replaced it
 
     def clock(self, now: float) -> float:
         return self.offset + now * self.rate
@@ -47,25 +47,25 @@
 
 @dataclass
 class Outcome:
-    """What a simulation came to."""
+    """The figures of a simulation."""
 
     confirmed: int = 0
     elections: int = 0
     crashes: int = 0
-    cuts: int = 0
+    partitions: int = 0
     lost: int = 0
     old_disks: int = 0
     healed_s: float = 0.0  # from the healing to the commit of a proposal on all nodes
 
 
 class Ledger:
-    """Watches all nodes from outside, and remembers what must never change again."""
+    """Observes all nodes, and records votes, leaders and confirmed entries, which must never change."""
 
     def __init__(self, votes: Mapping[str, int]) -> None:
         self.votes = votes
         self.confirmed: list[tuple[LogEntry, int]] = []
         self.leaders: dict[int, str] = {}
-        self.given: dict[tuple[str, int], str] = {}
+        self.votes_given: dict[tuple[str, int], str] = {}
 
     def sent(self, sender: str, receiver: str, message: RaftMessage) -> None:
         if isinstance(message, VoteRequest) and not message.is_pre_vote:
@@ -74,7 +74,7 @@
             candidate = receiver
         else:
             return
-        if self.given.setdefault((sender, message.term), candidate) != candidate:
+        if self.votes_given.setdefault((sender, message.term), candidate) != candidate:
             raise ViolationError(f"{sender} voted twice in term {message.term}")
 
     def check(self, changed: Machine, machines: Sequence[Machine]) -> None:
@@ -107,28 +107,28 @@
                 raise ViolationError(f"the leader of term {replica.term} lacks a confirmed entry")
 
     def check_durable(self, entry: LogEntry, machines: Sequence[Machine]) -> None:
-        """A majority has made the entry durable, and no majority of voters could elect a leader without it.
+        """Checks that a majority has the entry durable, and that no majority can elect a leader without it.
 
-        The answer of a node whose disk was lost right behind it may be under way still and is counted: the
-        node votes no more, so that the entry stays in each later leader's log.
+        The answer of a node whose disk was lost right after the write may still be in flight and is counted:
+        the node does not vote any more, so the entry stays in the log of each later leader.
         """
         total = sum(self.votes.values())
-        held = sum(self.votes[each.name] for each in machines if has_held(each, entry))
+        held = sum(self.votes[each.name] for each in machines if has_durable(each, entry))
         lacking = sum(
-            self.votes[each.name] for each in machines if not (each.is_learner or has_held(each, entry))
+            self.votes[each.name] for each in machines if not (each.is_learner or has_durable(each, entry))
         )
         if 2 * held <= total or 2 * lacking > total:
             raise ViolationError("a confirmed entry is durable on no majority")
 
 
-def has_held(machine: Machine, entry: LogEntry) -> bool:
-    """Whether the entry is durable, on a learner whether it was so when its disk was lost."""
+def has_durable(machine: Machine, entry: LogEntry) -> bool:
+    """Returns whether the entry is durable; for a learner, whether it was durable when its disk was lost."""
     entries = machine.lost_disk.entries if machine.is_learner else machine.disk.entries
     return len(entries) >= entry.index and entries[entry.index - 1] == entry
 
 
 class Simulation:
-    """One run from a seed."""
+    """One simulation run with a seed."""
 
     def __init__(
         self, seed: int, replica_class: type[Replica] = Replica, votes: Mapping[str, int] = VOTES
@@ -137,32 +137,32 @@
         self.replica_class = replica_class
         self.votes = votes
         self.now = 0.0
-        self.agenda: list[tuple[float, int, Callable[[], None]]] = []
+        self.events: list[tuple[float, int, Callable[[], None]]] = []
         self.numbers = count()
         self.ledger = Ledger(votes)
         self.outcome = Outcome()
         self.loss = self.rng.choice((0.0, 0.05, 0.2))
-        self.is_cut = False
+        self.is_partitioned = False
         self.is_faulty = True
         self.machines = {
             name: Machine(name, self.rng.uniform(*CLOCK_RATES), self.rng.uniform(-1e6, 1e6)) for name in votes
         }
 
-    def at(self, after: float, action: Callable[[], None]) -> None:
-        heapq.heappush(self.agenda, (self.now + after, next(self.numbers), action))
+    def schedule(self, delay: float, action: Callable[[], None]) -> None:
+        heapq.heappush(self.events, (self.now + delay, next(self.numbers), action))
 
     def run_until(self, end: float, is_done: Callable[[], bool] = lambda: False) -> None:
-        while self.agenda and self.agenda[0][0] <= end:
-            self.now, _, action = heapq.heappop(self.agenda)
+        while self.events and self.events[0][0] <= end:
+            self.now, _, action = heapq.heappop(self.events)
             action()
             if is_done():
                 return
         self.now = end
 
-    # A node's life.
+    # Starts, crashes and disk writes.
 
     def start(self, machine: Machine) -> None:
-        machine.life += 1
+        machine.start_number += 1
         machine.writing = None
         machine.replica = self.replica_class(
             machine.name,
@@ -173,10 +173,10 @@
             machine.clock(self.now),
             not machine.is_learner,
         )
-        self.tick(machine, machine.life)
+        self.tick(machine, machine.start_number)
 
     def crash(self, machine: Machine) -> None:
-        """What was being written is lost, whole or from some point on."""
+        """Stops a node; the write in progress is lost completely or from some point on."""
         if machine.replica is None:
             return
         self.outcome.crashes += 1
@@ -187,13 +187,13 @@
             if part & 1:
                 machine.disk = machine.disk.written(replace_entries(ready, kept), has_hard_state=part == 3)
         machine.replica = None
-        machine.life += 1
+        machine.start_number += 1
 
-    def tick(self, machine: Machine, life: int) -> None:
-        if machine.life != life or machine.replica is None:
+    def tick(self, machine: Machine, start_number: int) -> None:
+        if machine.start_number != start_number or machine.replica is None:
             return
         self.act(machine, lambda replica: replica.tick(machine.clock(self.now)))
-        self.at(TICK_S * self.rng.uniform(0.8, 1.2), lambda: self.tick(machine, life))
+        self.schedule(TICK_S * self.rng.uniform(0.8, 1.2), lambda: self.tick(machine, start_number))
 
     def act(self, machine: Machine, event: Callable[[Replica], object]) -> None:
         replica = machine.replica
@@ -211,23 +211,23 @@
         self.write(machine)
 
     def write(self, machine: Machine) -> None:
-        """Starts the next write; one that fails is tried again later."""
+        """Starts the next write; a slow one models a write that failed and was retried."""
         if machine.replica is None or machine.writing is not None:
             return
         machine.writing = machine.replica.take_ready()
         if machine.writing is None:
             return
         if machine.writing.hard_state is None and not machine.writing.entries:
-            self.written(machine, machine.life)
+            self.written(machine, machine.start_number)
             return
-        takes = self.rng.choice((0.0, 0.001, 0.02))
+        duration = self.rng.choice((0.0, 0.001, 0.02))
         if self.is_faulty and self.rng.random() < 0.02:
-            takes = 1.5  # the disk was full for a while
-        self.at(takes, lambda life=machine.life: self.written(machine, life))  # type: ignore[misc]
+            duration = 1.5  # as on a disk that is full for this time
+        self.schedule(duration, lambda start_number=machine.start_number: self.written(machine, start_number))  # type: ignore[misc]
 
-    def written(self, machine: Machine, life: int) -> None:
+    def written(self, machine: Machine, start_number: int) -> None:
         ready = machine.writing
-        if machine.life != life or machine.replica is None or ready is None:
+        if machine.start_number != start_number or machine.replica is None or ready is None:
             return
         machine.writing = None
         machine.disk = machine.disk.written(ready)
@@ -238,8 +238,8 @@
     # The network.
 
     def is_reachable(self, sender: str, receiver: str) -> bool:
-        together = any({sender, receiver} <= region for region in REGIONS)
-        return together or not self.is_cut
+        is_same_region = any({sender, receiver} <= region for region in REGIONS)
+        return is_same_region or not self.is_partitioned
 
     def send(self, sender: str, receiver: str, message: RaftMessage) -> None:
         self.ledger.sent(sender, receiver, message)
@@ -251,7 +251,7 @@
             delay = self.rng.uniform(0.001, 0.04)
             if self.is_faulty and self.rng.random() < 0.02:
                 delay = self.rng.uniform(0.1, 3.0)
-            self.at(delay, lambda: self.deliver(sender, receiver, message))
+            self.schedule(delay, lambda: self.deliver(sender, receiver, message))
 
     def deliver(self, sender: str, receiver: str, message: RaftMessage) -> None:
         machine = self.machines[receiver]
@@ -265,8 +265,8 @@
         if not self.is_faulty:
             return
         if self.rng.random() < 0.3:
-            self.is_cut = not self.is_cut
-            self.outcome.cuts += self.is_cut
+            self.is_partitioned = not self.is_partitioned
+            self.outcome.partitions += self.is_partitioned
         else:
             machine = self.rng.choice(list(self.machines.values()))
             self.crash(machine)
@@ -276,8 +276,8 @@
                 machine.is_learner = True
             elif self.rng.random() < 0.2:
                 machine.old_disk = machine.disk
-            self.at(self.rng.choice((0.0, 0.5, 3.0)), lambda: self.restart(machine))
-        self.at(self.rng.expovariate(1.0), self.fault)
+            self.schedule(self.rng.choice((0.0, 0.5, 3.0)), lambda: self.restart(machine))
+        self.schedule(self.rng.expovariate(1.0), self.fault)
 
     def restart(self, machine: Machine) -> None:
         if machine.replica is None:
@@ -286,10 +286,10 @@
     def propose(self) -> None:
         for machine in self.machines.values():
             self.act(machine, self.proposal)
-        self.at(self.rng.uniform(0.05, 0.4), self.propose)
+        self.schedule(self.rng.uniform(0.05, 0.4), self.propose)
 
     def proposal(self, replica: Replica) -> None:
-        """Each node that believes to be the leader takes one, one of a minority too."""
+        """Makes a proposal at a node if it considers itself the leader, even without a majority."""
         try:
             replica.propose(b"%d" % next(self.numbers), 0.0)
         except NotLeaderError:
@@ -298,26 +298,26 @@
     def run(self) -> Outcome:
         for machine in self.machines.values():
             self.start(machine)
-        self.at(1.0, self.fault)
-        self.at(1.0, self.propose)
+        self.schedule(1.0, self.fault)
+        self.schedule(1.0, self.propose)
         self.run_until(FAULTY_S)
         self.heal()
         self.outcome.confirmed = len(self.ledger.confirmed)
         return self.outcome
 
     def heal(self) -> None:
-        """No more faults: a proposal made from now on is committed by all in time."""
-        self.is_faulty = self.is_cut = False
+        """Ends all faults, and checks that a new proposal is committed by all nodes in time."""
+        self.is_faulty = self.is_partitioned = False
         for machine in self.machines.values():
             self.restart(machine)
         healed = self.now
-        wanted = b"after the healing"
+        data = b"after the healing"
         while self.now < healed + HEALED_LIMIT_S:
             self.run_until(self.now + 0.1)
             for machine in self.machines.values():
                 if machine.replica is not None and machine.replica.role is Role.LEADER:
-                    self.act(machine, lambda replica: replica.propose(wanted, 0.0))
-            if all(is_committed(machine.replica, wanted) for machine in self.machines.values()):
+                    self.act(machine, lambda replica: replica.propose(data, 0.0))
+            if all(is_committed(machine.replica, data) for machine in self.machines.values()):
                 self.outcome.healed_s = self.now - healed
                 return
         raise ViolationError(f"no commit within {HEALED_LIMIT_S} s of the healing")
--- a/tests/raft_state.py
+++ b/tests/raft_state.py
@@ -1,4 +1,4 @@
-"""The state of replicas as the explorer in raft_model.py compares it."""
+"""The state of replicas in the form that the explorer in raft_model.py compares."""
 
 import copy
 from collections.abc import Iterator, Sequence
@@ -18,23 +18,23 @@
 from message_sender.control.raft import HardState, Ready, Role
 from message_sender.control.replica import Replica
 
-NOW = 0.0  # time stands still
+NOW = 0.0  # time does not pass in an exploration
 NO_HARD_STATE = HardState()
 
 
 class ViolationError(Exception):
-    """An invariant does not hold."""
+    """An invariant is violated."""
 
 
 @dataclass(frozen=True)
 class Disk:
-    """What a node keeps over a crash."""
+    """The state of a node that survives a crash."""
 
     hard_state: HardState = NO_HARD_STATE
     entries: tuple[LogEntry, ...] = ()
 
     def written(self, ready: Ready, has_hard_state: bool = True, has_entries: bool = True) -> "Disk":
-        """With all of a Ready, or with a part of it."""
+        """Returns the disk after all or a part of a Ready was written."""
         hard_state, entries = self.hard_state, self.entries
         if has_hard_state and ready.hard_state is not None:
             hard_state = ready.hard_state
@@ -47,24 +47,26 @@
 
 @dataclass(frozen=True)
 class World:
-    """The bounds of an exploration."""
+    """The bounds of an exploration, and the planted defects that are not patches."""
 
     votes: tuple[tuple[str, int], ...] = (("a", 1), ("b", 1), ("c", 1))
-    candidates: tuple[str, ...] = ("ab", "ab")  # for each term who may stand for election
+    candidates: tuple[str, ...] = ("ab", "ab")  # for each term the nodes that may be candidates
     learners: frozenset[str] = frozenset()
     disks: tuple[Disk, ...] = (Disk(), Disk(), Disk())
     proposals: int = 1
     crashes: int = 0
-    has_hand_overs: bool = False  # a leader may hand over at any time, to nodes that are no candidates too
+    has_transfers: bool = (
+        False  # a leader may transfer leadership at any time, also to nodes that are no candidates
+    )
     is_sync_separate: bool = False
-    has_events_before_sync: bool = False  # a node takes further events before the sync of the last one
-    is_sent_before_sync: bool = False  # a planted defect: messages leave with the event
+    has_events_before_sync: bool = False  # a node handles further events before the sync of the last event
+    is_sent_before_sync: bool = False  # a planted defect: messages are sent before the sync
     replica_class: type[Replica] = Replica
     states_limit: int = 2_000_000
 
 
 class Local(NamedTuple):
-    """A node's state: the replica, its disk, and whether it has something to make durable or to send."""
+    """The state of one node; `is_dirty` if it has data to make durable or messages to send."""
 
     replica: Replica
     disk: Disk
@@ -72,9 +74,9 @@
 
 
 class Global(NamedTuple):
-    """All by number: the nodes' local states, the messages sent (a bit each), the confirmed log.
+    """The state of all nodes, as numbers: local states, sent messages (a bit each), the confirmed log.
 
-    Of history it keeps each node's last vote, which a sound node's own state holds too, and the leaders.
+    The only history is each node's last vote, which a correct node's own state also has, and the leaders.
     """
 
     nodes: tuple[int, ...]
@@ -87,30 +89,32 @@
 
 
 class Step(NamedTuple):
-    """What an event makes of a node: its local state and the messages that it sent, by their numbers."""
+    """The result of an event at a node: its local state and the messages that it sent, by their numbers."""
 
     node: int
     sent: tuple[int, ...] = ()
-    mask: int = 0  # the same, a bit each
+    mask: int = 0  # the sent messages, a bit each
     receivers: tuple[int, ...] = ()
 
 
 Confirmed = tuple[tuple[LogEntry, int], ...]  # each entry with the term in which it was first confirmed
-Event = tuple[str, int, int]  # its kind, the node, a message's number or a variant
+Event = tuple[str, int, int]  # the kind, the node, the number of a message or a variant
 
 
 @dataclass
 class Result:
+    """The result of an exploration."""
+
     states: int = 0
     is_complete: bool = False
     violation: str = ""
     trace: list[str] = field(default_factory=list)
-    confirmed: int = 0  # entries confirmed in the state that has most
+    confirmed: int = 0  # largest number of confirmed entries in a state
     leaders: int = 0  # the highest term with a leader
 
 
 def clone(replica: Replica) -> Replica:
-    """A copy that shares nothing mutable but the source of chance."""
+    """Returns a copy that shares no mutable state except the random number generator."""
     other = copy.copy(replica)
     other._messages = list(replica._messages)
     other._log = copy.copy(replica._log)
@@ -118,12 +122,14 @@
     if replica._leadership is not None:
         other._leadership = leadership = copy.copy(replica._leadership)
         leadership._log = other._log
-        leadership._progress = {name: copy.copy(each) for name, each in replica._leadership._progress.items()}
+        leadership._progress = {
+            name: copy.copy(progress) for name, progress in replica._leadership._progress.items()
+        }
     return other
 
 
 def settle(replica: Replica) -> None:
-    """Forgets what depends on time alone, or on what was already handed to the caller."""
+    """Resets state that depends only on time or on data that was already returned to the caller."""
     replica._delivered_index = replica.commit_index
     replica.leader = ""
     if replica._leadership is not None:
@@ -133,6 +139,7 @@
 
 
 def key(replica: Replica) -> tuple[object, ...]:
+    """Returns the part of a replica's state by which the explorer distinguishes states."""
     leadership = replica._leadership
     return (
         replica.role,
@@ -143,7 +150,7 @@
         replica._durable.disk_last_index,
         replica._votes_granted,
         tuple(replica._messages),
-        tuple(tuple(_fields(each)) for each in leadership._progress.values()) if leadership else (),
+        tuple(tuple(_fields(progress)) for progress in leadership._progress.values()) if leadership else (),
     )
 
 
@@ -153,7 +160,7 @@
 
 
 def is_dead(replica: Replica, sender: str, message: RaftMessage, is_sync_separate: bool) -> bool:
-    """Whether a message can bring its receiver nothing new from now on, besides an answer that was sent."""
+    """Returns whether a message can no longer change its receiver, except for repeating an answer."""
     if message.term != replica.term:
         return message.term < replica.term
     match message:
@@ -191,7 +198,7 @@
 
 
 def is_log_matching(one: Sequence[LogEntry], other: Sequence[LogEntry]) -> bool:
-    """Where two logs have an entry of the same index and term, they are equal up to there."""
+    """Returns whether two logs are equal up to the last index at which they have entries of the same term."""
     shared = min(len(one), len(other))
     while shared and one[shared - 1].term != other[shared - 1].term:
         shared -= 1
@@ -199,7 +206,7 @@
 
 
 def bits(mask: int) -> Iterator[int]:
-    """The numbers of the bits that are set."""
+    """Yields the numbers of the bits that are set."""
     while mask:
         lowest = mask & -mask
         yield lowest.bit_length() - 1
--- a/tests/test_control_raft_log.py
+++ b/tests/test_control_raft_log.py
@@ -1,4 +1,4 @@
-"""The rules of the replicated log: commitment, a follower's log, what becomes durable when."""
+"""The rules of the replicated log: commitment, a follower's log, and the order of durable writes."""
 
 from random import Random
 
@@ -24,7 +24,7 @@
 # Commitment.
 
 
-def test_a_leader_begins_with_an_empty_entry_and_commits_older_ones_only_behind_it() -> None:
+def test_a_leader_begins_with_an_empty_entry_and_commits_older_entries_only_with_it() -> None:
     replica = follower(term=2, entries=entries_of(1, 2))
     now = elected(replica, 0.0)
     ready = flush(replica)
@@ -35,7 +35,7 @@
     assert replica.commit_index == 3
 
 
-def test_a_leader_counts_itself_from_the_sync_on() -> None:
+def test_a_leader_counts_itself_only_after_its_own_sync() -> None:
     replica = follower(votes={"a": 3, "b": 1, "c": 1})
     now = ELECTION_TIMEOUT_MAX_S
     replica.tick(now)  # its own votes are a majority
@@ -49,7 +49,7 @@
     assert replica.commit_index == 1
 
 
-def test_a_risen_commit_index_is_sent_at_once() -> None:
+def test_a_higher_commit_index_is_sent_immediately() -> None:
     replica = follower()
     now = elected(replica, 0.0)
     flush(replica)
@@ -74,7 +74,7 @@
     ]
     assert len(sent) == 2 * IN_FLIGHT_REQUESTS_LIMIT
     assert all(len(request.entries) == 3 for request in sent)
-    cluster.leader().persisted(ready)  # and all of these requests are lost
+    cluster.leader().persisted(ready)  # all of these requests are lost
     cluster.run(1.0)
     assert all(each.last_index == each.commit_index == 52 for each in cluster.replicas.values())
     sizes = [sum(len(entry.data) for entry in request.entries) for request in cluster.requests]
@@ -82,7 +82,7 @@
     assert sorted(sizes)[-3] <= leadership.BATCH_BYTES_LIMIT
 
 
-def test_a_lost_request_is_made_good_after_the_next_heartbeat() -> None:
+def test_a_lost_request_is_repeated_after_the_next_heartbeat() -> None:
     cluster = with_leader(THREE)
     cluster.propose(b"change")
     cluster.parts = ()
@@ -92,11 +92,11 @@
     assert all(each == [b"change"] for each in cluster.committed.values())
 
 
-def test_an_absent_follower_costs_heartbeats_without_entries() -> None:
+def test_an_absent_follower_gets_only_heartbeats_without_entries() -> None:
     cluster = with_leader(THREE)
     leader = cluster.leader().name
-    lone = next(name for name in THREE if name != leader)
-    cluster.parts = ("".join(set(THREE) - {lone}),)
+    isolated = next(name for name in THREE if name != leader)
+    cluster.parts = ("".join(set(THREE) - {isolated}),)
     cluster.propose(b"change")
     cluster.exchange()
     cluster.requests.clear()
@@ -107,7 +107,7 @@
 # A follower's log.
 
 
-def test_only_what_conflicts_is_truncated() -> None:
+def test_only_conflicting_entries_are_truncated() -> None:
     replica = follower(term=2, entries=entries_of(1, 1, 2, 2))
     replica.receive("b", AppendRequest(3, 1, 1, 0, 1, (LogEntry(2, 1, b"x"), LogEntry(3, 3, b"y"))), 0.0)
     ready = flush(replica)
@@ -120,7 +120,7 @@
 @pytest.mark.parametrize(
     ("previous", "hint"), [((9, 3), 5), ((5, 3), 2), ((2, 3), 0)], ids=["behind the end", "a term", "first"]
 )
-def test_a_refusal_says_where_to_try_next(previous: tuple[int, int], hint: int) -> None:
+def test_a_rejection_contains_the_index_to_try_next(previous: tuple[int, int], hint: int) -> None:
     replica = follower(term=2, entries=entries_of(1, 1, 2, 2, 2))
     replica.receive("b", AppendRequest(3, *previous, 0, 4, ()), 0.0)
     ready = flush(replica)
@@ -142,14 +142,14 @@
         replica.receive("c", AppendRequest(2, 1, 1, 0, 1, (LogEntry(2, 2, b"y"),)), 0.0)
 
 
-def test_two_leaders_of_one_term_stop_the_node() -> None:
+def test_a_second_leader_of_one_term_stops_the_node() -> None:
     replica = follower()
     now = elected(replica, 0.0)
     with pytest.raises(ReplicaInvariantError):
         replica.receive("b", AppendRequest(replica.term, 0, 0, 0, 1, ()), now)
 
 
-def test_a_request_of_an_older_term_changes_nothing_and_tells_the_term() -> None:
+def test_a_request_of_an_older_term_changes_nothing_and_gets_the_current_term() -> None:
     replica = follower(term=5, entries=entries_of(1))
     replica.receive("b", AppendRequest(4, 0, 0, 1, 2, (LogEntry(1, 4, b"y"),)), 0.0)
     ready = flush(replica)
@@ -157,7 +157,7 @@
     assert replica.entry(1).term == 1
 
 
-def test_strangers_and_entries_with_a_gap_are_ignored() -> None:
+def test_requests_of_unknown_nodes_and_entries_with_a_gap_are_ignored() -> None:
     replica = follower()
     replica.receive("x", AppendRequest(9, 0, 0, 0, 1, ()), 0.0)
     replica.receive("a", AppendRequest(9, 0, 0, 0, 1, ()), 0.0)
@@ -168,7 +168,7 @@
 # Ready.
 
 
-def test_one_ready_at_a_time_and_what_comes_meanwhile_waits_for_the_next() -> None:
+def test_only_one_ready_is_outstanding_and_later_events_wait_for_the_next() -> None:
     replica = follower()
     replica.receive("b", AppendRequest(1, 0, 0, 0, 1, entries_of(1, 1)), 0.0)
     first = replica.take_ready()
@@ -185,7 +185,7 @@
     assert replica.take_ready() is None
 
 
-def test_a_crash_between_entries_and_hard_state_leaves_the_term_of_the_entries() -> None:
+def test_after_a_crash_between_entries_and_hard_state_the_term_is_that_of_the_entries() -> None:
     replica = Replica("a", THREE, HardState(1, "b"), entries_of(1, 3), Random(1), 0.0)
     assert replica.term == 3
     replica.receive("c", VoteRequest(3, 2, 3, False), 0.0)
@@ -193,12 +193,12 @@
     assert ready is not None and ready.hard_state == HardState(3, "c")
 
 
-def test_a_log_with_a_gap_is_no_log() -> None:
+def test_a_log_with_a_gap_is_rejected() -> None:
     with pytest.raises(ValueError):
         ReplicatedLog((LogEntry(1, 1, b""), LogEntry(3, 1, b"")))
 
 
-def test_who_is_no_leader_names_it() -> None:
+def test_a_proposal_at_a_follower_fails_with_the_name_of_the_leader() -> None:
     replica = follower()
     replica.receive("b", AppendRequest(1, 0, 0, 0, 1, ()), 0.0)
     with pytest.raises(NotLeaderError) as caught:
--- a/tests/test_control_raft_rules.py
+++ b/tests/test_control_raft_rules.py
@@ -25,7 +25,7 @@
 # Quorum.
 
 
-def test_a_majority_is_more_than_half_of_all_votes_absent_ones_included() -> None:
+def test_a_majority_has_more_than_half_of_all_votes_including_absent_ones() -> None:
     quorum = Quorum(FOUR)
     assert quorum.is_majority(("a", "d")) and quorum.is_majority(("b", "c", "d"))
     assert not quorum.is_majority(("b", "c")) and not quorum.is_majority(("a",))
@@ -43,7 +43,7 @@
 
 
 @pytest.mark.parametrize("lost", FOUR)
-def test_any_one_node_may_be_lost(lost: str) -> None:
+def test_changes_are_confirmed_after_the_loss_of_any_one_node(lost: str) -> None:
     cluster = with_leader(FOUR)
     cluster.parts = ("".join(set(FOUR) - {lost}),)
     cluster.run(4.0)
@@ -53,7 +53,7 @@
     assert all(cluster.committed[name] == [b"change"] for name in cluster.parts[0])
 
 
-def test_a_cut_between_regions_leaves_changes_to_the_side_with_the_weight() -> None:
+def test_in_a_partition_between_regions_only_the_side_with_more_votes_confirms() -> None:
     cluster = with_leader(FOUR)
     cluster.parts = ("ab", "cd")
     cluster.run(4.0)
@@ -71,7 +71,7 @@
 # Elections.
 
 
-def test_election_timeouts_are_drawn_between_their_bounds() -> None:
+def test_election_timeouts_are_random_between_their_bounds() -> None:
     drawn = []
     for seed in range(200):
         replica = Replica("a", THREE, HardState(), (), Random(seed), 0.0)
@@ -83,7 +83,7 @@
     assert max(drawn) - min(drawn) > 0.55
 
 
-def test_a_pre_vote_raises_no_term_and_needs_nothing_durable() -> None:
+def test_a_pre_vote_does_not_raise_the_term_and_needs_no_durable_write() -> None:
     replica = follower(term=3)
     for now in (1.2, 2.4, 3.6):
         replica.tick(now)
@@ -93,7 +93,7 @@
     assert replica.term == 3
 
 
-def test_a_follower_that_heard_a_leader_lately_grants_no_pre_vote() -> None:
+def test_a_follower_that_recently_received_from_a_leader_grants_no_pre_vote() -> None:
     replica = follower()
     replica.receive("b", AppendRequest(1, 0, 0, 0, 1, ()), 5.0)
     flush(replica)
@@ -114,18 +114,18 @@
     assert ready is not None and ready.messages == (("b", VoteReply(2, False, True)),)
 
 
-def test_a_node_that_was_cut_off_disturbs_no_leader_when_it_is_back() -> None:
+def test_a_node_that_returns_from_a_partition_does_not_disturb_the_leader() -> None:
     cluster = with_leader(THREE)
     leader, term = cluster.leader().name, cluster.leader().term
-    lone = next(name for name in THREE if name != leader)
-    cluster.parts = ("".join(set(THREE) - {lone}),)
+    isolated = next(name for name in THREE if name != leader)
+    cluster.parts = ("".join(set(THREE) - {isolated}),)
     cluster.run(10.0)
     cluster.parts = ("abc",)
     cluster.run(3.0)
     assert (cluster.leader().name, cluster.leader().term) == (leader, term)
 
 
-def test_a_vote_is_durable_before_its_answer_and_given_once_a_term() -> None:
+def test_a_vote_is_durable_before_the_reply_and_granted_once_per_term() -> None:
     replica = follower()
     replica.receive("b", VoteRequest(2, 0, 0, False), 0.0)
     ready = flush(replica)
@@ -146,7 +146,7 @@
 @pytest.mark.parametrize(
     ("last_index", "last_term", "is_granted"), [(3, 1, False), (1, 2, False), (2, 2, True), (1, 3, True)]
 )
-def test_a_vote_goes_to_a_log_that_is_at_least_as_new(
+def test_a_vote_is_granted_only_if_the_log_of_the_candidate_is_at_least_as_new(
     last_index: int, last_term: int, is_granted: bool
 ) -> None:
     replica = follower(term=3, entries=entries_of(1, 2))
@@ -155,7 +155,7 @@
     assert ready is not None and ready.messages == (("b", VoteReply(4, is_granted, False)),)
 
 
-def test_answers_to_another_question_elect_nobody() -> None:
+def test_replies_to_other_vote_requests_are_not_counted() -> None:
     replica = follower()
     replica.tick(1.2)
     replica.receive("b", VoteReply(2, True, False), 1.2)
@@ -170,7 +170,7 @@
     assert replica.role is Role.LEADER
 
 
-def test_a_leader_that_no_majority_answers_steps_down() -> None:
+def test_a_leader_without_answers_from_a_majority_steps_down() -> None:
     cluster = with_leader(FOUR)
     cluster.parts = ("ab", "cd")
     cluster.run(3.0)
@@ -184,7 +184,7 @@
         leader.propose(b"change", cluster.now)
 
 
-def test_heartbeats_go_out_at_their_interval() -> None:
+def test_heartbeats_are_sent_at_their_interval() -> None:
     replica = follower()
     now = elected(replica, 0.0)
     flush(replica)
@@ -199,7 +199,7 @@
 # Learners.
 
 
-def test_a_learner_copies_the_log_but_is_not_counted_and_its_votes_stay_in_the_total() -> None:
+def test_a_learner_copies_the_log_and_is_not_counted_but_its_votes_stay_in_the_total() -> None:
     cluster = with_leader(THREE, learners="c")
     leader = cluster.leader().name
     cluster.propose(b"one")
@@ -226,7 +226,7 @@
     assert (replica.role, replica.leader) == (Role.LEARNER, "b")
 
 
-def test_who_said_that_it_is_a_learner_is_not_counted_for_the_rest_of_the_term() -> None:
+def test_a_node_that_reported_to_be_a_learner_is_not_counted_for_the_rest_of_the_term() -> None:
     replica = follower()
     now = elected(replica, 0.0)
     flush(replica)
@@ -237,18 +237,20 @@
     assert replica.commit_index == 1
 
 
-def test_a_learner_with_an_empty_disk_gets_the_whole_log() -> None:
+def test_a_learner_with_an_empty_disk_gets_the_complete_log() -> None:
     cluster = with_leader(THREE)
-    lone = next(name for name in THREE if name != cluster.leader().name)
+    isolated = next(name for name in THREE if name != cluster.leader().name)
     cluster.propose(b"one")
     cluster.exchange()
-    cluster.replicas[lone] = Replica(lone, THREE, HardState(), (), Random(1), cluster.now, is_voter=False)
-    cluster.committed[lone].clear()
+    cluster.replicas[isolated] = Replica(
+        isolated, THREE, HardState(), (), Random(1), cluster.now, is_voter=False
+    )
+    cluster.committed[isolated].clear()
     cluster.run(3 * HEARTBEAT_INTERVAL_S)
-    assert cluster.committed[lone] == [b"one"]
+    assert cluster.committed[isolated] == [b"one"]
 
 
-def test_a_leader_that_becomes_a_learner_leads_no_more() -> None:
+def test_a_leader_that_becomes_a_learner_stops_leading() -> None:
     replica = follower()
     now = elected(replica, 0.0)
     flush(replica)
@@ -260,7 +262,7 @@
         replica.propose(b"change", now)
 
 
-def test_while_a_disk_hangs_the_messages_that_wait_are_bounded_and_the_latest_are_kept() -> None:
+def test_while_a_disk_hangs_the_message_queue_is_bounded_and_keeps_the_latest() -> None:
     replica = follower()
     replica.receive("b", AppendRequest(1, 0, 0, 0, 0, entries_of(1)), 0.0)
     hanging = replica.take_ready()
@@ -274,10 +276,10 @@
     assert ready.messages[-1] == ("b", AppendReply(1, True, 1, rounds, True))
 
 
-# A leader hands over.
+# Leadership transfer.
 
 
-def test_a_leader_hands_over_within_no_time() -> None:
+def test_a_leadership_transfer_needs_no_election_timeout() -> None:
     cluster = with_leader(FOUR)
     first = cluster.leader()
     cluster.propose(b"x")
@@ -295,11 +297,11 @@
     assert set(map(tuple, cluster.committed.values())) == {(b"x", b"y")}
 
 
-def test_a_leader_hands_over_to_no_node_without_the_whole_log_or_a_vote() -> None:
+def test_leadership_is_transferred_only_to_a_voter_with_the_complete_log() -> None:
     replica = follower(votes=THREE)
     now = elected(replica, 0.0)
     flush(replica)
-    assert not replica.transfer_leadership() and flush(replica) is None  # nobody has answered yet
+    assert not replica.transfer_leadership() and flush(replica) is None  # no peer has answered yet
     acknowledge(replica, "b", replica.last_index, now, is_voter=False)
     flush(replica)
     assert not replica.transfer_leadership() and flush(replica) is None
@@ -310,7 +312,7 @@
     assert ready and ready.messages == (("c", TimeoutNow(replica.term)),)
 
 
-def test_of_two_nodes_with_the_whole_log_the_one_that_answered_last_is_asked() -> None:
+def test_leadership_is_transferred_to_the_node_that_answered_the_latest_round() -> None:
     replica = follower(votes=THREE)
     now = elected(replica, 0.0)
     flush(replica)
@@ -325,7 +327,7 @@
     assert ready and ready.messages == (("c", TimeoutNow(replica.term)),)
 
 
-def test_a_request_to_stand_counts_in_its_own_term_and_for_a_follower_alone() -> None:
+def test_a_timeout_now_request_is_effective_only_in_its_own_term_and_for_a_follower() -> None:
     replica = follower(term=3)
     for term in (2, 4):
         replica.receive("b", TimeoutNow(term), 0.0)
@@ -333,7 +335,7 @@
     replica.receive("b", TimeoutNow(3), 0.0)
     assert replica.role is Role.CANDIDATE and replica.term == 4
     replica.receive("b", TimeoutNow(4), 0.0)
-    assert replica.term == 4  # it stands already
+    assert replica.term == 4  # it is already a candidate
     learner = Replica("a", THREE, HardState(3, ""), (), Random(7), 0.0, is_voter=False)
     learner.receive("b", TimeoutNow(3), 0.0)
     assert learner.role is Role.LEARNER and learner.term == 3
--- a/tests/test_control_replica.py
+++ b/tests/test_control_replica.py
@@ -1,4 +1,4 @@
-"""Raft of the control plane: rules one by one, a model explored to the end, simulations, planted defects."""
+"""Raft of the control plane: a model explore_world completely, simulations, and planted defects in both."""
 
 import multiprocessing
 from collections.abc import Callable, Mapping, Sequence
@@ -20,17 +20,19 @@
 from message_sender.control.replica import Replica
 
 A, B = LogEntry(1, 1, b"a"), LogEntry(1, 2, b"b")
-#: Figure 8 of the paper: term 1's leader wrote an entry, then term 2's another one; each stands alone.
+#: Figure 8 of the paper: the leaders of terms 1 and 2 each wrote an entry that only their own disk has.
 FIGURE_8 = (Disk(HardState(2, "a"), (A,)), Disk(HardState(2, "b"), (B,)), Disk(HardState(2, "b")))
 LEARNER = World(learners=frozenset("c"), candidates=("a", "b"), proposals=0)
-#: The second term's leader is one that the first one asked to stand.
-HAND_OVER = World(candidates=("a", ""), proposals=0, has_hand_overs=True)
-HEAVY = World(votes=(("a", 3), ("b", 1), ("c", 1)), candidates=("a",), is_sync_separate=True, proposals=0)
+#: The leader of the second term is a node that the first leader asked to start an election.
+TRANSFER = World(candidates=("a", ""), proposals=0, has_transfers=True)
+UNEQUAL_VOTES = World(
+    votes=(("a", 3), ("b", 1), ("c", 1)), candidates=("a",), is_sync_separate=True, proposals=0
+)
 
-#: Worlds that are explored to the end.
+#: Worlds that are explore_world completely.
 WORLDS = {
     "unequal votes and a crash": replace(
-        HEAVY, votes=(("a", 3), ("b", 1)), disks=(Disk(), Disk()), crashes=1
+        UNEQUAL_VOTES, votes=(("a", 3), ("b", 1)), disks=(Disk(), Disk()), crashes=1
     ),
     "one leader and a proposal": World(candidates=("a",)),
     "two candidates of one term": World(candidates=("ab",), proposals=0),
@@ -41,13 +43,13 @@
         candidates=("ab",), proposals=0, crashes=1, is_sync_separate=True
     ),
     "a learner": LEARNER,
-    "a leader hands over": HAND_OVER,
-    "a leader hands over beside an election": replace(HAND_OVER, candidates=("a", "b")),
+    "a leadership transfer": TRANSFER,
+    "a leadership transfer during an election": replace(TRANSFER, candidates=("a", "b")),
     "figure 8": World(disks=FIGURE_8, candidates=("", "", "a", "b"), proposals=0),
 }
 
 
-#: How many states each has: another number is another protocol or another bound, to be looked at.
+#: The number of states of each world; a different number means that the protocol or a bound has changed.
 STATES = {
     "one leader and a proposal": 26_213,
     "two candidates of one term": 532,
@@ -57,13 +59,13 @@
     "a crash between an event and its sync": 13_046,
     "unequal votes and a crash": 296,
     "a learner": 403,
-    "a leader hands over": 6_045,
-    "a leader hands over beside an election": 8_554,
+    "a leadership transfer": 6_045,
+    "a leadership transfer during an election": 8_554,
     "figure 8": 7_941,
 }
 
 
-def explored(name: str) -> Result:
+def explore_world(name: str) -> Result:
     with pytest.MonkeyPatch.context() as patch:
         if name == "figure 8":
             patch.setattr(ReplicatedLog, "batch", one_entry_a_batch)
@@ -73,11 +75,11 @@
 @pytest.fixture(scope="module")
 def results() -> dict[str, Result]:
     with ProcessPoolExecutor(4, multiprocessing.get_context("spawn")) as pool:
-        return dict(zip(WORLDS, pool.map(explored, WORLDS), strict=True))
+        return dict(zip(WORLDS, pool.map(explore_world, WORLDS), strict=True))
 
 
 @pytest.mark.parametrize("name", WORLDS)
-def test_no_state_of_a_small_world_breaks_an_invariant(name: str, results: dict[str, Result]) -> None:
+def test_no_state_of_a_bounded_world_violates_an_invariant(name: str, results: dict[str, Result]) -> None:
     result = results[name]
     assert not result.violation, "\n".join([result.violation, *result.trace])
     assert result.is_complete
@@ -85,7 +87,7 @@
     assert result.confirmed and result.leaders == len(WORLDS[name].candidates)
 
 
-# Planted defects, each found by the explorer.
+# Planted defects, each of which the explorer must find.
 
 true_majority_value = Quorum.majority_value
 true_committed_index = Leadership.committed_index
@@ -95,7 +97,7 @@
     return max(values.values())
 
 
-def majority_of_those_that_answered(self: Quorum, values: Mapping[str, int]) -> int:
+def majority_of_answering_nodes(self: Quorum, values: Mapping[str, int]) -> int:
     answered = {name: value for name, value in values.items() if value}
     return true_majority_value(Quorum({name: self._votes[name] for name in answered}), answered)
 
@@ -109,7 +111,7 @@
     return self._quorum.majority_value(durable | {self._name: durable_index})
 
 
-def committed_before_its_own_disk(self: Leadership, durable_index: int) -> int:
+def committed_before_own_disk(self: Leadership, durable_index: int) -> int:
     return true_committed_index(self, self._log.last_index)
 
 
@@ -123,7 +125,7 @@
             self._log.append(entry)
 
 
-def merge_after_truncating_always(self: Replica, entries: Sequence[LogEntry]) -> None:
+def merge_after_unconditional_truncation(self: Replica, entries: Sequence[LogEntry]) -> None:
     if entries and entries[0].index <= self._log.last_index:
         self._log.truncate_from(entries[0].index)
         self._durable = self._durable.with_log_truncated(entries[0].index)
@@ -132,17 +134,17 @@
 
 
 class ForgetfulReplica(Replica):
-    """Its vote does not outlive a restart."""
+    """A defect: the vote does not survive a restart."""
 
     def __init__(self, name: str, votes: Mapping[str, int], hard_state: HardState, *rest: Any) -> None:  # noqa: ANN401
         super().__init__(name, votes, HardState(hard_state.term, ""), *rest)
 
 
 class HastyReplica(Replica):
-    """It leads once it is asked to stand, whatever the others would vote."""
+    """A defect: a node that is asked to start an election leads without any votes."""
 
     def _start_election(self, now: float) -> None:
-        if self.term == 0:  # the first leader is elected
+        if self.term == 0:  # the first leader is elected correctly
             super()._start_election(now)
             return
         self._hard_state = HardState(self.term + 1, self.name)
@@ -155,7 +157,7 @@
 
 @dataclass(frozen=True)
 class Defect:
-    """What is planted: an attribute that is replaced, or a world that is itself at fault."""
+    """A planted defect: a replaced attribute, or a world that has the defect itself."""
 
     world: World
     owner: type | None = None
@@ -169,15 +171,16 @@
     "confirmed before a majority has it": Defect(
         WORLDS["two terms"], Quorum, "majority_value", majority_of_one
     ),
-    "a side that is cut off confirms by a majority of those that answer": Defect(
-        WORLDS["two terms"], Quorum, "majority_value", majority_of_those_that_answered
+    "a minority confirms by a majority of the nodes that answer": Defect(
+        WORLDS["two terms"], Quorum, "majority_value", majority_of_answering_nodes
     ),
-    "nodes are counted in place of their votes": Defect(
-        replace(HEAVY, candidates=("b",), is_sync_separate=False), Quorum, "majority_value", majority_of_nodes
-    ),
-    "a vote is forgotten over a restart": Defect(
-        replace(CRASHING, crashes=1, replica_class=ForgetfulReplica)
+    "nodes are counted instead of their votes": Defect(
+        replace(UNEQUAL_VOTES, candidates=("b",), is_sync_separate=False),
+        Quorum,
+        "majority_value",
+        majority_of_nodes,
     ),
+    "a vote is lost in a restart": Defect(replace(CRASHING, crashes=1, replica_class=ForgetfulReplica)),
     "a vote is sent before it is durable": Defect(
         replace(WORLDS["a crash between an event and its sync"], is_sent_before_sync=True)
     ),
@@ -188,24 +191,24 @@
         WORLDS["figure 8"], Leadership, "committed_index", committed_by_counting, has_short_batches=True
     ),
     "a leader counts itself before its entry is durable": Defect(
-        replace(HEAVY, proposals=1, has_events_before_sync=True),
+        replace(UNEQUAL_VOTES, proposals=1, has_events_before_sync=True),
         Leadership,
         "committed_index",
-        committed_before_its_own_disk,
+        committed_before_own_disk,
     ),
-    "a leader hands over and no votes are asked for": Defect(replace(HAND_OVER, replica_class=HastyReplica)),
+    "a leadership transfer without votes": Defect(replace(TRANSFER, replica_class=HastyReplica)),
     "a learner is counted for a majority": Defect(LEARNER, Leadership, "_voting_peers", all_peers),
-    "a log is not truncated where it conflicts": Defect(
+    "a conflicting log is not truncated": Defect(
         WORLDS["two terms"], Replica, "_merge", merge_without_truncating
     ),
-    "a late request truncates what came after it": Defect(
-        WORLDS["one leader and a proposal"], Replica, "_merge", merge_after_truncating_always
+    "a late request truncates later entries": Defect(
+        WORLDS["one leader and a proposal"], Replica, "_merge", merge_after_unconditional_truncation
     ),
 }
 
 
 @pytest.mark.parametrize("name", DEFECTS)
-def test_the_explorer_finds_a_planted_defect(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_explorer_finds_each_planted_defect(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
     defect = DEFECTS[name]
     if defect.owner is not None:
         monkeypatch.setattr(defect.owner, defect.name, defect.value)
@@ -222,43 +225,43 @@
 SEEDS_FOR_A_DEFECT = 40
 
 
-def test_simulated_faults_break_no_invariant_and_a_change_is_made_after_healing() -> None:
+def test_simulated_faults_violate_no_invariant_and_a_change_is_made_after_healing() -> None:
     outcomes = [simulate(seed) for seed in range(SEEDS)]
-    assert min(each.confirmed for each in outcomes) > 0
-    for what in ("crashes", "cuts", "lost", "elections"):
-        assert sum(getattr(each, what) for each in outcomes) >= SEEDS
-    assert sum(each.old_disks for each in outcomes) >= SEEDS // 3
-    assert max(each.healed_s for each in outcomes) <= HEALED_LIMIT_S
+    assert min(outcome.confirmed for outcome in outcomes) > 0
+    for figure in ("crashes", "partitions", "lost", "elections"):
+        assert sum(getattr(outcome, figure) for outcome in outcomes) >= SEEDS
+    assert sum(outcome.old_disks for outcome in outcomes) >= SEEDS // 3
+    assert max(outcome.healed_s for outcome in outcomes) <= HEALED_LIMIT_S
 
 
 SIMULATED_DEFECTS = {
     "confirmed before a majority has it": (Quorum, "majority_value", majority_of_one),
-    "a side that is cut off confirms": (Quorum, "majority_value", majority_of_those_that_answered),
-    "a log is not truncated where it conflicts": (Replica, "_merge", merge_without_truncating),
+    "a minority confirms": (Quorum, "majority_value", majority_of_answering_nodes),
+    "a conflicting log is not truncated": (Replica, "_merge", merge_without_truncating),
     "a vote for a candidate whose log is older": (Replica, "_is_log_new_enough", any_log_is_new_enough),
 }
 
 
 @pytest.mark.parametrize("name", SIMULATED_DEFECTS)
-def test_simulations_find_a_planted_defect(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_simulations_find_each_planted_defect(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
     owner, attribute, value = SIMULATED_DEFECTS[name]
     monkeypatch.setattr(owner, attribute, value)
-    assert found_by_simulation()
+    assert is_found_by_simulation()
 
 
 class OldDiskReplica(Replica):
-    """It votes and is counted though its disk is old."""
+    """A defect: a node votes and is counted although its disk is old."""
 
     def __init__(self, *arguments: Any) -> None:  # noqa: ANN401
         super().__init__(*arguments[:-1], is_voter=True)
 
 
 def test_simulations_find_a_node_that_votes_with_an_old_disk() -> None:
-    assert found_by_simulation(OldDiskReplica)
+    assert is_found_by_simulation(OldDiskReplica)
 
 
-def found_by_simulation(replica_class: type[Replica] = Replica) -> bool:
-    """Whether one of the seeds breaks an invariant."""
+def is_found_by_simulation(replica_class: type[Replica] = Replica) -> bool:
+    """Returns whether an invariant is violated with one of the seeds."""
     for seed in range(SEEDS_FOR_A_DEFECT):
         try:
             simulate(seed, replica_class)
