--- a/tests/control_nodes.py
+++ b/tests/control_nodes.py
@@ -39,10 +39,11 @@
     ControlNodeAddress(name, (name, 7000), region) for name, region in REGIONS.items()
 )  # fmt: skip
 YEAR_S = 365 * 86_400.0
-STORY_LIMIT_S = 600.0  # of virtual time; one that goes on for longer has failed
+SCENARIO_TIMEOUT_S = 600.0  # of virtual time; a scenario that takes longer has failed
 
 
-def no_faults(resources: Mapping[str, bytes]) -> tuple[str, ...]:
+def find_bad_values(resources: Mapping[str, bytes]) -> tuple[str, ...]:
+    """Validates a configuration for these tests: only the value `bad` is a fault."""
     return tuple(f"{name}: is bad" for name, value in sorted(resources.items()) if value == b"bad")
 
 
@@ -51,11 +52,11 @@
 
 
 class Network:
-    """Datagrams between names; a cut keeps sides apart."""
+    """Delivers datagrams with loss, duplication and delay; `sides` are the parts of a partition."""
 
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
-        self.loss = self.double = 0.0
+        self.loss = self.duplication = 0.0
         self.delay = 0.002
         self.sides: tuple[frozenset[str], ...] = ()
         self.receivers: dict[str, Callable[[bytes, Address], None]] = {}
@@ -64,10 +65,10 @@
         to = address[0]
         if self.sides and not any({sender, to} <= side for side in self.sides):
             return
-        for _ in range(1 + (self.rng.random() < self.double)):
+        for _ in range(1 + (self.rng.random() < self.duplication)):
             if self.rng.random() >= self.loss:
-                after = self.rng.uniform(0.0, self.delay)
-                asyncio.get_running_loop().call_later(after, self.deliver, sender, to, datagram)
+                delay = self.rng.uniform(0.0, self.delay)
+                asyncio.get_running_loop().call_later(delay, self.deliver, sender, to, datagram)
 
     def deliver(self, sender: str, to: str, datagram: bytes) -> None:
         if to in self.receivers:
@@ -75,7 +76,7 @@
 
 
 class Recorder:
-    """Takes every version."""
+    """An applier that accepts and records every version."""
 
     def __init__(self) -> None:
         self.versions: list[int] = []
@@ -85,12 +86,12 @@
 
 
 class Watcher:
-    """A sender's watch."""
+    """A sender's watch with its channel on the simulated network."""
 
     def __init__(self, name: str, region: str, network: Network, rng: random.Random) -> None:
         loop = asyncio.get_running_loop()
         self.name, self.network, self.loop, self.recorder = name, network, loop, Recorder()
-        addresses = {each.name: each.address for each in NODES}
+        addresses = {node.name: node.address for node in NODES}
         self.channel = Channel(name, 1, rng.getrandbits(60) + 1, Seal([KEY]), addresses)
         self.watch = Watch(name, NODES, region, Document(), self.recorder, rng, loop.time())
         network.receivers[name] = self.receive
@@ -116,29 +117,29 @@
 
 @dataclass
 class Machine:
-    """One node's machine: what outlasts its process."""
+    """The machine of one node: the state that survives its process."""
 
     name: str
     folder: Path
     platter: SimulatedDisk = field(default_factory=SimulatedDisk)
     driver: NodeDriver | None = None
     is_full: bool = False
-    crash_after: str = ""  # an operation on the disk
+    crash_after: str = ""  # the disk operation after which the process is killed; empty for none
     clock_offset: float = 0.0
-    versions: list[int] = field(default_factory=list)  # of its document, as seen
+    versions: list[int] = field(default_factory=list)  # versions of its document, as observed
 
 
 class Cluster:
-    """Control nodes, watchers and operators in one virtual time."""
+    """Control nodes, watchers and operators that share one virtual clock."""
 
     def __init__(self, folder: Path, seed: int = 0) -> None:
         self.folder, self.rng = folder, random.Random(seed)
         self.network = Network(random.Random(seed + 1))
         self.machines = {name: Machine(name, folder / name) for name in VOTES}
         self.defects: list[Exception] = []
-        self.numbers = 0
+        self.request_count = 0
         self.watchers: list[Watcher] = []
-        self.confirmed: dict[str, int] = {}  # by request id: the version
+        self.confirmed: dict[str, int] = {}  # the confirmed version by request id
         for machine in self.machines.values():
             self.initialise(machine)
 
@@ -162,7 +163,7 @@
             config = self.configuration(machine)
             rng = random.Random(self.rng.getrandbits(32))
             node = build_node(config, Seal([KEY]), folder, log_file, rng, clock())
-            node.requests.validate = no_faults
+            node.requests.validate = find_bad_values
             folder_writer = FolderWriter(folder, node)
 
             def send(address: Address, datagram: bytes, name: str = name) -> None:
@@ -213,26 +214,27 @@
     def document(self, name: str) -> Document:
         return self.driver(name).node.store.document
 
-    async def until(self, is_so: Callable[[], bool], within: float = 10.0) -> float:
-        """Waits on virtual time; the seconds that it took."""
+    async def wait_until(self, condition: Callable[[], bool], within: float = 10.0) -> float:
+        """Waits until `condition` holds; returns the seconds of virtual time that it took."""
         loop = asyncio.get_running_loop()
         began = loop.time()
-        while not is_so():
-            assert loop.time() < began + within, "not within the time"
+        while not condition():
+            assert loop.time() < began + within, f"condition not met within {within} s"
             await asyncio.sleep(0.01)
         assert not self.defects
         return loop.time() - began
 
-    async def until_led(self, names: tuple[str, ...] = ()) -> str:
-        await self.until(lambda: self.leader() in (names or tuple(VOTES)))
+    async def wait_for_leader(self, names: tuple[str, ...] = ()) -> str:
+        """Waits until one of `names`, or any node, leads; returns its name."""
+        await self.wait_until(lambda: self.leader() in (names or tuple(VOTES)))
         return self.leader()
 
     def change(self, base: int, value: bytes = b"{}", name: str = "endpoints/x") -> Change:
-        self.numbers += 1
-        return Change(f"request-{self.numbers}", base, (Resource(name, value),), ())
+        self.request_count += 1
+        return Change(f"request-{self.request_count}", base, (Resource(name, value),), ())
 
     async def submit(self, name: str, change: Change) -> ChangeResult:
-        """Asks once."""
+        """Submits a change once and returns its result."""
         future: asyncio.Future[ChangeResult] = asyncio.get_running_loop().create_future()
         self.driver(name).run_action(
             lambda now: self.driver(name).node.submit(change, future.set_result, now)
@@ -242,7 +244,10 @@
             assert self.confirmed.setdefault(change.request_id, result.version) == result.version
         return result
 
-    async def make(self, name: str, value: bytes = b"{}", resource: str = "endpoints/x") -> ChangeResult:
+    async def make_change(
+        self, name: str, value: bytes = b"{}", resource: str = "endpoints/x"
+    ) -> ChangeResult:
+        """Submits at node `name` a change that is based on that node's version."""
         return await self.submit(name, self.change(self.document(name).version, value, resource))
 
     async def status(self, name: str) -> dict[str, NodeStatus]:
@@ -250,13 +255,13 @@
         self.driver(name).run_action(lambda now: self.driver(name).node.query_status(future.set_result, now))
         return await future
 
-    async def until_everywhere(self, within: float = 4.0) -> float:
-        """All that run have the newest version that was confirmed."""
+    async def wait_until_everywhere(self, within: float = 4.0) -> float:
+        """Waits until all running nodes and watchers have the newest confirmed version; returns seconds."""
         version = max(self.confirmed.values(), default=0)
-        return await self.until(
+        return await self.wait_until(
             lambda: (
                 all(self.document(name).version >= version for name in self.alive())
-                and all(each.watch.document.version >= version for each in self.watchers)
+                and all(watcher.watch.document.version >= version for watcher in self.watchers)
             ),
             within,
         )
@@ -268,38 +273,38 @@
             self.watchers.append(Watcher(f"w{number}", region, self.network, rng))
 
     def check(self) -> None:
-        """No defect, one content for all, and versions that only rose."""
+        """Checks for defects, that equal versions have equal content, and that versions only rose."""
         assert not self.defects
         by_version: dict[int, int] = {}
         documents = [self.document(name) for name in self.alive()]
-        documents += [each.watch.document for each in self.watchers]
+        documents += [watcher.watch.document for watcher in self.watchers]
         for document in documents:
             assert by_version.setdefault(document.version, document.digest) == document.digest
-        for each in self.watchers:
-            assert each.recorder.versions == sorted(set(each.recorder.versions))
+        for watcher in self.watchers:
+            assert watcher.recorder.versions == sorted(set(watcher.recorder.versions))
         assert len(set(self.confirmed.values())) == len(self.confirmed)
 
 
-Story = Callable[[Cluster], Awaitable[Any]]
+Scenario = Callable[[Cluster], Awaitable[Any]]
 
 
-def play(folder: Path, story: Callable[[Cluster], Coroutine[Any, Any, Any]], seed: int = 0) -> Any:  # noqa: ANN401
-    """Runs a story on virtual time."""
+def run_scenario(folder: Path, scenario: Callable[[Cluster], Coroutine[Any, Any, Any]], seed: int = 0) -> Any:  # noqa: ANN401
+    """Runs a scenario on virtual time, checks the cluster at its end, and returns its result."""
     loop = VirtualLoop()
     cluster = Cluster(folder, seed)
 
-    async def told() -> Any:  # noqa: ANN401
+    async def run() -> Any:  # noqa: ANN401
         try:
-            async with asyncio.timeout(STORY_LIMIT_S):
-                result = await story(cluster)
+            async with asyncio.timeout(SCENARIO_TIMEOUT_S):
+                result = await scenario(cluster)
             cluster.check()
             return result
         finally:
             cluster.kill(*VOTES)
-            for each in cluster.watchers:
-                each.task.cancel()
+            for watcher in cluster.watchers:
+                watcher.task.cancel()
 
     try:
-        return loop.run_until_complete(told())
+        return loop.run_until_complete(run())
     finally:
         loop.close()
--- a/tests/control_plane_check.py
+++ b/tests/control_plane_check.py
@@ -1,10 +1,13 @@
-"""Watch, fan-out and store together, over a network that loses, doubles, reorders, delays and damages.
+"""Checks watch, fan-out and store over a network that loses, duplicates, reorders, delays and damages.
 
-Two senders, two control nodes that apply the same log at their own pace, and a plain model of what each
-version holds. After each step: versions never fall, what is in force at a version is what the model has
-there, deltas follow each other without a gap, nothing refused is in force, nodes know no newer version of a
-sender than it has, requests are answered alike. Once faults end, all have the newest version or have refused
-it.
+The check has two senders, two control nodes that apply the same log at different speeds, and a simple model
+of the content of each version. After each step these rules are checked: versions never fall, the active
+content of a version equals the model, deltas follow each other without a gap, no refused value is active, no
+node believes that a sender has a newer version than it has, and repeated requests get the same answer. Once
+the faults end, all senders have activated or refused the newest version.
+
+Hypothesis runs rules and invariants in the alphabetical order of their names, so a new name that changes this
+order also changes the explored examples.
 """
 
 import random
@@ -44,7 +47,7 @@
 
 
 class Model:
-    """What the log means, in the plainest way: every version kept whole, every answer for ever."""
+    """The meaning of the log in the simplest form: keeps every version and every answer without limits."""
 
     def __init__(self) -> None:
         self.versions: list[dict[str, bytes]] = [{}]
@@ -61,9 +64,9 @@
             return Outcome.CONFLICT, len(self.versions) - 1
         if not set(change.delete) <= set(newest):
             return Outcome.INVALID, len(self.versions) - 1
-        after = {name: value for name, value in newest.items() if name not in change.delete}
-        after |= {each.name: each.value for each in change.put}
-        self.versions.append(after)
+        resources = {name: value for name, value in newest.items() if name not in change.delete}
+        resources |= {resource.name: resource.value for resource in change.put}
+        self.versions.append(resources)
         return Outcome.APPLIED, len(self.versions) - 1
 
 
@@ -76,6 +79,8 @@
 
 
 class ControlNode:
+    """A store and a fan-out; `applied` is the number of applied log entries."""
+
     def __init__(self, now: float) -> None:
         self.store = ConfigurationStore(history_limit=2)
         self.fanout = Fanout(self.store, random.Random(1), now, lambda: 0)
@@ -83,6 +88,8 @@
 
 
 class Sender:
+    """A watch, and the applier that survives its restarts."""
+
     def __init__(self, name: str, now: float, applier: RecordingApplier | None = None) -> None:
         self.name = name
         self.applier = applier or RecordingApplier()
@@ -93,6 +100,8 @@
 
 
 class ControlPlane(RuleBasedStateMachine):
+    """The rules and invariants of the check."""
+
     def __init__(self) -> None:
         super().__init__()
         self.now = 1000.0
@@ -101,7 +110,7 @@
         self.expected: list[tuple[Outcome, int]] = []
         self.nodes = {node.name: ControlNode(self.now) for node in NODES}
         self.senders = {name: Sender(name, self.now) for name in SENDERS}
-        self.network: list[tuple[str, str, WatchMessage]] = []  # from, to
+        self.network: list[tuple[str, str, WatchMessage]] = []  # sending name, receiving name, message
 
     # Changes.
 
@@ -122,28 +131,28 @@
 
     @rule(name=st.sampled_from("xyz"))
     def two_operators_at_once(self, name: str) -> None:
-        """The second one's change is made against a version that is no more."""
+        """Two changes with the same base; the base of the second one is outdated when it is applied."""
         base = len(self.model.versions) - 1
         for value in VALUES[:2]:
             self.append(Change(f"request-{len(self.log)}", base, (Resource(name, value),), ()))
 
     @rule(name=st.sampled_from("xyz"))
     def change_that_senders_refuse(self, name: str) -> None:
-        """What comes first in it could be put in force; a later change mends it."""
+        """The change has a valid and an invalid value; a later change repairs it."""
         base = len(self.model.versions) - 1
         put = (Resource("a", VALUES[base % 3]), Resource(name, BAD))
         self.append(Change(f"request-{len(self.log)}", base, put, ()))
 
     @precondition(lambda self: any(BAD in version.values() for version in self.model.versions[-1:]))
     @rule()
-    def mend(self) -> None:
+    def make_values_valid(self) -> None:
         names = [name for name, value in self.model.versions[-1].items() if value == BAD]
         put = tuple(Resource(name, VALUES[0]) for name in names)
         self.append(Change(f"request-{len(self.log)}", len(self.model.versions) - 1, put, ()))
 
     @precondition(lambda self: self.log)
     @rule(back=st.integers(0, 3))
-    def ask_again(self, back: int) -> None:
+    def apply_again(self, back: int) -> None:
         self.append(self.log[max(0, len(self.log) - 1 - back)])
 
     @rule(name=st.sampled_from([node.name for node in NODES]), count=st.integers(1, 4))
@@ -177,15 +186,15 @@
     def deliver_in_order(self, rounds: int) -> None:
         for _ in range(rounds):
             batch, self.network = self.network, []
-            for each in batch:
-                self.deliver(*each)
+            for sent in batch:
+                self.deliver(*sent)
 
     @precondition(lambda self: self.network)
     @rule(data=st.data(), is_kept=st.booleans())
     def deliver_one(self, data: st.DataObject, is_kept: bool) -> None:
-        at = data.draw(st.integers(0, len(self.network) - 1))
-        each = self.network[at] if is_kept else self.network.pop(at)
-        self.deliver(*each)
+        index = data.draw(st.integers(0, len(self.network) - 1))
+        sent = self.network[index] if is_kept else self.network.pop(index)
+        self.deliver(*sent)
 
     @precondition(lambda self: self.network)
     @rule(data=st.data())
@@ -198,18 +207,18 @@
 
     @precondition(lambda self: any(isinstance(each[2], Delta | SnapshotChunk) for each in self.network))
     @rule()
-    def damage(self) -> None:
-        """A node gives out something else than the leader has."""
-        for each in self.network:
-            source, to, message = each
+    def damage_one(self) -> None:
+        """A node sends content that differs from the leader's."""
+        for sent in self.network:
+            source, to, message = sent
             if isinstance(message, Delta | SnapshotChunk):
-                self.network.remove(each)
+                self.network.remove(sent)
                 self.deliver(source, to, damaged(message))
                 return
 
     @rule()
-    def a_second_of_damage(self) -> None:
-        """A calm second, but for every delta and chunk in it."""
+    def advance_one_second_with_damage(self) -> None:
+        """A second without faults, except that every delta and chunk is damaged."""
         for _ in range(6):
             self.now += 0.175
             self.tick()
@@ -221,14 +230,14 @@
 
     @rule(name=st.sampled_from(SENDERS))
     def sender_is_cut_off(self, name: str) -> None:
-        """For long enough that it tries the next node."""
+        """Cuts a sender off for long enough that it tries the next node."""
         for _ in range(4):
             self.now += 0.31
             self.tick()
             self.network = [each for each in self.network if name not in each[:2]]
 
     @rule()
-    def a_calm_second(self) -> None:
+    def advance_one_second(self) -> None:
         for _ in range(3):
             self.now += 0.35
             self.tick()
@@ -245,17 +254,17 @@
         for node in self.nodes.values():
             node.fanout.tick(self.now)
         self.collect()
-        self.versions_never_fall_and_are_the_leaders()
-        self.what_is_acknowledged_is_in_force()
+        self.versions_never_fall_and_match_the_model()
+        self.watchers_acknowledge_only_active_versions()
 
     @rule(name=st.sampled_from(SENDERS))
-    def sender_starts_anew(self, name: str) -> None:
+    def sender_restarts(self, name: str) -> None:
         self.senders[name] = Sender(name, self.now, self.senders[name].applier)
 
-    # What must hold.
+    # Invariants.
 
     @invariant()
-    def versions_never_fall_and_are_the_leaders(self) -> None:
+    def versions_never_fall_and_match_the_model(self) -> None:
         for sender in self.senders.values():
             document, applier = sender.watch.document, sender.applier
             assert document.version >= sender.seen_version, "the version fell"
@@ -266,7 +275,7 @@
             assert BAD not in applier.in_force.values(), "a refused value is in force"
 
     @invariant()
-    def deltas_follow_each_other(self) -> None:
+    def deltas_are_consecutive(self) -> None:
         for sender in self.senders.values():
             version = 0
             for from_version, to_version in sender.applier.steps:
@@ -274,27 +283,27 @@
                 version = to_version
 
     @invariant()
-    def a_refused_version_is_not_tried_again(self) -> None:
+    def a_refused_version_is_not_retried(self) -> None:
         for sender in self.senders.values():
             attempts = sender.applier.attempts
             assert all(a != b for a, b in pairwise(attempts)), "tried again"
 
     @invariant()
-    def what_is_acknowledged_is_in_force(self) -> None:
+    def watchers_acknowledge_only_active_versions(self) -> None:
         for node in self.nodes.values():
             for watcher in node.fanout.watchers(self.now):
                 version = self.senders[watcher.name].watch.document.version
                 assert watcher.version <= version, "acknowledged, not in force"
 
     @invariant()
-    def stores_are_the_model(self) -> None:
+    def stores_match_the_model(self) -> None:
         for node in self.nodes.values():
             assert node.store.document.resources == self.model.versions[node.store.document.version]
 
     def teardown(self) -> None:
-        """Faults end: all get the newest version, or refuse it."""
+        """Ends the faults, and checks that all senders activate or refuse the newest version."""
         if sys.exc_info()[0] is not None:
-            return  # something is found already
+            return  # an invariant was already violated
         self.network.clear()
         for name in self.nodes:
             self.node_applies(name, len(self.log))
@@ -302,7 +311,7 @@
             self.now += 0.25
             self.tick()
             self.deliver_in_order(4)
-        self.versions_never_fall_and_are_the_leaders()
+        self.versions_never_fall_and_match_the_model()
         newest = len(self.model.versions) - 1
         for sender in self.senders.values():
             status = sender.watch.status(self.now)
--- a/tests/sender_files.py
+++ b/tests/sender_files.py
@@ -1,4 +1,4 @@
-"""Configuration files of a sender with a control plane, as tests write them."""
+"""Configuration files of a sender with a control plane, for tests."""
 
 import base64
 from pathlib import Path
@@ -27,25 +27,25 @@
 
 
 def nodes_line(ports: dict[str, int]) -> str:
-    """The `nodes` of a sender's or a node's file, by name and port."""
+    """Returns the `nodes` line of a sender's or a node's file for these ports by node name."""
     nodes = [f'{{ name = "{name}", address = "127.0.0.1:{port}" }}' for name, port in ports.items()]
     return f"nodes = [{', '.join(nodes)}]\n"
 
 
 def control_section(ports: dict[str, int]) -> str:
-    """The `[control]` table of a sender with these control nodes by name."""
+    """Returns the `[control]` table of a sender for these ports of control nodes by name."""
     return f'\n[control]\n{nodes_line(ports)}key_file = "{KEY_FILE}"\nlisten = "127.0.0.1:0"\n'
 
 
 def write_key(folder: Path) -> None:
-    """Writes the key of all control nodes and senders."""
+    """Writes the key file that all control nodes and senders share."""
     key = folder / KEY_FILE
     key.write_text(base64.b64encode(KEY).decode())
     key.chmod(0o600)
 
 
 def write_sender(folder: Path, text: str) -> Path:
-    """Writes the key and the configuration file; the file's path."""
+    """Writes the key and the configuration file; returns the path of the configuration file."""
     write_key(folder)
     file = folder / "sender.toml"
     file.write_text(text)
--- a/tests/test_control_channel.py
+++ b/tests/test_control_channel.py
@@ -1,4 +1,4 @@
-"""The link of control nodes and senders: what is believed of what comes, and what is put together again."""
+"""The sealed datagram channel: which datagrams it accepts, sessions, epochs, and reassembly of fragments."""
 
 import itertools
 import random
@@ -36,18 +36,22 @@
     keep: Callable[[bytes], bool] = lambda datagram: True,
     sources: Mapping[str, Address] = ADDRESSES,
 ) -> list[tuple[str, str, Body]]:
-    """Carries datagrams until none is left: what each receiver believed, with its sender."""
-    heard: list[tuple[str, str, Body]] = []
+    """Delivers datagrams until none is left.
+
+    Returns:
+        The accepted bodies, each with its receiver and its sender.
+    """
+    accepted: list[tuple[str, str, Body]] = []
     names = {sources[name]: name for name in channels}
     while datagrams := [
-        (name, *each) for name, channel in channels.items() for each in channel.take_datagrams()
+        (name, *datagram) for name, channel in channels.items() for datagram in channel.take_datagrams()
     ]:
         for sender, address, datagram in datagrams:
             if address in names and keep(datagram):
                 receiver = names[address]
                 bodies = channels[receiver].receive(datagram, sources[sender], now)
-                heard += [(receiver, name, body) for name, body in bodies]
-    return heard
+                accepted += [(receiver, name, body) for name, body in bodies]
+    return accepted
 
 
 def large(size: int) -> Append:
@@ -56,7 +60,7 @@
 
 
 def pair() -> tuple[Channel, Channel]:
-    """Two that know each other's session."""
+    """Returns two channels that know each other's session."""
     one, two = make("c0"), make("c1")
     one.send("c1", StatusRequest(1), 0.0)
     two.send("c0", StatusRequest(1), 0.0)
@@ -65,25 +69,25 @@
     return one, two
 
 
-def test_what_is_sent_to_a_stranger_arrives_after_its_answer() -> None:
+def test_bodies_to_a_peer_with_an_unknown_session_are_queued_until_it_answers() -> None:
     one, two = make("c0"), make("c1")
     for number in range(6):
         one.send("c1", StatusRequest(number), 0.0)
-    heard = exchange({"c0": one, "c1": two})
-    assert heard == [("c1", "c0", StatusRequest(number)) for number in (2, 3, 4, 5)]
+    accepted = exchange({"c0": one, "c1": two})
+    assert accepted == [("c1", "c0", StatusRequest(number)) for number in (2, 3, 4, 5)]
     one.send("c1", Poll(3, 4), 0.1)
     assert exchange({"c0": one, "c1": two}, 0.1) == [("c1", "c0", Poll(3, 4))]
     assert not one.refused and not two.refused
 
 
-def test_a_stranger_that_stays_silent_is_called_a_few_times_a_second() -> None:
+def test_hellos_to_a_silent_peer_are_rate_limited() -> None:
     one = make("c0")
     for step in range(100):
         one.send("c1", StatusRequest(step), step / 100)
     assert len(one.take_datagrams()) == 4
 
 
-def test_a_replay_is_counted_and_nothing_else() -> None:
+def test_a_replayed_datagram_is_only_counted() -> None:
     one, two = pair()
     one.send("c1", StatusRequest(7), 0.0)
     ((_, datagram),) = one.take_datagrams()
@@ -94,17 +98,17 @@
     assert two.take_datagrams() == []
 
 
-def test_a_replay_to_a_later_start_causes_a_bounded_number_of_greetings() -> None:
+def test_replays_to_a_later_start_cause_a_bounded_number_of_hellos() -> None:
     one, _ = pair()
     one.send("c1", StatusRequest(7), 0.0)
     ((_, datagram),) = one.take_datagrams()
-    again = make("c1", 2)
+    restarted = make("c1", 2)
     for _ in range(2_000):
-        assert again.receive(datagram, ADDRESSES["c0"], 0.5) == []
-    assert again.refused == {RefusalReason.OTHER_SESSION: 2_000}
-    greetings = again.take_datagrams()
-    assert len(greetings) == channel_module.PEER_HELLO_ANSWERS_PER_SECOND
-    assert {address for address, _ in greetings} == {ADDRESSES["c0"]}
+        assert restarted.receive(datagram, ADDRESSES["c0"], 0.5) == []
+    assert restarted.refused == {RefusalReason.OTHER_SESSION: 2_000}
+    hellos = restarted.take_datagrams()
+    assert len(hellos) == channel_module.PEER_HELLO_ANSWERS_PER_SECOND
+    assert {address for address, _ in hellos} == {ADDRESSES["c0"]}
 
 
 def test_foreign_forged_and_damaged_datagrams_are_counted_by_reason() -> None:
@@ -128,7 +132,7 @@
     assert two.receive(datagram, ADDRESSES["c0"], 0.0) == [("c0", StatusRequest(2))]
 
 
-def test_the_key_is_changed_while_the_link_goes_on() -> None:
+def test_the_key_can_be_changed_without_interrupting_the_channel() -> None:
     one, two = pair()
     one.seal.set_keys([bytes(32), KEY])
     one.send("c1", StatusRequest(2), 0.0)
@@ -138,7 +142,7 @@
     assert two.receive(datagram, ADDRESSES["c0"], 0.0) == [("c0", StatusRequest(2))]
 
 
-def test_fragments_in_any_order_and_doubled_are_put_together_once() -> None:
+def test_reordered_and_duplicated_fragments_are_reassembled_once() -> None:
     one, two = pair()
     body = large(20_000)
     one.send("c1", body, 0.0)
@@ -146,13 +150,13 @@
     assert len(datagrams) > 15 and max(map(len, datagrams)) <= DATAGRAM_BYTES_LIMIT
     datagrams = datagrams * 2
     random.Random(4).shuffle(datagrams)
-    heard = [each for datagram in datagrams for each in two.receive(datagram, ADDRESSES["c0"], 0.0)]
-    assert heard == [("c0", body)]
+    accepted = [pair for datagram in datagrams for pair in two.receive(datagram, ADDRESSES["c0"], 0.0)]
+    assert accepted == [("c0", body)]
     assert two.partial_bytes == 0
     assert two.refused == {RefusalReason.REPLAY: len(datagrams) // 2}
 
 
-def test_a_lost_fragment_leaves_nothing_behind() -> None:
+def test_the_fragments_of_an_incomplete_message_expire() -> None:
     one, two = pair()
     one.send("c1", large(20_000), 0.0)
     for _, datagram in one.take_datagrams()[1:]:
@@ -164,7 +168,7 @@
     assert two.partial_bytes < 3_000
 
 
-def test_messages_that_are_not_whole_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_memory_of_incomplete_messages_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     one, two = pair()
     for _ in range(channel_module.PARTIAL_MESSAGES_LIMIT + 5):
         one.send("c1", large(10_000), 0.0)
@@ -180,7 +184,7 @@
         one.send("c1", large(channel_module.MESSAGE_BYTES_LIMIT), 0.0)
 
 
-def test_a_body_of_the_most_bytes_arrives_under_the_longest_name() -> None:
+def test_the_largest_body_arrives_under_the_longest_name() -> None:
     name = "n" * 64
     addresses = {name: ("10.0.0.1", 1), "c1": ADDRESSES["c1"]}
     one = make(name, epoch=2**62, session=2**62, addresses=addresses)
@@ -190,64 +194,68 @@
     assert exchange({name: one, "c1": two}, sources=addresses) == [("c1", name, body)]
 
 
-def test_a_restart_begins_a_new_session_and_the_old_one_is_over() -> None:
+def test_a_restart_begins_a_new_session_and_ends_the_old_one() -> None:
     one, two = pair()
     one.send("c1", StatusRequest(8), 0.0)
     ((_, old),) = one.take_datagrams()
-    again = make("c0", 2)
-    again.send("c1", StatusRequest(9), 0.0)
-    assert exchange({"c0": again, "c1": two}) == [("c1", "c0", StatusRequest(9))]
+    restarted = make("c0", 2)
+    restarted.send("c1", StatusRequest(9), 0.0)
+    assert exchange({"c0": restarted, "c1": two}) == [("c1", "c0", StatusRequest(9))]
     assert two.receive(old, ADDRESSES["c0"], 0.0) == []
     assert two.refused == {RefusalReason.OLD_START: 1}
     two.send("c0", StatusRequest(10), 0.0)
-    assert exchange({"c0": again, "c1": two}) == [("c0", "c1", StatusRequest(10))]
-    assert not again.is_behind
+    assert exchange({"c0": restarted, "c1": two}) == [("c0", "c1", StatusRequest(10))]
+    assert not restarted.is_behind
 
 
 @pytest.mark.parametrize(
     ("epoch", "own_session"), [(1, False), (4, False), (5, False), (5, True), (6, False)]
 )
 @pytest.mark.parametrize("is_restarted", [False, True], ids=["the same start", "a later start"])
-def test_who_comes_with_an_old_disk_learns_so(epoch: int, own_session: bool, is_restarted: bool) -> None:
-    """`c1` has heard of the start 5 of `c0`, whose disk is then one of an earlier start; also where `c1` was
-    restarted meanwhile."""
-    kept: dict[str, KnownStart] = {}
+def test_a_node_with_an_old_disk_learns_of_it_from_its_peers(
+    epoch: int, own_session: bool, is_restarted: bool
+) -> None:
+    """`c0` comes back with a disk of an earlier start.
+
+    `c1` knows start 5 of `c0`, also if `c1` was restarted in between.
+    """
+    stored: dict[str, KnownStart] = {}
     latest, two = make("c0", 5, 55), make("c1", 3)
-    two.on_start_known = kept.__setitem__
+    two.on_start_known = stored.__setitem__
     latest.send("c1", StatusRequest(1), 0.0)
     exchange({"c0": latest, "c1": two})
-    assert kept == {"c0": KnownStart(5, 55)}
+    assert stored == {"c0": KnownStart(5, 55)}
     if is_restarted:
-        two = make("c1", 4, known=kept)
-    raised: list[int] = []
-    back = make("c0", epoch, 55 if own_session else 77)
-    back.on_behind = raised.append
+        two = make("c1", 4, known=stored)
+    reported_epochs: list[int] = []
+    returned = make("c0", epoch, 55 if own_session else 77)
+    returned.on_behind = reported_epochs.append
     for now in (1.0, 2.0):
-        back.send("c1", StatusRequest(2), now)
-        exchange({"c0": back, "c1": two}, now)
+        returned.send("c1", StatusRequest(2), now)
+        exchange({"c0": returned, "c1": two}, now)
     is_old = epoch <= 5 and not own_session
-    assert back.is_behind is is_old
-    assert raised == ([6] if is_old else [])
-    assert back.epoch == (6 if is_old else epoch)
-    assert back.has_session("c1")
+    assert returned.is_behind is is_old
+    assert reported_epochs == ([6] if is_old else [])
+    assert returned.epoch == (6 if is_old else epoch)
+    assert returned.has_session("c1")
 
 
-def test_no_body_of_an_old_start_is_believed_before_it_knows() -> None:
-    """Its vote would come before it knows that its disk forgot one."""
+def test_no_body_of_an_old_start_is_accepted_before_the_node_knows_that_its_disk_is_old() -> None:
+    """Otherwise its vote could be counted before it knows that its disk lost an earlier vote."""
     two = make("c1", known={"c0": KnownStart(5, 55)})
-    back = make("c0", 2, 77)
+    returned = make("c0", 2, 77)
     order: list[str] = []
-    back.on_behind = lambda epoch: order.append("behind")
-    back.send("c1", StatusRequest(2), 0.0)
+    returned.on_behind = lambda epoch: order.append("behind")
+    returned.send("c1", StatusRequest(2), 0.0)
     for _ in range(10):
-        for channel, other in ((back, two), (two, back)):
+        for channel, other in ((returned, two), (two, returned)):
             for _, datagram in channel.take_datagrams():
                 bodies = other.receive(datagram, ADDRESSES[channel.name], 0.0)
                 order += [type(body).__name__ for _, body in bodies]
     assert order[0] == "behind"
 
 
-def test_a_sender_is_answered_where_it_speaks_from() -> None:
+def test_a_sender_is_answered_at_the_source_address_of_its_last_datagram() -> None:
     node, watcher = make("c0"), make("watcher")
     sources = {**ADDRESSES, "watcher": WATCHER}
     watcher.send("c0", Poll(0, 0), 0.0)
@@ -265,7 +273,7 @@
     assert node.take_datagrams() == []
 
 
-def test_another_one_of_the_same_name_is_counted() -> None:
+def test_a_datagram_under_the_receivers_own_name_is_counted() -> None:
     one, two = make("c0"), make("c0", 2)
     two.addresses = {"c0": ADDRESSES["c1"]}
     two.send("c0", Hello(), 0.0)
@@ -274,7 +282,7 @@
     assert one.refused == {RefusalReason.OWN_NAME: 1}
 
 
-def test_peers_that_are_not_in_the_table_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_number_of_peers_that_are_not_configured_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(channel_module, "PEERS_LIMIT", 5)
     node = make("c0")
     for number in range(20):
@@ -288,12 +296,12 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_over_a_bad_network_each_body_is_believed_at_most_once(seed: int) -> None:
-    """Loss, doubling, disorder and restarts; what was said more than once arrives in the end."""
+def test_over_a_faulty_network_each_body_is_accepted_at_most_once(seed: int) -> None:
+    """Loss, duplication, reordering and restarts; enough of the repeated requests still arrive."""
     rng = random.Random(seed)
     channels = {"c0": make("c0"), "c1": make("c1")}
-    heard: list[int] = []
-    air: list[tuple[str, str, bytes]] = []
+    accepted: list[int] = []
+    in_flight: list[tuple[str, str, bytes]] = []
     numbers = itertools.count()
     epoch = 1
     for step in range(400):
@@ -303,31 +311,31 @@
             channels["c1"] = make("c1", epoch)
         channels["c0"].send("c1", StatusRequest(next(numbers)), now)
         for name, channel in channels.items():
-            air += [(name, NAMES[address], datagram) for address, datagram in channel.take_datagrams()]
-        rng.shuffle(air)
-        for _ in range(rng.randrange(len(air) + 1)):
-            sender, receiver, datagram = air.pop()
+            in_flight += [(name, NAMES[address], datagram) for address, datagram in channel.take_datagrams()]
+        rng.shuffle(in_flight)
+        for _ in range(rng.randrange(len(in_flight) + 1)):
+            sender, receiver, datagram = in_flight.pop()
             if rng.random() < 0.2:
-                air.append((sender, receiver, datagram))
+                in_flight.append((sender, receiver, datagram))
             if rng.random() < 0.8:
                 bodies = channels[receiver].receive(datagram, ADDRESSES[sender], now)
-                heard += [body.number for _, body in bodies if isinstance(body, StatusRequest)]
-    assert len(heard) == len(set(heard)) and len(heard) > 80
+                accepted += [body.number for _, body in bodies if isinstance(body, StatusRequest)]
+    assert len(accepted) == len(set(accepted)) and len(accepted) > 80
 
 
-def test_a_flood_of_strangers_does_not_keep_a_control_node_out() -> None:
-    node, stranger, other = make("c0"), make("s1"), make("c1")
+def test_a_flood_from_unknown_senders_does_not_block_a_control_node() -> None:
+    node, unknown_sender, other = make("c0"), make("s1"), make("c1")
     for number in range(2 * channel_module.HELLO_ANSWERS_PER_SECOND):
-        stranger.send("c0", StatusRequest(number), float(number))
-        for _, datagram in stranger.take_datagrams():
+        unknown_sender.send("c0", StatusRequest(number), float(number))
+        for _, datagram in unknown_sender.take_datagrams():
             node.receive(datagram, WATCHER, 0.5)
     assert len(node.take_datagrams()) == channel_module.HELLO_ANSWERS_PER_SECOND
     other.send("c0", StatusRequest(1), 0.5)
-    heard = exchange({"c0": node, "c1": other}, 0.5)
-    assert heard == [("c0", "c1", StatusRequest(1))]
+    accepted = exchange({"c0": node, "c1": other}, 0.5)
+    assert accepted == [("c0", "c1", StatusRequest(1))]
 
 
-def test_a_flood_under_the_name_of_a_control_node_is_greeted_so_often() -> None:
+def test_hellos_to_a_flood_under_the_name_of_a_control_node_are_rate_limited() -> None:
     node, other = make("c0"), make("c1")
     for number in range(2 * channel_module.PEER_HELLO_ANSWERS_PER_SECOND):
         other.send("c0", StatusRequest(number), float(number))
--- a/tests/test_control_chaos.py
+++ b/tests/test_control_chaos.py
@@ -1,4 +1,4 @@
-"""The control plane under a stateful check, and planted defects that the check finds."""
+"""A stateful check of the control plane, and planted defects that the check must find."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -37,7 +37,7 @@
 FIND = settings(CHECK, max_examples=300, phases=[Phase.generate], report_multiple_bugs=False)
 
 
-def test_nothing_goes_wrong_over_a_bad_network() -> None:
+def test_no_invariant_is_violated_over_a_faulty_network() -> None:
     run_state_machine_as_test(ControlPlane, settings=CHECK)
 
 
@@ -55,21 +55,21 @@
     pass
 
 
-def check_digest_alone(self: Document, delta: Delta) -> None:
+def check_only_digest(self: Document, delta: Delta) -> None:
     if self.digest_after(delta.put, delta.delete) != delta.digest:
         raise DeltaMismatchError("another digest")
 
 
-def check_base_alone(self: Document, delta: Delta) -> None:
+def check_only_base(self: Document, delta: Delta) -> None:
     assert delta.from_version == self.version
 
 
-def take_any_delta(self: Watch, delta: Delta, now: float) -> None:
+def apply_any_delta(self: Watch, delta: Delta, now: float) -> None:
     if not self._is_refused(delta.to_version):
         self._apply(delta, now)
 
 
-def take_newer_delta(self: Watch, delta: Delta, now: float) -> None:
+def apply_any_newer_delta(self: Watch, delta: Delta, now: float) -> None:
     if delta.to_version > self.document.version and not self._is_refused(delta.to_version):
         self._apply(delta, now)
 
@@ -88,7 +88,7 @@
         self._apply(fetch.compute_delta(self.document, document), now)
 
 
-def apply_piece_by_piece(self: RecordingApplier, document: Document, delta: Delta) -> None:
+def apply_resource_by_resource(self: RecordingApplier, document: Document, delta: Delta) -> None:
     self.attempts.append(delta.to_version)
     for resource in delta.put:
         if resource.value == BAD:
@@ -102,7 +102,7 @@
     self.steps.append((delta.from_version, delta.to_version))
 
 
-def change_before_it_is_accepted(self: Watch, delta: Delta, now: float) -> None:
+def change_document_before_it_is_accepted(self: Watch, delta: Delta, now: float) -> None:
     before = copy_of(self.document)
     self.document.apply(delta)
     try:
@@ -111,7 +111,7 @@
         self._refuse(delta.to_version, str(error), float("inf"))
 
 
-def acknowledge_what_was_refused(self: Watch) -> Poll:
+def acknowledge_refused_version(self: Watch) -> Poll:
     refusal = self._refusal
     version = max(self.document.version, refusal.version if refusal else 0)
     return Poll(version, self.document.digest, refusal.version if refusal else 0)
@@ -127,21 +127,21 @@
     return document
 
 
-def make_without_comparing(self: ConfigurationStore, change: Change) -> ChangeResult:
-    present = Change(change.request_id, self.document.version, change.put, change.delete)
-    return ORIGINAL_MAKE(self, present)
+def apply_without_comparing(self: ConfigurationStore, change: Change) -> ChangeResult:
+    rebased = Change(change.request_id, self.document.version, change.put, change.delete)
+    return ORIGINAL_APPLY_CHANGE(self, rebased)
 
 
-ORIGINAL_MAKE = ConfigurationStore._apply_change
+ORIGINAL_APPLY_CHANGE = ConfigurationStore._apply_change
 Patch = tuple[object, str, Callable[..., Any]]
 
 
 @dataclass(frozen=True)
 class Defect:
-    """What replaces what, and what the check says then."""
+    """A planted defect: the replaced attributes, and a pattern of the expected assertion text."""
 
     patches: tuple[Patch, ...]
-    found: str
+    expected_text: str
 
 
 DEFECTS = {
@@ -149,14 +149,14 @@
         (
             (Watch, "_handle_notice", fetch_any_other_version),
             (Watch, "_install", install_anything),
-            (Document, "check", check_digest_alone),
+            (Document, "check", check_only_digest),
             (Document, "apply", apply_unchecked),
         ),
         "the version fell",
     ),
     "a delta is applied twice": Defect(
         (
-            (Watch, "_handle_delta", take_any_delta),
+            (Watch, "_handle_delta", apply_any_delta),
             (Document, "check", check_nothing),
             (Document, "apply", apply_unchecked),
         ),
@@ -164,25 +164,25 @@
     ),
     "the base is not checked": Defect(
         (
-            (Watch, "_handle_delta", take_newer_delta),
+            (Watch, "_handle_delta", apply_any_newer_delta),
             (Document, "check", check_nothing),
             (Document, "apply", apply_unchecked),
         ),
         "another content|to another version",
     ),
-    "a delta's digest is not checked": Defect(((Document, "check", check_base_alone),), "another content"),
+    "a delta's digest is not checked": Defect(((Document, "check", check_only_base),), "another content"),
     "a snapshot's digest is not checked": Defect(
-        ((fetch, "decode_snapshot", decode_without_digest), (Document, "check", check_base_alone)),
+        ((fetch, "decode_snapshot", decode_without_digest), (Document, "check", check_only_base)),
         "another content",
     ),
     "half a change is in force": Defect(
-        ((RecordingApplier, "apply", apply_piece_by_piece),), "half a change is in force"
+        ((RecordingApplier, "apply", apply_resource_by_resource),), "half a change is in force"
     ),
     "the document changes before it is accepted": Defect(
-        ((Watch, "_apply", change_before_it_is_accepted),), "half a change is in force"
+        ((Watch, "_apply", change_document_before_it_is_accepted),), "half a change is in force"
     ),
     "a refused version is acknowledged": Defect(
-        ((Watch, "_poll_message", acknowledge_what_was_refused),), "acknowledged, not in force"
+        ((Watch, "_poll_message", acknowledge_refused_version),), "acknowledged, not in force"
     ),
     "a refused version is tried again": Defect(
         ((Watch, "_is_refused", lambda self, version: False),), "tried again"
@@ -191,7 +191,7 @@
         ((ConfigurationStore, "_remember", lambda self, result: None),), "another answer than before"
     ),
     "compare-and-set is not done": Defect(
-        ((ConfigurationStore, "_apply_change", make_without_comparing),), "another answer than before"
+        ((ConfigurationStore, "_apply_change", apply_without_comparing),), "another answer than before"
     ),
     "a push that was lost is never made good": Defect(
         ((Fanout, "_answer", lambda self, sender, session, poll, now: self._notify(sender)),),
@@ -201,8 +201,8 @@
 
 
 @pytest.mark.parametrize("name", DEFECTS)
-def test_a_planted_defect_is_found(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_check_finds_each_planted_defect(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
     for owner, attribute, planted in DEFECTS[name].patches:
         monkeypatch.setattr(owner, attribute, planted)
-    with pytest.raises(AssertionError, match=DEFECTS[name].found):
+    with pytest.raises(AssertionError, match=DEFECTS[name].expected_text):
         run_state_machine_as_test(ControlPlane, settings=FIND)
--- a/tests/test_control_cli.py
+++ b/tests/test_control_cli.py
@@ -1,4 +1,4 @@
-"""`message-sender control`, against a stub of a control node's socket."""
+"""The command `message-sender control`, against a stub of a control node's socket."""
 
 import asyncio
 import contextlib
@@ -30,7 +30,7 @@
 
 
 class StubNode:
-    """A control node that decides changes alone; it serves its socket on a thread of its own."""
+    """A control node without replication; it serves its control socket on a separate thread."""
 
     def __init__(self) -> None:
         self.version = 4
@@ -39,7 +39,7 @@
         self.results: dict[str, dict[str, Any]] = {}
         self.unavailable_responses = 0  # still to be sent
         self.nodes: list[dict[str, Any]] = []
-        self.leader = "c1"  # the one that it knows
+        self.leader = "c1"  # the known leader; empty if there is none
         self.status_requests = 0
 
     def get(self, request: Mapping[str, Any]) -> dict[str, Any]:
@@ -67,7 +67,7 @@
         return response
 
     def on_status(self) -> None:
-        """Runs before each response to `status`; a test replaces it."""
+        """Called before each response to `status`; tests replace it."""
 
     def status(self, request: Mapping[str, Any]) -> dict[str, Any]:
         self.status_requests += 1
@@ -149,7 +149,7 @@
     assert code == 1 and "endpoints/x: is not in version 6" in out
 
 
-def test_a_conflict_shows_the_version_in_force(stub: StubNode, run: Run, tmp_path: Path) -> None:
+def test_a_conflict_shows_the_active_version(stub: StubNode, run: Run, tmp_path: Path) -> None:
     code, out = run("set", write_file(tmp_path, ""), "--expect", "3")
     assert code == 1 and out == "version 4 is in force, and 3 was expected: nothing was changed\n"
     assert not stub.change_requests and run("set", write_file(tmp_path, ""), "--expect", "4")[0] == 0
@@ -204,7 +204,7 @@
 def test_a_node_without_a_leader_does_not_report_an_unchanged_configuration(
     stub: StubNode, run: Run, tmp_path: Path
 ) -> None:
-    """Another version may be in force by now."""
+    """A newer version may exist that this node does not know."""
     arguments = ("set", write_file(tmp_path, FLEET))
     assert run(*arguments) == (0, "version 4 holds this already: nothing was changed\n")
     stub.leader = ""
@@ -220,7 +220,7 @@
 
 
 def test_a_repeated_request_id_is_applied_once(stub: StubNode, run: Run, tmp_path: Path) -> None:
-    """The first response was lost: the file is in force, at a version above the expected one."""
+    """The first response was lost: the file is active, at a version above the expected one."""
     arguments = (write_file(tmp_path, ""), "--expect", "4", "--request-id", "r1")
     assert run("set", *arguments)[0] == 0
     code, out = run("set", *arguments, "--json")
@@ -311,7 +311,7 @@
     assert (sender.version, sender.node) == (7, "c2") and not deployment.find_lagging(7)
 
 
-def test_a_wait_ends_when_the_version_is_in_force_everywhere(stub: StubNode, run: Run) -> None:
+def test_a_wait_ends_when_the_version_is_active_everywhere(stub: StubNode, run: Run) -> None:
     stub.nodes = [node("c1", 7, watcher("n1", 6))]
 
     def apply_version() -> None:
@@ -324,7 +324,7 @@
     assert stub.status_requests == 3
 
 
-def test_a_wait_that_times_out_shows_who_lags(stub: StubNode, run: Run) -> None:
+def test_a_wait_that_times_out_shows_the_lagging_senders_and_nodes(stub: StubNode, run: Run) -> None:
     stub.nodes = [node("c1", 7, watcher("n1", 6, silent_ms=41_000)), {"name": "c2", "is_reachable": False}]
     code, out = run("status", "--wait", "7", "--timeout", "0.1")
     assert code == 1 and out.splitlines()[1:] == [
--- a/tests/test_control_configuration.py
+++ b/tests/test_control_configuration.py
@@ -1,4 +1,4 @@
-"""What a sender puts in force of the control plane: a version whole or not at all, and never an older one."""
+"""A sender activates versions of the control plane completely or not at all, and never an older one."""
 
 from pathlib import Path
 from typing import Any
@@ -14,7 +14,7 @@
 from message_sender.journal.disk import SystemDisk
 from message_sender.service.control_configuration import IN_FORCE_FILE, NEXT_START_FILE, SenderConfiguration
 
-OWN: dict[str, Any] = {
+OWN_FILE: dict[str, Any] = {
     "name": "n1",
     "classes": {"c": {"effect": "safe", "aim_ms": 1000, "deadline_ms": 2000}},
     "fleet": {"listen": "127.0.0.1:0", "key_file": "key", "size": 4},
@@ -28,27 +28,27 @@
 
 
 class Running:
-    """What a running sender has: the endpoints and budgets that it was told last."""
+    """A stub of a running sender: records the endpoints and budgets that were configured last."""
 
     def __init__(self, config: SenderConfig) -> None:
-        self.places, self.told, self.size = config.endpoints, config.budgets, 0
+        self.endpoints, self.budgets, self.size = config.endpoints, config.budgets, 0
         self.reasons: list[str] = []
 
     def configure(self, *arguments: Any) -> None:  # noqa: ANN401
         if len(arguments) == 1:
-            self.places = tuple(arguments[0])
+            self.endpoints = tuple(arguments[0])
         else:
-            self.told, self.size = arguments
+            self.budgets, self.size = arguments
 
     def waits_for_start(self, budgets: tuple[SharedBudget, ...]) -> list[str]:
         return list(self.reasons)
 
     def ids(self) -> list[str]:
-        return [each.endpoint.id for each in self.places]
+        return [dialed.endpoint.id for dialed in self.endpoints]
 
 
 class FullDisk(SystemDisk):
-    """Refuses to write while it is full."""
+    """A disk whose writes fail while `is_full` is set."""
 
     is_full = True
 
@@ -58,11 +58,11 @@
         super().write(file, data)
 
 
-class Scene:
-    """A sender's configuration over its starts."""
+class RestartableSender:
+    """A sender's configuration, which can be started again with the same state folder."""
 
     def __init__(self, state: Path, disk: SystemDisk | None = None, **changes: object) -> None:
-        self.state, self.own, self.disk = state, {**OWN, **changes}, disk or SystemDisk()
+        self.state, self.own, self.disk = state, {**OWN_FILE, **changes}, disk or SystemDisk()
         self.start()
 
     def start(self) -> None:
@@ -71,60 +71,60 @@
         has_fleet = self.configuration.own_config.fleet is not None
         self.configuration.bind(self.running, self.running if has_fleet else None)
 
-    def to(self, version: int, put: dict[str, object], delete: tuple[str, ...] = ()) -> None:
-        """As the watch does with a delta to this version."""
+    def apply(self, version: int, put: dict[str, object], delete: tuple[str, ...] = ()) -> None:
+        """Applies a delta to this version, as the watch does."""
         document = self.configuration.document
         resources = tuple(Resource(*each) for each in schema.read_values(put).items())
         digest = document.digest_after(resources, delete)
         delta = Delta(document.version, version, resources, delete, digest)
         self.configuration.apply(document, delta)
 
-    def refused(
+    def apply_refused(
         self, version: int, put: dict[str, object], kind: type[Exception] = RefusedConfigurationError
     ) -> str:
-        """Nothing may have changed by it."""
-        before = self.all()
+        """Applies a delta that must be refused without any change, and returns the error text."""
+        before = self.snapshot()
         with pytest.raises(kind) as error:
-            self.to(version, put)
-        assert self.all() == before
+            self.apply(version, put)
+        assert self.snapshot() == before
         return str(error.value)
 
-    def all(self) -> tuple[object, ...]:
+    def snapshot(self) -> tuple[object, ...]:
         file = self.state / IN_FORCE_FILE
         document = self.configuration.document
         stored = file.read_bytes() if file.exists() else b""
         return (
-            document.version, dict(document.resources), self.running.places, self.running.told, stored,
+            document.version, dict(document.resources), self.running.endpoints, self.running.budgets, stored,
         )  # fmt: skip
 
 
-def test_endpoints_stand_in_place_of_the_file_s_while_there_are_any(tmp_path: Path) -> None:
-    scene = Scene(tmp_path)
-    scene.to(1, {"budgets/rate": RATE})
-    assert scene.running.ids() == ["own"] and [each.name for each in scene.running.told] == ["rate"]
-    scene.to(2, {"endpoints/a": endpoint(2), "endpoints/b": endpoint(3)})
-    assert scene.running.ids() == ["a", "b"] and scene.running.size == 4
-    scene.to(3, {"endpoints/a": endpoint(4)}, ("endpoints/b",))
-    assert scene.running.places[0].dial == ("127.0.0.1", 4) and scene.running.ids() == ["a"]
-    scene.to(4, {}, ("endpoints/a",))
-    assert scene.running.ids() == ["own"]
+def test_endpoints_of_the_control_plane_replace_those_of_the_file(tmp_path: Path) -> None:
+    sender = RestartableSender(tmp_path)
+    sender.apply(1, {"budgets/rate": RATE})
+    assert sender.running.ids() == ["own"] and [budget.name for budget in sender.running.budgets] == ["rate"]
+    sender.apply(2, {"endpoints/a": endpoint(2), "endpoints/b": endpoint(3)})
+    assert sender.running.ids() == ["a", "b"] and sender.running.size == 4
+    sender.apply(3, {"endpoints/a": endpoint(4)}, ("endpoints/b",))
+    assert sender.running.endpoints[0].dial == ("127.0.0.1", 4) and sender.running.ids() == ["a"]
+    sender.apply(4, {}, ("endpoints/a",))
+    assert sender.running.ids() == ["own"]
 
 
-def test_a_start_goes_on_with_the_version_that_was_in_force(tmp_path: Path) -> None:
-    scene = Scene(tmp_path)
-    scene.to(7, {"endpoints/a": endpoint(2), "budgets/rate": RATE})
-    scene.start()
-    assert scene.configuration.document.version == 7
-    assert scene.running.ids() == ["a"] and [each.name for each in scene.running.told] == ["rate"]
-    scene.to(8, {"endpoints/b": endpoint(3)})
-    scene.start()
-    assert scene.configuration.document.version == 8 and scene.running.ids() == ["a", "b"]
+def test_a_start_continues_with_the_last_active_version(tmp_path: Path) -> None:
+    sender = RestartableSender(tmp_path)
+    sender.apply(7, {"endpoints/a": endpoint(2), "budgets/rate": RATE})
+    sender.start()
+    assert sender.configuration.document.version == 7
+    assert sender.running.ids() == ["a"] and [budget.name for budget in sender.running.budgets] == ["rate"]
+    sender.apply(8, {"endpoints/b": endpoint(3)})
+    sender.start()
+    assert sender.configuration.document.version == 8 and sender.running.ids() == ["a", "b"]
 
 
-def test_the_document_is_durable_before_it_is_in_force(tmp_path: Path) -> None:
+def test_the_document_is_durable_before_it_becomes_active(tmp_path: Path) -> None:
     steps: list[str] = []
 
-    class Noted(SystemDisk):
+    class RecordingDisk(SystemDisk):
         def sync(self, file: int) -> None:
             steps.append("sync")
             super().sync(file)
@@ -137,40 +137,40 @@
             steps.append("sync folder")
             super().sync_folder(path)
 
-    class Told(Running):
+    class RecordingSender(Running):
         def configure(self, *arguments: Any) -> None:  # noqa: ANN401
-            steps.append("in force")
+            steps.append("configure")
 
-    scene = Scene(tmp_path, Noted())
-    parts = Told(scene.configuration.own_config)
-    scene.configuration.bind(parts, parts)
-    scene.to(1, {"endpoints/a": endpoint(2)})
-    assert steps == ["sync", "replace", "sync folder", "in force"]
+    sender = RestartableSender(tmp_path, RecordingDisk())
+    parts = RecordingSender(sender.configuration.own_config)
+    sender.configuration.bind(parts, parts)
+    sender.apply(1, {"endpoints/a": endpoint(2)})
+    assert steps == ["sync", "replace", "sync folder", "configure"]
 
 
-def test_a_full_disk_refuses_the_version_and_leaves_the_old_one(tmp_path: Path) -> None:
+def test_a_full_disk_refuses_the_version_and_keeps_the_old_one(tmp_path: Path) -> None:
     disk = FullDisk()
     disk.is_full = False
-    scene = Scene(tmp_path, disk)
-    scene.to(1, {"endpoints/a": endpoint(2)})
+    sender = RestartableSender(tmp_path, disk)
+    sender.apply(1, {"endpoints/a": endpoint(2)})
     disk.is_full = True
-    assert "No space left" in scene.refused(2, {"endpoints/b": endpoint(3)}, OSError)
-    scene.start()
-    assert scene.configuration.document.version == 1 and scene.running.ids() == ["a"]
+    assert "No space left" in sender.apply_refused(2, {"endpoints/b": endpoint(3)}, OSError)
+    sender.start()
+    assert sender.configuration.document.version == 1 and sender.running.ids() == ["a"]
     disk.is_full = False
-    scene.to(2, {"endpoints/b": endpoint(3)})
-    assert scene.running.ids() == ["a", "b"]
+    sender.apply(2, {"endpoints/b": endpoint(3)})
+    assert sender.running.ids() == ["a", "b"]
 
 
-def test_what_a_sender_can_never_have_in_force_is_refused_whole(tmp_path: Path) -> None:
-    scene = Scene(tmp_path)
-    scene.to(1, {"endpoints/a": endpoint(2)})
-    reason = scene.refused(2, {"endpoints/b": endpoint(3), "budgets/rate": RATE | {"floor": 16}})
+def test_a_version_that_the_sender_can_never_activate_is_refused_completely(tmp_path: Path) -> None:
+    sender = RestartableSender(tmp_path)
+    sender.apply(1, {"endpoints/a": endpoint(2)})
+    reason = sender.apply_refused(2, {"endpoints/b": endpoint(3), "budgets/rate": RATE | {"floor": 16}})
     assert reason == "budgets/rate.floor: 16 for each of 4 is over the whole"
     assert not (tmp_path / NEXT_START_FILE).exists()
     (tmp_path / "alone").mkdir()
-    alone = Scene(tmp_path / "alone", fleet=None)
-    assert "needs a [fleet]" in alone.refused(1, {"endpoints/b": endpoint(3), "budgets/rate": RATE})
+    alone = RestartableSender(tmp_path / "alone", fleet=None)
+    assert "needs a [fleet]" in alone.apply_refused(1, {"endpoints/b": endpoint(3), "budgets/rate": RATE})
     document = alone.configuration.document
     digest = document.digest_after([Resource("routes/x", b"{}")], ())
     with pytest.raises(RefusedConfigurationError, match="routes/x: must be one of"):
@@ -179,76 +179,76 @@
         alone.configuration.apply(document, Delta(0, 1, (), (), 5))
 
 
-def test_what_waits_for_a_start_is_refused_until_then_and_in_force_after_it(
+def test_a_version_that_needs_a_restart_is_refused_until_then_and_active_after_it(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
-    scene = Scene(tmp_path)
-    scene.to(1, {"budgets/rate": RATE})
-    scene.running.reasons = ["budgets/rate: floor cannot change before the next start"]
+    sender = RestartableSender(tmp_path)
+    sender.apply(1, {"budgets/rate": RATE})
+    sender.running.reasons = ["budgets/rate: floor cannot change before the next start"]
     changed = {"budgets/rate": RATE | {"floor": 2}, "endpoints/a": endpoint(2)}
-    assert scene.refused(2, changed) == "budgets/rate: floor cannot change before the next start"
-    assert scene.configuration.next_start_version == 2
-    scene.start()
-    assert scene.configuration.document.version == 2 and scene.running.ids() == ["a"]
-    assert scene.running.told[0].floor == 2 and not (tmp_path / NEXT_START_FILE).exists()
-    scene.start()
-    assert scene.configuration.document.version == 2
-
-
-def test_a_version_that_waited_is_forgotten_once_a_newer_one_is_in_force(tmp_path: Path) -> None:
-    scene = Scene(tmp_path)
-    scene.to(1, {"budgets/rate": RATE})
-    scene.running.reasons = ["budgets/rate: floor cannot change before the next start"]
-    scene.refused(2, {"budgets/rate": RATE | {"floor": 2}})
-    scene.running.reasons = []
-    scene.to(3, {"budgets/rate": RATE | {"whole": 50}})
-    assert scene.configuration.next_start_version == 0 and not (tmp_path / NEXT_START_FILE).exists()
-    scene.start()
-    assert scene.configuration.document.version == 3
-
-
-def test_a_waiting_version_that_the_sender_cannot_use_leaves_the_old_one(tmp_path: Path) -> None:
-    scene = Scene(tmp_path)
-    scene.to(1, {"endpoints/a": endpoint(2)})
-    scene.running.reasons = ["budgets: the link to the fleet could not be made at this start"]
-    scene.refused(2, {"budgets/rate": RATE | {"floor": 15}})
-    scene.own = {**OWN, "fleet": OWN["fleet"] | {"size": 5}}
-    scene.start()
-    assert scene.configuration.document.version == 1 and scene.running.ids() == ["a"]
-
-
-def test_a_waiting_version_that_cannot_be_kept_waits_on(tmp_path: Path) -> None:
+    assert sender.apply_refused(2, changed) == "budgets/rate: floor cannot change before the next start"
+    assert sender.configuration.next_start_version == 2
+    sender.start()
+    assert sender.configuration.document.version == 2 and sender.running.ids() == ["a"]
+    assert sender.running.budgets[0].floor == 2 and not (tmp_path / NEXT_START_FILE).exists()
+    sender.start()
+    assert sender.configuration.document.version == 2
+
+
+def test_a_version_that_waits_for_a_restart_is_dropped_once_a_newer_one_is_active(tmp_path: Path) -> None:
+    sender = RestartableSender(tmp_path)
+    sender.apply(1, {"budgets/rate": RATE})
+    sender.running.reasons = ["budgets/rate: floor cannot change before the next start"]
+    sender.apply_refused(2, {"budgets/rate": RATE | {"floor": 2}})
+    sender.running.reasons = []
+    sender.apply(3, {"budgets/rate": RATE | {"whole": 50}})
+    assert sender.configuration.next_start_version == 0 and not (tmp_path / NEXT_START_FILE).exists()
+    sender.start()
+    assert sender.configuration.document.version == 3
+
+
+def test_a_waiting_version_that_is_invalid_at_the_restart_leaves_the_old_one_active(tmp_path: Path) -> None:
+    sender = RestartableSender(tmp_path)
+    sender.apply(1, {"endpoints/a": endpoint(2)})
+    sender.running.reasons = ["budgets: the link to the fleet could not be made at this start"]
+    sender.apply_refused(2, {"budgets/rate": RATE | {"floor": 15}})
+    sender.own = {**OWN_FILE, "fleet": OWN_FILE["fleet"] | {"size": 5}}
+    sender.start()
+    assert sender.configuration.document.version == 1 and sender.running.ids() == ["a"]
+
+
+def test_a_waiting_version_that_cannot_be_stored_keeps_waiting(tmp_path: Path) -> None:
     disk = FullDisk()
     disk.is_full = False
-    scene = Scene(tmp_path, disk)
-    scene.running.reasons = ["budgets: the link to the fleet could not be made at this start"]
-    scene.refused(2, {"budgets/rate": RATE, "endpoints/a": endpoint(2)})
+    sender = RestartableSender(tmp_path, disk)
+    sender.running.reasons = ["budgets: the link to the fleet could not be made at this start"]
+    sender.apply_refused(2, {"budgets/rate": RATE, "endpoints/a": endpoint(2)})
     disk.is_full = True
-    scene.start()
-    assert scene.configuration.document.version == 0 and scene.configuration.next_start_version == 2
-    assert scene.running.ids() == ["own"] and not scene.running.told
+    sender.start()
+    assert sender.configuration.document.version == 0 and sender.configuration.next_start_version == 2
+    assert sender.running.ids() == ["own"] and not sender.running.budgets
     disk.is_full = False
-    scene.start()
-    assert scene.configuration.document.version == 2 and scene.running.ids() == ["a"]
+    sender.start()
+    assert sender.configuration.document.version == 2 and sender.running.ids() == ["a"]
 
 
-def test_a_version_below_the_one_that_was_in_force_is_refused_after_a_start(tmp_path: Path) -> None:
-    scene = Scene(tmp_path)
-    scene.to(7, {"budgets/rate": RATE})
-    scene.own = {**OWN, "fleet": None}
-    scene.start()  # it cannot have the budget: version 7 is not applied by this start
-    assert scene.configuration.document.version == 0 and scene.running.ids() == ["own"]
-    assert scene.refused(6, {"endpoints/a": endpoint(2)}) == "version 7 was in force here"
-    scene.to(8, {"endpoints/a": endpoint(2)})
-    assert scene.running.ids() == ["a"]
+def test_a_version_below_the_last_active_one_is_refused_after_a_restart(tmp_path: Path) -> None:
+    sender = RestartableSender(tmp_path)
+    sender.apply(7, {"budgets/rate": RATE})
+    sender.own = {**OWN_FILE, "fleet": None}
+    sender.start()  # without a fleet the budget is refused, so this start does not apply version 7
+    assert sender.configuration.document.version == 0 and sender.running.ids() == ["own"]
+    assert sender.apply_refused(6, {"endpoints/a": endpoint(2)}) == "version 7 was in force here"
+    sender.apply(8, {"endpoints/a": endpoint(2)})
+    assert sender.running.ids() == ["a"]
 
 
 @pytest.mark.parametrize("at", ["magic", "header", "length", "body", "cut", "empty"])
-def test_a_damaged_file_is_named_and_not_believed(
+def test_a_damaged_document_file_is_reported_and_not_used(
     tmp_path: Path, caplog: pytest.LogCaptureFixture, at: str
 ) -> None:
-    scene = Scene(tmp_path)
-    scene.to(7, {"endpoints/a": endpoint(2)})
+    sender = RestartableSender(tmp_path)
+    sender.apply(7, {"endpoints/a": endpoint(2)})
     file = tmp_path / IN_FORCE_FILE
     data = bytearray(file.read_bytes())
     if at in ("cut", "header"):
@@ -258,60 +258,62 @@
     else:
         data[{"magic": 3, "length": 27, "body": len(data) - 5}[at]] ^= 1
     file.write_bytes(data)
-    scene.start()
-    assert scene.configuration.document.version == 0 and scene.running.ids() == ["own"]
+    sender.start()
+    assert sender.configuration.document.version == 0 and sender.running.ids() == ["own"]
     offset = {"magic": 0, "empty": 0, "header": 25}.get(at, 32)
     assert f"{file}: damaged at byte {offset}: " in caplog.text
     assert file.with_name("control.document.damaged").read_bytes() == data
-    scene.to(8, {"endpoints/b": endpoint(3)})
-    scene.start()
-    assert scene.configuration.document.version == 8 and scene.running.ids() == ["b"]
+    sender.apply(8, {"endpoints/b": endpoint(3)})
+    sender.start()
+    assert sender.configuration.document.version == 8 and sender.running.ids() == ["b"]
 
 
-def test_every_flipped_byte_of_the_file_is_noticed(tmp_path: Path) -> None:
-    scene = Scene(tmp_path)
-    scene.to(7, {"endpoints/a": endpoint(2)})
+def test_a_flipped_bit_in_any_byte_of_the_document_file_is_detected(tmp_path: Path) -> None:
+    sender = RestartableSender(tmp_path)
+    sender.apply(7, {"endpoints/a": endpoint(2)})
     file = tmp_path / IN_FORCE_FILE
     data = file.read_bytes()
     for at in range(len(data)):
         flipped = bytearray(data)
         flipped[at] ^= 0x10
         file.write_bytes(flipped)
-        assert SenderConfiguration(read(OWN), tmp_path, scene.disk).document.version == 0, at
+        assert SenderConfiguration(read(OWN_FILE), tmp_path, sender.disk).document.version == 0, at
 
 
-def test_a_file_that_is_read_anew_does_not_come_back_over_the_control_plane(tmp_path: Path) -> None:
-    scene = Scene(tmp_path)
-    scene.to(1, {"endpoints/a": endpoint(2)})
-    own = read({**OWN, "endpoints": [{"id": "new", "destination": 1, "dial": "127.0.0.1:9"}]})
-    config = scene.configuration.reload(own)
+def test_a_reloaded_file_does_not_override_the_control_plane(tmp_path: Path) -> None:
+    sender = RestartableSender(tmp_path)
+    sender.apply(1, {"endpoints/a": endpoint(2)})
+    own = read({**OWN_FILE, "endpoints": [{"id": "new", "destination": 1, "dial": "127.0.0.1:9"}]})
+    config = sender.configuration.reload(own)
     assert [each.endpoint.id for each in config.endpoints] == ["a"]
-    scene.to(2, {}, ("endpoints/a",))
-    assert scene.running.ids() == ["new"]
+    sender.apply(2, {}, ("endpoints/a",))
+    assert sender.running.ids() == ["new"]
 
 
-def test_a_change_of_endpoints_alone_leaves_budgets_as_they_are(tmp_path: Path) -> None:
+def test_a_change_of_endpoints_does_not_configure_budgets(tmp_path: Path) -> None:
     budget = {"name": "own", "of": "in_flight", "destination": 1, "whole": 8, "floor": 1}
-    scene = Scene(tmp_path, budgets=[budget])
-    scene.configuration.reload(read({**scene.own, "budgets": [budget | {"floor": 2}]}))
-    scene.running.reasons = ["the file's floor waits for a start"]  # as SIGHUP said, and of no concern here
-    scene.to(1, {"endpoints/a": endpoint(2)})
-    assert scene.running.ids() == ["a"] and scene.running.told[0].floor == 1
-
-
-def test_the_content_of_a_version_is_mended(tmp_path: Path) -> None:
-    scene = Scene(tmp_path)
-    scene.to(3, {"endpoints/a": endpoint(2)})
-    scene.to(3, {"endpoints/b": endpoint(3)})
-    assert scene.running.ids() == ["a", "b"]
-    scene.start()
-    assert scene.configuration.document.version == 3 and scene.running.ids() == ["a", "b"]
-
-
-def test_the_documents_given_are_not_changed(tmp_path: Path) -> None:
-    scene = Scene(tmp_path)
+    sender = RestartableSender(tmp_path, budgets=[budget])
+    sender.configuration.reload(read({**sender.own, "budgets": [budget | {"floor": 2}]}))
+    sender.running.reasons = [
+        "the file's floor waits for a start"
+    ]  # as after SIGHUP; must not matter for a change of endpoints
+    sender.apply(1, {"endpoints/a": endpoint(2)})
+    assert sender.running.ids() == ["a"] and sender.running.budgets[0].floor == 1
+
+
+def test_a_delta_to_the_same_version_repairs_its_content(tmp_path: Path) -> None:
+    sender = RestartableSender(tmp_path)
+    sender.apply(3, {"endpoints/a": endpoint(2)})
+    sender.apply(3, {"endpoints/b": endpoint(3)})
+    assert sender.running.ids() == ["a", "b"]
+    sender.start()
+    assert sender.configuration.document.version == 3 and sender.running.ids() == ["a", "b"]
+
+
+def test_apply_does_not_change_the_given_document(tmp_path: Path) -> None:
+    sender = RestartableSender(tmp_path)
     document = Document(0, {})
-    place = Resource("endpoints/a", b'{"destination":1,"dial":"h:1"}')
-    scene.configuration.apply(document, Delta(0, 1, (place,), (), document.digest_after([place], ())))
+    resource = Resource("endpoints/a", b'{"destination":1,"dial":"h:1"}')
+    sender.configuration.apply(document, Delta(0, 1, (resource,), (), document.digest_after([resource], ())))
     assert document.version == 0 and not document.resources
-    assert [each.dial for each in scene.running.places] == [("h", 1)]
+    assert [dialed.dial for dialed in sender.running.endpoints] == [("h", 1)]
--- a/tests/test_control_fanout.py
+++ b/tests/test_control_fanout.py
@@ -1,4 +1,4 @@
-"""A control node's side of the watches: sessions, pushes, snapshots and the budget of bytes."""
+"""The server side of the watches: sessions, pushes, snapshots and the byte budget."""
 
 import random
 
@@ -26,7 +26,7 @@
 
 
 class Bench:
-    """A fan-out on a clock of its own."""
+    """A fan-out whose clock the test controls."""
 
     def __init__(self, store: ChangedStore | None = None, sessions_limit: int = 1_000) -> None:
         self.store = store or ChangedStore()
@@ -36,14 +36,14 @@
         )
 
     def poll(self, sender: str, document: Document, refused: int = 0, reason: str = "") -> WatchMessage:
-        """The one answer."""
+        """Sends a poll and returns its only answer."""
         message = Poll(document.version, document.digest, refused, reason)
         self.fanout.receive(sender, message, self.now)
         ((to, answer),) = self.fanout.take_messages()
         assert to == sender
         return answer
 
-    def ask(self, sender: str, version: int, offset: int) -> list[WatchMessage]:
+    def request_chunks(self, sender: str, version: int, offset: int) -> list[WatchMessage]:
         self.fanout.receive(sender, SnapshotRequest(version, offset), self.now)
         return [message for _, message in self.fanout.take_messages()]
 
@@ -56,21 +56,21 @@
     return Document(document.version, document.resources)
 
 
-def test_a_poll_with_the_present_version_gets_a_notice() -> None:
+def test_a_poll_with_the_current_version_gets_a_notice() -> None:
     bench = Bench()
     bench.store.change(a=b"1")
-    present = bench.store.document
-    assert bench.poll("s1", present) == VersionNotice(1, present.digest, age_ms=7)
+    current = bench.store.document
+    assert bench.poll("s1", current) == VersionNotice(1, current.digest, age_ms=7)
 
 
-def test_a_poll_with_the_present_version_and_another_digest_is_told_to_fetch() -> None:
+def test_a_poll_with_the_current_version_and_another_digest_gets_a_notice_to_fetch_a_snapshot() -> None:
     bench = Bench()
     bench.store.change(a=b"1")
     answer = bench.poll("s1", Document(1, {"a": b"2"}))
     assert isinstance(answer, VersionNotice) and answer.needs_snapshot
 
 
-def test_a_poll_with_an_older_version_gets_the_delta_or_is_told_to_fetch() -> None:
+def test_a_poll_with_an_older_version_gets_a_delta_or_a_notice_to_fetch_a_snapshot() -> None:
     bench = Bench(ChangedStore(history_limit=2))
     for number in range(4):
         bench.store.change({f"r{number}": b"1"})
@@ -80,13 +80,13 @@
     assert isinstance(answer, VersionNotice) and answer.needs_snapshot and answer.version == 4
 
 
-def test_a_poll_with_a_newer_version_learns_that_the_node_is_behind() -> None:
+def test_a_poll_with_a_newer_version_gets_a_notice_with_the_older_version() -> None:
     bench = Bench()
     assert bench.poll("s1", Document(9)) == VersionNotice(0, 0, age_ms=7)
-    assert bench.ask("s1", 9, 0) == [VersionNotice(0, 0, age_ms=7)]
+    assert bench.request_chunks("s1", 9, 0) == [VersionNotice(0, 0, age_ms=7)]
 
 
-def test_a_new_version_is_pushed_at_once_to_all_that_polled_lately() -> None:
+def test_a_new_version_is_pushed_immediately_to_all_senders_that_polled_recently() -> None:
     bench = Bench()
     for name in ("s1", "s2", "paused"):
         bench.poll(name, Document())
@@ -99,7 +99,7 @@
     assert all(message == bench.store.delta_from(0) for _, message in pushed)
 
 
-def test_a_burst_is_pushed_one_behind_the_other_without_waiting_for_polls() -> None:
+def test_successive_versions_are_pushed_without_waiting_for_polls() -> None:
     bench = Bench()
     bench.poll("s1", Document())
     for _ in range(3):
@@ -124,7 +124,7 @@
     assert isinstance(message, Delta) and message.to_version == 2
 
 
-def test_a_session_that_is_silent_is_shown_so_and_dropped_after_a_day() -> None:
+def test_a_silent_session_is_reported_and_dropped_after_a_day() -> None:
     bench = Bench()
     bench.poll("s1", Document())
     bench.now += 60
@@ -135,7 +135,7 @@
     assert bench.fanout.watchers(bench.now) == ()
 
 
-def test_sessions_are_bounded_and_the_longest_silent_one_goes_first() -> None:
+def test_sessions_are_bounded_and_the_longest_silent_one_is_dropped_first() -> None:
     bench = Bench(sessions_limit=3)
     for name in ("s1", "s2", "s3", "s1", "s4"):
         bench.now += 1
@@ -150,44 +150,44 @@
     return store
 
 
-def test_chunks_are_sent_a_window_a_request() -> None:
+def test_each_request_is_answered_with_one_window_of_chunks() -> None:
     bench = Bench(large_store())
     data = encode_snapshot(bench.store.document)
-    messages = bench.ask("s1", 3, 16_000)
+    messages = bench.request_chunks("s1", 3, 16_000)
     chunks = [message for message in messages if isinstance(message, SnapshotChunk)]
     assert len(chunks) == len(messages) == SNAPSHOT_WINDOW_CHUNKS
     assert b"".join(chunk.data for chunk in chunks) == data[16_000:32_000]
     assert {(chunk.version, chunk.total) for chunk in chunks} == {(3, len(data))}
-    assert len(bench.ask("s1", 3, len(data) // CHUNK_BYTES * CHUNK_BYTES)) == 1
-    assert bench.ask("s1", 3, 10**12) == []
+    assert len(bench.request_chunks("s1", 3, len(data) // CHUNK_BYTES * CHUNK_BYTES)) == 1
+    assert bench.request_chunks("s1", 3, 10**12) == []
 
 
-def test_a_snapshot_that_was_begun_is_served_while_the_history_leads_on_from_it() -> None:
+def test_a_snapshot_in_progress_is_served_while_its_version_is_in_the_history() -> None:
     bench = Bench(large_store())
-    begun = encode_snapshot(bench.store.document)
-    bench.ask("s1", 3, 0)
+    first_encoding = encode_snapshot(bench.store.document)
+    bench.request_chunks("s1", 3, 0)
     bench.store.change(a=b"1")
-    first = bench.ask("s1", 3, 16_000)[0]
-    assert isinstance(first, SnapshotChunk) and first.data == begun[16_000:17_000]
+    first = bench.request_chunks("s1", 3, 16_000)[0]
+    assert isinstance(first, SnapshotChunk) and first.data == first_encoding[16_000:17_000]
     for _ in range(2):
         bench.store.change(a=b"1")
-    first = bench.ask("s1", 3, 16_000)[0]
+    first = bench.request_chunks("s1", 3, 16_000)[0]
     assert isinstance(first, SnapshotChunk) and (first.version, first.offset) == (6, 0)
     assert bench.fanout.counts.snapshots_encoded == 2
 
 
-def test_an_encoded_snapshot_that_nobody_asks_for_is_dropped() -> None:
+def test_an_encoded_snapshot_without_requests_is_dropped() -> None:
     bench = Bench(large_store())
-    bench.ask("s1", 3, 0)
+    bench.request_chunks("s1", 3, 0)
     bench.now += 61
     bench.fanout.tick(bench.now)
-    bench.ask("s1", 3, 0)
+    bench.request_chunks("s1", 3, 0)
     assert bench.fanout.counts.snapshots_encoded == 2
 
 
-def test_fetches_at_once_are_bounded_and_told_when_to_come_again() -> None:
+def test_concurrent_fetches_are_bounded_and_get_spread_retry_times() -> None:
     bench = Bench(large_store())
-    messages = [bench.ask(f"s{number}", 3, 0) for number in range(630)]
+    messages = [bench.request_chunks(f"s{number}", 3, 0) for number in range(630)]
     served = [each for each in messages if len(each) == SNAPSHOT_WINDOW_CHUNKS]
     sent = sum(len(each) for each in served) * (CHUNK_BYTES + 130)
     assert sent <= BURST_BYTES - DELTA_RESERVE_BYTES
@@ -197,17 +197,17 @@
     assert len({wait // 100 for wait in waits}) > 10, "spread"
 
 
-def test_deltas_go_out_while_fetches_have_emptied_their_part() -> None:
+def test_deltas_are_sent_when_fetches_have_used_their_part_of_the_budget() -> None:
     bench = Bench(large_store())
     for number in range(630):
         bench.poll(f"s{number}", bench.store.document)
-        bench.ask(f"s{number}", 3, 0)
+        bench.request_chunks(f"s{number}", 3, 0)
     bench.store.change(a=b"1")
     pushed = bench.push()
     assert len(pushed) == 630 and all(isinstance(message, Delta) for _, message in pushed)
 
 
-def test_deltas_are_bounded_too() -> None:
+def test_deltas_are_also_bounded_by_the_budget() -> None:
     bench = Bench()
     for number in range(630):
         bench.poll(f"s{number}", Document())
@@ -218,13 +218,13 @@
     assert all(m.retry_after_ms for m in pushed if isinstance(m, VersionNotice))
 
 
-def test_the_bucket_gives_no_more_than_its_rate_and_each_waiter_a_time_of_its_own() -> None:
+def test_the_bucket_enforces_its_rate_and_assigns_distinct_retry_times() -> None:
     budget = ByteBudget(1_000, 500, 0.0)
-    given = now = 0.0
+    taken = now = 0.0
     while now < 60:
-        given += 100 * (budget.take(100, 0, now) == 0)
+        taken += 100 * (budget.take(100, 0, now) == 0)
         now += 0.01
-    assert 59_000 <= given <= 60_600
+    assert 59_000 <= taken <= 60_600
     budget = ByteBudget(1_000, 500, 0.0)
     waits = [budget.take(100, 0, 0.0) for _ in range(20)]
     assert waits[:5] == [0] * 5 and 0 not in waits[5:]
@@ -232,7 +232,7 @@
     assert waits == sorted(waits) and len(set(waits)) == len(waits)
 
 
-def test_what_is_larger_than_the_bucket_passes_when_it_is_full() -> None:
+def test_a_request_larger_than_the_bucket_succeeds_when_the_bucket_is_full() -> None:
     budget = ByteBudget(1_000, 500, 0.0)
     assert budget.take(800, 100, 0.0) == 0
     assert budget.take(800, 100, 0.5) > 0
--- a/tests/test_control_fleet.py
+++ b/tests/test_control_fleet.py
@@ -1,13 +1,13 @@
-"""Four control nodes and four senders, each a process of its own, and faults between them in a fixed order.
+"""Four control nodes and four senders as separate processes, with faults between them in a fixed order.
 
-What is checked, of all that they tell over their control sockets:
+The test observes the processes through their control sockets and checks these rules:
 
-- Every change that was confirmed is there at the end, once, also where it was asked for again.
-- No sender ever tells a lower version than before, also over its restarts; nor does a control node while its
+- Every confirmed change is present at the end exactly once, also if it was requested again.
+- No sender ever reports a lower version than before, also after restarts; nor does a control node while its
   process runs.
-- The endpoints in force at a sender are those of the document of its version: never half a change.
-- All senders that run are in force within 4 s, counted from the confirmation, or from the end of the fault (a
-  cut that heals, a process that goes on or serves again) where that came later.
+- The active endpoints of a sender are those of the document of its version: a change is never half applied.
+- All running senders activate a version within 4 s of its confirmation, or of the end of the fault (a healed
+  partition, a resumed or restarted process) if that was later.
 """
 
 import asyncio
@@ -24,25 +24,28 @@
 from message_sender.testbed.control_cluster import ControlCluster
 from message_sender.testbed.member_factory import STEP_TIMEOUT_S
 
-IN_FORCE_WITHIN_S = 4.0  # the operators' allowance
+ACTIVE_WITHIN_S = 4.0  # the operators' limit
 OBSERVE_INTERVAL_S = 0.1
 REGIONS = ("north", "south")
 SENDERS = {"s1": "north", "s2": "south", "s3": "north", "s4": "south"}
-NORTH_NODES, SOUTH_NODES = ("c1", "c2"), ("c3", "c4")  # three votes, and two
-PAIR = ("pair-a", "pair-b")  # two endpoints that every change changes together, by their zones
+NORTH_NODES, SOUTH_NODES = ("c1", "c2"), ("c3", "c4")  # with three votes and two votes
+PAIR = ("pair-a", "pair-b")  # two endpoints whose zones every change changes together
 SEED = 47
 
 
 def zones_at(version: int) -> dict[str, str]:
-    """The endpoints of the document of `version`, with zones: each change adds a hub and moves the pair."""
+    """Returns the zone of each endpoint in the document of `version`.
+
+    Each change adds a hub and moves the pair to another zone.
+    """
     if version == 0:
-        return {"own": ""}  # the document holds no endpoints, so the sender's own file is in force
+        return {"own": ""}  # the document has no endpoints, so those of the sender's own file are active
     zones = {f"hub-{number}": "z" for number in range(1, version + 1)}
     return zones | dict.fromkeys(PAIR, f"zone-{version}")
 
 
 def resources_at(version: int) -> dict[str, Any]:
-    """The same as resources of the control plane."""
+    """Returns the endpoints of the document of `version` as resources of the control plane."""
     return {
         f"endpoints/{name}": {"destination": 1, "dial": "127.0.0.1:1", "zone": zone}
         for name, zone in zones_at(version).items()
@@ -50,88 +53,88 @@
 
 
 def put_by(version: int) -> dict[str, Any]:
-    """What the change that leads to `version` puts."""
+    """Returns the resources that the change to `version` puts."""
     changed = {f"endpoints/{name}" for name in (f"hub-{version}", *PAIR)}
     return {name: value for name, value in resources_at(version).items() if name in changed}
 
 
 def zones_of(endpoints: list[dict[str, Any]]) -> dict[str, str]:
-    """The same of a sender's answer."""
-    return {each["id"]: each["zone"] for each in endpoints}
+    """Returns the zone of each endpoint in a sender's answer."""
+    return {endpoint["id"]: endpoint["zone"] for endpoint in endpoints}
 
 
 @dataclass
-class Told:
-    """What one process told of itself, in order."""
+class Observations:
+    """The observations of one process, in order."""
 
-    versions: list[int] = field(default_factory=list)  # each time that it was another one
-    first_told: dict[int, float] = field(default_factory=dict)  # by version: when; since its last start
-    lives: int = 0
-    observations: int = 0  # in which version and endpoints were compared
+    versions: list[int] = field(default_factory=list)  # recorded at each change
+    first_seen: dict[int, float] = field(default_factory=dict)  # time by version, since the last start
+    starts: int = 0
+    comparisons: int = 0  # of a version with the endpoints
     breaches: list[str] = field(default_factory=list)
 
-    def begin_life(self) -> None:
-        self.lives += 1
-        self.first_told.clear()
+    def note_start(self) -> None:
+        self.starts += 1
+        self.first_seen.clear()
 
     def note_version(self, version: int) -> None:
-        self.first_told.setdefault(version, time.monotonic())
+        self.first_seen.setdefault(version, time.monotonic())
         if self.versions and version < self.versions[-1]:
-            self.breaches.append(f"version {version} after {self.versions[-1]}, in life {self.lives}")
+            self.breaches.append(f"version {version} after {self.versions[-1]}, in start {self.starts}")
         if not self.versions or version != self.versions[-1]:
             self.versions.append(version)
 
     def note_endpoints(self, version: int, endpoints: list[dict[str, Any]]) -> None:
-        """`endpoints`: asked for while `version` was in force."""
-        self.observations += 1
+        """Compares `endpoints`, which were requested while `version` was active, with that version."""
+        self.comparisons += 1
         if zones_of(endpoints) != zones_at(version):
-            self.breaches.append(f"version {version} with {zones_of(endpoints)}, in life {self.lives}")
+            self.breaches.append(f"version {version} with {zones_of(endpoints)}, in start {self.starts}")
 
     def note_pair(self, endpoints: list[dict[str, Any]]) -> None:
-        """`endpoints`: in one answer, whichever version was in force."""
-        zones = {each["zone"] for each in endpoints if each["id"] in PAIR}
+        """Checks that both endpoints of the pair are in the same zone in one answer, at any version."""
+        zones = {endpoint["zone"] for endpoint in endpoints if endpoint["id"] in PAIR}
         if len(zones) > 1:
-            self.breaches.append(f"half a change: {sorted(zones)}, in life {self.lives}")
+            self.breaches.append(f"half a change: {sorted(zones)}, in start {self.starts}")
 
 
 class Fleet:
-    """An operator, and an observer of all that is told."""
+    """An operator who makes changes, and an observer of all processes."""
 
     def __init__(self, cluster: ControlCluster) -> None:
         self.cluster = cluster
         self.rng = random.Random(f"fleet {SEED}")
-        self.version = 0  # the last that was confirmed
-        self.confirmed_at = self.calm_since = 0.0
-        self.longest_s = 0.0  # from a confirmation, or the end of a fault, until in force at all that run
-        self.told = {name: Told() for name in (*cluster.members, *cluster.senders)}
+        self.version = 0  # the last confirmed version
+        self.confirmed_at = self.fault_ended_at = 0.0
+        self.longest_s = 0.0  # from a confirmation or the end of a fault to activation at all running senders
+        self.observations = {name: Observations() for name in (*cluster.members, *cluster.senders)}
         self.observers: set[asyncio.Task[None]] = set()
         self.paused: set[str] = set()
 
     # Processes.
 
     async def start(self, *names: str) -> None:
-        """Starts these; what their lives before told counts for nothing from then on but the order."""
+        """Starts processes; of their earlier observations only the order of versions still counts."""
         for name in names:
-            self.told[name].begin_life()
-            if name in self.cluster.members:  # it learns from a leader how far its log is confirmed
-                self.told[name].versions.clear()
+            self.observations[name].note_start()
+            if name in self.cluster.members:  # a node learns from a leader how far its log is confirmed
+                self.observations[name].versions.clear()
         await self.cluster.start(*names)
         for name in names:
             self.observers.add(asyncio.create_task(self.observe(name)))
-        self.calm_since = time.monotonic()
+        self.fault_ended_at = time.monotonic()
 
     def pause(self, *names: str) -> None:
         for name in names:
             self.cluster.signal(name, signal.SIGSTOP)
         self.paused |= {*names}
 
-    def go_on(self, *names: str) -> None:
+    def resume(self, *names: str) -> None:
         for name in names:
             self.cluster.signal(name, signal.SIGCONT)
         self.paused -= {*names}
-        self.calm_since = time.monotonic()
+        self.fault_ended_at = time.monotonic()
 
-    def cut_between_regions(self) -> None:
+    def partition(self) -> None:
         sides = {
             region: list(nodes) for region, nodes in zip(REGIONS, (NORTH_NODES, SOUTH_NODES), strict=True)
         }
@@ -141,58 +144,58 @@
 
     def heal(self) -> None:
         self.cluster.relay.heal()
-        self.calm_since = time.monotonic()
+        self.fault_ended_at = time.monotonic()
 
     def any_node(self) -> str:
-        """A control node that runs and does not stand still."""
+        """Returns a random control node that runs and is not paused."""
         return self.rng.choice(sorted({*self.cluster.running_nodes()} - self.paused))
 
     def running_senders(self) -> list[str]:
-        return [name for name, each in self.cluster.senders.items() if each.process is not None]
+        return [name for name, sender in self.cluster.senders.items() if sender.process is not None]
 
-    # What they tell.
+    # Observation.
 
     async def observe(self, name: str) -> None:
-        """Asks one process again and again until its end."""
-        told = self.told[name]
-        life = told.lives
-        look = self.look_at_sender if name in self.cluster.senders else self.look_at_node
-        while told.lives == life:
-            with contextlib.suppress(OSError, json.JSONDecodeError):  # it is paused, or has ended
-                await look(name, life)
+        """Queries one process periodically until it is started again."""
+        observations = self.observations[name]
+        start = observations.starts
+        query = self.query_sender if name in self.cluster.senders else self.query_node
+        while observations.starts == start:
+            with contextlib.suppress(OSError, json.JSONDecodeError):  # the process is paused or has ended
+                await query(name, start)
             await asyncio.sleep(OBSERVE_INTERVAL_S)
 
-    async def ask_in_life(self, name: str, life: int, what: str) -> dict[str, Any]:
-        """Raises OSError for an answer that comes when the process that gave it has been replaced."""
-        answer: dict[str, Any] = await self.cluster.request(name, {"do": what})
-        if self.told[name].lives != life:
+    async def request_in_start(self, name: str, start: int, command: str) -> dict[str, Any]:
+        """Requests a command; raises OSError if the process was started again before the answer arrived."""
+        answer: dict[str, Any] = await self.cluster.request(name, {"do": command})
+        if self.observations[name].starts != start:
             raise ConnectionResetError(f"{name} was started again")
         return answer
 
-    async def look_at_sender(self, name: str, life: int) -> None:
-        """Endpoints are compared where no other version came in force while they were asked for."""
-        told = self.told[name]
-        version = (await self.ask_in_life(name, life, "control"))["version"]
-        told.note_version(version)
-        endpoints = (await self.ask_in_life(name, life, "endpoints"))["endpoints"]
-        told.note_pair(endpoints)
-        if (await self.ask_in_life(name, life, "control"))["version"] == version:
-            told.note_endpoints(version, endpoints)
+    async def query_sender(self, name: str, start: int) -> None:
+        """Records the version; compares endpoints if the version did not change while they were requested."""
+        observations = self.observations[name]
+        version = (await self.request_in_start(name, start, "control"))["version"]
+        observations.note_version(version)
+        endpoints = (await self.request_in_start(name, start, "endpoints"))["endpoints"]
+        observations.note_pair(endpoints)
+        if (await self.request_in_start(name, start, "control"))["version"] == version:
+            observations.note_endpoints(version, endpoints)
 
-    async def look_at_node(self, name: str, life: int) -> None:
-        self.told[name].note_version((await self.ask_in_life(name, life, "get"))["version"])
+    async def query_node(self, name: str, start: int) -> None:
+        self.observations[name].note_version((await self.request_in_start(name, start, "get"))["version"])
 
     # Changes.
 
     async def change(self, at: str = "") -> None:
-        """The next change, asked for at the node `at`, or at one that is drawn, until it is confirmed."""
+        """Makes the next change at node `at`, or at a random node, and waits until it is confirmed."""
         number = self.version + 1
         answer = await self.request(number, at or self.any_node())
         assert answer == {"outcome": "applied", "version": number, "faults": []}
         self.version, self.confirmed_at = number, time.monotonic()
 
     async def request(self, number: int, at: str) -> dict[str, Any]:
-        """The answer to a change. Where a node ends or has no leader, others are asked under the same id."""
+        """Returns the answer to a change; if a node ends or has no leader, retries the same id at others."""
         async with asyncio.timeout(STEP_TIMEOUT_S):
             while True:
                 with contextlib.suppress(OSError, json.JSONDecodeError):
@@ -207,44 +210,47 @@
         return answer
 
     async def request_again(self, number: int, at: str) -> None:
-        """A change that was confirmed, asked for again: the same answer, and nothing is written."""
+        """Requests a confirmed change again: the answer must be the same, without a new version."""
         answer = await self.request(number, at)
         assert answer == {"outcome": "applied", "version": number, "faults": []}
         assert (await self.cluster.request(at, {"do": "get"}))["version"] <= self.version
 
-    # Judgement.
+    # Checks.
+
+    async def wait_until_active(self, names: list[str]) -> float:
+        """Waits until these senders have activated the last version.
 
-    async def until_in_force(self, names: list[str]) -> float:
-        """Waits until these senders have the last version in force; the seconds since the confirmation, or
-        since the last fault ended."""
-        began = max(self.confirmed_at, self.calm_since)
+        Returns:
+            The seconds since the confirmation, or since the last fault ended.
+        """
+        began = max(self.confirmed_at, self.fault_ended_at)
         async with asyncio.timeout(STEP_TIMEOUT_S):
-            while not all(self.version in self.told[name].first_told for name in names):
+            while not all(self.version in self.observations[name].first_seen for name in names):
                 await asyncio.sleep(OBSERVE_INTERVAL_S / 2)
-        return max(0.0, *(self.told[name].first_told[self.version] - began for name in names))
+        return max(0.0, *(self.observations[name].first_seen[self.version] - began for name in names))
 
-    async def in_force_in_time(self, what: str) -> None:
-        """Nothing is cut or paused: all senders that run have the last version, in time."""
-        took = await self.until_in_force(self.running_senders())
+    async def check_active_in_time(self, label: str) -> None:
+        """Checks that all running senders activate the last version in time; there must be no fault."""
+        took = await self.wait_until_active(self.running_senders())
         self.longest_s = max(self.longest_s, took)
-        print(f"{what}: version {self.version} is in force at all that run {took:.2f} s later")
-        assert took <= IN_FORCE_WITHIN_S, what
+        print(f"{label}: version {self.version} is active at all running senders {took:.2f} s later")
+        assert took <= ACTIVE_WITHIN_S, label
         self.check_order()
 
     def check_order(self) -> None:
-        breaches = {name: told.breaches for name, told in self.told.items() if told.breaches}
+        breaches = {name: seen.breaches for name, seen in self.observations.items() if seen.breaches}
         assert not breaches
 
-    async def check_begun(self, version: int, names: list[str]) -> None:
-        """These senders, just started, have this version in force from their disks."""
+    async def check_version_after_start(self, version: int, names: list[str]) -> None:
+        """Checks that these senders, just started, have activated `version` from their disks."""
         for name in names:
             assert (await self.cluster.request(name, {"do": "control"}))["version"] == version
             endpoints = (await self.cluster.request(name, {"do": "endpoints"}))["endpoints"]
             assert zones_of(endpoints) == zones_at(version)
 
     async def check_end(self) -> None:
-        """All run and nothing is cut: every confirmed change is everywhere, once."""
-        await self.in_force_in_time("at the end")
+        """Checks, with all processes running, that every confirmed change is present everywhere, once."""
+        await self.check_active_in_time("at the end")
         for name in self.cluster.members:
             await self.cluster.wait_for_node_version(name, self.version)
             answer = await self.cluster.request(name, {"do": "get"})
@@ -252,123 +258,130 @@
         for name in self.cluster.senders:
             endpoints = (await self.cluster.request(name, {"do": "endpoints"}))["endpoints"]
             assert zones_of(endpoints) == zones_at(self.version)
-            assert self.told[name].observations > 0
+            assert self.observations[name].comparisons > 0
         self.check_order()
-        print(f"{self.version} changes; the longest until in force was {self.longest_s:.2f} s")
+        print(f"{self.version} changes; the longest activation took {self.longest_s:.2f} s")
 
 
-def play(folder: Path, story: Callable[[Fleet], Awaitable[None]]) -> None:
-    """Runs a story with all eight processes up."""
+def run_scenario(folder: Path, scenario: Callable[[Fleet], Awaitable[None]]) -> None:
+    """Runs a scenario after all eight processes were started."""
 
-    async def told() -> None:
+    async def run() -> None:
         async with ControlCluster(folder, seed=SEED) as cluster:
             for name, region in SENDERS.items():
                 await cluster.add_sender(name, region)
             fleet = Fleet(cluster)
             try:
                 await fleet.start(*cluster.members, *cluster.senders)
-                await story(fleet)
+                await scenario(fleet)
             finally:
                 for task in fleet.observers:
                     task.cancel()
 
-    asyncio.run(told())
+    asyncio.run(run())
 
 
-async def killed(fleet: Fleet) -> None:
-    """The leader is killed while it is asked for a change, and a sender with it."""
+async def kill_leader_and_sender(fleet: Fleet) -> None:
+    """Kills the leader during a change, and a sender with it."""
     leader = await fleet.cluster.wait_for_leader()
     await asyncio.gather(fleet.change(leader), fleet.cluster.kill(leader, "s1"))
-    await fleet.in_force_in_time("the leader and a sender were killed")
+    await fleet.check_active_in_time("the leader and a sender were killed")
     await fleet.change()
-    await fleet.in_force_in_time("without them")
+    await fleet.check_active_in_time("without them")
     await fleet.start(leader, "s1")
-    await fleet.in_force_in_time("they are back")
+    await fleet.check_active_in_time("they are back")
     await fleet.request_again(fleet.version - 1, leader)
 
 
-async def paused(fleet: Fleet) -> None:
-    """The leader and a sender stand still."""
+async def pause_leader_and_sender(fleet: Fleet) -> None:
+    """Pauses the leader and a sender during a change."""
     leader = await fleet.cluster.wait_for_leader()
     fleet.pause(leader, "s2")
     await fleet.change()
-    await fleet.until_in_force([name for name in SENDERS if name != "s2"])
-    fleet.go_on(leader, "s2")
-    await fleet.in_force_in_time("the paused leader and sender went on")
+    await fleet.wait_until_active([name for name in SENDERS if name != "s2"])
+    fleet.resume(leader, "s2")
+    await fleet.check_active_in_time("the paused leader and sender resumed")
     await fleet.request_again(fleet.version, leader)
     await fleet.change(leader)
-    await fleet.in_force_in_time("a change by the one that was paused")
+    await fleet.check_active_in_time("a change by the one that was paused")
 
 
-async def cut(fleet: Fleet) -> None:
-    """The regions are cut apart, and both sides are asked for the same change; senders of both sides end."""
+async def partition_regions(fleet: Fleet) -> None:
+    """Partitions the regions and requests the same change on both sides; kills senders of both sides."""
     before = fleet.version
-    fleet.cut_between_regions()
-    light, _ = await asyncio.gather(fleet.request_once(before + 1, "c3"), fleet.change("c1"))
-    assert light["outcome"] == "unavailable"
-    await fleet.until_in_force(["s1", "s3"])
+    fleet.partition()
+    minority, _ = await asyncio.gather(fleet.request_once(before + 1, "c3"), fleet.change("c1"))
+    assert minority["outcome"] == "unavailable"
+    await fleet.wait_until_active(["s1", "s3"])
     await fleet.cluster.kill("s3", "s4", "c4")
     await fleet.start("s3", "s4", "c4")
-    await fleet.check_begun(before + 1, ["s3"])
-    await fleet.check_begun(before, ["s4"])
+    await fleet.check_version_after_start(before + 1, ["s3"])
+    await fleet.check_version_after_start(before, ["s4"])
     fleet.heal()
-    await fleet.in_force_in_time("the cut healed")
+    await fleet.check_active_in_time("the cut healed")
     await fleet.request_again(fleet.version, "c3")
 
 
-async def lossy(fleet: Fleet) -> None:
-    """A tenth of all datagrams is lost, a tenth doubled, and all are late; then a leader and a sender end."""
+async def lose_datagrams(fleet: Fleet) -> None:
+    """Loses a tenth of all datagrams, duplicates a tenth, delays all; kills the leader and a sender."""
     relay = fleet.cluster.relay
     relay.loss, relay.delay, relay.duplication = 0.1, 0.03, 0.1
     for name in fleet.cluster.members:
         await fleet.change(name)
-        await fleet.in_force_in_time(f"a tenth is lost, made at {name}")
+        await fleet.check_active_in_time(f"a tenth is lost, made at {name}")
     leader = await fleet.cluster.wait_for_leader()
     await asyncio.gather(fleet.change(leader), fleet.cluster.kill(leader, "s4"))
-    await fleet.in_force_in_time("a tenth is lost, the leader and a sender were killed")
+    await fleet.check_active_in_time("a tenth is lost, the leader and a sender were killed")
     await fleet.start(leader, "s4")
-    await fleet.in_force_in_time("a tenth is lost, they are back")
+    await fleet.check_active_in_time("a tenth is lost, they are back")
     fleet.heal()
 
 
-def test_kills_pauses_a_cut_and_loss(tmp_path: Path) -> None:
-    async def story(fleet: Fleet) -> None:
+def test_changes_survive_kills_pauses_a_partition_and_loss(tmp_path: Path) -> None:
+    async def scenario(fleet: Fleet) -> None:
         await fleet.cluster.wait_for_leader()
         for name in fleet.cluster.members:
             await fleet.change(name)
-            await fleet.in_force_in_time(f"calm, made at {name}")
-        for fault in (killed, paused, cut, lossy):
+            await fleet.check_active_in_time(f"calm, made at {name}")
+        for fault in (
+            kill_leader_and_sender,
+            pause_leader_and_sender,
+            partition_regions,
+            lose_datagrams,
+        ):
             await fault(fleet)
         await fleet.check_end()
 
-    play(tmp_path, story)
+    run_scenario(tmp_path, scenario)
 
 
-def test_all_eight_are_killed_and_senders_begin_from_their_disks(tmp_path: Path) -> None:
-    async def story(fleet: Fleet) -> None:
+def test_after_a_kill_of_all_processes_senders_start_from_their_disks(tmp_path: Path) -> None:
+    async def scenario(fleet: Fleet) -> None:
         cluster = fleet.cluster
         for name in ("c1", "c4"):
             await fleet.change(name)
-        await fleet.in_force_in_time("calm")
+        await fleet.check_active_in_time("calm")
         await cluster.kill(*cluster.members, *cluster.senders)
         await fleet.start(*SENDERS, *SOUTH_NODES)  # two votes of five: no majority
-        await fleet.check_begun(fleet.version, [*SENDERS])
-        await until_all_watch(cluster, SOUTH_NODES)
+        await fleet.check_version_after_start(fleet.version, [*SENDERS])
+        await wait_until_all_watch(cluster, SOUTH_NODES)
         for name in SOUTH_NODES:
             assert (await cluster.request(name, {"do": "get"}))["role"] != "leader"
         fleet.check_order()
         await fleet.start(*NORTH_NODES)
         await fleet.change("c3")
-        await fleet.in_force_in_time("all were killed")
+        await fleet.check_active_in_time("all were killed")
         await fleet.check_end()
 
-    play(tmp_path, story)
+    run_scenario(tmp_path, scenario)
 
 
-async def until_all_watch(cluster: ControlCluster, names: tuple[str, ...]) -> None:
-    """Waits until these control nodes have heard of every sender."""
+async def wait_until_all_watch(cluster: ControlCluster, names: tuple[str, ...]) -> None:
+    """Waits until these control nodes together know every sender."""
     async with asyncio.timeout(STEP_TIMEOUT_S):
-        heard: set[str] = set()
-        while heard != set(SENDERS):
-            told = (await cluster.request(names[0], {"do": "status"}))["nodes"]
-            heard = {each["name"] for node in told if node["is_reachable"] for each in node["watchers"]}
+        known: set[str] = set()
+        while known != set(SENDERS):
+            nodes = (await cluster.request(names[0], {"do": "status"}))["nodes"]
+            known = {
+                watcher["name"] for node in nodes if node["is_reachable"] for watcher in node["watchers"]
+            }
--- a/tests/test_control_hollow.py
+++ b/tests/test_control_hollow.py
@@ -1,4 +1,4 @@
-"""Hollow senders and four real control nodes on virtual time: counts and times are the same in each run."""
+"""Simulated senders and four real control nodes on virtual time; each run gives the same counts and times."""
 
 from functools import partial
 
@@ -25,7 +25,7 @@
     return measure_day(Terms(SENDERS, 130, loss=0.01))
 
 
-def test_a_day_is_within_the_operators_figures(day: Day) -> None:
+def test_a_day_stays_within_the_operators_limits(day: Day) -> None:
     assert day.in_force.missing == 0
     assert day.in_force.count >= 20 * SENDERS
     assert day.in_force.most < plan.IN_FORCE_WITHIN_S
@@ -44,21 +44,21 @@
     )
 
 
-def test_a_leader_that_is_killed_holds_changes_up_for_no_longer_than_allowed() -> None:
+def test_a_killed_leader_delays_changes_no_longer_than_allowed() -> None:
     fault: Fault = measure_lost_node(Terms(SENDERS, 150, loss=0.01))
     assert fault.in_force.missing == 0
     assert fault.in_force.most < plan.IN_FORCE_WITHIN_S
     assert fault.node_changes > 0
 
 
-def test_a_zone_that_returns_with_nothing_stored_has_the_newest_version_soon() -> None:
+def test_a_zone_that_returns_without_stored_documents_soon_has_the_newest_version() -> None:
     fault = measure_zone_return(Terms(SENDERS, 90, loss=0.01))
     assert fault.returned.count == SENDERS // 5 and fault.returned.missing == 0
     assert fault.returned.most < 10
     assert fault.in_force.missing == 0 and fault.in_force.most < plan.IN_FORCE_WITHIN_S
 
 
-def test_all_that_start_at_once_get_the_document_within_bounded_bytes() -> None:
+def test_senders_that_start_together_get_the_document_within_the_byte_budget() -> None:
     fault = measure_start(Terms(SENDERS, 60))
     assert fault.returned.count == SENDERS and fault.returned.missing == 0
     assert fault.returned.most < 10
@@ -79,7 +79,7 @@
         assert sender.watch.node != "c1"
 
 
-def test_changes_wait_without_a_majority_and_what_is_in_force_stays() -> None:
+def test_without_a_majority_changes_wait_and_the_active_version_stays() -> None:
     plane = HollowControlPlane(Terms(SENDERS, 60, seed=4))
     plane.run(10)
     for name in ("c1", "c2"):
--- a/tests/test_control_link.py
+++ b/tests/test_control_link.py
@@ -1,4 +1,4 @@
-"""A real sender and a control node's channel, store and fan-out, over loopback sockets."""
+"""A real sender with the channel, store and fan-out of a control node, over loopback sockets."""
 
 import asyncio
 import io
@@ -29,18 +29,18 @@
 from message_sender.testbed.running import running
 from message_sender.testbed.script import Script
 
-PATIENCE_S = 10.0  # only a failing test waits so long
+TIMEOUT_S = 10.0  # only a failing test waits this long
 
 
 class Node(asyncio.DatagramProtocol):
-    """One control node without a log: it confirms by itself what it is told."""
+    """A control node without replication, which confirms changes on its own."""
 
     def __init__(self, key: bytes = KEY, history_limit: int = 2000) -> None:
         self.loop = asyncio.get_running_loop()
         self.store = ChangedStore(history_limit=history_limit)
         self.channel = Channel("c1", 1, 77, Seal([key]), {})
         self.fanout = Fanout(self.store, random.Random(1), self.loop.time(), lambda: 0)
-        self.heard = asyncio.Event()
+        self.received = asyncio.Event()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.DatagramTransport, transport)
@@ -55,7 +55,7 @@
             if isinstance(body, Poll | SnapshotRequest):
                 self.fanout.receive(name, body, now)
         self.flush()
-        self.heard.set()
+        self.received.set()
 
     def flush(self) -> None:
         for name, message in self.fanout.take_messages():
@@ -64,7 +64,7 @@
             self.transport.sendto(datagram, address)
 
     def change(self, put: dict[str, object], delete: tuple[str, ...] = ()) -> int:
-        """The version that it makes, pushed at once."""
+        """Makes a change, pushes it immediately, and returns the new version."""
         version = self.store.change(schema.read_values(put), delete).version
         self.fanout.version_changed(self.loop.time())
         self.flush()
@@ -74,18 +74,22 @@
         watchers = self.fanout.watchers(self.loop.time())
         return watchers[0] if watchers else None
 
-    async def until(self, is_so: Callable[[], bool]) -> None:
-        """Looked at after each datagram that comes."""
-        async with asyncio.timeout(PATIENCE_S):
-            while not is_so():
-                self.heard.clear()
-                await self.heard.wait()
-
-    async def acknowledged(self, version: int) -> None:
-        await self.until(lambda: (each := self.watcher()) is not None and each.version == version)
-
-    async def refused(self, version: int) -> str:
-        await self.until(lambda: (each := self.watcher()) is not None and each.refused_version == version)
+    async def wait_until(self, condition: Callable[[], bool]) -> None:
+        """Waits until `condition` holds; checks it after each received datagram."""
+        async with asyncio.timeout(TIMEOUT_S):
+            while not condition():
+                self.received.clear()
+                await self.received.wait()
+
+    async def wait_for_version(self, version: int) -> None:
+        """Waits until the watcher has acknowledged `version`."""
+        await self.wait_until(lambda: (status := self.watcher()) is not None and status.version == version)
+
+    async def wait_for_refusal(self, version: int) -> str:
+        """Waits until the watcher has refused `version`, and returns the reason."""
+        await self.wait_until(
+            lambda: (status := self.watcher()) is not None and status.refused_version == version
+        )
         watcher = self.watcher()
         assert watcher
         return watcher.reason
@@ -100,24 +104,24 @@
         node.transport.close()
 
 
-class Answers(CompletionWriter):
-    """Final answers, which a test waits for."""
+class Completions(CompletionWriter):
+    """Records the final states of messages, for which a test waits."""
 
     def __init__(self) -> None:
         super().__init__(io.StringIO(), self.note)
         self.states: dict[str, CompletionState] = {}
-        self.came = asyncio.Event()
+        self.arrived = asyncio.Event()
 
     def note(self, message: str, end: Completion) -> None:
         self.states[message] = end.state
-        self.came.set()
+        self.arrived.set()
 
 
 def sender_at(
-    state: Path, port: int, more: str = "", answers: CompletionWriter | None = None
+    state: Path, port: int, more: str = "", completions: CompletionWriter | None = None
 ) -> StandaloneSender:
     file = write_sender(state, SENDER + control_section({"c1": port}) + more)
-    return StandaloneSender(load(file), state, answers or CompletionWriter(io.StringIO()))
+    return StandaloneSender(load(file), state, completions or CompletionWriter(io.StringIO()))
 
 
 def hub(port: int) -> dict[str, object]:
@@ -125,73 +129,73 @@
 
 
 @play
-async def test_a_new_endpoint_is_in_force_and_a_message_delivered_to_it(state: Path) -> None:
-    answers, history = Answers(), History()
+async def test_a_new_endpoint_becomes_active_and_receives_a_message(state: Path) -> None:
+    completions, history = Completions(), History()
     async with serving(Node()) as node, HttpEndpoint("hub", Script(), history) as receiver:
-        sender = sender_at(state, node.port, answers=answers)
+        sender = sender_at(state, node.port, completions=completions)
         async with running(sender):
-            await node.acknowledged(0)
-            await node.acknowledged(node.change(hub(receiver.port)))
+            await node.wait_for_version(0)
+            await node.wait_for_version(node.change(hub(receiver.port)))
             assert set(sender.dial_addresses()) == set(sender.engine.dispatcher.endpoints) == {"hub"}
             client = HttpClient(sender.server.address()[:2])
             fields = {"X-Correlation-Id": "m1", "X-Service-Class": "c", "X-Time-Left": "8"}
             status, _ = await client.post("/c", fields | {"X-Route-To": "dest=5"}, b"x")
             assert status == 202
-            await asyncio.wait_for(answers.came.wait(), PATIENCE_S)
+            await asyncio.wait_for(completions.arrived.wait(), TIMEOUT_S)
             client.close()
-    assert answers.states == {"m1": CompletionState.DELIVERED} and receiver.served == 1
+    assert completions.states == {"m1": CompletionState.DELIVERED} and receiver.served == 1
 
 
 @play
-async def test_a_refused_version_is_told_with_its_reason_and_mended_by_the_next(state: Path) -> None:
+async def test_a_refused_version_is_reported_with_its_reason_and_replaced_by_the_next(state: Path) -> None:
     async with serving(Node()) as node:
         sender = sender_at(state, node.port)
         async with running(sender):
-            await node.acknowledged(node.change(hub(1)))
+            await node.wait_for_version(node.change(hub(1)))
             budget: dict[str, object] = {"of": "in_flight", "destination": 1, "whole": 8}
-            reason = await node.refused(node.change(hub(2) | {"budgets/out": budget}))
+            reason = await node.wait_for_refusal(node.change(hub(2) | {"budgets/out": budget}))
             assert reason == "budgets/out: needs a [fleet] to be shared in, and this sender has none"
             assert sender.dial_addresses() == {"hub": ("127.0.0.1", 1)}
-            told = sender.commands()["control"]({})
-            assert (told["version"], told["refused_version"], told["reason"]) == (1, 2, reason)
-            await node.acknowledged(node.change({}, ("budgets/out",)))
+            status = sender.commands()["control"]({})
+            assert (status["version"], status["refused_version"], status["reason"]) == (1, 2, reason)
+            await node.wait_for_version(node.change({}, ("budgets/out",)))
             assert sender.dial_addresses() == {"hub": ("127.0.0.1", 2)}
 
 
 @play
-async def test_what_waits_for_a_start_is_in_force_after_it(state: Path) -> None:
+async def test_a_change_that_needs_a_restart_is_active_after_it(state: Path) -> None:
     budget: dict[str, object] = {"of": "in_flight", "destination": 1, "whole": 8}
     async with serving(Node()) as node:
         async with running(sender_at(state, node.port, FLEET)):
-            await node.acknowledged(node.change({"budgets/out": budget}))
-            reason = await node.refused(node.change({"budgets/out": budget | {"floor": 2}}))
+            await node.wait_for_version(node.change({"budgets/out": budget}))
+            reason = await node.wait_for_refusal(node.change({"budgets/out": budget | {"floor": 2}}))
             assert reason == "budgets/out: floor cannot change before the next start"
         sender = sender_at(state, node.port, FLEET)
         async with running(sender):
-            await node.acknowledged(2)
+            await node.wait_for_version(2)
             assert sender.membership and sender.membership.budgets
             assert sender.membership.budgets.registry.definitions["out"].floor == 2
 
 
 @play
-async def test_without_nodes_the_last_version_stays_over_a_start_and_the_newest_comes_after(
+async def test_without_nodes_the_last_version_survives_a_restart_and_the_newest_follows_later(
     state: Path,
 ) -> None:
     async with serving(Node()) as node:
         port = node.port
         async with running(sender_at(state, port)):
-            await node.acknowledged(node.change(hub(1)))
+            await node.wait_for_version(node.change(hub(1)))
     sender = sender_at(state, port)
     async with running(sender):
         assert sender.dial_addresses() == {"hub": ("127.0.0.1", 1)}
         newest = node.store.change(schema.read_values(hub(2))).version
         async with serving(node, port):
-            await node.acknowledged(newest)
+            await node.wait_for_version(newest)
             assert sender.dial_addresses() == {"hub": ("127.0.0.1", 2)}
 
 
 @play
-async def test_a_link_that_could_not_be_made_at_the_start_is_made_later(state: Path) -> None:
+async def test_a_link_that_could_not_be_opened_at_the_start_is_opened_later(state: Path) -> None:
     full = OSError(28, "No space left on device")
     with patch.object(control_link, "LINK_RETRY_S", 0.01), patch.object(control_link, "write_epoch") as write:
         write.side_effect = [full, full, None]
@@ -199,7 +203,7 @@
             sender = sender_at(state, node.port)
             async with running(sender):
                 assert "No space" in sender.commands()["control"]({})["fault"]
-                await node.acknowledged(node.change(hub(1)))
+                await node.wait_for_version(node.change(hub(1)))
                 assert sender.commands()["control"]({})["fault"] == "" and set(sender.dial_addresses()) == {
                     "hub"
                 }
@@ -207,50 +211,50 @@
 
 
 @play
-async def test_a_damaged_document_is_fetched_whole(state: Path) -> None:
+async def test_a_damaged_document_is_fetched_as_a_snapshot(state: Path) -> None:
     async with serving(Node(history_limit=1)) as node:
         async with running(sender_at(state, node.port)):
-            await node.acknowledged(node.change(hub(1)))
-            await node.acknowledged(node.change({"endpoints/b": {"destination": 1, "dial": "h:1"}}))
+            await node.wait_for_version(node.change(hub(1)))
+            await node.wait_for_version(node.change({"endpoints/b": {"destination": 1, "dial": "h:1"}}))
         (state / IN_FORCE_FILE).write_bytes(b"nothing")
         sender = sender_at(state, node.port)
         async with running(sender):
             assert set(sender.dial_addresses()) == {"own"}
-            await node.acknowledged(0)
-            await node.acknowledged(2)
+            await node.wait_for_version(0)
+            await node.wait_for_version(2)
             assert set(sender.dial_addresses()) == {"hub", "b"}
             assert sender.control_plane and sender.control_plane.link
             assert sender.control_plane.link.watch.counts.snapshots == 1
 
 
 @play
-async def test_what_another_key_seals_is_counted_and_nothing_else(state: Path) -> None:
+async def test_datagrams_sealed_with_another_key_are_only_counted(state: Path) -> None:
     async with serving(Node(key=bytes(31) + b"x")) as node:
         sender = sender_at(state, node.port)
         async with running(sender):
             assert sender.control_plane and sender.control_plane.link
             link = sender.control_plane.link
-            await node.until(lambda: sum(node.channel.refused.values()) >= 2)
+            await node.wait_until(lambda: sum(node.channel.refused.values()) >= 2)
             link.link.receive(node.channel.seal.seal(b"forged"), ("127.0.0.1", node.port))
-            told = sender.commands()["control"]({})
-            assert told["version"] == 0 and sum(told["refused_datagrams"].values()) == 1
+            status = sender.commands()["control"]({})
+            assert status["version"] == 0 and sum(status["refused_datagrams"].values()) == 1
     assert node.watcher() is None
 
 
 @play
-async def test_a_later_epoch_is_kept_beside_the_loop(state: Path) -> None:
-    may_write, wrote = threading.Event(), asyncio.Event()
-    loop, kept = asyncio.get_running_loop(), list[int]()
+async def test_a_later_epoch_is_written_outside_the_event_loop(state: Path) -> None:
+    may_write, has_written = threading.Event(), asyncio.Event()
+    loop, written = asyncio.get_running_loop(), list[int]()
 
     def slow_write(_: Path, epoch: int) -> None:
-        assert may_write.wait(PATIENCE_S)
-        kept.append(epoch)
-        loop.call_soon_threadsafe(wrote.set)
+        assert may_write.wait(TIMEOUT_S)
+        written.append(epoch)
+        loop.call_soon_threadsafe(has_written.set)
 
     async with serving(Node()) as node:
         sender = sender_at(state, node.port)
         async with running(sender):
-            await node.acknowledged(0)
+            await node.wait_for_version(0)
             assert sender.control_plane and sender.control_plane.link
             channel = sender.control_plane.link.channel
             with patch.object(control_link, "write_epoch", slow_write):
@@ -258,8 +262,8 @@
                     channel.epoch = epoch
                     assert channel.on_behind is not None
                     channel.on_behind(epoch)
-                await node.acknowledged(node.change(hub(1)))
-                assert not kept, "a version came into force while the disk was busy"
+                await node.wait_for_version(node.change(hub(1)))
+                assert not written, "the version became active while the disk was busy"
                 may_write.set()
-                await asyncio.wait_for(wrote.wait(), PATIENCE_S)
-    assert kept == [9]
+                await asyncio.wait_for(has_written.wait(), TIMEOUT_S)
+    assert written == [9]
--- a/tests/test_control_live.py
+++ b/tests/test_control_live.py
@@ -1,4 +1,4 @@
-"""Real control nodes and a real sender, by their command line."""
+"""Real control nodes and a real sender, operated with the command line."""
 
 import asyncio
 import contextlib
@@ -21,13 +21,13 @@
 from message_sender.testbed.http import HttpClient, HttpEndpoint
 from message_sender.testbed.script import Script, ScriptedAnswer
 
-PATIENCE_S = 20.0  # only a failing test waits so long
+TIMEOUT_S = 20.0  # only a failing test waits this long
 HOST = "127.0.0.1"
 NODES = ("c1", "c2", "c3")
 
 
 class Process:
-    """One process of the program, its log read as it is written."""
+    """One process of the program; its log is read while it runs."""
 
     def __init__(self, process: asyncio.subprocess.Process) -> None:
         self.process = process
@@ -39,34 +39,34 @@
         words = (sys.executable, "-m", "message_sender", *words)
         return cls(await asyncio.create_subprocess_exec(*words, stderr=pipe, stdout=pipe))
 
-    async def logged(self, form: str) -> re.Match[str]:
-        """The next line of the log with this in it."""
+    async def wait_for_log(self, pattern: str) -> re.Match[str]:
+        """Waits for the next log line that matches `pattern`, and returns the match."""
         assert self.process.stderr
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(TIMEOUT_S):
             while line := (await self.process.stderr.readline()).decode():
                 self.lines.append(line)
-                if found := re.search(form, line):
-                    return found
-        raise AssertionError(f"ended without {form!r}: {''.join(self.lines)}")
+                if match := re.search(pattern, line):
+                    return match
+        raise AssertionError(f"ended without {pattern!r}: {''.join(self.lines)}")
 
     async def end(self, number: int = signal.SIGTERM) -> int:
         if self.process.returncode is None:
             self.process.send_signal(number)
-        await asyncio.wait_for(self.process.communicate(), PATIENCE_S)
+        await asyncio.wait_for(self.process.communicate(), TIMEOUT_S)
         assert self.process.returncode is not None
         return self.process.returncode
 
 
 def free_ports(count: int) -> list[int]:
-    """UDP ports that the system gave out a moment ago."""
+    """Returns UDP ports that were free a moment ago."""
     with contextlib.ExitStack() as stack:
         sockets = [stack.enter_context(socket.socket(type=socket.SOCK_DGRAM)) for _ in range(count)]
-        for each in sockets:
-            each.bind((HOST, 0))
-        return [int(each.getsockname()[1]) for each in sockets]
+        for udp_socket in sockets:
+            udp_socket.bind((HOST, 0))
+        return [int(udp_socket.getsockname()[1]) for udp_socket in sockets]
 
 
-class Plane:
+class ControlPlane:
     """Three control nodes, and a sender that watches them."""
 
     def __init__(self, folder: Path) -> None:
@@ -92,7 +92,7 @@
         return self.write("sender.toml", SENDER + control_section(self.ports))
 
     async def run(self, *words: str) -> tuple[int, str]:
-        """`message-sender control ...`: the exit code and what it wrote."""
+        """Runs `message-sender control ...`; returns its exit code and its output."""
 
         def run() -> tuple[int, str]:
             out = io.StringIO()
@@ -104,8 +104,8 @@
 
 
 @asynccontextmanager
-async def plane_at(folder: Path) -> AsyncIterator[tuple[Plane, Process]]:
-    plane = Plane(folder)
+async def plane_at(folder: Path) -> AsyncIterator[tuple[ControlPlane, Process]]:
+    plane = ControlPlane(folder)
     processes: list[Process] = []
     try:
         for name in NODES:
@@ -117,13 +117,13 @@
         words = ("serve", "--config", plane.sender_file(), "--state", plane.state("n1"))
         sender = await Process.start(*words)
         processes.append(sender)
-        await asyncio.gather(*(node.logged("ready on") for node in plane.nodes.values()))
+        await asyncio.gather(*(node.wait_for_log("ready on") for node in plane.nodes.values()))
         yield plane, sender
     finally:
-        for each in processes:
-            if each.process.returncode is None:
-                each.process.kill()
-            await each.process.communicate()
+        for started in processes:
+            if started.process.returncode is None:
+                started.process.kill()
+            await started.process.communicate()
 
 
 def hub_text(port: int) -> str:
@@ -134,7 +134,7 @@
 
 
 @play
-async def test_a_change_is_in_force_delivered_to_refused_and_survives_a_node(folder: Path) -> None:
+async def test_changes_are_activated_refused_and_survive_the_kill_of_the_watched_node(folder: Path) -> None:
     called = asyncio.Event()
 
     def rule(message: str) -> ScriptedAnswer | None:
@@ -142,43 +142,43 @@
         return None
 
     async with plane_at(folder) as (plane, sender), HttpEndpoint("hub", Script(rule=rule), History()) as hub:
-        port = int((await sender.logged(r"ready on 127\.0\.0\.1:(\d+)"))[1])
+        port = int((await sender.wait_for_log(r"ready on 127\.0\.0\.1:(\d+)"))[1])
         state = plane.state("c1")
         code, out = await plane.run("set", state, plane.write("hub.toml", hub_text(hub.port)))
         assert code == 0 and out.startswith("version 1"), out
-        await sender.logged("version applied: version=1 ")
+        await sender.wait_for_log("version applied: version=1 ")
         code, out = await plane.run("status", plane.state("c2"), "--wait", "1", "--timeout", "10")
         assert code == 0 and "in force everywhere, at 1 senders" in out, out
         await deliver(port, called)
 
         code, out = await plane.run("set", state, plane.write("more.toml", BUDGET), "--patch")
         assert code == 0 and out.startswith("version 2"), out
-        await sender.logged("version refused: version=2 ")
+        await sender.wait_for_log("version refused: version=2 ")
         code, out = await plane.run("status", plane.state("c3"), "--wait", "2", "--timeout", "1")
         reason = "budgets/out: needs a [fleet] to be shared in, and this sender has none"
         assert code == 1 and f"sender n1: version 1, refused 2: {reason}" in out, out
-        told = (await asyncio.to_thread(send_request, Path(plane.state("n1")), {"do": "control"}))["value"]
-        assert (told["version"], told["refused_version"], told["reason"]) == (1, 2, reason)
+        status = (await asyncio.to_thread(send_request, Path(plane.state("n1")), {"do": "control"}))["value"]
+        assert (status["version"], status["refused_version"], status["reason"]) == (1, 2, reason)
 
-        watched = plane.nodes[told["node"]]
+        watched = plane.nodes[status["node"]]
         await watched.end(signal.SIGKILL)
-        left = next(name for name in NODES if name != told["node"])
-        code, out = await plane.run("set", plane.state(left), "--patch", "--delete", "budgets/out")
+        remaining = next(name for name in NODES if name != status["node"])
+        code, out = await plane.run("set", plane.state(remaining), "--patch", "--delete", "budgets/out")
         assert code == 0 and out.startswith("version 3"), out
-        await sender.logged("version applied: version=3 ")
-        code, out = await plane.run("get", plane.state(left), "--json")
+        await sender.wait_for_log("version applied: version=3 ")
+        code, out = await plane.run("get", plane.state(remaining), "--json")
         assert code == 0 and list(json.loads(out)["resources"]) == ["endpoints/hub"]
-        words = ("status", plane.state(left), "--wait", "3", "--timeout", "10", "--reachable")
+        words = ("status", plane.state(remaining), "--wait", "3", "--timeout", "10", "--reachable")
         code, out = await plane.run(*words)
         assert code == 0 and "at 1 senders" in out, out
         assert await sender.end() == 0
 
 
 async def deliver(port: int, called: asyncio.Event) -> None:
-    """A message is taken on, and its call comes."""
+    """Submits a message, and waits until the endpoint is called."""
     client = HttpClient((HOST, port))
     fields = {"X-Correlation-Id": "m1", "X-Service-Class": "c", "X-Time-Left": "8", "X-Route-To": "dest=5"}
     status, _ = await client.post("/c", fields, b"x")
     client.close()
     assert status == 202
-    await asyncio.wait_for(called.wait(), PATIENCE_S)
+    await asyncio.wait_for(called.wait(), TIMEOUT_S)
--- a/tests/test_control_log_file.py
+++ b/tests/test_control_log_file.py
@@ -1,4 +1,4 @@
-"""The log of a control node on its disk: cuts, flipped bytes, disks that are full or forget."""
+"""The log file of a control node: truncation, flipped bits, full disks and power losses."""
 
 import random
 from pathlib import Path
@@ -31,7 +31,7 @@
     make_batch(HardState(2, ""), 2, (entry(2, 2), entry(3, 2))),
     make_batch(None, None, (entry(4, 2),)),
 )
-#: What stands in the log after so many batches.
+#: The content of the log after the first 0, 1, 2, ... batches.
 AFTER = (
     (HardState(), ()),
     (HardState(1, "c1"), ()),
@@ -40,55 +40,55 @@
     (HardState(2, ""), (entry(1), entry(2, 2), entry(3, 2), entry(4, 2))),
 )
 FRAMES = [encode_frame(batch) for batch in BATCHES]
-WHOLE = MAGIC + b"".join(FRAMES)
+COMPLETE_LOG = MAGIC + b"".join(FRAMES)
 ENDS = [len(MAGIC) + sum(map(len, FRAMES[:count])) for count in range(len(FRAMES) + 1)]
 
 
 def load(data: bytes) -> tuple[LoadedLog, SimulatedDisk]:
-    platter = SimulatedDisk({LOG_FILE: data})
-    log = LogFile(FOLDER, MemoryDisk(platter))
+    disk = SimulatedDisk({LOG_FILE: data})
+    log = LogFile(FOLDER, MemoryDisk(disk))
     loaded = log.load()
     if loaded.damage is not None:
         log.replace_damaged(loaded)
-    return loaded, platter
+    return loaded, disk
 
 
-def test_batches_come_back_as_they_were_stored() -> None:
-    platter = SimulatedDisk()
-    log = LogFile(FOLDER, MemoryDisk(platter))
+def test_stored_batches_are_loaded_unchanged() -> None:
+    disk = SimulatedDisk()
+    log = LogFile(FOLDER, MemoryDisk(disk))
     log.create()
     assert log.load() == LoadedLog(HardState(), ())
     for batch in BATCHES:
         log.store(batch)
-    assert platter.cut(random.Random(0), keeps=0.0)[LOG_FILE] == WHOLE
-    loaded, _ = load(WHOLE)
+    assert disk.cut(random.Random(0), keeps=0.0)[LOG_FILE] == COMPLETE_LOG
+    loaded, _ = load(COMPLETE_LOG)
     assert (loaded.hard_state, loaded.entries) == AFTER[-1]
     assert loaded.damage is None and loaded.torn_bytes == 0
 
 
-@pytest.mark.parametrize("size", range(len(WHOLE)))
-def test_a_log_cut_at_any_byte_keeps_the_whole_batches_before(size: int) -> None:
-    loaded, platter = load(WHOLE[:size])
+@pytest.mark.parametrize("size", range(len(COMPLETE_LOG)))
+def test_a_log_cut_at_any_byte_keeps_the_complete_batches_before_it(size: int) -> None:
+    loaded, disk = load(COMPLETE_LOG[:size])
     if size < len(MAGIC):
         assert loaded.damage is not None and loaded.damage.offset == 0
         return
     count = max(count for count, end in enumerate(ENDS) if end <= size)
     assert (loaded.hard_state, loaded.entries) == AFTER[count]
     assert loaded.damage is None and loaded.torn_bytes == size - ENDS[count]
-    assert platter.cut(random.Random(0), keeps=0.0)[LOG_FILE] == WHOLE[: ENDS[count]]
+    assert disk.cut(random.Random(0), keeps=0.0)[LOG_FILE] == COMPLETE_LOG[: ENDS[count]]
 
 
-@pytest.mark.parametrize("at", range(len(WHOLE)))
-def test_a_flip_of_any_bit_is_damage_at_the_offset_of_its_batch(at: int) -> None:
+@pytest.mark.parametrize("at", range(len(COMPLETE_LOG)))
+def test_a_flip_of_any_bit_is_reported_as_damage_at_the_offset_of_its_batch(at: int) -> None:
     for bit in range(8):
-        damaged = bytearray(WHOLE)
+        damaged = bytearray(COMPLETE_LOG)
         damaged[at] ^= 1 << bit
-        loaded, platter = load(bytes(damaged))
+        loaded, disk = load(bytes(damaged))
         count = max((count for count, end in enumerate(ENDS) if end <= at), default=0)
         assert loaded.damage is not None
         assert loaded.damage.offset == (ENDS[count] if at >= len(MAGIC) else 0)
         assert (loaded.hard_state, loaded.entries) == AFTER[count if at >= len(MAGIC) else 0]
-        left = platter.cut(random.Random(0), keeps=0.0)
+        left = disk.cut(random.Random(0), keeps=0.0)
         assert left["log.damaged"] == bytes(damaged)
         assert read_log(left[LOG_FILE]).damage is None
 
@@ -96,9 +96,9 @@
 def test_a_batch_whose_sectors_never_reached_the_disk_is_a_torn_write() -> None:
     entries = tuple(LogEntry(index, 3, b"x" * 400) for index in range(5, 10))
     frame = encode_frame(make_batch(None, None, entries))
-    begin = len(WHOLE)
+    begin = len(COMPLETE_LOG)
     for sector in range(begin // 512, (begin + len(frame)) // 512):
-        data = bytearray(WHOLE + frame)
+        data = bytearray(COMPLETE_LOG + frame)
         first, end = max(sector * 512, begin), (sector + 1) * 512
         data[first:end] = bytes(end - first)
         loaded, _ = load(bytes(data))
@@ -109,9 +109,9 @@
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_a_power_loss_leaves_what_was_stored(seed: int) -> None:
+def test_a_power_loss_keeps_the_stored_batches(seed: int) -> None:
     rng = random.Random(seed)
-    platter = SimulatedDisk()
+    disk = SimulatedDisk()
     stored = 0
     countdown = rng.randrange(4, 16)
 
@@ -121,32 +121,32 @@
         if countdown < 0:
             raise EOFError(what)
 
-    log = LogFile(FOLDER, MemoryDisk(platter))
+    log = LogFile(FOLDER, MemoryDisk(disk))
     log.create()
     log.load()
-    log.disk = MemoryDisk(platter, lose_power)
-    log.disk.files = {log._file: platter.now[LOG_FILE]}  # type: ignore[dict-item]
+    log.disk = MemoryDisk(disk, lose_power)
+    log.disk.files = {log._file: disk.now[LOG_FILE]}  # type: ignore[dict-item]
     try:
         for batch in BATCHES:
             log.store(batch)
             stored += 1
     except EOFError:
         pass
-    loaded, _ = load(platter.cut(rng)[LOG_FILE])
+    loaded, _ = load(disk.cut(rng)[LOG_FILE])
     assert loaded.damage is None
     assert (loaded.hard_state, loaded.entries) in AFTER[stored : stored + 2]
 
 
 @pytest.mark.parametrize("operation", ["write", "sync"])
-def test_a_batch_that_a_full_disk_refused_is_stored_later_and_once(operation: str) -> None:
-    platter = SimulatedDisk({LOG_FILE: WHOLE})
+def test_a_batch_that_failed_on_a_full_disk_is_stored_later_exactly_once(operation: str) -> None:
+    disk = SimulatedDisk({LOG_FILE: COMPLETE_LOG})
     is_full = False
 
     def refuse(what: str) -> None:
         if is_full and what == operation:
             raise OSError(28, "No space left on device")
 
-    log = LogFile(FOLDER, MemoryDisk(platter, refuse))
+    log = LogFile(FOLDER, MemoryDisk(disk, refuse))
     log.load()
     is_full = True
     batch = make_batch(HardState(3, "c2"), None, (entry(5, 3),))
@@ -155,11 +155,11 @@
             log.store(batch)
     is_full = False
     log.store(batch)
-    assert platter.cut(random.Random(0), keeps=0.0)[LOG_FILE] == WHOLE + encode_frame(batch)
+    assert disk.cut(random.Random(0), keeps=0.0)[LOG_FILE] == COMPLETE_LOG + encode_frame(batch)
 
 
 def test_entries_that_leave_a_gap_are_damage() -> None:
     gap = encode_frame(make_batch(None, None, (entry(6, 2),)))
-    loaded, _ = load(WHOLE + gap)
-    assert loaded.damage is not None and loaded.damage.offset == len(WHOLE)
+    loaded, _ = load(COMPLETE_LOG + gap)
+    assert loaded.damage is not None and loaded.damage.offset == len(COMPLETE_LOG)
     assert "entry 6 follows entry 4" in loaded.damage.reason
--- a/tests/test_control_node.py
+++ b/tests/test_control_node.py
@@ -1,4 +1,4 @@
-"""Control nodes on virtual time: a bad network, cuts, kills at chosen points, hand-overs, wrong clocks."""
+"""Control nodes on virtual time: faulty networks, partitions, kills, leadership transfer, wrong clocks."""
 
 import asyncio
 import random
@@ -12,7 +12,7 @@
     VOTES,
     YEAR_S,
     Cluster,
-    play,
+    run_scenario,
 )
 
 from message_sender.control import messages
@@ -25,88 +25,92 @@
 from message_sender.control.replica import ELECTION_TIMEOUT_MIN_S
 
 
-def test_a_change_made_at_any_node_is_in_force_everywhere(tmp_path: Path) -> None:
-    async def story(cluster: Cluster) -> None:
+def test_a_change_made_at_any_node_becomes_active_everywhere(tmp_path: Path) -> None:
+    async def scenario(cluster: Cluster) -> None:
         cluster.start()
         cluster.watch(6)
-        await cluster.until_led()
+        await cluster.wait_for_leader()
         for number, name in enumerate(VOTES, 1):
-            result = await cluster.make(name, b"%d" % number)
+            result = await cluster.make_change(name, b"%d" % number)
             assert (result.outcome, result.version) == (Outcome.APPLIED, number)
             assert cluster.document(name).version == number
-            print(f"everywhere after {await cluster.until_everywhere():.3f} s")
+            print(f"everywhere after {await cluster.wait_until_everywhere():.3f} s")
 
-    play(tmp_path, story)
+    run_scenario(tmp_path, scenario)
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_a_leader_that_ends_hands_over_though_changes_come(seed: int, tmp_path: Path) -> None:
-    """One change is under way as it begins to end, others come just behind, at the leader and elsewhere."""
+def test_a_leader_that_shuts_down_transfers_leadership_while_changes_arrive(
+    seed: int, tmp_path: Path
+) -> None:
+    """One change is in progress when the leader begins to shut down; two others follow immediately."""
 
-    async def story(cluster: Cluster) -> None:
+    async def scenario(cluster: Cluster) -> None:
         cluster.start()
         cluster.network.delay = 0.02
-        first = await cluster.until_led()
-        await cluster.make("c1")
+        first = await cluster.wait_for_leader()
+        await cluster.make_change("c1")
         other = next(name for name in VOTES if name != first)
         node = cluster.driver(first).node
         term = node.replica.term
-        before = asyncio.create_task(cluster.submit(other, cluster.change(1)))
+        earlier = asyncio.create_task(cluster.submit(other, cluster.change(1)))
         await asyncio.sleep(0.02 * cluster.rng.random())
         cluster.driver(first).run_action(node.begin_shutdown)
-        behind = [asyncio.create_task(cluster.submit(name, cluster.change(1))) for name in (first, other)]
-        took = await cluster.until(lambda: node.replica.leader not in ("", first))
+        later = [asyncio.create_task(cluster.submit(name, cluster.change(1))) for name in (first, other)]
+        took = await cluster.wait_until(lambda: node.replica.leader not in ("", first))
         assert took < ELECTION_TIMEOUT_MIN_S and node.replica.term == term + 1
         cluster.kill(first)
-        results = await asyncio.gather(before, behind[1])
+        results = await asyncio.gather(earlier, later[1])
         assert sorted(each.outcome for each in results) == [Outcome.APPLIED, Outcome.CONFLICT]
-        behind[0].cancel()  # its node has ended
-        await cluster.until_everywhere()
+        later[0].cancel()  # its node was killed
+        await cluster.wait_until_everywhere()
         print(f"another node led after {took:.3f} s")
 
-    play(tmp_path, story, seed)
+    run_scenario(tmp_path, scenario, seed)
 
 
-@pytest.mark.parametrize("asked", VOTES)
-def test_a_successor_is_elected_by_nodes_that_were_started_since_it_spoke_to_them(
-    asked: str, tmp_path: Path
+@pytest.mark.parametrize("successor", VOTES)
+def test_a_successor_is_elected_by_nodes_that_restarted_after_its_last_contact(
+    successor: str, tmp_path: Path
 ) -> None:
-    async def story(cluster: Cluster) -> None:
+    async def scenario(cluster: Cluster) -> None:
         cluster.start()
-        first = await cluster.until_led()
-        await cluster.make("c1")
-        await cluster.status(asked)  # it has spoken to each of them
-        if asked == first:
+        first = await cluster.wait_for_leader()
+        await cluster.make_change("c1")
+        await cluster.status(successor)  # now it has a session with each node
+        if successor == first:
             return
         for name in VOTES:
-            if name not in (first, asked):
+            if name not in (first, successor):
                 cluster.kill(name)
                 cluster.start(name)
-                await cluster.until(lambda name=name: cluster.driver(name).node.replica.leader == first)  # type: ignore[misc]
-        await cluster.until_everywhere()
+                await cluster.wait_until(lambda name=name: cluster.driver(name).node.replica.leader == first)  # type: ignore[misc]
+        await cluster.wait_until_everywhere()
         await asyncio.sleep(1.0)
-        replica = cluster.driver(asked).node.replica
-        cluster.driver(asked).run_action(lambda now: replica.receive(first, TimeoutNow(replica.term), now))
-        took = await cluster.until(lambda: replica.role is Role.LEADER)
-        print(f"{asked} in place of {first}: elected after {took:.3f} s")
+        replica = cluster.driver(successor).node.replica
+        cluster.driver(successor).run_action(
+            lambda now: replica.receive(first, TimeoutNow(replica.term), now)
+        )
+        took = await cluster.wait_until(lambda: replica.role is Role.LEADER)
+        print(f"{successor} in place of {first}: elected after {took:.3f} s")
         assert took < ELECTION_TIMEOUT_MIN_S
 
-    play(tmp_path, story, 3)
+    run_scenario(tmp_path, scenario, 3)
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_over_a_bad_network_every_confirmed_change_survives_and_is_made_once(
+def test_over_a_faulty_network_every_confirmed_change_survives_and_is_made_once(
     seed: int, tmp_path: Path
 ) -> None:
-    """Loss, doubling, delay, kills and power losses; clients ask again under the same id."""
+    """Loss, duplication, delay, kills and power losses; clients retry with the same request id."""
 
-    async def story(cluster: Cluster) -> None:
+    async def scenario(cluster: Cluster) -> None:
         rng = random.Random(f"story {seed}")
-        cluster.network.loss, cluster.network.double, cluster.network.delay = 0.1, 0.1, 0.05
+        cluster.network.loss, cluster.network.duplication, cluster.network.delay = 0.1, 0.1, 0.05
         cluster.start()
         cluster.watch(4)
-        await cluster.until_led()
-        made: dict[int, bytes] = {}
+        await cluster.wait_for_leader()
+        confirmed_values: dict[int, bytes] = {}
         for number in range(25):
             if rng.random() < 0.3:
                 name = rng.choice(list(VOTES))
@@ -121,99 +125,99 @@
             while (result := await cluster.submit(rng.choice(cluster.alive()), change)).outcome:
                 if result.outcome is Outcome.CONFLICT:
                     change = cluster.change(result.version, value)
-            made[result.version] = value
+            confirmed_values[result.version] = value
         cluster.start(*(each for each in VOTES if each not in cluster.alive()))
         cluster.network.loss = 0.0
-        await cluster.until_everywhere(10.0)
-        await cluster.until(lambda: len({cluster.document(name).version for name in VOTES}) == 1)
-        assert sorted(made) == list(range(1, 26))
-        assert {cluster.document(name).resources["endpoints/x"] for name in VOTES} == {made[25]}
+        await cluster.wait_until_everywhere(10.0)
+        await cluster.wait_until(lambda: len({cluster.document(name).version for name in VOTES}) == 1)
+        assert sorted(confirmed_values) == list(range(1, 26))
+        assert {cluster.document(name).resources["endpoints/x"] for name in VOTES} == {confirmed_values[25]}
         assert all(cluster.driver(name).node.replica.is_voter for name in VOTES)
 
-    play(tmp_path, story, seed)
+    run_scenario(tmp_path, scenario, seed)
 
 
-@pytest.mark.parametrize("whom", ["leader", "asked"])
-@pytest.mark.parametrize("again_at", ["another", "the same"])
+@pytest.mark.parametrize("killed_node", ["leader", "asked"])
+@pytest.mark.parametrize("retried_at", ["another", "the same"])
 def test_a_node_killed_between_its_sync_and_its_confirmation_makes_the_change_once(
-    whom: str, again_at: str, tmp_path: Path
+    killed_node: str, retried_at: str, tmp_path: Path
 ) -> None:
-    async def story(cluster: Cluster) -> None:
+    async def scenario(cluster: Cluster) -> None:
         cluster.start()
-        leader = await cluster.until_led()
-        assert (await cluster.make(leader)).version == 1
-        await cluster.until_everywhere()
+        leader = await cluster.wait_for_leader()
+        assert (await cluster.make_change(leader)).version == 1
+        await cluster.wait_until_everywhere()
         asked = next(name for name in VOTES if name != leader)
-        killed = leader if whom == "leader" else asked
+        killed = leader if killed_node == "leader" else asked
         cluster.machines[killed].crash_after = "sync"
         change = cluster.change(1, b"2")
         unanswered: list[ChangeResult] = []
-        driver = cluster.driver(asked if whom == "asked" else leader)
+        driver = cluster.driver(asked if killed_node == "asked" else leader)
         driver.run_action(lambda now: driver.node.submit(change, unanswered.append, now))
-        await cluster.until(lambda: killed not in cluster.alive())
-        name = killed if again_at == "the same" else next(each for each in VOTES if each != killed)
-        if again_at == "the same":
+        await cluster.wait_until(lambda: killed not in cluster.alive())
+        name = killed if retried_at == "the same" else next(other for other in VOTES if other != killed)
+        if retried_at == "the same":
             cluster.start(killed)
         while (result := await cluster.submit(name, change)).outcome is Outcome.UNAVAILABLE:
             pass
         assert (result.outcome, result.version) == (Outcome.APPLIED, 2)
         assert not unanswered
-        if again_at == "another":
+        if retried_at == "another":
             cluster.start(killed)
-        await cluster.until(lambda: all(cluster.document(each).version == 2 for each in VOTES))
-        assert (await cluster.make(name)).version == 3
+        await cluster.wait_until(lambda: all(cluster.document(each).version == 2 for each in VOTES))
+        assert (await cluster.make_change(name)).version == 3
 
-    play(tmp_path, story)
+    run_scenario(tmp_path, scenario)
 
 
-def test_in_a_cut_the_heavy_side_confirms_and_the_other_does_not(tmp_path: Path) -> None:
-    async def story(cluster: Cluster) -> None:
+def test_in_a_partition_only_the_side_with_the_majority_of_votes_confirms(tmp_path: Path) -> None:
+    async def scenario(cluster: Cluster) -> None:
         cluster.start()
         cluster.watch(6)
-        await cluster.until_led()
-        await cluster.make("c1")
-        await cluster.until_everywhere()
+        await cluster.wait_for_leader()
+        await cluster.make_change("c1")
+        await cluster.wait_until_everywhere()
         north, south = [{name for name in VOTES if REGIONS[name] == side} for side in ("north", "south")]
-        for each in cluster.watchers:
-            (south if int(each.name[1:]) % 2 == 0 else north).add(each.name)
+        for watcher in cluster.watchers:
+            (south if int(watcher.name[1:]) % 2 == 0 else north).add(watcher.name)
         cluster.network.sides = frozenset(north), frozenset(south)
-        await cluster.until_led(("c1", "c2"))
-        heavy, light = await asyncio.gather(
+        await cluster.wait_for_leader(("c1", "c2"))
+        majority, minority = await asyncio.gather(
             cluster.submit("c2", cluster.change(1, b"north")), cluster.submit("c3", cluster.change(1, b"s"))
         )
-        assert heavy.outcome is Outcome.APPLIED and light.outcome is Outcome.UNAVAILABLE
+        assert majority.outcome is Outcome.APPLIED and minority.outcome is Outcome.UNAVAILABLE
         await asyncio.sleep(10.0)
         assert {cluster.document(name).version for name in ("c3", "c4")} == {1}
         status = await cluster.status("c3")
         assert set(status) == {"c3", "c4"} and status["c3"].age_ms > 9_000
         cluster.network.sides = ()
-        print(f"everywhere {await cluster.until_everywhere():.3f} s after the cut")
+        print(f"everywhere {await cluster.wait_until_everywhere():.3f} s after the cut")
 
-    play(tmp_path, story)
+    run_scenario(tmp_path, scenario)
 
 
-def test_clocks_that_are_wrong_by_a_year_change_nothing(
+def test_clocks_that_are_wrong_by_a_year_do_not_change_the_results(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The nodes' monotonic clocks begin anywhere, and the wall clock jumps: the run is the same."""
+    """The nodes' monotonic clocks have offsets and the wall clock jumps; the results must not change."""
 
     def run(folder: Path, offsets: Mapping[str, float]) -> tuple[float, float, list[int]]:
-        async def story(cluster: Cluster) -> tuple[float, float, list[int]]:
+        async def scenario(cluster: Cluster) -> tuple[float, float, list[int]]:
             for name, offset in offsets.items():
                 cluster.machines[name].clock_offset = offset
             cluster.start()
             cluster.watch(2)
-            await cluster.until_led()
+            await cluster.wait_for_leader()
             led_at = asyncio.get_running_loop().time()
             versions = []
             for name in ("c1", "c2", "c3"):
-                versions.append((await cluster.make(name)).version)
-                await cluster.until_everywhere()
+                versions.append((await cluster.make_change(name)).version)
+                await cluster.wait_until_everywhere()
             return led_at, asyncio.get_running_loop().time(), versions
 
         folder.mkdir()
-        found: tuple[float, float, list[int]] = play(folder, story)
-        return found
+        result: tuple[float, float, list[int]] = run_scenario(folder, scenario)
+        return result
 
     straight = run(tmp_path / "straight", {})
     jumps = iter(range(1_000_000))
@@ -224,10 +228,10 @@
     assert crooked[1] == pytest.approx(straight[1], abs=0.5)
 
 
-def test_a_status_names_as_many_watchers_as_fit(tmp_path: Path) -> None:
-    async def story(cluster: Cluster) -> None:
+def test_a_status_contains_as_many_watchers_as_fit(tmp_path: Path) -> None:
+    async def scenario(cluster: Cluster) -> None:
         cluster.start()
-        await cluster.until_led()
+        await cluster.wait_for_leader()
         node = cluster.driver("c2").node
         reason = "x" * messages.REASON_LENGTH_LIMIT
         for number in range(1_500):
@@ -238,16 +242,16 @@
         status = (await cluster.status("c1"))["c2"]
         assert 200 < len(status.watchers) < 1_500
 
-    play(tmp_path, story)
+    run_scenario(tmp_path, scenario)
 
 
-def test_who_is_no_control_node_may_watch_and_nothing_else(tmp_path: Path) -> None:
-    async def story(cluster: Cluster) -> None:
+def test_a_name_that_is_not_a_control_node_can_only_watch(tmp_path: Path) -> None:
+    async def scenario(cluster: Cluster) -> None:
         cluster.start()
         cluster.watch(1)
-        leader = await cluster.until_led()
-        await cluster.make(leader)
-        await cluster.until_everywhere()
+        leader = await cluster.wait_for_leader()
+        await cluster.make_change(leader)
+        await cluster.wait_until_everywhere()
         (watcher,), term = cluster.watchers, cluster.driver(leader).node.replica.term
         change = cluster.change(1, b"forged")
         for body in (
@@ -266,4 +270,4 @@
         assert {cluster.document(name).version for name in VOTES} == {1}
         assert cluster.driver(leader).node.replica.term == term
 
-    play(tmp_path, story)
+    run_scenario(tmp_path, scenario)
--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -1,4 +1,4 @@
-"""Control nodes as processes: kills, cuts, loss and pauses between them, seen by watchers and operators."""
+"""Control nodes as processes: kills, partitions, loss and pauses, as observed by watchers and operators."""
 
 import asyncio
 import base64
@@ -18,8 +18,8 @@
 from message_sender.testbed.control_cluster import ControlCluster, address_of
 from message_sender.testbed.relay import HOST
 
-IN_FORCE_WITHIN_S = 4.0  # the operators' allowance
-HEALED_WITHIN_S = 10.0  # after a fault, for the node that it befell
+ACTIVE_WITHIN_S = 4.0  # the operators' limit
+HEALED_WITHIN_S = 10.0  # after a fault, for the affected node
 NORTH, SOUTH = ("c1", "c2"), ("c3", "c4")
 
 
@@ -28,111 +28,115 @@
 
 
 class Operator:
-    """Makes changes and remembers what was confirmed."""
+    """Makes changes and records those that were confirmed."""
 
     def __init__(self, cluster: ControlCluster) -> None:
         self.cluster = cluster
         self.version = 0
         self.names: list[str] = []
-        self.asked_at = self.confirmed_at = 0.0
+        self.requested_at = self.confirmed_at = 0.0
 
     async def change(self, at: str) -> int:
-        """One more endpoint, confirmed."""
+        """Adds an endpoint at node `at`, and waits for the confirmation; returns the version."""
         number = self.version + 1
         name = f"endpoints/hub-{number}"
-        self.asked_at = time.monotonic()
-        told = await self.cluster.submit_change(
+        self.requested_at = time.monotonic()
+        result = await self.cluster.submit_change(
             at, f"request {number}", self.version, {name: endpoint(number)}
         )
-        assert told == {"outcome": "applied", "version": number, "faults": []}
+        assert result == {"outcome": "applied", "version": number, "faults": []}
         self.confirmed_at = time.monotonic()
         self.version = number
         self.names.append(name)
         return number
 
-    async def everywhere(self, what: str, names: tuple[str, ...] = (), regions: str = "north south") -> None:
-        """All that are reachable have what was confirmed last, in time."""
-        watchers = [each for each in self.cluster.watchers if each.region in regions]
+    async def check_active_everywhere(
+        self, label: str, names: tuple[str, ...] = (), regions: str = "north south"
+    ) -> None:
+        """Checks that all reachable nodes and watchers get the last confirmed version within the limit."""
+        watchers = [watcher for watcher in self.cluster.watchers if watcher.region in regions]
         nodes = names or tuple(self.cluster.running_nodes())
         times = await self.cluster.measure_version_times(self.version, nodes, watchers)
         took = max(times.values())
-        confirmed = self.confirmed_at - self.asked_at
-        print(f"{what}: confirmed after {confirmed:.2f} s, in force everywhere {took:.2f} s later")
-        watched = {each.name: (each.watch.node, each.watch.counts) for each in watchers}
-        assert took <= IN_FORCE_WITHIN_S, (times, watched)
+        confirmed = self.confirmed_at - self.requested_at
+        print(f"{label}: confirmed after {confirmed:.2f} s, active everywhere {took:.2f} s later")
+        watched = {watcher.name: (watcher.watch.node, watcher.watch.counts) for watcher in watchers}
+        assert took <= ACTIVE_WITHIN_S, (times, watched)
 
     async def check(self) -> None:
-        """All that was confirmed is at every node, and versions only rose."""
+        """Checks that every node has all confirmed changes, and that versions only rose."""
         for name in self.cluster.running_nodes():
-            told = await self.cluster.request(name, {"do": "get"})
-            assert told["version"] == self.version
-            assert sorted(told["resources"]) == sorted(self.names)
-        for each in self.cluster.watchers:
-            versions = each.applier.versions
+            document = await self.cluster.request(name, {"do": "get"})
+            assert document["version"] == self.version
+            assert sorted(document["resources"]) == sorted(self.names)
+        for watcher in self.cluster.watchers:
+            versions = watcher.applier.versions
             assert versions == sorted(set(versions))
 
 
-def play(folder: Path, story: Callable[[ControlCluster, Operator], Awaitable[None]], seed: int = 0) -> None:
-    async def told() -> None:
+def run_scenario(
+    folder: Path, scenario: Callable[[ControlCluster, Operator], Awaitable[None]], seed: int = 0
+) -> None:
+    async def run() -> None:
         async with ControlCluster(folder, seed=seed) as cluster:
             await cluster.start()
             for number in range(4):
                 await cluster.watch(f"w{number}", ("north", "south")[number % 2])
-            await story(cluster, Operator(cluster))
+            await scenario(cluster, Operator(cluster))
 
-    asyncio.run(told())
+    asyncio.run(run())
 
 
-def test_kills_and_pauses_lose_nothing(tmp_path: Path) -> None:
-    async def story(cluster: ControlCluster, operator: Operator) -> None:
+def test_kills_and_pauses_lose_no_confirmed_change(tmp_path: Path) -> None:
+    async def scenario(cluster: ControlCluster, operator: Operator) -> None:
         leader = await cluster.wait_for_leader()
         for name in cluster.members:
             await operator.change(name)
-            await operator.everywhere(f"calm, made at {name}")
+            await operator.check_active_everywhere(f"calm, made at {name}")
         await cluster.kill(leader)
         other = next(name for name in cluster.members if name != leader)
         await operator.change(other)
-        await operator.everywhere("the leader was killed")
+        await operator.check_active_everywhere("the leader was killed")
         await cluster.start(leader)
-        await operator.everywhere("it came back")
+        await operator.check_active_everywhere("it came back")
         paused = await cluster.wait_for_leader()
         cluster.signal(paused, signal.SIGSTOP)
         awake = tuple(name for name in cluster.members if name != paused)
         await operator.change(awake[0])
         watchers = [each for each in cluster.watchers if each.watch.node != paused]
-        await cluster.wait_for_version(operator.version, awake, watchers, IN_FORCE_WITHIN_S)
+        await cluster.wait_for_version(operator.version, awake, watchers, ACTIVE_WITHIN_S)
         cluster.signal(paused, signal.SIGCONT)
-        await operator.everywhere("the paused leader went on")
+        await operator.check_active_everywhere("the paused leader went on")
         await cluster.kill(*cluster.members)
         await cluster.start()
         await operator.change("c4")
-        await operator.everywhere("all were killed")
+        await operator.check_active_everywhere("all were killed")
         await operator.check()
         status = await cluster.request("c3", {"do": "status"})
         assert [each["role"] for each in status["nodes"]].count("leader") == 1
         assert {each["fault"] for each in status["nodes"]} == {""}
 
-    play(tmp_path, story)
+    run_scenario(tmp_path, scenario)
 
 
-def test_loss_and_a_cut_between_regions(tmp_path: Path) -> None:
-    async def story(cluster: ControlCluster, operator: Operator) -> None:
+def test_changes_survive_loss_and_a_partition_between_regions(tmp_path: Path) -> None:
+    async def scenario(cluster: ControlCluster, operator: Operator) -> None:
         relay = cluster.relay
         relay.loss, relay.delay, relay.duplication = 0.1, 0.03, 0.1
         await cluster.wait_for_leader()
         for name in cluster.members:
             await operator.change(name)
-            await operator.everywhere(f"a tenth is lost, made at {name}")
+            await operator.check_active_everywhere(f"a tenth is lost, made at {name}")
         relay.heal()
         sides = [[*names, *(each.name for each in cluster.watchers if each.region == region)]
                  for names, region in ((NORTH, "north"), (SOUTH, "south"))]  # fmt: skip
         relay.split(*(" ".join(side) for side in sides))
         base = operator.version
         request = {"do": "set", "request_id": "south", "base_version": base, "delete": []}
-        refused = cluster.request("c3", {**request, "put": {"endpoints/south": endpoint(99)}})
-        told, _ = await asyncio.gather(refused, operator.change("c2"))
-        assert told["outcome"] == "unavailable"
-        await operator.everywhere("cut, the heavy side", NORTH, "north")
+        refused_request = cluster.request("c3", {**request, "put": {"endpoints/south": endpoint(99)}})
+        result, _ = await asyncio.gather(refused_request, operator.change("c2"))
+        assert result["outcome"] == "unavailable"
+        await operator.check_active_everywhere("cut, the heavy side", NORTH, "north")
         status = await cluster.request("c4", {"do": "status"})
         by_name = {each["name"]: each for each in status["nodes"]}
         assert by_name["c1"] == {"name": "c1", "is_reachable": False}
@@ -140,12 +144,12 @@
         south = [each for each in cluster.watchers if each.region == "south"]
         assert {each.watch.document.version for each in south} == {base}
         relay.heal()
-        await operator.everywhere("the cut healed")
-        told = await cluster.request("c3", {**request, "put": {"endpoints/south": endpoint(99)}})
-        assert told["outcome"] == "conflict" and told["version"] == operator.version
+        await operator.check_active_everywhere("the cut healed")
+        result = await cluster.request("c3", {**request, "put": {"endpoints/south": endpoint(99)}})
+        assert result["outcome"] == "conflict" and result["version"] == operator.version
         await operator.check()
 
-    play(tmp_path, story)
+    run_scenario(tmp_path, scenario)
 
 
 def send_forged(count: int, address: Address) -> None:
@@ -160,22 +164,22 @@
     return sum(count for reason, count in own["refused_datagrams"].items() if "key" in reason)
 
 
-def test_bad_requests_forged_datagrams_keys_and_ends(tmp_path: Path) -> None:
-    async def story(cluster: ControlCluster, operator: Operator) -> None:
+def test_invalid_requests_forged_datagrams_key_rotation_and_shutdown(tmp_path: Path) -> None:
+    async def scenario(cluster: ControlCluster, operator: Operator) -> None:
         await cluster.wait_for_leader()
         await operator.change("c1")
-        await operator.everywhere("calm")
+        await operator.check_active_everywhere("calm")
         bad = {"endpoints/a": {"destination": "x", "dial": "here"}, "nonsense/b": 1}
-        told = await cluster.submit_change("c2", "bad", 1, bad)
-        assert told["outcome"] == "invalid" and told["version"] == 1
-        assert len(told["faults"]) >= 3, told
+        result = await cluster.submit_change("c2", "bad", 1, bad)
+        assert result["outcome"] == "invalid" and result["version"] == 1
+        assert len(result["faults"]) >= 3, result
         with pytest.raises(ValueError, match="base_version"):
             await cluster.request("c2", {"do": "set", "request_id": "x"})
         send_forged(5, address_of(cluster.members["c2"]))
         async with asyncio.timeout(5.0):
             while await count_refused_for_their_key(cluster, "c2") < 5:
                 pass
-        # A key is changed in three rounds: the new one last, then first, then alone.
+        # A key is changed in three rounds: the new key is second, then first, then the only one.
         old, new = (base64.b64encode(key).decode() for key in (cluster.key, bytes(range(32))))
         for keys in ((old, new), (new, old)):
             for name, member in cluster.members.items():
@@ -197,11 +201,11 @@
         assert await cluster.wait_for_leader()
         await cluster.wait_for_version(operator.version, tuple(cluster.members), [], HEALED_WITHIN_S)
 
-    play(tmp_path, story)
+    run_scenario(tmp_path, scenario)
 
 
-def test_a_leader_that_is_told_to_end_hands_over(tmp_path: Path) -> None:
-    async def story(cluster: ControlCluster, operator: Operator) -> None:
+def test_a_leader_that_gets_sigterm_transfers_its_leadership(tmp_path: Path) -> None:
+    async def scenario(cluster: ControlCluster, operator: Operator) -> None:
         await cluster.wait_for_leader()
         await operator.change("c1")
         for _ in range(3):
@@ -209,31 +213,35 @@
             others = [name for name in cluster.members if name != leader]
             changes = asyncio.create_task(change_until_ended(cluster, operator, others[0], leader))
             cluster.signal(leader, signal.SIGTERM)
-            told_at = time.monotonic()
+            signalled_at = time.monotonic()
             assert await cluster.wait_for_exit(leader) == 0
-            took = time.monotonic() - told_at
+            took = time.monotonic() - signalled_at
             roles = [(await cluster.request(name, {"do": "get"}))["role"] for name in others]
             assert "leader" in roles, cluster.members[leader].log[-3:]
             longest = await changes
             print(f"{leader} ended after {took:.2f} s, the longest change meanwhile took {longest:.2f} s")
             await cluster.start(leader)
-        await operator.everywhere("all are back")
+        await operator.check_active_everywhere("all are back")
         await operator.check()
 
-    play(tmp_path, story)
+    run_scenario(tmp_path, scenario)
 
 
 async def change_until_ended(cluster: ControlCluster, operator: Operator, at: str, leader: str) -> float:
-    """Changes one after another, the last one begun after the leader's end; the seconds of the longest."""
+    """Makes changes one after another until the leader has ended; the last one begins after its end.
+
+    Returns:
+        The seconds that the longest change took.
+    """
     longest, has_ended = 0.0, False
     while not has_ended:
         has_ended = cluster.members[leader].process is None
         await operator.change(at)
-        longest = max(longest, operator.confirmed_at - operator.asked_at)
+        longest = max(longest, operator.confirmed_at - operator.requested_at)
     return longest
 
 
-def test_a_folder_is_initialised_once_and_for_one_node(tmp_path: Path) -> None:
+def test_a_state_folder_is_initialised_only_once_and_for_one_node(tmp_path: Path) -> None:
     cluster = ControlCluster(tmp_path)
     member = cluster.members["c1"]
     member.folder.mkdir()
@@ -249,7 +257,7 @@
         process.run(member.config)
 
 
-def test_every_fault_of_a_configuration_is_named(tmp_path: Path) -> None:
+def test_every_fault_of_a_configuration_is_reported(tmp_path: Path) -> None:
     path = tmp_path / "control.toml"
     path.write_text(
         'name = "c9"\ncluster = ""\nlisten = "here"\nstate = 4\nport = 3\n'
@@ -280,7 +288,7 @@
         load(path)
 
 
-def test_the_example_is_in_order() -> None:
+def test_the_example_configuration_is_valid() -> None:
     config = load(Path(__file__).parent.parent / "deploy" / "control.toml")
     assert config.votes == {"c1": 2, "c2": 1, "c3": 1, "c4": 1}
     assert len({each.region for each in config.nodes}) == 2
--- a/tests/test_control_requests.py
+++ b/tests/test_control_requests.py
@@ -1,4 +1,4 @@
-"""Changes that a control node refuses, and what a leader answers before it proposes one."""
+"""Changes that a control node refuses, and a leader's answers before it proposes a change."""
 
 import asyncio
 from pathlib import Path
@@ -8,8 +8,8 @@
 from control_nodes import (
     VOTES,
     Cluster,
-    no_faults,
-    play,
+    find_bad_values,
+    run_scenario,
 )
 
 from message_sender.control import messages
@@ -25,12 +25,12 @@
 from message_sender.control.store import ConfigurationStore
 
 
-def test_faults_and_old_versions_are_refused_at_any_node(tmp_path: Path) -> None:
-    async def story(cluster: Cluster) -> None:
+def test_faults_and_other_base_versions_are_refused_at_any_node(tmp_path: Path) -> None:
+    async def scenario(cluster: Cluster) -> None:
         cluster.start()
-        await cluster.until_led()
-        assert (await cluster.make("c1")).version == 1
-        await cluster.until_everywhere()
+        await cluster.wait_for_leader()
+        assert (await cluster.make_change("c1")).version == 1
+        await cluster.wait_until_everywhere()
         for name in VOTES:
             change = cluster.change(1, b"bad")
             result = await cluster.submit(name, change)
@@ -45,7 +45,7 @@
             assert result.outcome is Outcome.INVALID and "bytes" in result.faults[0]
         assert {cluster.document(name).version for name in VOTES} == {1}
 
-    play(tmp_path, story)
+    run_scenario(tmp_path, scenario)
 
 
 @pytest.mark.parametrize(
@@ -58,32 +58,34 @@
     ],
     ids=["number", "deleted name", "request id", "author"],
 )
-def test_what_has_no_form_on_the_wire_is_refused_and_the_node_goes_on(change: Change, tmp_path: Path) -> None:
-    async def story(cluster: Cluster) -> None:
+def test_a_change_that_cannot_be_encoded_is_refused_and_the_node_continues(
+    change: Change, tmp_path: Path
+) -> None:
+    async def scenario(cluster: Cluster) -> None:
         cluster.start()
-        leader = await cluster.until_led()
+        leader = await cluster.wait_for_leader()
         other = next(name for name in VOTES if name != leader)
         for name in (leader, other):
             result = await cluster.submit(name, change)
             assert result.outcome is Outcome.INVALID and result.faults[0].startswith("no change: ")
-            assert (await cluster.make(name)).outcome is Outcome.APPLIED
-            await cluster.until_everywhere()
+            assert (await cluster.make_change(name)).outcome is Outcome.APPLIED
+            await cluster.wait_until_everywhere()
 
-    play(tmp_path, story)
+    run_scenario(tmp_path, scenario)
 
 
-def test_of_two_operators_at_once_one_is_told_of_the_other(tmp_path: Path) -> None:
-    async def story(cluster: Cluster) -> None:
+def test_of_two_concurrent_changes_one_is_applied_and_the_other_gets_a_conflict(tmp_path: Path) -> None:
+    async def scenario(cluster: Cluster) -> None:
         cluster.start()
-        await cluster.until_led()
+        await cluster.wait_for_leader()
         for version in range(1, 11):
             first, second = (cluster.change(version - 1, value) for value in (b"1", b"2"))
             results = await asyncio.gather(cluster.submit("c2", first), cluster.submit("c3", second))
             assert sorted(each.outcome for each in results) == [Outcome.APPLIED, Outcome.CONFLICT]
-            await cluster.until_everywhere()
+            await cluster.wait_until_everywhere()
             assert {each.version for each in results} <= {version - 1, version}
 
-    play(tmp_path, story)
+    run_scenario(tmp_path, scenario)
 
 
 class LeaderStub:
@@ -106,9 +108,9 @@
         return len(self.proposed) + 2, self.term
 
 
-def test_a_new_leader_answers_once_it_has_applied_an_entry_of_its_term_and_proposes_once() -> None:
+def test_a_new_leader_answers_after_it_applied_an_entry_of_its_term_and_proposes_once() -> None:
     leader, store = LeaderStub(), ConfigurationStore()
-    requests = ChangeRequests(cast(Replica, leader), store, no_faults)
+    requests = ChangeRequests(cast(Replica, leader), store, find_bad_values)
     answers: list[ChangeResult] = []
     store.apply(leader.entry(1))
     requests.submit(Change("early", 1, (Resource("a", b"1"),), ()), answers.append, 0.0)
@@ -129,10 +131,10 @@
     assert answers[2:] == [right] and len(leader.proposed) == 2
 
 
-def test_a_leader_that_is_cut_off_does_not_say_that_a_change_against_a_later_version_was_not_made() -> None:
-    """Another leader may have made that version, and the change behind it."""
+def test_an_isolated_leader_does_not_refuse_a_change_against_a_later_version() -> None:
+    """Another leader may have created that version and applied the change to it."""
     leader, store = LeaderStub(), ConfigurationStore()
-    requests = ChangeRequests(cast(Replica, leader), store, no_faults)
+    requests = ChangeRequests(cast(Replica, leader), store, find_bad_values)
     answers: list[ChangeResult] = []
     for index in (1, 2):
         store.apply(leader.entry(index))
@@ -144,9 +146,9 @@
     assert answers == [ChangeResult("later", Outcome.UNAVAILABLE, 0)]
 
 
-def test_a_change_against_the_version_that_is_being_made_is_not_proposed_unchecked() -> None:
+def test_a_change_against_a_version_in_progress_is_not_proposed_before_validation() -> None:
     leader, store = LeaderStub(), ConfigurationStore()
-    requests = ChangeRequests(cast(Replica, leader), store, no_faults)
+    requests = ChangeRequests(cast(Replica, leader), store, find_bad_values)
     answers: list[ChangeResult] = []
     for index in (1, 2):
         store.apply(leader.entry(index))
--- a/tests/test_control_schema.py
+++ b/tests/test_control_schema.py
@@ -1,4 +1,4 @@
-"""What a configuration of the control plane may hold."""
+"""The schema of the control plane's configuration: reading, validation, canonical values."""
 
 import json
 from pathlib import Path
@@ -45,13 +45,13 @@
 def test_a_file_becomes_resources_with_canonical_values() -> None:
     resources = schema.read_toml(TEXT)
     assert sorted(resources) == ["budgets/out", "budgets/rate", "endpoints/hub-1", "endpoints/hub/2"]
-    told = '{"destination":1,"dial":"127.0.0.1:9001","rate":60.0,"zone":"hall-a"}'
-    assert resources["endpoints/hub-1"] == told.encode()
+    expected = '{"destination":1,"dial":"127.0.0.1:9001","rate":60.0,"zone":"hall-a"}'
+    assert resources["endpoints/hub-1"] == expected.encode()
     assert json.loads(resources["endpoints/hub/2"])["dial"] == "[::1]:9002"
     assert schema.validate(resources) == ()
 
 
-def test_a_sender_makes_of_them_what_its_own_file_would_have_given() -> None:
+def test_resources_have_the_same_meaning_as_the_same_tables_in_a_senders_own_file() -> None:
     import tomllib
 
     own = read(
@@ -66,7 +66,7 @@
     assert sorted(schema.read_budgets(resources), key=lambda x: x.name, reverse=True) == list(own.budgets)
 
 
-def test_resources_written_as_a_file_are_read_as_the_same() -> None:
+def test_resources_written_as_toml_are_read_back_unchanged() -> None:
     resources = schema.read_toml(TEXT)
     assert schema.read_toml(schema.write_toml(resources)) == resources
     assert schema.write_toml({}) == "" and schema.read_toml("") == {}
@@ -89,7 +89,7 @@
 
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(st.lists(ENDPOINT, max_size=5, unique_by=lambda each: each["id"]))
-def test_any_file_survives_the_way_there_and_back(rows: list[dict[str, object]]) -> None:
+def test_any_file_survives_a_round_trip(rows: list[dict[str, object]]) -> None:
     values = {
         f"endpoints/{each['id']}": {key: value for key, value in each.items() if key != "id"} for each in rows
     }
@@ -100,7 +100,7 @@
     assert {each.endpoint.id for each in schema.read_endpoints(resources)} == {each["id"] for each in rows}
 
 
-def test_all_faults_of_a_file_are_named_at_once(tmp_path: Path) -> None:
+def test_all_faults_of_a_file_are_reported_together(tmp_path: Path) -> None:
     file = tmp_path / "fleet.toml"
     file.write_text(
         'name = "n1"\n'
@@ -123,7 +123,7 @@
         schema.read_toml(tmp_path / "none")
 
 
-def test_budgets_of_a_file_are_held_against_one_another() -> None:
+def test_budgets_of_a_file_are_checked_against_each_other() -> None:
     row = '[[budgets]]\nname = "b"\nof = "in_flight"\ndestination = 1\nwhole = 8\nfloor = 9\n'
     with pytest.raises(ConfigError) as error:
         schema.read_toml(row + row)
@@ -135,7 +135,7 @@
     ]
 
 
-def test_all_faults_of_a_document_are_named_by_resource_and_field() -> None:
+def test_all_faults_of_a_document_are_reported_by_resource_and_field() -> None:
     resources = {
         "endpoints/a": b'{"destination":1,"dial":"here","colour":"red"}',
         "endpoints/b": b'{"id":"b","destination":1,"dial":"h:1"}',
@@ -161,13 +161,13 @@
     )
 
 
-def test_a_floor_is_held_against_the_size_of_the_sender_s_fleet() -> None:
+def test_a_floor_is_checked_against_the_size_of_the_senders_fleet() -> None:
     resources = {"budgets/f": b'{"of":"in_flight","destination":1,"whole":8,"floor":2}'}
     assert schema.validate(resources) == () and schema.validate(resources, 4) == ()
     assert schema.validate(resources, 5) == ("budgets/f.floor: 2 for each of 5 is over the whole",)
 
 
-def test_values_that_mean_the_same_have_the_same_bytes() -> None:
+def test_values_with_the_same_meaning_have_the_same_bytes() -> None:
     one = schema.read_values({"endpoints/a": {"dial": "h:1", "destination": 1, "rate": 1, "zone": ""}})
     other = schema.read_values({"endpoints/a": {"destination": 1, "dial": "h:1"}})
     assert one == other
@@ -176,33 +176,33 @@
     assert [each.path for each in error.value.faults] == ["endpoints/a.destination", "x/y", "endpoints/b"]
 
 
-def test_the_difference_of_two_documents_is_what_leads_from_one_to_the_other() -> None:
+def test_the_difference_of_two_documents_leads_from_the_old_to_the_new_one() -> None:
     old, new = {"a": b"1", "b": b"2", "c": b"3"}, {"a": b"1", "b": b"4", "d": b"5"}
     difference = schema.compare_resources(old, new)
     assert difference == ({"b": b"4", "d": b"5"}, ("c",))
     assert schema.compare_resources(new, new) == ({}, ())
 
 
-def test_of_a_configuration_that_was_in_order_only_what_changed_and_the_budgets_are_read_again(
+def test_after_a_valid_configuration_only_changed_resources_and_budgets_are_parsed_again(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    read_again: list[str] = []
-    parsed = schema.parse_resource
+    parsed_names: list[str] = []
+    parse_resource = schema.parse_resource
 
-    def noted(name: str, value: bytes) -> tuple[schema.Kind, object]:
-        read_again.append(name)
-        return parsed(name, value)
+    def recorded_parse(name: str, value: bytes) -> tuple[schema.Kind, object]:
+        parsed_names.append(name)
+        return parse_resource(name, value)
 
     resources = {f"endpoints/{each}": b'{"destination":1,"dial":"h:1"}' for each in range(50)}
     resources["budgets/a"] = b'{"of":"in_flight","destination":1,"whole":8}'
     validator = schema.Validator()
     assert validator(resources) == ()
-    monkeypatch.setattr(schema, "parse_resource", noted)
+    monkeypatch.setattr(schema, "parse_resource", recorded_parse)
     bad = resources | {"endpoints/7": b'{"destination":1}'}
     for _ in range(2):
-        read_again.clear()
+        parsed_names.clear()
         assert validator(bad) == ("endpoints/7.dial: is missing",)
-        assert set(read_again) == {"endpoints/7", "budgets/a"}
+        assert set(parsed_names) == {"endpoints/7", "budgets/a"}
 
 
 VALUES = (
@@ -221,7 +221,7 @@
     )
 )
 @settings(deadline=None, derandomize=True)
-def test_a_validator_that_remembers_finds_the_same_faults(configurations: list[dict[str, bytes]]) -> None:
+def test_a_validator_with_a_cache_finds_the_same_faults(configurations: list[dict[str, bytes]]) -> None:
     validator = schema.Validator()
     for each in configurations:
         assert validator(each) == schema.validate(each)
--- a/tests/test_control_sender.py
+++ b/tests/test_control_sender.py
@@ -1,4 +1,4 @@
-"""A sender with `[control]`: what it opens, what SIGHUP does, and what it is told by its budgets."""
+"""A sender with a `[control]` table: its resources, SIGHUP, and budget changes that need a restart."""
 
 import asyncio
 import io
@@ -32,14 +32,14 @@
 ROOT = Path(__file__).parent.parent
 US = 1_000_000
 CONTROL = control_section({"c1": 9})
-HELD = schema.read_values({"endpoints/held": {"destination": 1, "dial": "127.0.0.1:2"}})
+STORED = schema.read_values({"endpoints/held": {"destination": 1, "dial": "127.0.0.1:2"}})
 
 
-def made(file: Path, state: Path) -> StandaloneSender:
+def make_sender(file: Path, state: Path) -> StandaloneSender:
     return StandaloneSender(load(file), state, CompletionWriter(io.StringIO()))
 
 
-SERVED = """
+SENDER_PROGRAM = """
 import asyncio, io, sys
 from pathlib import Path
 from message_sender.configuration.general import load
@@ -57,21 +57,21 @@
 """
 
 
-def test_without_control_nothing_of_it_is_imported_opened_or_written(tmp_path: Path) -> None:
+def test_without_a_control_table_no_part_of_it_is_imported_opened_or_written(tmp_path: Path) -> None:
     file = write_sender(tmp_path, SENDER)
     state = tmp_path / "state"
     state.mkdir()
-    words = [sys.executable, "-c", SERVED, str(file), str(state)]
+    words = [sys.executable, "-c", SENDER_PROGRAM, str(file), str(state)]
     out = subprocess.run(words, cwd=ROOT, capture_output=True, check=True, text=True)
     assert out.stdout.strip() == "['message_sender.control_socket']"
     assert not [each.name for each in state.iterdir() if each.name.startswith("control.")]
 
 
 @play
-async def test_a_start_and_sighup_keep_what_the_control_plane_holds(state: Path) -> None:
+async def test_a_start_and_sighup_keep_the_configuration_of_the_control_plane(state: Path) -> None:
     file = write_sender(state, SENDER + CONTROL)
-    DocumentFile(state / IN_FORCE_FILE, SystemDisk()).store(Document(7, HELD))
-    sender = made(file, state)
+    DocumentFile(state / IN_FORCE_FILE, SystemDisk()).store(Document(7, STORED))
+    sender = make_sender(file, state)
     async with running(sender):
         assert sender.dial_addresses() == {"held": ("127.0.0.1", 2)}
         file.write_text((SENDER + CONTROL).replace('"own"', '"new"'))
@@ -89,9 +89,9 @@
 
 
 @play
-async def test_sighup_reads_the_file_while_nothing_stands_over_it(state: Path) -> None:
+async def test_sighup_reads_the_file_while_the_control_plane_has_no_endpoints(state: Path) -> None:
     file = write_sender(state, SENDER + CONTROL)
-    sender = made(file, state)
+    sender = make_sender(file, state)
     async with running(sender):
         assert set(sender.dial_addresses()) == {"own"}
         file.write_text((SENDER + CONTROL).replace('"own"', '"new"'))
@@ -100,11 +100,11 @@
 
 
 @play
-async def test_without_a_key_the_last_version_stays_and_the_status_says_why(state: Path) -> None:
+async def test_without_a_key_the_last_version_stays_active_and_the_status_has_the_fault(state: Path) -> None:
     file = write_sender(state, SENDER + CONTROL)
     (state / "control.key").unlink()
-    DocumentFile(state / IN_FORCE_FILE, SystemDisk()).store(Document(7, HELD))
-    sender = made(file, state)
+    DocumentFile(state / IN_FORCE_FILE, SystemDisk()).store(Document(7, STORED))
+    sender = make_sender(file, state)
     async with running(sender):
         assert set(sender.dial_addresses()) == {"held"}
         status = sender.commands()["control"]({})
@@ -117,15 +117,15 @@
 async def test_each_start_has_a_higher_epoch(state: Path) -> None:
     file = write_sender(state, SENDER + CONTROL)
     for number in (1, 2):
-        sender = made(file, state)
+        sender = make_sender(file, state)
         async with running(sender):
             assert sender.control_plane and sender.control_plane.link
             assert sender.control_plane.link.channel.epoch == number
 
 
 @play
-async def test_the_first_budget_may_come_while_the_sender_runs(state: Path) -> None:
-    sender = made(write_sender(state, SENDER + CONTROL + FLEET), state)
+async def test_the_first_budget_can_be_added_while_the_sender_runs(state: Path) -> None:
+    sender = make_sender(write_sender(state, SENDER + CONTROL + FLEET), state)
     async with running(sender):
         assert sender.control_plane and sender.membership and sender.membership.budgets
         configuration = sender.control_plane.configuration
@@ -138,7 +138,9 @@
         assert sender.membership.budgets.registry.budgets_of(endpoint).calls == ["out"]
 
 
-def test_what_waits_for_a_start_is_what_configure_would_leave(caplog: pytest.LogCaptureFixture) -> None:
+def test_changes_that_need_a_restart_are_those_that_configure_delays(
+    caplog: pytest.LogCaptureFixture,
+) -> None:
     listed = Endpoint("e", 3, EndpointState.READY, "plain", "", 8.0)
     destination = SimpleNamespace(pending={}, endpoints=[SimpleNamespace(listed=listed)], breakers=())
     registry = SimpleNamespace(kinds={"plain": DestinationKind()}, limits_raised=lambda number: None)
@@ -150,19 +152,19 @@
     links = LinkHub(lambda: 0.0, lambda *_args: None, 1, US, 0.0, 1)
     links.join("n0", engine, 1)
     _, budgets = links.ends["n0"]
-    was = tuple(budgets.registry.definitions.values())
+    definitions = tuple(budgets.registry.definitions.values())
     calls = SharedBudget("calls", "calls", "destination", 3, 10, None, US, 0, US, 0, 0)
-    budgets.configure((*was, calls), 1)
+    budgets.configure((*definitions, calls), 1)
 
     def reasons(*changed: SharedBudget) -> list[str]:
-        """The texts, which are there exactly where `configure` says that something is left as it is."""
-        reasons_found = budgets.waits_for_start((*was, *changed))
+        """Returns the reasons for a restart; checks that they match the logged delays."""
+        found_reasons = budgets.waits_for_start((*definitions, *changed))
         caplog.clear()
-        budgets.configure((*was, *changed), 1)
+        budgets.configure((*definitions, *changed), 1)
         is_changed = "budget change waits for the next start: budget=" in caplog.text
-        is_left = is_changed or "removed budget applies until the next start: budget=" in caplog.text
-        assert bool(reasons_found) == is_left
-        return reasons_found
+        is_delayed = is_changed or "removed budget applies until the next start: budget=" in caplog.text
+        assert bool(found_reasons) == is_delayed
+        return found_reasons
 
     assert reasons(calls) == [] and reasons(replace(calls, whole=4)) == []
     assert reasons(replace(calls, floor=1, lease=2 * US, span=2 * US)) == [
--- a/tests/test_control_store.py
+++ b/tests/test_control_store.py
@@ -51,7 +51,7 @@
     assert log.stores[0].document.resources == {"endpoints/x": b"1"}
 
 
-def test_a_change_against_another_version_is_told_the_present_one() -> None:
+def test_a_change_against_another_version_gets_a_conflict_with_the_current_version() -> None:
     log = Log()
     log.change("a", 0, put("x"))
     for base in (0, 2):
@@ -60,7 +60,7 @@
     assert "y" not in log.stores[0].document.resources
 
 
-def test_a_change_that_is_asked_for_again_is_made_once_and_answered_as_before() -> None:
+def test_a_repeated_request_is_applied_once_and_gets_the_same_answer() -> None:
     log = Log()
     first = log.change("a", 0, put("x"))
     log.change("b", 1, put("y"))
@@ -69,7 +69,7 @@
     assert log.stores[0].known_result("a") == first
 
 
-def test_a_conflict_is_answered_as_before_too() -> None:
+def test_a_repeated_request_after_a_conflict_gets_the_same_answer() -> None:
     log = Log()
     first = log.change("a", 1, put("x"))
     log.change("b", 0, put("y"))
@@ -77,17 +77,17 @@
     assert first.outcome is Outcome.CONFLICT and log.stores[0].document.version == 1
 
 
-def test_request_ids_are_bounded_and_the_oldest_is_forgotten_first() -> None:
+def test_request_ids_are_bounded_and_the_oldest_is_dropped_first() -> None:
     store = ConfigurationStore(results_limit=2)
     log = Log(store)
     for number, name in enumerate("abc"):
         log.change(name, number, put(name))
     assert store.known_result("a") is None
     assert store.known_result("b") is not None and store.known_result("c") is not None
-    assert log.change("a", 0, put("a")).outcome is Outcome.CONFLICT, "not made twice either"
+    assert log.change("a", 0, put("a")).outcome is Outcome.CONFLICT, "the change must not be made twice"
 
 
-def test_an_entry_is_applied_once() -> None:
+def test_an_entry_is_applied_only_once() -> None:
     store = ConfigurationStore()
     entry = LogEntry(1, 1, encode_change(Change("a", 0, put("x"), ())))
     assert store.apply(entry) is not None
@@ -117,14 +117,14 @@
 
 
 @pytest.mark.parametrize("data", [b"\xc1", b"\x93\x01\x02\x03", b"x" * (CHANGE_BYTES_LIMIT + 1)])
-def test_an_entry_that_is_no_change_is_invalid_everywhere(data: bytes) -> None:
+def test_an_entry_that_is_not_a_change_is_invalid_on_every_node(data: bytes) -> None:
     log = Log(ConfigurationStore(), ConfigurationStore())
     result = log.append(data)
     assert result is not None and result.outcome is Outcome.INVALID
     assert log.stores[0].document.version == 0
 
 
-def test_changes_are_bounded_and_read_back() -> None:
+def test_the_size_of_changes_is_bounded_and_they_are_decoded_unchanged() -> None:
     change = Change("a", 3, put("x"), ("y",), "me")
     assert decode_change(encode_change(change)) == change
     with pytest.raises(ChangeFormatError):
@@ -134,7 +134,7 @@
             decode_change(encode_change(Change(request_id, 0, (), ())))
 
 
-def test_put_then_delete_cancels_for_who_never_had_it() -> None:
+def test_a_put_followed_by_a_delete_is_omitted_for_senders_that_never_had_the_resource() -> None:
     log = Log()
     log.change("a", 0, put("old"))
     log.change("b", 1, put("new"))
@@ -178,7 +178,7 @@
 
 @settings(max_examples=150, derandomize=True, database=None, deadline=None)
 @given(steps)
-def test_a_merged_delta_leads_from_any_version_to_the_present_one(
+def test_a_merged_delta_leads_from_any_version_to_the_current_one(
     changes: list[list[tuple[str, int]]],
 ) -> None:
     store = ConfigurationStore()
@@ -197,7 +197,7 @@
         assert document.digest == Document(0, document.resources).digest
 
 
-def test_stores_that_apply_the_same_log_are_the_same() -> None:
+def test_stores_that_apply_the_same_log_are_equal() -> None:
     rng = random.Random(47)
     stores = ConfigurationStore(results_limit=5), ConfigurationStore(results_limit=5)
     log = Log(*stores)
