--- a/tests/test_control_watch.py
+++ b/tests/test_control_watch.py
@@ -1,4 +1,4 @@
-"""A sender's watch: polls and nodes, deltas, refused versions."""
+"""A sender's watch: polls, selection of nodes, deltas, refused versions."""
 
 from collections import Counter
 from itertools import pairwise
@@ -19,16 +19,16 @@
 # Polls and nodes.
 
 
-def test_it_polls_each_second_or_so() -> None:
+def test_the_watch_polls_at_random_intervals_of_about_a_second() -> None:
     bench = Bench()
     at = [at for at, *_ in polls(bench.run(100, notice_of(Document())))]
     gaps = [later - earlier for earlier, later in pairwise(at)]
     assert at[0] <= 1000.25
-    assert 0.8 <= min(gaps) and max(gaps) <= 1.25, "a tick of 0.05 s above"
-    assert len({round(gap, 2) for gap in gaps}) > 4, "drawn"
+    assert 0.8 <= min(gaps) and max(gaps) <= 1.25, "1.2 s and one tick of 0.05 s"
+    assert len({round(gap, 2) for gap in gaps}) > 4, "random intervals"
 
 
-def test_three_polls_without_an_answer_and_the_next_node_is_tried() -> None:
+def test_after_three_unanswered_polls_the_next_node_is_tried() -> None:
     bench = Bench()
     sent = polls(bench.run(4.0))
     order = [node.name for node in order_nodes("s1", NODES, "north")]
@@ -46,24 +46,24 @@
     assert set(third) == {"c3", "c4"} and min(third.values()) > 250
 
 
-def test_it_goes_back_to_its_first_choice_once_that_answers_a_probe() -> None:
+def test_the_watch_returns_to_its_first_choice_once_that_answers_a_probe() -> None:
     bench = Bench()
     first = bench.watch.node
     bench.run(1.3)
     second = bench.watch.node
     assert second != first
-    began = bench.now
-    while bench.watch.node != first and bench.now < began + 100:
+    started_at = bench.now
+    while bench.watch.node != first and bench.now < started_at + 100:
         bench.now = round(bench.now + 0.05, 6)
         bench.watch.tick(bench.now)
         for node, message in bench.collect():
-            if isinstance(message, Poll) and (node == second or bench.now > began + 65):
+            if isinstance(message, Poll) and (node == second or bench.now > started_at + 65):
                 bench.watch.receive(node, notice_of(Document()), bench.now)
     assert bench.watch.node == first
-    assert 65 < bench.now - began <= 65 + 60.1, "the first probes were not answered"
+    assert 65 < bench.now - started_at <= 65 + 60.1, "the first probes were not answered"
 
 
-def test_it_does_not_go_back_to_a_node_that_is_behind_or_busy() -> None:
+def test_the_watch_does_not_return_to_a_node_that_lags_or_is_busy() -> None:
     old, new = documents(2)[1:]
     bench = Bench(new)
     first = bench.watch.node
@@ -81,7 +81,7 @@
         assert bench.watch.node == second
 
 
-def test_a_node_that_is_behind_is_told_the_version_and_left_after_a_while() -> None:
+def test_a_lagging_node_gets_polls_with_the_newer_version_and_is_replaced_after_the_lag_timeout() -> None:
     old, new = documents(2)[1:]
     bench = Bench(new)
     first = bench.watch.node
@@ -93,13 +93,13 @@
     assert bench.watch.document.version == 2 and bench.applier.attempts == []
 
 
-def test_where_all_nodes_are_behind_it_does_not_run_in_circles() -> None:
+def test_if_all_nodes_lag_the_watch_changes_nodes_rarely() -> None:
     bench = Bench()
     bench.run(600, notice_of(Document(), age_ms=60_000))
     assert 4 <= bench.watch.choice.changes <= 16
 
 
-def test_a_busy_node_is_asked_again_when_it_says_so_and_no_wait_is_longer_than_a_bound() -> None:
+def test_a_busy_node_is_polled_after_its_retry_after_which_is_bounded() -> None:
     bench = Bench()
     bench.run(0.3)
     bench.receive(notice_of(documents(1)[1], retry_after_ms=4_000))
@@ -109,7 +109,7 @@
     assert polls(bench.run(11))
 
 
-def test_it_polls_at_once_after_a_pause_and_leaves_nobody_for_it() -> None:
+def test_after_a_pause_the_watch_polls_immediately_and_keeps_its_node() -> None:
     bench = Bench()
     bench.run(5, notice_of(Document()))
     bench.run(0.75)
@@ -121,7 +121,7 @@
     assert bench.watch.node == node
 
 
-def test_the_age_counts_since_a_majority_stood_behind_it() -> None:
+def test_the_age_counts_from_the_last_confirmation_by_a_majority() -> None:
     bench = Bench()
     bench.run(3, notice_of(Document(), age_ms=500))
     assert 0.5 <= bench.watch.status(bench.now).age <= 1.8
@@ -144,12 +144,12 @@
     assert bench.applier.steps == [(0, 1)] and bench.watch.counts.old == 1
 
 
-def test_deltas_out_of_order_are_dropped_and_it_polls_soon() -> None:
+def test_a_delta_out_of_order_is_dropped_and_a_poll_follows_soon() -> None:
     zero, one, two, _ = documents(3)
     bench = Bench()
     bench.run(3, notice_of(zero))
     while not polls(bench.run(0.05, notice_of(zero))):
-        pass  # the next one is due in 0.8 s at the earliest
+        pass  # the next poll is due in 0.8 s at the earliest
     bench.receive(delta_between(one, two))
     assert bench.watch.document.version == 0 and bench.watch.counts.unfit == 1
     assert polls(bench.run(0.4))
@@ -162,13 +162,13 @@
     one = documents(1)[1]
     bench = Bench()
     wrong = Delta(0, 1, (Resource("r0", b"2"),), (), one.digest)
-    out = bench.receive(wrong)
-    assert out == [(bench.watch.node, SnapshotRequest(1, 0))] and bench.applier.attempts == []
+    sent = bench.receive(wrong)
+    assert sent == [(bench.watch.node, SnapshotRequest(1, 0))] and bench.applier.attempts == []
     bench.fetch_from(one)
     assert bench.watch.document.resources == bench.applier.in_force == one.resources
 
 
-def test_a_notice_whose_digest_differs_leads_to_a_snapshot_that_mends_the_content() -> None:
+def test_a_notice_whose_digest_differs_leads_to_a_snapshot_that_repairs_the_content() -> None:
     one = documents(1)[1]
     bench = Bench(Document(1, {"r0": b"other", "more": b"1"}))
     assert bench.receive(notice_of(one)) == [(bench.watch.node, SnapshotRequest(1, 0))]
@@ -189,7 +189,7 @@
 # Refusals.
 
 
-def test_a_refused_version_changes_nothing_and_is_told_with_its_reason() -> None:
+def test_a_refused_version_changes_nothing_and_is_reported_with_its_reason() -> None:
     store = ChangedStore()
     store.change(a=b"1")
     bench = Bench(copy_of(store.document))
@@ -214,7 +214,7 @@
     assert polls(bench.run(0.5))[0][2].refused_version == 0
 
 
-def test_a_reason_is_cut() -> None:
+def test_a_long_reason_is_truncated() -> None:
     store = ChangedStore()
     store.change({f"{number:0100}": BAD for number in range(20)})
     bench = Bench()
@@ -224,7 +224,7 @@
     assert len(polls(bench.run(0.5))[0][2].reason) == REASON_LENGTH_LIMIT
 
 
-def test_a_snapshot_is_refused_whole() -> None:
+def test_a_snapshot_with_a_fault_is_refused_completely() -> None:
     store = ChangedStore()
     store.change(a=b"1", b=BAD)
     bench = Bench()
@@ -235,7 +235,7 @@
     assert bench.applier.attempts == [1]
 
 
-def test_what_could_not_be_stored_is_tried_again_after_a_while() -> None:
+def test_a_version_that_could_not_be_stored_is_retried_later() -> None:
     zero, one = documents(1)
     bench = Bench()
     bench.applier.full_disk = True
--- a/tests/test_control_watch_snapshots.py
+++ b/tests/test_control_watch_snapshots.py
@@ -1,4 +1,4 @@
-"""A sender's watch: snapshots and their chunks."""
+"""A sender's watch: fetches of snapshots in chunks."""
 
 import pytest
 from watch_bench import Bench, notice_of
@@ -22,7 +22,7 @@
     return store
 
 
-def test_a_snapshot_comes_in_windows_and_is_checked_whole() -> None:
+def test_a_snapshot_is_fetched_in_windows_and_applied() -> None:
     store = large(2)
     bench = Bench()
     bench.receive(notice_of(store.document, needs_snapshot=True))
@@ -33,7 +33,7 @@
     assert [each.offset for each in requests] == list(range(0, total, SNAPSHOT_WINDOW_CHUNKS * CHUNK_BYTES))
 
 
-def test_chunks_out_of_order_and_doubled_are_joined_and_lost_ones_asked_for_again() -> None:
+def test_reordered_and_duplicated_chunks_are_joined_and_lost_ones_requested_again() -> None:
     data = encode_snapshot(large().document)
     chunks = [SnapshotChunk(1, at, len(data), data[at : at + 1000]) for at in range(0, len(data), 1000)]
     fetch = SnapshotFetch(1)
@@ -62,12 +62,12 @@
         SnapshotChunk(1, 50_000, 90_000, b"1" * 1000),
     ],
 )
-def test_chunks_that_do_not_fit_are_dropped(chunk: SnapshotChunk) -> None:
+def test_chunks_with_invalid_sizes_or_offsets_are_dropped(chunk: SnapshotChunk) -> None:
     fetch = SnapshotFetch(1)
     assert not fetch.add(chunk) and fetch.buffered_bytes == 0
 
 
-def test_a_damaged_snapshot_is_dropped_whole_and_fetched_again_only_after_a_while() -> None:
+def test_a_damaged_snapshot_is_dropped_completely_and_fetched_again_only_after_a_delay() -> None:
     store = large()
     data = bytearray(encode_snapshot(store.document))
     data[20_000] ^= 1
@@ -84,7 +84,7 @@
     assert bench.receive(notice) == [(bench.watch.node, SnapshotRequest(1, 0))]
 
 
-def test_a_snapshot_begins_anew_where_the_node_has_another_version() -> None:
+def test_a_fetch_restarts_if_the_node_has_another_version() -> None:
     old, new = large(1).document, large(2).document
     bench = Bench()
     bench.receive(notice_of(old, needs_snapshot=True))
@@ -97,7 +97,7 @@
     assert bench.applier.steps == [(0, 2)] and bench.applier.in_force == new.resources
 
 
-def test_a_fetch_goes_on_at_the_next_node_and_ends_without_one() -> None:
+def test_a_fetch_continues_at_the_next_node_and_ends_if_no_node_answers() -> None:
     store = large()
     bench = Bench()
     bench.receive(notice_of(store.document, needs_snapshot=True))
@@ -115,7 +115,7 @@
     assert len(requests) <= 12
 
 
-def test_an_answer_to_a_poll_from_before_a_snapshot_does_not_begin_another_one() -> None:
+def test_an_answer_to_a_poll_from_before_a_snapshot_does_not_start_another_fetch() -> None:
     old, new = large(1).document, large(2).document
     bench = Bench()
     bench.run(1, notice_of(old, needs_snapshot=True))
@@ -127,7 +127,7 @@
     assert bench.receive(late) == [(bench.watch.node, SnapshotRequest(2, 0))]
 
 
-def test_a_snapshot_of_another_version_than_its_chunks_say_is_damaged() -> None:
+def test_a_snapshot_of_another_version_than_its_chunks_is_damaged() -> None:
     data = encode_snapshot(Document(1, {"a": b"1"}))
     fetch = SnapshotFetch(2)
     assert fetch.add(SnapshotChunk(2, 0, len(data), data)) and fetch.is_complete
@@ -135,7 +135,7 @@
         fetch.document()
 
 
-def test_the_memory_of_a_fetch_is_bounded_by_what_came_in_order_and_a_window() -> None:
+def test_the_memory_of_a_fetch_is_bounded_by_the_bytes_in_order_and_one_window() -> None:
     fetch = SnapshotFetch(1)
     total = SNAPSHOT_BYTES_LIMIT
     for at in range(1000, 200_000, 1000):
--- a/tests/watch_bench.py
+++ b/tests/watch_bench.py
@@ -1,4 +1,4 @@
-"""A watch on a bench: its time, its messages and its applier are in the hands of a test."""
+"""A watch whose time, messages and applier are controlled by the test."""
 
 import random
 
@@ -26,7 +26,7 @@
 
 
 class Bench:
-    """A watch on a clock of its own."""
+    """A watch with a clock, messages and an applier that the test controls."""
 
     def __init__(self, document: Document | None = None, seed: int = 47) -> None:
         self.now = 1000.0
@@ -38,10 +38,10 @@
     def run(
         self, seconds: float, answer: VersionNotice | None = None
     ) -> list[tuple[float, str, WatchMessage]]:
-        """Ticks for so long; `answer` is given to each poll at once. What was sent meanwhile."""
+        """Ticks for `seconds`, answers each poll immediately with `answer`, and returns the sent messages."""
         begin = len(self.sent)
-        until = self.now + seconds
-        while self.now < until:
+        end = self.now + seconds
+        while self.now < end:
             self.now = round(self.now + 0.05, 6)
             self.watch.tick(self.now)
             for node, message in self.collect():
@@ -51,17 +51,17 @@
         return self.sent[begin:]
 
     def collect(self) -> list[tuple[str, WatchMessage]]:
-        out = self.watch.take_messages()
-        self.sent += [(self.now, node, message) for node, message in out]
-        return out
+        messages = self.watch.take_messages()
+        self.sent += [(self.now, node, message) for node, message in messages]
+        return messages
 
     def receive(self, message: WatchMessage, node: str = "") -> list[tuple[str, WatchMessage]]:
-        """What is sent at once."""
+        """Delivers a message, and returns the messages that the watch sends immediately."""
         self.watch.receive(node or self.watch.node, message, self.now)
         return self.collect()
 
     def fetch_from(self, document: Document, node: str = "") -> None:
-        """Serves the windows that are asked for until none is."""
+        """Serves the requested windows of a snapshot until there are no more requests."""
         data = encode_snapshot(document)
         requests = [message for _, message in self.watch.take_messages()] or [
             message for *_, message in self.sent[-1:]
@@ -77,13 +77,13 @@
 
 
 def documents(count: int) -> list[Document]:
-    """Versions 0 to `count`; each puts a resource."""
+    """Returns the documents of versions 0 to `count`; each version puts a resource."""
     store = ChangedStore()
-    found = [copy_of(store.document)]
+    versions = [copy_of(store.document)]
     for number in range(count):
         store.change({f"r{number}": b"1", "shared": b"%d" % number})
-        found.append(copy_of(store.document))
-    return found
+        versions.append(copy_of(store.document))
+    return versions
 
 
 def delta_between(old: Document, new: Document) -> Delta:
--- a/tests/watching.py
+++ b/tests/watching.py
@@ -1,4 +1,4 @@
-"""What the tests of watch and fan-out share: an applier that keeps a record, and a store that is changed."""
+"""Shared by the tests of watch and fan-out: a recording applier, and a store with a simple log."""
 
 from collections.abc import Mapping
 
@@ -7,11 +7,11 @@
 from message_sender.control.store import ConfigurationStore, encode_change
 from message_sender.control.watch import RefusedConfigurationError
 
-BAD = b"bad"  # a value that no sender puts in force
+BAD = b"bad"  # a value that every sender refuses
 
 
 class RecordingApplier:
-    """Puts resources in force whole or not at all, keeps a stored copy, and records each version."""
+    """Activates a version completely or not at all, keeps a stored copy, and records each version."""
 
     def __init__(self, stored: Document | None = None) -> None:
         self.stored = stored or Document()
@@ -35,20 +35,20 @@
         self.steps.append((delta.from_version, delta.to_version))
 
     def check(self, delta: Delta) -> None:
-        bad = [each.name for each in delta.put if each.value == BAD]
+        bad = [resource.name for resource in delta.put if resource.value == BAD]
         if bad:
             raise RefusedConfigurationError(f"cannot be put in force: {', '.join(bad)}")
 
 
 class ChangedStore(ConfigurationStore):
-    """A store with a log of its own."""
+    """A store that makes and applies its own log entries."""
 
     index = 0
 
     def change(
         self, put: Mapping[str, bytes] | None = None, delete: tuple[str, ...] = (), **more: bytes
     ) -> ChangeResult:
-        """Makes the next version."""
+        """Makes and applies the change to the next version."""
         self.index += 1
         values = {**(put or {}), **more}
         puts = tuple(Resource(name, value) for name, value in values.items())
