--- a/message_sender/control/channel.py
+++ b/message_sender/control/channel.py
@@ -203,8 +203,8 @@
             source: The address from which it was received.
             now: Seconds of the caller's monotonic clock.
 
-        Returns: A pair of the sending peer's name and the body that the datagram completes; empty if it
-        completes none.
+        Returns:
+            The sending peer's name and the body that the datagram completes; empty if it completes none.
         """
         try:
             envelope = self._open(datagram)
--- a/message_sender/control/durable_state.py
+++ b/message_sender/control/durable_state.py
@@ -10,9 +10,10 @@
 class DurableState:
     """The content of the disk.
 
-    Attributes: hard_state: The hard state that was written last. index: The log on the disk equals the log in
-    memory up to this index. disk_last_index: The index of the last entry on the disk; entries after `index`
-    must still be removed there.
+    Attributes:
+        hard_state: The hard state that was written last.
+        index: The log on the disk equals the log in memory up to this index.
+        disk_last_index: The index of the last entry on the disk; entries after `index` must still be removed.
     """
 
     hard_state: HardState
--- a/message_sender/control/messages.py
+++ b/message_sender/control/messages.py
@@ -242,9 +242,7 @@
     commit_index: Count
     age_ms: Count
     watchers: tuple[WatcherStatus, ...]
-    fault: str = (
-        ""  # faults for the operator: the disk cannot be written, or the reason why the node is a learner
-    )
+    fault: str = ""  # for the operator: a disk that cannot be written, the reason why the node is a learner
 
 
 RaftMessage = VoteRequest | VoteReply | AppendRequest | AppendReply | TimeoutNow
--- a/message_sender/control/schema.py
+++ b/message_sender/control/schema.py
@@ -144,8 +144,8 @@
     Returns:
         The kind and the validated table of the resource.
 
-    Raises: ConfigError: If there are faults; it lists all of them, with paths that begin with the resource's
-    name.
+    Raises:
+        ConfigError: If there are faults; it lists all of them, with paths that begin with `name`.
     """
     kind_name, _, own_name = name.partition("/")
     kind = KINDS.get(kind_name)
--- a/tests/control_plane_check.py
+++ b/tests/control_plane_check.py
@@ -270,9 +270,9 @@
             assert document.version >= sender.seen_version, "the version fell"
             sender.seen_version = document.version
             assert document.resources == self.model.versions[document.version], "another content"
-            assert applier.in_force == document.resources, "half a change is in force"
+            assert applier.active_resources == document.resources, "half a change is in force"
             assert applier.stored.version == document.version
-            assert BAD not in applier.in_force.values(), "a refused value is in force"
+            assert BAD not in applier.active_resources.values(), "a refused value is in force"
 
     @invariant()
     def deltas_are_consecutive(self) -> None:
--- a/tests/raft_model.py
+++ b/tests/raft_model.py
@@ -58,9 +58,7 @@
         self.local_numbers: dict[object, int] = {}
         self.messages: list[tuple[int, int, RaftMessage]] = []  # sender, receiver, message
         self.message_numbers: dict[tuple[int, int, RaftMessage], int] = {}
-        self.dead: dict[
-            int, tuple[int, int]
-        ] = {}  # by local state: the checked messages, and the dead ones among them
+        self.dead: dict[int, tuple[int, int]] = {}  # by local state: checked messages, dead ones among them
         self.inbox = [0] * len(self.names)  # by node: the messages to it, a bit each
         self.steps: dict[Event, Step | str] = {}
         self.confirmed: list[Confirmed] = [()]
--- a/tests/raft_state.py
+++ b/tests/raft_state.py
@@ -55,9 +55,7 @@
     disks: tuple[Disk, ...] = (Disk(), Disk(), Disk())
     proposals: int = 1
     crashes: int = 0
-    has_transfers: bool = (
-        False  # a leader may transfer leadership at any time, also to nodes that are no candidates
-    )
+    has_transfers: bool = False  # a leader may transfer leadership at any time, also to non-candidates
     is_sync_separate: bool = False
     has_events_before_sync: bool = False  # a node handles further events before the sync of the last event
     is_sent_before_sync: bool = False  # a planted defect: messages are sent before the sync
--- a/tests/test_control_chaos.py
+++ b/tests/test_control_chaos.py
@@ -93,9 +93,9 @@
     for resource in delta.put:
         if resource.value == BAD:
             raise RefusedConfigurationError("cannot be put in force")
-        self.in_force[resource.name] = resource.value
+        self.active_resources[resource.name] = resource.value
     for name in delta.delete:
-        del self.in_force[name]
+        del self.active_resources[name]
     stored = copy_of(document)
     stored.apply(delta)
     self.stored = stored
--- a/tests/test_control_configuration.py
+++ b/tests/test_control_configuration.py
@@ -294,9 +294,8 @@
     budget = {"name": "own", "of": "in_flight", "destination": 1, "whole": 8, "floor": 1}
     sender = RestartableSender(tmp_path, budgets=[budget])
     sender.configuration.reload(read({**sender.own, "budgets": [budget | {"floor": 2}]}))
-    sender.running.reasons = [
-        "the file's floor waits for a start"
-    ]  # as after SIGHUP; must not matter for a change of endpoints
+    # As after SIGHUP; this reason must not matter for a change of endpoints.
+    sender.running.reasons = ["the file's floor waits for a start"]
     sender.apply(1, {"endpoints/a": endpoint(2)})
     assert sender.running.ids() == ["a"] and sender.running.budgets[0].floor == 1
 
--- a/tests/test_control_fanout.py
+++ b/tests/test_control_fanout.py
@@ -36,7 +36,7 @@
         )
 
     def poll(self, sender: str, document: Document, refused: int = 0, reason: str = "") -> WatchMessage:
-        """Sends a poll and returns its only answer."""
+        """Delivers a poll, and returns the answer, of which there must be exactly one."""
         message = Poll(document.version, document.digest, refused, reason)
         self.fanout.receive(sender, message, self.now)
         ((to, answer),) = self.fanout.take_messages()
--- a/tests/test_control_replica.py
+++ b/tests/test_control_replica.py
@@ -1,4 +1,4 @@
-"""Raft of the control plane: a model explore_world completely, simulations, and planted defects in both."""
+"""Raft of the control plane: a model explored completely, simulations, and planted defects in both."""
 
 import multiprocessing
 from collections.abc import Callable, Mapping, Sequence
@@ -29,7 +29,7 @@
     votes=(("a", 3), ("b", 1), ("c", 1)), candidates=("a",), is_sync_separate=True, proposals=0
 )
 
-#: Worlds that are explore_world completely.
+#: Worlds that are explored completely.
 WORLDS = {
     "unequal votes and a crash": replace(
         UNEQUAL_VOTES, votes=(("a", 3), ("b", 1)), disks=(Disk(), Disk()), crashes=1
--- a/tests/test_control_watch.py
+++ b/tests/test_control_watch.py
@@ -137,7 +137,7 @@
     bench = Bench()
     bench.run(2, notice_of(zero))
     bench.receive(delta_between(zero, one))
-    assert bench.watch.document.resources == bench.applier.in_force == one.resources
+    assert bench.watch.document.resources == bench.applier.active_resources == one.resources
     acknowledged = polls(bench.run(0.4))
     assert acknowledged[0][2] == Poll(1, one.digest)
     bench.receive(delta_between(zero, one))
@@ -165,7 +165,7 @@
     sent = bench.receive(wrong)
     assert sent == [(bench.watch.node, SnapshotRequest(1, 0))] and bench.applier.attempts == []
     bench.fetch_from(one)
-    assert bench.watch.document.resources == bench.applier.in_force == one.resources
+    assert bench.watch.document.resources == bench.applier.active_resources == one.resources
 
 
 def test_a_notice_whose_digest_differs_leads_to_a_snapshot_that_repairs_the_content() -> None:
@@ -173,7 +173,7 @@
     bench = Bench(Document(1, {"r0": b"other", "more": b"1"}))
     assert bench.receive(notice_of(one)) == [(bench.watch.node, SnapshotRequest(1, 0))]
     bench.fetch_from(one)
-    assert bench.watch.document.resources == bench.applier.in_force == one.resources
+    assert bench.watch.document.resources == bench.applier.active_resources == one.resources
     assert bench.watch.document.digest == one.digest
     assert bench.receive(notice_of(one)) == []
 
@@ -197,7 +197,7 @@
     refused = store.delta_from(1)
     assert refused is not None
     bench.receive(refused)
-    assert bench.watch.document.version == 1 and bench.applier.in_force == {"a": b"1"}
+    assert bench.watch.document.version == 1 and bench.applier.active_resources == {"a": b"1"}
     poll = polls(bench.run(0.4))[0][2]
     assert (poll.version, poll.refused_version) == (1, 2) and "b" in poll.reason
     for _ in range(3):
@@ -210,7 +210,7 @@
     newer = store.delta_from(1)
     assert newer is not None
     bench.receive(newer)
-    assert bench.applier.in_force == {"a": b"2", "b": b"3"}
+    assert bench.applier.active_resources == {"a": b"2", "b": b"3"}
     assert polls(bench.run(0.5))[0][2].refused_version == 0
 
 
@@ -230,7 +230,7 @@
     bench = Bench()
     bench.receive(notice_of(store.document, needs_snapshot=True))
     bench.fetch_from(store.document)
-    assert bench.watch.document.version == 0 and bench.applier.in_force == {}
+    assert bench.watch.document.version == 0 and bench.applier.active_resources == {}
     assert bench.receive(notice_of(store.document, needs_snapshot=True)) == []
     assert bench.applier.attempts == [1]
 
@@ -238,12 +238,12 @@
 def test_a_version_that_could_not_be_stored_is_retried_later() -> None:
     zero, one = documents(1)
     bench = Bench()
-    bench.applier.full_disk = True
+    bench.applier.is_disk_full = True
     bench.receive(delta_between(zero, one))
     assert "no space left" in polls(bench.run(0.5))[0][2].reason
     bench.receive(delta_between(zero, one))
     assert bench.applier.attempts == [1]
-    bench.applier.full_disk = False
+    bench.applier.is_disk_full = False
     bench.run(11, notice_of(one))
     bench.receive(delta_between(zero, one))
     assert bench.watch.document.version == 1
--- a/tests/test_control_watch_snapshots.py
+++ b/tests/test_control_watch_snapshots.py
@@ -27,7 +27,7 @@
     bench = Bench()
     bench.receive(notice_of(store.document, needs_snapshot=True))
     bench.fetch_from(store.document)
-    assert bench.applier.in_force == store.document.resources
+    assert bench.applier.active_resources == store.document.resources
     requests = [message for *_, message in bench.sent if isinstance(message, SnapshotRequest)]
     total = len(encode_snapshot(store.document))
     assert [each.offset for each in requests] == list(range(0, total, SNAPSHOT_WINDOW_CHUNKS * CHUNK_BYTES))
@@ -94,7 +94,7 @@
     assert bench.watch.document.version in (0, 2)
     bench.run(0.5)
     bench.fetch_from(new)
-    assert bench.applier.steps == [(0, 2)] and bench.applier.in_force == new.resources
+    assert bench.applier.steps == [(0, 2)] and bench.applier.active_resources == new.resources
 
 
 def test_a_fetch_continues_at_the_next_node_and_ends_if_no_node_answers() -> None:
--- a/tests/watching.py
+++ b/tests/watching.py
@@ -15,23 +15,23 @@
 
     def __init__(self, stored: Document | None = None) -> None:
         self.stored = stored or Document()
-        self.in_force = dict(self.stored.resources)
+        self.active_resources = dict(self.stored.resources)
         self.steps: list[tuple[int, int]] = []
         self.attempts: list[int] = []
-        self.full_disk = False
+        self.is_disk_full = False
 
     def apply(self, document: Document, delta: Delta) -> None:
         self.attempts.append(delta.to_version)
         self.check(delta)
-        if self.full_disk:
+        if self.is_disk_full:
             raise OSError("no space left on device")
         stored = Document(document.version, document.resources)
         stored.apply(delta)
         self.stored = stored
         for resource in delta.put:
-            self.in_force[resource.name] = resource.value
+            self.active_resources[resource.name] = resource.value
         for name in delta.delete:
-            self.in_force.pop(name, None)
+            self.active_resources.pop(name, None)
         self.steps.append((delta.from_version, delta.to_version))
 
     def check(self, delta: Delta) -> None:
