--- a/message_sender/http/call.py
+++ b/message_sender/http/call.py
@@ -1,6 +1,7 @@
-"""One call to a receiver, in its steps.
+"""One HTTP call to a receiver.
 
-Its result is known for sure: broken before its last byte was written, it never ran.
+The result states reliably whether the request may have run: a call that breaks before its last byte was
+written never ran.
 """
 
 import asyncio
@@ -11,7 +12,7 @@
 from message_sender.http.client_connection import ClientConnection
 from message_sender.http.codec import (
     BODY_LIMIT,
-    BROKEN,
+    CONNECTION_ERRORS,
     Address,
     IncompleteHeadError,
     MalformedMessageError,
@@ -22,24 +23,25 @@
 from message_sender.message import Message
 from message_sender.policy.model import NEVER_RAN, Outcome
 
-BODY_PATIENCE = 0.5  # seconds for the rest of an answer whose head has come; the body means nothing
+BODY_PATIENCE = 0.5  # seconds for the rest of a response after its head; the content of the body is not used
 TARGET = "/hook"
 OK_STATUS = 200
 
 
 class CallOwner(Protocol):
-    """What a call needs of its transport.
+    """The part of the transport that a call uses.
 
     Attributes:
-        dials: Addresses of the listed endpoints.
-        awaiting_answer: Connections whose answer is waited for, with their endpoints.
-        unsent: Calls whose first byte has not gone.
-        is_closing: No call begins any more.
-        reserve_connection: Called before a connection is opened for a message. Returns what to call once it
-            is closed; None: it may not be opened.
-        on_sent: Called once a message's last byte is written.
-        retry_after_received: Called with a Retry-After of an endpoint, in microseconds.
-        on_limit_announced: Called with a limit that an answer announces: endpoint, calls, microseconds.
+        dials: Returns the addresses of the listed endpoints.
+        awaiting_answer: Connections on which a response is expected, with their endpoints.
+        unsent: Tasks of the calls whose first byte has not been written.
+        is_closing: No further call is started.
+        reserve_connection: Called with endpoint and message id before a connection is opened. Returns the
+            callback for when the connection has been closed, or None if no connection may be opened.
+        on_sent: Called when the last byte of a message has been written.
+        retry_after_received: Called with an endpoint and its Retry-After in microseconds.
+        on_limit_announced: Called with a rate limit that a response announces: endpoint, calls, and the
+            window in microseconds.
     """
 
     dials: Callable[[], Mapping[str, Address]]
@@ -52,27 +54,27 @@
     on_limit_announced: Callable[[str, int, int], None] | None
 
     def take_idle(self, endpoint: str) -> ClientConnection | None:
-        """An idle connection to the endpoint."""
+        """Takes an idle connection to the endpoint out of the pool, if there is one."""
 
     async def open_connection(self, address: Address, closed: Callable[[], None]) -> ClientConnection:
-        """A new connection."""
+        """Opens a connection; `closed` is called when it has been closed."""
 
     def return_to_pool(self, endpoint: str, connection: ClientConnection) -> bool:
-        """Returns a connection to the pool; False: it may not be used again."""
+        """Returns a connection to the pool; False if it may not be reused."""
 
     def return_if_complete(self, endpoint: str, connection: ClientConnection) -> bool:
-        """Returns a connection to the pool once its answer has come completely."""
+        """Returns a connection to the pool when its response is complete; False if it may not be reused."""
 
     def return_after_body(
         self, endpoint: str, connection: ClientConnection, rest: Coroutine[Any, Any, None]
     ) -> bool:
-        """Reads the rest of an answer in the background, and returns the connection to the pool then."""
+        """Reads the rest of a response in the background, then returns the connection to the pool."""
 
     def unread_result(self, endpoint: str, connection: ClientConnection) -> AttemptResult | None:
-        """The answer that has come and is not read yet."""
+        """The result of a response that has arrived but has not been read yet."""
 
     def early_result(self, endpoint: str, connection: ClientConnection) -> AttemptResult | None:
-        """The answer that came before the request was written completely."""
+        """The result of a response that arrived before the request was written completely."""
 
     def drop(self, connection: ClientConnection) -> None:
         """Closes a connection."""
@@ -82,15 +84,16 @@
 
 
 class HttpCall:
-    """One call.
+    """One call to an endpoint.
 
     Attributes:
-        connection: The connection that it uses; None: none yet.
-        is_reused: The connection was idle before.
-        is_written: The request's last byte is written.
-        is_kept: The connection goes on without this call.
-        is_abandoned: The call was cancelled after it was written.
-        retry_after_us: Binds, whatever becomes of the rest of the answer.
+        connection: The connection in use; None until there is one.
+        is_reused: The connection came from the pool.
+        is_written: The last byte of the request has been written.
+        is_returned: The connection was handed back to the owner and must not be closed by this call.
+        is_abandoned: The call was cancelled or timed out after the request was written.
+        retry_after_us: The Retry-After of the response in microseconds. It applies even if the rest of the
+            response cannot be read.
     """
 
     def __init__(
@@ -101,7 +104,15 @@
         deadline: float,
         may_go: Callable[[], bool],
     ) -> None:
-        """`deadline`: seconds on the loop's clock."""
+        """Creates the call; `run` makes it.
+
+        Args:
+            owner: The transport.
+            endpoint: Id of the endpoint to call.
+            message: The message to send.
+            deadline: When the call times out, in seconds on the loop's clock.
+            may_go: Asked immediately before the first byte is written; False cancels the call.
+        """
         self.owner = owner
         self.endpoint = endpoint
         self.message = message
@@ -116,7 +127,7 @@
         self.retry_after_us = 0
 
     async def run(self) -> AttemptResult:
-        """Makes the call, in the task of the caller."""
+        """Makes the call in the current task and returns its result."""
         task = asyncio.current_task()
         assert task
         self.owner.unsent.add(task)
@@ -124,20 +135,20 @@
             async with asyncio.timeout_at(self.deadline):
                 return await self._exchange(task)
         except asyncio.CancelledError:
-            if result_at_hand := self._result_of_cancelled(task):
-                return result_at_hand
+            if known_result := self._result_of_cancelled(task):
+                return known_result
             raise
         except TimeoutError:
             return self._timed_out()
         except MalformedMessageError as error:
             return self._malformed(error)
-        except BROKEN:
+        except CONNECTION_ERRORS:
             return self._broken()
         finally:
             self.owner.unsent.discard(task)
             self._release_connection()
 
-    # Its steps.
+    # Steps of the exchange.
 
     async def _exchange(self, task: asyncio.Task[Any]) -> AttemptResult:
         connection = await self._connect()
@@ -153,13 +164,13 @@
         self.owner.awaiting_answer[connection] = self.endpoint
         response = await connection.response()
         if self.loop.time() >= self.deadline:
-            raise TimeoutError  # the loop was late: whether this still was a delivery is not known
+            raise TimeoutError  # the loop ran late, so it is not known whether the delivery was in time
         result = self._read_head(response)
         await self._finish_answer(connection, result)
         return result
 
     async def _connect(self) -> ClientConnection | None:
-        """An idle or a new connection; None: the endpoint is gone, or none may be opened."""
+        """Returns a pooled or a new connection; None if the endpoint is gone or none may be opened."""
         address = self.owner.dials().get(self.endpoint)
         if address is None:
             return None
@@ -189,22 +200,24 @@
         if self.owner.on_limit_announced and (limit := announced_limit(response)):
             self.owner.on_limit_announced(self.endpoint, *limit)
         if int(header(response.headers, b"content-length") or 0) > BODY_LIMIT:
-            raise MalformedMessageError(response.status_code, "the answer is too long")
+            raise MalformedMessageError(
+                response.status_code, f"the Content-Length of the response exceeds {BODY_LIMIT} bytes"
+            )
         return result
 
     async def _finish_answer(self, connection: ClientConnection, result: AttemptResult) -> None:
         if result.outcome not in NEVER_RAN:
             self.is_returned = self.owner.return_if_complete(self.endpoint, connection)
             return
-        # A malformed answer has run, whatever it says: only a whole one proves that it has not.
+        # Only a complete, well-formed response proves that the request did not run, whatever its status says.
         async with asyncio.timeout(BODY_PATIENCE):
             await connection.skip_body()
         self.is_returned = connection.next_cycle() and self.owner.return_to_pool(self.endpoint, connection)
 
-    # What may end it early.
+    # Early ends: cancellation, time-out, and errors.
 
     def _result_of_cancelled(self, task: asyncio.Task[Any]) -> AttemptResult | None:
-        """The result that is known although the call is cancelled."""
+        """Returns the result of a cancelled call if it is known all the same."""
         if self.owner.is_closing and task in self.owner.unsent:
             return AttemptResult(Outcome.NOT_SENT)
         if self.connection and (result := self.owner.unread_result(self.endpoint, self.connection)):
@@ -220,16 +233,16 @@
         return AttemptResult(outcome, retry_after_us=retry_after_us)
 
     def _malformed(self, error: MalformedMessageError) -> AttemptResult:
-        """It may have run; a first line of 200 is true all the same."""
+        """Returns the result of a malformed response: it may have run, and a status line of 200 counts."""
         if error.status != OK_STATUS:
             return AttemptResult(Outcome.MALFORMED, retry_after_us=self.retry_after_us)
         if isinstance(error, IncompleteHeadError) and self.connection:
-            rest = self.connection.skip_answer()
-            self.is_returned = self.owner.return_after_body(self.endpoint, self.connection, rest)
+            rest_of_response = self.connection.skip_answer()
+            self.is_returned = self.owner.return_after_body(self.endpoint, self.connection, rest_of_response)
         return AttemptResult(Outcome.OK, is_final=True)
 
     def _broken(self) -> AttemptResult:
-        if self.is_reused:  # the receiver had given it up, unseen here, and so may the others have been
+        if self.is_reused:  # closed by the receiver while idle, as the endpoint's other connections may be
             self.owner.close_idle(self.endpoint)
             outcome = Outcome.STALE if self.is_written else Outcome.NOT_SENT
             return AttemptResult(outcome, retry_after_us=self.retry_after_us)
@@ -243,8 +256,8 @@
     def _release_connection(self) -> None:
         if self.connection:
             self.owner.awaiting_answer.pop(self.connection, None)
-            # A timeout or a cancel gives the call up: only closing the connection tells the receiver.
+            # After a time-out or cancellation, closing the connection is the only way to notify the receiver.
             if not self.is_returned:
                 self.owner.drop(self.connection)
         if self.is_abandoned:
-            self.owner.close_idle(self.endpoint)  # they may have fallen silent with it
+            self.owner.close_idle(self.endpoint)  # the other connections may have stopped responding too
--- a/message_sender/http/client.py
+++ b/message_sender/http/client.py
@@ -1,4 +1,4 @@
-"""Calls to receivers: a pool of idle connections for each endpoint."""
+"""HTTP transport to receivers, with a pool of idle connections per endpoint."""
 
 import asyncio
 import contextlib
@@ -11,51 +11,56 @@
 from message_sender.core.traffic_observer import ObservedConnection, TrafficObserver
 from message_sender.http import fast_path
 from message_sender.http.call import BODY_PATIENCE, HttpCall
-from message_sender.http.client_connection import ClientConnection, nothing
-from message_sender.http.codec import BROKEN, Address
+from message_sender.http.client_connection import ClientConnection, do_nothing
+from message_sender.http.codec import CONNECTION_ERRORS, Address
 from message_sender.http.response_mapping import answer_from
 from message_sender.http.unread_sockets import UnreadSockets
 from message_sender.message import Message
 from message_sender.policy.model import NEVER_RAN, Outcome
 
-IDLE_SHARE = 0.8  # of the receiver's idle limit: an idle connection is closed that much earlier
-SHORTAGE_RETRY_S = 0.05  # to open a connection where no descriptor or port was left
+IDLE_LIMIT_FRACTION = 0.8  # of the receiver's idle limit, so that idle connections are closed before it does
+SHORTAGE_RETRY_S = 0.05  # before another attempt to open a connection when no descriptor or port was left
 
 
 def ignore_retry_after(endpoint: str, delay_us: int) -> None:
-    """For a transport without an engine."""
+    """Default Retry-After callback of a transport that is used without an engine."""
 
 
 def allow_connection(endpoint: str, message_id: str) -> Callable[[], None]:
-    """Where connections are not limited."""
-    return nothing
+    """Default reservation callback: connections are not limited."""
+    return do_nothing
 
 
-def never_retires(endpoint: str) -> float:
-    """Where connections are not limited."""
+def no_max_age(endpoint: str) -> float:
+    """Default maximum age: connections are not retired by age."""
     return math.inf
 
 
 class HttpTransport:
     """Implements the port `Transport` of the core.
 
-    `dials` is discovery's: an endpoint that is no longer in it, or at another address, keeps no connection.
-    At the limit of open connections, the one idle for longest is closed to open another one.
+    `dials` returns discovery's addresses: idle connections to an endpoint that is no longer listed, or has
+    moved to another address, are closed. At the limit of open connections, the longest idle one is closed to
+    open another.
 
     Attributes:
-        connection_limit: Connections open at once.
-        on_sent: Called once a message's last byte is written.
-        pool: Idle connections by endpoint, not by address: a new receiver may reuse an address.
-        idle: The same connections with their endpoints, the one idle for longest first.
+        connection_limit: Maximum number of open connections.
+        on_sent: Called when the last byte of a message has been written.
+        pool: Idle connections by endpoint, not by address, because a new receiver may reuse an address.
+        idle: The same connections with their endpoints, the longest idle first.
         connections: All open connections.
-        awaiting_answer: Connections whose answer is waited for, with their endpoints.
-        unsent: Calls whose first byte has not gone.
-        is_closing: No call begins any more.
-        observer: Sees the traffic of connections that are opened from now on.
-        reserve_connection: Called with endpoint and message as a connection is about to open. Returns what to
-            call once it is closed; None: it may not be opened.
-        max_age_s: Returns after how many seconds a connection to the endpoint takes no more calls.
-        on_limit_announced: Called with a limit that an answer announces: endpoint, calls, microseconds.
+        awaiting_answer: Connections on which a response is expected, with their endpoints.
+        unread: Reports which connections have unread bytes.
+        connecting: Number of connections being opened.
+        unsent: Tasks of the calls whose first byte has not been written.
+        is_closing: No further call is started.
+        body_tasks: Tasks that read the rest of responses in the background.
+        observer: Observes the traffic of connections that are opened from now on.
+        reserve_connection: Called with endpoint and message id before a connection is opened. Returns the
+            callback for when the connection has been closed, or None if no connection may be opened.
+        max_age_s: Returns the age in seconds from which a connection to the endpoint takes no more calls.
+        on_limit_announced: Called with a rate limit that a response announces: endpoint, calls, and the
+            window in microseconds.
     """
 
     reads_late = False
@@ -68,24 +73,24 @@
         dials: Callable[[], Mapping[str, Address]],
         retry_after_received: Callable[[str, int], None] = ignore_retry_after,
     ) -> None:
-        """Opens nothing yet.
+        """Creates a transport without connections.
 
         Args:
             conn_idle: Seconds after which receivers close idle connections.
-            connect_timeout: Seconds.
-            connection_limit: Connections open at once.
-            dials: Addresses of the listed endpoints.
+            connect_timeout: Time-out for opening a connection, in seconds.
+            connection_limit: Maximum number of open connections.
+            dials: Returns the addresses of the listed endpoints.
             retry_after_received: Called with an endpoint and its Retry-After in microseconds.
 
         Raises:
-            OSError: No descriptor is left.
+            OSError: No file descriptor is left.
         """
-        self.idle_limit = conn_idle * IDLE_SHARE
+        self.idle_limit = conn_idle * IDLE_LIMIT_FRACTION
         self.connect_timeout = connect_timeout
         self.connection_limit = connection_limit
         self.dials = dials
         self.retry_after_received = retry_after_received
-        self.on_sent: Callable[[], None] = nothing
+        self.on_sent: Callable[[], None] = do_nothing
         self.pool: dict[str, list[ClientConnection]] = {}
         self.idle: dict[ClientConnection, str] = {}
         self.connections: set[ClientConnection] = set()
@@ -94,22 +99,22 @@
         self.connecting = 0
         self.unsent: set[asyncio.Task[Any]] = set()
         self.is_closing = False
-        self.rest_tasks: set[asyncio.Task[None]] = set()
+        self.body_tasks: set[asyncio.Task[None]] = set()
         self.reports = ErrorReports()
         self.observer: TrafficObserver | None = None
         self.reserve_connection: Callable[[str, str], Callable[[], None] | None] = allow_connection
-        self.max_age_s: Callable[[str], float] = never_retires
+        self.max_age_s: Callable[[str], float] = no_max_age
         self.on_limit_announced: Callable[[str, int, int], None] | None = None
 
     async def call(
         self, endpoint: str, message: Message, timeout: float, may_go: Callable[[], bool]
     ) -> AttemptResult:
-        """As of `Transport`."""
+        """Makes a call; see `Transport.call` in the core. `timeout`: seconds."""
         deadline = asyncio.get_running_loop().time() + timeout
         return await HttpCall(self, endpoint, message, deadline, may_go).run()
 
     def cancel_unsent(self) -> None:
-        """Calls whose first byte has not gone never go; those in flight come to their results."""
+        """Cancels the calls whose first byte has not been written, and lets those in flight finish."""
         self.is_closing = True
         for task in list(self.unsent):
             task.cancel()
@@ -120,59 +125,62 @@
             self.close_one(connection)
 
     def poll_unread(self) -> None:
-        """Reads what lies unread in the sockets of calls in flight.
+        """Reads the bytes that are unread in the sockets of calls in flight.
 
-        A Retry-After and the end of an idle connection bind at once, for calls that are about to go from a
-        loop that comes late to hear of them.
+        When the loop runs late, a Retry-After or the close of an idle connection thereby takes effect before
+        the calls that the loop is about to send.
         """
         for connection in self.unread.ready():
             if connection in self.idle:
                 self.close_one(connection)
             elif (endpoint := self.awaiting_answer.get(connection)) and connection.poll():
-                self.result_at_hand(endpoint, connection)
+                self.received_result(endpoint, connection)
 
-    def result_at_hand(self, endpoint: str, connection: ClientConnection) -> AttemptResult | None:
-        """The result, as far as the head of the answer tells it; None where no head has come."""
+    def received_result(self, endpoint: str, connection: ClientConnection) -> AttemptResult | None:
+        """Returns the result that the head of the response states; None if there is no head yet."""
         if not isinstance(response := connection.head(), fast_path.ResponseHead):
             return None
-        answer = answer_from(response)
-        if answer.retry_after_us:
-            self.retry_after_received(endpoint, answer.retry_after_us)
-        return answer
+        result = answer_from(response)
+        if result.retry_after_us:
+            self.retry_after_received(endpoint, result.retry_after_us)
+        return result
 
     def unread_result(self, endpoint: str, connection: ClientConnection) -> AttemptResult | None:
-        """The result of a call that is being given up, where its answer has come and nobody has read it yet.
+        """Returns the result of an abandoned call whose response has arrived but has not been read yet.
 
-        An answer that says that the call never ran counts only if it is whole.
+        A response stating that the call never ran counts only if it is complete.
         """
         if connection not in self.awaiting_answer:
             return None
         with contextlib.suppress(OSError):
-            connection.read_some()  # nobody waits for it any more
-        if (answer := self.result_at_hand(endpoint, connection)) and answer.outcome in NEVER_RAN:
+            connection.read_available()  # the task of the call no longer waits for these bytes
+        if (result := self.received_result(endpoint, connection)) and result.outcome in NEVER_RAN:
             try:
-                return answer if connection.is_answer_complete() else None
-            except BROKEN:
+                return result if connection.is_answer_complete() else None
+            except CONNECTION_ERRORS:
                 return None
-        return answer
+        return result
 
     def early_result(self, endpoint: str, connection: ClientConnection) -> AttemptResult | None:
-        """What rejected a call before its last byte was written, and then broke it."""
+        """Returns the rejection that was received before the request was written completely, if any.
+
+        The receiver may reject a call early and then break the connection.
+        """
         with contextlib.suppress(OSError):
-            connection.read_some()
-        answer = self.result_at_hand(endpoint, connection)
-        return answer if answer and answer.outcome is Outcome.FULL else None
+            connection.read_available()
+        result = self.received_result(endpoint, connection)
+        return result if result and result.outcome is Outcome.FULL else None
 
     async def open_connection(self, address: Address, closed: Callable[[], None]) -> ClientConnection:
         """Opens a connection.
 
         Args:
-            address: Of the endpoint.
-            closed: Called once it is closed, also where it never opened.
+            address: The address of the endpoint.
+            closed: Called when the connection has been closed, and also if it could not be opened.
 
         Raises:
-            OSError: It could not be opened.
-            TimeoutError: It took too long.
+            OSError: The connection could not be opened.
+            TimeoutError: The connection was not open within the connect time-out.
         """
         try:
             connection = await self.connect(address)
@@ -183,13 +191,13 @@
         return connection
 
     async def connect(self, address: Address) -> ClientConnection:
-        """A new connection, for which one that is idle makes room. Raises as `open_connection`."""
+        """Opens a connection, closing an idle one at the connection limit. Raises as `open_connection`."""
         if len(self.connections) + self.connecting >= self.connection_limit and self.idle:
             self.close_one(next(iter(self.idle)))
         self.connecting += 1
         try:
             async with asyncio.timeout(self.connect_timeout):
-                connection = await self.open_one(address)
+                connection = await self.open_socket(address)
         finally:
             self.connecting -= 1
         connection.is_fast = True
@@ -203,10 +211,11 @@
         self.connections.add(connection)
         return connection
 
-    async def open_one(self, address: Address) -> ClientConnection:
-        """Opens a socket, and waits out a shortage of our own descriptors, ports or memory.
+    async def open_socket(self, address: Address) -> ClientConnection:
+        """Opens a socket, retrying while this process is short of descriptors, ports or memory.
 
-        No destination is to blame for a shortage: it passes, and the connection idle for longest makes room.
+        A local shortage is temporary and must not count as a failure of the destination. The longest idle
+        connection is closed to free a descriptor.
         """
         while True:
             try:
@@ -227,25 +236,28 @@
         connection.closed()
 
     def return_if_complete(self, endpoint: str, connection: ClientConnection) -> bool:
-        """Returns the connection to the pool once its answer is complete, which the result need not wait for.
+        """Returns the connection to the pool now or, if the response is incomplete, after its body was read.
+
+        The result of the call does not wait for the body.
 
         Returns:
-            Whether the connection goes on without the call.
+            Whether the connection has been returned or will be handled in the background; False if the caller
+            must close it.
         """
         try:
             if connection.is_answer_complete():
                 return connection.next_cycle() and self.return_to_pool(endpoint, connection)
-        except BROKEN:
+        except CONNECTION_ERRORS:
             return False
         return self.return_after_body(endpoint, connection, connection.skip_body())
 
     def return_after_body(
         self, endpoint: str, connection: ClientConnection, rest: Coroutine[Any, Any, None]
     ) -> bool:
-        """Reads the rest of an answer in a task, which returns the connection to the pool or closes it."""
+        """Reads the rest of a response in a task, which returns the connection to the pool or closes it."""
         task = asyncio.get_running_loop().create_task(self._read_rest(endpoint, connection, rest))
-        self.rest_tasks.add(task)
-        task.add_done_callback(self.rest_tasks.discard)
+        self.body_tasks.add(task)
+        task.add_done_callback(self.body_tasks.discard)
         return True
 
     async def _read_rest(
@@ -256,8 +268,8 @@
             async with asyncio.timeout(BODY_PATIENCE):
                 await rest
             is_returned = connection.next_cycle() and self.return_to_pool(endpoint, connection)
-        except BROKEN:
-            pass  # TimeoutError too; whatever becomes of the rest, the outcome stands
+        except CONNECTION_ERRORS:
+            pass  # includes TimeoutError; the outcome of the call is already known
         finally:
             if not is_returned:
                 self.drop(connection)
@@ -265,7 +277,7 @@
     # The pool.
 
     def take_idle(self, endpoint: str) -> ClientConnection | None:
-        """The idle connection used last, unless the receiver has closed it or soon will."""
+        """Takes the most recently used idle connection that is neither closed by the receiver nor too old."""
         while idle_connections := self.pool.get(endpoint):
             connection = idle_connections[-1]
             self.remove_idle(connection)
@@ -275,14 +287,14 @@
         return None
 
     def remove_idle(self, connection: ClientConnection) -> None:
-        """A connection is idle no more."""
+        """Removes a connection from the pool."""
         endpoint = self.idle.pop(connection)
         self.pool[endpoint].remove(connection)
         if not self.pool[endpoint]:
             del self.pool[endpoint]
 
     def return_to_pool(self, endpoint: str, connection: ClientConnection) -> bool:
-        """Returns a connection to the pool; False: it is too old, or the endpoint has moved."""
+        """Returns a connection to the pool; False if it is too old or the endpoint has moved."""
         now = asyncio.get_running_loop().time()
         max_age_s = self.max_age_s(endpoint)
         is_retired = now - connection.opened_at >= max_age_s
@@ -295,17 +307,17 @@
         return True
 
     def is_too_old(self, connection: ClientConnection) -> bool:
-        """Whether an idle connection takes no more calls."""
+        """Whether an idle connection may take no more calls."""
         now = asyncio.get_running_loop().time()
         return now - connection.idle_since >= self.idle_limit or now >= connection.retires_at
 
     def close_expired(self) -> None:
-        """Closes idle connections that nobody will use; called now and then."""
+        """Closes idle connections that are too old or closed by the receiver; called periodically."""
         for connection in [each for each in self.idle if self.is_too_old(each) or each.has_ended()]:
             self.close_one(connection)
 
     def endpoints_changed(self) -> None:
-        """Closes idle connections to endpoints that are gone or moved."""
+        """Closes idle connections to endpoints that are no longer listed or have moved."""
         for connection, endpoint in list(self.idle.items()):
             if self.dials().get(endpoint) != connection.address:
                 self.close_one(connection)
@@ -321,8 +333,8 @@
             self.close_one(connection)
 
     def close(self) -> None:
-        """Closes everything at once."""
-        for task in self.rest_tasks:
+        """Closes the idle connections and cancels the background reads."""
+        for task in self.body_tasks:
             task.cancel()
         self.close_all_idle()
         self.unread.close()
--- a/message_sender/http/client_connection.py
+++ b/message_sender/http/client_connection.py
@@ -1,4 +1,4 @@
-"""The calling side of HTTP/1.1 on a plain socket, for receivers and for discovery."""
+"""HTTP/1.1 client connections on plain sockets, to receivers and to the discovery service."""
 
 import asyncio
 import math
@@ -12,7 +12,7 @@
 from message_sender.http import fast_path
 from message_sender.http.codec import (
     BODY_LIMIT,
-    BROKEN,
+    CONNECTION_ERRORS,
     HEADER_LIMIT,
     READ_SIZE,
     Address,
@@ -21,53 +21,54 @@
     close,
 )
 
-HEAD_PATIENCE = 1.0  # seconds from an answer's first bytes to the end of its head
-INTERIM_ANSWERS_LIMIT = 16  # 1xx answers ahead of one answer
-FIRST_LINE = re.compile(rb"HTTP/1\.[01] (\d{3})(?: [^\r\n]*)?\r?\n")
-BEGINNING = b"HTTP/1."
+HEAD_TIMEOUT_S = 1.0  # from the first bytes of a response to the end of its head
+MAX_INTERIM_RESPONSES = 16  # 1xx responses before a final one
+STATUS_LINE = re.compile(rb"HTTP/1\.[01] (\d{3})(?: [^\r\n]*)?\r?\n")
+STATUS_LINE_PREFIX = b"HTTP/1."
 
 
 def wake(waiting: "asyncio.Future[None]") -> None:
-    """Lets whoever waits for the future go on."""
+    """Completes a future unless it is done already."""
     if not waiting.done():
         waiting.set_result(None)
 
 
-def nothing() -> None:
-    """For a connection whose end nobody counts."""
+def do_nothing() -> None:
+    """Default callback for the close of a connection."""
 
 
 class ClientConnection:
-    """One connection to a server. It never sends anything twice by itself.
+    """One connection to a server. It never resends a request on its own.
 
     Attributes:
-        idle_since: Since when no call uses it; seconds on the loop's clock.
-        opened_at: When it was opened; seconds.
-        retires_at: After which it takes no more calls; seconds.
-        closed: Called once it is closed.
-        body_size: Bytes of the answer's body so far.
-        unsent: Bytes of the request that the system has not taken yet.
-        read_waiter: Somebody waits for the next bytes.
-        reader_loop: The loop that tells when there are some.
-        has_notified: It has woken whoever waited, and may be called once more before it stops.
-        has_polled: Bytes were read by `poll`, and whoever waits for them has not gone on yet.
-        poll_error: What `poll` met.
-        interim_answers: 1xx answers ahead of this one.
-        head_result: The head of the answer, or why there is none.
-        observed: Hears of its traffic.
-        is_fast: Requests are written, and usual answers read, without the codec.
-        is_outcome_known: The first line has counted: the rest of the head is only read.
+        idle_since: When the connection became idle, in seconds on the loop's clock.
+        opened_at: When the connection was opened, in seconds on the loop's clock.
+        retires_at: From when the connection takes no more calls, in seconds on the loop's clock.
+        closed: Called when the connection has been closed.
+        body_size: Bytes of the response body received so far.
+        unsent: Bytes of the request that the operating system has not accepted yet.
+        read_waiter: Completed when bytes are available; None while no task waits for bytes.
+        reader_loop: The loop that watches the socket for reading; None while it is not watched.
+        has_notified: `on_readable` has woken the waiting task. The loop may call it once more before the task
+            has read the bytes.
+        has_polled: `poll` has read bytes, and the waiting task has not resumed yet.
+        poll_error: The error that `poll` met, raised by the next `receive`.
+        interim_responses: Number of 1xx responses before the current one.
+        head_result: The head of the response, or the error in its place.
+        observed: Observes the traffic of the connection; None if it is not observed.
+        is_fast: Requests are written and common responses are parsed without the codec.
+        is_outcome_known: The status line has already determined the outcome; the rest of the head is skipped.
     """
 
     def __init__(self, sock: socket.socket, address: Address) -> None:
-        """`sock`: connected to `address`."""
+        """Wraps a socket that is connected to `address`."""
         self.sock = sock
         self.address = address
         self.codec = h11.Connection(h11.CLIENT, max_incomplete_event_size=HEADER_LIMIT)
         self.idle_since = 0.0
         self.opened_at = 0.0
         self.retires_at = math.inf
-        self.closed: Callable[[], None] = nothing
+        self.closed: Callable[[], None] = do_nothing
         self.body_size = 0
         self.unsent = 0
         self.read_waiter: asyncio.Future[None] | None = None
@@ -75,7 +76,7 @@
         self.has_notified = False
         self.has_polled = False
         self.poll_error: OSError | None = None
-        self.interim_answers = 0
+        self.interim_responses = 0
         self.head_result: fast_path.ResponseHead | MalformedMessageError | ConnectionResetError | None = None
         self.observed: ObservedConnection | None = None
         self.is_fast = False
@@ -83,10 +84,10 @@
 
     @classmethod
     async def open(cls, address: Address) -> "ClientConnection":
-        """Connects.
+        """Opens a connection to the address.
 
         Raises:
-            OSError: No connection could be made.
+            OSError: The connection could not be opened.
         """
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         try:
@@ -99,10 +100,10 @@
         return cls(sock, address)
 
     async def send(self, method: str, target: str, headers: dict[str, str], body: bytes = b"") -> None:
-        """Sends a request. Returns once the last byte is written; if it raises, that byte was not."""
-        named = {"Host": f"{self.address[0]}:{self.address[1]}"} | headers
-        # Latin-1, as they were read: a client's id may hold more than ASCII and goes on unchanged.
-        lines = [(name.encode(), value.encode("latin-1")) for name, value in named.items() if value]
+        """Sends a request. Returns when its last byte is written; if it raises, that byte was not written."""
+        all_headers = {"Host": f"{self.address[0]}:{self.address[1]}"} | headers
+        # Latin-1, as headers are decoded: an id with non-ASCII bytes is forwarded unchanged.
+        lines = [(name.encode(), value.encode("latin-1")) for name, value in all_headers.items() if value]
         data = fast_path.request_text(target, lines, body) if self.is_fast and method == "POST" else None
         if data is None:
             self.is_fast = False
@@ -111,16 +112,17 @@
         await self.send_all(memoryview(data))
 
     def encode_by_codec(self, method: str, target: str, lines: fast_path.Fields, body: bytes) -> bytes:
-        """The request as the codec writes it; from now on it waits for the answer."""
+        """Returns the request as the codec encodes it, which leaves the codec expecting a response."""
         data = self.codec.send(h11.Request(method=method, target=target, headers=lines)) or b""
         if body:
             data += self.codec.send(h11.Data(data=body)) or b""
         return data + (self.codec.send(h11.EndOfMessage()) or b"")
 
     def feed(self, data: bytes) -> None:
-        """Takes bytes from the other side.
+        """Processes bytes from the server.
 
-        They are a usual answer, or else the codec's from here to the connection's end.
+        If they are not exactly one common response, the codec parses them and everything that follows on this
+        connection.
         """
         if not self.is_fast:
             self.codec.receive_data(data)
@@ -133,22 +135,23 @@
         self.codec.receive_data(data)
 
     async def send_all(self, data: memoryview) -> None:
-        """Writes all of it.
+        """Writes all of the data.
 
-        The loop's own `sock_sendall` may write the last byte and report a cancel alone; here nothing comes
-        between the two, so that a call whose time is up then counts as written.
+        The loop's own `sock_sendall` may write the last byte and yet raise only CancelledError. Here no
+        cancellation can occur between writing the last byte and returning, so a call that times out then
+        counts as written.
         """
         while self.unsent:
             try:
-                begun = len(data) - self.unsent
-                self.unsent -= self.sock.send(data[begun:])
+                start = len(data) - self.unsent
+                self.unsent -= self.sock.send(data[start:])
                 if self.observed:
-                    self.observed.passed(CLIENT_SIDE, bytes(data[begun : len(data) - self.unsent]))
+                    self.observed.passed(CLIENT_SIDE, bytes(data[start : len(data) - self.unsent]))
             except (BlockingIOError, InterruptedError):
                 await self.writable()
 
     async def writable(self) -> None:
-        """Returns when the system takes more bytes."""
+        """Waits until the operating system accepts more bytes."""
         loop = asyncio.get_running_loop()
         ready: asyncio.Future[None] = loop.create_future()
         loop.add_writer(self.sock.fileno(), wake, ready)
@@ -158,15 +161,15 @@
             loop.remove_writer(self.sock)
 
     async def readable(self) -> None:
-        """Returns when there is something to read, or when `poll` has read it.
+        """Waits until bytes can be read, or `poll` has read them.
 
-        The loop goes on watching the socket from then on: beginning and ending that for each answer would
+        The loop keeps watching the socket afterwards: registering and removing it for each response would
         cost two system calls each time.
         """
         loop = asyncio.get_running_loop()
         self.read_waiter = loop.create_future()
         if self.reader_loop is None:
-            # By its number: the selector would write a socket out in words, for an error that nobody sees.
+            # Registered by descriptor: given a socket, the selector formats its repr for a discarded error.
             loop.add_reader(self.sock.fileno(), self.on_readable)
             self.reader_loop = loop
         try:
@@ -175,10 +178,10 @@
             self.read_waiter = None
 
     def on_readable(self) -> None:
-        """Callback of the loop: there is something to read.
+        """Callback of the loop: bytes can be read.
 
-        The loop calls again in the iteration in which it is read; where nobody waits after that, watching
-        ends, since it would spin on what lies there.
+        The loop calls this once more in the iteration in which the woken task reads the bytes. If no task
+        waits after that, the loop stops watching the socket, since it would spin on the unread bytes.
         """
         if self.read_waiter is not None:
             self.has_notified = True
@@ -189,33 +192,33 @@
             self.stop_reading()
 
     def stop_reading(self) -> None:
-        """The loop stops watching the socket."""
+        """Makes the loop stop watching the socket."""
         if self.reader_loop is not None:
             self.reader_loop.remove_reader(self.sock.fileno())
             self.reader_loop = None
 
     async def receive(self) -> None:
-        """Waits for the next bytes and gives them to the codec.
+        """Waits for the next bytes and processes them.
 
         Raises:
-            OSError: The connection has broken.
+            OSError: The connection is broken.
         """
-        while not (self.has_polled or self.poll_error or self.read_some()):
+        while not (self.has_polled or self.poll_error or self.read_available()):
             await self.readable()
         self.has_polled = False
         if self.poll_error:
             raise self.poll_error
 
-    def read_some(self) -> bool:
-        """Reads what lies in the socket now; False: nothing does."""
+    def read_available(self) -> bool:
+        """Reads the bytes available in the socket without waiting; False if there are none."""
         if self.is_fast and self.head_result:
-            return False  # a usual answer is whole: what lies behind it belongs to nobody
+            return False  # the response is complete, and bytes behind it belong to no request
         try:
             data = self.sock.recv(READ_SIZE)
         except (BlockingIOError, InterruptedError):
             return False
         except TimeoutError as error:
-            # The network's ETIMEDOUT; read as our own patience's end, it would pass for a call given up.
+            # ETIMEDOUT of the network: as TimeoutError it would be taken for this call's own time-out.
             raise ConnectionResetError(str(error)) from None
         if self.observed:
             self.observed.passed(SERVER_SIDE, data)
@@ -223,15 +226,18 @@
         return True
 
     def poll(self) -> bool:
-        """Reads in this very iteration what somebody waits for, who goes on with it in a later one.
+        """Reads available bytes at once for the task that waits for them, which resumes in a later iteration.
 
-        What is about to be done so knows of an answer that lies unread because the loop is late. Never
-        raises: whoever waits hears of the error. Returns False where nobody waits, or nothing has come.
+        When the loop runs late, decisions in the current iteration thereby take an unread response into
+        account. Never raises: an error is raised in the waiting task.
+
+        Returns:
+            Whether bytes were read; False if no task waits, or no bytes are available.
         """
         if self.read_waiter is None or self.has_polled:
             return False
         try:
-            self.has_polled = self.read_some()
+            self.has_polled = self.read_available()
         except OSError as error:
             self.poll_error = error
         if self.has_polled or self.poll_error:
@@ -239,102 +245,106 @@
         return self.has_polled
 
     def read_event(self) -> h11.Event | None:
-        """The next event of what has come; None if more has to come first.
+        """Returns the codec's next event from the bytes received so far; None if more bytes are needed.
 
         Raises:
-            MalformedMessageError: It cannot be read.
-            ConnectionResetError: The connection has ended.
+            MalformedMessageError: The bytes are not valid HTTP.
+            ConnectionResetError: The server has closed the connection.
         """
-        unread, ended = self.codec.trailing_data
-        if ended and not unread:
+        unread, is_closed = self.codec.trailing_data
+        if is_closed and not unread:
             raise ConnectionResetError("the connection ended")
-        first = FIRST_LINE.match(unread)
+        status_line = STATUS_LINE.match(unread)
         try:
             event = self.codec.next_event()
         except h11.ProtocolError as error:
-            raise MalformedMessageError(int(first[1]) if first else 0, str(error)) from None
-        if event is h11.NEED_DATA and not ended:
+            raise MalformedMessageError(int(status_line[1]) if status_line else 0, str(error)) from None
+        if event is h11.NEED_DATA and not is_closed:
             return None
         if isinstance(event, h11.ConnectionClosed) or not isinstance(event, h11.Event):
             raise ConnectionResetError("the connection ended")
         return event
 
     async def next_event(self) -> h11.Event:
-        """The next event. Raises as `read_event`."""
+        """Waits for the codec's next event. Raises as `read_event`."""
         while (event := self.read_event()) is None:
             await self.receive()
         return event
 
     async def response(self) -> fast_path.ResponseHead:
-        """The head of the answer.
+        """Waits for the head of the response.
 
         Raises:
-            MalformedMessageError: The head cannot be read, does not end, or is noise.
-            ConnectionResetError: The connection has ended.
+            MalformedMessageError: The head is not valid HTTP, or is not complete within HEAD_TIMEOUT_S.
+            ConnectionResetError: The server has closed the connection.
         """
         if not (self.head_result or self.codec.trailing_data[0]):
             await self.receive()
-        if (found := self.head()) is None:
-            found = await self.rest_of_head()
-        if isinstance(found, Exception):
-            raise found
-        return found
+        if (head := self.head()) is None:
+            head = await self.rest_of_head()
+        if isinstance(head, Exception):
+            raise head
+        return head
 
     async def rest_of_head(self) -> "fast_path.ResponseHead | MalformedMessageError | ConnectionResetError":
-        """The head, of which a part has come, or why there is none."""
+        """Waits for the rest of a partially received head; returns the head or the error in its place."""
         try:
-            async with asyncio.timeout(HEAD_PATIENCE):
-                while (found := self.head()) is None:
+            async with asyncio.timeout(HEAD_TIMEOUT_S):
+                while (head := self.head()) is None:
                     await self.receive()
         except TimeoutError:
-            raise MalformedMessageError(0, "the head does not end") from None
-        return found
+            raise MalformedMessageError(
+                0, f"the response head was not complete within {HEAD_TIMEOUT_S} s"
+            ) from None
+        return head
 
     def head(self) -> "fast_path.ResponseHead | MalformedMessageError | ConnectionResetError | None":
-        """The head, or why there will be none, of what has come so far; None if more has to come first.
+        """Returns the head, or the error in its place, of the bytes received so far; None if incomplete.
 
-        Asked again it says the same: `poll` may ask ahead of whoever waits for the answer.
+        Repeated calls return the same result, because the transport may ask for the head before the task that
+        waits for the response does.
         """
         if self.head_result is None:
             try:
                 self.head_result = self.read_head()
-            except BROKEN as error:
+            except CONNECTION_ERRORS as error:
                 assert isinstance(error, MalformedMessageError | ConnectionResetError)
                 self.head_result = error
         return self.head_result
 
     def read_head(self) -> fast_path.ResponseHead | None:
-        """The head, if it is here. Raises as `read_event`."""
-        while self.interim_answers < INTERIM_ANSWERS_LIMIT:
+        """Parses the head from the bytes received so far; None if incomplete. Raises as `read_event`."""
+        while self.interim_responses < MAX_INTERIM_RESPONSES:
             if (event := self.read_event()) is None:
                 self.check_incomplete_head()
                 return None
             if isinstance(event, h11.Response):
                 self.body_size = 0
                 return fast_path.ResponseHead(event.status_code, list(event.headers))
-            self.interim_answers += 1
-        raise MalformedMessageError(0, "too many interim answers")
+            self.interim_responses += 1
+        raise MalformedMessageError(0, f"{MAX_INTERIM_RESPONSES} interim responses before a final one")
 
     def check_incomplete_head(self) -> None:
-        """Checks a head that is not here to its end.
+        """Checks a head that has not been received completely.
 
         Raises:
-            MalformedMessageError: It is noise, which never ends.
-            IncompleteHeadError: Its first line says 200, which is true even so.
+            MalformedMessageError: The bytes cannot become an HTTP response.
+            IncompleteHeadError: The status line is complete and says 200, which counts even without the rest.
         """
         if self.is_outcome_known:
             return
         unread = self.codec.trailing_data[0]
-        if not (unread.startswith(BEGINNING) or BEGINNING.startswith(unread)):
-            raise MalformedMessageError(0, "not an answer")
-        if (first := FIRST_LINE.match(unread)) and int(first[1]) == 200:
-            raise IncompleteHeadError(200, "the head came in parts")
+        if not (unread.startswith(STATUS_LINE_PREFIX) or STATUS_LINE_PREFIX.startswith(unread)):
+            raise MalformedMessageError(0, f"expected a response beginning with HTTP/1., got {unread[:20]!r}")
+        if (status_line := STATUS_LINE.match(unread)) and int(status_line[1]) == 200:
+            raise IncompleteHeadError(200, "the status line is 200, but the head is not complete")
 
     def is_answer_complete(self) -> bool:
-        """Whether the answer, whose head has been read, is here to its end.
+        """Whether the response, whose head has been read, has been received completely.
 
         Raises:
-            MalformedMessageError: It is too long or cannot be read.
+            MalformedMessageError: The body is too long or is not valid HTTP.
+            ConnectionResetError: The server has closed the connection.
         """
         if self.is_fast:
             return True
@@ -343,26 +353,26 @@
                 return True
             self.body_size += len(event.data) if isinstance(event, h11.Data) else 0
             if self.body_size > BODY_LIMIT:
-                raise MalformedMessageError(0, "the answer is too long")
+                raise MalformedMessageError(0, f"the response body exceeds {BODY_LIMIT} bytes")
         return False
 
     async def skip_answer(self) -> None:
-        """Reads on to the end of an answer of which the first line has counted."""
+        """Reads to the end of a response whose status line has already determined the outcome."""
         self.head_result, self.is_outcome_known = None, True
         while self.read_head() is None:
             await self.receive()
         await self.skip_body()
 
     async def skip_body(self) -> None:
-        """Reads the answer to its end, so that the connection can be used again."""
+        """Reads the response to its end, so that the connection can be reused."""
         while not self.is_answer_complete():
             await self.receive()
 
     def next_cycle(self) -> bool:
-        """Whether another request may follow on this connection.
+        """Prepares the connection for the next request; False if none may follow on it.
 
-        What came behind the answer belongs to no request: read as the next one's answer, it would end that
-        one while it is still in flight.
+        Bytes received behind the response belong to no request: taken for the response to the next request,
+        they would end that call while it is still in flight.
         """
         if self.is_fast:
             self.head_result = None
@@ -372,11 +382,11 @@
         if self.codec.trailing_data != (b"", False):
             return False
         self.codec.start_next_cycle()
-        self.head_result, self.interim_answers, self.is_outcome_known = None, 0, False
+        self.head_result, self.interim_responses, self.is_outcome_known = None, 0, False
         return True
 
     def has_ended(self) -> bool:
-        """Whether the other side has closed an idle connection, or said what nobody asked."""
+        """Whether the server has closed an idle connection, or has sent unsolicited bytes on it."""
         try:
             self.sock.recv(1, socket.MSG_PEEK)
         except (BlockingIOError, InterruptedError):
@@ -386,7 +396,7 @@
         return True
 
     def close(self) -> None:
-        """Ends the connection. It never raises: its descriptor is free whatever the system reports."""
+        """Closes the connection. Never raises: the descriptor is freed even if the system call fails."""
         if self.observed:
             self.observed.ended(CLIENT_SIDE, reset=False)
         self.stop_reading()
--- a/message_sender/http/codec.py
+++ b/message_sender/http/codec.py
@@ -1,4 +1,4 @@
-"""Limits, addresses, headers and errors that the HTTP modules share."""
+"""Limits, addresses, headers and errors shared by the HTTP modules."""
 
 import contextlib
 import re
@@ -14,31 +14,31 @@
 
 
 class MalformedMessageError(Exception):
-    """An answer that cannot be read.
+    """A response that is not valid HTTP or exceeds a limit.
 
     Attributes:
-        status: What its first line still says; 0 if it says nothing.
+        status: The status of the status line if that could be parsed, or else 0.
     """
 
     def __init__(self, status: int, text: str) -> None:
-        """`text`: what is wrong."""
+        """Creates an error; `text` says what is wrong with the response."""
         super().__init__(text)
         self.status = status
 
 
 class IncompleteHeadError(MalformedMessageError):
-    """A first line of 200 that is true, ahead of a head that is not here to its end."""
+    """A complete status line of 200, which counts, in a head that has not been received completely."""
 
 
-#: What a broken connection or an unreadable answer raises.
-BROKEN = (OSError, MalformedMessageError)
+#: Raised on a broken connection or a malformed response.
+CONNECTION_ERRORS = (OSError, MalformedMessageError)
 
 
 def address_from(text: str) -> Address:
-    """Reads `host:port`.
+    """Parses `host:port`.
 
     Raises:
-        ValueError: It is something else.
+        ValueError: The text has another form, or the port is out of range.
     """
     host, separator, port = text.rpartition(":")
     if not separator or not host or not (port.isascii() and port.isdecimal()) or int(port[:6]) > 65535:
@@ -47,20 +47,20 @@
 
 
 def header(headers: Iterable[tuple[bytes, bytes]], name: bytes) -> str | None:
-    """The value of the first header with this (lower-case) name."""
+    """Returns the value of the first header with this name (in lower case); None if there is none."""
     return next((value.decode("latin-1") for key, value in headers if key == name), None)
 
 
 def decimal(text: str) -> float | None:
-    """A number as the protocol writes it; None for anything else.
+    """Parses a decimal number as the protocol defines it; None for anything else.
 
-    `float` alone would also take `1e308`, `1_0`, `inf`, digits of other scripts, and more digits than any
+    `float` alone would also accept `1e308`, `1_0`, `inf`, digits of other scripts, and more digits than any
     clock needs.
     """
     return float(text) if DECIMAL.fullmatch(text) else None
 
 
 def close(sock: socket.socket) -> None:
-    """Closes a socket, whatever its last packets met."""
+    """Closes a socket, ignoring errors that the close reports."""
     with contextlib.suppress(OSError):
         sock.close()
--- a/message_sender/http/discovery.py
+++ b/message_sender/http/discovery.py
@@ -1,4 +1,4 @@
-"""The platform's discovery service: the list of endpoints by a watch, and notices of completions."""
+"""Client of the platform's discovery service: watches the endpoint list and posts completion notices."""
 
 import asyncio
 import json
@@ -12,58 +12,59 @@
 
 from message_sender.core.ports import Completion, CompletionState
 from message_sender.http.client_connection import ClientConnection
-from message_sender.http.codec import BROKEN, Address, address_from
+from message_sender.http.codec import CONNECTION_ERRORS, Address, address_from
 from message_sender.http.json_stream import JsonStream
 from message_sender.policy.events import EndpointsUpdated
 from message_sender.policy.model import Endpoint, EndpointState, ListingKind
 
-# What discovery has had for 6 s, and could be reached for, counts as known, whatever call failed before
-# (policy/schedule.py). A watch may fall silent right behind a line: that takes SILENCE_TIMEOUT_S to see, and
-# a call. Discovery may come back right behind the beginning of a call that hangs: that takes two calls.
-SILENCE_TIMEOUT_S = 2.6  # with no whole line; empty ones come every 2 s
-CALL_TIMEOUT_S = 2.4  # to a call's list, or to the head of a watch; discovery gives up after 2 s
-LOCAL_CALL_TIMEOUT_S = 0.25  # of an agent beside the sender, whose news counts also while a call hangs
+# The sender must know a change within 6 s of the time when discovery has it and is reachable, whichever calls
+# failed before (policy/schedule.py). If a watch falls silent directly after a line, noticing that takes
+# SILENCE_TIMEOUT_S, followed by one call. If discovery recovers directly after the start of a call that
+# hangs, it takes two calls.
+SILENCE_TIMEOUT_S = 2.6  # without a complete line; discovery sends empty lines every 2 s
+CALL_TIMEOUT_S = 2.4  # until a call's list or the head of a watch is received; discovery gives up after 2 s
+LOCAL_CALL_TIMEOUT_S = 0.25  # with an agent on the same host, whose changes count even while a call hangs
 LINE_LIMIT = 4 * 1024 * 1024  # bytes
-NOTICE_TIMEOUT_S = 0.1  # for a first try; a notice has 0.3 s, and a hung connection must leave time
-NOTICE_DOUBLINGS = 2  # of that, after tries that failed
+NOTICE_TIMEOUT_S = 0.1  # first attempt; a notice is due in 0.3 s, so a hung connection must leave time
+MAX_NOTICE_TIMEOUT_DOUBLINGS = 2  # the time-out doubles after each failed attempt, at most this often
 NOTICE_RETRY_S = 0.05
-NOTICES_AT_ONCE = 100
-MOVE_RETRY_S = 0.2  # for a new address's list, which counts as known 4 s after SIGHUP
+NOTICE_BATCH_LIMIT = 100
+MOVE_RETRY_S = 0.2  # between requests for a new address's list, which must be known 4 s after SIGHUP
 BAD_REQUEST = 400
 NOTICE_STATES = {CompletionState.REFUSED: "returned", CompletionState.FAILED: "failed"}
-UNREADABLE = (ValueError, KeyError, TypeError, AttributeError, ArithmeticError, RecursionError)
+MALFORMED_LINE_ERRORS = (ValueError, KeyError, TypeError, AttributeError, ArithmeticError, RecursionError)
 
 log = logging.getLogger(__name__)
 
 
 async def expect_ok(connection: ClientConnection) -> None:
-    """Raises ConnectionError unless the answer has status 200."""
+    """Checks that the response has status 200. Raises ConnectionError if it has another one."""
     if (status := (await connection.response()).status_code) != 200:
         raise ConnectionError(f"discovery answered {status}")
 
 
-def text(value: object) -> str:
-    """Checks that a name is a text, since tables of the policy can hold nothing else. Raises TypeError."""
+def checked_string(value: object) -> str:
+    """Checks that a name is a string, as the policy's tables require. Raises TypeError if it is not."""
     if not isinstance(value, str):
-        raise TypeError(f"{value!r} is not a text")
+        raise TypeError(f"expected a string, got {value!r}")
     return value
 
 
 class EndpointList:
-    """One line of discovery: a version and the endpoints in it.
+    """One line of the watch: a version of the list and endpoints in it.
 
     Attributes:
-        version: Of the list.
-        is_complete: The line holds all endpoints; else it holds those that changed.
+        version: The version of the list.
+        is_complete: The line holds all endpoints; otherwise only those that changed.
         dials: Addresses by endpoint.
-        endpoints: As the policy takes them.
+        endpoints: The endpoints as the policy's events hold them.
     """
 
     def __init__(self, fields: dict[str, Any]) -> None:
-        """Reads a line.
+        """Reads the fields of a decoded line.
 
         Raises:
-            ValueError, KeyError, TypeError, AttributeError, ArithmeticError: It cannot be read.
+            ValueError, KeyError, TypeError, AttributeError, ArithmeticError: A field is missing or invalid.
         """
         self.version = int(fields["seq"])
         self.is_complete = bool(fields["whole"])
@@ -71,11 +72,11 @@
         self.dials: dict[str, Address] = {host["host"]: address_from(host["dial"]) for host in hosts}
         self.endpoints = tuple(
             Endpoint(
-                id=text(host["host"]),
+                id=checked_string(host["host"]),
                 destination=int(host["block"]),
                 state=EndpointState(host["health"]),
-                kind=text(host.get("class", "")),
-                zone=text(host.get("site", "")),
+                kind=checked_string(host.get("class", "")),
+                zone=checked_string(host.get("site", "")),
                 scale=float(host.get("share", 1)),
             )
             for host in hosts
@@ -86,15 +87,21 @@
     """Implements the ports `Directory` and `CompletionListener` of the core.
 
     Attributes:
-        version: Of the present list; None where it came from another service, whose versions mean nothing
-            here.
+        call_timeout_s: Time limit of a call in seconds.
+        address: The address of the service.
+        on_update: Called with updates of the endpoint list.
+        on_acknowledged: Called with the id of each message whose notice was acknowledged.
+        version: Version of the current list; None after a move to another service, for which the versions of
+            the previous one mean nothing.
         dials: Addresses of the listed endpoints.
-        destinations: All destinations that a list ever named.
-        has_read_line: Whether a line has come in this process.
-        watch_connection: The active watch.
-        next_line_due: When the watch counts as broken unless a line comes; seconds on the loop's clock.
+        destinations: All destinations that a list has ever named.
+        has_read_line: A line has been received in this process.
+        watch_connection: The connection of the active watch.
+        stream: Splits the bytes of the active watch into objects.
+        next_line_due: When the watch counts as broken unless a line arrives, in seconds on the loop's clock.
         poll_error: The error that `poll_unread` met on the watch.
-        notices: Notices by message, until they are acknowledged.
+        notices: Encoded notices by message id, until they are acknowledged.
+        has_notices: Set while there are notices to post.
     """
 
     def __init__(
@@ -105,14 +112,14 @@
         answered: Callable[[str], None],
         call: float = CALL_TIMEOUT_S,
     ) -> None:
-        """Does not connect yet.
+        """Creates a client without connecting.
 
         Args:
-            address: Of the service.
+            address: The address of the service.
             known: The latest known list.
-            listed: Called with updates of the list.
-            answered: Called with each message whose notice was acknowledged.
-            call: Seconds that a call may take.
+            listed: Called with updates of the endpoint list.
+            answered: Called with the id of each message whose notice was acknowledged.
+            call: Time limit of a call in seconds.
         """
         self.call_timeout_s = call
         self.address = address
@@ -132,26 +139,27 @@
         self._failed_posts = 0
 
     def move(self, address: Address) -> None:
-        """From now on discovery is at another address.
+        """Switches to another address of the service.
 
-        The caller starts a watch; the one before goes on until the new one has its first list. Notices under
-        way are acknowledged where they are, or posted again at the new address.
+        The caller starts a watch there; the previous watch continues until the new one has its first list.
+        Notices in flight are acknowledged at the old address, or posted again to the new one.
         """
         self.address = address
         self.version = None
 
     async def watch(self) -> None:
-        """One watch, to its end; the policy then gets a FAILED update and decides when to subscribe again.
+        """Runs one watch to its end and then sends a FAILED update; the policy decides when to watch again.
 
-        The first list of a new address is fetched until it comes: nobody else tells of a drain meanwhile.
+        The first list of a new address is requested until it is received, because until then no other source
+        reports that an endpoint is draining.
         """
         address = self.address
         while True:
             try:
                 await self.watch_once(address)
-            except BROKEN as error:
+            except CONNECTION_ERRORS as error:
                 log.warning("discovery watch ended: error=%s", str(error) or type(error).__name__)
-            except UNREADABLE as error:
+            except MALFORMED_LINE_ERRORS as error:
                 log.warning("discovery watch ended: reason=malformed line error=%r", error)
             if address != self.address:
                 return
@@ -161,21 +169,26 @@
         self.on_update(EndpointsUpdated(ListingKind.FAILED))
 
     async def watch_once(self, address: Address) -> None:
-        """Returns once another address has sent its list; any other end raises."""
+        """Watches one address, fetching its whole list first if no version of it is known.
+
+        Returns when the list of another address has replaced this one; every other end raises.
+        """
         if self.version is None:
-            whole = await self.fetch(address, "/registry/instances")
+            body = await self.fetch(address, "/registry/instances")
             if address != self.address:
                 return
-            self.read(EndpointList(json.loads(whole)))
+            self.read(EndpointList(json.loads(body)))
         async with self.open_call(address, f"/registry/instances?watch=1&after={self.version}") as connection:
             await self.read_lines(connection, address)
 
     @asynccontextmanager
     async def open_call(self, address: Address, target: str) -> AsyncIterator[ClientConnection]:
-        """A call that was answered with 200, within its time from here on; what follows is the caller's.
+        """Opens a call and yields its connection once the head of a response with status 200 was read.
+
+        The call's time limit covers connecting and the head; the caller limits the time for the body.
 
         Raises:
-            OSError, MalformedMessageError: It failed.
+            OSError, MalformedMessageError: The call failed.
         """
         async with asyncio.timeout(self.call_timeout_s):
             connection = await ClientConnection.open(address)
@@ -191,21 +204,21 @@
             connection.close()
 
     async def fetch(self, address: Address, target: str) -> bytes:
-        """The body of an answer. Raises as `open_call`, and ValueError where it is too long."""
+        """Fetches a response body. Raises as `open_call`, and ValueError if the body is too long."""
         body = bytearray()
         async with asyncio.timeout(self.call_timeout_s), self.open_call(address, target) as connection:
             while not isinstance(event := await connection.next_event(), h11.EndOfMessage):
                 body += event.data if isinstance(event, h11.Data) else b""
                 if len(body) > LINE_LIMIT:
-                    raise ValueError("the list is too long")
+                    raise ValueError(f"the endpoint list exceeds {LINE_LIMIT} bytes")
         return bytes(body)
 
     async def read_lines(self, connection: ClientConnection, address: Address) -> None:
-        """Reads the lines of a watch, until another address has sent its list."""
+        """Reads the lines of a watch until the list of another address has replaced this one."""
         self.watch_connection = connection
         self.stream = JsonStream(LINE_LIMIT)
         self.poll_error = None
-        self.note_line()
+        self.line_received()
         try:
             while not self.is_replaced(address):
                 self.read_ready(connection, address)
@@ -218,65 +231,69 @@
                 self.watch_connection = None
 
     def is_replaced(self, address: Address) -> bool:
-        """Whether another address has sent its list."""
+        """Whether the list of another address has replaced the one from this address."""
         return address != self.address and self.version is not None
 
     def poll_unread(self) -> None:
-        """Reads what the watch has sent and the loop has not come to read yet."""
+        """Reads bytes of the watch that the loop has not read yet."""
         if (connection := self.watch_connection) and connection.poll():
             try:
                 self.read_ready(connection, connection.address)
-            except (*BROKEN, *UNREADABLE) as error:
+            except (*CONNECTION_ERRORS, *MALFORMED_LINE_ERRORS) as error:
                 self.poll_error = error
 
-    def note_line(self) -> None:
-        """A line has come: the watch is up."""
+    def line_received(self) -> None:
+        """Restarts the silence time-out, since a line has arrived on the watch."""
         self.next_line_due = asyncio.get_running_loop().time() + SILENCE_TIMEOUT_S
 
     def read_ready(self, connection: ClientConnection, address: Address) -> None:
-        """Reads the lines that have come whole."""
+        """Processes the complete lines received so far."""
         while (event := connection.read_event()) is not None:
             if isinstance(event, h11.EndOfMessage):
                 raise ConnectionError("discovery ended the watch")
             for fields in self.stream.feed(bytes(event.data)) if isinstance(event, h11.Data) else ():
                 if self.is_replaced(address):
                     return
-                self.note_line()
+                self.line_received()
                 if fields is not None:
                     self.read(EndpointList(fields), address)
 
     def read(self, update: EndpointList, address: Address | None = None) -> None:
-        """Applies one line completely: what cannot be read has raised before anything is changed.
+        """Applies one parsed line; a malformed line raises while being parsed, before anything is changed.
 
         Args:
             update: The parsed line.
-            address: Where it came from; None: the present address.
+            address: The address that sent the line; None for the current one.
         """
         if update.is_complete:
             self.dials = {}
-        self.dials.update(update.dials)  # in place: a change costs what it names, however long the list is
+        self.dials.update(update.dials)  # in place, so that the cost depends on the change, not the list
         for endpoint in update.endpoints:
             if endpoint.state is EndpointState.GONE:
                 self.dials.pop(endpoint.id, None)
         self.destinations |= {endpoint.destination for endpoint in update.endpoints}
-        if address in (None, self.address):  # else it is a line of the address before
+        if address in (None, self.address):  # otherwise the line is from the previous address
             self.version = update.version
         self.has_read_line = True
         listing = ListingKind.FULL if update.is_complete else ListingKind.CHANGES
         self.on_update(EndpointsUpdated(listing, update.endpoints))
 
     def knows(self, destination: int) -> bool:
-        """Whether there ever was such a destination; its endpoints may have left for now."""
+        """Whether the destination has ever been listed, even if it has no endpoints at present."""
         return destination in self.destinations
 
     def remember(self, destination: int) -> None:
-        """A message for this destination was restored from the journal."""
+        """Adds a destination for which a message was restored from the journal."""
         self.destinations.add(destination)
 
-    # Notices: the completions of messages that no client waits for.
+    # Notices: the platform is notified of completions, since no client waits for them.
 
     def notify(self, message: str, end: Completion) -> bool:
-        """Takes a completion, which is posted until it is acknowledged. A delivery needs no notice."""
+        """Queues a notice of a completion, which is posted until it is acknowledged.
+
+        Returns:
+            Whether a notice is needed; False for a delivery.
+        """
         if end.state not in NOTICE_STATES:
             return False
         notice: dict[str, Any] = {"id": message, "state": NOTICE_STATES[end.state]}
@@ -287,7 +304,7 @@
         return True
 
     async def run(self) -> None:
-        """Posts what notices there are, until it is cancelled."""
+        """Posts queued notices until cancelled."""
         self._failed_posts = 0
         try:
             await self._post_notices()
@@ -295,40 +312,43 @@
             self._close_notice_connection()
 
     async def _post_notices(self) -> None:
-        batch_limit = NOTICES_AT_ONCE
+        batch_limit = NOTICE_BATCH_LIMIT
         while True:
             await self.has_notices.wait()
             batch = dict(list(self.notices.items())[:batch_limit])
-            began = time.monotonic()
+            started_at = time.monotonic()
             status = await self._try_to_post(batch)
             is_refused = status == BAD_REQUEST
             if is_refused and len(batch) > 1:
-                batch_limit = 1  # protects the others from one that cannot be read
+                batch_limit = 1  # so that a notice the service cannot read does not hold up the others
             elif is_refused or 200 <= status < 300:
-                self._acknowledge(batch, is_refused, time.monotonic() - began)
+                self._acknowledge(batch, is_refused, time.monotonic() - started_at)
                 if not self.notices:
-                    batch_limit = NOTICES_AT_ONCE
+                    batch_limit = NOTICE_BATCH_LIMIT
                     self.has_notices.clear()
             else:
                 self._failed_posts += 1
                 await asyncio.sleep(NOTICE_RETRY_S)
 
     async def _try_to_post(self, batch: dict[str, str]) -> int:
-        """The status of the answer; 0 where none came. A connection that failed is not used again."""
-        timeout_s = NOTICE_TIMEOUT_S * 2 ** min(self._failed_posts, NOTICE_DOUBLINGS)
+        """Posts a batch and returns the status of the response; 0 if there is none.
+
+        A connection that failed is closed and not reused.
+        """
+        timeout_s = NOTICE_TIMEOUT_S * 2 ** min(self._failed_posts, MAX_NOTICE_TIMEOUT_DOUBLINGS)
         try:
             async with asyncio.timeout(timeout_s):
-                connection = await self._notice_connection_to_use()
+                connection = await self._usable_notice_connection()
                 status = await self._post(connection, "\n".join(batch.values()) + "\n")
             if not connection.next_cycle():
                 self._close_notice_connection()
-        except BROKEN as error:
+        except CONNECTION_ERRORS as error:
             log.warning("notices not acknowledged: error=%s", str(error) or type(error).__name__)
             self._close_notice_connection()
             return 0
         return status
 
-    async def _notice_connection_to_use(self) -> ClientConnection:
+    async def _usable_notice_connection(self) -> ClientConnection:
         connection = self._notice_connection
         if connection and (connection.address != self.address or connection.has_ended()):
             self._close_notice_connection()
--- a/message_sender/http/json_stream.py
+++ b/message_sender/http/json_stream.py
@@ -1,11 +1,11 @@
-"""JSON objects out of a stream that holds one a line, as a watch sends them. Pure.
+"""Splits a stream of JSON objects, as a discovery watch sends them, into objects. Pure.
 
 Rules:
 
-- An object ends with the line on which it is whole. It may be indented, and so take several lines.
-- An empty line, with no object begun, is a sign of life: it stands for itself.
-- What can no more become an object is an error at once. What might, but does not end, is silence, however
-  much of it comes: bytes are no sign of life, nor are empty lines within an object.
+- An object ends with the line that completes it. It may be indented and span several lines.
+- An empty line outside an object is a keep-alive and is reported as such.
+- Data that cannot become an object is an error at once. An object that is never completed counts as silence,
+  however many bytes arrive: neither bytes nor empty lines within an object are a keep-alive.
 """
 
 import json
@@ -20,52 +20,56 @@
     """Splits a stream into objects.
 
     Attributes:
-        partial_line: Of a line that has begun.
-        partial_object: The lines of an object that is not whole yet.
+        limit: Maximum size of an object in bytes.
+        partial_line: The bytes of a line that is not complete yet.
+        partial_object: The lines of an object that is not complete yet.
     """
 
     def __init__(self, limit: int) -> None:
-        """`limit`: bytes that an object may have."""
-        self.limit = limit  # bytes
-        self.partial_line = b""  # of a line that has begun
-        self.partial_object = b""  # the lines of an object that is not whole yet
+        """Creates a stream at its beginning; `limit` is the maximum size of an object in bytes."""
+        self.limit = limit
+        self.partial_line = b""
+        self.partial_object = b""
 
     def feed(self, data: bytes) -> Iterator[dict[str, Any] | None]:
-        """Takes bytes, and yields the objects that have come whole with them, an empty line as None.
+        """Processes bytes and yields the objects that they complete, and None for each keep-alive line.
 
         Raises:
-            ValueError: Behind what came before it, something is no JSON or too long: the stream is lost from
-            there.
+            ValueError: Data after the objects yielded so far is not a JSON object or is too long. The rest of
+                the stream cannot be read.
         """
         *lines, self.partial_line = (self.partial_line + data).split(b"\n")
         for line in lines:
             if not self.partial_object and not line.strip(BLANK):
                 yield None
             elif self.partial_object and not line.rstrip(BLANK).endswith(b"}"):
-                self.partial_object += (
-                    line + b"\n"
-                )  # not its last line: trying it each time would cost its square
-            elif (found := self.parse(self.partial_object + line)) is not None:
-                yield found
+                # Not the object's last line. Parsing at each line would take quadratic time.
+                self.partial_object += line + b"\n"
+            elif (fields := self.parse(self.partial_object + line)) is not None:
+                yield fields
             self.check_size(len(self.partial_object))
         self.check_size(len(self.partial_line) + len(self.partial_object))
 
     def check_size(self, size: int) -> None:
-        """Raises ValueError where an object is too long."""
+        """Raises ValueError if an object exceeds the limit."""
         if size > self.limit:
-            raise ValueError("an object is too long")
+            raise ValueError(f"a JSON object of the stream exceeds {self.limit} bytes")
 
     def parse(self, data: bytes) -> dict[str, Any] | None:
-        """The object that these lines are; None where more of them have to come. Raises ValueError."""
+        """Parses lines as one object; None if more lines are needed.
+
+        Raises:
+            ValueError: The lines are not a JSON object and cannot become one.
+        """
         text = data.decode().strip()
         try:
-            found, end = DECODER.raw_decode(text)
+            fields, end = DECODER.raw_decode(text)
         except json.JSONDecodeError as error:
             if not text.startswith("{") or error.pos < len(text):
                 raise
             self.partial_object = data + b"\n"
             return None
-        if end < len(text) or not isinstance(found, dict):
-            raise ValueError(f"no object: {text[:40]!r}")
+        if end < len(text) or not isinstance(fields, dict):
+            raise ValueError(f"expected one JSON object, got {text[:40]!r}")
         self.partial_object = b""
-        return found
+        return fields
--- a/message_sender/http/response_mapping.py
+++ b/message_sender/http/response_mapping.py
@@ -1,4 +1,4 @@
-"""What a receiver's answer means for an attempt, by its status and headers; see the protocol page. Pure."""
+"""Maps a receiver's response to the result of an attempt, as the protocol page defines it. Pure."""
 
 import re
 
@@ -13,7 +13,7 @@
 
 
 def answer_from(response: ResponseHead) -> AttemptResult:
-    """The result that an answer stands for. A status that the protocol does not name may have run."""
+    """Returns the result that a response states. With an undefined status, the request may have run."""
     match response.status_code:
         case 200:
             return AttemptResult(Outcome.OK, is_final=True)
@@ -33,11 +33,11 @@
 
 
 def announced_limit(response: ResponseHead) -> tuple[int, int] | None:
-    """The limit that an answer announces, by the draft on RateLimit header fields.
+    """Returns the rate limit that a response announces by the IETF draft on RateLimit header fields.
 
     Returns:
-        Calls, and the microseconds in which they are taken, of the first policy that states both:
-        `RateLimit-Policy: "burst";q=100;w=10`, or `100;w=10` in its older form. None: none is stated.
+        The number of calls and the window in microseconds of the first policy that states both, in the form
+        `RateLimit-Policy: "burst";q=100;w=10` or the older form `100;w=10`. None if there is no such policy.
     """
     for policy in (header(response.headers, b"ratelimit-policy") or "").split(","):
         quota, window = QUOTA.search(policy), WINDOW.search(policy)
--- a/message_sender/http/unread_sockets.py
+++ b/message_sender/http/unread_sockets.py
@@ -1,8 +1,9 @@
-"""Which of many connections have something that nobody has read yet, asked at any moment.
+"""Reports at any moment which of many connections have unread bytes.
 
-The loop looks at its sockets once a pass, and what a pass found is acted on in the next ones. A process that
-had no core meanwhile acts on a view that is as old as its pause. This asks the system again: one epoll(7)
-descriptor of its own, level-triggered, so that a look costs by what is ready and not by what is open.
+The event loop polls its sockets once per iteration and handles the events in the following iterations. A
+process that was not scheduled meanwhile acts on a view as old as that pause. This module polls the system
+again, with a level-triggered epoll(7) descriptor of its own, so that the cost of a poll depends on the ready
+connections and not on all open ones.
 """
 
 import select
@@ -11,13 +12,17 @@
 
 
 class UnreadSockets:
-    """Sockets that are asked for unread bytes.
+    """A set of connections that can be polled for unread bytes.
 
-    Connections are added once they are up, and taken out before their sockets close.
+    Connections are added when they are open, and removed before their sockets are closed.
     """
 
     def __init__(self) -> None:
-        """Raises OSError where no descriptor is left."""
+        """Creates an empty set.
+
+        Raises:
+            OSError: No descriptor is left.
+        """
         self.epoll = select.epoll()
         self.watched: dict[int, ClientConnection] = {}
 
@@ -25,26 +30,26 @@
         """Adds a connection.
 
         Raises:
-            OSError: The system takes no more of them (EPERM, ENOSPC, ENOMEM of epoll_ctl(2)).
+            OSError: The system cannot watch the connection (EPERM, ENOSPC or ENOMEM of epoll_ctl(2)).
         """
         number = connection.sock.fileno()
         self.epoll.register(number, select.EPOLLIN)
         self.watched[number] = connection
 
     def discard(self, connection: ClientConnection) -> None:
-        """Takes a connection out, if it is there."""
+        """Removes a connection if it is in the set."""
         number = connection.sock.fileno()
         if number >= 0 and number in self.watched:
             del self.watched[number]
             self.epoll.unregister(number)
 
     def ready(self) -> list[ClientConnection]:
-        """Connections with unread bytes, an end or an error. Never waits."""
+        """Returns the connections that have unread bytes, an end of stream or an error. Never blocks."""
         if not self.watched:
             return []
         return [self.watched[number] for number, _ in self.epoll.poll(0) if number in self.watched]
 
     def close(self) -> None:
-        """Closes the descriptor of its own."""
+        """Closes the epoll descriptor."""
         self.watched.clear()
         self.epoll.close()
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -195,7 +195,7 @@
                 assert told == answer or (told.outcome is answer and told.retry_after_us == 2_000_000)
                 await soon(receiver.ends.get())
 
-    monkeypatch.setattr(http, "HEAD_PATIENCE", 0.05)
+    monkeypatch.setattr(http, "HEAD_TIMEOUT_S", 0.05)
     monkeypatch.setattr(call_module, "BODY_PATIENCE", 0.05)
     play(test)(Path())
 
@@ -237,7 +237,7 @@
         request.write(head("200 OK", "Content-Length: 4") + "ha")
         assert await soon(going) == DELIVERED and not client.pool
         request.write("lf")
-        await soon(asyncio.gather(*client.rest_tasks))
+        await soon(asyncio.gather(*client.body_tasks))
         assert list(client.pool) == ["r"]
 
 
@@ -424,7 +424,7 @@
             for part in rest:
                 request.write(part)
                 await turn()
-            while client.rest_tasks:
+            while client.body_tasks:
                 await turn()
             assert receiver.accepted == 1 and list(client.idle.values()) == ["r"]
 
@@ -441,7 +441,7 @@
                 request.write("HTTP/1.1 200 It\r\n" + rest)
                 assert await soon(going) == DELIVERED
                 await soon(receiver.ends.get())
-                assert not (client.idle or client.rest_tasks or client.connections)
+                assert not (client.idle or client.body_tasks or client.connections)
 
     play(test)(Path())
 
