--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -1,5 +1,6 @@
-"""How a client's connection ends: the machine's table, and its crossings on real sockets. A client's act here
-is done, in the system, when its call returns; the sender's is called by hand before its loop has read it."""
+"""How a client connection ends: the table of the state machine, and races on real sockets. A client's action
+here has taken effect in the operating system when its call returns; the server's action is then called
+directly, before its loop has read the socket."""
 
 import asyncio
 import socket
@@ -28,44 +29,48 @@
 @pytest.mark.parametrize(
     ("state", "event", "busy"), list(product(ConnectionState, ConnectionEvent, (False, True)))
 )
-def test_each_pair_has_the_step_that_its_rule_names(
+def test_the_action_for_each_state_and_event_follows_the_rules(
     state: ConnectionState, event: ConnectionEvent, busy: bool
 ) -> None:
-    """The rules once more, each as what must not be."""
-    step = decide(state, event, busy)
+    """Checks the numbered rules of connection_state for every combination."""
+    action = decide(state, event, busy)
     open_to_requests = state in (ConnectionState.SILENT, ConnectionState.IDLE)
     if event is ConnectionEvent.DISCONNECTED:
-        assert step is ConnectionAction.CLOSE
+        assert action is ConnectionAction.CLOSE
         return
     if state is ConnectionState.ANSWERING:
-        assert step is ConnectionAction.KEEP  # 1
+        assert action is ConnectionAction.KEEP  # 1
     if open_to_requests and busy:
-        assert step is ConnectionAction.KEEP  # 2
+        assert action is ConnectionAction.KEEP  # 2
     if open_to_requests and not busy:
-        assert step is (
+        assert action is (
             ConnectionAction.CLOSE if event is ConnectionEvent.CAPACITY_NEEDED else ConnectionAction.SHUT_DOWN
         )  # 3, 6
     if state is ConnectionState.READING:
-        assert step is (
+        assert action is (
             ConnectionAction.KEEP if event is ConnectionEvent.CAPACITY_NEEDED else ConnectionAction.REJECT
         )  # 5
     if state is ConnectionState.LINGERING:
-        assert step is (
+        assert action is (
             ConnectionAction.KEEP if event is ConnectionEvent.PROCESS_EXIT else ConnectionAction.CLOSE
         )  # 3, 6
 
 
 @pytest.mark.parametrize("away", [False, True])
-def test_only_what_is_owed_has_no_limit_and_whoever_was_sent_away_has_less(away: bool) -> None:
+def test_only_a_pending_response_has_no_time_limit_and_closing_idle_shortens_limits(away: bool) -> None:
     limits = {each: timeout_s(each, away) for each in ConnectionState}
     assert [each for each, s in limits.items() if s == float("inf")] == [ConnectionState.ANSWERING]
-    assert limits[ConnectionState.READING] == READ_TIMEOUT_S and limits[ConnectionState.LINGERING] == LINGER_TIMEOUT_S
+    assert (
+        limits[ConnectionState.READING] == READ_TIMEOUT_S
+        and limits[ConnectionState.LINGERING] == LINGER_TIMEOUT_S
+    )
     assert limits[ConnectionState.IDLE] == (0 if away else IDLE_TIMEOUT_S)
     assert limits[ConnectionState.SILENT] == (LINGER_TIMEOUT_S if away else READ_TIMEOUT_S)
 
 
 class Client:
-    """A client whose every act is in the system's hands when its call returns. Reads on the loop."""
+    """A client whose actions have taken effect in the operating system when its calls return. It reads on the
+    loop."""
 
     def __init__(self, address: tuple[str, int]) -> None:
         self.sock = socket.create_connection(address[:2])
@@ -80,45 +85,46 @@
         return self.stream
 
     async def rest(self) -> bytes:
-        """What comes until the other side's end. Raises ConnectionResetError where it is reset."""
-        found: bytes = await soon((await self.reader()).read())
+        """Reads until the server closes. Raises ConnectionResetError if the connection is reset."""
+        data: bytes = await soon((await self.reader()).read())
         self.writer.close()
-        return found
+        return data
 
 
-async def resting(server: Server, name: str = "m0") -> Client:
-    """One that has had its answer and rests."""
-    client, seen = Client(server.address()), len(server.table.idle)
+async def idle_client(server: Server, name: str = "m0") -> Client:
+    """Returns a client whose request was answered and whose connection is idle."""
+    client, idle_before = Client(server.address()), len(server.table.idle)
     client.send(message(name))
-    await until(lambda: len(server.table.idle) > seen)
+    await until(lambda: len(server.table.idle) > idle_before)
     assert client.sock.recv(1000).startswith(b"HTTP/1.1 202")
     return client
 
 
-def overdue(server: Server) -> None:
+def exceed_time_limits(server: Server) -> None:
+    """Makes the time limit of every connection pass."""
     for each in server.connections:
         each.since -= 100
 
 
 @play
-async def test_a_request_that_comes_as_the_idle_limit_ends_is_answered(_: Path) -> None:
+async def test_a_request_that_arrives_as_the_idle_time_out_passes_is_answered(_: Path) -> None:
     async with serving() as (server, taken):
-        client, quiet = await resting(server), await resting(server, "m1")
-        overdue(server)
+        client, idle = await idle_client(server), await idle_client(server, "m1")
+        exceed_time_limits(server)
         client.send(message("m2"))
         server.expire()
         assert (await read_reply(await client.reader())).status == 202
-        assert await quiet.rest() == b""
+        assert await idle.rest() == b""
         assert [each.id for each in taken] == ["m0", "m1", "m2"]
         client.writer.close()
 
 
 @play
-async def test_a_first_request_that_comes_as_the_read_limit_ends_is_answered(_: Path) -> None:
+async def test_a_first_request_that_arrives_as_the_read_time_out_passes_is_answered(_: Path) -> None:
     async with serving() as (server, taken):
         client = Client(server.address())
         await until(lambda: any(each.transport for each in server.connections))
-        overdue(server)
+        exceed_time_limits(server)
         client.send(message("m1"))
         server.expire()
         assert (await read_reply(await client.reader())).status == 202 and len(taken) == 1
@@ -126,27 +132,27 @@
 
 
 @play
-async def test_what_crosses_the_shutdown_is_dropped_and_resets_nothing(_: Path) -> None:
-    """The answer before lies unread over there, and stays readable."""
+async def test_a_request_that_crosses_the_shutdown_is_dropped_and_causes_no_reset(_: Path) -> None:
+    """The previous response, which the client has not read yet, remains readable."""
     async with serving() as (server, taken):
         client = Client(server.address())
         client.send(message("m0"))
         await until(lambda: len(server.table.idle) == 1)
-        overdue(server)
+        exceed_time_limits(server)
         server.expire()
         client.send(message("m1"))
         for _ in range(20):
             await turn()
-        overdue(server)
+        exceed_time_limits(server)
         server.expire()
-        client.send(b"x")  # a reset would be told here, or as the answer is read
+        client.send(b"x")  # a reset would raise here, or when the response is read
         text = await client.rest()
         assert text.startswith(b"HTTP/1.1 202") and text.count(b"HTTP/1.1") == 1
         assert [each.id for each in taken] == ["m0"]
 
 
 @play
-async def test_who_waits_to_be_taken_as_the_listener_closes_is_answered(_: Path) -> None:
+async def test_connections_not_accepted_yet_when_the_listener_closes_are_answered(_: Path) -> None:
     async with serving() as (server, taken):
         clients = [Client(server.address()) for _ in range(5)]
         for number, each in enumerate(clients):
@@ -159,9 +165,9 @@
 
 
 @play
-async def test_requests_that_come_as_the_grace_ends_are_answered(_: Path) -> None:
+async def test_requests_that_arrive_as_the_grace_period_ends_are_answered(_: Path) -> None:
     async with serving() as (server, taken):
-        client, quiet = await resting(server), await resting(server, "m1")
+        client, idle = await idle_client(server), await idle_client(server, "m1")
         silent, fresh = Client(server.address()), Client(server.address())
         await until(lambda: len(server.table.silent) == 2)
         server.start_drain()
@@ -171,28 +177,28 @@
         for each in (client, fresh):
             text = await each.rest()
             assert text.startswith(b"HTTP/1.1 202") and b"Connection: close" in text
-        assert await quiet.rest() == b""
-        overdue(server)
+        assert await idle.rest() == b""
+        exceed_time_limits(server)
         server.expire()
         assert await silent.rest() == b""
         assert sorted(each.id for each in taken) == ["m0", "m1", "m2", "m3"]
 
 
 @play
-async def test_the_process_ends_only_when_whoever_may_still_ask_is_answered(state: Path) -> None:
-    """Nothing is owed, but one request has half come, and one has come whole and lies unread."""
+async def test_the_process_ends_only_after_received_requests_are_answered(state: Path) -> None:
+    """No response is pending, but one request has been received in part, and a complete one is unread."""
     async with World(state) as world:
         sender, server = world.sender, world.sender.server
         half, whole = Client(server.address()), Client(server.address())
         half.send(message("m1")[:40])
         await until(lambda: any(each.began for each in server.connections))
         sender.terminate()
-        sender.drain.terminated_at_s -= GRACE_S  # type: ignore[operator]  # it has passed
+        sender.drain.terminated_at_s -= GRACE_S  # type: ignore[operator]  # the grace period has passed
         sender.end_drain_grace()
         whole.send(message("m2", X_Route_To="dest=9"))
         sender.stop_if_drained()
         assert not sender.engine.stopped.done()
-        sender.stop(0)  # STOP is over
+        sender.stop(0)  # the time to stop is over
         assert (await half.rest()).startswith(b"HTTP/1.1 503")
         assert (await whole.rest()).startswith(b"HTTP/1.1 202")
         assert await soon(world.running.task) == 0
@@ -200,9 +206,9 @@
 
 
 @play
-async def test_an_answer_is_written_without_waiting_for_the_one_before_to_be_heard(_: Path) -> None:
+async def test_a_response_is_sent_before_the_previous_one_is_acknowledged_by_tcp(_: Path) -> None:
     async with serving() as (server, _taken):
-        client = await resting(server)
+        client = await idle_client(server)
         (connection,) = server.connections
         assert connection.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
         client.sock.close()
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -1,4 +1,4 @@
-"""Clients in: what is read, and what is turned away without harm."""
+"""The HTTP server for clients: parsing of requests, rejections, limits, and closing of unused connections."""
 
 import asyncio
 import errno
@@ -22,14 +22,14 @@
 
 
 @asynccontextmanager
-async def serving(most: int = 10) -> AsyncIterator[tuple[Server, list[Message]]]:
+async def serving(connection_limit: int = 10) -> AsyncIterator[tuple[Server, list[Message]]]:
     taken: list[Message] = []
 
     def take(message: Message, connection: ServerConnection) -> None:
         taken.append(message)
         connection.answer(202)
 
-    server = Server({"c": KEYED}, take, lambda: NOW, most)
+    server = Server({"c": KEYED}, take, lambda: NOW, connection_limit)
     server.listen("127.0.0.1", 0)
     server.is_ready = True
     yield server, taken
@@ -41,7 +41,7 @@
 
 
 @play
-async def test_a_message_is_read_as_it_was_handed_in(_: Path) -> None:
+async def test_a_request_is_parsed_into_a_message_with_all_its_fields(_: Path) -> None:
     async with serving() as (server, taken):
         body = bytes(range(256)) * 256
         data = message("é1", body, X_Account="acme", X_Session_Key="k", X_Repeat="1", X_Time_Left="0.480")
@@ -82,7 +82,7 @@
 
 
 @pytest.mark.parametrize(("data", "status"), BAD)
-def test_bad_input_gets_its_answer_and_no_exception(data: bytes, status: int) -> None:
+def test_bad_input_gets_an_error_status_and_raises_no_exception(data: bytes, status: int) -> None:
     async def test(_: Path) -> None:
         errors: list[object] = []
         asyncio.get_running_loop().set_exception_handler(lambda _, context: errors.append(context))
@@ -132,46 +132,47 @@
 
 
 @play
-async def test_silent_and_idle_connections_make_room_for_those_that_ask(_: Path) -> None:
-    """Guards usual clients against some that connect by hundreds and say nothing."""
-    async with serving(most=3) as (server, taken):
-        usual = await Held.open(server, message("a"))
-        assert (await read_reply(usual.reader)).status == 202
+async def test_silent_and_idle_connections_are_closed_for_clients_with_requests(_: Path) -> None:
+    """Guards normal clients against others that open hundreds of connections and send nothing."""
+    async with serving(connection_limit=3) as (server, taken):
+        normal = await Held.open(server, message("a"))
+        assert (await read_reply(normal.reader)).status == 202
         silent = [await Held.open(server) for _ in range(2)]
         assert (await raw(server, message("b"))).status == 202
         assert await silent[0].ended() == b""
         late = [await Held.open(server) for _ in range(20)]
-        usual.writer.write(message("c"))
-        assert (await read_reply(usual.reader)).status == 202
+        normal.writer.write(message("c"))
+        assert (await read_reply(normal.reader)).status == 202
         assert [each.id for each in taken] == ["a", "b", "c"]
         assert len(server.connections) <= 3 + server.lingering
-        for each in (usual, *silent, *late):
+        for each in (normal, *silent, *late):
             each.writer.close()
 
 
 @play
-async def test_a_crowd_that_asks_for_readiness_pushes_out_its_own_and_nobody_who_just_came(_: Path) -> None:
-    """Seen as an incident: with the room full, each new connection was closed before its request had come."""
-    async with serving(most=4) as (server, _taken):
-        usual = await Held.open(server, message("a"))
-        assert (await read_reply(usual.reader)).status == 202
+async def test_many_health_check_clients_displace_each_other_and_no_new_connection(_: Path) -> None:
+    """Guards against a past incident: at the connection limit, each new connection was closed before its
+    request arrived."""
+    async with serving(connection_limit=4) as (server, _taken):
+        normal = await Held.open(server, message("a"))
+        assert (await read_reply(normal.reader)).status == 202
         fresh = await Held.open(server)
         crowd = [await Held.open(server, READY) for _ in range(8)]
         for each in crowd[-2:]:
             assert (await read_reply(each.reader)).status == 200
-        for held, name in ((fresh, "b"), (usual, "c")):
+        for held, name in ((fresh, "b"), (normal, "c")):
             held.writer.write(message(name))
             assert (await read_reply(held.reader)).status == 202
         assert len(server.connections) <= 4 + server.lingering
-        for each in (usual, fresh, *crowd):
+        for each in (normal, fresh, *crowd):
             each.writer.close()
 
 
 @play
-async def test_one_who_has_just_come_is_not_closed_for_those_between_requests(_: Path) -> None:
-    """Seen as an incident: with the room full of kept connections, each new one was closed before its request
-    had come, and its client tried again and again."""
-    async with serving(most=4) as (server, taken):
+async def test_a_new_connection_is_not_closed_in_favour_of_idle_ones(_: Path) -> None:
+    """Guards against a past incident: with the limit reached by idle connections, each new one was closed
+    before its request arrived, and its client kept reconnecting."""
+    async with serving(connection_limit=4) as (server, taken):
         kept = [await Held.open(server, message(name)) for name in "abcd"]
         for each in kept:
             assert (await read_reply(each.reader)).status == 202
@@ -186,8 +187,8 @@
 
 
 @play
-async def test_with_every_connection_at_work_one_more_is_turned_away(_: Path) -> None:
-    async with serving(most=1) as (server, _taken):
+async def test_with_every_connection_in_use_a_further_one_is_rejected(_: Path) -> None:
+    async with serving(connection_limit=1) as (server, _taken):
         half = await Held.open(server, message("a")[:30])
         while server.table.silent or not server.connections:
             await turn()
@@ -198,7 +199,7 @@
 
 
 @play
-async def test_no_descriptor_left_stops_accepting_for_a_moment_only(_: Path) -> None:
+async def test_a_shortage_of_descriptors_stops_accepting_only_briefly(_: Path) -> None:
     async with serving() as (server, _taken):
         idle = await Held.open(server, message("a"))
         assert (await read_reply(idle.reader)).status == 202
@@ -218,12 +219,12 @@
         server.listener = Short()  # type: ignore[assignment]
         server.loop.add_reader(listener, server.accept)
         assert (await raw(server, message("b"))).status == 202
-        assert await idle.ended() == b""  # what served nobody made room
+        assert await idle.ended() == b""  # the unused connection was closed to free a descriptor
 
 
 @play
-async def test_connections_that_never_finish_or_never_come_back_are_closed(_: Path) -> None:
-    """A request that drips in has its time from connecting: each drop does not give it more."""
+async def test_connections_with_unfinished_requests_or_without_requests_are_closed(_: Path) -> None:
+    """The time limit of a request that arrives in small pieces counts from connecting, not each piece."""
     async with serving() as (server, _taken):
         half = await Held.open(server, message("m")[:30])
         silent = await Held.open(server)
@@ -251,7 +252,7 @@
 
 
 @play
-async def test_what_follows_a_refused_head_is_dropped_and_the_answer_still_read(_: Path) -> None:
+async def test_bytes_after_a_rejected_head_are_dropped_and_the_client_can_read_the_response(_: Path) -> None:
     async with serving() as (server, taken):
         held = await Held.open(server, message("m", b"x" * 65537) + b"x" * 8_000_000)
         assert (await read_reply(held.reader)).status == 413
@@ -267,7 +268,7 @@
 
 
 @play
-async def test_two_lengths_hide_no_second_request(_: Path) -> None:
+async def test_a_request_with_two_body_lengths_cannot_smuggle_a_second_request(_: Path) -> None:
     hidden = message("hidden")
     head = message("m", hidden).replace(b"Host", b"Transfer-Encoding: chunked\r\nHost")
     chunked = head.partition(b"\r\n\r\n")[0] + b"\r\n\r\n0\r\n\r\n" + hidden
@@ -280,7 +281,7 @@
 
 
 @play
-async def test_requests_by_the_hundred_are_not_read_before_their_turn(_: Path) -> None:
+async def test_reading_pauses_while_many_pipelined_requests_wait_for_a_response(_: Path) -> None:
     async with serving() as (server, _taken):
         server.submit = lambda *_: None  # the answer is still pending
         held = await Held.open(server, message("m"))
@@ -299,14 +300,14 @@
 
 
 @play
-async def test_a_flood_is_read_for_a_part_of_each_turn_and_proven_clients_first(_: Path) -> None:
-    """Guards what receivers say from a loop busy with bad requests: seen as a told wait not heeded."""
-    async with serving(most=40) as (server, taken):
-        usual = await Held.open(server, message("a"))
-        assert (await read_reply(usual.reader)).status == 202
+async def test_a_flood_is_read_for_a_limited_time_per_iteration_and_proven_clients_first(_: Path) -> None:
+    """Guards against a loop so busy with bad requests that it ignored a receiver's Retry-After."""
+    async with serving(connection_limit=40) as (server, taken):
+        normal = await Held.open(server, message("a"))
+        assert (await read_reply(normal.reader)).status == 202
         read_available, server.read_queue.run = server.read_queue.run, lambda: None  # type: ignore[method-assign]
         flood = [await Held.open(server, message(f"m{each}")) for each in range(10)]
-        usual.writer.write(message("b"))
+        normal.writer.write(message("b"))
         while len(server.read_queue) < 11:
             await turn()
         server.read_queue.run, clock = read_available, server.loop.time  # type: ignore[method-assign]
@@ -317,11 +318,11 @@
         for each in flood:
             assert (await read_reply(each.reader)).status == 202
             each.writer.close()
-        usual.writer.close()
+        normal.writer.close()
 
 
 @play
-async def test_a_destination_that_no_list_ever_named_is_turned_away(_: Path) -> None:
+async def test_a_message_for_a_destination_that_was_never_listed_is_rejected(_: Path) -> None:
     async with serving() as (server, taken):
         server.knows_destination = lambda destination: destination == 3
         assert (await raw(server, message("m", X_Route_To="dest=4"))).status == 404
@@ -330,7 +331,7 @@
 
 
 @play
-async def test_what_nobody_foresaw_ends_one_connection_only(_: Path) -> None:
+async def test_an_unexpected_exception_ends_only_its_own_connection(_: Path) -> None:
     async with serving() as (server, _taken):
         take, server.submit = server.submit, None  # type: ignore[assignment]
         assert await (await Held.open(server, message("m"))).ended() == b""
