--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -50,7 +50,7 @@
         self.watches: list[asyncio.StreamWriter] = []
         self.server: asyncio.Server | None = None
 
-    async def start(self) -> None:
+    async def listen(self) -> None:
         token = HOST.set(self.address[0])
         self.server = await asyncio.start_server(self.serve, *self.address)
         HOST.reset(token)
@@ -114,7 +114,7 @@
         self.sender: PlatformSender
 
     async def start(self) -> None:
-        await self.discovery.start()
+        await self.discovery.listen()
         token = HOST.set("sender")
         self.sender = PlatformSender(self.config)
         await self.sender.start()
@@ -235,7 +235,7 @@
         other = Discovery(world.net, OTHER)
         other.drains()
         other.mode = "hangs"
-        await other.start()
+        await other.listen()
         token = HOST.set("sender")
         world.sender.reconfigure(config(tmp_path, OTHER, "on_request"))
         HOST.reset(token)
