--- a/message_sender/configuration/general_tables.py
+++ b/message_sender/configuration/general_tables.py
@@ -10,8 +10,8 @@
 from pydantic import AfterValidator, Field, PlainValidator, model_validator
 
 from message_sender.configuration.resources import (
-    FIGURE_LIMIT,
     INTEGER_LIMIT,
+    NUMBER_LIMIT,
     Address,
     AtLeastOne,
     BudgetTable,
@@ -120,7 +120,7 @@
     max_retry_after_ms: NonNegative = 2000.0
     idle_ms: AtLeastOne = 10_000.0
     connect_timeout_ms: AtLeastOne = 1500.0
-    disk_mb: Annotated[float, number_between(0.01, FIGURE_LIMIT)] = 64.0
+    disk_mb: Annotated[float, number_between(0.01, NUMBER_LIMIT)] = 64.0
     sockets: Annotated[int, number_between(64, INTEGER_LIMIT)] = 1024
 
 
--- a/message_sender/configuration/resources.py
+++ b/message_sender/configuration/resources.py
@@ -1,6 +1,6 @@
-"""Tables of endpoints and of shared budgets: what a sender's own file and the control plane may hold.
+"""Tables of endpoints and shared budgets, used by a sender's own file and by the control plane.
 
-Their form, with units, is in docs/operate/serve.md and docs/operate/budgets.md.
+The format, with units, is described in docs/operate/serve.md and docs/operate/budgets.md.
 """
 
 import ipaddress
@@ -16,12 +16,12 @@
 from message_sender.policy.model import Endpoint, EndpointState
 
 US_PER_MS = 1000
-FIGURE_LIMIT = 1e12  # of any number without a limit of its own
+NUMBER_LIMIT = 1e12  # upper bound of numbers for which no other bound is given
 INTEGER_LIMIT = 10**9
 PORT_LIMIT = 65_535
-#: What a budget may be bound to.
+#: Kinds of objects that a budget may be bound to.
 BUDGET_BINDINGS = ("destination", "endpoint", "zone", "tenant")
-#: Budgets of what is in use at once; the others have a rate.
+#: Resources of which a budget limits the concurrent use; budgets of the others limit a rate.
 CONCURRENCY_BUDGETS = frozenset({"in_flight", "trials", "connections"})
 BUDGET_NAME = re.compile(r"[A-Za-z0-9.-]{1,48}")
 NOT_NUMERIC = "must be an IP address and a port: a name would be looked up for each datagram, on the loop"
@@ -30,44 +30,45 @@
 
 @dataclass(frozen=True, slots=True)
 class SharedBudget:
-    """A budget that all senders of the fleet spend from. Durations in microseconds.
+    """A budget that all senders of the fleet spend from; durations are in microseconds.
 
     Attributes:
-        name: Of the budget.
-        of: What it limits, as `BudgetTable.of`.
-        by: What it is bound to, one of `BUDGET_BINDINGS`.
-        value: Which one; None: each of them has a budget of its own.
-        whole: How much all senders have together; None: as the list, or a response, announces the rate.
-        share: Of repeats: so many for each first attempt, in place of `whole`.
-        span: The period of a rate; None: things that are in use at once.
-        floor: What each sender has in any case.
-        lease: How long a sender may use its part without a renewal.
-        slack: The drift between two clocks.
-        held: The longest that a thing is in use.
+        name: The budget's name.
+        resource: The limited resource, one of the values of `BudgetTable.of`.
+        binding: The kind of object that the budget is bound to, one of `BUDGET_BINDINGS`.
+        value: The object that the budget is bound to; None if each object of the kind has its own budget.
+        limit: The amount of all senders together; None if the endpoint list or a response announces it, or if
+            `retry_fraction` applies.
+        retry_fraction: For retries: the number that each first attempt permits, in place of `limit`.
+        window_us: The period of a rate limit; None if the budget limits concurrent use.
+        floor: The amount that each sender always has.
+        lease_us: The time for which a sender may use its share without a renewal.
+        slack_us: The allowance for drift between two clocks.
+        max_hold_us: The longest that one unit is in use.
     """
 
     name: str
-    of: str
-    by: str
+    resource: str
+    binding: str
     value: int | str | None
-    whole: int | None
-    share: float | None
-    span: int | None
+    limit: int | None
+    retry_fraction: float | None
+    window_us: int | None
     floor: int
-    lease: int
-    slack: int
-    held: int
+    lease_us: int
+    slack_us: int
+    max_hold_us: int
 
-    def is_each(self) -> bool:
+    def is_template(self) -> bool:
         """Whether each destination, endpoint, zone or tenant has a budget of its own."""
         return self.value is None
 
 
 def parse_address(value: object) -> Dial:
-    """Host and port from `host:port`; an IPv6 address stands in brackets.
+    """Parses `host:port` into host and port; an IPv6 address is in brackets.
 
     Raises:
-        ValueError: It has another form.
+        ValueError: The value has another form.
     """
     if not isinstance(value, str):
         raise ValueError(f"must be a text, not {value!r}")
@@ -78,10 +79,10 @@
 
 
 def find_node_faults(nodes: Sequence[tuple[str, Dial]]) -> list[str]:
-    """What is wrong with a list of control nodes: a line `path: text` for each fault.
+    """Returns the faults of a list of control nodes, one line `path: text` for each.
 
     Args:
-        nodes: Name and address of each.
+        nodes: The name and address of each node.
     """
     faults, names, addresses = [], set[str](), set[Dial]()
     for index, (name, address) in enumerate(nodes):
@@ -99,7 +100,7 @@
 
 
 def is_numeric(address: Dial) -> bool:
-    """Whether the host is an IP address, so that no datagram needs a look-up."""
+    """Whether the host is an IP address, so that no datagram needs a name lookup."""
     try:
         ipaddress.ip_address(address[0])
     except ValueError:
@@ -108,32 +109,32 @@
 
 
 def ms_to_us(duration_ms: float) -> int:
-    """Milliseconds as whole microseconds."""
+    """Converts milliseconds to whole microseconds."""
     return int(duration_ms * US_PER_MS)
 
 
 def is_integer_between(value: object, low: int, high: int) -> bool:
-    """Whether the value is a whole number from `low` to `high`; a boolean is none."""
+    """Whether the value is an integer from `low` to `high`, both included; booleans do not count."""
     return isinstance(value, int) and not isinstance(value, bool) and low <= value <= high
 
 
-def number_or_each(value: object) -> int | str:
-    """Validates the number of a destination, or "each"."""
+def validate_destination(value: object) -> int | str:
+    """Validates a destination's number or "each"."""
     if value == "each" or is_integer_between(value, 0, INTEGER_LIMIT):
         return value  # type: ignore[return-value]
     raise ValueError(f'must be a number or "each", not {value!r}')
 
 
-def integer_or_told(value: object) -> int | str:
-    """Validates the amount of a budget, or "told": as it is announced."""
+def validate_limit(value: object) -> int | str:
+    """Validates a budget's limit: an integer, or "told" for the announced rate."""
     if value == "told" or is_integer_between(value, 1, INTEGER_LIMIT):
         return value  # type: ignore[return-value]
     raise ValueError(f'must be a whole number from 1 to {INTEGER_LIMIT} or "told", not {value!r}')
 
 
 Address = Annotated[Dial, PlainValidator(parse_address)]
-NonNegative = Annotated[float, number_between(0, FIGURE_LIMIT)]
-AtLeastOne = Annotated[float, number_between(1, FIGURE_LIMIT)]
+NonNegative = Annotated[float, number_between(0, NUMBER_LIMIT)]
+AtLeastOne = Annotated[float, number_between(1, NUMBER_LIMIT)]
 PositiveInt = Annotated[int, number_between(1, INTEGER_LIMIT)]
 
 
@@ -150,13 +151,13 @@
 
     @model_validator(mode="after")
     def check_id(self) -> Self:
-        """An endpoint has an id."""
+        """Checks that the endpoint has an id."""
         if not self.id:
             raise ValueError("id: must not be empty")
         return self
 
     def build(self) -> StaticEndpoint:
-        """The endpoint that the table names."""
+        """Returns the endpoint that the table describes."""
         state = EndpointState(self.state)
         kind = "apart" if self.own_limit else "plain"
         endpoint = Endpoint(self.id, self.destination, state, kind, self.zone, self.rate)
@@ -164,13 +165,13 @@
 
 
 class Endpoints(Table):
-    """A file that names endpoints."""
+    """The root table of a file that lists endpoints."""
 
     endpoints: tuple[EndpointTable, ...] = ()
 
     @model_validator(mode="after")
     def check_ids(self) -> Self:
-        """No two endpoints have the same id."""
+        """Checks that no two endpoints have the same id."""
         faults, names = [], set[str]()
         for index, endpoint in enumerate(self.endpoints):
             if endpoint.id in names:
@@ -186,11 +187,11 @@
 
     name: str
     of: Literal["calls", "in_flight", "trials", "repeats", "connections", "handshakes", "tenant"]
-    destination: Annotated[int | str, PlainValidator(number_or_each)] | None = None
+    destination: Annotated[int | str, PlainValidator(validate_destination)] | None = None
     endpoint: str = ""
     zone: str = ""
     tenant: str = ""
-    whole: Annotated[int | str, PlainValidator(integer_or_told)] | None = None
+    whole: Annotated[int | str, PlainValidator(validate_limit)] | None = None
     share: Annotated[float, number_between(0.001, 100)] | None = None
     per_ms: Annotated[float, number_between(10, 3_600_000)] | None = None
     floor: Annotated[int, number_between(0, INTEGER_LIMIT)] = 0
@@ -200,7 +201,7 @@
 
     @model_validator(mode="after")
     def check_consistency(self) -> Self:
-        """Its name, binding, amount and period fit together."""
+        """Checks the name, and that resource, binding, limit and period fit together."""
         faults = []
         if not BUDGET_NAME.fullmatch(self.name):
             faults.append("name: must be letters, digits, dots and dashes, 48 of them at the most")
@@ -219,40 +220,40 @@
         return self
 
     def bindings(self) -> list[str]:
-        """The names of what the budget is bound to; a valid one has one."""
+        """Returns the kinds of objects that the table names; a valid table names exactly one."""
         return [name for name in BUDGET_BINDINGS if getattr(self, name) not in ("", None)]
 
-    def place(self) -> tuple[str, str, object]:
-        """What the budget limits, what it is bound to and which one; no two budgets share it."""
+    def scope(self) -> tuple[str, str, object]:
+        """Returns the resource, the kind of binding and the bound value, which no two budgets may share."""
         (binding,) = self.bindings()
         return self.of, binding, getattr(self, binding)
 
     def build(self) -> SharedBudget:
-        """The budget that the table describes."""
-        _, binding, value = self.place()
+        """Returns the budget that the table describes."""
+        _, binding, value = self.scope()
         return SharedBudget(
             name=self.name,
-            of=self.of,
-            by=binding,
+            resource=self.of,
+            binding=binding,
             value=None if value == "each" else value,  # type: ignore[arg-type]
-            whole=self.whole if isinstance(self.whole, int) else None,
-            share=self.share,
-            span=None if self.per_ms is None else ms_to_us(self.per_ms),
+            limit=self.whole if isinstance(self.whole, int) else None,
+            retry_fraction=self.share,
+            window_us=None if self.per_ms is None else ms_to_us(self.per_ms),
             floor=self.floor,
-            lease=ms_to_us(self.lease_ms),
-            slack=ms_to_us(self.slack_ms),
-            held=ms_to_us(self.held_ms),
+            lease_us=ms_to_us(self.lease_ms),
+            slack_us=ms_to_us(self.slack_ms),
+            max_hold_us=ms_to_us(self.held_ms),
         )
 
 
 @dataclass(frozen=True, slots=True)
 class BudgetFault:
-    """What is wrong with one budget beside the others.
+    """A conflict of one budget with the others or with the size of the fleet.
 
     Attributes:
-        index: Of the budget in its list.
-        field: Of its table.
-        text: What is wrong.
+        index: The budget's position in the list.
+        field: The key in the budget's table.
+        text: A description of the conflict.
     """
 
     index: int
@@ -261,16 +262,20 @@
 
 
 def find_budget_faults(budgets: Sequence[BudgetTable], size: int) -> list[BudgetFault]:
-    """Names used twice, two budgets over one thing, and floors that a fleet of `size` can't keep."""
-    faults, names, places = [], set[str](), set[tuple[str, str, object]]()
+    """Returns the faults of a list of budgets as a whole.
+
+    These are names used twice, budgets with the same scope, and floors whose sum over `size` senders exceeds
+    the limit.
+    """
+    faults, names, scopes = [], set[str](), set[tuple[str, str, object]]()
     for index, budget in enumerate(budgets):
         if budget.name in names:
             faults.append(BudgetFault(index, "name", f"{budget.name!r} is there twice"))
-        if budget.place() in places:
+        if budget.scope() in scopes:
             faults.append(BudgetFault(index, "of", "two budgets over one thing"))
         if isinstance(budget.whole, int) and budget.floor * size > budget.whole:
             text = f"{budget.floor} for each of {size} is over the whole"
             faults.append(BudgetFault(index, "floor", text))
         names.add(budget.name)
-        places.add(budget.place())
+        scopes.add(budget.scope())
     return faults
--- a/message_sender/service/__init__.py
+++ b/message_sender/service/__init__.py
@@ -1,1 +1,1 @@
-"""Assembly of a sender process: its parts, configuration, start and end."""
+"""Assembly, start and shutdown of a sender process."""
--- a/message_sender/service/budgets.py
+++ b/message_sender/service/budgets.py
@@ -1,6 +1,6 @@
-"""Connects the budgets that a fleet shares (budget/manager.py) to one sender: engine, policy and link.
+"""Connects the budgets that a fleet shares (budget/manager.py) to the engine, policy and link of one sender.
 
-It is imported only where the configuration has a budget.
+The module is imported only where the configuration has a budget.
 """
 
 import logging
@@ -26,12 +26,12 @@
 
 
 def boottime_us() -> int:
-    """Returns microseconds of a clock that goes on while the machine sleeps."""
+    """Returns the time of a clock that keeps running while the machine is suspended, in microseconds."""
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1000
 
 
 class FleetNodePort(Protocol):
-    """What is needed of this sender's node in the fleet (fleet/node.py)."""
+    """The operations of this sender's node in the fleet that budgets need (fleet/node.py)."""
 
     on_lease_datagram: Callable[[str, wire.LeaseDatagram], None]
     on_epoch_raised: Callable[[int], None]
@@ -48,7 +48,7 @@
 
 
 class FleetLinkPort(Protocol):
-    """What is needed of the link to the fleet (fleet/udp.py)."""
+    """The operations of the link to the fleet that budgets need (fleet/udp.py)."""
 
     @property
     def node(self) -> FleetNodePort:
@@ -63,10 +63,11 @@
 
     Attributes:
         manager: The leases of this sender.
+        demand: Computes the demand for budgets.
         registry: The open budgets.
-        reservations: What calls spend; the policy's and the engine's port.
-        connections: What connections spend; the transport's port.
-        tenants: What new messages spend.
+        reservations: Spends from budgets for calls; a port of the policy and the engine.
+        connections: Spends from budgets for connections; a port of the transport.
+        tenants: Spends from budgets for new messages.
     """
 
     def __init__(
@@ -77,14 +78,15 @@
         max_members: int,
         clock: Callable[[], int] = boottime_us,
     ) -> None:
-        """Opens the budgets; they apply from `bind` on.
+        """Opens the budgets; they apply once `bind` has been called.
 
         Args:
             engine: The sender's engine.
             link: The link to the fleet.
             definitions: The budgets of the configuration.
             max_members: The largest number of senders in the fleet.
-            clock: Returns microseconds of a clock that goes on while the machine sleeps.
+            clock: Returns the time of a clock that keeps running while the machine is suspended, in
+                microseconds.
         """
         self.engine = engine
         self.link = link
@@ -105,7 +107,7 @@
         link.node.on_epoch_raised = self.epoch_raised
 
     def bind(self) -> None:
-        """Makes the budgets apply to the engine, the policy and the transport."""
+        """Connects the budgets to the engine, the policy and the transport."""
         self.engine.dispatcher.registry.shared_limits = self.reservations
         self.engine.hooks.add(self.reservations)
         if isinstance(self.engine.transport, HttpTransport):
@@ -114,14 +116,14 @@
     def configure(self, definitions: tuple[SharedBudget, ...], max_members: int) -> None:
         """Applies a new configuration; see `BudgetRegistry.configure`."""
         self.registry.configure(definitions, max_members)
-        self.bind()  # a new budget may be the first that concerns the transport
+        self.bind()  # a new budget may be the first that applies to the transport
 
-    def waits_for_start(self, definitions: tuple[SharedBudget, ...]) -> list[str]:
-        """Returns a text for each budget that `configure` would leave unchanged until the next start."""
+    def changes_for_next_start(self, definitions: tuple[SharedBudget, ...]) -> list[str]:
+        """Returns one text for each budget that `configure` would leave unchanged until the next start."""
         return self.registry.changes_for_next_start(definitions)
 
     def tenant_delay_us(self, message: Message) -> int:
-        """Returns after how many us a tenant's message may be submitted again; 0: it is admitted."""
+        """Returns the microseconds after which a tenant's message may be submitted again; 0 admits it."""
         return self.tenants.delay_us(message)
 
     # The link.
@@ -133,19 +135,23 @@
         self.send_datagrams()
 
     def epoch_raised(self, epoch: int) -> None:
-        """Another sender knows a later start under this sender's name."""
+        """Handles a report that another sender has seen a later epoch of this sender's name."""
         self._next_epoch_listener(epoch)
         self.manager.restart_session(epoch)
 
     def send_datagrams(self) -> None:
-        """Sends what the lease manager has queued."""
+        """Sends the datagrams that the lease manager has queued."""
         outgoing, self.manager.outbox = self.manager.outbox, []
         for each in outgoing:
             self.link.node.send_to(each.receiver, each.datagram)
         self.link.flush()
 
     def step(self, now: float) -> None:
-        """Does the periodic work; called several times a second with the loop's time in seconds."""
+        """Does the periodic work.
+
+        Args:
+            now: The loop's time in seconds; the link calls this several times a second.
+        """
         self.manager.tick(self.link.node.others())
         self.send_datagrams()
         self.reservations.wake_denied()
@@ -167,6 +173,6 @@
                 self._logged_until_us[name] = ledger.changes[-1].at_us
 
     def close(self) -> None:
-        """Releases the leases that are not in use."""
+        """Releases the unused leases, and sends the datagrams that say so."""
         self.manager.release_all()
         self.send_datagrams()
--- a/message_sender/service/call_reservations.py
+++ b/message_sender/service/call_reservations.py
@@ -1,4 +1,7 @@
-"""What calls spend from shared budgets: reserved as the policy chooses a call, spent with its first byte."""
+"""Spending of shared budgets by calls.
+
+Capacity is reserved when the policy chooses a call, and spent when the first byte of the call is sent.
+"""
 
 import math
 from collections import Counter
@@ -17,14 +20,14 @@
 
 @dataclass(slots=True)
 class CallReservation:
-    """A message's call, from its choice to its end.
+    """The reservation of a message's call, from the policy's choice to the end of the call.
 
     Attributes:
         endpoint: The endpoint's id.
-        names: The budgets that it spends from with its first byte.
+        names: The names of the budgets that the call spends from when its first byte is sent.
         is_retry: Whether the message was attempted before.
-        connection_names: The budgets in which its new connection is reserved.
-        has_pool_claim: Whether it is to use a connection of the pool.
+        connection_names: The names of the budgets in which a new connection for the call is reserved.
+        has_pool_claim: Whether an idle connection of the pool is set aside for the call.
     """
 
     endpoint: str
@@ -38,16 +41,24 @@
     """Implements the policy's `SharedLimits` and the engine's hooks for calls.
 
     Attributes:
-        transport: The pool of connections, where connections spend from budgets; else None.
+        transport: The transport with the connection pool; None while no budget limits connections.
         calls: The reservations by message id.
-        pool_claims: How many reserved calls are to use a connection of the pool, by endpoint.
-        retry_times_us: When a call that was denied may go, in us, by destination.
+        pool_claims: The number of reserved calls that use an idle connection of the pool, by endpoint.
+        retry_times_us: The time at which a denied call may be tried again, in microseconds of `clock`, by
+            destination.
     """
 
     def __init__(
         self, engine: Engine, registry: BudgetRegistry, manager: LeaseManager, clock: Callable[[], int]
     ) -> None:
-        """`clock`: the budgets' clock, in us."""
+        """Initializes without reservations.
+
+        Args:
+            engine: The sender's engine.
+            registry: The open budgets.
+            manager: The leases of this sender.
+            clock: The budgets' clock, in microseconds.
+        """
         self.engine = engine
         self.registry = registry
         self.manager = manager
@@ -60,15 +71,15 @@
     # The delivery policy's port.
 
     def free_at(self, endpoint: Endpoint, now: int, is_trial: bool = False, is_retry: bool = False) -> float:
-        """Returns when one more call may go to the endpoint, on the policy's clock in us.
+        """Returns the earliest time of another call to the endpoint, in microseconds of the policy's clock.
 
-        Infinity: not before a share grows or a call ends.
+        The result is infinity where the call has to wait until a share increases or another call ends.
         """
         budgets = self.registry.budgets_of(endpoint)
         names = budgets.for_call(is_trial, is_retry)
         if self.needs_connection(endpoint.id):
             names += budgets.connections
-        free_times_us = [self.free_at_of(name) for name in names]
+        free_times_us = [self.budget_free_at_us(name) for name in names]
         free_at_us = max(free_times_us, default=0)
         clock_us = self.clock()
         if free_at_us <= clock_us:
@@ -84,7 +95,7 @@
     def reserve(
         self, endpoint: Endpoint, message_id: str, is_trial: bool = False, is_retry: bool = False
     ) -> None:
-        """Reserves the chosen call of a message."""
+        """Reserves capacity for the call that the policy has chosen for a message."""
         budgets = self.registry.budgets_of(endpoint)
         reservation = CallReservation(endpoint.id, budgets.for_call(is_trial, is_retry), is_retry)
         self.calls[message_id] = reservation
@@ -96,8 +107,8 @@
         for name in reservation.names + reservation.connection_names:
             self.registry.counter_of(name).reserve(message_id)
 
-    def free_at_of(self, name: str) -> int:
-        """Returns when one more unit of the budget is free, in us of the budgets' clock."""
+    def budget_free_at_us(self, name: str) -> int:
+        """Returns the time at which one more unit of the budget is free, in microseconds of `clock`."""
         allowance = self.registry.allowances.get(name)
         return allowance.free_at(self.clock()) if allowance else self.manager.free_at(name)
 
@@ -108,15 +119,16 @@
         return self.pool_claims[endpoint] >= len(self.transport.pool.get(endpoint, ()))
 
     def is_retried_by_policy(self, name: str) -> bool:
-        """Whether the policy looks again by itself when the budget has capacity.
+        """Whether the policy itself reconsiders a denied call once the budget has capacity.
 
-        It does so for any call to a destination, but not for trials, retries or single endpoints.
+        The policy does so for calls that a destination's budget limits, but not for trials, retries or single
+        endpoints.
         """
         definition = self.registry.open_budgets[name].definition
-        return definition.of in CALL_RESOURCES and definition.by == "destination"
+        return definition.resource in CALL_RESOURCES and definition.binding == "destination"
 
     def wake_denied(self) -> None:
-        """Makes the policy look again at the destinations whose denied calls may go now."""
+        """Makes the policy reconsider the destinations whose denied calls may be tried again now."""
         now_us = self.clock()
         due = [number for number, time_us in self.retry_times_us.items() if time_us <= now_us]
         for number in due:
@@ -124,14 +136,18 @@
         wake_policy(self.engine, due)
 
     def share_increased(self, name: str) -> None:
-        """More of the budget can be spent here."""
+        """Makes the policy reconsider the destinations of a budget whose local share has increased."""
         definition, value = self.registry.open_budgets[name]
-        wake_policy(self.engine, bound_destinations(self.engine, definition.by, value))
+        wake_policy(self.engine, bound_destinations(self.engine, definition.binding, value))
 
     # The engine's hooks.
 
     def reserve_limits(self, endpoint: str, message_id: str) -> bool:
-        """Spends a call from its budgets as its first byte goes; False: one of them has no capacity."""
+        """Spends a call from its budgets just before its first byte is sent.
+
+        Returns:
+            False if one of the budgets has no capacity, or if the endpoint is not known.
+        """
         known = self.engine.dispatcher.endpoints.get(endpoint)
         if known is None:
             return False
@@ -148,7 +164,7 @@
         return True
 
     def try_spend(self, reservation: CallReservation, message_id: str, now_us: int) -> bool:
-        """Spends from all budgets of the call, or from none of them."""
+        """Spends from all budgets of the call or from none; returns whether it spent."""
         known = self.registry.allowances
         allowances = [known[name] for name in reservation.names if name in known]
         leased = [name for name in reservation.names if name not in known]
@@ -169,23 +185,23 @@
                 self.share_increased(name)
 
     def drop_pool_claim(self, reservation: CallReservation) -> None:
-        """The call has its connection, or needs none."""
+        """Ends the claim on a pooled connection: the call has its connection or needs none."""
         if reservation.has_pool_claim:
             reservation.has_pool_claim = False
             self.pool_claims[reservation.endpoint] -= 1
 
     def release_limits(self, message_id: str) -> None:
-        """The message's call is over."""
+        """Releases all that the message's call holds, after its end."""
         reservation = self.calls.pop(message_id, None)
         if reservation is None:
             return
         self.drop_pool_claim(reservation)
         for name in reservation.names + reservation.connection_names:
-            if name in self.registry.open_budgets:  # it may have been closed during a very long call
+            if name in self.registry.open_budgets:  # an idle budget may have been closed during a long call
                 self.release(name, message_id)
 
     def release(self, name: str, message_id: str) -> None:
-        """Ends what the message holds of one budget."""
+        """Releases what the message holds of one budget."""
         counter = self.registry.counter_of(name)
         was_held = isinstance(counter, LimitEnforcer) and message_id in counter.active
         counter.release(message_id)
@@ -193,7 +209,11 @@
             self.share_increased(name)
 
     def call_timeout_us(self, endpoint: str, message_id: str) -> float:
-        """Returns the longest that the call may take: things that are held count for so long only."""
+        """Returns the maximum duration of the call in microseconds.
+
+        A budget of concurrent use counts a unit as held only up to its maximum hold time, so the call must
+        end by then.
+        """
         known = self.engine.dispatcher.endpoints.get(endpoint)
         reservation = self.calls.get(message_id)
         names = list(reservation.names) if reservation else []
@@ -205,7 +225,8 @@
                 continue
             budget = self.manager.ledgers[name].budget
             if budget.window_us is None:
-                # Half of a connection's hold is for the call that may begin at the end of the other half.
+                # A connection takes new calls during the first half of its hold time (`max_age_s`); the
+                # second half is left for a call that begins at the end of the first.
                 divisor = 2 if budget.resource == "connections" else 1
                 timeout_us = min(timeout_us, budget.max_hold_us / divisor)
         return timeout_us
--- a/message_sender/service/connection_budgets.py
+++ b/message_sender/service/connection_budgets.py
@@ -1,4 +1,4 @@
-"""Shared budgets of connections and handshakes: the transport asks before it opens a connection."""
+"""Shared budgets of connections and handshakes, which the transport reserves before it opens a connection."""
 
 import math
 from collections.abc import Callable
@@ -19,7 +19,7 @@
     """Spends from budgets for the connections of the transport.
 
     Attributes:
-        transport: The transport that it is bound to; None before `bind`.
+        transport: The bound transport; None while no budget limits connections.
     """
 
     def __init__(
@@ -30,7 +30,15 @@
         reservations: CallReservations,
         clock: Callable[[], int],
     ) -> None:
-        """`clock`: the budgets' clock, in us."""
+        """Initializes without a transport.
+
+        Args:
+            engine: The sender's engine.
+            registry: The open budgets.
+            manager: The leases of this sender.
+            reservations: The reservations of calls.
+            clock: The budgets' clock, in microseconds.
+        """
         self.engine = engine
         self.registry = registry
         self.manager = manager
@@ -40,7 +48,7 @@
         self._connection_numbers = count()
 
     def bind(self, transport: HttpTransport) -> None:
-        """Hooks into the transport, as far as the configured budgets need it."""
+        """Installs the transport callbacks that the configured budgets need."""
         if self.registry.has_connection_budgets():
             self.transport = transport
             self.reservations.transport = transport
@@ -50,15 +58,15 @@
             transport.on_limit_announced = self.record_announced_limit
 
     def connection_names(self, endpoint: str) -> list[str]:
-        """Returns the budgets that connections to the endpoint spend from."""
+        """Returns the names of the budgets that connections to the endpoint spend from."""
         known = self.engine.dispatcher.endpoints.get(endpoint)
         return self.registry.budgets_of(known.listed).connections if known else []
 
     def open_connection(self, endpoint: str, message_id: str) -> Callable[[], None] | None:
-        """Spends a connection that is about to open.
+        """Spends from the budgets for a connection that is about to be opened.
 
         Returns:
-            What is to be called once it is closed; None: it must not be opened.
+            The callback for the connection's closing; None if the connection must not be opened.
         """
         known = self.engine.dispatcher.endpoints.get(endpoint)
         if known is None:
@@ -75,16 +83,16 @@
         return partial(self.connection_closed, names, token)
 
     def connection_closed(self, names: list[str], token: str) -> None:
-        """A connection has been closed."""
+        """Releases a closed connection's units, and wakes calls that wait for them."""
         for name in names:
             if name in self.manager.ledgers:
                 self.manager.ledgers[name].enforcer.release(token)
                 self.reservations.share_increased(name)
 
     def max_age_s(self, endpoint: str) -> float:
-        """Returns the age in seconds from which on a connection takes no more calls.
+        """Returns the age in seconds at which a connection stops taking new calls.
 
-        It is half of the longest hold, since the other half is for a call that begins just before.
+        It is half of the maximum hold time; the other half is left for a call that begins just before.
         """
         age_s = math.inf
         for name in self.connection_names(endpoint):
@@ -94,15 +102,15 @@
         return age_s
 
     def close_excess(self) -> None:
-        """Closes idle connections above a share that has shrunk."""
+        """Closes idle connections in excess of a share that has decreased."""
         for name, ledger in list(self.manager.ledgers.items()):
-            resource = self.registry.open_budgets[name].definition.of
+            resource = self.registry.open_budgets[name].definition.resource
             excess = ledger.enforcer.usage(self.clock()) - ledger.share()
             if resource == "connections" and excess > 0 and self.transport:
                 self.close_idle_connections(self.transport, name, excess)
 
     def close_idle_connections(self, transport: HttpTransport, name: str, number: int) -> None:
-        """Closes up to so many idle connections that spend from the budget."""
+        """Closes up to `number` idle connections that spend from the budget."""
         bound = [
             connection
             for connection, endpoint in transport.idle.items()
@@ -112,6 +120,6 @@
             transport.close_one(connection)
 
     def record_announced_limit(self, endpoint: str, calls: int, window_us: int) -> None:
-        """A response has announced a limit."""
+        """Records a limit that a response announced: `calls` in `window_us` microseconds."""
         if known := self.engine.dispatcher.endpoints.get(endpoint):
             self.registry.record_announced_limit(known.listed.destination, AnnouncedLimit(calls, window_us))
--- a/message_sender/service/control_configuration.py
+++ b/message_sender/service/control_configuration.py
@@ -1,15 +1,15 @@
-"""The effective configuration of a sender: its own file, and over it the control plane's document.
+"""The effective configuration of a sender: the control plane's document merged over the sender's own file.
 
 Rules:
 
 - While the document holds endpoints, they replace the file's `[[endpoints]]`; while it holds none, the file's
-  apply. The same goes for budgets. So senders with the same file and version have the same configuration,
-  whichever versions they saw before.
+  endpoints apply. The same rule applies to budgets. Senders with the same file and version therefore have the
+  same configuration, whichever versions they applied before.
 - A version is applied completely or not at all. All reasons to refuse it are found before anything changes;
-  then the document is made durable, and only then applied.
-- What a running sender can't change is refused with its reason, and stored as the version for the next start.
-- A version below one that was in force here is refused, also after a restart. A damaged file is renamed and
-  logged; the sender then begins with its own file, and takes what the control plane has.
+  the document is then made durable, and only after that applied.
+- A version with a change that needs a restart is refused with the reasons, and stored for the next start.
+- A version lower than one that was already in force here is refused, even after a restart. A damaged file is
+  renamed and logged; the sender then starts with its own file and fetches the control plane's document.
 """
 
 import logging
@@ -30,30 +30,30 @@
 from message_sender.journal.disk import Disk
 
 IN_FORCE_FILE = "control.document"
-NEXT_START_FILE = "control.next"  # a version that waits for a restart
+NEXT_START_FILE = "control.next"  # a version that the next start applies
 
 log = logging.getLogger(__name__)
 
 
 class ConfigurableEndpoints(Protocol):
-    """What is needed of the sender's directory."""
+    """The operation of the sender's directory that a new version needs."""
 
     def configure(self, places: Sequence[StaticEndpoint]) -> None:
         """Replaces the configured endpoints."""
 
 
 class ConfigurableBudgets(Protocol):
-    """What is needed of the sender's membership in the fleet."""
+    """The operations of the sender's fleet membership that a new version needs."""
 
     def configure(self, budgets: tuple[SharedBudget, ...], size: int) -> None:
-        """Replaces the shared budgets; `size`: members of the fleet."""
+        """Replaces the shared budgets; `size` is the number of members in the fleet."""
 
-    def waits_for_start(self, budgets: tuple[SharedBudget, ...]) -> list[str]:
-        """What of these budgets needs a restart: one text for each."""
+    def changes_for_next_start(self, budgets: tuple[SharedBudget, ...]) -> list[str]:
+        """Returns one text for each change of a budget that needs a restart."""
 
 
-def overlaid(config: SenderConfig, interpretation: Interpretation) -> SenderConfig:
-    """The sender's own configuration with the document's resources over it."""
+def merge_resources(config: SenderConfig, interpretation: Interpretation) -> SenderConfig:
+    """Returns the sender's own configuration with endpoints and budgets replaced by the document's."""
     return replace(
         config,
         endpoints=interpretation.endpoints() or config.endpoints,
@@ -62,7 +62,7 @@
 
 
 def find_faults(config: SenderConfig, interpretation: Interpretation) -> list[str]:
-    """Why this sender could not apply these resources, whether it starts with them or not."""
+    """Returns the reasons why this sender cannot apply the resources, not even by a restart."""
     fleet_size = config.fleet.size if config.fleet else 1
     faults = [str(fault) for fault in interpretation.faults(fleet_size)]
     if config.fleet is None:
@@ -75,20 +75,20 @@
     """Implements the control plane's `Applier` for one sender.
 
     Attributes:
-        own_config: The sender's own file.
+        own_config: The configuration in the sender's own file.
         document: The control plane's document that is in force.
-        interpretation: Its endpoints and budgets.
-        next_start_version: A version that waits for a restart; 0: none does.
-        newest_version: The newest that was in force here, as far as the disk knows.
+        interpretation: The endpoints and budgets of that document.
+        next_start_version: The version stored for the next start; 0 if there is none.
+        newest_version: The newest version that was in force here, as far as is stored on disk.
     """
 
     def __init__(self, config: SenderConfig, state: Path, disk: Disk) -> None:
         """Loads the stored document.
 
         Args:
-            config: The sender's own file.
+            config: The configuration in the sender's own file.
             state: The state folder.
-            disk: Where documents are stored.
+            disk: The disk that stores documents.
         """
         self.own_config = config
         self.in_force_file = DocumentFile(state / IN_FORCE_FILE, disk)
@@ -101,23 +101,23 @@
         self.document = self.load_document()
 
     def bind(self, directory: ConfigurableEndpoints, budgets: ConfigurableBudgets | None) -> None:
-        """Versions are applied to these parts from now on; `budgets` is None where there is no fleet."""
+        """Sets the parts that new versions are applied to; `budgets` is None where there is no fleet."""
         self.directory = directory
         self.budgets = budgets
 
     def effective_config(self) -> SenderConfig:
-        """The sender's own configuration, with the control plane's resources over it."""
-        return overlaid(self.own_config, self.interpretation)
+        """Returns the sender's own configuration merged with the control plane's resources."""
+        return merge_resources(self.own_config, self.interpretation)
 
     def reload(self, config: SenderConfig) -> SenderConfig:
-        """Takes the sender's own file as it is now; returns the effective configuration."""
+        """Replaces the sender's own configuration; returns the effective one."""
         self.own_config = config
         return self.effective_config()
 
-    # At the sender's start.
+    # Sender start.
 
     def load_document(self) -> Document:
-        """The document to begin with: version 0 where there is none that can be used."""
+        """Returns the document to start with; an empty one of version 0 if no stored document is usable."""
         stored = self.load_file(self.in_force_file)
         waiting = self.load_file(self.next_start_file)
         self.newest_version = stored.version if stored else 0
@@ -133,7 +133,10 @@
         return Document()
 
     def load_file(self, file: DocumentFile) -> Document | None:
-        """The document in a file; None where there is none, or it is damaged and was renamed."""
+        """Returns the document in a file; None if the file is absent, unreadable or damaged.
+
+        A damaged file is renamed.
+        """
         try:
             return file.load()
         except DamagedDocumentError as error:
@@ -144,14 +147,14 @@
         return None
 
     def rename_damaged(self, file: DocumentFile) -> None:
-        """Keeps a damaged file under another name for an examination."""
+        """Renames a damaged file, so that it can be examined."""
         try:
             log.error("control: damaged document renamed: path=%s", file.move_damaged_aside())
         except OSError as error:
             log.error("control: damaged document not renamed: path=%s reason=%s", file.path, error)
 
     def interpret_for_start(self, document: Document) -> Interpretation | None:
-        """The document's resources; None where this sender cannot start with them: the log says why."""
+        """Returns the document's resources; None if the sender cannot apply them, with the reasons logged."""
         try:
             interpretation = schema.interpret(document.resources)
             faults = find_faults(self.own_config, interpretation)
@@ -166,7 +169,7 @@
         return interpretation
 
     def store_waiting(self, waiting: Document) -> bool:
-        """Makes a version that waited for this start durable as the one in force."""
+        """Stores the version that waited for this start as the one in force; returns whether it succeeded."""
         try:
             self.in_force_file.store(waiting)
         except OSError as error:
@@ -174,7 +177,7 @@
             return False
         self.newest_version = waiting.version
         log.info("control: waiting version applied by this start: version=%d", waiting.version)
-        self.forget_waiting()
+        self.remove_waiting()
         return True
 
     # While the sender runs.
@@ -183,8 +186,8 @@
         """Applies a change of `document`.
 
         Raises:
-            RefusedConfigurationError: This sender cannot apply it; nothing has changed.
-            OSError: It cannot be made durable; nothing has changed.
+            RefusedConfigurationError: This sender cannot apply the change; nothing has changed.
+            OSError: The changed document cannot be made durable; nothing has changed.
         """
         after = self.apply_delta(document, delta)
         if after.version < self.newest_version:
@@ -193,24 +196,24 @@
         if faults := find_faults(self.own_config, interpretation):
             raise RefusedConfigurationError("; ".join(faults))
         before = self.effective_config()
-        config = overlaid(self.own_config, interpretation)
-        if reasons := self.waits_for_start(before, config):
+        config = merge_resources(self.own_config, interpretation)
+        if reasons := self.changes_for_next_start(before, config):
             self.store_for_start(after)
             raise RefusedConfigurationError("; ".join(reasons))
         self.in_force_file.store(after)
         self.document = after
         self.interpretation = interpretation
         self.newest_version = after.version
-        self.put_in_force(before, config)
+        self.configure_parts(before, config)
         if self.next_start_version:
-            self.forget_waiting()
+            self.remove_waiting()
 
     @staticmethod
     def apply_delta(document: Document, delta: Delta) -> Document:
-        """A copy of the document with the change applied.
+        """Returns a copy of the document with the change applied.
 
         Raises:
-            RefusedConfigurationError: The change is not one of this document.
+            RefusedConfigurationError: The change is not based on this document.
         """
         after = Document()
         after.version = document.version
@@ -223,29 +226,29 @@
         return after
 
     def interpret_delta(self, document: Document, delta: Delta) -> Interpretation:
-        """The resources of the changed document.
+        """Returns the resources of the changed document.
 
         Raises:
-            RefusedConfigurationError: They are malformed.
+            RefusedConfigurationError: A resource is malformed.
         """
         put = {resource.name: resource.value for resource in delta.put}
         try:
-            is_present = (document.version, document.digest) == (self.document.version, self.document.digest)
-            known = self.interpretation if is_present else schema.interpret(document.resources)
-            return known.with_changes(put, delta.delete)
+            is_in_force = (document.version, document.digest) == (self.document.version, self.document.digest)
+            base = self.interpretation if is_in_force else schema.interpret(document.resources)
+            return base.with_changes(put, delta.delete)
         except ConfigError as error:
             raise RefusedConfigurationError("; ".join(map(str, error.faults))) from None
 
-    def waits_for_start(self, before: SenderConfig, after: SenderConfig) -> list[str]:
-        """What would have to change and can't while the sender runs: one text for each."""
+    def changes_for_next_start(self, before: SenderConfig, after: SenderConfig) -> list[str]:
+        """Returns one text for each change that cannot be applied while the sender runs."""
         if before.budgets == after.budgets:
             return []
         if self.budgets is None:
             return ["budgets: the link to the fleet could not be made at this start"]
-        return self.budgets.waits_for_start(after.budgets)
+        return self.budgets.changes_for_next_start(after.budgets)
 
-    def put_in_force(self, before: SenderConfig, after: SenderConfig) -> None:
-        """Gives the sender's parts what has changed for them."""
+    def configure_parts(self, before: SenderConfig, after: SenderConfig) -> None:
+        """Passes changed endpoints and budgets to the sender's parts."""
         assert self.directory
         if before.endpoints != after.endpoints:
             self.directory.configure(after.endpoints)
@@ -254,7 +257,7 @@
             self.budgets.configure(after.budgets, after.fleet.size)
 
     def store_for_start(self, document: Document) -> None:
-        """Stores a version that the next start can apply."""
+        """Stores a version for the next start."""
         if self.next_start_version == document.version:
             return
         try:
@@ -268,10 +271,10 @@
             return
         self.next_start_version = document.version
 
-    def forget_waiting(self) -> None:
-        """Removes the version that waits for a restart: a newer one is in force."""
+    def remove_waiting(self) -> None:
+        """Removes the version stored for the next start, because it or a newer one is in force."""
         self.next_start_version = 0
         try:
             self.next_start_file.remove()
-        except OSError as error:  # it is older than what is in force, and never used
+        except OSError as error:  # a stored version that is not newer than the one in force is never used
             log.warning("control: file not removed: path=%s reason=%s", self.next_start_file.path, error)
--- a/message_sender/service/control_link.py
+++ b/message_sender/service/control_link.py
@@ -1,7 +1,7 @@
-"""A sender's watch of the control plane on its loop: a UDP socket, the epoch on disk, and ticks.
+"""A sender's link to the control plane: a UDP socket, the epoch on disk, and the periodic task of the watch.
 
-Imported only where the configuration has `[control]`. Whatever fails here, the sender goes on with the last
-version that was in force.
+The module is imported only where the configuration has `[control]`. Whatever fails here, the sender continues
+with the last version that was in force.
 """
 
 import asyncio
@@ -30,7 +30,7 @@
 )
 
 TICK_S = 0.1
-LINK_RETRY_S = 10.0  # after a link that could not be opened
+LINK_RETRY_S = 10.0  # the delay after a failed attempt to open the link
 EPOCH_FILE = "control.epoch"
 SESSION_BITS = 62
 
@@ -38,7 +38,7 @@
 
 
 def read_epoch(state: Path) -> int:
-    """How often a sender of this name has started, as far as the disk knows."""
+    """Returns the stored epoch, the number of starts under this sender's name; 0 if it cannot be read."""
     try:
         return max(int(json.loads((state / EPOCH_FILE).read_text())), 0)
     except (OSError, ValueError, TypeError):
@@ -49,30 +49,31 @@
     """Makes the epoch durable.
 
     Raises:
-        OSError: It cannot be written.
+        OSError: The file cannot be written.
     """
     replace_json(state / EPOCH_FILE, epoch, sync=True)
 
 
 class ControlLink:
-    """The socket, and the watch behind it.
+    """The socket to the control nodes and the watch that uses it.
 
     Attributes:
         channel: Seals and opens datagrams.
-        watch: Decides what is asked of which control node.
-        link: Carries the watch over the socket.
-        task: Ticks the watch; None before `start`.
-        epoch_task: Stores a later epoch beside the loop.
+        watch: Decides which requests are sent to which control node.
+        link: Sends and receives the watch's datagrams over the socket.
+        task: The periodic task of the watch; None before `start`.
+        epoch_task: Stores a later epoch in a thread; None if there was none.
+        logged_status: The watch's status when changes were last logged.
     """
 
     def __init__(self, name: str, config: ControlPlane, state: Path, applier: SenderConfiguration) -> None:
         """Stores a new epoch; the socket is opened by `start`.
 
         Args:
-            name: Of the sender.
-            config: The control nodes and the key.
+            name: The sender's name.
+            config: The control nodes and the key file.
             state: The state folder.
-            applier: Of the versions that come.
+            applier: Applies the versions that the watch receives.
 
         Raises:
             KeyFileError: There is no key to seal datagrams with.
@@ -105,7 +106,7 @@
         return Watch(name, nodes, self.config.region, applier.document, applier, rng, self.loop.time())
 
     async def start(self) -> None:
-        """Opens the socket and starts the ticks.
+        """Opens the socket and starts the periodic task.
 
         Raises:
             OSError: The address cannot be bound.
@@ -114,7 +115,7 @@
         self.task = self.loop.create_task(self.run())
 
     async def run(self) -> None:
-        """Ticks the watch until it is cancelled."""
+        """Runs the watch's periodic work until the task is cancelled."""
         while True:
             now = self.loop.time()
             self.link.tick(now)
@@ -122,9 +123,9 @@
             await asyncio.sleep(TICK_S)
 
     def epoch_is_behind(self, epoch: int) -> None:
-        """Callback of the channel: control nodes know a later start of this name.
+        """Handles the channel's report that control nodes have seen a later epoch of this name.
 
-        The disk is old, or two senders have the name.
+        Either the state folder is outdated, or two senders have the same name.
         """
         if self.epoch_task is None or self.epoch_task.done():
             log.error(
@@ -133,9 +134,10 @@
             self.epoch_task = self.loop.create_task(self.store_epoch())
 
     async def store_epoch(self) -> None:
-        """Stores the channel's epoch beside the loop, as a sync may take seconds.
+        """Stores the channel's epoch in a thread, because a sync may take seconds.
 
-        Two senders of one name raise it for ever. One that is not stored is learned again at the next start.
+        Two senders with the same name raise the epoch without end. An epoch that could not be stored is
+        learned again from the control nodes after the next start.
         """
         try:
             while self.stored_epoch < (epoch := self.channel.epoch):
@@ -145,7 +147,7 @@
             log.error("control: epoch not stored: epoch=%d reason=%s", epoch, error)
 
     def log_changes(self, now: float) -> None:
-        """Logs what has changed since the last time."""
+        """Logs the changes of the watch's status since the last call."""
         status, before = self.watch.status(now), self.logged_status
         self.logged_status = status
         if status.version != before.version:
@@ -158,11 +160,11 @@
         self.refused_datagrams.update(self.channel.refused, now)
 
     def reread_keys(self) -> None:
-        """SIGHUP: reads the key file anew."""
+        """Rereads the key file, on SIGHUP."""
         reread_keys(self.seal, self.config.key_file, "control")
 
     def close(self) -> None:
-        """Ends the ticks and closes the socket."""
+        """Cancels the tasks and closes the socket."""
         for task in (self.task, self.epoch_task):
             if task:
                 task.cancel()
@@ -170,22 +172,22 @@
 
 
 class SenderControl:
-    """One sender's end of the control plane: its effective configuration, and the link.
+    """One sender's side of the control plane: its effective configuration and the link.
 
     Attributes:
-        configuration: What is in force.
-        link: None while it cannot be opened.
-        fault: Why there is no link; empty while there is one.
-        retry_task: Opens the link later.
+        configuration: The configuration in force.
+        link: The open link; None while it cannot be opened.
+        fault: The reason why the link is not open; empty while it is.
+        retry_task: Opens the link later, where the first attempt failed; else None.
     """
 
     def __init__(self, config: SenderConfig, state: Path, disk: Disk | None = None) -> None:
-        """Loads what was in force; the link is opened by `start`.
+        """Loads the version that was in force; the link is opened by `start`.
 
         Args:
-            config: The sender's own file, which has `control`.
+            config: The configuration in the sender's own file, with `control` set.
             state: The state folder.
-            disk: None: the system's.
+            disk: The disk that stores documents; None for the system's file system.
         """
         assert config.control
         self.name = config.name
@@ -202,12 +204,12 @@
         budgets: ConfigurableBudgets | None,
         task_ended: Callable[[asyncio.Task[None]], None],
     ) -> None:
-        """Applies versions from now on. A link that cannot be opened is logged, and opened later.
+        """Starts to receive and apply versions; retries in the background if the link cannot be opened.
 
         Args:
-            directory: Takes endpoints.
-            budgets: Takes budgets; None: there is no fleet.
-            task_ended: Callback of tasks; a defect in one ends the sender.
+            directory: Receives the endpoints.
+            budgets: Receives the budgets; None if there is no fleet.
+            task_ended: Called with each task that ends; a defect in a task ends the sender.
         """
         self.configuration.bind(directory, budgets)
         await self.open_link(task_ended)
@@ -216,7 +218,7 @@
             self.retry_task.add_done_callback(task_ended)
 
     async def open_link(self, task_ended: Callable[[asyncio.Task[None]], None]) -> None:
-        """Opens the link, or notes why it cannot be opened."""
+        """Opens the link; a failure is logged and stored in `fault`."""
         try:
             link = ControlLink(self.name, self.plane, self.state, self.configuration)
             await link.start()
@@ -232,14 +234,14 @@
         self.fault = ""
 
     async def retry(self, task_ended: Callable[[asyncio.Task[None]], None]) -> None:
-        """Tries until the key is valid, the disk has room, or the address is free."""
+        """Retries until the link is open: the key is valid, the disk has space and the address is free."""
         while self.link is None:
             await asyncio.sleep(LINK_RETRY_S)
             await self.open_link(task_ended)
         log.info("control: link opened")
 
     def reload(self, config: SenderConfig) -> SenderConfig:
-        """SIGHUP: takes the sender's own file as it is now; returns the effective configuration."""
+        """Applies the sender's own file, reread on SIGHUP; returns the effective configuration."""
         if self.link:
             self.link.reread_keys()
         if config.control != self.plane:
@@ -247,7 +249,7 @@
         return self.configuration.reload(config)
 
     def status(self) -> dict[str, Any]:
-        """The state for the control socket, whose keys these are; ages in seconds."""
+        """Returns the state under the control socket's keys; ages are in seconds."""
         configuration = self.configuration
         resources = configuration.document.resources
         own_status = {
@@ -261,7 +263,7 @@
         return own_status | (describe_link(self.link) if self.link else {})
 
     def close(self) -> None:
-        """Closes the link; what is in force stays on disk."""
+        """Closes the link; the version in force stays on disk."""
         if self.retry_task:
             self.retry_task.cancel()
         if self.link:
@@ -269,7 +271,7 @@
 
 
 def describe_link(link: ControlLink) -> dict[str, Any]:
-    """The part of the status that only a link has."""
+    """Returns the part of the status that exists only while the link is open."""
     status: WatchStatus = link.watch.status(link.loop.time())
     return {
         "age_s": round(status.age, 1),
@@ -284,5 +286,5 @@
 
 
 def source_of(resources: dict[str, bytes], kind: str) -> str:
-    """Where a sender has its endpoints, or budgets, from: `kind` is a resource kind."""
+    """Returns the source of a sender's endpoints or budgets; `kind` is the kind of resource."""
     return "control plane" if any(has_kind(name, kind) for name in resources) else "own file"
--- a/message_sender/service/membership.py
+++ b/message_sender/service/membership.py
@@ -1,6 +1,6 @@
-"""A standalone sender as a member of a fleet: joins link, recovery stages and shared budgets to its engine.
+"""A standalone sender as a member of a fleet: connects link, recovery stages and budgets to its engine.
 
-Imported only where the configuration has a `[fleet]`.
+The module is imported only where the configuration has a `[fleet]`.
 """
 
 import asyncio
@@ -32,7 +32,7 @@
 if TYPE_CHECKING:
     from message_sender.service.budgets import SharedBudgets
 
-INQUIRY_TIMEOUT_S = 2 * LONE_INQUIRY_TIMEOUT_S  # the recovery stages end it before, unless they are at fault
+INQUIRY_TIMEOUT_S = 2 * LONE_INQUIRY_TIMEOUT_S  # reached only if the recovery stages fail to end the inquiry
 
 log = logging.getLogger(__name__)
 
@@ -41,17 +41,17 @@
     """The endpoints that are out of service at this sender."""
 
     def remaining_s(self) -> dict[str, float]:
-        """Seconds for which each of them stays out, by endpoint id."""
+        """Returns the seconds for which each of them stays out of service, by endpoint id."""
 
     def take_over(self, endpoint: str, remaining_s: float, member: str) -> None:
-        """Another member has an endpoint out of service for so long."""
+        """Takes over another member's order: the endpoint stays out of service for `remaining_s` seconds."""
 
 
 class NoEndpointsOutOfService:
-    """None is ever out of service."""
+    """Implements `OutOfServiceEndpoints` for a sender on which endpoints are never out of service."""
 
     def remaining_s(self) -> dict[str, float]:
-        """No endpoint."""
+        """Returns no endpoints."""
         return {}
 
     def take_over(self, endpoint: str, remaining_s: float, member: str) -> None:
@@ -59,23 +59,26 @@
 
 
 class EngineView:
-    """Implements the port through which the recovery coordinator sees an engine.
+    """Implements the recovery coordinator's port to an engine.
 
     Attributes:
         local_endpoints: The sender's endpoints that are out of service.
     """
 
     def __init__(self, engine: Engine) -> None:
-        """Begins without endpoints out of service."""
+        """Initializes without endpoints out of service."""
         self.engine = engine
         self.local_endpoints: OutOfServiceEndpoints = NoEndpointsOutOfService()
 
     def now(self) -> int:
-        """The engine's clock, in microseconds."""
+        """Returns the time of the engine's clock, in microseconds."""
         return self.engine.now()
 
     def owed_counts(self) -> dict[int, int]:
-        """Messages by destination; from the journal until the engine has taken them over."""
+        """Returns the number of messages by destination.
+
+        Until the engine has taken over the journal's messages, the journal's entries are counted.
+        """
         if self.engine.listener_task is None:
             entries = self.engine.journal.entries.values()
             return dict(Counter(entry.message.destination for entry in entries))
@@ -83,13 +86,13 @@
         return dict(Counter(message.destination for message in messages))
 
     def inherit_state(self, state: InheritedState) -> None:
-        """Gives the policy what other members know."""
+        """Passes other members' state to the policy."""
         self.engine.post(state)
 
     def routes(self, number: int) -> list[RouteRate]:
-        """Route, calls a second of the fleet and microseconds between a member's calls, per destination.
+        """Returns each route to a destination with the fleet's rate and the gap between one member's calls.
 
-        Both are 0 where the list announces no rates.
+        The rate is in calls per second, the gap in microseconds; both are 0 if the list announces no rates.
         """
         settings = self.engine.settings
         routes = []
@@ -100,12 +103,12 @@
         return routes
 
     def restored_ids(self) -> list[str]:
-        """Ids of the messages without a verdict."""
+        """Returns the ids of the messages in the journal that are not completed."""
         entries = self.engine.journal.entries
         return [message_id for message_id, entry in entries.items() if not entry.completion]
 
     def id_state(self, message_id: str) -> IdState | None:
-        """What this sender knows of a message; None: nothing."""
+        """Returns the state of a message at this sender; None if the message is not known."""
         journal = self.engine.journal
         if entry := journal.entries.get(message_id):
             return IdState.IN_FLIGHT if entry.attempts else IdState.ACCEPTED
@@ -115,7 +118,7 @@
         return None
 
     def mark_doubtful(self, message_id: str) -> None:
-        """A message may have been sent by another member."""
+        """Marks a message that another member may have sent."""
         if entry := self.engine.journal.entries.get(message_id):
             entry.is_doubtful = True
 
@@ -127,11 +130,11 @@
         return any(breaker.is_open() for breaker in (destination.breakers_by_route or {}).values())
 
     def out_of_service(self) -> dict[str, float]:
-        """Seconds for which endpoints stay out of service here."""
+        """Returns the seconds for which endpoints stay out of service here, by endpoint id."""
         return self.local_endpoints.remaining_s()
 
     def take_out_of_service(self, endpoint: str, duration_s: float, member: str) -> None:
-        """Another member has an endpoint out of service for so many seconds."""
+        """Takes over another member's order: the endpoint stays out of service for `duration_s` seconds."""
         self.local_endpoints.take_over(endpoint, duration_s, member)
 
 
@@ -150,12 +153,12 @@
         """Builds the link without opening it.
 
         Args:
-            engine: Of the sender.
-            config: Of the link.
+            engine: The sender's engine.
+            config: The link's configuration.
             state: The state folder.
-            set_ready: Called with whether new messages are accepted.
-            budgets: Shared by the fleet.
-            may_add_budgets: The first budget may come while the sender runs.
+            set_ready: Called with True when new messages are accepted from then on, else with False.
+            budgets: The budgets that the fleet shares.
+            may_add_budgets: Whether the first budget may be added while the sender runs.
 
         Raises:
             KeyFileError: There is no key to seal datagrams with.
@@ -177,10 +180,10 @@
         self.coordinator.on_stage_changed = self.stage_changed
 
     async def start(self, waits: Mapping[int, float]) -> None:
-        """Opens the link, and returns once the other members were asked or did not respond in time.
+        """Opens the link, and returns when the inquiry of the other members has ended or timed out.
 
         Args:
-            waits: Seconds for which destinations must not be called, as this sender knew before.
+            waits: Seconds for which destinations must not be called, from this sender's stored state.
 
         Raises:
             OSError: The address cannot be bound.
@@ -189,7 +192,7 @@
             self.coordinator.stages.restore_retry_after(number, wait_s, self.link.loop.time())
         await self.link.start()
         assert self.link.task
-        self.link.task.add_done_callback(self.engine.task_ended)  # a defect there ends the sender
+        self.link.task.add_done_callback(self.engine.task_ended)  # a defect in the task ends the sender
         self.engine.hooks.add(self)
         if self.budgets:
             self.budgets.bind()
@@ -202,9 +205,10 @@
             self.mark_all_doubtful()
 
     def mark_all_doubtful(self) -> None:
-        """Marks all messages as doubtful, as the other members know a later start of this name.
+        """Marks all messages as doubtful, because other members have seen a later start of this name.
 
-        The disk does not have the latest state: what it holds may have been sent, or ended, since.
+        The disk does not have the latest state, so that a stored message may already have been sent or
+        completed by that later start.
         """
         entries = self.engine.journal.entries.values()
         log.error("fleet: state folder outdated, its messages are doubtful: messages=%d", len(entries))
@@ -212,42 +216,46 @@
             entry.is_doubtful = True
 
     def stage_changed(self, stage: Stage) -> None:
-        """Callback of the coordinator."""
+        """Handles a change of the recovery stage; called by the coordinator."""
         if stage > Stage.INQUIRING and not self.inquiry_ended.done():
             self.inquiry_ended.set_result(None)
         self.set_ready(stage >= Stage.ADMITTING)
 
     def step(self, now: float) -> None:
-        """Callback of the link, several times a second; `now` in seconds on the loop's clock."""
+        """Does the periodic work.
+
+        Args:
+            now: The loop's time in seconds; the link calls this several times a second.
+        """
         self.coordinator.step(now)
         if self.budgets:
             self.budgets.step(now)
 
     def configure(self, budgets: tuple[SharedBudget, ...], size: int) -> None:
-        """Applies budgets from a configuration that was read anew."""
+        """Applies budgets from a changed configuration; `size` is the number of members in the fleet."""
         if self.budgets:
             self.budgets.configure(budgets, size)
 
-    def waits_for_start(self, budgets: tuple[SharedBudget, ...]) -> list[str]:
-        """What of these budgets could be applied by a restart alone: one text for each."""
+    def changes_for_next_start(self, budgets: tuple[SharedBudget, ...]) -> list[str]:
+        """Returns one text for each change of a budget that needs a restart."""
         assert self.budgets
-        return self.budgets.waits_for_start(budgets)
+        return self.budgets.changes_for_next_start(budgets)
 
     def describe_budgets(self) -> dict[str, object]:
-        """The state of each budget by name, for the control socket."""
+        """Returns the state of each budget by name, for the control socket."""
         return budget_status(self.budgets.manager) if self.budgets else {}
 
     def status(self) -> dict[str, object]:
-        """The recovery stage and the members, for the control socket."""
+        """Returns the recovery stage and the members, for the control socket."""
         return recovery_status(self.coordinator)
 
     def destination_of(self, endpoint: str) -> int | None:
-        """The destination that an endpoint is listed for; None: it is not listed."""
+        """Returns the destination for which an endpoint is listed; None if it is not listed."""
         tracked = self.engine.dispatcher.endpoints.get(endpoint)
         return tracked.listed.destination if tracked else None
 
     def messages_restored(self) -> None:
-        """The coordinator counts the restored messages from now on."""
+        """Makes the coordinator include the restored messages in its permissions."""
         self.coordinator.apply_permissions(self.link.loop.time())
 
     def may_call(self, endpoint: str) -> bool:
@@ -256,7 +264,7 @@
         return number is None or self.coordinator.may_call(number)
 
     def call_started(self, endpoint: str) -> None:
-        """Counts a call of the endpoint's destination."""
+        """Counts a call to the endpoint's destination."""
         if (number := self.destination_of(endpoint)) is not None:
             self.coordinator.call_started(number)
 
@@ -271,7 +279,10 @@
             self.coordinator.retry_after_received(number, delay_us)
 
     def admission_delay_us(self, message: Message) -> int:
-        """The delay that the recovery stage or a tenant's budget demands; 0 admits the message."""
+        """Returns the delay in microseconds that the recovery stage or a tenant's budget requires.
+
+        The result 0 admits the message.
+        """
         if delay_us := self.coordinator.admission_delay_us(message.destination, message.message_class):
             return delay_us
         if self.budgets and (delay_us := self.budgets.tenant_delay_us(message)):
@@ -280,11 +291,11 @@
         return 0
 
     def is_open(self) -> bool:
-        """Whether new messages, at least of some class, are accepted."""
+        """Whether new messages of at least one class are accepted."""
         return self.coordinator.stages.stage >= Stage.ADMITTING
 
     def close(self) -> None:
-        """Returns unused shares of budgets and closes the link."""
+        """Releases unused shares of budgets and closes the link."""
         if self.budgets:
             self.budgets.close()
         self.link.close()
@@ -298,7 +309,11 @@
     budgets: tuple[SharedBudget, ...] = (),
     may_add_budgets: bool = False,
 ) -> Membership | None:
-    """Builds a `Membership`; None where that is not possible: the log says why, and the sender runs alone."""
+    """Builds a `Membership`.
+
+    Returns:
+        None if the membership cannot be built; the reason is logged, and the sender runs without the fleet.
+    """
     try:
         return Membership(engine, config, state, set_ready, budgets, may_add_budgets)
     except (KeyFileError, OSError) as error:
--- a/message_sender/service/owner.py
+++ b/message_sender/service/owner.py
@@ -1,6 +1,6 @@
-"""What the operators' commands and the process handover need of a sender on the platform.
+"""The interface of a platform sender that the operators' commands and the process handover use.
 
-Neither has to know how a sender is assembled (service/daemon.py, which builds both).
+It keeps both independent of how service/daemon.py assembles the sender.
 """
 
 from typing import Protocol
@@ -15,7 +15,7 @@
 
 
 class JournalOwner(Protocol):
-    """The process that owns journal, messages and decisions."""
+    """The process that owns the journal, the messages and the decisions about them."""
 
     engine: Engine
     server: Server
@@ -26,7 +26,7 @@
     maintenance: Maintenance
 
     def start_drain(self) -> None:
-        """Asks clients to connect elsewhere."""
+        """Asks clients to connect to another sender."""
 
     def terminate(self) -> None:
         """Ends the process as SIGTERM does."""
--- a/message_sender/service/routes.py
+++ b/message_sender/service/routes.py
@@ -4,14 +4,16 @@
 
 
 def announced_rates(engine: Engine, number: int) -> dict[str, float]:
-    """Calls a second by route, for one destination.
+    """Returns the announced rates of a destination, in calls per second by route.
 
     Args:
-        engine: Whose list is read; until it has processed its first list, the configured one.
-        number: The destination's.
+        engine: The engine whose endpoint list is read; until the engine has processed its first list, the
+            configured endpoints are used.
+        number: The destination's number.
 
     Returns:
-        By endpoint id for endpoints with a limit of their own, else one entry under the empty id.
+        An entry for each endpoint with a limit of its own, by its id; the other endpoints share one entry
+        under the empty id.
     """
     dispatcher = engine.dispatcher
     destination = dispatcher.destinations.get(number)
--- a/message_sender/service/tenant_quota.py
+++ b/message_sender/service/tenant_quota.py
@@ -1,4 +1,4 @@
-"""Shared budgets of tenants: how many messages each tenant may submit to the fleet."""
+"""Shared budgets of tenants, which limit the messages that a tenant may submit to the whole fleet."""
 
 from collections.abc import Callable
 
@@ -9,7 +9,7 @@
 from message_sender.service.budget_demand import BudgetDemand
 from message_sender.service.budget_registry import BudgetRegistry
 
-UNKNOWN_DELAY_US = 500_000  # where nobody can say when there is capacity
+UNKNOWN_DELAY_US = 500_000  # the delay where the time of the next free capacity is not known
 MIN_DELAY_US = 1000
 
 
@@ -24,7 +24,15 @@
         demand: BudgetDemand,
         clock: Callable[[], int],
     ) -> None:
-        """`clock`: the budgets' clock, in us."""
+        """Initializes the admission check.
+
+        Args:
+            engine: The sender's engine.
+            registry: The open budgets.
+            manager: The leases of this sender.
+            demand: Records rejections as demand.
+            clock: The budgets' clock, in microseconds.
+        """
         self.engine = engine
         self.registry = registry
         self.manager = manager
@@ -32,9 +40,10 @@
         self.clock = clock
 
     def delay_us(self, message: Message) -> int:
-        """Spends a message of its tenant; else returns after how many us it may be submitted again.
+        """Spends a message from its tenant's budgets.
 
-        0: it is within the quota.
+        Returns:
+            0 if the message is within the quota, else the microseconds after which it may be submitted again.
         """
         for name in self.budgets_of(message.tenant):
             now_us = self.clock()
@@ -46,7 +55,11 @@
         return 0
 
     def budgets_of(self, tenant: str) -> list[str]:
-        """Returns the tenant's budgets; none is opened for a name that a client has made up."""
+        """Returns the names of the tenant's budgets.
+
+        Templates open budgets only for tenants of the settings, so that clients cannot create budgets by
+        sending arbitrary names.
+        """
         if tenant in dict(self.engine.settings.tenants):
             return self.registry.names_for("tenant", tenant)
         return self.registry.names_by_binding.get(("tenant", tenant), [])
--- a/tests/test_control_configuration.py
+++ b/tests/test_control_configuration.py
@@ -40,7 +40,7 @@
         else:
             self.told, self.size = arguments
 
-    def waits_for_start(self, budgets: tuple[SharedBudget, ...]) -> list[str]:
+    def changes_for_next_start(self, budgets: tuple[SharedBudget, ...]) -> list[str]:
         return list(self.reasons)
 
     def ids(self) -> list[str]:
--- a/tests/test_control_sender.py
+++ b/tests/test_control_sender.py
@@ -156,7 +156,7 @@
 
     def reasons(*changed: SharedBudget) -> list[str]:
         """The texts, which are there exactly where `configure` says that something is left as it is."""
-        reasons_found = budgets.waits_for_start((*was, *changed))
+        reasons_found = budgets.changes_for_next_start((*was, *changed))
         caplog.clear()
         budgets.configure((*was, *changed), 1)
         is_changed = "budget change waits for the next start: budget=" in caplog.text
@@ -164,13 +164,13 @@
         assert bool(reasons_found) == is_left
         return reasons_found
 
-    assert reasons(calls) == [] and reasons(replace(calls, whole=4)) == []
-    assert reasons(replace(calls, floor=1, lease=2 * US, span=2 * US)) == [
+    assert reasons(calls) == [] and reasons(replace(calls, limit=4)) == []
+    assert reasons(replace(calls, floor=1, lease_us=2 * US, window_us=2 * US)) == [
         "budgets/calls: per_ms, floor, lease_ms cannot change before the next start"
     ]
-    assert reasons(replace(calls, by="zone", value="z")) == [
+    assert reasons(replace(calls, binding="zone", value="z")) == [
         "budgets/calls: what it is bound to, which one it is bound to cannot change before the next start"
     ]
     assert reasons() == ["budgets/calls: it cannot be taken away before the next start"]
-    new = replace(calls, name="new", of="in_flight", span=None)
+    new = replace(calls, name="new", resource="in_flight", window_us=None)
     assert reasons(calls, new) == [] and len(reasons()) == 2
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -380,16 +380,16 @@
     links.join("n0", engine, 1)
     _, budgets = links.ends["n0"]
     calls = SharedBudget("calls", "calls", "destination", 3, 10, None, US, 0, US, 0, 0)
-    out = replace(calls, name="out", of="in_flight", value=None, span=None)
+    out = replace(calls, name="out", resource="in_flight", value=None, window_us=None)
     was = tuple(budgets.registry.definitions.values())
     budgets.configure((*was, calls, out), 1)
     assert sorted(budgets.registry.budgets_of(listed).calls) == ["calls", "out/3", "rate/3"]
-    budgets.configure((*was, replace(calls, whole=4), replace(out, lease=2 * US)), 1)
+    budgets.configure((*was, replace(calls, limit=4), replace(out, lease_us=2 * US)), 1)
     assert budgets.manager.ledgers["calls"].budget.limit == 4
     assert budgets.manager.ledgers["out/3"].budget.lease_us == US
     assert "budget change waits for the next start: budget=out fields=lease_ms" in caplog.text
     engine.transport = transport = HttpTransport(10, 10, 4, dict)
-    budgets.configure((*was, replace(calls, name="new ones", of="handshakes")), 1)
+    budgets.configure((*was, replace(calls, name="new ones", resource="handshakes")), 1)
     assert (
         transport.reserve_connection == budgets.connections.open_connection
         and budgets.registry.budgets_of(listed).connections == ["new ones"]
