--- a/message_sender/configuration/__init__.py
+++ b/message_sender/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""General and deploy settings: their tables, validation and defaults."""
+"""Configuration of senders, by a TOML file or by the platform: tables, validation and defaults."""
--- a/message_sender/configuration/general.py
+++ b/message_sender/configuration/general.py
@@ -1,6 +1,7 @@
-"""The general configuration, for installations without the platform: a TOML file, or a mapping of that form.
+"""The general configuration of installations without the platform: a TOML file or an equivalent mapping.
 
-Every fault is found at once, each with its path. The form, with units, is in docs/operate/serve.md.
+All faults are reported together, each with its path. The format, with units, is described in
+docs/operate/serve.md.
 """
 
 from collections.abc import Mapping
@@ -44,11 +45,11 @@
     """Builds a configuration.
 
     Args:
-        values: As the file has them.
-        folder: Paths in them are relative to it.
+        values: The settings, in the structure of the file.
+        folder: The folder to which paths in the settings are relative.
 
     Raises:
-        ConfigError: They have faults; it has all of them.
+        ConfigError: The settings have faults; the error lists all of them.
     """
     table = validate_table(GeneralTable, values)
     try:
@@ -74,21 +75,21 @@
 
 
 def read_endpoints(path: Path) -> list[StaticEndpoint]:
-    """The endpoints in a TOML file that holds nothing else.
+    """Returns the endpoints in a TOML file that has no other settings.
 
     Raises:
         ConfigError: The file is not TOML, or has faults.
-        OSError: It cannot be read.
+        OSError: The file cannot be read.
     """
     table = validate_table(Endpoints, parse(path))
     return [endpoint.build() for endpoint in table.endpoints]
 
 
 def load(path: Path) -> SenderConfig:
-    """The configuration in a TOML file.
+    """Loads the configuration in a TOML file.
 
     Raises:
         ConfigError: The file is not TOML, or has faults.
-        OSError: It cannot be read.
+        OSError: The file cannot be read.
     """
     return read(parse(path), path.parent)
--- a/message_sender/configuration/general_tables.py
+++ b/message_sender/configuration/general_tables.py
@@ -1,6 +1,6 @@
-"""The tables of the general configuration; their form, with units, is in docs/operate/serve.md.
+"""The tables of the general configuration; docs/operate/serve.md describes their format, with units.
 
-Each table names the settings of the file, and builds the values of sender_config.py from them.
+Each table declares the settings of the file, and builds the values of sender_config.py from them.
 """
 
 import re
@@ -34,19 +34,24 @@
 from message_sender.discovery.outlier import EjectionPolicy
 from message_sender.policy.model import DestinationKind, Effect, MessageClass, Settings
 
-DEFAULT_NAME = "elmglade"  # of a sender whose file has none; its peers know it by that
+DEFAULT_NAME = "elmglade"  # the name of a sender whose file sets none; the other senders see this name
 HEADER_NAME = re.compile(r"[A-Za-z0-9!#$%&'*+.^_`|~-]{1,64}")
 PATH = re.compile(r"(?s).+")
-CONTROL_NAME_LENGTH_LIMIT = 64  # characters, as message_sender/control/messages.py has it
+CONTROL_NAME_LENGTH_LIMIT = 64  # characters; the same limit as in message_sender/control/messages.py
 CONTROL_NAME = re.compile(r"[A-Za-z0-9.-]{1,64}")
-#: Headers whose values are not captured unless the file names others.
+#: The default list of headers whose values are not captured.
 BLANKED_HEADERS = ("authorization", "proxy-authorization", "cookie", "set-cookie")
 US_PER_S = 1e6
 BYTES_PER_MB = 1e6
 
 
 def matching_strings(noun: str, pattern: re.Pattern[str]) -> PlainValidator:
-    """A validator for a list of strings that match the pattern; `noun` names them in a fault."""
+    """Returns a validator for lists of strings that match the pattern.
+
+    Args:
+        noun: The name of the strings in a fault's text.
+        pattern: The pattern that each string must match completely.
+    """
 
     def check(value: object) -> object:
         if not isinstance(value, tuple) or not all(
@@ -66,7 +71,7 @@
 
 
 def require_class(classes: dict[str, "ClassTable"]) -> dict[str, "ClassTable"]:
-    """Validates that there is a class of messages."""
+    """Validates that at least one class of messages is defined."""
     if not classes:
         raise ValueError("must name at least one class")
     return classes
@@ -86,7 +91,7 @@
 
     @model_validator(mode="after")
     def check_consistency(self) -> Self:
-        """Its durations fit together."""
+        """Checks that the durations are consistent with each other and with the effect."""
         faults = []
         if self.aim_ms > self.deadline_ms:
             faults.append("aim_ms: must be no more than deadline_ms")
@@ -97,7 +102,7 @@
         return self
 
     def build(self, name: str) -> MessageClass:
-        """The class of this name."""
+        """Returns the message class under the given name."""
         return MessageClass(
             name=name,
             latency_objective=ms_to_us(self.aim_ms),
@@ -125,7 +130,7 @@
 
 
 class RulesTable(Table):
-    """`[rules]`: durations and factors of the policy."""
+    """`[rules]`: durations and factors of the delivery policy."""
 
     tick_ms: Annotated[float, number_between(1, 100)] = 5.0
     key_quiet_ms: NonNegative = 100.0
@@ -139,7 +144,7 @@
 
 
 class EjectTable(Table):
-    """`[directory.eject]`: when an endpoint that fails among others is ejected."""
+    """`[directory.eject]`: ejection of outliers, endpoints that fail while others of the destination work."""
 
     failures: Annotated[int, number_between(1, 1000)] = 5
     base_s: Annotated[float, number_between(0.1, 3600)] = 30.0
@@ -147,13 +152,13 @@
     share: Fraction = 0.5
 
     def build(self) -> EjectionPolicy:
-        """The policy that the table describes."""
+        """Returns the ejection policy that the table describes."""
         base_us, longest_us = int(self.base_s * US_PER_S), int(self.longest_s * US_PER_S)
         return EjectionPolicy(self.failures, base_us, longest_us, self.share)
 
 
 class DirectoryTable(Table):
-    """`[directory]`: files that name endpoints."""
+    """`[directory]`: files that list endpoints."""
 
     files: Annotated[tuple[str, ...], matching_strings("paths", PATH)] = ()
     slow_start_s: Annotated[float, number_between(0, 3600)] = 0.0
@@ -162,7 +167,7 @@
     eject: EjectTable | None = None
 
     def build(self, folder: Path) -> ListFiles:
-        """The files and how they are read; paths are relative to `folder`."""
+        """Returns the files and the rules for reading them; paths are relative to `folder`."""
         return ListFiles(
             files=tuple(folder / file for file in self.files),
             vanished_share_limit=self.share,
@@ -173,7 +178,7 @@
 
 
 class CaptureTable(Table):
-    """`[capture]`: the traffic as capture files."""
+    """`[capture]`: recording of the traffic in capture files."""
 
     folder: str
     most_mb: Annotated[float, number_between(0.1, 4096)] = 16.0
@@ -181,19 +186,19 @@
     blank: Annotated[tuple[str, ...], matching_strings("header names", HEADER_NAME)] = BLANKED_HEADERS
 
     def build(self, folder: Path) -> CaptureSettings:
-        """Where captures go; the path is relative to `folder`."""
+        """Returns the capture settings; the path is relative to `folder`."""
         file_bytes_limit = int(self.most_mb * BYTES_PER_MB)
         return CaptureSettings(folder / self.folder, file_bytes_limit, self.files, self.blank)
 
 
 class DurabilityTable(Table):
-    """`[durability]`: what the journal survives."""
+    """`[durability]`: how far the journal survives a crash of the machine."""
 
     sync: Literal["none", "group", "each"] = "none"
     group_ms: Annotated[float, number_between(0, 1000)] = 5.0
 
     def build(self) -> Durability:
-        """When the journal is synced."""
+        """Returns the mode and interval of the journal's syncs."""
         intervals_s = {"none": None, "group": self.group_ms / 1000, "each": 0.0}
         return Durability(self.sync, intervals_s[self.sync])
 
@@ -208,7 +213,7 @@
     size: Annotated[int, number_between(1, 1000)] = 8
 
     def build(self, folder: Path) -> FleetConfig:
-        """The link; the path is relative to `folder`."""
+        """Returns the link's configuration; the path is relative to `folder`."""
         advertise = self.advertise or self.listen
         return FleetConfig(self.listen, advertise, self.seeds, folder / self.key_file, self.size)
 
@@ -221,12 +226,12 @@
     region: str = ""
 
     def build(self) -> ControlNode:
-        """The node that the table names."""
+        """Returns the control node that the table describes."""
         return ControlNode(self.name, self.address, self.region)
 
 
 class ControlTable(Table):
-    """`[control]`: the control plane that a sender watches."""
+    """`[control]`: the control plane from which a sender receives endpoints and budgets."""
 
     nodes: tuple[ControlNodeTable, ...]
     key_file: str
@@ -235,7 +240,7 @@
 
     @model_validator(mode="after")
     def check_nodes(self) -> Self:
-        """There are nodes, and each has a name and an address of its own."""
+        """Checks that there are nodes, and that their names and addresses are unique."""
         faults = find_node_faults([(node.name, node.address) for node in self.nodes])
         if not self.nodes:
             faults.append("nodes: must name at least one control node")
@@ -244,13 +249,13 @@
         return self
 
     def build(self, folder: Path) -> ControlPlane:
-        """The control plane; the path is relative to `folder`."""
+        """Returns the control plane's configuration; the path is relative to `folder`."""
         nodes = tuple(node.build() for node in self.nodes)
         return ControlPlane(nodes, folder / self.key_file, self.region, self.listen)
 
 
 class GeneralTable(Endpoints):
-    """The whole file."""
+    """The root table of the general configuration file."""
 
     name: str = DEFAULT_NAME
     listen: Address = "127.0.0.1:0"  # type: ignore[assignment]  # validated as a file's value
@@ -270,7 +275,7 @@
 
     @model_validator(mode="after")
     def check_consistency(self) -> Self:
-        """Budgets fit the fleet, and the sender's name the control plane."""
+        """Checks the budgets against the fleet, and the sender's name against the control plane."""
         faults = []
         if self.budgets and not self.fleet:
             faults.append("budgets: need a [fleet] to be shared in")
@@ -286,10 +291,10 @@
         return self
 
     def settings(self) -> Settings:
-        """The settings of the policy.
+        """Returns the settings of the policy.
 
         Raises:
-            ValueError: The policy cannot use them.
+            ValueError: The policy rejects the settings.
         """
         limits, rules = self.limits, self.rules
         return Settings(
--- a/message_sender/configuration/sender_config.py
+++ b/message_sender/configuration/sender_config.py
@@ -1,4 +1,4 @@
-"""What the general configuration of a sender says, as values that the program uses."""
+"""The values of a sender's general configuration, as the program uses them."""
 
 from dataclasses import dataclass
 from pathlib import Path
@@ -11,13 +11,13 @@
 
 @dataclass(frozen=True, slots=True)
 class CaptureSettings:
-    """Where the traffic is written as capture files, and how much of it is stored.
+    """Settings of the traffic's capture files.
 
     Attributes:
-        folder: Of the files.
-        file_bytes_limit: Of one file.
-        files_limit: The newest ones stay.
-        blanked_headers: Whose values are not written.
+        folder: The folder of the files.
+        file_bytes_limit: The maximum size of one file, in bytes.
+        files_limit: The maximum number of files; the newest are kept.
+        blanked_headers: The headers whose values are not written.
     """
 
     folder: Path
@@ -28,15 +28,16 @@
 
 @dataclass(frozen=True, slots=True)
 class ListFiles:
-    """Files that name endpoints besides the configuration's own.
+    """Files that list endpoints in addition to the configuration's own.
 
     Attributes:
-        files: The first one has precedence over the others.
-        vanished_share_limit: The share of a list that may vanish at once.
-        vanished_patience_us: For so long, in microseconds, a list with more vanished is doubted.
-        slow_start_us: For so long, in microseconds, the share of a new or returned endpoint grows; 0: it has
-            all of it at once.
-        ejection: When an endpoint that fails among others is ejected; None: never.
+        files: The files; the first one has precedence over the others.
+        vanished_share_limit: The share of a list's endpoints that may vanish in one update.
+        vanished_patience_us: The time, in microseconds, for which a list is not accepted if a larger share
+            has vanished.
+        slow_start_us: The duration of the slow start of a new or returned endpoint, in microseconds; with 0,
+            it has its full share at once.
+        ejection: The rules for ejecting outliers; None if none are ejected.
     """
 
     files: tuple[Path, ...]
@@ -48,11 +49,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Durability:
-    """What the journal survives.
+    """The durability of the journal.
 
     Attributes:
-        sync: none, group or each.
-        sync_interval_s: Seconds between the beginnings of two syncs; None: nothing is synced.
+        sync: The mode of syncs: none, group or each.
+        sync_interval_s: The seconds between the beginnings of two syncs; None if nothing is synced.
     """
 
     sync: str
@@ -64,11 +65,11 @@
     """The link to the other senders.
 
     Attributes:
-        listen: UDP address that is bound.
-        advertise: Address that the others use.
-        seeds: Addresses of members to join by.
-        key_file: Has the key that datagrams are sealed with.
-        size: The most members expected.
+        listen: The UDP address that is bound.
+        advertise: The address that the other senders use.
+        seeds: The addresses of members that are contacted to join the fleet.
+        key_file: The file with the key that seals datagrams.
+        size: The largest expected number of members.
     """
 
     listen: Dial
@@ -89,13 +90,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ControlPlane:
-    """Where a sender gets endpoints and budgets from, in place of those in its own file.
+    """The control plane, whose endpoints and budgets replace those in the sender's own file.
 
     Attributes:
         nodes: The control nodes.
-        key_file: Has the key that datagrams are sealed with.
-        region: The sender's own: nodes of it are watched before the others.
-        listen: UDP address that is bound.
+        key_file: The file with the key that seals datagrams.
+        region: The sender's region; control nodes of the same region are preferred.
+        listen: The UDP address that is bound.
     """
 
     nodes: tuple[ControlNode, ...]
@@ -109,20 +110,20 @@
     """The configuration of a standalone sender.
 
     Attributes:
-        name: Under which the other senders know it.
-        listen: Where clients connect.
-        state: The state folder; None: the command line names it.
-        seed: Of the policy's random choices.
-        disk_bytes: What the state folder may hold.
-        sockets: File descriptors that the process may open.
-        settings: Of the policy.
-        endpoints: Those in the file itself.
-        capture: None: the traffic is not captured.
-        lists: None: no files name endpoints.
-        durability: What the journal survives.
-        fleet: None: the sender has no link to others.
-        budgets: Shared by the fleet.
-        control: None: there is no control plane.
+        name: The sender's name among the other senders.
+        listen: The address that clients connect to.
+        state: The state folder; None if the command line names it.
+        seed: The seed of the policy's random choices.
+        disk_bytes: The maximum size of the state folder, in bytes.
+        sockets: The number of file descriptors that the process may open.
+        settings: The policy's settings.
+        endpoints: The endpoints in the file itself.
+        capture: The settings of capture files; None if the traffic is not captured.
+        lists: The files that list more endpoints; None if there are none.
+        durability: The durability of the journal.
+        fleet: The link to the other senders; None if there is none.
+        budgets: The budgets that the fleet shares.
+        control: The control plane; None if there is none.
     """
 
     name: str
--- a/message_sender/configuration/settings.py
+++ b/message_sender/configuration/settings.py
@@ -1,6 +1,7 @@
-"""The settings object that the platform gives an instance, decoded for the policy.
+"""Decodes the settings object that the platform passes to an instance into the policy's settings.
 
-The library's adapter and the platform's sender share it. The object's keys are the platform's wire.
+The library's adapter and the platform's sender both use it. The object's keys are part of the platform's
+protocol.
 """
 
 from typing import Any
@@ -12,7 +13,7 @@
 
 
 def decode_class(values: dict[str, Any]) -> MessageClass:
-    """One entry of `services`: a class of messages."""
+    """Decodes one entry of `services`, a class of messages."""
     return MessageClass(
         name=values["name"],
         latency_objective=values["aim"],
@@ -27,22 +28,22 @@
 
 
 def decode_kinds(models: list[str], specifics: dict[str, Any]) -> tuple[tuple[str, DestinationKind], ...]:
-    """The kinds of destinations by name."""
+    """Returns each kind of destination with its name."""
     by_model = zip(models, specifics["batch_by_kind"], specifics["own_limits"], strict=False)
     return tuple((name, DestinationKind(batch, apart)) for name, batch, apart in by_model)
 
 
 def decode_settings(values: dict[str, Any], on_sockets: bool = False) -> Settings:
-    """The policy's settings.
+    """Returns the policy's settings.
 
     Args:
         values: The settings object.
-        on_sockets: The sender does its own I/O. Then the policy gets each acknowledged completion, and the
-            endpoint list only by a watch of the sender's own, also where lists are pushed: to an agent
-            beside it.
+        on_sockets: Whether the sender does its own I/O. The policy then gets each acknowledged completion,
+            and receives endpoint lists only through the sender's own watch, even where the platform pushes
+            lists, because these are pushed to an agent on the same machine.
 
     Raises:
-        KeyError, TypeError, ValueError: A value is missing or of no use.
+        KeyError, TypeError, ValueError: A value is missing or invalid.
     """
     limits, safety, specifics = values["limits"], values["safety"], values["specifics"]
     zones = values["zones"]
--- a/message_sender/configuration/tables.py
+++ b/message_sender/configuration/tables.py
@@ -1,7 +1,7 @@
-"""Tables of a TOML file, checked completely: every fault at once, with its path and in plain words.
+"""Validation of a TOML file's tables: all faults are reported together, each with its path and a plain text.
 
-Built on pydantic. A name that a table does not know is a fault, and so is a string where a number is needed.
-A check across fields raises ValueError with `field: what is wrong`, a line for each fault.
+The module is built on pydantic. An unknown name in a table is a fault, as is a string instead of a number.
+A check across fields raises ValueError with one line `field: text` for each fault.
 """
 
 import re
@@ -13,7 +13,7 @@
 
 from pydantic import AfterValidator, BaseModel, ConfigDict, ValidationError
 
-#: What pydantic's types of fault expect, as this program says it.
+#: The expected type in a fault's text, by pydantic's type of error.
 TYPE_NAMES = {
     "string_type": "a text",
     "int_type": "a whole number",
@@ -26,9 +26,9 @@
     "model_type": "a table",
     "model_attributes_type": "a table",
 }
-#: A line of a check across fields: the path within its table, and the text.
+#: A fault in the message of a check across fields: the path within the table, and the text.
 FAULT_LINE = re.compile(r"([a-z_]+(?:\[\d+\])?(?:\.[a-z_]+(?:\[\d+\])?)*): (.*)", re.DOTALL)
-#: A quoted choice in pydantic's text of a literal's fault.
+#: A quoted choice in pydantic's message for an invalid literal.
 QUOTED_CHOICE = re.compile(r"'([^']*)'")
 
 TableType = TypeVar("TableType", bound=BaseModel)
@@ -39,39 +39,39 @@
     """One fault of a file.
 
     Attributes:
-        path: Where it is, such as `classes.command.aim_ms`.
-        text: What is wrong.
+        path: The place in the file, such as `classes.command.aim_ms`.
+        text: A description of the fault.
     """
 
     path: str
     text: str
 
     def __str__(self) -> str:
-        """As a person reads it."""
+        """Returns the path and the text."""
         return f"{self.path}: {self.text}"
 
 
 class ConfigError(ValueError):
-    """A file cannot be used.
+    """A configuration file that cannot be used.
 
     Attributes:
-        faults: All that is wrong with it.
+        faults: All faults of the file.
     """
 
     def __init__(self, faults: list[ConfigFault]) -> None:
-        """Takes all faults."""
+        """Initializes the error with all faults of the file."""
         super().__init__("; ".join(map(str, faults)))
         self.faults = faults
 
 
 class Table(BaseModel):
-    """Base class of a table: names and types are strict, values don't change."""
+    """The base class of tables: names and types are strict, and values are immutable."""
 
     model_config = ConfigDict(extra="forbid", strict=True, frozen=True, validate_default=True)
 
 
 def number_between(low: float, high: float) -> Any:  # noqa: ANN401
-    """A validator for numbers from `low` to `high`, both included."""
+    """Returns a validator for numbers from `low` to `high`, both included."""
 
     def check(value: float) -> float:
         if not low <= value <= high:
@@ -83,7 +83,7 @@
 
 
 def format_number(value: float) -> str:
-    """A number as a fault's text has it."""
+    """Formats a number for a fault's text."""
     return str(value) if isinstance(value, int) else f"{value:g}"
 
 
@@ -91,7 +91,7 @@
 
 
 def format_path(location: tuple[int | str, ...]) -> str:
-    """A location as a path: `("classes", "a", 0)` becomes `classes.a[0]`."""
+    """Formats a location as a path: `("classes", "a", 0)` becomes `classes.a[0]`."""
     path = ""
     for part in location:
         if isinstance(part, int):
@@ -102,9 +102,9 @@
 
 
 def describe_fault(error: Any) -> str:  # noqa: ANN401
-    """The text of one of pydantic's faults; several lines where a check across fields found several."""
+    """Returns the text for one of pydantic's errors; a check across fields may yield several lines."""
     kind, value = error["type"], error["input"]
-    value = list(value) if isinstance(value, tuple) else value  # as the file has it
+    value = list(value) if isinstance(value, tuple) else value  # the file has a list (see `freeze_lists`)
     if kind == "missing":
         return "is missing"
     if kind == "extra_forbidden":
@@ -120,7 +120,7 @@
 
 
 def list_faults(error: ValidationError) -> list[ConfigFault]:
-    """All faults that pydantic found; one without a path has the path `file`."""
+    """Returns all faults that pydantic found; a fault without a path gets the path `file`."""
     faults = []
     for details in error.errors():
         path = format_path(details["loc"])
@@ -134,7 +134,7 @@
 
 
 def freeze_lists(value: Any) -> Any:  # noqa: ANN401
-    """Replaces lists by tuples, as tables have tuples where TOML has arrays."""
+    """Replaces lists by tuples, because tables have tuples where TOML has arrays."""
     if isinstance(value, Mapping):
         return {name: freeze_lists(item) for name, item in value.items()}
     return tuple(freeze_lists(item) for item in value) if isinstance(value, list) else value
@@ -144,7 +144,7 @@
     """Builds a table from a file's values.
 
     Raises:
-        ConfigError: They have faults; it has all of them.
+        ConfigError: The values have faults; the error lists all of them.
     """
     try:
         return table_type.model_validate(freeze_lists(values))
@@ -156,8 +156,8 @@
     """Reads a TOML file.
 
     Raises:
-        ConfigError: It is not TOML.
-        OSError: It cannot be read.
+        ConfigError: The file is not TOML.
+        OSError: The file cannot be read.
     """
     try:
         return tomllib.loads(path.read_text())
--- a/message_sender/management/calls.py
+++ b/message_sender/management/calls.py
@@ -1,4 +1,4 @@
-"""The calls of the management API: a table from method and path to an operation. Pure."""
+"""The calls of the management API: a mapping from method and path to an operation, without I/O."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -7,7 +7,7 @@
 
 
 class Operation(Enum):
-    """What an operator can ask for; the values are for log lines."""
+    """The operations that an operator can request; the values are names for log lines."""
 
     READINESS = "readiness"
     METRICS = "metrics"
@@ -19,11 +19,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ManagementCall:
-    """One call.
+    """One call of the management API.
 
     Attributes:
-        operation: What is asked for.
-        endpoint: The endpoint's id, for maintenance; else empty.
+        operation: The requested operation.
+        endpoint: The endpoint's id for maintenance operations; else empty.
     """
 
     operation: Operation
@@ -35,28 +35,28 @@
     """The response to a call.
 
     Attributes:
-        status: The HTTP status; 2xx means that the operation was done.
-        text: The body: the metrics, or a text for people.
+        status: The HTTP status; 2xx means that the operation was executed.
+        text: The body: the metrics, or a text for the operator.
     """
 
     status: int
     text: str = ""
 
 
-#: The method and the operation of each path without a parameter.
+#: The method and operation of each path without a parameter.
 OPERATIONS_BY_PATH = {
     ("healthcheck",): ("GET", Operation.READINESS),
     ("stats",): ("GET", Operation.METRICS),
     ("healthcheck", "fail"): ("POST", Operation.DRAIN),
     ("healthcheck", "ok"): ("POST", Operation.RESUME),
 }
-#: The operations on /receivers/ID/...
+#: The operations of the paths /receivers/ID/..., by their last segment.
 ENDPOINT_OPERATIONS = {"maint": Operation.START_MAINTENANCE, "ready": Operation.END_MAINTENANCE}
 ENDPOINT_METHOD = "POST"
 
 
 def parse_call(method: str, target: str) -> ManagementCall | ManagementReply:
-    """Returns the call of a request, or the reply that rejects the request."""
+    """Returns the call that a request makes, or the reply that rejects the request."""
     path = tuple(target.partition("?")[0].removeprefix("/").split("/"))
     if call := parse_endpoint_call(path):
         expected_method = ENDPOINT_METHOD
@@ -71,7 +71,7 @@
 
 
 def parse_endpoint_call(path: tuple[str, ...]) -> ManagementCall | None:
-    """Returns the call of a path that names an endpoint; None: it does not."""
+    """Returns the call of a path that names an endpoint; None for any other path."""
     if len(path) != 3 or path[0] != "receivers" or not path[1] or path[2] not in ENDPOINT_OPERATIONS:
         return None
     return ManagementCall(ENDPOINT_OPERATIONS[path[2]], unquote(path[1]))
--- a/message_sender/management/metrics.py
+++ b/message_sender/management/metrics.py
@@ -1,4 +1,4 @@
-"""The metrics as lines of text, `NAME=NUMBER` each. Pure: the tables that decide do the counting."""
+"""Formats the metrics as lines of text, `NAME=NUMBER` each; the counting is done by the sender's tables."""
 
 from collections.abc import Iterator, Mapping
 from dataclasses import dataclass
@@ -8,14 +8,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Metrics:
-    """What the management API reports.
+    """The counters and gauges that the management API reports.
 
     Attributes:
-        completions: Completed messages since the process began, by message class and kind of completion.
-        sent_messages: Messages written completely to endpoints since the process began.
-        pending_messages: Messages accepted and not completed.
-        endpoints: Endpoints in the list.
-        avoided_endpoints: Those of them that the sender avoids at present.
+        completions: The number of messages completed since the process started, by message class and kind of
+            completion.
+        sent_messages: The number of messages written completely to endpoints since the process started.
+        pending_messages: The number of messages that are accepted and not completed.
+        endpoints: The number of listed endpoints.
+        avoided_endpoints: The number of listed endpoints that currently get no new calls.
     """
 
     completions: Mapping[str, Mapping[str, int]]
@@ -25,7 +26,7 @@
     avoided_endpoints: int
 
     def lines(self) -> Iterator[str]:
-        """Yields the lines, with the names of the management API."""
+        """Yields a line for each metric, under its name in the management API."""
         for class_name, kinds in sorted(self.completions.items()):
             for kind, count in kinds.items():
                 yield f"{PREFIX}.transactions.{class_name}.{kind}={count}"
--- a/message_sender/management/server.py
+++ b/message_sender/management/server.py
@@ -1,15 +1,18 @@
-"""The listener of the management API: one call to a connection, and no connection can block another.
+"""The HTTP server of the management API: one call per connection, and no connection can block another.
 
 Rules:
 
-- At most `MAX_CONNECTIONS` are open. One more closes the oldest one whose request is incomplete, or, where
-  all are complete, the oldest: clients that send nothing or half a request keep nobody out.
-- A connection is read as it is accepted: a request that has arrived is answered in the same callback.
-- A request that is incomplete `REQUEST_TIMEOUT_S` after the connection opened gets 408, and no effect.
-- After the reply the connection is shut down; a client that does not close its side is cut off `LINGER_S`
-  later.
-- Whatever a client sends, and whatever its socket does, ends one connection at most. A call whose handler
-  fails gets 500.
+- At most `MAX_CONNECTIONS` connections are open. When another one is accepted, the oldest connection without
+  a reply is closed, or, where all have their reply, the oldest. Clients that send nothing or an incomplete
+  request therefore cannot block others.
+- A connection is read when it is accepted, so that a request that has already arrived is answered in the same
+  callback.
+- A request that is still incomplete `REQUEST_TIMEOUT_S` after the connection was accepted gets status 408 and
+  has no effect.
+- After the reply the connection is shut down for writing. A client that does not close its side within
+  `LINGER_S` is disconnected.
+- No data from a client and no socket error affects more than its own connection. A call whose handler raises
+  an exception gets status 500.
 """
 
 import asyncio
@@ -32,33 +35,34 @@
 MAX_HEAD_BYTES = 8 * 1024
 MAX_BODY_BYTES = 4 * 1024  # bodies are read and ignored
 BACKLOG = 128
-#: The listener, and a connection that was accepted before another one is closed.
+#: The open connections, the listener, and a new connection that is accepted before an old one is closed.
 MAX_DESCRIPTORS = MAX_CONNECTIONS + 2
 
 log = logging.getLogger(__name__)
 
 
 class CallHandler(Protocol):
-    """Executes a call at once."""
+    """Executes a call without waiting."""
 
     def __call__(self, call: ManagementCall, /) -> ManagementReply:
         """Returns the reply to the call."""
 
 
 class ManagementConnection:
-    """One connection.
+    """One connection of a client.
 
     Attributes:
-        sock: Its socket.
-        deadline: When it is answered with 408 or cut off, on the loop's clock.
-        codec: The state of HTTP on it.
-        request: The head of the request, once it has arrived.
-        body_bytes: How much of the body has arrived.
+        sock: The connection's socket.
+        deadline: The time, in seconds of the loop's clock, at which the connection gets status 408 or, after
+            the reply, is closed.
+        codec: The HTTP state of the connection.
+        request: The head of the request; None until it has arrived.
+        body_bytes: The number of received body bytes.
         is_answered: Whether the reply has been sent.
     """
 
     def __init__(self, sock: socket.socket, deadline: float) -> None:
-        """Begins without a request."""
+        """Initializes without a request."""
         self.sock = sock
         self.deadline = deadline
         self.codec = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
@@ -67,7 +71,7 @@
         self.is_answered = False
 
     def read_call(self) -> ManagementCall | ManagementReply | None:
-        """Returns the call that has arrived, or the reply that rejects it; None: it is incomplete."""
+        """Returns the received call, or the reply that rejects it; None while the request is incomplete."""
         try:
             while (event := self.codec.next_event()) is not h11.NEED_DATA:
                 if call := self.handle_event(event):
@@ -77,7 +81,7 @@
         return None
 
     def handle_event(self, event: object) -> ManagementCall | ManagementReply | None:
-        """Takes one event of the codec; returns the call, or the reply that rejects it, when it is known."""
+        """Handles one event of the codec; returns the call or the rejecting reply once it is known."""
         if isinstance(event, h11.Request):
             self.request = event
             return None
@@ -113,16 +117,16 @@
 
 
 class ManagementServer:
-    """Listens for the operators' calls.
+    """The server for the operators' calls.
 
     Attributes:
         handler: Executes the calls.
-        connections: The open connections, the oldest first.
-        listener: The listening socket; None: it does not listen.
+        connections: The open connections, oldest first.
+        listener: The listening socket; None while the server does not listen.
     """
 
     def __init__(self, handler: CallHandler) -> None:
-        """Belongs to the running loop; `listen` opens the listener."""
+        """Initializes the server on the running event loop, without a listening socket."""
         self.handler = handler
         self.loop = asyncio.get_running_loop()
         self.listener: socket.socket | None = None
@@ -131,10 +135,10 @@
         self.timer: asyncio.TimerHandle | None = None
 
     def listen(self, host: str, port: int) -> None:
-        """Begins to accept connections.
+        """Opens the listening socket and starts to accept connections.
 
         Raises:
-            OSError: The address cannot be used.
+            OSError: The address cannot be bound.
         """
         self.listener = socket.create_server((host, port), backlog=BACKLOG)
         self.listener.setblocking(False)
@@ -142,7 +146,7 @@
         self.close_expired()
 
     def address(self) -> tuple[str, int]:
-        """Returns the host and the port where it listens."""
+        """Returns the host and port of the listening socket."""
         assert self.listener is not None
         host, port = self.listener.getsockname()[:2]
         return host, port
@@ -161,7 +165,7 @@
     # New connections.
 
     def accept(self) -> None:
-        """Accepts the connections that wait."""
+        """Accepts waiting connections, at most `MAX_CONNECTIONS` of them."""
         for _ in range(MAX_CONNECTIONS):
             try:
                 if self.listener is None:
@@ -177,7 +181,10 @@
             self.add_connection(sock)
 
     def pause_accepting(self, error: OSError) -> None:
-        """Stops accepting for a while, because no descriptor is left: the loop must not spin."""
+        """Stops accepting for `ACCEPT_RETRY_DELAY_S`, so that the loop does not spin on the same error.
+
+        The usual cause is that the process has no file descriptor left.
+        """
         log.error("management connections not accepted: retry_in_s=%s error=%s", ACCEPT_RETRY_DELAY_S, error)
         assert self.listener is not None
         self.loop.remove_reader(self.listener)
@@ -189,9 +196,9 @@
             self.loop.add_reader(self.listener, self.accept)
 
     def add_connection(self, sock: socket.socket) -> None:
-        """Takes a new connection and reads what has arrived on it."""
+        """Registers a new connection and reads the data that has already arrived."""
         if len(self.connections) >= MAX_CONNECTIONS:
-            self.close_connection(self.select_victim())
+            self.close_connection(self.connection_to_replace())
         connection = ManagementConnection(sock, self.loop.time() + REQUEST_TIMEOUT_S)
         self.connections[connection] = None
         try:
@@ -203,8 +210,8 @@
             return
         self.handle_readable(connection)
 
-    def select_victim(self) -> ManagementConnection:
-        """Returns the connection that makes room: the oldest without a reply, else the oldest."""
+    def connection_to_replace(self) -> ManagementConnection:
+        """Returns the connection to close for a new one: the oldest without a reply, else the oldest."""
         for connection in self.connections:
             if not connection.is_answered:
                 return connection
@@ -213,7 +220,7 @@
     # Requests and replies.
 
     def handle_readable(self, connection: ManagementConnection) -> None:
-        """Reads what has arrived, and answers a complete request."""
+        """Reads the received data, and answers a complete request."""
         try:
             data = connection.sock.recv(MAX_HEAD_BYTES)
         except (BlockingIOError, InterruptedError):
@@ -237,12 +244,12 @@
             return call
         try:
             return self.handler(call)
-        except Exception as error:  # the boundary of the handler: a defect in it ends one call only
+        except Exception as error:  # a defect in the handler must end only this call
             log.error("management call failed: %s", describe(error, call.operation.value))
             return ManagementReply(HTTPStatus.INTERNAL_SERVER_ERROR, "it failed; the log says why")
 
     def send_reply(self, connection: ManagementConnection, reply: ManagementReply) -> None:
-        """Sends the reply and shuts the connection down."""
+        """Sends the reply and shuts the connection down for writing."""
         connection.is_answered = True
         connection.deadline = self.loop.time() + LINGER_S
         try:
@@ -261,14 +268,14 @@
         self.close_connection(connection)
 
     def close_connection(self, connection: ManagementConnection) -> None:
-        """Closes a connection, unless it is closed."""
+        """Closes a connection, unless it is already closed."""
         if connection in self.connections:
             del self.connections[connection]
             self.loop.remove_reader(connection.sock)
             connection.sock.close()
 
     def close_expired(self) -> None:
-        """Ends the connections whose deadline has passed, periodically."""
+        """Ends the connections whose deadline has passed, and schedules the next check."""
         now = self.loop.time()
         for connection in [each for each in self.connections if each.deadline <= now]:
             if connection.is_answered:
