--- a/message_sender/service/daemon.py
+++ b/message_sender/service/daemon.py
@@ -1,7 +1,7 @@
 """The sender as the platform runs it: an engine with an HTTP server, an HTTP transport and discovery.
 
-Besides the assembly, this module has the process signals, the drain at its end, and the division of the file
-descriptors that the configuration allows.
+Besides assembling these parts, this module handles the process signals, drains the process at shutdown and
+divides the file descriptors that the configuration allows.
 """
 
 import asyncio
@@ -37,9 +37,10 @@
 from message_sender.service.operator_commands import OperatorCommands
 from message_sender.service.process_handover import ProcessHandover
 
-#: For the last responses as the process ends, EXIT_DELAY_S after SIGTERM; SIGKILL comes 3.7 s after SIGTERM.
+#: The time for the last responses when the process ends, EXIT_DELAY_S after SIGTERM. The platform sends
+#: SIGKILL 3.7 s after SIGTERM.
 FINAL_RESPONSES_S = 0.3
-#: A timer must not run before the time that it was set for.
+#: Added to a timer's delay, so that it does not run before its intended time.
 TIMER_SLACK_S = 0.001
 
 log = logging.getLogger(__name__)
@@ -47,19 +48,19 @@
 
 @dataclass(frozen=True, slots=True)
 class DaemonConfig:
-    """What the platform's configuration says.
+    """The platform's configuration of a sender.
 
     Attributes:
-        name: Of the sender, as the platform has it.
-        listen: Where clients connect.
-        discovery: Where the platform's discovery is.
+        name: The sender's name on the platform.
+        listen: The address that clients connect to.
+        discovery: The address of the platform's discovery service.
         state: The state folder.
-        seed: Of the policy's random choices.
-        disk_bytes: What the state folder may hold.
-        sockets: File descriptors that the process may open.
-        known: The endpoint list to begin with.
-        settings: Of the policy.
-        management: Where operators connect; None: nowhere.
+        seed: The seed of the policy's random choices.
+        disk_bytes: The maximum size of the state folder, in bytes.
+        sockets: The number of file descriptors that the process may open.
+        known: The endpoint list at the start.
+        settings: The policy's settings.
+        management: The address of the management API; None if there is none.
     """
 
     name: str
@@ -76,17 +77,18 @@
 
 @dataclass(frozen=True, slots=True)
 class DescriptorBudget:
-    """How the file descriptors that the configuration allows are divided; all that opens one counts here.
+    """The division of the file descriptors that the configuration allows; every descriptor is counted.
 
     Attributes:
         clients: Client connections.
-        rejected_clients: Connections above these, which only receive a rejection.
-        calls: Connections to endpoints, with those that are kept open for later calls.
+        rejected_clients: Connections in excess of `clients`, which only receive a rejection.
+        calls: Connections to endpoints, including idle ones that are kept open for later calls.
     """
 
-    # The standard streams, the loop's three, the listener, the journal and its copy, the configuration, the
-    # watch and the notices with their successors at a new address, the poll: 15; and the connections accepted
-    # in one loop iteration, which push out others that close only after it.
+    # Descriptors of the process itself: the standard streams, three of the event loop, the listener, the
+    # journal and its copy, the configuration, the watch and the notices, each with its replacement at a new
+    # address, and the poll: 15 in all. In addition, connections that are accepted in one loop iteration may
+    # replace others, which are closed only after that iteration.
     OWN_DESCRIPTORS: ClassVar[int] = 20 + ACCEPTS
 
     clients: int
@@ -95,7 +97,10 @@
 
     @classmethod
     def divide(cls, sockets: int, slots: int) -> "DescriptorBudget":
-        """Divides `sockets` descriptors: half to clients, the rest to calls, which get all `slots` anyway."""
+        """Divides `sockets` descriptors: about half for clients, the rest for calls.
+
+        Calls get at least enough for `slots` of them.
+        """
         rejected_clients = sockets // 16
         calls = max(sockets - cls.OWN_DESCRIPTORS - sockets // 2, slots + 4)
         clients = max(sockets - cls.OWN_DESCRIPTORS - rejected_clients - calls, 1)
@@ -108,7 +113,7 @@
     A subclass provides the dial addresses and plugs in a directory and a completion listener.
 
     Attributes:
-        inherited_listener: The listening socket, where another process opened it.
+        inherited_listener: The listening socket, if another process opened it; else None.
     """
 
     inherited_listener: socket.socket | None = None
@@ -117,9 +122,9 @@
         """Builds server and transport.
 
         Args:
-            engine: Owns the decisions.
-            listen: Where clients connect.
-            sockets: File descriptors that the process may open.
+            engine: Makes the decisions about messages.
+            listen: The address that clients connect to.
+            sockets: The number of file descriptors that the process may open.
         """
         self.engine = engine
         self.listen = listen
@@ -161,27 +166,27 @@
         self.engine.table.counts.ended(message_class, CompletionState.REFUSED)
 
     def work_finished(self) -> None:
-        """A draining sender may be done now."""
+        """Stops the sender if its drain is complete, after messages or calls have ended."""
         self.stop_if_drained()
 
     def dial_addresses(self) -> dict[str, Address]:
-        """The address of each endpoint by its id."""
+        """Returns the address of each endpoint by its id."""
         raise NotImplementedError
 
     def inherited_state(self) -> HandoverState | None:
-        """What a process that still runs has handed over; None: there is no such process."""
+        """Returns the state that a running predecessor has handed over; None if there is no predecessor."""
         return None
 
     def knows_destination(self, destination: int) -> bool:
-        """Whether a list ever named this destination."""
+        """Whether any endpoint list so far has named this destination."""
         return self.engine.directory.knows(destination)
 
     def plug(self, directory: Directory, completion_listener: CompletionListener) -> None:
-        """Connects the engine with its ports; comes before `start`."""
+        """Connects the engine with its ports; must be called before `start`."""
         self.engine.plug(self.transport, directory, completion_listener)
 
     async def start(self) -> None:
-        """Takes over what the journal holds, then announces to clients that the sender is ready."""
+        """Takes over the journal's messages, then listens and becomes ready for clients."""
         loop = asyncio.get_running_loop()
         loop.set_exception_handler(self._loop_exception_raised)
         loop.add_signal_handler(signal.SIGTERM, self.terminate)
@@ -199,7 +204,7 @@
             if self.drain.exit_at_s() is None or self.engine.defect:
                 self.server.close()
             else:
-                self.engine.post(Stopping(0))  # what has come is answered, and nothing new is sent
+                self.engine.post(Stopping(0))  # received requests are answered; no more calls are started
                 await self.server.finish(FINAL_RESPONSES_S)
         finally:
             self.engine.close()
@@ -208,7 +213,10 @@
         return exit_code
 
     def terminate(self) -> None:
-        """SIGTERM: drains, then stops. Messages that come meanwhile are accepted: the journal keeps them."""
+        """Drains and then stops the sender, on SIGTERM.
+
+        Messages that arrive meanwhile are still accepted, because the journal keeps them.
+        """
         loop = asyncio.get_running_loop()
         if self.drain.exit_at_s() is not None:
             return
@@ -220,12 +228,12 @@
         self.stop_if_drained()
 
     def start_drain(self) -> None:
-        """Asks clients to connect elsewhere; idle connections are closed after the drain's grace."""
+        """Asks clients to connect to another sender; idle connections are closed after the grace period."""
         self.server.start_drain()
         asyncio.get_running_loop().call_later(GRACE_S + TIMER_SLACK_S, self.end_drain_grace)
 
     def end_drain_grace(self) -> None:
-        """Closes what the drain's phase allows to close."""
+        """Closes the connections and the listener as far as the drain's phase allows."""
         now = asyncio.get_running_loop().time()
         if self.drain.phase(now) is DrainPhase.DRAINED:
             self.server.end_grace()
@@ -234,7 +242,7 @@
             self.stop_if_drained()
 
     def stop_if_drained(self) -> None:
-        """Stops a sender that is to end and has neither calls, messages nor responses left."""
+        """Stops a terminating sender that has no calls, messages or responses left."""
         engine, server = self.engine, self.server
         if (
             self.drain.exit_at_s() is None
@@ -254,10 +262,10 @@
         self.handle_loop_exception(context)
 
     def handle_loop_exception(self, context: dict[str, Any]) -> None:
-        """Handles an exception of a callback, as `loop.call_exception_handler` describes it.
+        """Handles an exception of a callback; `context` is that of `loop.call_exception_handler`.
 
-        Where it belongs to one connection, that connection is closed. Any other one, an OSError too, is a
-        defect: what the callback was about to do is not done.
+        An exception that belongs to one connection closes that connection. Any other exception, including an
+        OSError, is a defect that ends the sender, because the callback did not complete its work.
         """
         error = context.get("exception")
         if transport := transport_in(context):
@@ -284,10 +292,10 @@
 
         Args:
             config: The platform's configuration.
-            ownership: Passes ownership of the state folder on to the next process; None: nobody follows.
-            predecessor: The state of the process that handed over; None: nobody did.
-            inherited_listener: The listening socket that the platform holds.
-            management_server: The operators' server, if it listens already.
+            ownership: Passes ownership of the state folder on to the next process; None without handover.
+            predecessor: The state of the process that handed over; None if there is no predecessor.
+            inherited_listener: The listening socket, if another process opened it.
+            management_server: The management server, if it already listens.
 
         Raises:
             OSError: The state folder cannot be used.
@@ -339,7 +347,7 @@
     def _use_management_server(
         self, management_server: management.ManagementServer | None
     ) -> management.ManagementServer | None:
-        """Has the operators' server, where there is one, execute commands on this sender."""
+        """Returns the management server, if any, after connecting it to this sender's commands."""
         if management_server is None and self.config.management:
             management_server = management.ManagementServer(self.operator_commands.execute)
         if management_server:
@@ -359,7 +367,7 @@
             self.process_handover.start()
 
     def inherited_state(self) -> HandoverState | None:
-        """The engine's state from the process that handed over."""
+        """Returns the engine's state from the process that handed over; None if there is no predecessor."""
         return self.predecessor.engine_state if self.predecessor else None
 
     async def run(self) -> int:
@@ -377,7 +385,7 @@
         self.engine.endpoints_updated(self.maintenance.apply_update(update))
 
     def dial_addresses(self) -> dict[str, Address]:
-        """The address of each endpoint by its id, as discovery listed it."""
+        """Returns the address of each endpoint by its id, as discovery listed it."""
         return self.discovery.dials
 
     def reconfigure(self, config: DaemonConfig) -> None:
@@ -385,5 +393,5 @@
         if config.discovery != self.discovery.address:
             log.info("%s: discovery moved: address=%s:%d", self.config.name, *config.discovery)
             self.discovery.move(config.discovery)
-            # The watch at the old address goes on until this one has a list.
+            # The watch at the old address continues until this one has received a list.
             self.engine.watch_task = self.engine.spawn(self.discovery.watch())
--- a/message_sender/service/handover_state.py
+++ b/message_sender/service/handover_state.py
@@ -1,7 +1,7 @@
-"""The state that a process hands over to the next one, as JSON text.
+"""The state that a process hands over to its successor, as JSON text.
 
-The keys of this text are a wire between two versions of the program. Fields of the dataclasses below it
-(`InheritedState`, `CallInFlight`) appear in it by name.
+The keys of this text are a protocol between two versions of the program. The fields of `InheritedState` and
+`CallInFlight` appear in it under their own names.
 """
 
 import json
@@ -14,21 +14,22 @@
 from message_sender.policy.events import CallInFlight, InheritedState
 from message_sender.policy.model import Endpoint
 
-STATE_VERSION = 1  # of the text
+STATE_VERSION = 1  # the version of the text's format
 
 
 @dataclass(frozen=True, slots=True)
 class PredecessorState:
-    """What the process that handed over knew.
+    """The state of the process that handed over, as its successor reads it.
 
     Attributes:
-        clock_base_ns: The base of its clock, in nanoseconds.
-        engine_state: Of its engine.
+        clock_base_ns: The base of the process's clock, in nanoseconds.
+        engine_state: The state of its engine.
         endpoint_list: Its last list of endpoints.
-        list_sequence: The list's version; None: it had none from discovery's present address.
-        destinations: All that a list ever named.
-        returned: Endpoints that operators put back in service and that were not listed as ready yet.
-        drain_ordered_at: When operators ordered the drain, in seconds on the loop's clock, or None.
+        list_sequence: The list's version; None if discovery's current address had sent no list.
+        destinations: All destinations that a list has ever named.
+        returned: Endpoints that operators returned to service and that were not yet listed as ready.
+        drain_ordered_at: The time at which operators ordered the drain, in seconds of the loop's clock; None
+            if they did not.
     """
 
     clock_base_ns: int
@@ -42,7 +43,10 @@
 
 @dataclass(frozen=True, slots=True)
 class OwnerState:
-    """What an owner hands over: its own side of `PredecessorState`, with each endpoint's dial address."""
+    """The state that an owner hands over.
+
+    It corresponds to `PredecessorState`, but has each listed endpoint with its dial address in `endpoints`.
+    """
 
     clock_base_ns: int
     engine_state: HandoverState
@@ -53,7 +57,7 @@
     drain_ordered_at: float | None
 
     def encode(self) -> dict[str, Any]:
-        """The state as JSON values; `decode_state` reads their text."""
+        """Returns the state as JSON values, whose text `decode_state` reads."""
         return {
             "version": STATE_VERSION,
             "clock": self.clock_base_ns,
@@ -67,7 +71,7 @@
 
 
 def encode_engine_state(state: HandoverState) -> dict[str, Any]:
-    """The engine's state as JSON values."""
+    """Returns the engine's state as JSON values."""
     calls = {message_id: [number, asdict(call)] for message_id, (number, call) in state.calls.items()}
     completions = {
         message_id: [completion.state.value, completion.retry_after_us]
@@ -83,10 +87,10 @@
 
 
 def decode_engine_state(values: dict[str, Any]) -> HandoverState:
-    """The inverse of `encode_engine_state`.
+    """Decodes the result of `encode_engine_state`.
 
     Raises:
-        KeyError, TypeError, ValueError, AttributeError: The values are not such a state.
+        KeyError, TypeError, ValueError, AttributeError: The values are not an engine's state.
     """
     inherited = {name: tuple(tuple(row) for row in rows) for name, rows in values["inherited"].items()}
     calls = {
@@ -107,7 +111,7 @@
 
 
 def encode_endpoint(endpoint: Endpoint, dial: tuple[str, int]) -> dict[str, Any]:
-    """An endpoint in discovery's own form, which `EndpointList` reads."""
+    """Returns an endpoint in discovery's own format, which `EndpointList` reads."""
     return {
         "host": endpoint.id,
         "dial": f"{dial[0]}:{dial[1]}",
@@ -120,10 +124,10 @@
 
 
 def decode_state(text: str) -> PredecessorState:
-    """Reads the text that the process before has sent.
+    """Decodes the text that the predecessor has sent.
 
     Raises:
-        ValueError: This version does not understand it; the message is one line.
+        ValueError: This version of the program cannot read the text; the error's message is one line.
     """
     try:
         values = json.loads(text)
--- a/message_sender/service/learned_state.py
+++ b/message_sender/service/learned_state.py
@@ -1,6 +1,6 @@
-"""What a standalone sender has learned of its destinations, stored on disk for its next start.
+"""Breakers and waits that a standalone sender has learned, stored on disk for its next start.
 
-Imported only where the journal survives the machine.
+The module is imported only where the journal survives a crash of the machine.
 """
 
 import heapq
@@ -25,24 +25,24 @@
 
 
 def last_sent(known: KnownBreaker) -> float:
-    """When the route of a breaker was last called, in microseconds."""
+    """Returns the time of the last call on a breaker's route, in microseconds."""
     _number, _route, breaker = known
     return float(breaker.last_sent)
 
 
 class LearnedState(EngineHooks):
-    """Stores breakers and waits periodically, and gives them to the engine at its start.
+    """Stores breakers and waits periodically, and passes the stored ones to the engine at its start.
 
     Attributes:
-        loaded: What an earlier process stored, as far as it is still trusted.
+        loaded: The part of an earlier process's state that is still trusted.
     """
 
     def __init__(self, engine: Engine, recovery_start: RecoveryStart, state: Path) -> None:
-        """Adds itself to the engine's hooks and periodic tasks.
+        """Adds the object to the engine's hooks and periodic tasks.
 
         Args:
-            engine: Whose breakers are stored.
-            recovery_start: Has the disk, and the power loss that may have come before this start.
+            engine: The engine whose breakers are stored.
+            recovery_start: Provides the disk and the conditions of this start, such as a prior power loss.
             state: The state folder.
         """
         self.engine = engine
@@ -60,7 +60,10 @@
         engine.hooks.add(self)
 
     def list_breakers(self) -> list[KnownBreaker]:
-        """Destination, route and breaker of each route; where there are too many, those called last."""
+        """Returns destination, route and breaker of each route.
+
+        If there are more than `MAX_BREAKERS`, the result has those whose routes were called most recently.
+        """
         breakers = [
             (destination.number, route, breaker)
             for destination in self.engine.dispatcher.destinations.values()
@@ -71,10 +74,10 @@
         return heapq.nlargest(MAX_BREAKERS, breakers, key=last_sent)
 
     def load(self) -> dict[int, float]:
-        """Reads what an earlier process stored.
+        """Loads the state that an earlier process stored.
 
         Returns:
-            Seconds for which each destination must not be called, by its number.
+            The seconds for which each destination must not be called, by its number.
         """
         snapshot = self.snapshots.read()
         if snapshot is None:
@@ -86,12 +89,12 @@
         return waits
 
     def messages_restored(self) -> None:
-        """Gives the loaded breakers to the policy, before the engine's first iteration."""
+        """Passes the loaded breakers to the policy, before the engine's first iteration."""
         if self.loaded.breakers:
             self.engine.post(self.loaded)
 
     def retry_after_received(self, endpoint: str, delay_us: int) -> None:
-        """Has the next write come at once: after a power loss nothing else would know of the wait."""
+        """Makes the next write due at once, because only the disk keeps the wait through a power loss."""
         self.snapshots.next_at_us = 0
 
     def start_due_write(self) -> None:
@@ -100,7 +103,7 @@
             self.engine.spawn(self.write(write_snapshot))
 
     async def write(self, write_snapshot: Callable[[], None]) -> None:
-        """Runs a write beside the loop."""
+        """Runs a write outside the event loop."""
         try:
             await self.recovery_start.disk.run(write_snapshot)
         except OSError as error:
@@ -109,12 +112,12 @@
 
 
 def encode_breaker(breaker: object) -> dict[str, float]:
-    """The fields of a breaker that are stored."""
+    """Returns the stored fields of a breaker."""
     return export_fields(breaker, BREAKER_FIELDS)
 
 
 def remaining_waits(breakers: Breakers, now_us: int) -> dict[int, float]:
-    """Seconds for which each destination must not be called: the longest of its routes'."""
+    """Returns the seconds for which each destination must not be called: the longest wait of its routes."""
     waits: dict[int, float] = {}
     for number, _route, values in breakers:
         remaining_us = values.get("wait_until", 0) - now_us
--- a/message_sender/service/operator_commands.py
+++ b/message_sender/service/operator_commands.py
@@ -1,4 +1,4 @@
-"""The operators' commands to a sender on the platform. A change is on record before it is confirmed."""
+"""The operators' commands to a sender on the platform; a change is stored on disk before it is confirmed."""
 
 import asyncio
 import json
@@ -18,7 +18,7 @@
 if TYPE_CHECKING:
     from message_sender.service.owner import JournalOwner
 
-#: What a process that has handed over still answers.
+#: The operations that a process still executes after it has handed over.
 READ_ONLY_OPERATIONS = frozenset({Operation.READINESS, Operation.METRICS})
 
 ACCEPTS_CLIENTS = ManagementReply(200, "yes")
@@ -33,19 +33,22 @@
 
 
 class OperatorCommands:
-    """Executes operators' commands and keeps their orders on record.
+    """Executes operators' commands and stores their orders.
 
     Attributes:
-        is_draining: Operators have ordered the sender to drain, maybe through an earlier process.
+        sender: The sender that executes the commands.
+        store: The file of the orders.
+        is_draining: Whether operators have ordered the sender to drain, in this or an earlier process.
+        handlers: The method for each operation.
     """
 
     def __init__(self, sender: "JournalOwner", store: MaintenanceFile, is_draining: bool) -> None:
-        """Takes up the orders on record.
+        """Initializes with the stored orders.
 
         Args:
-            sender: Which the commands are for.
-            store: The record of the orders.
-            is_draining: As recorded.
+            sender: The sender that executes the commands.
+            store: The file of the orders.
+            is_draining: Whether the stored orders say that the sender drains.
         """
         self.sender = sender
         self.store = store
@@ -53,29 +56,29 @@
         self.handlers = {
             Operation.READINESS: self.accepts_clients,
             Operation.METRICS: self.read_metrics,
-            Operation.START_MAINTENANCE: self.take_out,
-            Operation.END_MAINTENANCE: self.put_back,
+            Operation.START_MAINTENANCE: self.start_maintenance,
+            Operation.END_MAINTENANCE: self.end_maintenance,
             Operation.DRAIN: self.start_drain,
             Operation.RESUME: self.end_drain,
         }
 
     @property
     def maintenance(self) -> Maintenance:
-        """The endpoints that are out of service."""
+        """The endpoints that operators have taken out of service."""
         return self.sender.maintenance
 
     def execute(self, call: ManagementCall) -> ManagementReply:
-        """Executes a call; a process that has handed over changes nothing any more."""
+        """Executes a call; a process that has handed over rejects all changes."""
         if self.sender.engine.is_handed_over and call.operation not in READ_ONLY_OPERATIONS:
             return HANDED_OVER
         return self.handlers[call.operation](call)
 
     def accepts_clients(self, _call: ManagementCall) -> ManagementReply:
-        """Whether clients can connect."""
+        """Returns a reply of status 200 if clients can connect, else 503."""
         return ACCEPTS_CLIENTS if self.sender.server.listener else ACCEPTS_NO_CLIENTS
 
     def read_metrics(self, _call: ManagementCall) -> ManagementReply:
-        """Counts and gauges as text."""
+        """Returns the counters and gauges as text."""
         engine = self.sender.engine
         listed = self.maintenance.listed
         counts = engine.table.counts
@@ -86,7 +89,10 @@
         return ManagementReply(200, metrics.text())
 
     def is_avoided(self, endpoint_id: str) -> bool:
-        """Whether no new call goes to a listed endpoint: not ready, its breaker open, or marked bad."""
+        """Whether a listed endpoint gets no new calls.
+
+        This holds if the policy does not track it as ready, if its breaker is open, or while it is suspect.
+        """
         engine = self.sender.engine
         endpoint = engine.dispatcher.endpoints.get(endpoint_id)
         if endpoint is None:
@@ -94,7 +100,7 @@
         is_breaker_open = endpoint.breaker is not None and endpoint.breaker.is_open()
         return is_breaker_open or endpoint.suspect_until > engine.now()
 
-    def take_out(self, call: ManagementCall) -> ManagementReply:
+    def start_maintenance(self, call: ManagementCall) -> ManagementReply:
         """Takes an endpoint out of service."""
         maintenance = self.maintenance
         if not maintenance.is_known(call.endpoint):
@@ -107,8 +113,8 @@
         self.apply_change(call.endpoint, maintenance.take_out_of_service(call.endpoint))
         return ManagementReply(200, "out")
 
-    def put_back(self, call: ManagementCall) -> ManagementReply:
-        """Puts an endpoint back in service."""
+    def end_maintenance(self, call: ManagementCall) -> ManagementReply:
+        """Returns an endpoint to service."""
         maintenance = self.maintenance
         if not maintenance.is_known(call.endpoint):
             return UNKNOWN_ENDPOINT
@@ -118,7 +124,10 @@
         return ManagementReply(200, "back")
 
     def apply_change(self, endpoint_id: str, update: EndpointsUpdated | None) -> None:
-        """Tells the engine, and closes idle connections: the endpoint was restarted, or will be."""
+        """Applies a changed order to the engine, and closes idle connections to the endpoint.
+
+        The connections are closed because maintenance usually restarts the endpoint.
+        """
         self.sender.transport.close_idle(endpoint_id)
         if update:
             self.sender.engine.endpoints_updated(update)
@@ -131,7 +140,7 @@
         )
 
     def start_drain(self, _call: ManagementCall) -> ManagementReply:
-        """Asks clients to connect elsewhere until the drain is ended."""
+        """Asks clients to connect to another sender until the drain ends."""
         if not self.save(self.maintenance.out_of_service, True):
             return NOT_RECORDED
         if not self.is_draining:
@@ -142,7 +151,7 @@
         return ManagementReply(200, "clients are sent away")
 
     def end_drain(self, _call: ManagementCall) -> ManagementReply:
-        """Accepts clients again; a process that is ending does not."""
+        """Accepts clients again, unless the process is terminating."""
         if self.sender.drain.exit_at_s() is not None:
             return ENDING
         if not self.save(self.maintenance.out_of_service, False):
@@ -155,7 +164,7 @@
         return ManagementReply(200, "back to work")
 
     def save(self, out_of_service: set[str], is_draining: bool) -> bool:
-        """Records the orders; returns whether they are on disk as they are to be."""
+        """Stores the orders; returns whether the stored orders are the given ones."""
         if (out_of_service, is_draining) == (self.maintenance.out_of_service, self.is_draining):
             return True
         try:
--- a/message_sender/service/process_handover.py
+++ b/message_sender/service/process_handover.py
@@ -1,7 +1,8 @@
-"""How a sender on the platform passes from one process to the next: the steps of either side.
+"""The handover of a platform sender from one process to its successor: the steps of both sides.
 
-The order of the steps is in handover/takeover.py, the reasons in docs/design/handover.md, and the form of the
-state that is handed over in handover_state.py. After it, the two processes exchange the packets below.
+handover/takeover.py defines the order of the steps, docs/design/handover.md explains it, and
+handover_state.py defines the format of the state. After the state, the two processes exchange the packets
+below.
 """
 
 import asyncio
@@ -23,37 +24,37 @@
 if TYPE_CHECKING:
     from message_sender.service.owner import JournalOwner
 
-#: A process that has handed over ends after this time also where no SIGTERM comes.
+#: A process that has handed over terminates itself after this time if it receives no SIGTERM.
 RELEASED_PROCESS_END_S = 8.0
-#: Descriptors that a process which has handed over may still hold besides its calls.
+#: Descriptors that a process may still hold besides its calls after it has handed over.
 SPARE_DESCRIPTORS = 16
 
-# What a packet between the two processes is about (its key `do`).
-CLIENT_PACKET = "client"  # a client's connection
-RESULT_PACKET = "fate"  # the result of an attempt that was in flight
-CANCEL_PACKET = "call off"  # an attempt in flight is to be cancelled
+# The kinds of packets between the two processes, as the values of the packets' key `do`.
+CLIENT_PACKET = "client"  # passes a client's connection
+RESULT_PACKET = "fate"  # reports the result of an attempt that was in flight
+CANCEL_PACKET = "call off"  # requests the cancellation of an attempt in flight
 
 log = logging.getLogger(__name__)
 
 
 class ProcessHandover:
-    """The handover of one sender, first as the successor of a process, then as the owner."""
+    """Handles the handover of one sender, first as the successor of a process, then as the owner."""
 
     def __init__(self, sender: "JournalOwner", ownership: OwnershipHandover) -> None:
-        """Begins without any link to another process.
+        """Initializes without a link to another process.
 
         Args:
-            sender: What is handed over.
-            ownership: Of the state folder.
+            sender: The sender that is handed over.
+            ownership: Passes ownership of the state folder between processes.
         """
         self.sender = sender
         self.ownership = ownership
-        self.reserved_descriptors = 0  # left to the process before
+        self.reserved_descriptors = 0  # descriptors that the predecessor may still use
 
-    # As the successor.
+    # Successor side.
 
     def start(self) -> None:
-        """Receives what the process before sends, if there is one, and listens for a successor."""
+        """Listens for a successor, and receives packets from the predecessor, if there is one."""
         self.ownership.serve(self)
         predecessor = self.ownership.predecessor
         if predecessor is None:
@@ -66,7 +67,7 @@
         predecessor.attach(self.handle_packet, self.handle_predecessor_end)
 
     def handle_packet(self, packet: Packet, descriptors: list[int]) -> None:
-        """Handles what the process before sends; a malformed packet is logged and dropped."""
+        """Handles a packet from the predecessor; a malformed packet is logged and dropped."""
         try:
             if packet["do"] == CLIENT_PACKET and len(descriptors) == 1:
                 descriptor, descriptors = descriptors[0], []
@@ -88,13 +89,13 @@
         self.sender.engine.inherit_result(packet["message"], int(packet["attempt"]), result)
 
     def cancel_call(self, message_id: str, number: int) -> None:
-        """Asks the process before to cancel a call."""
+        """Asks the predecessor to cancel a call."""
         if self.ownership.predecessor:
             packet = {"do": CANCEL_PACKET, "message": message_id, "attempt": number}
             self.ownership.predecessor.link.send(packet)
 
     def handle_predecessor_end(self) -> None:
-        """The process before has ended: calls without a result ended with its connections."""
+        """Handles the predecessor's end: its calls without a result count as reset connections."""
         self.sender.transport.connection_limit += self.reserved_descriptors
         self.reserved_descriptors = 0
         self.ownership.predecessor = None
@@ -105,10 +106,10 @@
         for message_id, number in unfinished:
             engine.inherit_result(message_id, number, AttemptResult(Outcome.RESET))
 
-    # As the owner.
+    # Owner side.
 
     def export_state(self) -> str:
-        """Freezes the sender and returns its state as text."""
+        """Freezes the sender, cancels its unsent calls and returns its state as JSON text."""
         sender = self.sender
         sender.server.freeze()
         sender.engine.freeze()
@@ -116,7 +117,7 @@
         return json.dumps(self.encode_state())
 
     def encode_state(self) -> dict[str, Any]:
-        """The sender's state as JSON values."""
+        """Returns the sender's state as JSON values."""
         sender = self.sender
         discovery, maintenance = sender.discovery, sender.maintenance
         endpoints = [
@@ -136,13 +137,13 @@
         return state.encode()
 
     def resume(self) -> None:
-        """The successor is lost before it owned anything: this process goes on."""
+        """Resumes this process, because the successor ended before it owned the state folder."""
         self.sender.transport.is_closing = False
         self.sender.engine.thaw()
         self.sender.server.thaw()
 
     def release(self) -> None:
-        """The successor owns everything: it gets the clients, and the results of calls as they come."""
+        """Starts to pass clients and results of calls to the successor, which now owns the state folder."""
         sender = self.sender
         sender.engine.release(self.send_result)
         sender.server.release(self.send_client)
@@ -153,9 +154,9 @@
         """Sends a client's connection to the successor.
 
         Args:
-            connection: Of the client.
-            unread: What came of a request that was not accepted yet.
-            on_sent: Called once the descriptor is with the successor.
+            connection: The client's connection.
+            unread: The received part of a request that is not accepted yet.
+            on_sent: Called once the descriptor has been sent to the successor.
         """
         assert self.ownership.successor_link is not None
         packet = {
@@ -181,7 +182,7 @@
         self.ownership.successor_link.send(packet)
 
     def message_received(self, packet: Packet) -> None:
-        """Cancels a call for the successor."""
+        """Handles a packet from the successor: cancels the call that it names."""
         if packet.get("do") != CANCEL_PACKET:
             return
         attempt = (packet.get("message", ""), packet.get("attempt", -1))
@@ -189,10 +190,13 @@
             task.cancel()
 
     def successor_lost(self) -> None:
-        """The successor has ended: calls in flight end with this process, as the next one can't know them."""
+        """Stops this process after the successor has ended.
+
+        Calls in flight end with this process, because no later process can know of them.
+        """
         log.warning("successor ended: unfinished_calls=%d", len(self.sender.engine.attempts.calls))
         self.sender.stop(0)
 
     def superseded(self) -> None:
-        """Another process owns the state folder without a handover: this one ends."""
+        """Ends this process, because another one owns the state folder without a handover."""
         self.sender.engine.fail("another process has taken over", None)
--- a/message_sender/service/standalone.py
+++ b/message_sender/service/standalone.py
@@ -1,4 +1,4 @@
-"""The sender without the platform: endpoints from its configuration, completions to a file or a pipe."""
+"""The sender without the platform: its endpoints are configured, its completions go to a file or a pipe."""
 
 import asyncio
 import json
@@ -43,34 +43,34 @@
 
 
 def ignore_completion(message_id: str, completion: Completion) -> None:
-    """For a writer whose user does not want to be called."""
+    """Does nothing; the default callback of `CompletionWriter`."""
 
 
 def ignore_update(update: EndpointsUpdated) -> None:
-    """For a directory whose engine does not exist yet."""
+    """Does nothing; the callback of a directory whose engine does not exist yet."""
 
 
 class CompletionWriter:
-    """Writes each completion as one JSON object a line.
+    """Writes each completion as a line with one JSON object.
 
-    Its keys are `id`, `state` (delivered, refused, failed, withdrawn), `at` (Unix seconds) and, for a refusal
-    with a Retry-After, `retry_after_ms`.
+    The object's keys are `id`, `state` (delivered, refused, failed, withdrawn), `at` (Unix seconds) and, for
+    a refusal with a Retry-After, `retry_after_ms`.
     """
 
     def __init__(
-        self, out: TextIO, on_notified: Callable[[str, Completion], None] = ignore_completion
+        self, stream: TextIO, on_notified: Callable[[str, Completion], None] = ignore_completion
     ) -> None:
-        """Takes the file.
+        """Initializes a writer to a text stream.
 
         Args:
-            out: Where the lines go.
+            stream: The stream that receives the lines.
             on_notified: Called with message id and completion after each line.
         """
-        self.out = out
+        self.stream = stream
         self.on_notified = on_notified
 
     def notify(self, message_id: str, completion: Completion) -> bool:
-        """Writes a line; False, as nothing more will acknowledge it."""
+        """Writes a line; returns False, because no acknowledgement will follow."""
         line: dict[str, object] = {
             "id": message_id,
             "state": completion.state.value,
@@ -78,12 +78,12 @@
         }
         if completion.retry_after_us:
             line["retry_after_ms"] = -(-completion.retry_after_us // 1000)
-        print(json.dumps(line), file=self.out, flush=True)
+        print(json.dumps(line), file=self.stream, flush=True)
         self.on_notified(message_id, completion)
         return False
 
     async def run(self) -> None:
-        """Has nothing to do in the background."""
+        """Waits until it is cancelled; the writer has no background work."""
         await asyncio.get_running_loop().create_future()
 
 
@@ -91,12 +91,15 @@
     """An HTTP sender over a static directory, with a control socket.
 
     Attributes:
-        directory: Of the endpoints that are configured.
-        overrides: The operators' overrides over it, which the engine has as its directory.
-        recovery_start: None: the journal does not survive the machine.
-        learned_state: None as for `recovery_start`.
-        control_plane: None: the configuration names none.
-        membership: None: there is no fleet, or its link could not be made.
+        lock: The lock on the state folder.
+        directory: The configured endpoints.
+        overrides: The directory with the operators' overrides applied, which the engine uses.
+        recovery_start: The recovery of this start; None if the journal does not survive a crash of the
+            machine.
+        control_plane: The sender's side of the control plane; None if the configuration has none.
+        control_socket: The socket for the operators' commands.
+        learned_state: The stored breakers and waits; None where `recovery_start` is None.
+        membership: The membership in the fleet; None if there is no fleet or its link cannot be opened.
     """
 
     def __init__(
@@ -110,11 +113,11 @@
         """Opens the state folder and builds the sender.
 
         Args:
-            config: Of the sender.
+            config: The sender's configuration.
             state: The state folder.
-            completion_listener: Is notified of completions.
-            traffic_observer: Sees what goes over the connections.
-            machine: None: the one that the process runs on.
+            completion_listener: Receives the completions.
+            traffic_observer: Observes the traffic on all connections; None for no observer.
+            machine: The clock and disk to use; None for those of the real machine.
 
         Raises:
             LockTakenError: Another sender uses the state folder.
@@ -189,15 +192,15 @@
         return membership
 
     def commands(self) -> dict[str, Command]:
-        """The commands of the control socket by name."""
+        """Returns the commands of the control socket by name."""
         return StandaloneCommands(self).by_name()
 
     def dial_addresses(self) -> dict[str, Dial]:
-        """The address of each endpoint by its id."""
+        """Returns the address of each endpoint by its id."""
         return self.directory.dials()
 
     def set_ready(self, is_ready: bool) -> None:
-        """Accepts new messages, or rejects them; a server that does not listen, or stops, accepts none."""
+        """Sets whether new messages are accepted; a server that is stopping or not listening accepts none."""
         self.server.is_ready = is_ready and self.server.listener is not None and not self.server.is_stopping
 
     async def start(self) -> None:
@@ -217,7 +220,7 @@
             await self.control_plane.start(self.directory, self.membership, self.engine.task_ended)
         try:
             await self.control_socket.start()
-        except OSError as error:  # such as a path that is too long for a socket
+        except OSError as error:  # for example, the path is too long for a socket
             log.error("control socket not opened: reason=%s", error)
 
     async def run(self) -> int:
@@ -235,9 +238,9 @@
 
 
 def reload_configuration(sender: StandaloneSender, path: Path) -> None:
-    """SIGHUP: reads the endpoints, the link's keys and the amounts of shared budgets anew.
+    """Rereads the endpoints, the link's keys and the limits of shared budgets, on SIGHUP.
 
-    Each of them is replaced as a whole or not at all; any other change needs a restart.
+    Each of the three is replaced completely or not at all; any other change needs a restart.
     """
     if sender.membership:
         sender.membership.link.reread_keys()
@@ -254,7 +257,7 @@
 
 
 def write_destination_inventory(sender: StandaloneSender) -> None:
-    """SIGUSR1: writes what is tracked for each destination to a file in the state folder."""
+    """Writes the tracked state of each destination to a file in the state folder, on SIGUSR1."""
     engine = sender.engine
     try:
         path = inventory.write(engine.dispatcher, engine.now(), engine.config.state)
@@ -267,21 +270,21 @@
     path: Path,
     config: SenderConfig,
     state: Path,
-    out: TextIO,
+    completions: TextIO,
     traffic_observer: TrafficObserver | None = None,
     machine: HostMachine | None = None,
 ) -> int:
     """Runs a standalone sender; returns the exit code.
 
     Args:
-        path: Of the configuration, which SIGHUP reads anew.
-        config: What stands there now.
+        path: The configuration file, which is reread on SIGHUP.
+        config: The current configuration in that file.
         state: The state folder.
-        out: Where completions are written.
-        traffic_observer: Sees what goes over the connections.
-        machine: None: the one that the process runs on.
+        completions: The stream that receives the completions.
+        traffic_observer: Observes the traffic on all connections; None for no observer.
+        machine: The clock and disk to use; None for those of the real machine.
     """
-    sender = StandaloneSender(config, state, CompletionWriter(out), traffic_observer, machine)
+    sender = StandaloneSender(config, state, CompletionWriter(completions), traffic_observer, machine)
     loop = asyncio.get_running_loop()
     loop.add_signal_handler(signal.SIGHUP, reload_configuration, sender, path)
     loop.add_signal_handler(signal.SIGUSR1, write_destination_inventory, sender)
--- a/message_sender/service/standalone_commands.py
+++ b/message_sender/service/standalone_commands.py
@@ -1,4 +1,7 @@
-"""The commands of a standalone sender's control socket; the keys of requests and responses are its wire."""
+"""The commands of a standalone sender's control socket.
+
+The keys of requests and responses are part of the socket's protocol.
+"""
 
 from collections.abc import Mapping
 from typing import TYPE_CHECKING, Any, Protocol
@@ -20,7 +23,7 @@
 
 
 class CommandTarget(Protocol):
-    """What the commands need of a sender."""
+    """The parts of a sender that the commands use."""
 
     engine: Engine
     directory: StaticDirectory
@@ -33,11 +36,11 @@
     """Executes the commands on one sender."""
 
     def __init__(self, sender: CommandTarget) -> None:
-        """The sender may still be incomplete: its parts are read as commands come."""
+        """Stores the sender, which may still be incomplete: its parts are read when a command is executed."""
         self.sender = sender
 
     def by_name(self) -> dict[str, Command]:
-        """Each command by the name that a request has in `do`."""
+        """Returns each command by its name, which is the value of a request's key `do`."""
         return {
             "set": self.set_override,
             "list": self.list_overrides,
@@ -71,7 +74,7 @@
         return {"override": override.as_json(), "in_vain": overrides.ineffective.get(override.name, "")}
 
     def list_overrides(self, _request: Request) -> dict[str, Any]:
-        """All overrides, those without effect, and destinations that have no endpoint in service."""
+        """Returns all overrides, those without effect, and destinations without an endpoint in service."""
         overrides = self.sender.overrides
         listed = [override.as_json() for override in overrides.book.overrides.values()]
         return {
@@ -81,12 +84,12 @@
         }
 
     def end_override(self, request: Request) -> dict[str, Any]:
-        """Ends an override before its time."""
+        """Ends an override before its expiry."""
         override = self.sender.overrides.end(request["name"], request["who"], request.get("why", ""))
         return override.as_json()
 
     def extend_override(self, request: Request) -> dict[str, Any]:
-        """Gives an override a later end."""
+        """Extends an override to a later expiry."""
         override = self.sender.overrides.extend(
             request["name"], request["until"], request["who"], request.get("why", "")
         )
@@ -95,7 +98,7 @@
     # Endpoints and their lists.
 
     def list_endpoints(self, _request: Request) -> dict[str, Any]:
-        """All endpoints, and the files that list them."""
+        """Returns all endpoints, and the files that list them."""
         return {"endpoints": self._endpoints(), "lists": self._lists()}
 
     def _lists(self) -> list[dict[str, object]]:
@@ -120,34 +123,38 @@
         return sorted(rows, key=lambda row: (row["destination"], row["id"]))
 
     def _override_of(self, listed: Endpoint) -> Override | None:
-        """The override that binds an endpoint: out of service, then a weight, then a pin."""
+        """Returns the override that applies to an endpoint: out of service, else a weight, else a pin."""
         active = self.sender.overrides.layer.active
         return (
             active.out.get(listed.id) or active.weights.get(listed.id) or active.pins.get(listed.destination)
         )
 
     def confirm_lists(self, _request: Request) -> bool:
-        """Accepts lists of which too much has vanished; whether there was one."""
+        """Accepts endpoint lists that were held back because too many endpoints vanished.
+
+        Returns:
+            Whether there was such a list.
+        """
         directory = self.sender.directory
         return isinstance(directory, FileDirectory) and directory.confirm()
 
-    # State of the sender's parts.
+    # States of the sender's parts.
 
     def describe_fleet(self, _request: Request) -> dict[str, Any]:
-        """The recovery stage and the members; empty without a fleet."""
+        """Returns the recovery stage and the members; empty without a fleet."""
         membership = self.sender.membership
         return membership.status() if membership else {}
 
     def describe_budgets(self, _request: Request) -> dict[str, object]:
-        """The shared budgets; empty without a fleet."""
+        """Returns the states of the shared budgets; empty without a fleet."""
         return self.sender.membership.describe_budgets() if self.sender.membership else {}
 
     def describe_control_plane(self, _request: Request) -> dict[str, Any]:
-        """What is in force of the control plane; empty without one."""
+        """Returns the state of the link to the control plane; empty without a control plane."""
         return self.sender.control_plane.status() if self.sender.control_plane else {}
 
     def explain_destination(self, request: Request) -> Any:  # noqa: ANN401
-        """Which endpoint the next message to a destination would go to, and why not to the others."""
+        """Returns the endpoint to which the next message to a destination would go, and why not to others."""
         engine = self.sender.engine
         return explain.explain(
             engine.dispatcher, request["destination"], request.get("key", ""), engine.now()
--- a/message_sender/service/standalone_parts.py
+++ b/message_sender/service/standalone_parts.py
@@ -1,7 +1,7 @@
-"""What a standalone sender is built from, as its configuration demands.
+"""Builds the parts of a standalone sender that depend on its configuration.
 
-Recovery and the control plane need the extra `fleet` of the package: they are imported only where the
-configuration has them.
+Recovery and the control plane need the package's extra `fleet`, so that their modules are imported only where
+the configuration uses them.
 """
 
 from collections.abc import Callable
@@ -26,12 +26,12 @@
 
 @dataclass
 class HostMachine:
-    """What a sender runs on; a test provides another one.
+    """The machine that a sender runs on; tests replace it.
 
     Attributes:
         clock: The wall clock.
-        disk: None: the system's files.
-        boot: Names the machine's run; None: as the system says.
+        disk: The disk for the sender's files; None for the system's file system.
+        boot: The id of the machine's current boot; None for the system's boot id.
     """
 
     clock: Clock = field(default_factory=Clock)
@@ -40,7 +40,7 @@
 
 
 def build_directory(config: SenderConfig, state: Path, now: Callable[[], int]) -> StaticDirectory:
-    """The directory of the configuration's own endpoints, and of those in the files that it names."""
+    """Returns a directory of the configuration's endpoints and those in the list files that it names."""
     lists = config.lists
     if lists is None or not lists.files:
         return StaticDirectory(config.endpoints)
@@ -56,7 +56,7 @@
 
 
 def has_durable_journal(state: Path) -> bool:
-    """Whether the journal there has the form that survives the machine."""
+    """Whether the journal in the state folder has the format that survives a crash of the machine."""
     try:
         with (state / JOURNAL_FILE).open("rb") as file:
             return file.read(1) == DURABLE_JOURNAL_FIRST_BYTE
@@ -65,7 +65,7 @@
 
 
 def open_recovery(config: SenderConfig, machine: HostMachine) -> "RecoveryStart":
-    """The start of a sender whose journal survives the machine.
+    """Returns the recovery of a sender whose journal survives a crash of the machine.
 
     Raises:
         OSError: The extra `fleet` is not installed.
@@ -80,7 +80,7 @@
 
 
 def open_control_plane(config: SenderConfig, state: Path, disk: Disk | None) -> "SenderControl | None":
-    """The sender's end of the control plane; None where the configuration has none.
+    """Returns the sender's side of the control plane; None if the configuration has no control plane.
 
     Raises:
         OSError: The extra `fleet` is not installed.
