--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""The general configuration: every fault at once, each with its path."""
+"""The general configuration: all faults are reported together, each with its path."""
 
 import copy
 from pathlib import Path
@@ -10,7 +10,7 @@
 from message_sender.configuration.general import ConfigError, load, read
 from message_sender.policy.model import Effect, EndpointState
 
-GOOD: dict[str, Any] = {
+VALID: dict[str, Any] = {
     "name": "n",
     "listen": "127.0.0.1:8080",
     "state": "state",
@@ -34,8 +34,8 @@
 }
 
 
-def test_a_good_one_is_read_as_it_is_meant(tmp_path: Path) -> None:
-    config = read(GOOD, tmp_path)
+def test_a_valid_configuration_is_read_completely(tmp_path: Path) -> None:
+    config = read(VALID, tmp_path)
     (command,) = config.settings.classes
     assert (command.effect, command.latency_objective, command.idempotency_window) == (
         Effect.KEYED,
@@ -97,30 +97,31 @@
 ]
 
 
-def changed(*changes: tuple[list[Any], Any]) -> dict[str, Any]:
-    values = copy.deepcopy(GOOD)
+def with_changes(*changes: tuple[list[Any], Any]) -> dict[str, Any]:
+    """Returns a copy of `VALID` with the values at the paths replaced; None deletes a value."""
+    values = copy.deepcopy(VALID)
     for path, value in changes:
-        at: Any = values
-        for each in path[:-1]:
-            at = at[each]
+        table: Any = values
+        for key in path[:-1]:
+            table = table[key]
         if value is None:
-            del at[path[-1]]
+            del table[path[-1]]
         else:
-            at[path[-1]] = value
+            table[path[-1]] = value
     return values
 
 
 @pytest.mark.parametrize(("path", "value", "text"), FAULTS, ids=lambda each: str(each)[:40])
-def test_a_fault_is_named_with_its_path(path: list[Any], value: Any, text: str) -> None:  # noqa: ANN401
+def test_a_fault_is_reported_with_its_path(path: list[Any], value: Any, text: str) -> None:  # noqa: ANN401
     with pytest.raises(ConfigError) as error:
-        read(changed((path, value)))
+        read(with_changes((path, value)))
     assert any(text in str(each) for each in error.value.faults), error.value.faults
 
 
-def test_all_faults_are_named_at_once() -> None:
+def test_all_faults_are_reported_together() -> None:
     changes = [(["listen"], "x"), (["classes", "command", "aim_ms"], 0), (["endpoints", 0, "dial"], 7)]
     with pytest.raises(ConfigError) as error:
-        read(changed(*changes, (["limits", "slots"], -1), (["extra"], 1)))
+        read(with_changes(*changes, (["limits", "slots"], -1), (["extra"], 1)))
     assert {each.path for each in error.value.faults} == {
         "listen",
         "classes.command.aim_ms",
@@ -140,19 +141,19 @@
 }
 
 
-def test_the_control_plane_is_read_as_it_is_meant(tmp_path: Path) -> None:
-    control = read({**GOOD, "control": CONTROL}, tmp_path).control
+def test_the_control_plane_settings_are_read_completely(tmp_path: Path) -> None:
+    control = read({**VALID, "control": CONTROL}, tmp_path).control
     assert control and [each.address for each in control.nodes] == [("127.0.0.1", 7801), ("::1", 7802)]
     assert [each.region for each in control.nodes] == ["north", ""]
     assert control.key_file == tmp_path / "control.key" and control.listen == ("0.0.0.0", 0)
-    assert read(GOOD).control is None
+    assert read(VALID).control is None
 
 
-def test_all_faults_of_the_control_plane_are_named_at_once() -> None:
+def test_all_faults_of_the_control_plane_are_reported_together() -> None:
     node = {"name": "c1", "address": "127.0.0.1:7801"}
     nodes = [node, node, {"name": "c 3", "address": "here"}, {"name": "c4", "address": "h:0", "zone": "x"}]
     with pytest.raises(ConfigError) as error:
-        read({**GOOD, "control": {"nodes": nodes, "listen": 7, "keys": "x"}})
+        read({**VALID, "control": {"nodes": nodes, "listen": 7, "keys": "x"}})
     assert sorted(map(str, error.value.faults)) == [
         "control.key_file: is missing",
         "control.keys: is not known here",
@@ -163,7 +164,7 @@
     ]
     nodes = [node, node, {"name": "c4", "address": "h:0"}]
     with pytest.raises(ConfigError) as error:
-        read({**GOOD, "name": "n" * 65, "control": {"nodes": nodes, "key_file": "x"}})
+        read({**VALID, "name": "n" * 65, "control": {"nodes": nodes, "key_file": "x"}})
     assert sorted(map(str, error.value.faults)) == [
         "control.nodes[1].address: two nodes at one address",
         "control.nodes[1].name: 'c1' is listed twice",
@@ -183,11 +184,11 @@
         ({"control": CONTROL | {"nodes": []}}, "control.nodes: must name at least one control node"),
     ):
         with pytest.raises(ConfigError) as error:
-            read({**GOOD, **changes})
+            read({**VALID, **changes})
         assert [str(each) for each in error.value.faults] == [text]
 
 
-def test_check_names_them_and_ends_with_1(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_check_prints_all_faults_and_exits_with_1(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     file = tmp_path / "c.toml"
     file.write_text('listen = "x"\nslots = 3\n')
     assert main(["check", str(file)]) == 1
@@ -203,25 +204,25 @@
 
 
 @pytest.mark.parametrize("name", ["serve.toml", "grpc.toml", "fleet.toml", "controlled.toml"])
-def test_the_examples_under_deploy_are_good(name: str) -> None:
+def test_the_example_configurations_in_deploy_are_valid(name: str) -> None:
     assert load(Path(__file__).parent.parent / "deploy" / name).endpoints
 
 
-def test_a_demo_of_a_tenth_of_its_length_breaks_no_rule(capsys: pytest.CaptureFixture[str]) -> None:
+def test_a_demo_shortened_to_a_tenth_breaks_no_rule(capsys: pytest.CaptureFixture[str]) -> None:
     assert main(["demo", "--pace", "0.1", "--plain"]) == 0
     out = capsys.readouterr().out
     assert "the referee: no rule broken" in out and "cold return" in out
     assert main(["demo", "--pace", "9"]) == 2
 
 
-def test_a_demo_with_a_broken_rule_ends_with_1(
+def test_a_demo_with_a_broken_rule_exits_with_1(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     from message_sender.testbed import demo
     from message_sender.testbed.history_checker import Violation
 
-    async def broken(self: object, show: object) -> list[Violation]:
+    async def run_with_violation(self: object, show: object) -> list[Violation]:
         return [Violation("order", 1.0, "forged")]
 
-    monkeypatch.setattr(demo.Demo, "run", broken)
+    monkeypatch.setattr(demo.Demo, "run", run_with_violation)
     assert main(["demo", "--plain"]) == 1 and "broken: order: forged" in capsys.readouterr().out
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -1,5 +1,8 @@
-"""Settings of any customer: drawn over all that the protocol allows, they start, and the rules hold on any
-stream of events, in the module alone. Times are us."""
+"""Any settings that the protocol allows start, and the policy's rules hold for any stream of events.
+
+The tests draw a platform's settings objects and drive the policy module alone, without I/O. Times are in
+microseconds.
+"""
 
 import random
 import tomllib
@@ -33,7 +36,7 @@
 def classes(draw: st.DrawFn, name: str) -> dict[str, Any]:
     aim = draw(st.integers(50 * MS, 10 * SECOND))
     effect = draw(st.sampled_from(["repeatable", "by_key", "once"]))
-    told = {
+    values = {
         "name": name,
         "aim": aim,
         "deadline": draw(st.integers(aim, 60 * SECOND)),
@@ -43,14 +46,14 @@
         "serial_by_key": draw(st.booleans()),
     }
     if effect == "by_key":
-        told["dedup_window"] = draw(st.integers(1, 20 * SECOND))
-        told["key_scope"] = draw(st.sampled_from(["all", "zone"]))
-    return told
+        values["dedup_window"] = draw(st.integers(1, 20 * SECOND))
+        values["key_scope"] = draw(st.sampled_from(["all", "zone"]))
+    return values
 
 
 @st.composite
-def customers(draw: st.DrawFn) -> dict[str, Any]:
-    """A settings object, as an instance is told it."""
+def settings_objects(draw: st.DrawFn) -> dict[str, Any]:
+    """A settings object, as the platform passes it to an instance."""
     names = draw(st.lists(NAMES, min_size=1, max_size=5, unique=True))
     zones = draw(st.lists(NAMES, min_size=1, max_size=4, unique=True))
     models = draw(st.lists(NAMES, min_size=1, max_size=3, unique=True))
@@ -97,113 +100,121 @@
     }
 
 
-class Watch:
-    """The rules as a plain model sees them, of the module's actions alone."""
+class RuleChecker:
+    """Checks the rules with a simple model that sees only the module's actions."""
 
-    def __init__(self, told: Settings) -> None:
-        self.told, self.classes = told, {each.name: each for each in told.classes}
-        self.taken: dict[str, MessageAccepted] = {}
-        self.until: dict[str, int] = {}
-        self.risky: dict[str, int] = {}  # sending of the first attempt that may have run
-        self.out: dict[str, tuple[int, str, int]] = {}  # attempt, endpoint, when it went
+    def __init__(self, config: Settings) -> None:
+        self.config, self.classes = config, {each.name: each for each in config.classes}
+        self.accepted: dict[str, MessageAccepted] = {}
+        self.deadlines: dict[str, int] = {}
+        # The send time of the first attempt that may have had an effect, by message.
+        self.possibly_executed: dict[str, int] = {}
+        # The number, endpoint and send time of the attempt in flight, by message.
+        self.in_flight: dict[str, tuple[int, str, int]] = {}
         self.ended: set[str] = set()
         self.drained: set[str] = set()
-        self.lines: dict[str, list[str]] = defaultdict(list)
+        self.queues: dict[str, list[str]] = defaultdict(list)
 
-    def hears(self, now: int, action: PolicyAction) -> None:
+    def check_action(self, now: int, action: PolicyAction) -> None:
         match action:
             case Send(name, endpoint, _, number):
-                self.sends(now, name, endpoint, number)
+                self.check_send(now, name, endpoint, number)
             case Reject(name) | Fail(name):
-                assert name not in self.ended, "two ends"
-                kind = self.classes[self.taken[name].message_class]
-                if isinstance(action, Reject) and name in self.risky:
-                    assert kind.effect is not Effect.UNSAFE, "a refusal of what may have run"
-                self.over(name)
-
-    def sends(self, now: int, name: str, endpoint: str, number: int) -> None:
-        kind = self.classes[self.taken[name].message_class]
-        assert name not in self.out, "two attempts at once"
-        assert name not in self.ended and now < self.until[name], "sent after its end"
-        assert number < self.told.max_attempts, "more attempts than are allowed"
-        assert endpoint not in self.drained, "sent where a drain was told"
-        if name in self.risky:
-            assert kind.effect is not Effect.UNSAFE, "an effect twice"
-            assert kind.effect is Effect.IDEMPOTENT or now < self.risky[name] + kind.idempotency_window, (
-                "past its window"
-            )
-        if kind.is_ordered and (key := self.taken[name].key):
-            assert self.lines[key][0] == name, "out of order"
-        self.out[name] = number, endpoint, now
-
-    def over(self, name: str) -> None:
+                assert name not in self.ended, "message ended twice"
+                kind = self.classes[self.accepted[name].message_class]
+                if isinstance(action, Reject) and name in self.possibly_executed:
+                    assert kind.effect is not Effect.UNSAFE, (
+                        "rejected although an attempt may have had an effect"
+                    )
+                self.end_message(name)
+
+    def check_send(self, now: int, name: str, endpoint: str, number: int) -> None:
+        kind = self.classes[self.accepted[name].message_class]
+        assert name not in self.in_flight, "two attempts in flight"
+        assert name not in self.ended and now < self.deadlines[name], "sent after its end or deadline"
+        assert number < self.config.max_attempts, "more attempts than are allowed"
+        assert endpoint not in self.drained, "sent to a draining endpoint"
+        if name in self.possibly_executed:
+            assert kind.effect is not Effect.UNSAFE, "a second attempt could repeat the effect"
+            assert (
+                kind.effect is Effect.IDEMPOTENT
+                or now < self.possibly_executed[name] + kind.idempotency_window
+            ), "retried after its idempotency window"
+        if kind.is_ordered and (key := self.accepted[name].key):
+            assert self.queues[key][0] == name, "out of order"
+        self.in_flight[name] = number, endpoint, now
+
+    def end_message(self, name: str) -> None:
         self.ended.add(name)
-        self.out.pop(name, None)
-        line = self.lines[self.taken[name].key]
-        if name in line:
-            line.remove(name)
+        self.in_flight.pop(name, None)
+        queue = self.queues[self.accepted[name].key]
+        if name in queue:
+            queue.remove(name)
 
     def next_end(self, now: int) -> int:
-        """When the next message has to end; now where none is left."""
-        left = [self.until[name] - self.told.tick for name in self.taken if name not in self.ended]
+        """Returns the time by which the next message must end; `now` if no message is left."""
+        left = [self.deadlines[name] - self.config.tick for name in self.accepted if name not in self.ended]
         return max(min(left, default=now), now)
 
-    def late(self, now: int) -> list[str]:
-        waiting = set(self.taken) - self.ended - set(self.out)
-        return [name for name in waiting if now > self.until[name]]
+    def overdue(self, now: int) -> list[str]:
+        """Returns the messages without an attempt in flight that are past their deadline."""
+        waiting = set(self.accepted) - self.ended - set(self.in_flight)
+        return [name for name in waiting if now > self.deadlines[name]]
 
 
-def play(told: Settings, zones: list[str], models: list[str], seed: int) -> None:
-    rng, module, watch, now = random.Random(seed), Dispatcher(told, seed), Watch(told), 0
-    ends = [*(each for each in Outcome), *[Outcome.OK] * 8]
+def run_events(config: Settings, zones: list[str], models: list[str], seed: int) -> None:
+    rng, module, checker, now = random.Random(seed), Dispatcher(config, seed), RuleChecker(config), 0
+    outcomes = [*(each for each in Outcome), *[Outcome.OK] * 8]
     ready, draining = EndpointState.READY, EndpointState.DRAINING
-    places = [
+    endpoints = [
         Endpoint(f"e{n}", n % 4, ready, models[n % len(models)], zones[n % len(zones)], 5.0) for n in range(8)
     ]
-    events: list[PolicyEvent] = [EndpointsUpdated(ListingKind.CACHED, tuple(places))]
+    events: list[PolicyEvent] = [EndpointsUpdated(ListingKind.CACHED, tuple(endpoints))]
     for number in range(120):
         for action in module.handle(now, events):
-            watch.hears(now, action)
-        assert not watch.late(now), "no end in time"
+            checker.check_action(now, action)
+        assert not checker.overdue(now), "message not ended by its deadline"
         events, now = [], now + rng.choice((MS, 20 * MS, 300 * MS, 2 * SECOND))
-        kind = rng.choice(told.classes)
+        kind = rng.choice(config.classes)
         if number < 90:
             key = rng.choice(("", "k1", "k2")) if kind.is_ordered else ""
-            left = rng.randint(told.tick * 3, max(kind.deadline, told.tick * 3))
-            taken = MessageAccepted(f"m{number}", kind.name, number % 4, left, "t", key)
-            watch.taken[taken.message], watch.until[taken.message] = taken, now + left
-            watch.lines[key].append(taken.message) if key else None
-            events.append(taken)
-        for name, (attempt, _, sent) in list(watch.out.items()):
+            left = rng.randint(config.tick * 3, max(kind.deadline, config.tick * 3))
+            accepted = MessageAccepted(f"m{number}", kind.name, number % 4, left, "t", key)
+            checker.accepted[accepted.message], checker.deadlines[accepted.message] = accepted, now + left
+            checker.queues[key].append(accepted.message) if key else None
+            events.append(accepted)
+        for name, (attempt, _, sent) in list(checker.in_flight.items()):
             if rng.random() < 0.5:
-                outcome = rng.choice(ends)
-                del watch.out[name]
+                outcome = rng.choice(outcomes)
+                del checker.in_flight[name]
                 if outcome not in NEVER_RAN:
-                    watch.risky.setdefault(name, sent)
+                    checker.possibly_executed.setdefault(name, sent)
                 wait = rng.choice((0, SECOND)) if outcome is Outcome.FULL else 0
                 events.append(AttemptEnded(name, attempt, outcome, outcome is Outcome.OK, wait))
                 if outcome is Outcome.OK:
-                    watch.over(name)
+                    checker.end_message(name)
         if rng.random() < 0.1:
-            place = rng.choice(places)
+            endpoint = rng.choice(endpoints)
             state = rng.choice((ready, draining))
-            (watch.drained.add if state is draining else watch.drained.discard)(place.id)
-            news = Endpoint(place.id, place.destination, state, place.kind, place.zone, place.scale)
-            events.append(EndpointsUpdated(ListingKind.CHANGES, (news,)))
-        now = watch.next_end(now) if number >= 90 else now
+            (checker.drained.add if state is draining else checker.drained.discard)(endpoint.id)
+            update = Endpoint(
+                endpoint.id, endpoint.destination, state, endpoint.kind, endpoint.zone, endpoint.scale
+            )
+            events.append(EndpointsUpdated(ListingKind.CHANGES, (update,)))
+        now = checker.next_end(now) if number >= 90 else now
 
 
-@given(customers(), st.integers(0, 10_000))
+@given(settings_objects(), st.integers(0, 10_000))
 @settings(max_examples=150, deadline=None, derandomize=True)
-def test_any_customers_settings_start_and_keep_the_rules(told: dict[str, Any], seed: int) -> None:
-    play(decode_settings(told), told["zones"], told["models"], seed)
+def test_the_rules_hold_under_any_valid_settings(values: dict[str, Any], seed: int) -> None:
+    run_events(decode_settings(values), values["zones"], values["models"], seed)
 
 
-def test_sites_of_our_own_differ_in_what_a_customer_may_choose() -> None:
-    pushed, asked = (tomllib.loads(each.read_text()) for each in reversed(SITES))
-    assert {each["discovery"]["mode"] for each in (pushed, asked)} == {"push", "ask"}
-    for each in (pushed, asked):
+def test_the_example_sites_differ_in_the_options_that_a_customer_may_choose() -> None:
+    push_site, poll_site = (tomllib.loads(each.read_text()) for each in reversed(SITES))
+    assert {each["discovery"]["mode"] for each in (push_site, poll_site)} == {"push", "ask"}
+    for each in (push_site, poll_site):
         assert {kind["effect"] for kind in each["class"]} == {"safe", "keyed", "unsafe"}
         assert round(sum(tenant["share"] for tenant in each["tenant"]), 9) == 1
-    assert len(pushed["class"]) != len(asked["class"])
-    assert not {kind["name"] for kind in pushed["class"]} & {kind["name"] for kind in asked["class"]}
+    assert len(push_site["class"]) != len(poll_site["class"])
+    assert not {kind["name"] for kind in push_site["class"]} & {kind["name"] for kind in poll_site["class"]}
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""What .ci/run passes over: only tests that are listed, found and red."""
+""".ci/known_red.py tolerates failures only of tests that are listed, collected and still failing."""
 
 import importlib.util
 import sys
@@ -19,14 +19,14 @@
     ("listed", "tests", "code"),
     [
         ("red", TESTS, 0),
-        ("green", TESTS, 1),  # it passes again
-        ("gone", TESTS, 1),  # it is not found
-        ("red", TESTS + "def test_other(): assert False\n", 1),  # another one fails
+        ("green", TESTS, 1),  # a listed test passes
+        ("gone", TESTS, 1),  # a listed test is not collected
+        ("red", TESTS + "def test_other(): assert False\n", 1),  # an unlisted test fails
         (None, TESTS, 1),
         (None, "def test_green(): pass\n", 0),
     ],
 )
-def test_the_suite_passes_over_known_red_tests_alone(
+def test_only_listed_failing_tests_are_tolerated(
     listed: str | None, tests: str, code: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.chdir(tmp_path)
@@ -39,7 +39,7 @@
 
 
 @pytest.mark.parametrize("text", ["a | b\n", "a | b | c | d\n", " | b | c\n", "a|b|c\n" * 4])
-def test_a_list_that_says_too_little_or_too_much_is_refused(text: str, tmp_path: Path) -> None:
+def test_a_malformed_or_too_long_list_is_rejected(text: str, tmp_path: Path) -> None:
     (tmp_path / "list").write_text(text)
     with pytest.raises(ValueError):
         known_red.read(tmp_path / "list")
--- a/tests/test_manage.py
+++ b/tests/test_manage.py
@@ -97,7 +97,7 @@
 async def test_a_sender_replies_to_calls_and_rejects_bad_requests(tmp_path: Path) -> None:
     async with managed(tmp_path) as (world, address):
         assert (await call(address, "GET", "/healthcheck")).status == 200
-        for bad, status in (
+        for request, status in (
             (b"GET /nothing HTTP/1.1\r\nHost: x\r\n\r\n", 404),
             (b"no call\r\n\r\n", 400),
             (b"GET /stats HTTP/1.1\r\nHost: x\r\nX: " + b"x" * 2 * MAX_HEAD_BYTES, 431),
@@ -106,11 +106,11 @@
                 413,
             ),
         ):
-            assert (await ask(address, bad)).status == status
+            assert (await ask(address, request)).status == status
         assert world.sender.server.is_ready
 
 
-def test_the_address_is_optional_and_a_bad_one_is_reported(tmp_path: Path) -> None:
+def test_the_address_is_optional_and_a_malformed_one_is_reported(tmp_path: Path) -> None:
     config = config_json(UnusedPlatform())
     assert decode_config(config, tmp_path).management is None
     with pytest.raises(StartupConfigError, match="management: 'here' is not host:port"):
@@ -126,7 +126,7 @@
 
 
 @play
-async def test_metrics_are_those_of_the_tables(tmp_path: Path) -> None:
+async def test_metrics_have_the_counts_of_the_tables(tmp_path: Path) -> None:
     async with managed(tmp_path) as (world, address):
         for name in ("m1", "m2", "m3"):
             await world.hand_in(name)
@@ -143,7 +143,9 @@
 
 
 @play
-async def test_a_returned_message_counts_as_deferred_once_the_platform_knows(tmp_path: Path) -> None:
+async def test_a_returned_message_counts_as_deferred_once_the_platform_acknowledges_it(
+    tmp_path: Path,
+) -> None:
     async with managed(tmp_path) as (world, address):
         await world.hand_in("m1", X_Time_Left="0.06")
         notice = await world.platform.next()
@@ -160,7 +162,7 @@
 
 
 @play
-async def test_an_endpoint_in_maintenance_gets_nothing_whatever_the_list_says(tmp_path: Path) -> None:
+async def test_an_endpoint_in_maintenance_gets_no_messages_whatever_the_list_says(tmp_path: Path) -> None:
     async with managed(tmp_path) as (world, address):
         watch = await soon(world.platform.watches.get())
         assert (await call(address, "POST", "/receivers/other/maint")).status == 404
@@ -178,7 +180,8 @@
         assert (await call(address, "POST", "/receivers/r/ready")).status == 200
         assert (await world.receiver.next()).id == "m1"
         breakers = world.sender.engine.dispatcher.registry.all_breakers()
-        assert all(each.warm_up_gap(world.sender.engine.now()) > 0 for each in breakers)  # it is warmed
+        # The returned endpoint is in slow start.
+        assert all(each.warm_up_gap(world.sender.engine.now()) > 0 for each in breakers)
 
 
 @play
@@ -187,10 +190,10 @@
         assert (await call(address, "POST", "/receivers/r/maint")).status == 200
         world.sender.stop(0)
         await world.running.task
-        async with Running(world.told, tmp_path) as again:
-            await again.hand_in("m1")
+        async with Running(world.told, tmp_path) as restarted:
+            await restarted.hand_in("m1")
             await turn()
-            assert not again.sender.engine.attempts.calls
+            assert not restarted.sender.engine.attempts.calls
         (tmp_path / "orders.json").write_text('{"out": ["r"')
         async with Running(world.told, tmp_path):
             assert (await world.receiver.next()).id == "m1"
@@ -239,38 +242,38 @@
         assert (await call(address, "POST", "/healthcheck/fail")).status == 200
         world.sender.stop(0)
         await world.running.task
-        async with Running(world.told, tmp_path) as again:
-            assert (await ask(again.address, READY)).status == 503
-            new_address = again.sender.management_server.address()
+        async with Running(world.told, tmp_path) as restarted:
+            assert (await ask(restarted.address, READY)).status == 503
+            new_address = restarted.sender.management_server.address()
             assert (await call(new_address, "POST", "/healthcheck/ok")).status == 200
-            assert (await ask(again.address, READY)).status == 200
+            assert (await ask(restarted.address, READY)).status == 200
 
 
 class Clock:
-    """Moves the deadlines of a listener's connections."""
+    """Simulates the passing of time for the deadlines of a server's connections."""
 
     def __init__(self, listener: ManagementServer) -> None:
         self.listener = listener
 
-    def pass_by(self, seconds: float) -> None:
+    def advance(self, seconds: float) -> None:
         for connection in self.listener.connections:
             connection.deadline -= seconds
         self.listener.close_expired()
 
 
 @play
-async def test_a_hundred_incomplete_requests_block_nobody(tmp_path: Path) -> None:
+async def test_a_hundred_incomplete_requests_do_not_block_others(tmp_path: Path) -> None:
     listener = ManagementServer(lambda call: ManagementReply(200, "yes"))
     listener.listen("127.0.0.1", 0)
     incomplete = []
-    for at in range(100):
+    for number in range(100):
         reader, writer = await asyncio.open_connection(*listener.address())
-        writer.write(b"POST /healthcheck/fail HTTP/1.1\r\n" if at % 2 else b"")
+        writer.write(b"POST /healthcheck/fail HTTP/1.1\r\n" if number % 2 else b"")
         incomplete.append((reader, writer))
-        if at % 10 == 9:
+        if number % 10 == 9:
             assert (await call(listener.address(), "GET", "/healthcheck")).status == 200
     assert len(listener.connections) <= MAX_CONNECTIONS
-    Clock(listener).pass_by(REQUEST_TIMEOUT_S)
+    Clock(listener).advance(REQUEST_TIMEOUT_S)
     assert (await read_reply(incomplete[-1][0])).status == 408
     for _, writer in incomplete:
         writer.close()
@@ -281,11 +284,11 @@
 async def test_a_request_in_pieces_is_read_and_a_defect_gives_500(tmp_path: Path) -> None:
     calls: list[ManagementCall] = []
 
-    def act(call: ManagementCall) -> ManagementReply:
+    def raise_defect(call: ManagementCall) -> ManagementReply:
         calls.append(call)
-        raise RuntimeError("nobody foresaw this")
+        raise RuntimeError("defect in the handler")
 
-    listener = ManagementServer(act)
+    listener = ManagementServer(raise_defect)
     listener.listen("127.0.0.1", 0)
     reader, writer = await asyncio.open_connection(*listener.address())
     writer.get_extra_info("socket").setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -303,7 +306,7 @@
 async def test_a_connection_storm_does_not_delay_a_call(tmp_path: Path) -> None:
     async with managed(tmp_path) as (world, address):
         server = world.sender.server
-        held = [await Held.open(server, message(f"s{at}")) for at in range(server.connection_limit)]
+        held = [await Held.open(server, message(f"s{number}")) for number in range(server.connection_limit)]
         assert (await call(address, "GET", "/stats")).status == 200
         assert len(server.connections) <= server.connection_limit + server.lingering
         for each in held:
