--- a/tests/test_control_sender.py
+++ b/tests/test_control_sender.py
@@ -158,7 +158,7 @@
 
     def reasons(*changed: SharedBudget) -> list[str]:
         """Returns the reasons for a restart; checks that they match the logged delays."""
-        found_reasons = budgets.waits_for_start((*definitions, *changed))
+        found_reasons = budgets.changes_for_next_start((*definitions, *changed))
         caplog.clear()
         budgets.configure((*definitions, *changed), 1)
         is_changed = "budget change waits for the next start: budget=" in caplog.text
@@ -166,13 +166,13 @@
         assert bool(found_reasons) == is_delayed
         return found_reasons
 
-    assert reasons(calls) == [] and reasons(replace(calls, whole=4)) == []
-    assert reasons(replace(calls, floor=1, lease=2 * US, span=2 * US)) == [
+    assert reasons(calls) == [] and reasons(replace(calls, limit=4)) == []
+    assert reasons(replace(calls, floor=1, lease_us=2 * US, window_us=2 * US)) == [
         "budgets/calls: per_ms, floor, lease_ms cannot change before the next start"
     ]
-    assert reasons(replace(calls, by="zone", value="z")) == [
+    assert reasons(replace(calls, binding="zone", value="z")) == [
         "budgets/calls: what it is bound to, which one it is bound to cannot change before the next start"
     ]
     assert reasons() == ["budgets/calls: it cannot be taken away before the next start"]
-    new = replace(calls, name="new", of="in_flight", span=None)
+    new = replace(calls, name="new", resource="in_flight", window_us=None)
     assert reasons(calls, new) == [] and len(reasons()) == 2
