--- a/message_sender/fleet/__init__.py
+++ b/message_sender/fleet/__init__.py
@@ -1,4 +1,4 @@
 """The link between senders: sealed datagrams, membership, announcements, queries and leases.
 
-It knows nothing of the content of announcements, queries and leases.
+The contents of announcements, queries and leases are opaque to it.
 """
--- a/message_sender/fleet/announcements.py
+++ b/message_sender/fleet/announcements.py
@@ -1,4 +1,4 @@
-"""The announcements of members: each sends one text to all others, in parts. Pure."""
+"""Announcements: each member sends one text to all other members, split into parts. Pure."""
 
 from dataclasses import dataclass, field
 
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True)
 class Announcement:
-    """The newest announcement of a member; `received_at` is when it was complete or repeated last."""
+    """The newest announcement of a member; `received_at` is when it was last completed or repeated."""
 
     epoch: int
     version: int
@@ -29,7 +29,7 @@
 
 
 def split_announcement(version: int, text: bytes) -> list[AnnouncementPart]:
-    """Returns the parts of an announcement; a text beyond the largest number of parts is cut off."""
+    """Splits an announcement; text beyond `ANNOUNCEMENT_PARTS_LIMIT` parts is truncated."""
     starts = range(0, len(text), ANNOUNCEMENT_PART_BYTES)
     pieces = [text[start : start + ANNOUNCEMENT_PART_BYTES] for start in starts] or [b""]
     return [
@@ -39,7 +39,7 @@
 
 
 class AnnouncementTable:
-    """The newest announcement of each member, and those that are being received."""
+    """The newest complete announcement of each member, and the partially received ones."""
 
     def __init__(self) -> None:
         """Creates an empty table."""
@@ -47,13 +47,13 @@
         self._partial: dict[str, PartialAnnouncement] = {}
 
     def add(self, name: str, epoch: int, part: AnnouncementPart, now: float) -> Announcement | None:
-        """Adds a part that the member `name` sent in `epoch`.
+        """Adds a part that the member `name` sent during its start number `epoch`.
 
         Returns:
-            The announcement, if this part completes one that is newer than the last one; otherwise None.
+            The announcement if this part completes one newer than the last complete one; otherwise None.
 
         Raises:
-            RefusedError: If the part cannot be one of an announcement.
+            RefusedError: If the part's index or the number of parts is out of range.
         """
         newest = self.newest.get(name)
         if newest and (newest.epoch, newest.version) >= (epoch, part.version):
@@ -61,7 +61,9 @@
                 newest.received_at = now
             return None
         if not 0 <= part.index < part.count <= ANNOUNCEMENT_PARTS_LIMIT:
-            raise RefusedError(f"{name}: a bulletin in {part.count} parts")
+            raise RefusedError(
+                f"{name}: part out of range: parts={part.count}, limit={ANNOUNCEMENT_PARTS_LIMIT}"
+            )
         partial = self._partial.get(name)
         if partial is None or (partial.version, partial.count) != (part.version, part.count):
             partial = PartialAnnouncement(part.version, part.count)
--- a/message_sender/fleet/codec.py
+++ b/message_sender/fleet/codec.py
@@ -1,4 +1,4 @@
-"""Encodes and decodes the messages of the links in msgpack."""
+"""Encodes link messages as msgpack and decodes them."""
 
 from typing import Generic, TypeVar
 
@@ -8,11 +8,11 @@
 
 
 class DecodingError(ValueError):
-    """Bytes that are not a message of the expected type; the text gives the reason."""
+    """The bytes are not a valid message of the expected type; the text gives the reason."""
 
 
 class MessageCodec(Generic[Message]):
-    """Encodes and decodes messages of one type, with every field checked."""
+    """Encodes and decodes messages of one type; decoding validates every field."""
 
     def __init__(self, message_type: type[Message]) -> None:
         """Creates a codec for a msgspec type or a union of them."""
--- a/message_sender/fleet/default_handlers.py
+++ b/message_sender/fleet/default_handlers.py
@@ -1,11 +1,11 @@
-"""Handlers that a FleetNode has until its user sets others: they do nothing."""
+"""The initial handlers of a FleetNode, which do nothing; its owner replaces them."""
 
 from message_sender.fleet.announcements import Announcement
 from message_sender.fleet.wire import LeaseDatagram
 
 
 def ignore_epoch(epoch: int) -> None:
-    """Does nothing with a raised epoch."""
+    """Ignores a raised epoch."""
 
 
 def ignore_query(name: str, text: bytes) -> bytes | None:
@@ -14,16 +14,16 @@
 
 
 def ignore_query_reply(name: str, number: int, text: bytes) -> None:
-    """Does nothing with a reply."""
+    """Ignores a reply to a query."""
 
 
 def ignore_lease_datagram(name: str, datagram: LeaseDatagram) -> None:
-    """Does nothing with a lease datagram."""
+    """Ignores a lease datagram."""
 
 
 def ignore_announcement(name: str, announcement: Announcement) -> None:
-    """Does nothing with an announcement."""
+    """Ignores an announcement."""
 
 
 def ignore_tick(now: float) -> None:
-    """Does nothing at a tick."""
+    """Ignores a tick."""
--- a/message_sender/fleet/indirect_probes.py
+++ b/message_sender/fleet/indirect_probes.py
@@ -1,4 +1,4 @@
-"""Probes that a member sends on behalf of others. Pure."""
+"""Probes that this member sends on behalf of other members. Pure."""
 
 from dataclasses import dataclass
 
@@ -7,14 +7,14 @@
 
 @dataclass(frozen=True, slots=True)
 class IndirectProbe:
-    """A probe on behalf of `requester`, which knows it under `number`."""
+    """A probe on behalf of `requester`; `number` is the requester's number of it."""
 
     requester: str
     number: int
 
 
 class IndirectProbeTable:
-    """The latest probes on behalf of others, by a number of their own."""
+    """The latest probes sent on behalf of other members, by local probe number."""
 
     def __init__(self) -> None:
         """Creates an empty table."""
@@ -22,7 +22,7 @@
         self._probes: dict[int, IndirectProbe] = {}
 
     def add(self, requester: str, number: int) -> int:
-        """Adds a probe and returns its own number; the oldest one is dropped if there are too many."""
+        """Adds a probe and returns its local number; above `INDIRECT_PROBES_LIMIT` the oldest is dropped."""
         self._number += 1
         self._probes[self._number] = IndirectProbe(requester, number)
         if len(self._probes) > INDIRECT_PROBES_LIMIT:
@@ -30,5 +30,5 @@
         return self._number
 
     def take(self, number: int) -> IndirectProbe | None:
-        """Removes the probe with this own number and returns it, or None if it is unknown."""
+        """Removes and returns the probe with this local number; None if there is none."""
         return self._probes.pop(number, None)
--- a/message_sender/fleet/members.py
+++ b/message_sender/fleet/members.py
@@ -6,19 +6,18 @@
 
 Rules:
 
-- In each probe interval one member is probed, in an order drawn anew for each round, so that every member is
-  probed in turn. One that does not answer in time is probed through `INDIRECT_PROBES` others; one that does
-  not answer them becomes *suspect*.
-- A suspect is probed again and again by the members that suspect it, and so learns of the suspicion. One that
-  does not refute it in time becomes *dead*. The time grows with the fleet (log N) and shrinks with each
-  member that confirms the suspicion. A member that learns that it is suspected raises its incarnation, which
-  overrides the suspicion.
-- A slow member doubts itself first: a member whose own probes go unanswered, or that learns that it is
-  suspected, multiplies its probe interval and timeouts by its `health` (1 to 8), so that a slow machine does
-  not suspect all others.
+- In each probe interval one member is probed. The order is shuffled for each round, so that every member is
+  probed once per round. A member that does not answer in time is probed through `INDIRECT_PROBES` other
+  members; if these probes also time out, the member becomes *suspect*.
+- A suspect is probed repeatedly by the members that suspect it; these probes carry the suspicion to it. A
+  suspect that does not refute the suspicion in time becomes *dead*. The timeout grows with the size of the
+  fleet (log N) and shrinks with each member that confirms the suspicion. A member that learns that it is
+  suspected raises its incarnation, which overrides the suspicion.
+- A member whose own probes go unanswered, or that learns that it is suspected, multiplies its probe interval
+  and timeouts by its `health` (1 to 8), so that a slow machine does not suspect all other members.
 - Updates are piggybacked on all datagrams, each a bounded number of times (a multiple of log N).
-- *dead* and *left* members are kept for `GONE_MEMBER_AGE_LIMIT_S`, so that an old update does not bring one
-  back; a start with a higher epoch does.
+- *dead* and *left* members are kept for `GONE_MEMBER_AGE_LIMIT_S`, so that an old update does not restore
+  such a member; a start with a higher epoch does.
 
 All times are seconds of the caller's monotonic clock.
 """
@@ -31,19 +30,19 @@
 from message_sender.fleet.wire import Address, MembershipUpdate
 
 PROBE_INTERVAL_S = 0.5
-PROBE_TIMEOUT_S = 0.2  # of a direct probe, and again of the indirect ones
+PROBE_TIMEOUT_S = 0.2  # for the direct probe, then once more for the indirect probes
 INDIRECT_PROBES = 3
-SUSPICION_MAX_PERIODS = 4  # probe intervals times log10 of the fleet's size (at least 1), unconfirmed
-SUSPICION_MIN_PERIODS = 2  # the same with all confirmations
-CONFIRMATIONS = 3  # other members that suspect too, from which the shortest time holds
-HEALTH_LIMIT = 8
-TRANSMISSIONS_FACTOR = 4  # times log2 of the fleet's size: transmissions of an update
+SUSPICION_MAX_PERIODS = 4  # unconfirmed: in probe intervals times log10 of the fleet's size (at least 1)
+SUSPICION_MIN_PERIODS = 2  # the same unit, with all confirmations
+CONFIRMATIONS = 3  # further members that suspect; with this many the shortest timeout applies
+HEALTH_LIMIT = 8  # a higher value means a slower local member
+TRANSMISSIONS_FACTOR = 4  # an update is sent this many times log2 of the fleet's size
 GONE_MEMBER_AGE_LIMIT_S = 120.0
 UPDATES_PER_DATAGRAM = 8
 
 
 class MemberState(IntEnum):
-    """The state of a member; of two equally new updates the higher state wins."""
+    """The state of a member; between updates of equal epoch and incarnation the higher state wins."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -53,7 +52,7 @@
 
 @dataclass(slots=True)
 class Member:
-    """What is known of a member; `state_since` is the time of its last change of state."""
+    """The known state of a member; `state_since` is the time of its last state change."""
 
     name: str
     address: Address
@@ -61,20 +60,20 @@
     incarnation: int
     state: MemberState
     state_since: float
-    suspecters: set[str] = field(default_factory=set)
+    suspected_by: set[str] = field(default_factory=set)
 
     def to_update(self) -> MembershipUpdate:
-        """Returns the update that spreads this state."""
+        """Returns the update that announces this state to other members."""
         return MembershipUpdate(self.name, self.address, self.epoch, self.incarnation, int(self.state))
 
     def rank(self) -> tuple[int, int, int]:
-        """Returns the precedence of this state: only an update with a higher one replaces it."""
+        """Returns the precedence of this state; only an update with a higher rank replaces it."""
         return self.epoch, self.incarnation, int(self.state)
 
 
 @dataclass(frozen=True, slots=True)
 class MemberChange:
-    """A change of a member's state, and the member that reported it; for the log."""
+    """A state change of a member and the member that reported it, for logging."""
 
     name: str
     state: MemberState
@@ -83,7 +82,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Probe:
-    """A probe to be sent: `target` is empty for a direct one, otherwise `receiver` is to probe `target`."""
+    """A probe to send: directly to `receiver`, or, if `target` is set, to `target` through `receiver`."""
 
     receiver: str
     number: int
@@ -92,7 +91,7 @@
 
 @dataclass(slots=True)
 class PendingProbe:
-    """A probe without an answer."""
+    """A probe that has not been answered yet."""
 
     target: str
     started_at: float
@@ -100,23 +99,23 @@
 
 
 class MemberList:
-    """The members of the fleet as one member knows them."""
+    """The members of the fleet as seen by the local member."""
 
     def __init__(self, name: str, address: Address, epoch: int, rng: random.Random) -> None:
-        """Creates a list with no other member than this one."""
+        """Creates a list that contains only the local member."""
         self.me = Member(name, address, epoch, 0, MemberState.ALIVE, 0.0)
         self.rng = rng
         self.others: dict[str, Member] = {}
         self.health = 1
-        self.probe_round: list[str] = []  # members yet to be probed in this round
+        self.probe_round: list[str] = []  # members not yet probed in this round
         self.pending_probes: dict[int, PendingProbe] = {}
         self.probe_number = 0
         self.next_probe_at = 0.0
-        self.transmissions: dict[str, int] = {}  # by member, of its update
-        self.changes: list[MemberChange] = []  # since the caller cleared them
+        self.transmissions: dict[str, int] = {}  # by member: how often its update was sent
+        self.changes: list[MemberChange] = []  # since the caller last cleared them
 
     def alive(self) -> list[str]:
-        """Returns the members that are alive or suspect, this one included, in the order of their names."""
+        """Returns the alive and suspect members, including the local one, sorted by name."""
         names = [member.name for member in self.others.values() if member.state <= MemberState.SUSPECT]
         return sorted([*names, self.me.name])
 
@@ -127,7 +126,7 @@
     # Updates.
 
     def apply_update(self, update: MembershipUpdate, reporter: str, now: float) -> None:
-        """Applies an update that `reporter` sent, if it is newer than what is known."""
+        """Applies an update sent by `reporter` if it is newer than the known state."""
         if update.name == self.me.name:
             self.refute(update)
             return
@@ -140,7 +139,7 @@
             known.incarnation = update.incarnation
             self.set_state(known, MemberState(update.state), reporter, now)
         elif update.state == MemberState.SUSPECT and known.state is MemberState.SUSPECT:
-            known.suspecters.add(reporter)
+            known.suspected_by.add(reporter)
 
     def _add(self, update: MembershipUpdate, reporter: str, now: float) -> None:
         if update.state in (MemberState.DEAD, MemberState.LEFT):
@@ -153,15 +152,15 @@
         self.changes.append(MemberChange(member.name, member.state, reporter))
 
     def refute(self, update: MembershipUpdate) -> None:
-        """Raises the incarnation of this member if an update says that it is not alive."""
-        is_of_this_start = update.epoch == self.me.epoch and update.incarnation >= self.me.incarnation
-        if update.state != MemberState.ALIVE and is_of_this_start:
+        """Raises the local member's incarnation if an update reports it as not alive."""
+        is_current_start = update.epoch == self.me.epoch and update.incarnation >= self.me.incarnation
+        if update.state != MemberState.ALIVE and is_current_start:
             self.me.incarnation = update.incarnation + 1
             self.worsen_health()
             self.transmissions[self.me.name] = 0
 
     def note_datagram(self, name: str, address: Address, epoch: int, now: float) -> None:
-        """Notes a datagram from a member itself, which proves that it is alive."""
+        """Records a datagram received from a member, which proves that it is alive."""
         answered = [number for number, probe in self.pending_probes.items() if probe.target == name]
         for number in answered:
             self.note_ack(number)
@@ -174,33 +173,33 @@
         self.apply_update(update, name, now)
 
     def note_left(self, name: str, now: float) -> None:
-        """Notes that a member has announced its shutdown."""
+        """Records that a member has announced its shutdown."""
         known = self.others.get(name)
         if known:
             self.set_state(known, MemberState.LEFT, name, now)
 
     def set_state(self, member: Member, state: MemberState, reporter: str, now: float) -> None:
-        """Sets a member's state and spreads it."""
+        """Sets a member's state and queues the update for gossip."""
         if member.state is not state:
             member.state_since = now
-            member.suspecters = {reporter}
+            member.suspected_by = {reporter}
             self.changes.append(MemberChange(member.name, state, reporter))
         member.state = state
         self.transmissions[member.name] = 0
 
     def note_ack(self, number: int) -> None:
-        """Notes the answer to a probe."""
+        """Records the answer to a probe; improves the local health."""
         if self.pending_probes.pop(number, None):
             self.health = max(self.health - 1, 1)
 
     def worsen_health(self) -> None:
-        """Notes a sign that this member itself is slow."""
+        """Records a sign that the local member is slow."""
         self.health = min(self.health + 1, HEALTH_LIMIT)
 
     # Probes.
 
     def tick(self, now: float) -> list[Probe]:
-        """Does what is due by now, and returns the probes to send."""
+        """Runs the actions due by `now` and returns the probes to send."""
         probes: list[Probe] = []
         for number, pending in list(self.pending_probes.items()):
             probes += self._check_pending(number, pending, now)
@@ -213,14 +212,14 @@
         return probes
 
     def _check_pending(self, number: int, pending: PendingProbe, now: float) -> list[Probe]:
-        """Returns the probes that follow from a timeout of a pending one."""
+        """Returns the probes to send if a pending probe has timed out."""
         timeout = PROBE_TIMEOUT_S * self.health
-        late_by = now - pending.started_at - timeout
-        if late_by >= 0 and not pending.is_indirect:
+        overdue_s = now - pending.started_at - timeout
+        if overdue_s >= 0 and not pending.is_indirect:
             pending.is_indirect = True
             intermediaries = self.choose_intermediaries(pending.target)
             return [Probe(name, number, pending.target) for name in intermediaries]
-        if late_by < timeout:
+        if overdue_s < timeout:
             return []
         del self.pending_probes[number]
         self.worsen_health()
@@ -231,13 +230,13 @@
         return []
 
     def start_probe(self, target: str, now: float) -> Probe:
-        """Returns a new direct probe, which is pending from now on."""
+        """Returns a new direct probe and records it as pending."""
         self.probe_number += 1
         self.pending_probes[self.probe_number] = PendingProbe(target, now)
         return Probe(target, self.probe_number)
 
     def choose_intermediaries(self, target: str) -> list[str]:
-        """Returns members that are to probe `target` in place of this one."""
+        """Returns random alive members that are asked to probe `target`."""
         candidates = [
             member.name
             for member in self.others.values()
@@ -246,7 +245,7 @@
         return self.rng.sample(candidates, min(INDIRECT_PROBES, len(candidates)))
 
     def next_target(self) -> str | None:
-        """Returns the next member to probe, or None if there is none."""
+        """Returns the next member to probe; None if there is no member to probe."""
         while True:
             if not self.probe_round:
                 self.probe_round = [name for name in self.others if self._is_probed(name)]
@@ -261,20 +260,20 @@
         return name in self.others and self.others[name].state <= MemberState.SUSPECT
 
     def suspect(self, name: str, now: float) -> None:
-        """Makes a member that is alive a suspect."""
+        """Marks an alive member as suspect."""
         known = self.others.get(name)
         if known and known.state is MemberState.ALIVE:
             self.set_state(known, MemberState.SUSPECT, self.me.name, now)
 
     def suspicion_timeout(self, member: Member) -> float:
-        """Returns the seconds for which a suspect may still refute the suspicion."""
+        """Returns the seconds within which a suspect must refute the suspicion."""
         longest = SUSPICION_MAX_PERIODS * self.size_factor() * PROBE_INTERVAL_S
         shortest = SUSPICION_MIN_PERIODS * self.size_factor() * PROBE_INTERVAL_S
-        share = min(math.log(len(member.suspecters) or 1) / math.log(CONFIRMATIONS + 1), 1.0)
+        share = min(math.log(len(member.suspected_by) or 1) / math.log(CONFIRMATIONS + 1), 1.0)
         return (longest - (longest - shortest) * share) * self.health
 
     def expire(self, now: float) -> None:
-        """Declares suspects dead whose time is over, and drops members that are gone for long."""
+        """Marks timed-out suspects as dead; drops members gone for `GONE_MEMBER_AGE_LIMIT_S`."""
         for member in list(self.others.values()):
             age = now - member.state_since
             if member.state is MemberState.SUSPECT and age >= self.suspicion_timeout(member):
@@ -284,9 +283,9 @@
                 self.transmissions.pop(member.name, None)
 
     def take_updates(self, receiver: str = "") -> tuple[MembershipUpdate, ...]:
-        """Returns the updates for the next datagram to `receiver`, those sent least often first.
+        """Returns the updates for the next datagram to `receiver`, the least often sent first.
 
-        A suspect is also sent the update that says so.
+        A suspect receiver also gets the update about its own suspicion.
         """
         limit = TRANSMISSIONS_FACTOR * math.ceil(math.log2(len(self.others) + 2))
         names = sorted(self.transmissions, key=lambda name: (self.transmissions[name], name))
--- a/message_sender/fleet/node.py
+++ b/message_sender/fleet/node.py
@@ -1,19 +1,21 @@
-"""One end of the link between senders: which datagrams it accepts, and what it sends. Pure; see udp.py.
+"""A node of the link between senders: the datagrams that it accepts and sends. Pure; see udp.py for I/O.
 
 Rules:
 
-- A datagram that is not sealed with one of our keys is counted by its reason, and has no other effect.
-- A datagram is accepted only if it names the present session of this end. A peer that does not know it
-  receives it, at the address in its datagram, a bounded number of times per second; a replayed datagram can
-  cause nothing else.
-- Of each member one session counts, that of its highest epoch, and of this each number once (session.py).
-- A member that comes with an epoch below a known one receives the known one: its disk is old or empty. It
-  continues with a higher one, and knows that its disk does not have the latest state (`is_behind`).
-- Dead members are sent a hello now and then while they are remembered, so that a network partition heals also
-  between members that are no seeds.
-- Two members of one name are detected by their addresses: the earlier one stays, the other one is refused.
-- Each member sends one announcement to all others: when it changes, and periodically at a rate that does not
-  grow with the fleet.
+- A datagram that is not sealed with one of the fleet's keys is counted by reason and has no other effect.
+- A datagram is accepted only if it names the current session of this node. A peer that names another session
+  is answered with a hello that carries the current one. The hello goes to the address in the peer's datagram;
+  the number of hellos per second is bounded. A replayed datagram can have no other effect.
+- For each member only the session with its highest epoch is accepted, and within it each datagram number only
+  once (session.py).
+- A member whose epoch is below the known epoch of its name has an old or empty disk. It is sent the known
+  epoch, continues with a higher one, and records that its disk does not have the latest state (`is_behind`).
+- Dead members are periodically sent a hello until they are dropped from the member list, so that a network
+  partition also heals between members that are not seeds.
+- Two members with the same name are detected by their addresses: the earlier one is kept, the other one is
+  rejected.
+- Each member sends one announcement to all other members: when it changes, and periodically at a rate that
+  does not grow with the fleet.
 
 All times are seconds of the caller's monotonic clock.
 """
@@ -39,26 +41,26 @@
 from message_sender.fleet.session import PeerSession
 from message_sender.fleet.wire import Address, Envelope, MembershipUpdate
 
-HELLO_ANSWERS_PER_SECOND = 20  # besides one for each known member
-JOIN_INTERVAL_S = 0.3  # between hellos to the seeds while no member is known
-REJOIN_INTERVAL_S = 2.0  # between hellos to seeds that are not among the members
-JOIN_JITTER = (0.8, 1.2)  # factors of these intervals, drawn
-ANNOUNCEMENTS_PER_SECOND = 100.0  # to other members, at most, when nothing changes
+HELLO_ANSWERS_PER_SECOND = 20  # plus one per known member
+JOIN_INTERVAL_S = 0.3  # between hellos to the seeds while no other member is alive or suspect
+REJOIN_INTERVAL_S = 2.0  # between hellos to seeds that are not alive or suspect members
+JOIN_JITTER = (0.8, 1.2)  # range of the random factor applied to both intervals
+ANNOUNCEMENTS_PER_SECOND = 100.0  # upper limit for unchanged announcements
 ANNOUNCEMENT_INTERVAL_MIN_S = 1.0  # between two rounds of an unchanged announcement
-ANNOUNCEMENT_ROUND_STEPS = 20  # in which a round is sent, evenly over the interval
-QUEUED_BODIES_LIMIT = 4  # per member whose session is unknown; the latest ones are kept
-DUPLICATE_NAME_AGE_S = 2.0  # a session that was silent for longer may move to another address
-UPDATES_PER_INTRODUCTION = 16  # in one datagram
+ANNOUNCEMENT_ROUND_STEPS = 20  # batches of a round, spread evenly over the interval
+QUEUED_BODIES_LIMIT = 4  # per member whose session is unknown; the oldest are dropped
+DUPLICATE_NAME_AGE_S = 2.0  # after this silence a new session may use another address
+UPDATES_PER_HELLO = 16  # in one datagram to a member with a new session
 
 
 @dataclass(frozen=True, slots=True)
 class LocalMember:
-    """This member's configuration.
+    """The configuration of the local member.
 
     Attributes:
         name: Its name, unique in the fleet.
-        address: The address at which others reach it.
-        seeds: Addresses of members through which it joins.
+        address: The address at which other members reach it.
+        seeds: Addresses of the members that it contacts to join the fleet.
         size: The largest expected number of members.
     """
 
@@ -70,7 +72,7 @@
 
 @dataclass
 class LinkCounters:
-    """Counts of datagrams; `refused` by reason."""
+    """Counts of datagrams since the start; `refused` is by reason."""
 
     sent: int = 0
     received: int = 0
@@ -78,31 +80,31 @@
 
 
 class FleetNode:
-    """One end of the link, driven by datagrams and ticks.
+    """A node of the link, driven by received datagrams and ticks.
 
     Attributes:
-        outbox: The datagrams to send, each with its address; the caller removes them.
-        is_behind: Whether others know a later start of this name than its disk does.
-        duplicate_name_address: The address of another member that uses this name; empty if there is none.
-        on_epoch_raised: Called with an epoch that is to be stored.
-        on_query: Called with the sender and the text of a query; returns the reply, or None for none.
+        outbox: The datagrams to send, each with its destination address; the caller removes them.
+        is_behind: Whether other members know a later start of this name than the local disk does.
+        duplicate_name_address: The address of another member with the same name; empty if none was seen.
+        on_epoch_raised: Called with a raised epoch, which must be stored.
+        on_query: Called with the sender and the text of a query; returns the reply, or None to send none.
         on_query_reply: Called with the sender, the query's number and the text of a reply.
-        on_lease_datagram: Called with the sender of a lease datagram.
-        on_announcement: Called with the sender of a new announcement.
+        on_lease_datagram: Called with the sender and the body of a lease datagram.
+        on_announcement: Called with the sender and the content of a new announcement.
     """
 
     def __init__(
         self, me: LocalMember, seal: Seal, epoch: int, session: int, rng: random.Random, now: float
     ) -> None:
-        """Creates an end without sessions.
+        """Creates a node without sessions.
 
         Args:
-            me: This member.
+            me: The local member.
             seal: Seals and opens datagrams.
-            epoch: A number above that of each earlier start, as far as known.
-            session: A random number above 0.
-            rng: Draws targets and intervals.
-            now: The present time.
+            epoch: The start number; higher than that of each known earlier start.
+            session: The session number: random, above 0.
+            rng: The source of randomness for targets and intervals.
+            now: The current time.
         """
         self.me = me
         self.seal = seal
@@ -117,7 +119,7 @@
         self.datagram_number = 0
         self.announcement_version = 0
         self.announcement_text = b""
-        self.announcement_round: list[str] = []  # members yet to be sent to in this round
+        self.announcement_round: list[str] = []  # members that have not been sent it in this round
         self.announcements_due = now
         self.join_due = now
         self.on_epoch_raised: Callable[[int], None] = ignore_epoch
@@ -127,7 +129,7 @@
         self.on_announcement: Callable[[str, Announcement], None] = ignore_announcement
         self._announcements = AnnouncementTable()
         self._indirect_probes = IndirectProbeTable()
-        self._queued_bodies: dict[str, list[wire.Body]] = {}  # by member whose session is unknown
+        self._queued_bodies: dict[str, list[wire.Body]] = {}  # by name of a member whose session is unknown
         self._hello_limit = RateLimit(now)
 
     @property
@@ -144,7 +146,7 @@
         to_session: int = 0,
         updates: tuple[MembershipUpdate, ...] = (),
     ) -> None:
-        """Puts a datagram into the outbox."""
+        """Seals a datagram and puts it into the outbox."""
         self.datagram_number += 1
         envelope = Envelope(
             self.me.name,
@@ -161,7 +163,7 @@
         self.outbox.append((address, datagram))
 
     def send_to(self, name: str, body: wire.Body) -> None:
-        """Sends `body` to a member, or queues it behind a hello until the member's session is known."""
+        """Sends `body` to a member; if its session is unknown, sends a hello and queues `body`."""
         member = self.members.others.get(name)
         if member is None:
             return
@@ -173,11 +175,11 @@
             self.send(member.address, body, peer.session, self.members.take_updates(name))
 
     def others(self) -> list[str]:
-        """Returns the other members that are alive or suspect, in the order of their names."""
+        """Returns the other members that are alive or suspect, sorted by name."""
         return [name for name in self.members.alive() if name != self.me.name]
 
     def publish(self, text: bytes, now: float) -> None:
-        """Sets this member's announcement, and sends it to all others at once if it has changed."""
+        """Sets the local member's announcement and, if it has changed, sends it to all other members."""
         if text == self.announcement_text:
             return
         self.announcement_version += 1
@@ -187,30 +189,30 @@
         self.announcements_due = now + self.announcement_interval()
 
     def announcement_interval(self) -> float:
-        """Returns the seconds between two rounds, so that the rate does not grow with the fleet."""
+        """Returns the seconds between two rounds; they grow with the fleet, which bounds the rate."""
         return max(ANNOUNCEMENT_INTERVAL_MIN_S, len(self.members.others) / ANNOUNCEMENTS_PER_SECOND)
 
     def send_announcement(self, name: str) -> None:
-        """Sends this member's announcement, if it has one, to another member."""
+        """Sends the local member's announcement, if there is one, to another member."""
         if not self.announcement_version:
             return
         for part in split_announcement(self.announcement_version, self.announcement_text):
             self.send_to(name, part)
 
     def send_query(self, number: int, names: Iterable[str], text: bytes) -> None:
-        """Sends a query to these members; their replies have its number."""
+        """Sends a query to the named members; their replies carry its number."""
         for name in names:
             self.send_to(name, wire.Query(number, text))
 
     def leave(self) -> None:
-        """Announces the shutdown of this member."""
+        """Announces the shutdown of the local member."""
         for name in self.others():
             self.send_to(name, wire.Leave())
 
     # Time.
 
     def tick(self, now: float) -> None:
-        """Does what is due by now; to be called several times a second."""
+        """Runs the actions due by `now`; must be called several times a second."""
         if now >= self.join_due:
             self.join(now)
         for probe in self.members.tick(now):
@@ -219,7 +221,7 @@
             self._send_announcement_step(now)
 
     def _send_announcement_step(self, now: float) -> None:
-        """Sends the announcement to the next share of the members, so that a round is spread evenly."""
+        """Sends the announcement to the next batch of members; batches spread a round evenly."""
         if not self.announcement_round:
             self.announcement_round = self.others()
             self.rng.shuffle(self.announcement_round)
@@ -233,7 +235,7 @@
         self.announcements_due = now + interval
 
     def join(self, now: float) -> None:
-        """Sends a hello to the seeds that are not among the members, and to one dead member."""
+        """Sends a hello to the seeds that are not alive or suspect members, and to one dead member."""
         members = self.members.others.values()
         known = {member.address for member in members if member.state <= MemberState.SUSPECT}
         for seed in self.me.seeds:
@@ -248,7 +250,7 @@
     # Receiving.
 
     def receive(self, datagram: bytes, now: float) -> None:
-        """Handles a datagram from the network; a refused one is counted by its reason."""
+        """Handles a datagram from the network; a rejected one is counted by reason."""
         try:
             self._accept(wire.decode(self.seal.open(datagram)), now)
         except RefusedError as error:
@@ -259,11 +261,11 @@
             self._check_duplicate_name(envelope)
             return
         if isinstance(envelope.body, wire.Hello):
-            self._take_hello(envelope, envelope.body, now)
+            self._handle_hello(envelope, envelope.body, now)
         if envelope.to_session != self.session:
             if not isinstance(envelope.body, wire.Hello):
                 self._answer_with_hello(envelope, now)
-                raise RefusedError("meant for another session: an old one, or a replay")
+                raise RefusedError("addressed to another session: sent to an earlier start, or replayed")
             return
         is_first = self._accept_number(envelope, now)
         self.counters.received += 1
@@ -272,16 +274,16 @@
             self.members.apply_update(update, envelope.name, now)
         self._dispatch(envelope, now)
         if is_first:
-            self._introduce(envelope.name)
+            self._send_initial_state(envelope.name)
 
     def _accept_number(self, envelope: Envelope, now: float) -> bool:
-        """Notes the sender's session and the datagram's number.
+        """Records the sender's session and the datagram's number.
 
         Returns:
             Whether the datagram is the first of its session.
 
         Raises:
-            RefusedError: For a datagram of an earlier start, of another member of this name, or a replay.
+            RefusedError: If the datagram is replayed, of an earlier start, or of another member of this name.
         """
         name = envelope.name
         peer = self.peers.get(name)
@@ -293,17 +295,19 @@
             peer = PeerSession(envelope.epoch, envelope.session)
             self.peers[name] = peer
         if not peer.is_new(envelope.number):
-            raise RefusedError(f"{name}: a datagram that has come before")
+            raise RefusedError(f"{name}: replayed: the number was received before or is below the window")
         peer.received_at = now
         peer.epoch = max(peer.epoch, envelope.epoch)
         return is_first
 
     def _check_new_session(self, envelope: Envelope, peer: PeerSession, now: float) -> None:
-        """Raises RefusedError unless the new session may replace the known one of its name."""
+        """Raises RefusedError unless the new session may replace the known session of its name."""
         name = envelope.name
         if envelope.epoch <= peer.epoch:
             self._answer_with_hello(envelope, now)
-            raise RefusedError(f"{name}: a start before the latest, or another one of its name")
+            raise RefusedError(
+                f"{name}: epoch not above the latest known: an earlier start, or a duplicate name"
+            )
         member = self.members.others.get(name)
         is_elsewhere = (
             member is not None and member.state is MemberState.ALIVE and member.address != envelope.address
@@ -313,7 +317,7 @@
             raise RefusedError(f"{name}: two members use this name")
 
     def _answer_with_hello(self, envelope: Envelope, now: float) -> None:
-        """Sends this session to a peer that does not know it, within the limit per second."""
+        """Sends the current session to a peer that does not know it, within the rate limit."""
         if self._hello_limit.allow("", HELLO_ANSWERS_PER_SECOND + len(self.members.others), now):
             hello = wire.Hello(self._find_later_epoch(envelope), is_answer=True)
             self.send(envelope.address, hello, envelope.session)
@@ -326,10 +330,10 @@
         member = self.members.others.get(envelope.name)
         return member.epoch if member and member.epoch > envelope.epoch else 0
 
-    def _take_hello(self, envelope: Envelope, hello: wire.Hello, now: float) -> None:
-        """Answers a hello, or takes the epoch from one that names this session.
+    def _handle_hello(self, envelope: Envelope, hello: wire.Hello, now: float) -> None:
+        """Answers a hello; one that names the current session may raise the local epoch.
 
-        Only a hello that names this session proves that its sender is alive: others may be replays.
+        Only a hello that names the current session proves that its sender is alive: others may be replays.
         """
         if envelope.to_session != self.session:
             self._answer_with_hello(envelope, now)
@@ -339,7 +343,7 @@
             self.on_epoch_raised(self.members.me.epoch)
 
     def _check_duplicate_name(self, envelope: Envelope) -> None:
-        """Raises RefusedError if a datagram of this name is of another member."""
+        """Raises RefusedError if a datagram with the local name comes from another member."""
         if envelope.session != self.session and envelope.address != self.me.address:
             host, port = envelope.address
             self.duplicate_name_address = f"{host}:{port}"
@@ -349,9 +353,9 @@
         name = envelope.name
         match envelope.body:
             case wire.Ping(number, target):
-                self._take_ping(name, number, target)
+                self._handle_ping(name, number, target)
             case wire.Ack(number):
-                self._take_ack(number)
+                self._handle_ack(number)
             case wire.AnnouncementPart():
                 announcement = self._announcements.add(name, envelope.epoch, envelope.body, now)
                 if announcement is not None:
@@ -367,14 +371,14 @@
             case wire.Leave():
                 self.members.note_left(name, now)
 
-    def _take_ping(self, name: str, number: int, target: str) -> None:
-        """Answers a probe, or probes `target` on behalf of its sender under a negative number."""
+    def _handle_ping(self, name: str, number: int, target: str) -> None:
+        """Answers a direct probe; for an indirect one, probes `target` under a negative number."""
         if not target:
             self.send_to(name, wire.Ack(number))
         else:
             self.send_to(target, wire.Ping(-self._indirect_probes.add(name, number), ""))
 
-    def _take_ack(self, number: int) -> None:
+    def _handle_ack(self, number: int) -> None:
         if number >= 0:
             self.members.note_ack(number)
             return
@@ -382,8 +386,8 @@
         if probe is not None:
             self.send_to(probe.requester, wire.Ack(probe.number))
 
-    def _introduce(self, name: str) -> None:
-        """Sends all known members, the queued bodies and the announcement to a member with a new session."""
+    def _send_initial_state(self, name: str) -> None:
+        """Sends all alive members, the queued bodies and the announcement to a member with a new session."""
         updates = [
             member.to_update()
             for member in self.members.others.values()
@@ -391,8 +395,8 @@
         ]
         peer = self.peers[name]
         address = self.members.others[name].address
-        for start in range(0, max(len(updates), 1), UPDATES_PER_INTRODUCTION):
-            batch = tuple(updates[start : start + UPDATES_PER_INTRODUCTION])
+        for start in range(0, max(len(updates), 1), UPDATES_PER_HELLO):
+            batch = tuple(updates[start : start + UPDATES_PER_HELLO])
             self.send(address, wire.Hello(), peer.session, batch)
         for body in self._queued_bodies.pop(name, ()):
             self.send_to(name, body)
--- a/message_sender/fleet/rate_limit.py
+++ b/message_sender/fleet/rate_limit.py
@@ -1,4 +1,4 @@
-"""A limit of events per second and key. Pure."""
+"""A rate limit: events per second and key. Pure."""
 
 from collections import Counter
 
@@ -6,15 +6,15 @@
 
 
 class RateLimit:
-    """Counts events by key in windows of one second."""
+    """Limits the events per key in fixed windows of one second."""
 
     def __init__(self, window_started_at: float) -> None:
-        """Creates a limit; times are seconds of the caller's clock."""
+        """Creates a limit without events; times are seconds of the caller's clock."""
         self._counts: Counter[str] = Counter()
         self._window_started_at = window_started_at
 
     def allow(self, key: str, limit: int, now: float) -> bool:
-        """Counts an event and returns True, unless `key` has had `limit` events in this window."""
+        """Counts an event; returns False, uncounted, once `key` has `limit` events in this window."""
         if now - self._window_started_at >= WINDOW_S:
             self._counts.clear()
             self._window_started_at = now
--- a/message_sender/fleet/refused_datagrams.py
+++ b/message_sender/fleet/refused_datagrams.py
@@ -1,4 +1,4 @@
-"""Logs how many datagrams a link refused, at a bounded rate."""
+"""Logs the number of datagrams that a link rejected, at a bounded rate."""
 
 import logging
 from collections.abc import Mapping
@@ -10,10 +10,10 @@
 
 
 class RefusedDatagramsLog:
-    """Logs the counts of refused datagrams by reason when they have changed, at most once per interval."""
+    """Logs the counts of rejected datagrams by reason when they change, at most once per interval."""
 
     def __init__(self, component: str, log: logging.Logger) -> None:
-        """Creates a log that has recorded nothing yet.
+        """Creates a log without recorded counts.
 
         Args:
             component: The prefix of the log line, such as `control`.
@@ -28,7 +28,7 @@
         """Logs the counts if they have changed and the interval has passed.
 
         Args:
-            refused: The number of refused datagrams by reason, since the start.
+            refused: The number of rejected datagrams by reason, since the start.
             now: Seconds of the monotonic clock.
         """
         count = sum(refused.values())
--- a/message_sender/fleet/session.py
+++ b/message_sender/fleet/session.py
@@ -1,6 +1,6 @@
-"""Sessions of peers and their replay windows: each number of a session counts once.
+"""Sessions of peers and their anti-replay windows: each datagram number is accepted once per session.
 
-The window has the `REPLAY_WINDOW` numbers up to the highest received one, as in RFC 4303, section 3.4.3.
+The window covers the `REPLAY_WINDOW` numbers up to the highest received one, as in RFC 4303, section 3.4.3.
 """
 
 from dataclasses import dataclass
@@ -11,14 +11,14 @@
 
 @dataclass(slots=True)
 class PeerSession:
-    """The present session of one peer.
+    """The current session of a peer.
 
     Attributes:
-        epoch: The epoch of the peer's start.
-        session: The number of the session.
-        highest_number: The highest received number.
-        window_bits: The received numbers of the window; the lowest bit is the highest number.
-        received_at: When a datagram was accepted last, in seconds of the caller's clock.
+        epoch: The start number (epoch) of the peer.
+        session: The session number.
+        highest_number: The highest received datagram number.
+        window_bits: A bitmap of the received numbers in the window; the lowest bit is `highest_number`.
+        received_at: When a datagram was last accepted, in seconds of the caller's clock.
     """
 
     epoch: int
@@ -28,7 +28,7 @@
     received_at: float = 0.0
 
     def is_new(self, number: int) -> bool:
-        """Notes a datagram's number, and returns whether it was not received before."""
+        """Records a datagram's number; returns False for a repeated number or one below the window."""
         if number > self.highest_number:
             shift = min(number - self.highest_number, REPLAY_WINDOW)
             self.window_bits = (self.window_bits << shift | 1) & WINDOW_MASK
--- a/message_sender/fleet/udp.py
+++ b/message_sender/fleet/udp.py
@@ -1,4 +1,4 @@
-"""Runs the link between senders on the event loop: its UDP socket, its epoch on the disk, its ticks."""
+"""Runs the link between senders on the event loop: UDP socket, epoch file and periodic ticks."""
 
 import asyncio
 import logging
@@ -24,16 +24,16 @@
 
 
 class FleetLink:
-    """One sender's end of the link; `on_tick` is called with the node's time several times a second."""
+    """The link of one sender; `on_tick` is called with the event loop's time on each tick."""
 
     def __init__(self, me: LocalMember, listen: Address, key_file: Path, state: Path) -> None:
-        """Creates the link on the running event loop, after its epoch was raised durably.
+        """Raises the epoch durably and creates the link on the running event loop.
 
         Args:
-            me: This member.
+            me: The local member.
             listen: The address to bind.
-            key_file: The file with the keys of the datagrams.
-            state: The folder of the epoch's file.
+            key_file: The file with the keys that seal the datagrams.
+            state: The state folder, which contains the epoch file.
 
         Raises:
             KeyFileError: If the key file cannot be used.
@@ -57,18 +57,18 @@
         self._logged_duplicate = ""
 
     def read_epoch(self) -> int:
-        """Returns the epoch of the latest start; 0 if none is known."""
+        """Returns the stored epoch of the latest start; 0 if there is none or it cannot be read."""
         try:
             return max(int((self.state / EPOCH_FILE).read_text()), 0)
         except (OSError, ValueError):
             return 0
 
     def write_epoch(self, epoch: int) -> None:
-        """Stores the epoch durably; raises OSError if it cannot."""
+        """Stores the epoch durably; raises OSError on failure."""
         replace_json(self.state / EPOCH_FILE, epoch, sync=True)
 
     async def start(self) -> None:
-        """Binds the socket and starts the ticks.
+        """Binds the socket and starts the periodic ticks.
 
         Raises:
             OSError: If the address cannot be bound.
@@ -77,7 +77,7 @@
         self.task = self.loop.create_task(self.run())
 
     def receive(self, datagram: bytes, source: Address) -> None:
-        """Handles a datagram from the network, and sends what follows from it."""
+        """Handles a datagram from the network and sends the resulting datagrams."""
         self.node.receive(datagram, self.loop.time())
         self.flush()
 
@@ -88,7 +88,7 @@
         self.socket.send_all(datagrams)
 
     async def run(self) -> None:
-        """Ticks until it is cancelled."""
+        """Ticks every `TICK_INTERVAL_S` until cancelled."""
         while True:
             now = self.loop.time()
             self.node.tick(now)
@@ -98,7 +98,7 @@
             await asyncio.sleep(TICK_INTERVAL_S)
 
     def log_changes(self, now: float) -> None:
-        """Logs what has changed since the last call."""
+        """Logs member state changes, a duplicate name and rejected datagrams since the last call."""
         for change in self.node.members.changes:
             log.info(
                 "fleet: member state changed: member=%s state=%s reporter=%s",
@@ -116,11 +116,11 @@
         self._refused_datagrams.update(self.node.counters.refused, now)
 
     def reread_keys(self) -> None:
-        """Handles SIGHUP."""
+        """Reloads the keys on SIGHUP; keeps the current ones if the key file cannot be used."""
         reread_keys(self.seal, self.key_file, "fleet")
 
     def close(self) -> None:
-        """Announces the shutdown and closes the socket."""
+        """Stops the ticks, announces the shutdown and closes the socket."""
         if self.task:
             self.task.cancel()
         if self.socket.is_open:
--- a/message_sender/fleet/udp_socket.py
+++ b/message_sender/fleet/udp_socket.py
@@ -1,4 +1,4 @@
-"""A UDP socket on the event loop, used by the links between senders and by those to control nodes."""
+"""A UDP socket on the event loop, used by the links between senders and to control nodes."""
 
 import asyncio
 from collections.abc import Callable, Iterable
@@ -9,16 +9,16 @@
 
 
 class UdpSocket(asyncio.DatagramProtocol):
-    """Passes each datagram with its source address to a receiver.
+    """A UDP socket that passes each datagram and its source address to a receiver.
 
-    Nothing is sent before `open` or after `close`.
+    Datagrams sent before `open` or after `close` are dropped.
 
-    Errors that the network reports for an address are ignored: the protocols above detect an absent peer by
-    its missing answers.
+    Errors that the network reports for an address are ignored: the protocols above detect an unreachable peer
+    by its missing answers.
     """
 
     def __init__(self) -> None:
-        """Creates a socket that is not bound yet."""
+        """Creates an unbound socket."""
         self._transport: asyncio.DatagramTransport | None = None
         self._receiver: DatagramReceiver | None = None
 
@@ -37,7 +37,7 @@
             self._transport.sendto(datagram, address)
 
     def send_all(self, datagrams: Iterable[tuple[Address, bytes]]) -> None:
-        """Sends datagrams in their order."""
+        """Sends datagrams in the given order."""
         for address, datagram in datagrams:
             self.send(address, datagram)
 
@@ -47,18 +47,18 @@
         return self._transport is not None
 
     def close(self) -> None:
-        """Closes the socket; harmless if it was never opened."""
+        """Closes the socket; does nothing if it was never opened."""
         if self._transport:
             self._transport.close()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Called by the event loop once the socket is bound."""
+        """Stores the transport; called by the event loop once the socket is bound."""
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
-        """Called by the event loop for each datagram."""
+        """Passes a datagram to the receiver; called by the event loop."""
         if self._receiver is not None:
             self._receiver(data, (str(addr[0]), addr[1]))
 
     def error_received(self, exc: Exception) -> None:
-        """Called by the event loop for an ICMP error; ignored."""
+        """Ignores an ICMP error; called by the event loop."""
--- a/message_sender/fleet/wire.py
+++ b/message_sender/fleet/wire.py
@@ -1,11 +1,11 @@
-"""The datagrams between senders: one envelope per datagram, in msgpack, with every field checked.
+"""The datagrams between senders: one msgpack envelope per datagram, with every field validated.
 
-`session` is drawn at random at each start of a sender, `epoch` counts its starts and is stored on its disk,
-`to_session` is the session of the receiver as far as known (0: unknown). A sender that starts again has
-another session, so that datagrams to its previous start are not accepted.
+`session` is drawn at random at each start of a sender. `epoch` counts the starts and is stored on disk.
+`to_session` is the receiver's session as known to the sender (0: unknown). A restarted sender has another
+session, so that datagrams to its previous start are not accepted.
 
-All structures are encoded as arrays: the order and the types of their fields, and the tags, are the wire
-format.
+All structures are encoded as arrays: the wire format consists of the order and types of their fields and the
+tags.
 """
 
 from typing import Annotated
@@ -20,7 +20,7 @@
 
 
 class MembershipUpdate(msgspec.Struct, array_like=True, frozen=True):
-    """The state of a member; the higher (epoch, incarnation) is newer, and of equals the higher state."""
+    """The state of a member; the update with the higher (epoch, incarnation, state) is newer."""
 
     name: str
     address: Address
@@ -30,14 +30,17 @@
 
 
 class Hello(msgspec.Struct, array_like=True, frozen=True, tag=1):
-    """Announces the sender's session; `known_epoch` is the highest known epoch of the receiver's name."""
+    """Announces the sender's session.
+
+    `known_epoch` is the highest known epoch of the receiver's name if it is of another start, else 0.
+    """
 
     known_epoch: int = 0
     is_answer: bool = False
 
 
 class Ping(msgspec.Struct, array_like=True, frozen=True, tag=2):
-    """A probe of the receiver, or, on behalf of the sender, of `target` if that is not empty."""
+    """A probe of the receiver; if `target` is set, a request to probe `target` for the sender."""
 
     number: int
     target: str = ""
@@ -50,7 +53,7 @@
 
 
 class AnnouncementPart(msgspec.Struct, array_like=True, frozen=True, tag=4):
-    """A part of a member's announcement to all others; the newest version counts."""
+    """A part of a member's announcement to all other members; the newest version replaces older ones."""
 
     version: int
     index: int
@@ -59,14 +62,14 @@
 
 
 class Query(msgspec.Struct, array_like=True, frozen=True, tag=5):
-    """A query; the link does not know its content."""
+    """A query; `data` is opaque to the link."""
 
     number: int
     data: bytes
 
 
 class QueryReply(msgspec.Struct, array_like=True, frozen=True, tag=6):
-    """The reply to the query of this number."""
+    """The reply to the query with the same number."""
 
     number: int
     data: bytes
@@ -77,7 +80,7 @@
 
 
 class LeaseDatagram(msgspec.Struct, array_like=True, frozen=True, tag=8):
-    """A message about a budget's leases; the fields are those of budget/manager.py."""
+    """A datagram about a budget's leases; budget/manager.py defines the fields."""
 
     budget: str
     kind: Annotated[int, msgspec.Meta(ge=0, le=4)]
@@ -95,14 +98,14 @@
 
 
 class Envelope(msgspec.Struct, array_like=True, frozen=True):
-    """A body with its sender's identity and membership updates."""
+    """A body with the identity of its sender and membership updates."""
 
     name: str
-    address: Address  # at which this sender is reached
+    address: Address  # at which the sender is reachable
     epoch: int
     session: int
     to_session: int
-    number: int  # of the datagrams of this session, from 1
+    number: int  # datagram number within the session, from 1
     body: Body
     updates: tuple[MembershipUpdate, ...] = ()
 
@@ -125,10 +128,12 @@
     try:
         envelope = CODEC.decode(data)
     except DecodingError as error:
-        raise RefusedError(f"no envelope: {error}") from None
+        raise RefusedError(f"not a valid envelope: {error}") from None
     if (
         not 0 < len(envelope.name) <= NAME_LENGTH_LIMIT
         or min(envelope.epoch, envelope.session, envelope.number) < 0
     ):
-        raise RefusedError("an envelope with figures that cannot be")
+        raise RefusedError(
+            "invalid envelope: the name has no or too many characters, or a number is negative"
+        )
     return envelope
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -1,4 +1,4 @@
-"""The link between senders: which datagrams are accepted, and membership on virtual time."""
+"""The link between senders: acceptance of datagrams, and membership on virtual time."""
 
 import base64
 import json
@@ -26,16 +26,16 @@
 
 
 def deliver(*nodes: FleetNode, now: float = 0.0) -> list[bytes]:
-    """Delivers all datagrams until none is left; the datagrams."""
-    by = {member.me.address: member for member in nodes}
+    """Delivers datagrams until no outbox has any; returns all of them."""
+    node_by_address = {member.me.address: member for member in nodes}
     datagrams = []
-    while out := [datagram for member in nodes for datagram in member.outbox]:
+    while outgoing := [datagram for member in nodes for datagram in member.outbox]:
         for member in nodes:
             member.outbox = []
-        for address, data in out:
+        for address, data in outgoing:
             datagrams.append(data)
-            if address in by:
-                by[address].receive(data, now)
+            if address in node_by_address:
+                node_by_address[address].receive(data, now)
     return datagrams
 
 
@@ -48,7 +48,7 @@
 
 
 @given(st.binary(max_size=1500))
-def test_what_is_not_sealed_with_our_key_has_no_effect(junk: bytes) -> None:
+def test_datagram_not_sealed_with_the_key_has_no_effect(junk: bytes) -> None:
     one = node()
     one.receive(junk, 0.0)
     one.receive(Seal([OTHER]).seal(junk[:1300]), 0.0)
@@ -56,7 +56,7 @@
 
 
 @given(st.binary(max_size=300))
-def test_no_content_under_our_seal_raises(content: bytes) -> None:
+def test_arbitrary_content_sealed_with_the_key_raises_no_exception(content: bytes) -> None:
     one = node()
     one.receive(Seal([KEY]).seal(content), 0.0)
     assert not one.members.others
@@ -64,24 +64,24 @@
 
 @settings(max_examples=40)
 @given(st.integers(0, 10**6), st.integers(0, 7))
-def test_a_changed_bit_is_refused(at: int, bit: int) -> None:
+def test_datagram_with_a_flipped_bit_is_rejected(at: int, bit: int) -> None:
     data = bytearray(Seal([KEY]).seal(b"content"))
     data[at % len(data)] ^= 1 << bit
     with pytest.raises(RefusedError):
         Seal([KEY]).open(bytes(data))
 
 
-def test_sizes_and_versions_are_named() -> None:
+def test_wrong_size_or_version_is_rejected_with_its_reason() -> None:
     for data, text in (
-        (b"EL1", "cut short"),
-        (b"EL9" + bytes(60), "another version"),
-        (bytes(DATAGRAM_BYTES_LIMIT + 1), "at the most"),
+        (b"EL1", "too short: 3 bytes, minimum 31"),
+        (b"EL9" + bytes(60), "unknown version: expected b'EL1', got b'EL9'"),
+        (bytes(DATAGRAM_BYTES_LIMIT + 1), "too large: 1401 bytes, limit 1400"),
     ):
         with pytest.raises(RefusedError, match=text):
             Seal([KEY]).open(data)
 
 
-def test_keys_change_with_nobody_left_out() -> None:
+def test_members_can_communicate_at_each_step_of_a_key_rotation() -> None:
     old, both, new = Seal([KEY]), Seal([KEY, OTHER]), Seal([OTHER])
     assert both.open(old.seal(b"x")) == old.open(both.seal(b"x")) == both.open(new.seal(b"x")) == b"x"
     both.set_keys([OTHER, KEY])
@@ -91,27 +91,25 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "mode", "says"),
+    ("text", "mode", "message"),
     [
-        (base64.b64encode(KEY).decode(), 0o644, "others may read it"),
-        ("", 0o600, "holds no key"),
-        ("%%%", 0o600, "no base64"),
-        ("AAAA", 0o600, "a key of 3 bytes"),
+        (base64.b64encode(KEY).decode(), 0o644, "must deny access to group and others .600., not 644"),
+        ("", 0o600, "expected at least one key, found none"),
+        ("%%%", 0o600, "line 1: invalid base64"),
+        ("AAAA", 0o600, "line 1: expected a key of 32 bytes, got 3 bytes"),
         (None, 0, "No such file"),
     ],
 )
-def test_a_key_file_that_cannot_be_used_is_refused(
-    tmp_path: Path, text: str | None, mode: int, says: str
-) -> None:
+def test_unusable_key_file_is_rejected(tmp_path: Path, text: str | None, mode: int, message: str) -> None:
     file = tmp_path / "key"
     if text is not None:
         file.write_text(text)
         file.chmod(mode)
-    with pytest.raises(KeyFileError, match=says):
+    with pytest.raises(KeyFileError, match=message):
         read_keys(file)
 
 
-def test_a_replay_counts_once_also_over_a_restart() -> None:
+def test_replayed_datagrams_have_no_effect_before_and_after_a_restart() -> None:
     a, b = node("a"), node("b")
     exchange_hellos(a, b)
     a.publish(b"word", 1.0)
@@ -121,14 +119,14 @@
     for data in datagrams:
         b.receive(data, 2.0)
     assert b.counters.received == received
-    again = node("b", epoch=2, seed=7)
+    restarted = node("b", epoch=2, seed=7)
     for data in datagrams:
-        again.receive(data, 3.0)
-    assert not again.announcements and not again.members.others, "it was said to the one before"
-    assert len(again.outbox) <= 20 + len(datagrams), "a replay causes a bounded number of hellos alone"
+        restarted.receive(data, 3.0)
+    assert not restarted.announcements and not restarted.members.others, "sent to the earlier start"
+    assert len(restarted.outbox) <= 20 + len(datagrams), "replays cause only a bounded number of hellos"
 
 
-def test_a_start_with_an_old_disk_is_told_so() -> None:
+def test_start_with_an_old_epoch_learns_and_exceeds_the_known_epoch() -> None:
     a, b = node("a"), node("b", epoch=7)
     exchange_hellos(a, b)
     raised: list[int] = []
@@ -140,7 +138,7 @@
     assert a.members.others["b"].epoch == 8 and a.members.others["b"].state is MemberState.ALIVE
 
 
-def test_two_of_one_name_are_noticed() -> None:
+def test_second_member_with_the_same_name_is_detected() -> None:
     one, other = node("a"), node("a", seed=3)
     other.me = LocalMember("a", ("10.0.0.9", 1))
     other.send(one.me.address, wire.Hello())
@@ -149,7 +147,7 @@
 
 
 @pytest.mark.parametrize(("size", "loss"), [(5, 0.0), (5, 0.2), (40, 0.05)])
-def test_all_join_none_falsely_dies_and_the_dead_are_known(size: int, loss: float) -> None:
+def test_members_join_and_only_ended_members_are_declared_dead(size: int, loss: float) -> None:
     network = MemberNetwork(size, 1, loss)
     for number in range(size):
         network.start(number)
@@ -166,7 +164,7 @@
     assert all(len(member.members.alive()) == size for member in network.nodes.values())
 
 
-def test_who_stood_still_doubts_itself_and_is_back() -> None:
+def test_frozen_member_is_declared_dead_and_rejoins_after_thawing() -> None:
     network = MemberNetwork(5, 2)
     for number in range(5):
         network.start(number)
@@ -179,7 +177,7 @@
     assert all(len(member.members.alive()) == 5 for member in network.nodes.values())
 
 
-def test_a_split_heals() -> None:
+def test_members_rejoin_after_a_network_partition() -> None:
     network = MemberNetwork(6, 4)
     for number in range(6):
         network.start(number)
@@ -192,7 +190,7 @@
     assert all(len(member.members.alive()) == 6 for member in network.nodes.values())
 
 
-def test_people_read_what_a_sender_tells(monkeypatch: pytest.MonkeyPatch, tmp_path: Path) -> None:
+def test_fleet_commands_show_the_reported_state(monkeypatch: pytest.MonkeyPatch, tmp_path: Path) -> None:
     members = {
         "a": {
             "stage": "owed",
@@ -204,7 +202,7 @@
         },
         "b": {"stage": "unknown", "owed": None, "state": "suspect", "said_s": None},
     }
-    there = {
+    destination = {
         "up": None,
         "age_s": None,
         "wait_s": 2.0,
@@ -212,11 +210,12 @@
         "tried_by": ["b"],
         "next_to_try": ["a"],
     }
-    told = {
+    status = {
         "name": "a", "members": members, "behind": True, "namesake": "10.0.0.9:1", "refused": {"why": 2},
-        "doubtful": {"m": ["b", "out"]}, "destinations": {"1": there}, "history": [[0.5, "feeling", "alone"]],
+        "doubtful": {"m": ["b", "out"]}, "destinations": {"1": destination},
+        "history": [[0.5, "feeling", "alone"]],
     }  # fmt: skip
-    monkeypatch.setattr(command, "request_value", lambda folder, request: told)
+    monkeypatch.setattr(command, "request_value", lambda folder, request: status)
     text = CliRunner().invoke(command.fleet, ["status", str(tmp_path)]).output
     for words in (
         "owes 3",
@@ -228,4 +227,4 @@
     ):
         assert words in text
     shown = CliRunner().invoke(command.fleet, ["watch", str(tmp_path), "--json", "--times", "1"])
-    assert json.loads(shown.output) == {str(tmp_path): told}
+    assert json.loads(shown.output) == {str(tmp_path): status}
