--- a/message_sender/discovery/__init__.py
+++ b/message_sender/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Endpoint lists: static ones, files, and what operators change of them for a while."""
+"""Endpoint lists from the configuration and from files, and temporary changes to them by operators."""
--- a/message_sender/discovery/outlier.py
+++ b/message_sender/discovery/outlier.py
@@ -1,11 +1,12 @@
-"""Outlier detection: ejects an endpoint that fails while others of its destination serve. Pure.
+"""Outlier detection: ejects an endpoint that fails while others of its destination succeed. Pure.
 
-The circuit breaker judges a destination; this judges an endpoint among others, as Envoy's outlier detection:
+The circuit breaker covers a destination; outlier detection compares an endpoint with the others of its
+destination, like Envoy's outlier detection:
 
-- `failures` consecutive failures eject an endpoint if another one of its destination has served a call since
-  the first of them.
-- It is ejected for `base_duration_us` times the number of its recent ejections, at most `max_duration_us`; a
-  served call takes one of these off again.
+- `failures` consecutive failures eject an endpoint if another endpoint of its destination has served a call
+  since the first of these failures.
+- The ejection lasts `base_duration_us` times the number of the endpoint's recent ejections, at most
+  `max_duration_us`; each served call reduces this number by one.
 - At most `max_share` of a destination's endpoints are ejected at once, and never the last one in service.
 
 Times are microseconds.
@@ -19,10 +20,10 @@
     """The recent results of one endpoint.
 
     Attributes:
-        failures: Consecutive failures.
-        first_failure_at: When the first of these happened.
-        last_success_at: When a call was last served; -1: never.
-        ejections: Recent ejections.
+        failures: Number of consecutive failures.
+        first_failure_at: When the first of these failures happened.
+        last_success_at: When a call was last served; -1 if never.
+        ejections: Number of recent ejections.
     """
 
     failures: int = 0
@@ -33,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EjectionPolicy:
-    """When and for how long endpoints are ejected; see the module's description."""
+    """When and for how long endpoints are ejected; see the module docstring."""
 
     failures: int = 5
     base_duration_us: int = 30_000_000
@@ -50,7 +51,7 @@
     """
 
     def __init__(self, policy: EjectionPolicy) -> None:
-        """Creates a detector without any results."""
+        """Creates a detector without recorded results."""
         self.policy = policy
         self.records: dict[str, FailureRecord] = {}
         self.ejected_until: dict[str, int] = {}
@@ -66,9 +67,9 @@
         """Records a failed call.
 
         Args:
-            name: The endpoint.
-            now: The time.
-            in_service: Endpoints of its destination that may be called, itself included.
+            name: The endpoint's id.
+            now: The current time.
+            in_service: Ids of its destination's endpoints that are in service, itself included.
             ejected_others: Number of its destination's endpoints that are ejected.
 
         Returns:
@@ -83,7 +84,7 @@
         if name in self.ejected_until or name not in in_service:
             return False
         if not any(self.has_served(each, record.first_failure_at) for each in in_service if each != name):
-            return False  # the destination fails, which its breaker handles
+            return False  # the whole destination fails, which the circuit breaker handles
         if ejected_others + 1 > self.policy.max_share * (len(in_service) + ejected_others):
             return False
         record.ejections += 1
@@ -93,21 +94,21 @@
         return True
 
     def has_served(self, name: str, since: int) -> bool:
-        """Whether an endpoint has served a call since then."""
+        """Whether an endpoint has served a call at or after `since`."""
         return name in self.records and self.records[name].last_success_at >= since
 
     def expire(self, now: int) -> list[str]:
-        """Ends the ejections that are over, and returns their endpoints."""
+        """Removes the ejections that are over and returns their endpoint ids."""
         expired = [name for name, until in self.ejected_until.items() if until <= now]
         for name in expired:
             del self.ejected_until[name]
         return expired
 
     def next_change(self) -> int | None:
-        """Returns when the next ejection ends; None without one."""
+        """Returns when the next ejection ends; None if nothing is ejected."""
         return min(self.ejected_until.values(), default=None)
 
-    def forget(self, name: str) -> None:
-        """Drops an endpoint that is no longer listed."""
+    def remove(self, name: str) -> None:
+        """Drops the results and the ejection of an endpoint that is no longer listed."""
         self.records.pop(name, None)
         self.ejected_until.pop(name, None)
--- a/message_sender/discovery/overridden.py
+++ b/message_sender/discovery/overridden.py
@@ -1,4 +1,4 @@
-"""A directory with overrides applied to it: implements the core's port around another directory."""
+"""A directory with overrides: implements the core's port `Directory` around another directory."""
 
 import asyncio
 import logging
@@ -15,20 +15,20 @@
 from message_sender.policy.model import FAILURES, Outcome
 
 US_PER_SECOND = 1_000_000
-INEFFECTIVE_CHECK_DELAY_S = 0.2  # from an update of the list until overrides without effect are logged
-TIMER_MARGIN_S = 0.001  # by which a timer runs late, so that the time has come by any clock
+INEFFECTIVE_CHECK_DELAY_S = 0.2  # between a list update and the logging of overrides without effect
+TIMER_MARGIN_S = 0.001  # added to timers, so that the time has also passed on the engine's clock
 
 log = logging.getLogger(__name__)
 
 
 class Source(Protocol):
-    """The directory under the overrides; its methods are those of the core's port `Directory`."""
+    """The wrapped directory; its methods are those of the core's port `Directory`."""
 
     def poll_unread(self) -> None:
-        """Applies what lies unread."""
+        """Applies updates that have been received but not read yet."""
 
     async def watch(self) -> None:
-        """Sends the list and its changes until it is cancelled."""
+        """Sends the list and its changes until cancelled."""
 
     def knows(self, destination: int) -> bool:
         """Whether the destination is or was listed."""
@@ -42,13 +42,13 @@
     """A directory with overrides, slow start and ejection of outliers.
 
     Attributes:
-        source: The directory; it sends its updates to `apply_update`.
-        on_update: Receives the resulting updates; the engine's `endpoints_updated`.
-        next_at: When the next override begins, warns or ends, us.
-        warned: Overrides whose near end has been logged.
-        ineffective: Overrides without effect, and why, as logged.
-        unserved_destinations: Those without an endpoint in service, as logged.
-        returned_endpoints: Endpoints whose time out of service ended while no sender ran.
+        source: The wrapped directory; it sends its updates to `apply_update`.
+        on_update: Called with the resulting updates; the engine's `endpoints_updated`.
+        next_at: When the next change by time is due (override, slow start or ejection), us; None if none is.
+        warned: Names of the overrides whose approaching end has been logged.
+        ineffective: The logged reason of each override without effect, by name.
+        unserved_destinations: Destinations without an endpoint in service, as logged.
+        returned_endpoints: Endpoints whose out-of-service override ended while no sender ran.
     """
 
     def __init__(
@@ -60,15 +60,15 @@
         slow_start_us: int = 0,
         ejection: EjectionPolicy | None = None,
     ) -> None:
-        """Loads the overrides.
+        """Loads the overrides and removes those that have ended.
 
         Args:
-            source: The directory.
-            store: The overrides on disk.
-            now: The engine's clock, us.
-            on_update: Receives the resulting updates.
-            slow_start_us: For how long the weight of an endpoint that is new or back grows; 0: not at all.
-            ejection: When outliers are ejected; None: never.
+            source: The wrapped directory.
+            store: Stores the overrides on disk.
+            now: Returns the engine's time, us.
+            on_update: Called with the resulting updates.
+            slow_start_us: Duration of the slow start of new and returned endpoints; 0 disables it.
+            ejection: When outliers are ejected; None disables ejection.
         """
         self.source = source
         self.store = store
@@ -89,14 +89,14 @@
         )
         self.layer.refresh(started_at)
 
-    # The port.
+    # Implementation of the port `Directory`.
 
     def poll_unread(self) -> None:
-        """Applies what lies unread."""
+        """Applies updates that have been received but not read yet."""
         self.source.poll_unread()
 
     async def watch(self) -> None:
-        """Sends the list and its changes until it is cancelled."""
+        """Sends the list and its changes until cancelled."""
         await self.source.watch()
 
     def knows(self, destination: int) -> bool:
@@ -107,10 +107,13 @@
         """Records a destination that an earlier process knew."""
         self.source.remember(destination)
 
-    # What the source and the calls report.
+    # Updates of the source and outcomes of calls.
 
     def apply_update(self, update: EndpointsUpdated) -> None:
-        """Sends an update of the source on, under the overrides; costs only what it names."""
+        """Forwards an update of the source with the overrides applied.
+
+        The cost is proportional to the size of the update.
+        """
         if self.next_at is not None and self.next_at <= self.now():
             self.refresh()
         self.on_update(self.layer.apply_update(update, self.now()))
@@ -121,7 +124,7 @@
             self.check_timer = loop.call_later(INEFFECTIVE_CHECK_DELAY_S, self.check_effects)
 
     def record_outcome(self, endpoint: str, outcome: Outcome) -> None:
-        """Records the outcome of a call: a failure may eject the endpoint."""
+        """Records the outcome of a call; a failure may eject the endpoint."""
         if outcome is not Outcome.OK and outcome not in FAILURES:
             return
         if self.layer.record_outcome(endpoint, outcome is Outcome.OK, self.now()):
@@ -129,21 +132,21 @@
             self.refresh()
 
     def check_effects(self) -> None:
-        """Logs overrides without effect, some time after an update."""
+        """Logs overrides without effect; runs `INEFFECTIVE_CHECK_DELAY_S` after an update."""
         self.check_timer = None
         self.log_warnings(self.now())
 
-    # What operators change.
+    # Changes by operators.
 
     def set(
         self, kind: OverrideKind, endpoint: str, who: str, why: str, begins: int, until: int,
         weight: float = 1.0, destination: int = -1, tenant: str = "", key: str = "",
     ) -> Override:  # fmt: skip
-        """Sets an override; arguments as the fields of `Override`.
+        """Sets an override; the arguments are the fields of `Override`.
 
         Raises:
-            OverrideError: It is invalid.
-            OSError: It cannot be saved, and is not in force.
+            OverrideError: If the override is invalid.
+            OSError: If the override cannot be saved; it is then not in force.
         """
         pin = (destination, tenant, key)
         new = self.book.set(kind, endpoint, who, why, begins, until, self.now(), weight, *pin)
@@ -154,8 +157,9 @@
         """Ends an override.
 
         Raises:
-            KeyError: There is no such override.
-            OSError: It has ended, but cannot be saved: it would come back at the next start, until its time.
+            KeyError: If there is no override of this name.
+            OSError: If the end cannot be saved; the override has ended, but would be in force again after a
+                restart, until its end.
         """
         ended = self.book.end(name)
         self.refresh()
@@ -164,41 +168,41 @@
         return ended
 
     def extend(self, name: str, until: int, who: str, why: str = "") -> Override:
-        """Gives an override another end.
+        """Changes the end of an override.
 
         Raises:
-            KeyError: There is no such override.
-            OverrideError: The end is invalid.
-            OSError: It cannot be saved, and its end stays.
+            KeyError: If there is no override of this name.
+            OverrideError: If the end is invalid.
+            OSError: If the change cannot be saved; the end is then unchanged.
         """
         before = self.book.overrides[name]
         extended = self.book.extend(name, until, self.now())
         self.commit("extended", extended, who, why, lambda: self.book.overrides.update({name: before}))
         return extended
 
-    def commit(self, did: str, changed: Override, who: str, why: str, undo: Callable[[], object]) -> None:
-        """Saves and applies a change. Raises OSError if it cannot be saved; then it is undone."""
+    def commit(self, action: str, changed: Override, who: str, why: str, undo: Callable[[], object]) -> None:
+        """Saves and applies a change. Raises OSError if it cannot be saved, after calling `undo`."""
         try:
             self.store.save(self.book)
         except OSError:
             undo()
             raise
         self.warned.discard(changed.name)
-        self.store.record(self.now(), who, did, changed, why)
+        self.store.record(self.now(), who, action, changed, why)
         self.refresh()
 
-    # Time.
+    # Changes by time.
 
     def expire(self, now: int) -> list[Override]:
-        """Removes the overrides that have ended, also on disk, and returns them.
+        """Removes the overrides that have ended, in memory and on disk, and returns them.
 
-        A failing disk is logged: an ended override that it still has ends again at the next start.
+        A disk error is logged only: an ended override that is still on disk ends again at the next start.
         """
         if not (expired := self.book.expire(now)):
             return []
-        for each in expired:
-            log.warning("override expired: name=%s override=%s", each.name, each.describe())
-            self.store.record(now, each.who, "expired", each)
+        for override in expired:
+            log.warning("override expired: name=%s override=%s", override.name, override.describe())
+            self.store.record(now, override.who, "expired", override)
         try:
             self.store.save(self.book)
         except OSError as error:
@@ -208,8 +212,8 @@
     def refresh(self) -> None:
         """Applies overrides that were set, have begun or have ended.
 
-        All of it happens at one reading of the clock: what is due between two readings would be seen by
-        neither of the steps.
+        All steps use one reading of the clock: with two readings, a change that becomes due between them
+        would be missed by both the step that applies changes and the step that sets the timer.
         """
         now = self.now()
         self.expire(now)
@@ -219,7 +223,7 @@
         self.schedule_refresh(now)
 
     def schedule_refresh(self, now: int) -> None:
-        """Sets the timer for the next change."""
+        """Sets the timer for the next change by time."""
         if self.timer:
             self.timer.cancel()
             self.timer = None
@@ -232,13 +236,16 @@
             self.timer = asyncio.get_running_loop().call_later(delay_s, self.refresh)
 
     def log_warnings(self, now: int) -> None:
-        """Logs, once each, overrides that end soon or have no effect, and destinations without endpoint."""
-        for each in self.book.active(now):
-            if each.warns_at() <= now and each.name not in self.warned:
-                self.warned.add(each.name)
-                end = format_time(each.until, now)
+        """Logs once each: overrides that end soon or have no effect, and destinations without an endpoint."""
+        for override in self.book.active(now):
+            if override.warns_at() <= now and override.name not in self.warned:
+                self.warned.add(override.name)
+                end = format_time(override.until, now)
                 log.warning(
-                    "override expires soon: name=%s end=%s override=%s", each.name, end, each.describe()
+                    "override expires soon: name=%s end=%s override=%s",
+                    override.name,
+                    end,
+                    override.describe(),
                 )
         self.warned &= set(self.book.overrides)
         ineffective = self.layer.ineffective(now)
--- a/message_sender/discovery/override_layer.py
+++ b/message_sender/discovery/override_layer.py
@@ -1,4 +1,4 @@
-"""Applies overrides, slow start and ejections to an endpoint list; the rules are in `overrides`. Pure."""
+"""Applies overrides, slow start and ejections to an endpoint list; `overrides` has the rules. Pure."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, replace
@@ -10,24 +10,24 @@
 from message_sender.policy.events import EndpointsUpdated
 from message_sender.policy.model import Endpoint, EndpointState, ListingKind
 
-Name = TypeVar("Name", str, int)
+Key = TypeVar("Key", str, int)
 
 
-def changed_names(before: dict[Name, Override], after: dict[Name, Override]) -> list[Name]:
-    """Returns the keys for which another override counts than before."""
-    return [name for name in before | after if before.get(name) != after.get(name)]
+def changed_keys(before: dict[Key, Override], after: dict[Key, Override]) -> list[Key]:
+    """Returns the keys whose effective override has changed."""
+    return [key for key in before | after if before.get(key) != after.get(key)]
 
 
 @dataclass(slots=True)
 class ActiveOverrides:
-    """The overrides that count at one moment.
+    """The effective overrides at a point in time.
 
     Attributes:
-        out: Out of service, by endpoint.
-        weights: By endpoint.
-        pins: By destination.
-        tenants: Pins by tenant.
-        keys: Pins by key.
+        out: Out-of-service overrides by endpoint.
+        weights: Weight overrides by endpoint.
+        pins: Pins of a destination's messages, by destination.
+        tenants: Pins of a tenant's messages, by tenant.
+        keys: Pins of a key's messages, by key.
     """
 
     out: dict[str, Override]
@@ -38,19 +38,19 @@
 
     @classmethod
     def from_overrides(cls, overrides: Iterable[Override]) -> "ActiveOverrides":
-        """Returns which of the overrides in force count; of two for the same, the later one does."""
+        """Selects the effective overrides; of two for the same kind and subject the later takes effect."""
         active = cls({}, {}, {}, {}, {})
-        for each in overrides:
-            if each.kind is OverrideKind.OUT:
-                active.out[each.endpoint] = each
-            elif each.kind is OverrideKind.WEIGHT:
-                active.weights[each.endpoint] = each
-            elif each.destination >= 0:
-                active.pins[each.destination] = each
-            elif each.tenant:
-                active.tenants[each.tenant] = each
+        for override in overrides:
+            if override.kind is OverrideKind.OUT:
+                active.out[override.endpoint] = override
+            elif override.kind is OverrideKind.WEIGHT:
+                active.weights[override.endpoint] = override
+            elif override.destination >= 0:
+                active.pins[override.destination] = override
+            elif override.tenant:
+                active.tenants[override.tenant] = override
             else:
-                active.keys[each.key] = each
+                active.keys[override.key] = override
         return active
 
 
@@ -58,12 +58,12 @@
     """The directory's list as changed by overrides, slow start and ejections.
 
     Attributes:
-        now: Time of the last look, us.
-        active: The overrides that count.
+        now: The time of the last update or refresh, us.
+        active: The effective overrides.
         listed: The directory's list, by endpoint id.
-        members: By destination, the ids of its endpoints.
-        published: The resulting list, by endpoint id.
-        newly_ejected: Endpoints whose ejection is not published yet.
+        members: The endpoint ids of each destination, in an ordered set.
+        published: The resulting list as last published, by endpoint id.
+        newly_ejected: Endpoint ids whose ejection is not published yet.
     """
 
     def __init__(
@@ -72,7 +72,7 @@
         slow_start: SlowStart | None = None,
         outliers: OutlierDetector | None = None,
     ) -> None:
-        """Creates a layer over an empty list."""
+        """Creates a layer on an empty list."""
         self.book = book
         self.slow_start = slow_start or SlowStart()
         self.outliers = outliers
@@ -86,9 +86,10 @@
     # Updates of the directory.
 
     def apply_update(self, update: EndpointsUpdated, now: int = 0) -> EndpointsUpdated:
-        """Returns the directory's update under the overrides that counted at the last `refresh`.
+        """Returns the directory's update with the overrides in effect at the last `refresh` applied.
 
-        It costs what the update names, and the destinations of pins that it concerns.
+        The cost is proportional to the endpoints in the update and in the pinned destinations that it
+        affects.
         """
         if update.listing is ListingKind.FAILED:
             return update
@@ -108,7 +109,7 @@
         return replace(update, endpoints=tuple(removed.get(name) or self.publish(name) for name in names))
 
     def new_endpoints(self, update: EndpointsUpdated) -> list[str]:
-        """Returns the ready endpoints that were not listed before; none in the first list."""
+        """Returns the ready endpoints that were not listed before; empty for the first list."""
         if not self.listed:
             return []
         return [
@@ -118,7 +119,7 @@
         ]
 
     def clear(self) -> None:
-        """Drops all endpoints: a complete list follows."""
+        """Drops all endpoints before a complete list is applied."""
         self.listed = {}
         self.members = {}
         self.published = {}
@@ -127,8 +128,8 @@
         """Applies one entry of an update.
 
         Returns:
-            The destinations that it concerns. The one that it leaves is among them, as that may have been
-            pinned to it.
+            The affected destinations. They include the previous destination of a moved endpoint, as that
+            destination may have been pinned to it.
         """
         before = self.listed.pop(endpoint.id, None)
         if before:
@@ -139,18 +140,18 @@
         else:
             self.published.pop(endpoint.id, None)
             if self.outliers:
-                self.outliers.forget(endpoint.id)
+                self.outliers.remove(endpoint.id)
         return {endpoint.destination, before.destination if before else endpoint.destination}
 
     # The resulting list.
 
     def publish(self, name: str) -> Endpoint:
-        """Returns a listed endpoint as it results, and records it as published."""
+        """Returns the effective endpoint for a listed one and records it as published."""
         self.published[name] = endpoint = self.effective(self.listed[name])
         return endpoint
 
     def effective(self, listed: Endpoint) -> Endpoint:
-        """Returns a listed endpoint as it results."""
+        """Returns the effective endpoint: a listed one with overrides, slow start and ejections applied."""
         if listed.state is not EndpointState.READY:
             return listed
         pin = self.active.pins.get(listed.destination)
@@ -163,31 +164,31 @@
         return listed if weight == listed.weight else replace(listed, weight=weight)
 
     def is_in_service(self, listed: Endpoint) -> bool:
-        """Whether it is ready, and neither out of service nor ejected."""
+        """Whether a listed endpoint is ready, and neither out of service nor ejected."""
         is_ejected = self.outliers is not None and listed.id in self.outliers.ejected_until
         is_out = listed.id in self.active.out
         return listed.state is EndpointState.READY and not is_out and not is_ejected
 
     def is_pin_effective(self, pin: Override) -> bool:
-        """Whether the endpoint of a destination's pin can take its messages."""
+        """Whether the pinned endpoint is one of the pin's destination and in service."""
         endpoint = self.listed.get(pin.endpoint)
         if endpoint is None or endpoint.destination != pin.destination:
             return False
         return self.is_in_service(endpoint)
 
     def pinned_endpoint(self, tenant: str, key: str) -> str:
-        """Returns where a message of that tenant and key is pinned to; empty if nowhere.
+        """Returns the endpoint that messages of a tenant and key are pinned to; empty if there is none.
 
-        The key's pin goes before the tenant's. Whether that endpoint is one of the message's destination is
-        checked by the delivery policy.
+        A pin of the key takes precedence over one of the tenant. The delivery policy checks whether the
+        endpoint belongs to the message's destination.
         """
         pin = self.active.keys.get(key) or self.active.tenants.get(tenant)
         return pin.endpoint if pin else ""
 
-    # Time, and results of calls.
+    # Changes by time and by results of calls.
 
     def begin_slow_start(self, name: str) -> None:
-        """Starts an endpoint slowly if its destination has others to take the rest."""
+        """Puts an endpoint into slow start if its destination has another ready endpoint."""
         others = self.members[self.listed[name].destination]
         if any(
             each != name and each in self.published and self.published[each].state is EndpointState.READY
@@ -199,7 +200,7 @@
         """Records the result of a call.
 
         Returns:
-            Whether an endpoint is ejected; then `refresh` has an update.
+            Whether an endpoint was ejected; `refresh` then returns an update.
         """
         if self.outliers is None or name not in self.listed:
             return False
@@ -217,8 +218,8 @@
         """Applies overrides that were set, have begun or have ended, slow starts and ejections.
 
         Returns:
-            The resulting update, None if nothing changes. Endpoints that come back into service are marked
-            as returned, so that they are warmed up.
+            The resulting update; None if nothing changes. Endpoints that return to service are marked as
+            returned, so that they are warmed up.
         """
         self.now = max(self.now, now)
         before = self.active
@@ -240,27 +241,27 @@
         return EndpointsUpdated(ListingKind.CHANGES, tuple(changes), tuple(returned))
 
     def affected_endpoints(self, before: ActiveOverrides, now: int) -> list[str]:
-        """Returns the listed endpoints that may result differently from the last time."""
+        """Returns the listed endpoints whose effective state may have changed since the last refresh."""
         names = dict.fromkeys([*self.slow_start.advance(now), *self.newly_ejected])
         names |= dict.fromkeys(self.outliers.expire(now) if self.outliers else ())
-        names |= dict.fromkeys(changed_names(before.out, self.active.out))
-        names |= dict.fromkeys(changed_names(before.weights, self.active.weights))
+        names |= dict.fromkeys(changed_keys(before.out, self.active.out))
+        names |= dict.fromkeys(changed_keys(before.weights, self.active.weights))
         self.newly_ejected = []
-        destinations = set(changed_names(before.pins, self.active.pins))
+        destinations = set(changed_keys(before.pins, self.active.pins))
         destinations |= {self.listed[name].destination for name in names if name in self.listed}
         for destination in destinations:
             names |= dict.fromkeys(self.members.get(destination, ()))
         return [name for name in names if name in self.listed]
 
-    # For operators.
+    # Information for operators.
 
     def ineffective(self, now: int) -> dict[str, str]:
-        """Returns the overrides in force that change nothing, with the reason."""
+        """Returns the reason of each override in force that has no effect, by name."""
         reasons = {each.name: self.ineffective_reason(each) for each in self.book.active(now)}
         return {name: reason for name, reason in reasons.items() if reason}
 
     def ineffective_reason(self, override: Override) -> str:
-        """Returns why an override in force changes nothing; empty if it has an effect."""
+        """Returns why an override in force has no effect; empty if it has one."""
         listed = self.listed.get(override.endpoint)
         if listed is None:
             return "its endpoint is not listed"
@@ -270,11 +271,11 @@
             return "its endpoint drains"
         if override.kind is not OverrideKind.OUT and override.endpoint in self.active.out:
             return f"its endpoint is out of service by {self.active.out[override.endpoint].name}"
-        counting = self._counting_override(override)
-        return f"{counting.name} counts in its place" if counting and counting != override else ""
+        effective = self._effective_override(override)
+        return f"{effective.name} counts in its place" if effective and effective != override else ""
 
-    def _counting_override(self, override: Override) -> Override | None:
-        """Returns the override that counts for what this one concerns."""
+    def _effective_override(self, override: Override) -> Override | None:
+        """Returns the effective override for the endpoint, destination, tenant or key of this one."""
         if override.kind is OverrideKind.OUT:
             return self.active.out.get(override.endpoint)
         if override.kind is OverrideKind.WEIGHT:
@@ -286,7 +287,7 @@
         )
 
     def unserved_destinations(self) -> list[int]:
-        """Returns the destinations whose ready endpoints all are unavailable, one at least by an override."""
+        """Returns destinations with no ready endpoint in service, of which an override took one out."""
         destinations = {self.listed[name].destination for name in self.active.out if name in self.listed}
         return sorted(each for each in destinations if self._is_unserved(each))
 
--- a/message_sender/discovery/overrides.py
+++ b/message_sender/discovery/overrides.py
@@ -1,20 +1,20 @@
-"""Overrides: what an engineer says of endpoints for a while, whatever the directory says. Pure.
+"""Overrides: temporary changes to endpoints by operators, independent of the directory. Pure.
 
 The rules (`override_layer` applies them to the list):
 
 - Each override has an author, a reason, a beginning and an end, at most `MAX_DURATION_US` apart.
-- It concerns the *name* of an endpoint, at whatever address that one is listed. An endpoint that is removed
-  and listed again under its name is overridden again; while it is not listed, the override has no effect and
-  is shown so.
-- Of two that contradict each other, *out of service* goes before a weight and a pin; otherwise the newer
-  counts.
-- A *pin* sends messages to one endpoint of their destination: all messages of a destination (its other
-  endpoints are shown as draining), or those of a tenant or a key that are accepted while it stands. If that
-  endpoint drains, is not listed or is out of service, the pin has no effect: a drain binds under every
-  override.
-- An endpoint that is not listed as ready stays as it is: an override can take an endpoint out of service, but
-  not put one into service.
-- An override that has ended never returns, also not if the clock is set back.
+- An override applies to the *name* of an endpoint, regardless of the endpoint's address. It applies again to
+  an endpoint that is removed and then listed again under its name. While the endpoint is not listed, the
+  override has no effect and is shown as ineffective.
+- If two overrides conflict, *out of service* takes precedence over a weight and a pin; otherwise the newer
+  override takes precedence.
+- A *pin* sends messages to one endpoint of their destination: either all messages of a destination (its other
+  endpoints are shown as draining), or those of a tenant or a key that are accepted while the pin is in force.
+  If the pinned endpoint is draining, not listed or out of service, the pin has no effect: no override cancels
+  a drain.
+- An endpoint that is not listed as ready is unchanged: an override can take an endpoint out of service, but
+  cannot put one into service.
+- An override that has ended never comes into force again, not even if the clock is set back.
 
 Times are microseconds since the epoch, on the sender's clock.
 """
@@ -26,13 +26,13 @@
 
 SECOND = 1_000_000
 MAX_DURATION_US = 7 * 24 * 3600 * SECOND
-WARNING_TIME_US = 15 * 60 * SECOND  # before the end; a shorter override warns at half of its duration
+WARNING_TIME_US = 15 * 60 * SECOND  # before the end, or half of the duration if that is shorter
 MAX_OVERRIDES = 2_000
-MAX_TEXT_LENGTH = 200  # characters of a text that operators enter
+MAX_TEXT_LENGTH = 200  # characters of a text entered by an operator
 
 
 class OverrideKind(Enum):
-    """What an override does with its endpoint."""
+    """What an override does to its endpoint."""
 
     OUT = "out"
     WEIGHT = "weight"
@@ -40,35 +40,35 @@
 
 
 class OverrideError(ValueError):
-    """An override cannot be set.
+    """An override is invalid.
 
     Attributes:
-        faults: All that is wrong with it.
+        faults: All faults of the override.
     """
 
     def __init__(self, faults: list[str]) -> None:
-        """Creates an error that names all faults."""
+        """Creates an error whose text lists all faults."""
         super().__init__("; ".join(faults))
         self.faults = faults
 
 
 @dataclass(frozen=True, slots=True)
 class Override:
-    """One override. The names of its fields are keys on disk and in the management API.
+    """An override. The names of its fields are keys on disk and in the management API.
 
     Attributes:
-        name: Unique for all time, such as `o17`.
-        kind: What it does.
-        endpoint: The endpoint that is taken out, weighted, or that messages are pinned to.
-        who: Its author.
+        name: A name that is never reused, such as `o17`.
+        kind: What the override does.
+        endpoint: Name of the endpoint that is taken out of service, weighted or pinned to.
+        who: The author.
         why: The reason.
-        begins: When it comes into force.
-        until: When it ends.
-        order: Its number, which grows with each override that is set.
-        weight: Of a weight: share of the calls relative to the other endpoints, above 0 to 100.
-        destination: Of a pin: the destination whose messages are pinned; -1: it is a tenant's or a key's.
-        tenant: Of a pin: the tenant whose messages are pinned; may be empty.
-        key: Of a pin: the key whose messages are pinned; may be empty.
+        begins: When the override comes into force.
+        until: When the override ends.
+        order: A sequence number that increases with each override set.
+        weight: For a weight: the share of calls relative to the other endpoints, above 0, at most 100.
+        destination: For a pin: the destination whose messages are pinned; -1 to pin a tenant or a key.
+        tenant: For a pin: the tenant whose messages are pinned; otherwise empty.
+        key: For a pin: the key whose messages are pinned; otherwise empty.
     """
 
     name: str
@@ -85,45 +85,45 @@
     key: str = ""
 
     def is_active(self, now: int) -> bool:
-        """Whether it is in force."""
+        """Whether the override is in force."""
         return self.begins <= now < self.until
 
     def describe(self) -> str:
-        """Returns a short text for people."""
+        """Returns a short description for logs."""
         return f"{self.kind.value} {self.endpoint}, by {self.who}"
 
     def warns_at(self) -> int:
-        """Returns when its coming end is logged."""
+        """Returns when the warning about the approaching end is logged."""
         return self.until - min(WARNING_TIME_US, (self.until - self.begins) // 2)
 
     def as_json(self) -> dict[str, Any]:
-        """Returns it as an object of JSON."""
+        """Returns the override as a JSON object."""
         return asdict(self) | {"kind": self.kind.value}
 
     @classmethod
     def from_json(cls, stored: dict[str, Any]) -> "Override":
-        """Returns the override of an object of JSON. Raises ValueError, KeyError or TypeError for others."""
+        """Returns the override of a JSON object. Raises ValueError, KeyError or TypeError if invalid."""
         override = cls(**(stored | {"kind": OverrideKind(stored["kind"])}))
         if faults := override.find_faults():
             raise OverrideError(faults)
         return override
 
     def find_faults(self) -> list[str]:
-        """Returns all that is wrong with it."""
+        """Returns all faults of the override; empty if it is valid."""
         faults = self._find_faults_of_fields()
         targets = [self.destination != -1, self.tenant != "", self.key != ""]
         if self.kind is OverrideKind.PIN:
             is_negative = targets[0] and not faults and self.destination < 0
             if sum(targets) != 1 or is_negative:
-                faults.append("a pin needs a destination, a tenant or a key, one of them")
+                faults.append("a pin needs exactly one of destination, tenant and key")
         elif any(targets):
-            faults.append("destination, tenant and key are of pins")
+            faults.append("destination, tenant and key are allowed only for a pin")
         if not all(
             isinstance(each, str) and len(each) <= MAX_TEXT_LENGTH for each in (self.tenant, self.key)
         ):
             faults.append(f"tenant and key must be texts of at most {MAX_TEXT_LENGTH} characters")
         if not faults and not self.begins < self.until <= self.begins + MAX_DURATION_US:
-            faults.append("it must end after it begins, at most 7 days later")
+            faults.append("until must be after begins, at most 7 days later")
         return faults
 
     def _find_faults_of_fields(self) -> list[str]:
@@ -139,21 +139,21 @@
         is_number = isinstance(self.weight, int | float) and not isinstance(self.weight, bool)
         if not is_number or not 0 < self.weight <= 100:
             faults.append(
-                f"weight must be above 0 and at most 100, not {self.weight!r}; to send nothing, set it out"
+                f"weight must be above 0 and at most 100, not {self.weight!r}; to send nothing, use kind out"
             )
         return faults
 
 
 class OverrideBook:
-    """The overrides that have not ended.
+    """The overrides that have not been removed.
 
     Attributes:
-        overrides: By name, in the order in which they were set.
-        last_number: Number of the newest override that was ever set.
+        overrides: The overrides by name, in the order in which they were set.
+        last_number: Sequence number of the newest override ever set.
     """
 
     def __init__(self, overrides: Iterable[Override] = (), last_number: int = 0) -> None:
-        """Creates a book with overrides of earlier processes."""
+        """Creates a book with the overrides of earlier processes."""
         self.overrides = {each.name: each for each in overrides}
         self.last_number = max([last_number, *(each.order for each in self.overrides.values())])
 
@@ -161,15 +161,15 @@
         self, kind: OverrideKind, endpoint: str, who: str, why: str, begins: int, until: int, now: int,
         weight: float = 1.0, destination: int = -1, tenant: str = "", key: str = "",
     ) -> Override:  # fmt: skip
-        """Adds an override; arguments as the fields of `Override`. Raises OverrideError."""
+        """Adds an override; the arguments are the fields of `Override`. Raises OverrideError if invalid."""
         number = self.last_number + 1
         pin = (destination, tenant, key)
         new = Override(f"o{number}", kind, endpoint, who, why, begins, until, number, weight, *pin)
         faults = new.find_faults()
         if not faults and until <= now:
-            faults.append("its end has passed")
+            faults.append("until must be in the future")
         if len(self.overrides) >= MAX_OVERRIDES:
-            faults.append(f"{MAX_OVERRIDES} overrides stand already")
+            faults.append(f"the limit of {MAX_OVERRIDES} overrides is reached")
         if faults:
             raise OverrideError(faults)
         self.last_number = number
@@ -177,22 +177,22 @@
         return new
 
     def end(self, name: str) -> Override:
-        """Removes an override. Raises KeyError if there is none of that name."""
+        """Removes an override. Raises KeyError if there is none of this name."""
         return self.overrides.pop(name)
 
     def extend(self, name: str, until: int, now: int) -> Override:
-        """Gives an override another end. Raises KeyError, and OverrideError."""
+        """Changes the end of an override. Raises KeyError if there is none, OverrideError if invalid."""
         extended = replace(self.overrides[name], until=until)
         faults = extended.find_faults()
         if not faults and until <= now:
-            faults.append("its end has passed")
+            faults.append("until must be in the future")
         if faults:
             raise OverrideError(faults)
         self.overrides[name] = extended
         return extended
 
     def expire(self, now: int) -> list[Override]:
-        """Removes the overrides that have ended, and returns them."""
+        """Removes the overrides that have ended and returns them."""
         expired = [each for each in self.overrides.values() if each.until <= now]
         for each in expired:
             del self.overrides[each.name]
@@ -203,6 +203,6 @@
         return (each for each in self.overrides.values() if each.is_active(now))
 
     def next_change(self, now: int) -> int | None:
-        """Returns when the next override begins, warns or ends; None if none will."""
+        """Returns when an override next begins, warns or ends; None if none does after `now`."""
         times = (at for each in self.overrides.values() for at in (each.begins, each.warns_at(), each.until))
         return min((at for at in times if at > now), default=None)
--- a/message_sender/discovery/slow_start.py
+++ b/message_sender/discovery/slow_start.py
@@ -1,33 +1,34 @@
-"""Slow start: the weight of an endpoint that is new, or back, grows for a while. Pure.
+"""Slow start: the weight of a new or returned endpoint grows to its full value over a period. Pure.
 
-It grows in equal steps, so that a process with cold caches does not get its full share at once (Envoy has a
-slow start mode of this kind; here it is linear). An endpoint that is alone at its destination has no others
-to take the rest: there the warm-up of the delivery policy applies.
+The weight grows linearly in equal steps, so that a process with cold caches does not get its full share of
+the calls at once (like Envoy's slow start mode with linear growth). An endpoint that is alone at its
+destination has no other endpoints to take the remaining calls: for it the warm-up of the delivery policy
+applies.
 """
 
 STEPS = 8
 
 
 class SlowStart:
-    """The endpoints whose weight is growing.
+    """The endpoints that are in slow start.
 
     Attributes:
-        duration_us: How long a slow start takes; 0: there is none.
-        started_at: When each slow start began, by endpoint id.
+        duration_us: The duration of a slow start; 0 disables it.
+        started_at: When each slow start began, us, by endpoint id.
     """
 
     def __init__(self, duration_us: int = 0) -> None:
-        """Creates a slow start of that duration, with no endpoint in it."""
+        """Creates the state without an endpoint in slow start."""
         self.duration_us = duration_us
         self.started_at: dict[str, int] = {}
 
     def start(self, name: str, now: int) -> None:
-        """Begins the slow start of an endpoint."""
+        """Starts the slow start of an endpoint, if enabled."""
         if self.duration_us:
             self.started_at[name] = now
 
     def factor(self, name: str, now: int) -> float:
-        """Returns the factor of the endpoint's weight: 1/8 to 1."""
+        """Returns the factor to apply to the endpoint's weight: 1/8 to 1."""
         if name not in self.started_at:
             return 1.0
         step = (now - self.started_at[name]) * STEPS // self.duration_us
@@ -37,7 +38,7 @@
         """Removes the endpoints whose slow start is over.
 
         Returns:
-            All endpoints that were in slow start, those removed included.
+            The ids of all endpoints that were in slow start, including the removed ones.
         """
         names = list(self.started_at)
         for name in names:
@@ -46,7 +47,7 @@
         return names
 
     def next_change(self, now: int) -> int | None:
-        """Returns when the next step is due; None with no endpoint in slow start."""
+        """Returns when the next step is due; None if no endpoint is in slow start."""
         return min((self._next_step(start, now) for start in self.started_at.values()), default=None)
 
     def _next_step(self, start: int, now: int) -> int:
--- a/message_sender/discovery/static.py
+++ b/message_sender/discovery/static.py
@@ -1,4 +1,4 @@
-"""A directory without a platform: the owner gives the list, and may change it while the sender runs."""
+"""A directory whose list is set by its owner, who may change it while the sender runs."""
 
 import asyncio
 from collections.abc import Callable, Iterable
@@ -11,12 +11,12 @@
 
 
 def ignore_update(update: EndpointsUpdated) -> None:
-    """Receives updates before a listener is set."""
+    """Ignores an update; the listener until another one is set."""
 
 
 @dataclass(frozen=True, slots=True)
 class StaticEndpoint:
-    """An endpoint and where it is called."""
+    """An endpoint and the address at which it is called."""
 
     endpoint: Endpoint
     dial: Dial
@@ -27,12 +27,12 @@
 
     Attributes:
         static_endpoints: The list, by endpoint id.
-        destinations: All destinations that were ever listed.
-        on_update: Receives the updates; the engine's `endpoints_updated`.
+        destinations: All destinations that are or were listed.
+        on_update: Called with each update; usually the engine's `endpoints_updated`.
     """
 
     def __init__(self, endpoints: Iterable[StaticEndpoint]) -> None:
-        """Creates a directory with that list."""
+        """Creates a directory with the given endpoints."""
         self.static_endpoints = {each.endpoint.id: each for each in endpoints}
         self.destinations = {each.endpoint.destination for each in self.static_endpoints.values()}
         self.on_update: Callable[[EndpointsUpdated], None] = ignore_update
@@ -46,29 +46,29 @@
         return {name: each.dial for name, each in self.static_endpoints.items()}
 
     def replace(self, endpoints: Iterable[StaticEndpoint]) -> None:
-        """Replaces the complete list; no new attempt goes to an endpoint that is not in it."""
+        """Replaces the complete list; endpoints that are not in it get no new attempts."""
         self.static_endpoints = {each.endpoint.id: each for each in endpoints}
         self.destinations |= {each.endpoint.destination for each in self.static_endpoints.values()}
         self.on_update(EndpointsUpdated(ListingKind.FULL, self.endpoints()))
 
     def configure(self, endpoints: Iterable[StaticEndpoint]) -> None:
-        """Applies the list of a changed configuration."""
+        """Applies the endpoint list of a changed configuration."""
         self.replace(endpoints)
 
     def drain(self, name: str) -> None:
-        """Marks an endpoint as draining. Raises KeyError for one that is not listed."""
+        """Marks an endpoint as draining. Raises KeyError if it is not listed."""
         current = self.static_endpoints[name]
         endpoint = replace(current.endpoint, state=EndpointState.DRAINING)
         self.static_endpoints[name] = StaticEndpoint(endpoint, current.dial)
         self.on_update(EndpointsUpdated(ListingKind.CHANGES, (endpoint,)))
 
-    # The port.
+    # Implementation of the port `Directory`.
 
     def poll_unread(self) -> None:
-        """Does nothing: no update can lie unread."""
+        """Does nothing, as updates are applied at once."""
 
     async def watch(self) -> None:
-        """Sends the complete list; later changes are sent by whoever makes them."""
+        """Sends the complete list and waits until cancelled; later changes are sent when they are made."""
         self.on_update(EndpointsUpdated(ListingKind.FULL, self.endpoints()))
         await asyncio.get_running_loop().create_future()
 
@@ -77,5 +77,5 @@
         return destination in self.destinations
 
     def remember(self, destination: int) -> None:
-        """Records a destination that an earlier process knew."""
+        """Records a destination that was listed in an earlier process."""
         self.destinations.add(destination)
--- a/message_sender/discovery/time_text.py
+++ b/message_sender/discovery/time_text.py
@@ -1,4 +1,4 @@
-"""Times as engineers write them: `22:30`, `+45m`, or ISO 8601. Pure."""
+"""Parses and formats times for operators: `22:30`, `+45m`, or ISO 8601. Pure."""
 
 import re
 from datetime import UTC, datetime, timedelta, tzinfo
@@ -9,21 +9,21 @@
 
 
 def parse_time(text: str, now: int, zone: tzinfo | None = None) -> int:
-    """Returns the time that a text means.
+    """Returns the time that a text specifies.
 
-    A clock time is the next one. One that is skipped in spring is an hour later; of one that occurs twice in
-    autumn the first counts (PEP 495).
+    A clock time means its next occurrence. A clock time that is skipped in spring is taken as an hour later;
+    of a clock time that occurs twice in autumn the first occurrence is used (PEP 495).
 
     Args:
         text: A duration from now such as `+45m`, a clock time such as `22:30`, or ISO 8601.
         now: Microseconds since the epoch.
-        zone: The time zone of the text; None: the machine's own.
+        zone: The time zone of the text; None for the local time zone of the machine.
 
     Returns:
         Microseconds since the epoch.
 
     Raises:
-        ValueError: The text is not a time.
+        ValueError: If the text is not in one of these formats.
     """
     if (duration := DURATION.fullmatch(text)) and any(duration.groups()):
         days, hours, minutes, seconds = (int(each or 0) for each in duration.groups())
@@ -34,14 +34,14 @@
     try:
         moment = datetime.fromisoformat(text)
     except ValueError:
-        raise ValueError(f"{text!r} is no time; write 22:30, +45m or 2026-12-24T22:30") from None
+        raise ValueError(f"expected a time such as 22:30, +45m or 2026-12-24T22:30, got {text!r}") from None
     if moment.tzinfo is None:
         moment = localize(moment, zone)
     return round(moment.timestamp() * US_PER_SECOND)
 
 
 def next_clock_time(local_now: datetime, hour: int, minute: int, zone: tzinfo | None) -> int:
-    """Returns when it is next that time of day, in microseconds since the epoch."""
+    """Returns the next occurrence of a time of day, in microseconds since the epoch."""
     day = local_now.replace(tzinfo=None, fold=0, second=0, microsecond=0)
     moment = localize(day.replace(hour=hour, minute=minute), zone)
     if moment <= local_now:
@@ -50,12 +50,12 @@
 
 
 def localize(naive: datetime, zone: tzinfo | None) -> datetime:
-    """Returns the time of a clock in that zone, or in the machine's own."""
+    """Returns the aware time of a naive one in `zone`; None for the local time zone of the machine."""
     return naive.replace(tzinfo=zone) if zone else naive.astimezone()
 
 
 def format_time(at: int, now: int, zone: tzinfo | None = None) -> str:
-    """Returns a time in the reader's zone with its distance from now; both in microseconds."""
+    """Returns a time as text in `zone` with its distance from now; `at` and `now` in microseconds."""
     text = datetime.fromtimestamp(at // US_PER_SECOND, UTC).astimezone(zone).isoformat(timespec="seconds")
     remaining_s = (at - now) // US_PER_SECOND
     distance = format_duration(abs(remaining_s))
@@ -63,7 +63,7 @@
 
 
 def format_duration(seconds: int) -> str:
-    """Returns a duration in at most two units, such as `1 d 2 h`; below a minute in seconds."""
+    """Returns a duration as text in at most two units, such as `1 d 2 h`; below a minute in seconds."""
     if seconds < 60:
         return f"{seconds} s"
     days, hours, minutes = seconds // 86_400, seconds // 3600 % 24, seconds // 60 % 60
--- a/tests/test_directories.py
+++ b/tests/test_directories.py
@@ -1,4 +1,4 @@
-"""Endpoint lists from files: accepted, doubted, merged, stale."""
+"""Endpoint lists from files: accepting, merging, shrink protection and staleness."""
 
 import asyncio
 import io
@@ -14,7 +14,7 @@
 from message_sender.configuration.general import read, read_endpoints
 from message_sender.control_socket import send_request
 from message_sender.discovery.file import LAST_GOOD_FILE, STALE_AFTER_US, FileDirectory
-from message_sender.discovery.list_merging import MIN_DOUBTABLE_SIZE, MergedList, merge_lists
+from message_sender.discovery.list_merging import MIN_PROTECTED_SIZE, ShrinkProtectedList, merge_lists
 from message_sender.policy.events import EndpointsUpdated
 from message_sender.policy.model import ListingKind
 from message_sender.service.standalone import CompletionWriter, StandaloneSender
@@ -29,47 +29,47 @@
 
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(st.lists(st.tuples(st.sets(st.sampled_from("abcdefgh")), st.integers(0, 40)), max_size=12))
-def test_accepted_entries_are_the_list_and_what_is_doubted(lists: list[tuple[set[str], int]]) -> None:
-    """Nothing that a list names is left out; what it misses is believed for the patience at the most, and
-    only where more than the share vanished."""
-    belief, now, missing_since = MergedList[int](0.5, 30), 0, dict[str, int]()
-    for listed, passed in lists:
-        now += passed
-        before = set(belief.entries)
-        belief.update(names(*listed), now)
-        believed = set(belief.entries)
-        assert listed <= believed and believed == listed | set(belief.doubted)
-        assert set(belief.doubted) <= before
-        missing_since = {name: missing_since.get(name, now) for name in believed - listed}
+def test_accepted_entries_are_the_listed_and_the_retained_ones(lists: list[tuple[set[str], int]]) -> None:
+    """All listed entries are accepted. Missing entries are retained for less than the retention time, and
+    only if more than the allowed share went missing at once."""
+    accepted, now, missing_since = ShrinkProtectedList[int](0.5, 30), 0, dict[str, int]()
+    for listed, elapsed in lists:
+        now += elapsed
+        before = set(accepted.entries)
+        accepted.update(names(*listed), now)
+        entries = set(accepted.entries)
+        assert listed <= entries and entries == listed | set(accepted.retained)
+        assert set(accepted.retained) <= before
+        missing_since = {name: missing_since.get(name, now) for name in entries - listed}
         assert all(now - since < 30 for since in missing_since.values())
-        if not belief.doubted and len(before) < MIN_DOUBTABLE_SIZE:
-            assert believed == listed
+        if not accepted.retained and len(before) < MIN_PROTECTED_SIZE:
+            assert entries == listed
 
 
-def test_a_list_that_empties_is_doubted_until_its_time_or_a_confirmation() -> None:
-    belief = MergedList[int](0.5, 60)
-    belief.update(names("a", "b", "c", "d"), 0)
-    belief.update(names("a"), 10)
-    assert set(belief.entries) == {"a", "b", "c", "d"} and not belief.expire_doubt(69)
-    assert belief.expire_doubt(70) and set(belief.entries) == {"a"}
-    belief.update(names("a", "b", "c", "d"), 80)
-    belief.update({}, 90)
-    assert belief.confirm() and not belief.entries and not belief.confirm()
-    belief.update(names("a", "b", "c", "d"), 100)
-    belief.update(names("a", "b", "c"), 110)
-    assert set(belief.entries) == {"a", "b", "c"}  # one of four may go
+def test_missing_entries_are_retained_until_expiry_or_confirmation() -> None:
+    accepted = ShrinkProtectedList[int](0.5, 60)
+    accepted.update(names("a", "b", "c", "d"), 0)
+    accepted.update(names("a"), 10)
+    assert set(accepted.entries) == {"a", "b", "c", "d"} and not accepted.expire_retained(69)
+    assert accepted.expire_retained(70) and set(accepted.entries) == {"a"}
+    accepted.update(names("a", "b", "c", "d"), 80)
+    accepted.update({}, 90)
+    assert accepted.confirm() and not accepted.entries and not accepted.confirm()
+    accepted.update(names("a", "b", "c", "d"), 100)
+    accepted.update(names("a", "b", "c"), 110)
+    assert set(accepted.entries) == {"a", "b", "c"}  # the loss of one of four entries is accepted at once
 
 
-def test_of_two_lists_the_first_counts() -> None:
+def test_first_of_two_lists_takes_precedence() -> None:
     assert merge_lists([{"a": 1}, {"a": 2, "b": 2}, {"b": 3, "c": 3}]) == {"a": 1, "b": 2, "c": 3}
 
 
 class Files:
-    """Two files, a clock, and the resulting updates."""
+    """Two endpoint files, a clock, and the recorded updates."""
 
     def __init__(self, folder: Path) -> None:
         self.paths, self.folder, self.now = (folder / "one.toml", folder / "two.toml"), folder, 0
-        self.told: list[EndpointsUpdated] = []
+        self.updates: list[EndpointsUpdated] = []
 
     def write(self, number: int, *endpoint_ids: str, port: int = 9000) -> None:
         rows = [
@@ -77,13 +77,13 @@
         ]
         self.paths[number].write_text("\n".join(rows))
 
-    def directory(self, **more: Any) -> FileDirectory:  # noqa: ANN401
-        made = FileDirectory(self.paths, read_endpoints, self.folder, lambda: self.now, **more)
-        made.on_update = self.told.append
-        return made
+    def directory(self, **options: Any) -> FileDirectory:  # noqa: ANN401
+        directory = FileDirectory(self.paths, read_endpoints, self.folder, lambda: self.now, **options)
+        directory.on_update = self.updates.append
+        return directory
 
 
-def test_files_are_merged_used_completely_and_saved_for_the_next_start(
+def test_files_are_merged_and_the_last_valid_list_is_saved(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     files = Files(tmp_path)
@@ -94,9 +94,9 @@
     assert not directory.check_files()  # nothing has changed
     files.write(1, "b", "c", port=3)
     assert directory.check_files() and directory.dials() == {"a": ("h", 1), "b": ("h", 3), "c": ("h", 3)}
-    assert files.told[-1].listing is ListingKind.FULL and {each.id for each in files.told[-1].endpoints} == {
-        *"abc"
-    }
+    assert files.updates[-1].listing is ListingKind.FULL and {
+        each.id for each in files.updates[-1].endpoints
+    } == {*"abc"}
     files.paths[1].write_text('[[endpoints]]\nid = "b"\n')
     assert not directory.check_files() and len(directory.dials()) == 3 and "dial: is missing" in caplog.text
     files.now += STALE_AFTER_US + 1
@@ -110,8 +110,8 @@
 
 
 @play
-async def test_a_sender_takes_endpoints_from_files_and_doubts_an_emptied_one(state: Path) -> None:
-    """The configuration's own list goes before the files; a start with no file goes on with the last list."""
+async def test_sender_uses_endpoint_files_and_retains_endpoints_missing_from_them(state: Path) -> None:
+    """The configuration's list takes precedence over files; a start without a file uses the saved list."""
     config_values = {
         "classes": {"c": {"effect": "safe", "aim_ms": 4000, "deadline_ms": 8000}},
         "directory": {"files": ["one.toml"], "patience_s": 60},
@@ -133,13 +133,13 @@
                 files.paths[0].unlink()
 
 
-def test_a_file_that_empties_is_doubted_and_confirmed(
+def test_endpoints_of_an_emptied_file_are_retained_until_expiry_or_confirmation(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     files = Files(tmp_path)
     files.write(0, "a", "b", "c", "d")
     files.write(1)
-    directory = files.directory(doubt_duration_us=60 * SECOND)
+    directory = files.directory(retention_us=60 * SECOND)
     files.write(0)
     directory.check_files()
     assert len(directory.dials()) == 4
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -1,4 +1,4 @@
-"""Endpoints out of service, and how clients are ordered away, against plain models."""
+"""Maintenance orders and the drain of clients, compared with simple models."""
 
 from pathlib import Path
 
@@ -22,11 +22,11 @@
 
 
 class EngineView:
-    """The state of each endpoint as an engine knows it from the updates alone."""
+    """The state of each endpoint that an engine derives from the updates alone."""
 
     def __init__(self) -> None:
         self.states: dict[str, EndpointState] = {}
-        self.warmed: list[str] = []
+        self.warmed_up: list[str] = []
 
     def apply(self, update: EndpointsUpdated | None) -> None:
         if update is None or update.listing is ListingKind.FAILED:
@@ -34,18 +34,18 @@
         if update.listing is ListingKind.FULL:
             self.states = {}
         self.states |= {each.id: each.state for each in update.endpoints}
-        self.warmed += update.returned
+        self.warmed_up += update.returned
 
 
 @settings(derandomize=True, max_examples=300)
 @given(st.lists(UPDATES | ORDERS, max_size=25))
-def test_an_endpoint_out_of_service_is_never_ready_and_is_warmed_up_once_it_is_back(steps: list) -> None:
+def test_endpoint_out_of_service_is_never_ready_and_is_warmed_up_after_its_return(steps: list) -> None:
     layer, view = Maintenance(), EngineView()
     listed: dict[str, EndpointState] = {}
     out: set[str] = set()
-    to_warm_up: set[str] = set()  # once they are ready
+    to_warm_up: set[str] = set()  # ordered back, not ready since
     for kind, what, states in steps:
-        view.warmed = []
+        view.warmed_up = []
         if kind == "update":
             if what is ListingKind.FULL:
                 listed = {}
@@ -64,12 +64,12 @@
             view.apply(layer.return_to_service(what))
         ready = {name for name, state in view.states.items() if state is EndpointState.READY}
         assert ready == {x for x, y in listed.items() if y is EndpointState.READY} - out
-        assert set(view.warmed) <= to_warm_up
-        to_warm_up -= set(view.warmed)
+        assert set(view.warmed_up) <= to_warm_up
+        to_warm_up -= set(view.warmed_up)
         assert not to_warm_up & ready
 
 
-def test_a_removed_id_stays_known_for_a_while() -> None:
+def test_recently_removed_ids_stay_known_up_to_the_limit() -> None:
     layer = Maintenance()
     names = [f"r{at}" for at in range(RECENT_IDS_LIMIT + 1)]
     layer.apply_update(EndpointsUpdated(ListingKind.FULL, tuple(map(endpoint, names))))
@@ -78,20 +78,20 @@
     assert sum(map(layer.is_known, names)) == RECENT_IDS_LIMIT
 
 
-def test_orders_are_read_as_they_were_saved_or_not_at_all(tmp_path: Path) -> None:
-    record = MaintenanceFile(tmp_path)
-    assert record.load() == ([], False)
-    record.save({"b", "a"}, True)
-    assert record.load() == (["a", "b"], True)
-    for torn in (
+def test_orders_are_loaded_completely_or_not_at_all(tmp_path: Path) -> None:
+    file = MaintenanceFile(tmp_path)
+    assert file.load() == ([], False)
+    file.save({"b", "a"}, True)
+    assert file.load() == (["a", "b"], True)
+    for invalid in (
         '{"out": ["a"',
         "[]",
         '{"out": "a", "away": true}',
         '{"out": [1], "away": 1}',
         '{"away": true}',
     ):
-        record.path.write_text(torn)
-        assert record.load() == ([], False)
+        file.path.write_text(invalid)
+        assert file.load() == ([], False)
 
 
 STEPS = st.lists(
@@ -101,19 +101,19 @@
 
 @settings(derandomize=True, max_examples=300)
 @given(STEPS)
-def test_clients_are_ordered_away_from_the_first_order_until_it_is_withdrawn(steps: list) -> None:
+def test_drain_lasts_from_the_first_order_until_it_is_cancelled(steps: list) -> None:
     drain, now = Drain(), 0.0
     ordered: float | None = None
     stopped: float | None = None
-    for what, later in steps:
-        now += later
-        if what == "fail":
+    for action, elapsed in steps:
+        now += elapsed
+        if action == "fail":
             drain.start(now)
             ordered = now if ordered is None else ordered
-        elif what == "ok":
+        elif action == "ok":
             drain.cancel()
             ordered = None
-        elif what == "stop":
+        elif action == "stop":
             drain.terminate(now)
             stopped = now if stopped is None else stopped
         since = min((each for each in (ordered, stopped) if each is not None), default=None)
