--- a/tests/conformance/host.py
+++ b/tests/conformance/host.py
@@ -1,5 +1,8 @@
-"""A host application for the tests: hands in three keys of messages in its first life, and in later ones only
-waits until nothing is owed. Arguments: state folder, endpoint's port, number of its life."""
+"""A host application for the tests, run as a process.
+
+Its first process submits messages with three keys. Later processes submit nothing. Each waits until no
+message is pending. Arguments: state folder, port of the endpoint, number of earlier processes.
+"""
 
 import asyncio
 import sys
@@ -13,15 +16,15 @@
 }
 
 
-async def main(state: Path, port: int, life: int) -> None:
+async def main(state: Path, port: int, restarts: int) -> None:
     common = {"aim_ms": 2000, "deadline_ms": 10000}
-    told = {
-        "classes": {name: common | each for name, each in CLASSES.items()},
+    configuration = {
+        "classes": {name: common | settings for name, settings in CLASSES.items()},
         "endpoints": [{"id": "c", "destination": 2, "dial": f"127.0.0.1:{port}"}],
     }
-    channel = await open_channel(told, state)
+    channel = await open_channel(configuration, state)
     calls = []
-    for number in range(6 if life == 0 else 0):
+    for number in range(6 if restarts == 0 else 0):
         for key in "abc":
             metadata = [
                 ("elmglade-class", "unsafe" if key == "c" else "keyed"),
--- a/tests/conformance/test_figures.py
+++ b/tests/conformance/test_figures.py
@@ -1,4 +1,4 @@
-"""The figures that operators read, against what an endpoint and the platform saw: equal to the last one."""
+"""The metrics for operators equal exactly what the endpoint and the platform recorded."""
 
 import asyncio
 import random
@@ -25,16 +25,16 @@
 STATES = {"returned": "deferred", "failed": "errored"}
 
 
-def seen(history: History) -> dict[str, int]:
-    """What the figures must say; a message that is told twice has one end."""
+def expected_metrics(history: History) -> dict[str, int]:
+    """Returns the metrics that follow from a history; a message reported twice has one end."""
     ends = {each.message: each.state for each in history.events if isinstance(each, MessageCompleted)}
-    told = {name: sum(state == name for state in ends.values()) for name in STATES.values()}
+    counts = {name: sum(state == name for state in ends.values()) for name in STATES.values()}
     sends = sum(isinstance(each, AttemptStarted) for each in history.events)
-    return told | {"sends": sends, "ended": len(ends)}
+    return counts | {"sends": sends, "ended": len(ends)}
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_the_figures_are_what_was_seen(seed: int, tmp_path: Path) -> None:
+def test_metrics_equal_the_recorded_attempts_and_ends(seed: int, tmp_path: Path) -> None:
     @play
     async def test(folder: Path) -> None:
         rng, history = random.Random(seed), History()
@@ -43,15 +43,17 @@
             HttpEndpoint(
                 "r", Script(acts, default=ScriptedAnswer(EndpointBehavior.SERVE)), history
             ) as endpoint,
-            Discovery() as there,
+            Discovery() as platform,
         ):
-            heard = lambda name, state: history.record(MessageCompleted(history.clock(), name, STATES[state]))  # noqa: E731
-            task = asyncio.create_task(answer_notices(there, heard))
-            told = config_json(there, host(f"127.0.0.1:{endpoint.port}")) | {"management": "127.0.0.1:0"}
-            async with Running(told, folder) as running:
+            on_end = lambda name, end: history.record(MessageCompleted(history.clock(), name, STATES[end]))  # noqa: E731
+            task = asyncio.create_task(answer_notices(platform, on_end))
+            configuration = config_json(platform, host(f"127.0.0.1:{endpoint.port}")) | {
+                "management": "127.0.0.1:0"
+            }
+            async with Running(configuration, folder) as running:
                 client, refused = HttpClient(running.address), 0
                 for name in acts:
-                    status, _ = await client.post("/c", fields(name, rng), b"x")
+                    status, _ = await client.post("/c", build_fields(name, rng), b"x")
                     refused += status != 202
                 while running.sender.engine.journal.entries or running.sender.engine.attempts.calls:
                     await asyncio.sleep(0.01)
@@ -59,24 +61,24 @@
                 reply = await call(running.sender.management_server.address(), "GET", "/stats")
             task.cancel()
         lines = (each.removeprefix("edge_balancer.").split("=") for each in reply.body.decode().split())
-        figures = {name.removeprefix("transactions.c."): int(value) for name, value in lines}
-        found = seen(history)
-        assert figures["sends"] == found["sends"]
-        assert figures["errored"] == found["errored"]
-        assert figures["deferred"] == found["deferred"] + refused
-        assert figures["answered"] == MESSAGES - refused - found["ended"]
-        assert figures["current"] == 0
+        metrics = {name.removeprefix("transactions.c."): int(value) for name, value in lines}
+        expected = expected_metrics(history)
+        assert metrics["sends"] == expected["sends"]
+        assert metrics["errored"] == expected["errored"]
+        assert metrics["deferred"] == expected["deferred"] + refused
+        assert metrics["answered"] == MESSAGES - refused - expected["ended"]
+        assert metrics["current"] == 0
 
     test(tmp_path)
 
 
-def fields(name: str, rng: random.Random) -> dict[str, str]:
-    """Some messages have next to no time, and are handed back."""
-    left = rng.choice([TIME_LEFT, TIME_LEFT, 0.06])
-    told = {
+def build_fields(name: str, rng: random.Random) -> dict[str, str]:
+    """Returns the header fields of a message; some have so little time left that they are returned."""
+    time_left = rng.choice([TIME_LEFT, TIME_LEFT, 0.06])
+    fields = {
         "X-Correlation-Id": name,
         "X-Service-Class": "c",
-        "X-Time-Left": str(left),
+        "X-Time-Left": str(time_left),
         "X-Route-To": "dest=3",
     }
-    return told | {"Idempotency-Key": name}
+    return fields | {"Idempotency-Key": name}
--- a/tests/conformance/test_generated.py
+++ b/tests/conformance/test_generated.py
@@ -1,5 +1,4 @@
-"""Generated histories from fixed seeds, each on both sides: the same ends, calls and order, no rule
-broken."""
+"""Runs histories from fixed seeds on both sides: equal ends, calls and order, no violation of a rule."""
 
 import asyncio
 import random
@@ -14,47 +13,51 @@
 from message_sender.testbed.script import EndpointBehavior, ScriptedAnswer
 
 SEEDS = 240
-AT_ONCE = 20  # histories that run side by side in one loop, each with a sender of its own
+CONCURRENT_HISTORIES = 20  # in one event loop, each with its own sender
 KINDS = ("safe", "keyed", "zoned", "unsafe", "ordered", "ordered-unsafe")
 
 
 @dataclass(frozen=True)
 class Plan:
+    """The messages of a history, the scripted answers of each, and when the sender restarts."""
+
     messages: list[Message]
     acts: dict[str, list[ScriptedAnswer]]
-    restart_after: int | None  # as the so-manieth message is handed in
+    restart_after: int | None  # the index of the message after whose submission the sender restarts
 
 
 def plan(seed: int) -> Plan:
-    """At most two attempts at a destination are not served, so that none is ever doubtful (three in a row
-    are): from there on its warm-up decides by the clock, in which two runs differ, and that is another
-    test's."""
+    """Draws the plan of a seed.
+
+    At most two attempts per destination are not served. Three in a row would make the destination doubtful;
+    its warm-up would then depend on the clock, which differs between two runs. Other tests cover the warm-up.
+    """
     rng = random.Random(seed)
     messages, acts = [], {}
-    bad = {1: 2, 2: 2}
+    failures_left = {1: 2, 2: 2}
     for number in range(rng.randint(3, 7)):
         kind, destination = rng.choice(KINDS), rng.choice((1, 2))
         key = f"k{rng.randrange(2)}-{destination}" if kind.startswith("ordered") else ""
         name = f"m{number}"
         messages.append(Message(name, kind, destination, key))
-        acts[name] = [bad_act(rng) for _ in range(min(rng.randint(0, 2), bad[destination]))]
-        bad[destination] -= len(acts[name])
+        acts[name] = [draw_failure(rng) for _ in range(min(rng.randint(0, 2), failures_left[destination]))]
+        failures_left[destination] -= len(acts[name])
         acts[name].append(ScriptedAnswer(EndpointBehavior.SERVE, rng.choice((0.0, 0.0, 0.02))))
     restart = rng.randrange(len(messages)) if rng.random() < 0.25 else None
     return Plan(messages, acts, restart)
 
 
-def bad_act(rng: random.Random) -> ScriptedAnswer:
-    does = rng.choice(
+def draw_failure(rng: random.Random) -> ScriptedAnswer:
+    behavior = rng.choice(
         (EndpointBehavior.ERROR, EndpointBehavior.FULL, EndpointBehavior.FULL, EndpointBehavior.RESET)
     )
-    return ScriptedAnswer(does, rng.choice((0.0, 0.03)) if does is EndpointBehavior.FULL else 0.0)
+    return ScriptedAnswer(behavior, rng.choice((0.0, 0.03)) if behavior is EndpointBehavior.FULL else 0.0)
 
 
 async def idle(side: Side) -> None:
-    """No call is in flight or about to start, so that a restart makes no difference between the two sides.
+    """Waits until no call is in flight or about to start, so that a restart has equal effects on both sides.
 
-    An event in the inbox may start the next call of a key, which the restart would cut before its first byte.
+    An event in the inbox may start the next call of a key, which a restart would abort before its first byte.
     """
 
     def is_idle() -> bool:
@@ -65,9 +68,10 @@
         await until(is_idle, 10**9)
 
 
-async def run(seed: int, kind: type[Side], state: Path) -> Result:
+async def run(seed: int, side_type: type[Side], state: Path) -> Result:
+    """Plays the history of a seed on one side."""
     made = plan(seed)
-    async with kind(state, made.acts) as side:
+    async with side_type(state, made.acts) as side:
         for number, message in enumerate(made.messages):
             await side.hand_in(message)
             if number == made.restart_after:
@@ -78,7 +82,7 @@
         return side.result()
 
 
-async def both(seed: int, limit: asyncio.Semaphore) -> None:
+async def compare_sides(seed: int, limit: asyncio.Semaphore) -> None:
     async with limit:
         results = []
         for kind in SIDES.values():
@@ -89,8 +93,10 @@
 
 @pytest.fixture(scope="module", autouse=True)
 def modules_are_imported() -> None:
-    """Plays a history with a restart on each side first, whose result is not looked at: on a fresh checkout
-    modules that are compiled and imported in the middle of a history hold its loop up."""
+    """Plays one history with a restart on each side and ignores its result.
+
+    On a fresh checkout, compiling and importing modules during a history would block its event loop.
+    """
 
     async def play() -> None:
         seed = next(seed for seed in range(SEEDS) if plan(seed).restart_after is not None)
@@ -102,18 +108,18 @@
 
 
 @pytest.mark.parametrize("first", range(0, SEEDS, 40))
-def test_generated_histories_are_alike(first: int) -> None:
-    async def all_of_them() -> None:
-        limit = asyncio.Semaphore(AT_ONCE)
-        await asyncio.gather(*(both(seed, limit) for seed in range(first, first + 40)))
+def test_generated_histories_have_equal_results_on_both_sides(first: int) -> None:
+    async def compare_all() -> None:
+        limit = asyncio.Semaphore(CONCURRENT_HISTORIES)
+        await asyncio.gather(*(compare_sides(seed, limit) for seed in range(first, first + 40)))
 
-    asyncio.run(asyncio.wait_for(all_of_them(), 8 * PATIENCE))
+    asyncio.run(asyncio.wait_for(compare_all(), 8 * PATIENCE))
 
 
-def test_the_plans_hold_what_they_are_for() -> None:
+def test_plans_contain_all_behaviors_and_classes_and_enough_restarts() -> None:
     made = [plan(seed) for seed in range(SEEDS)]
-    does = {act.behavior for each in made for acts in each.acts.values() for act in acts}
-    assert does == {
+    behaviors = {act.behavior for each in made for acts in each.acts.values() for act in acts}
+    assert behaviors == {
         EndpointBehavior.SERVE,
         EndpointBehavior.ERROR,
         EndpointBehavior.FULL,
--- a/tests/conformance/test_killed_daemon.py
+++ b/tests/conformance/test_killed_daemon.py
@@ -1,5 +1,4 @@
-"""The daemon without the platform, as a process: SIGKILL in the middle of histories, judged by the
-referee."""
+"""Kills a standalone daemon process with SIGKILL during histories that the history checker then checks."""
 
 import asyncio
 import json
@@ -38,6 +37,7 @@
 
 
 def toml(port: int) -> str:
+    """Returns the configuration file of the daemon."""
     lines = ['name = "n"', 'listen = "127.0.0.1:0"']
     for name, kind in CLASSES.items():
         lines += [f"[classes.{name}]", "aim_ms = 2000", f"deadline_ms = {DEADLINE * 1000}"]
@@ -47,50 +47,56 @@
 
 
 class Daemon:
+    """A daemon process on a folder, which can be killed and started again."""
+
     def __init__(self, folder: Path, port: int) -> None:
         self.folder, self.file = folder, folder / "config.toml"
         self.file.write_text(toml(port))
-        self.ends: list[dict[str, Any]] = []  # final answers that were told
-        self.told = asyncio.Event()
+        self.ends: list[dict[str, Any]] = []  # the completions that the daemon printed
+        self.end_event = asyncio.Event()
 
     async def start(self) -> HttpClient:
-        words = ["serve", "--config", str(self.file), "--state", str(self.folder / "state")]
+        """Starts a process and returns a client of it once it is ready."""
+        arguments = ["serve", "--config", str(self.file), "--state", str(self.folder / "state")]
         pipe = asyncio.subprocess.PIPE
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "message_sender", *words, cwd=ROOT, stdout=pipe, stderr=pipe
+            sys.executable, "-m", "message_sender", *arguments, cwd=ROOT, stdout=pipe, stderr=pipe
         )
         self.reader = asyncio.create_task(self.read(self.process.stdout))
         assert self.process.stderr is not None
         async with asyncio.timeout(PATIENCE):
-            while not (found := re.search(rb"ready on (\S+):(\d+)", await self.process.stderr.readline())):
+            while not (match := re.search(rb"ready on (\S+):(\d+)", await self.process.stderr.readline())):
                 assert self.process.returncode is None
-        return HttpClient((found[1].decode(), int(found[2])))
+        return HttpClient((match[1].decode(), int(match[2])))
 
-    async def end(self, number: int) -> None:
-        self.process.send_signal(number)
+    async def end(self, signal_number: int) -> None:
+        """Ends the process with a signal and reads the rest of its output."""
+        self.process.send_signal(signal_number)
         await asyncio.wait_for(self.process.wait(), PATIENCE)
         await self.reader
 
-    async def read(self, out: asyncio.StreamReader | None) -> None:
-        assert out is not None
-        while line := await out.readline():
+    async def read(self, stdout: asyncio.StreamReader | None) -> None:
+        """Collects the completions that the process prints."""
+        assert stdout is not None
+        while line := await stdout.readline():
             self.ends.append(json.loads(line))
-            self.told.set()
+            self.end_event.set()
 
 
-async def until(event: asyncio.Event, is_so: Callable[[], bool]) -> None:
-    """`event` is set whenever something has happened that may have made it so."""
+async def until(event: asyncio.Event, condition: Callable[[], bool]) -> None:
+    """Waits for a condition; `event` is set whenever it may have become true."""
     async with asyncio.timeout(PATIENCE):
-        while not is_so():
+        while not condition():
             event.clear()
             await event.wait()
 
 
-def has_come(script: Script, goal: int) -> bool:
+def has_received_calls(script: Script, goal: int) -> bool:
     return sum(script.call_counts.values()) >= goal
 
 
-async def hand_in(client: HttpClient, history: History, name: str, kind: str, key: str) -> None:
+async def submit(client: HttpClient, history: History, name: str, kind: str, key: str) -> None:
+    """Submits a message, which must be admitted, and records it."""
     fields = {
         "X-Correlation-Id": name,
         "X-Service-Class": kind,
@@ -106,36 +112,36 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_sigkill_in_the_middle_of_a_history(seed: int, tmp_path: Path) -> None:
+def test_each_message_has_one_end_after_sigkill_during_a_history(seed: int, tmp_path: Path) -> None:
     async def test() -> None:
         rng, history = random.Random(seed), History()
-        called = asyncio.Event()
+        call_event = asyncio.Event()
         acts = {"m3": [ScriptedAnswer(EndpointBehavior.ERROR), ScriptedAnswer(EndpointBehavior.SERVE)]}
         script = Script(
-            acts, lambda message: called.set(), default=ScriptedAnswer(EndpointBehavior.SERVE, 0.02)
+            acts, lambda message: call_event.set(), default=ScriptedAnswer(EndpointBehavior.SERVE, 0.02)
         )
         names = []
         async with HttpEndpoint("c", script, history) as endpoint:
             daemon = Daemon(tmp_path, endpoint.port)
-            for life in range(3):
+            for start in range(3):
                 client, before = await daemon.start(), sum(script.call_counts.values())
                 for _ in range(6):
                     names.append(f"m{len(names)}")
                     kind = rng.choice(list(CLASSES))
                     key = f"{kind}{rng.randrange(2)}" if kind != "safe" else ""
-                    await hand_in(client, history, names[-1], kind, key)
+                    await submit(client, history, names[-1], kind, key)
                 client.close()
-                if life < 2:
+                if start < 2:
                     goal = before + rng.randrange(1, 5)
-                    await until(called, partial(has_come, script, goal))
+                    await until(call_event, partial(has_received_calls, script, goal))
                     await daemon.end(signal.SIGKILL)
                     history.record(SenderRestarted(history.clock()))
-            await until(daemon.told, lambda: len({each["id"] for each in daemon.ends}) >= len(names))
+            await until(daemon.end_event, lambda: len({each["id"] for each in daemon.ends}) >= len(names))
             await daemon.end(signal.SIGTERM)
         assert daemon.process.returncode == 0
-        # A line that was written as the process died may be written once more by the next one.
+        # A completion that was printed while the process was killed may be printed again by the next process.
         ends = list({(each["id"], each["state"]): each for each in daemon.ends}.values())
-        assert Counter(each["id"] for each in ends) == Counter(names), "one final answer for each"
+        assert Counter(each["id"] for each in ends) == Counter(names), "each message has one final state"
         offset = history.clock() - time.time()
         for each in ends:
             history.record(MessageCompleted(each["at"] + offset, each["id"], each["state"]))
--- a/tests/conformance/test_scenarios.py
+++ b/tests/conformance/test_scenarios.py
@@ -1,4 +1,4 @@
-"""Each scenario on both sides: the ends, the calls and the order that it names, and no rule broken."""
+"""Runs each scenario on both sides: expected ends, calls and order, and no violation of a rule."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Sequence
@@ -22,6 +22,8 @@
 
 @dataclass(frozen=True)
 class Scenario:
+    """Messages, scripted answers, and the expected ends, calls and order."""
+
     name: str
     messages: Sequence[Message]
     ends: dict[str, str]
@@ -29,27 +31,31 @@
     acts: dict[str, Sequence[ScriptedAnswer]] = field(default_factory=dict)
     order: dict[str, list[str]] = field(default_factory=dict)
     limits: dict[str, object] = field(default_factory=dict)
-    between: Step | None = None  # after the last is handed in
-    untold: Sequence[str] = ()  # messages whose end nobody is told
+    between: Step | None = None  # runs after the last message is submitted
+    untold: Sequence[str] = ()  # messages whose end is not reported
 
 
 def one(
     name: str, kind: str, acts: Sequence[ScriptedAnswer], end: str, calls: int, **more: object
 ) -> Scenario:
-    told = Message("m", kind, **more)  # type: ignore[arg-type]
-    return Scenario(name, [told], {"m": end}, {"m": calls} if calls else {}, {"m": acts})
+    """A scenario with one message; `more` are further fields of the message."""
+    message = Message("m", kind, **more)  # type: ignore[arg-type]
+    return Scenario(name, [message], {"m": end}, {"m": calls} if calls else {}, {"m": acts})
 
 
-def line(
+def key_sequence(
     name: str, kind: str, acts: dict[str, Sequence[ScriptedAnswer]], ends: str, calls: Sequence[int]
 ) -> Scenario:
-    """Three messages of one key, handed in one after the other."""
+    """A scenario with three messages of one key, submitted one after another.
+
+    `ends` has one letter per message: d for delivered, f for failed, r for refused.
+    """
     ids = ("m1", "m2", "m3")
     states = {"d": "delivered", "f": "failed", "r": "refused"}
-    told = [Message(each, kind, key="k") for each in ids]
+    messages = [Message(each, kind, key="k") for each in ids]
     return Scenario(
         name,
-        told,
+        messages,
         {each: states[end] for each, end in zip(ids, ends, strict=True)},
         dict(zip(ids, calls, strict=True)),
         acts,
@@ -57,73 +63,88 @@
     )
 
 
-async def restart_while_out(side: Side) -> None:
+async def restart_with_a_call_in_flight(side: Side) -> None:
     await side.came("m")
     await side.restart()
 
 
-async def restart_in_the_middle_of_a_line(side: Side) -> None:
+async def restart_during_a_key_sequence(side: Side) -> None:
     await side.came("m1")
     await side.restart()
 
 
 async def drain_the_endpoint(side: Side) -> None:
-    """What is out may end; what is new goes to the other one."""
+    """Drains the endpoint of the first attempt; its calls in flight may end, new calls use the other one."""
     directory = side.engine().directory
-    directory = getattr(directory, "source", directory)  # on the daemon's side overrides lie over it
+    directory = getattr(directory, "source", directory)  # the daemon's is wrapped by one with overrides
     await side.came("m")
-    first = next(each.endpoint for each in side.history.events if type(each).__name__ == "AttemptStarted")
-    directory.drain(first)
-    side.drained = first  # type: ignore[attr-defined]
+    endpoint = next(each.endpoint for each in side.history.events if type(each).__name__ == "AttemptStarted")
+    directory.drain(endpoint)
+    side.drained = endpoint  # type: ignore[attr-defined]
 
 
-async def the_same_again(side: Side) -> None:
-    """A hand-in once more under its id, after it is over, is not a second message."""
+async def wait_for_the_end(side: Side) -> None:
+    """Waits until the message has ended."""
     await side.all_ended("m")
 
 
-NEVER = {"destination": 9, "time_left": 0.3}
+NO_ENDPOINT = {"destination": 9, "time_left": 0.3}
 SCENARIOS = [
     *(one(f"a {kind} message is delivered", kind, [SERVE], "delivered", 1) for kind in ("safe", "keyed")),
     *(one(f"a {kind} message is delivered", kind, [SERVE], "delivered", 1) for kind in ("zoned", "unsafe")),
-    one("a slow answer is an answer", "unsafe", [SLOW], "delivered", 1),
-    one("a safe message is sent again after an error", "safe", [ERROR, SERVE], "delivered", 2),
-    one("a keyed message is sent again after an error", "keyed", [ERROR, SERVE], "delivered", 2),
-    one("an unsafe message is not sent again after an error", "unsafe", [ERROR, SERVE], "failed", 1),
-    one("a safe message is sent again after a break", "safe", [RESET, SERVE], "delivered", 2),
-    one("a keyed message is sent again after a break", "keyed", [RESET, SERVE], "delivered", 2),
-    one("a zoned message is sent again after a break", "zoned", [RESET, SERVE], "delivered", 2),
-    one("an unsafe message is not sent again after a break", "unsafe", [RESET, SERVE], "failed", 1),
-    one("a safe message outlives two errors", "safe", [ERROR, ERROR, SERVE], "delivered", 3),
-    one("a keyed message outlives an error and a break", "keyed", [ERROR, RESET, SERVE], "delivered", 3),
-    one("an unsafe message turned away is sent again", "unsafe", [FULL, SERVE], "delivered", 2),
-    one("an unsafe message turned away twice is sent again", "unsafe", [FULL, FULL, SERVE], "delivered", 3),
-    one("a safe message turned away is sent again", "safe", [FULL, SERVE], "delivered", 2),
-    one("a keyed message turned away is sent again", "keyed", [FULL, SERVE], "delivered", 2),
-    one("a told wait is heeded", "safe", [WAIT, SERVE], "delivered", 2),
-    one("a told wait is heeded by an unsafe message", "unsafe", [WAIT, SERVE], "delivered", 2),
-    one("two told waits are heeded", "keyed", [WAIT, WAIT, SERVE], "delivered", 3),
-    one("turned away, then broken off", "unsafe", [FULL, RESET, SERVE], "failed", 2),
-    one("turned away, then an error", "unsafe", [WAIT, ERROR, SERVE], "failed", 2),
-    one("in another zone nothing drops the repeat", "zoned", [RESET, SERVE], "delivered", 2, destination=1),
-    one("a safe message may go anywhere", "safe", [RESET, SERVE], "delivered", 2, destination=1),
-    one("a call that hangs fails an unsafe message", "unsafe", [STALL], "failed", 1, time_left=0.6),
-    one("a call that hangs to the end leaves a safe one", "safe", [STALL], "refused", 1, time_left=0.6),
+    one("a slow answer is accepted", "unsafe", [SLOW], "delivered", 1),
+    one("a safe message is retried after an error", "safe", [ERROR, SERVE], "delivered", 2),
+    one("a keyed message is retried after an error", "keyed", [ERROR, SERVE], "delivered", 2),
+    one("an unsafe message is not retried after an error", "unsafe", [ERROR, SERVE], "failed", 1),
+    one("a safe message is retried after a reset", "safe", [RESET, SERVE], "delivered", 2),
+    one("a keyed message is retried after a reset", "keyed", [RESET, SERVE], "delivered", 2),
+    one("a zoned message is retried after a reset", "zoned", [RESET, SERVE], "delivered", 2),
+    one("an unsafe message is not retried after a reset", "unsafe", [RESET, SERVE], "failed", 1),
+    one("a safe message is delivered after two errors", "safe", [ERROR, ERROR, SERVE], "delivered", 3),
+    one(
+        "a keyed message is delivered after an error and a reset",
+        "keyed",
+        [ERROR, RESET, SERVE],
+        "delivered",
+        3,
+    ),
+    one("a rejected unsafe message is retried", "unsafe", [FULL, SERVE], "delivered", 2),
+    one("an unsafe message is retried after two rejections", "unsafe", [FULL, FULL, SERVE], "delivered", 3),
+    one("a rejected safe message is retried", "safe", [FULL, SERVE], "delivered", 2),
+    one("a rejected keyed message is retried", "keyed", [FULL, SERVE], "delivered", 2),
+    one("a retry delay is observed", "safe", [WAIT, SERVE], "delivered", 2),
+    one("a retry delay is observed for an unsafe message", "unsafe", [WAIT, SERVE], "delivered", 2),
+    one("two retry delays are observed", "keyed", [WAIT, WAIT, SERVE], "delivered", 3),
+    one("a rejection then a reset", "unsafe", [FULL, RESET, SERVE], "failed", 2),
+    one("a rejection then an error", "unsafe", [WAIT, ERROR, SERVE], "failed", 2),
+    # Each zone deduplicates separately, so the retry has to stay in the zone of the first attempt.
+    one("a zoned message is retried in its zone", "zoned", [RESET, SERVE], "delivered", 2, destination=1),
+    one("a safe message may be retried in any zone", "safe", [RESET, SERVE], "delivered", 2, destination=1),
+    one("a stalled call fails an unsafe message", "unsafe", [STALL], "failed", 1, time_left=0.6),
+    one("a stalled call leaves a safe message refused", "safe", [STALL], "refused", 1, time_left=0.6),
     one("a zoned message that may have run is not refused", "zoned", [STALL], "failed", 1, time_left=0.6),
-    one("nowhere to go: refused in time", "safe", [], "refused", 0, **NEVER),
-    one("nowhere to go: an unsafe one is refused too", "unsafe", [], "refused", 0, **NEVER),
-    one("nowhere to go: a zoned one is refused too", "zoned", [], "refused", 0, **NEVER),
-    one("no time at all: turned away at once", "safe", [], "turned away", 0, time_left=0.0),
-    one("no time at all: an unsafe one too", "unsafe", [], "turned away", 0, time_left=0.0),
-    line("a key goes in order", "ordered", {}, "ddd", (1, 1, 1)),
-    line("a key waits for a slow one", "ordered", {"m1": [SLOW]}, "ddd", (1, 1, 1)),
-    line("a key waits through an error", "ordered", {"m1": [ERROR, SERVE]}, "ddd", (2, 1, 1)),
-    line("a key rests after a break", "ordered", {"m1": [RESET, SERVE]}, "ddd", (2, 1, 1)),
-    line("a key waits while one is turned away", "ordered", {"m2": [FULL, SERVE]}, "ddd", (1, 2, 1)),
-    line("a key waits out a told wait", "ordered", {"m1": [WAIT, SERVE]}, "ddd", (2, 1, 1)),
-    line("a key goes on after a failure", "ordered-unsafe", {"m1": [RESET]}, "fdd", (1, 1, 1)),
-    line("a key goes on after a failure in the middle", "ordered-unsafe", {"m2": [ERROR]}, "dfd", (1, 1, 1)),
-    line("a key rests after the last break too", "ordered", {"m3": [RESET, SERVE]}, "ddd", (1, 1, 2)),
+    one("no endpoint: a safe message is refused", "safe", [], "refused", 0, **NO_ENDPOINT),
+    one("no endpoint: an unsafe message is refused", "unsafe", [], "refused", 0, **NO_ENDPOINT),
+    one("no endpoint: a zoned message is refused", "zoned", [], "refused", 0, **NO_ENDPOINT),
+    one("no time left: a safe message is rejected", "safe", [], "rejected", 0, time_left=0.0),
+    one("no time left: an unsafe message is rejected", "unsafe", [], "rejected", 0, time_left=0.0),
+    key_sequence("a key keeps its order", "ordered", {}, "ddd", (1, 1, 1)),
+    key_sequence("a key waits for a slow message", "ordered", {"m1": [SLOW]}, "ddd", (1, 1, 1)),
+    key_sequence("a key waits through an error", "ordered", {"m1": [ERROR, SERVE]}, "ddd", (2, 1, 1)),
+    key_sequence("a key pauses after a reset", "ordered", {"m1": [RESET, SERVE]}, "ddd", (2, 1, 1)),
+    key_sequence("a key waits for a rejected message", "ordered", {"m2": [FULL, SERVE]}, "ddd", (1, 2, 1)),
+    key_sequence("a key waits for a retry delay", "ordered", {"m1": [WAIT, SERVE]}, "ddd", (2, 1, 1)),
+    key_sequence("a key continues after a failure", "ordered-unsafe", {"m1": [RESET]}, "fdd", (1, 1, 1)),
+    key_sequence(
+        "a key continues after a failure of its second message",
+        "ordered-unsafe",
+        {"m2": [ERROR]},
+        "dfd",
+        (1, 1, 1),
+    ),
+    key_sequence(
+        "a key pauses after a reset of its last message", "ordered", {"m3": [RESET, SERVE]}, "ddd", (1, 1, 2)
+    ),
     Scenario(
         "keys do not wait for each other",
         [Message("m1", "ordered", key="k"), Message("m2", "ordered", key="l")],
@@ -133,56 +154,56 @@
         {"k": ["m1"], "l": ["m2"]},
     ),
     Scenario(
-        "no more is held than allowed",
+        "the limit of held messages is observed",
         [Message(f"m{each}", destination=9, time_left=0.4) for each in range(3)],
         {"m0": "refused", "m1": "refused", "m2": "refused"},
         {},
         limits={"max_open": 2},
     ),
     Scenario(
-        "a safe message out at a restart goes again",
+        "a safe message in flight at a restart is retried",
         [Message("m", "safe")],
         {"m": "delivered"},
         {"m": 2},
         {"m": [STALL, SERVE]},
-        between=restart_while_out,
+        between=restart_with_a_call_in_flight,
     ),
     Scenario(
-        "a keyed message out at a restart goes again within its window",
+        "a keyed message in flight at a restart is retried within its window",
         [Message("m", "keyed")],
         {"m": "delivered"},
         {"m": 2},
         {"m": [STALL, SERVE]},
-        between=restart_while_out,
+        between=restart_with_a_call_in_flight,
     ),
     Scenario(
-        "an unsafe message out at a restart does not go again",
+        "an unsafe message in flight at a restart is not retried",
         [Message("m", "unsafe")],
         {"m": "failed"},
         {"m": 1},
         {"m": [STALL, SERVE]},
-        between=restart_while_out,
+        between=restart_with_a_call_in_flight,
     ),
     Scenario(
-        "a key half sent at a restart goes on in its order",
+        "a key in flight at a restart continues in order",
         [Message(each, "ordered", key="k") for each in ("m1", "m2", "m3")],
         {"m1": "delivered", "m2": "delivered", "m3": "delivered"},
         {"m1": 2, "m2": 1, "m3": 1},
         {"m1": [STALL, SERVE]},
         {"k": ["m1", "m2", "m3"]},
-        between=restart_in_the_middle_of_a_line,
+        between=restart_during_a_key_sequence,
     ),
     Scenario(
-        "an unsafe key half sent at a restart goes on in its order",
+        "an unsafe key in flight at a restart continues in order",
         [Message(each, "ordered-unsafe", key="k") for each in ("m1", "m2", "m3")],
         {"m1": "failed", "m2": "delivered", "m3": "delivered"},
         {"m1": 1, "m2": 1, "m3": 1},
         {"m1": [STALL]},
         {"k": ["m1", "m2", "m3"]},
-        between=restart_in_the_middle_of_a_line,
+        between=restart_during_a_key_sequence,
     ),
     Scenario(
-        "a drained endpoint gets nothing new",
+        "a draining endpoint gets no new calls",
         [Message("m", "safe", destination=1)],
         {"m": "delivered"},
         {"m": 2},
@@ -190,21 +211,21 @@
         between=drain_the_endpoint,
     ),
     Scenario(
-        "one message is not two",
+        "an unsafe message is called once",
         [Message("m", "unsafe")],
         {"m": "delivered"},
         {"m": 1},
-        between=the_same_again,
+        between=wait_for_the_end,
     ),
 ]
 
 
-def test_there_are_enough_of_them() -> None:
+def test_at_least_40_scenarios_with_unique_names() -> None:
     assert len(SCENARIOS) >= 40 and len({each.name for each in SCENARIOS}) == len(SCENARIOS)
 
 
-async def play(scenario: Scenario, kind: type[Side], state: Path) -> None:
-    async with kind(state, scenario.acts, **scenario.limits) as side:
+async def play(scenario: Scenario, side_type: type[Side], state: Path) -> None:
+    async with side_type(state, scenario.acts, **scenario.limits) as side:
         for message in scenario.messages:
             await side.hand_in(message)
         if scenario.between:
@@ -220,5 +241,5 @@
 
 @pytest.mark.parametrize("side", SIDES)
 @pytest.mark.parametrize("scenario", SCENARIOS, ids=lambda each: each.name.replace(" ", "-"))
-def test_scenario(scenario: Scenario, side: str, tmp_path: Path) -> None:
+def test_scenario_has_its_expected_result(scenario: Scenario, side: str, tmp_path: Path) -> None:
     asyncio.run(asyncio.wait_for(play(scenario, SIDES[side], tmp_path), 2 * PATIENCE))
