--- a/message_sender/fleet/announcements.py
+++ b/message_sender/fleet/announcements.py
@@ -61,9 +61,7 @@
                 newest.received_at = now
             return None
         if not 0 <= part.index < part.count <= ANNOUNCEMENT_PARTS_LIMIT:
-            raise RefusedError(
-                f"{name}: part out of range: parts={part.count}, limit={ANNOUNCEMENT_PARTS_LIMIT}"
-            )
+            raise RefusedError(f"{name}: a bulletin in {part.count} parts")
         partial = self._partial.get(name)
         if partial is None or (partial.version, partial.count) != (part.version, part.count):
             partial = PartialAnnouncement(part.version, part.count)
--- a/message_sender/fleet/node.py
+++ b/message_sender/fleet/node.py
@@ -265,7 +265,7 @@
         if envelope.to_session != self.session:
             if not isinstance(envelope.body, wire.Hello):
                 self._answer_with_hello(envelope, now)
-                raise RefusedError("addressed to another session: sent to an earlier start, or replayed")
+                raise RefusedError("meant for another session: an old one, or a replay")
             return
         is_first = self._accept_number(envelope, now)
         self.counters.received += 1
@@ -295,7 +295,7 @@
             peer = PeerSession(envelope.epoch, envelope.session)
             self.peers[name] = peer
         if not peer.is_new(envelope.number):
-            raise RefusedError(f"{name}: replayed: the number was received before or is below the window")
+            raise RefusedError(f"{name}: a datagram that has come before")
         peer.received_at = now
         peer.epoch = max(peer.epoch, envelope.epoch)
         return is_first
@@ -305,9 +305,7 @@
         name = envelope.name
         if envelope.epoch <= peer.epoch:
             self._answer_with_hello(envelope, now)
-            raise RefusedError(
-                f"{name}: epoch not above the latest known: an earlier start, or a duplicate name"
-            )
+            raise RefusedError(f"{name}: a start before the latest, or another one of its name")
         member = self.members.others.get(name)
         is_elsewhere = (
             member is not None and member.state is MemberState.ALIVE and member.address != envelope.address
--- a/message_sender/fleet/seal.py
+++ b/message_sender/fleet/seal.py
@@ -100,18 +100,18 @@
                 was modified.
         """
         if len(datagram) > DATAGRAM_BYTES_LIMIT:
-            raise RefusedError(f"datagram too large: {len(datagram)} bytes, limit {DATAGRAM_BYTES_LIMIT}")
+            raise RefusedError(f"a datagram of {len(datagram)} bytes; {DATAGRAM_BYTES_LIMIT} at the most")
         if len(datagram) < DATAGRAM_BYTES_MIN:
-            raise RefusedError(f"datagram too short: {len(datagram)} bytes, minimum {DATAGRAM_BYTES_MIN}")
+            raise RefusedError(f"a datagram of {len(datagram)} bytes is cut short")
         if not datagram.startswith(VERSION):
-            raise RefusedError(f"unknown version: expected {VERSION!r}, got {datagram[: len(VERSION)]!r}")
+            raise RefusedError(f"another version: {datagram[: len(VERSION)]!r}")
         nonce = datagram[len(VERSION) : len(VERSION) + NONCE_BYTES]
         for cipher in self.ciphers:
             try:
                 return cipher.decrypt(nonce, datagram[len(VERSION) + NONCE_BYTES :], VERSION)
             except InvalidTag:
                 continue
-        raise RefusedError("authentication failed: sealed with an unknown key, or modified")
+        raise RefusedError("sealed with another key, or changed on its way")
 
 
 def reread_keys(seal: Seal, path: Path, component: str) -> None:
--- a/message_sender/fleet/wire.py
+++ b/message_sender/fleet/wire.py
@@ -128,12 +128,10 @@
     try:
         envelope = CODEC.decode(data)
     except DecodingError as error:
-        raise RefusedError(f"not a valid envelope: {error}") from None
+        raise RefusedError(f"no envelope: {error}") from None
     if (
         not 0 < len(envelope.name) <= NAME_LENGTH_LIMIT
         or min(envelope.epoch, envelope.session, envelope.number) < 0
     ):
-        raise RefusedError(
-            "invalid envelope: the name has no or too many characters, or a number is negative"
-        )
+        raise RefusedError("an envelope with figures that cannot be")
     return envelope
