--- a/message_sender/grpc/__init__.py
+++ b/message_sender/grpc/__init__.py
@@ -1,4 +1,4 @@
-"""The sender inside a gRPC client: a `grpc.aio` channel whose calls go through the engine.
+"""The sender as part of a gRPC client: a `grpc.aio` channel whose unary calls the engine delivers.
 
     channel = await open_channel(config, state)
     reply = await SomeStub(channel).Command(request, timeout=4, metadata=[("elmglade-destination", "7")])
--- a/message_sender/grpc/channel.py
+++ b/message_sender/grpc/channel.py
@@ -1,4 +1,7 @@
-"""The plug-in: a `grpc.aio.Channel` whose unary calls the engine takes on, journals, sends and answers."""
+"""The plug-in: a `grpc.aio.Channel` whose unary calls the engine accepts, journals, sends and completes.
+
+The application that opens the channel is called the host here.
+"""
 
 import asyncio
 from collections.abc import Callable, Mapping
@@ -14,7 +17,14 @@
 from message_sender.core.ports import Completion, CompletionState, Rejected
 from message_sender.discovery.static import StaticDirectory
 from message_sender.grpc import retry
-from message_sender.grpc.route import BadRouteError, Metadata, Router, from_metadata, message_from, pairs
+from message_sender.grpc.route import (
+    BadRouteError,
+    Metadata,
+    Router,
+    build_message,
+    encode_extras,
+    from_metadata,
+)
 from message_sender.grpc.transport import Factory, GrpcTransport, Options, insecure
 from message_sender.journal.answer_store import AnswerStore
 from message_sender.journal.lock import Lock
@@ -22,153 +32,192 @@
 
 Serializer = Callable[[Any], bytes]
 Code = grpc.StatusCode
-CLOSED = "the channel was closed; the message is kept, and goes on when it is opened again"
-
+CLOSED_DETAILS = "the channel was closed; the message is kept, and resumes when the channel is opened again"
 
 Trailers = tuple[tuple[str, bytes], ...]
 
 
-def error(code: grpc.StatusCode, text: str, trailers: Trailers = ()) -> grpc.aio.AioRpcError:
+def create_error(code: grpc.StatusCode, text: str, trailers: Trailers = ()) -> grpc.aio.AioRpcError:
+    """Returns an error of the gRPC library with a status, its text and trailing metadata."""
     empty = grpc.aio.Metadata()
     return grpc.aio.AioRpcError(code, empty, grpc.aio.Metadata(*trailers), details=text)
 
 
-def refusal(text: str, after: int) -> grpc.aio.AioRpcError:
-    """Trying again does no harm; `after` us says when, 0 that nothing is known."""
-    trailers = retry.trailers(Code.UNAVAILABLE, text, after / 1e6)
-    return error(Code.UNAVAILABLE, text, trailers)
+def create_retryable_error(text: str, retry_after_us: int) -> grpc.aio.AioRpcError:
+    """Returns the error of a call that may safely be retried.
+
+    Args:
+        text: Text of the status.
+        retry_after_us: Microseconds after which to retry; 0: not known.
+    """
+    trailers = retry.trailers(Code.UNAVAILABLE, text, retry_after_us / 1e6)
+    return create_error(Code.UNAVAILABLE, text, trailers)
 
 
 class Call(grpc.aio.UnaryUnaryCall):
-    """One call of the host's: what it awaits, and the engine's caller of its message."""
+    """A call of the host: the object that the host awaits, and the `Caller` of its message for the engine."""
 
-    def __init__(self, channel: "Channel", message: Message, read: Serializer | None) -> None:
-        self._channel, self._message, self._read = channel, message, read
+    def __init__(self, channel: "Channel", message: Message, deserialize: Serializer | None) -> None:
+        """Creates a call that has not been submitted; `deserialize` None leaves the reply as bytes."""
+        self._channel, self._message, self._deserialize = channel, message, deserialize
         self._result: asyncio.Future[Any] = channel.engine.loop.create_future()
         self._result.add_done_callback(lambda future: future.cancelled() or future.exception())
         self._callbacks: list[Callable[[Any], None]] = []
         self._status: tuple[grpc.StatusCode, str] | None = None
 
-    # The engine's side.
+    # Called by the engine, as `Caller` defines it.
 
     def is_gone(self) -> bool:
+        """Returns whether the call has ended for the host."""
         return self._result.done()
 
     def accepted(self) -> bool:
+        """Returns True: the call waits for the completion."""
         return True
 
-    def rejected(self, told: Rejected) -> None:
-        self._fail(refusal(f"turned away: {told.reason.value}", told.retry_after_us))
+    def rejected(self, rejection: Rejected) -> None:
+        """Ends the call with UNAVAILABLE and the time after which to retry."""
+        self._fail(create_retryable_error(f"turned away: {rejection.reason.value}", rejection.retry_after_us))
 
     def withdrawn(self) -> None:
-        """The host cancelled before it was taken on."""
+        """Does nothing: the host cancelled the call before the message was accepted."""
 
-    def completed(self, end: Completion) -> None:
-        match end.state:
-            case CompletionState.DELIVERED if not end.status:
-                self._succeed(end.reply)
+    def completed(self, completion: Completion) -> None:
+        """Ends the call with the reply or the status that the completion stands for."""
+        match completion.state:
+            case CompletionState.DELIVERED if not completion.status:
+                self._succeed(completion.reply)
             case CompletionState.DELIVERED:
-                name, _, text = end.status.partition(" ")
-                self._fail(error(Code[name], text))
+                name, _, text = completion.status.partition(" ")
+                self._fail(create_error(Code[name], text))
             case CompletionState.REFUSED:
-                self._fail(refusal("refused", end.retry_after_us))
+                self._fail(create_retryable_error("refused", completion.retry_after_us))
             case CompletionState.WITHDRAWN:
-                self._fail(error(Code.CANCELLED, "the endpoint wants it no more"))
+                self._fail(create_error(Code.CANCELLED, "the endpoint cancelled the message"))
             case _:
-                late = self._message.deadline_us - self._channel.engine.now() <= self._channel.tick
-                code = Code.DEADLINE_EXCEEDED if late else Code.UNKNOWN
-                self._fail(error(code, end.status or "failed; it may have run"))
+                is_late = (
+                    self._message.deadline_us - self._channel.engine.now() <= self._channel.deadline_margin_us
+                )
+                code = Code.DEADLINE_EXCEEDED if is_late else Code.UNKNOWN
+                self._fail(create_error(code, completion.status or "failed; the call may have run"))
 
     def _succeed(self, reply: bytes) -> None:
         try:
-            value = self._read(reply) if self._read else reply
-        except Exception as trouble:
-            self._fail(error(Code.INTERNAL, f"the reply cannot be read: {trouble}"))
+            value = self._deserialize(reply) if self._deserialize else reply
+        except Exception as error:
+            self._fail(create_error(Code.INTERNAL, f"the reply cannot be deserialized: {error}"))
             return
         self._status = Code.OK, ""
-        self._settle(lambda: self._result.set_result(value))
+        self._finish(lambda: self._result.set_result(value))
 
-    def _fail(self, trouble: grpc.aio.AioRpcError) -> None:
-        self._status = trouble.code(), trouble.details() or ""
-        self._settle(lambda: self._result.set_exception(trouble))
+    def _fail(self, error: grpc.aio.AioRpcError) -> None:
+        self._status = error.code(), error.details() or ""
+        self._finish(lambda: self._result.set_exception(error))
 
-    def _settle(self, settle: Callable[[], None]) -> None:
+    def _finish(self, set_result: Callable[[], None]) -> None:
+        """Calls `set_result` unless the call has ended, and schedules the callbacks."""
         if not self._result.done():
-            settle()
-        for each in self._callbacks:
-            self._channel.engine.loop.call_soon(each, self)
+            set_result()
+        for callback in self._callbacks:
+            self._channel.engine.loop.call_soon(callback, self)
         self._callbacks.clear()
 
-    # The host's side, as grpc.aio has it.
+    # Called by the host, as `grpc.aio.UnaryUnaryCall` defines it.
 
     def __await__(self) -> Any:  # noqa: ANN401
+        """Waits for the deserialized reply.
+
+        Raises:
+            grpc.aio.AioRpcError: The call failed.
+            asyncio.CancelledError: The call or the host's task was cancelled.
+        """
         try:
             return (yield from self._result.__await__())
         except asyncio.CancelledError:
-            self._called_off()  # cancelling the host's task has cancelled the future that it awaits
+            self._process_cancellation()  # cancelling the host's task cancelled the future that it awaits
             raise
 
     def cancel(self) -> bool:
-        """Calls it off. An attempt that is out may have run; its key rests before the next one of it goes."""
+        """Cancels the call; returns False if it has already ended.
+
+        An attempt in flight may have run, so the next message of its key is delayed.
+        """
         if self._result.done():
             return False
         self._result.cancel()
-        self._called_off()
+        self._process_cancellation()
         return True
 
-    def _called_off(self) -> None:
+    def _process_cancellation(self) -> None:
         if self._status is None:
             self._status = Code.CANCELLED, "cancelled by the host"
-            self._settle(lambda: None)
+            self._finish(lambda: None)
             self._channel.engine.withdraw(self._message.id, self)
 
     def cancelled(self) -> bool:
+        """Returns whether the host cancelled the call."""
         return self._result.cancelled()
 
     def done(self) -> bool:
+        """Returns whether the call has ended."""
         return self._result.done()
 
     def time_remaining(self) -> float | None:
-        """Seconds until its time is up."""
+        """Returns the seconds until the deadline of the message, at least 0."""
         return max((self._message.deadline_us - self._channel.engine.now()) / 1e6, 0.0)
 
     def add_done_callback(self, callback: Callable[[Any], None]) -> None:
+        """Schedules `callback` with this call once it has ended."""
         if self.done():
             self._channel.engine.loop.call_soon(callback, self)
         else:
             self._callbacks.append(callback)
 
     async def wait_for_connection(self) -> None:
-        """There is none of its own to wait for."""
+        """Returns at once: a call has no connection of its own."""
 
     async def initial_metadata(self) -> grpc.aio.Metadata:
+        """Returns empty metadata: initial metadata of the endpoint is not kept."""
         return grpc.aio.Metadata()
 
     async def trailing_metadata(self) -> grpc.aio.Metadata:
-        await self._over()
-        trouble = None if self._result.cancelled() else self._result.exception()
-        told = trouble.trailing_metadata() if isinstance(trouble, grpc.aio.AioRpcError) else None
-        return told or grpc.aio.Metadata()
+        """Waits for the end of the call and returns its trailers: a RetryInfo, or none."""
+        await self._wait_until_done()
+        error = None if self._result.cancelled() else self._result.exception()
+        metadata = error.trailing_metadata() if isinstance(error, grpc.aio.AioRpcError) else None
+        return metadata or grpc.aio.Metadata()
 
     async def code(self) -> grpc.StatusCode:
-        await self._over()
+        """Waits for the end of the call and returns its status code."""
+        await self._wait_until_done()
         return self._status[0] if self._status else Code.UNKNOWN
 
     async def details(self) -> str:
-        await self._over()
+        """Waits for the end of the call and returns the text of its status."""
+        await self._wait_until_done()
         return self._status[1] if self._status else ""
 
-    async def _over(self) -> None:
+    async def _wait_until_done(self) -> None:
         await asyncio.wait([self._result])
 
 
-class Unary(grpc.aio.UnaryUnaryMultiCallable):
-    """One method."""
+class UnaryMethod(grpc.aio.UnaryUnaryMultiCallable):
+    """A unary method; calling it submits a message."""
 
     def __init__(
-        self, channel: "Channel", method: str, write: Serializer | None, read: Serializer | None
+        self,
+        channel: "Channel",
+        method: str,
+        serialize: Serializer | None,
+        deserialize: Serializer | None,
     ) -> None:
-        self._channel, self._method, self._write, self._read = channel, method, write, read
+        """Creates the callable of the method with this full name; a serializer of None means bytes."""
+        self._channel, self._method, self._serialize, self._deserialize = (
+            channel,
+            method,
+            serialize,
+            deserialize,
+        )
 
     def __call__(
         self,
@@ -180,115 +229,182 @@
         wait_for_ready: bool | None = None,
         compression: grpc.Compression | None = None,
     ) -> Call:
-        """`timeout` in seconds, no longer than the class's. The rest is decided by the engine: a call that
-        asks for credentials of its own is an error, `wait_for_ready` and `compression` mean nothing here."""
+        """Submits a request and returns its call.
+
+        Args:
+            request: The request.
+            timeout: Timeout in seconds, limited to the deadline of the message class; None for that deadline.
+            metadata: Route of the call, and metadata for the endpoint.
+            credentials: Must be None.
+            wait_for_ready: Ignored; the engine decides when to send.
+            compression: Ignored.
+
+        Raises:
+            BadRouteError: The call has credentials, or cannot be submitted.
+            RuntimeError: The channel is closed, or belongs to the event loop of another thread.
+        """
         if credentials is not None:
             raise BadRouteError("credentials belong to the channel's factory, not to a call")
-        body = self._write(request) if self._write else bytes(request)
-        told: Metadata = tuple((key, value) for key, value in metadata or ())
-        return self._channel.hand_in(self._method, body, told, timeout, self._read)
+        body = self._serialize(request) if self._serialize else bytes(request)
+        pairs: Metadata = tuple((key, value) for key, value in metadata or ())
+        return self._channel.submit(self._method, body, pairs, timeout, self._deserialize)
 
 
 class Channel(grpc.aio.Channel):
-    """Open it with `open_channel`. All of it belongs to the loop that opened it."""
+    """A channel whose unary calls the engine delivers; `open_channel` creates it.
+
+    It may only be used in the event loop that opened it.
+
+    Attributes:
+        lock: Lock on the state folder.
+        answers: Answers that no call waited for.
+        engine: The engine.
+        directory: The endpoints.
+        router: Returns the route of a call.
+        classes: Message classes by name.
+        deadline_margin_us: A message that fails within this time before its deadline counts as expired.
+        transport: Performs the attempts.
+        waiting_calls: Calls that have not ended.
+        closed: Whether the channel was closed or its engine has stopped.
+    """
 
     def __init__(
         self,
-        told: SenderConfig,
+        config: SenderConfig,
         state: Path,
         directory: StaticDirectory,
-        route: Router,
+        router: Router,
         options: Options,
         factory: Factory,
-        kept: int,
+        kept_answers_limit: int,
     ) -> None:
+        """Opens the journal and starts the engine; the arguments are those of `open_channel`.
+
+        Raises:
+            LockTakenError: Another sender uses the state folder.
+            OSError: The state folder cannot be used.
+        """
         self.lock = Lock(state)
         try:
-            self.answers = AnswerStore(state, kept)
+            self.answers = AnswerStore(state, kept_answers_limit)
             self.engine = Engine(
                 EngineConfig(
-                    told.name, state, told.seed, told.disk_bytes, told.settings, directory.endpoints()
+                    config.name, state, config.seed, config.disk_bytes, config.settings, directory.endpoints()
                 )
             )
         except BaseException:
             self.lock.release()
             raise
-        self.directory, self.route = directory, route
-        self.classes = {each.name: each for each in told.settings.classes}
-        self.tick = 2 * told.settings.tick
-        timeout = told.settings.connect_timeout / 1e6
+        self.directory, self.router = directory, router
+        self.classes = {each.name: each for each in config.settings.classes}
+        self.deadline_margin_us = 2 * config.settings.tick
+        timeout = config.settings.connect_timeout / 1e6
         self.transport = GrpcTransport(
             timeout, directory.dials, self.engine.retry_after_received, options, factory
         )
         directory.on_update = self.engine.endpoints_updated
         self.engine.plug(self.transport, directory, self)
-        self.waiting: set[Call] = set()
+        self.waiting_calls: set[Call] = set()
         self.closed = False
         self.engine.stopped.add_done_callback(self._stopped)
         self.engine.start()
 
-    # The engine's completion_listener: what nobody waits for is kept until it is collected.
+    # The engine's `CompletionListener`: keeps a completion that no call waits for until it is collected.
 
     def notify(self, message: str, end: Completion) -> bool:
+        """Stores a completion for `collect`; returns False, since no acknowledgement follows."""
         self.answers.add(message, end.state.value, end.retry_after_us, end.reply, end.status)
         return False
 
     async def run(self) -> None:
+        """Waits until it is cancelled: storing answers needs no background work."""
         await self.engine.loop.create_future()
 
-    # For the host.
+    # Called by the host.
 
-    def hand_in(
-        self, method: str, body: bytes, metadata: Metadata, timeout: float | None, read: Serializer | None
+    def submit(
+        self,
+        method: str,
+        body: bytes,
+        metadata: Metadata,
+        timeout: float | None,
+        deserialize: Serializer | None,
     ) -> Call:
-        """Raises BadRouteError for a call that cannot be handed in, RuntimeError where the channel is
-        closed or the thread is not the loop's."""
+        """Submits a call; one whose message has already ended gets the stored answer.
+
+        Args:
+            method: Full name of the method.
+            body: Serialized request.
+            metadata: Route of the call, and metadata for the endpoint.
+            timeout: Timeout in seconds; None for the deadline of the message class.
+            deserialize: Deserializes the reply; None leaves it as bytes.
+
+        Raises:
+            BadRouteError: The call cannot be submitted.
+            RuntimeError: The channel is closed, or belongs to the event loop of another thread.
+        """
         self.check()
-        route = self.route(method, body, metadata)
-        extras = pairs(method, metadata)
-        message = message_from(route, self.classes, body, extras, self.engine.now(), timeout)
+        route = self.router(method, body, metadata)
+        extras = encode_extras(method, metadata)
+        message = build_message(route, self.classes, body, extras, self.engine.now(), timeout)
         if not self.directory.knows(message.destination):
             raise BadRouteError(f"no endpoint of destination {message.destination} was ever listed")
-        call = Call(self, message, read)
-        self.waiting.add(call)
-        call._result.add_done_callback(lambda _: self.waiting.discard(call))
-        if end := self.collect(message.id):
-            call.completed(end)  # its message ended in an earlier life of the host
+        call = Call(self, message, deserialize)
+        self.waiting_calls.add(call)
+        call._result.add_done_callback(lambda _: self.waiting_calls.discard(call))
+        if completion := self.collect(message.id):
+            call.completed(completion)  # the message ended before the host was restarted
         else:
             self.engine.take(message, call)
         return call
 
     def collect(self, name: str) -> Completion | None:
-        """The final answer of a message that nobody waited for, once; None where there is none."""
+        """Returns the completion of a message that no call waited for, and removes it; None without one.
+
+        Raises:
+            RuntimeError: The channel is closed, or belongs to the event loop of another thread.
+        """
         self.check()
-        if kept := self.answers.collect(name):
+        if answer := self.answers.collect(name):
             return Completion(
-                CompletionState(kept["state"]), kept["retry_after"], kept["reply"], kept["status"]
+                CompletionState(answer["state"]), answer["retry_after"], answer["reply"], answer["status"]
             )
         return None
 
     def pending(self) -> list[str]:
-        """Messages that are owed an end, the oldest first; those of an earlier life among them."""
+        """Returns the ids of accepted messages that have not ended, the oldest first.
+
+        These include messages from before a restart of the host.
+        """
         return list(self.engine.journal.entries)
 
     def check(self) -> None:
+        """Checks that the channel may be used here.
+
+        Raises:
+            RuntimeError: The channel is closed, or belongs to the event loop of another thread.
+        """
         try:
-            running = asyncio.get_running_loop()
+            running_loop = asyncio.get_running_loop()
         except RuntimeError:
-            running = None
-        if running is not self.engine.loop:
+            running_loop = None
+        if running_loop is not self.engine.loop:
             raise RuntimeError("this channel belongs to another thread's event loop; call it from there")
         if self.closed:
             raise RuntimeError(f"the channel is closed{self.engine.defect and ': ' + self.engine.defect}")
 
     def _stopped(self, _: asyncio.Future[int]) -> None:
-        """The engine ends before its callers hear so: an end that came between the two would be lost to
-        both."""
+        """Closes the engine, then fails the waiting calls.
+
+        In the other order, a completion between the two would reach neither its call nor the answer store.
+        """
         self._release()
-        text = f"the sender ended by a defect: {self.engine.defect}" if self.engine.defect else CLOSED
+        text = (
+            f"the sender stopped by a defect: {self.engine.defect}" if self.engine.defect else CLOSED_DETAILS
+        )
         code = Code.INTERNAL if self.engine.defect else Code.UNKNOWN
-        for each in list(self.waiting):
-            each._fail(error(code, text))
+        for call in list(self.waiting_calls):
+            call._fail(create_error(code, text))
 
     def _release(self) -> None:
         if not self.closed:
@@ -300,32 +416,46 @@
                 self.lock.release()
 
     async def close(self, grace: float | None = None) -> None:
-        """Waits up to `grace` seconds for what is owed, then ends. What is still owed stays in the journal
-        and goes on when the channel is opened again; whoever waits for it hears that nothing is promised."""
+        """Waits up to `grace` seconds for the calls in progress, then closes the channel.
+
+        Messages that have not ended stay in the journal and resume when the channel is opened again; their
+        calls end with UNKNOWN.
+
+        Raises:
+            RuntimeError: The channel belongs to the event loop of another thread.
+        """
         if not self.closed:
             self.check()
-            if grace and self.waiting:
-                await asyncio.wait([each._result for each in self.waiting], timeout=grace)
+            if grace and self.waiting_calls:
+                await asyncio.wait([call._result for call in self.waiting_calls], timeout=grace)
             self._release()
             self.engine.stop(0)
-            await asyncio.sleep(0)  # the callers hear
-        await self.transport.closed()
+            await asyncio.sleep(0)  # lets `_stopped` fail the waiting calls
+        await self.transport.wait_closed()
 
     async def __aenter__(self) -> "Channel":
+        """Returns the channel."""
         return self
 
     async def __aexit__(self, *_: object) -> None:
+        """Closes the channel without waiting for calls."""
         await self.close()
 
     def get_state(self, try_to_connect: bool = False) -> grpc.ChannelConnectivity:
-        """READY until it is closed: endpoints come and go behind it."""
+        """Returns READY until the channel is closed, regardless of the state of the endpoints."""
         return grpc.ChannelConnectivity.SHUTDOWN if self.closed else grpc.ChannelConnectivity.READY
 
     async def wait_for_state_change(self, last_observed_state: grpc.ChannelConnectivity) -> None:
+        """Waits until the state differs from `last_observed_state`."""
         if self.get_state() is last_observed_state:
             await asyncio.wait([self.engine.stopped])
 
     async def channel_ready(self) -> None:
+        """Returns at once: an open channel is ready.
+
+        Raises:
+            RuntimeError: The channel is closed, or belongs to the event loop of another thread.
+        """
         self.check()
 
     def unary_unary(
@@ -334,27 +464,35 @@
         request_serializer: Serializer | None = None,
         response_deserializer: Serializer | None = None,
         _registered_method: bool | None = False,
-    ) -> Unary:
-        return Unary(self, method, request_serializer, response_deserializer)
+    ) -> UnaryMethod:
+        """Returns the callable of a unary method."""
+        return UnaryMethod(self, method, request_serializer, response_deserializer)
 
     def unary_stream(self, method: str, *_: Any, **__: Any) -> Any:  # noqa: ANN401
-        return Stream(method)
+        """Returns a callable that raises NotImplementedError."""
+        return StreamingMethod(method)
 
     def stream_unary(self, method: str, *_: Any, **__: Any) -> Any:  # noqa: ANN401
-        return Stream(method)
+        """Returns a callable that raises NotImplementedError."""
+        return StreamingMethod(method)
 
     def stream_stream(self, method: str, *_: Any, **__: Any) -> Any:  # noqa: ANN401
-        return Stream(method)
+        """Returns a callable that raises NotImplementedError."""
+        return StreamingMethod(method)
 
 
-class Stream:
-    """A method that streams. A generated stub makes one for each such method, so only calling it is an
-    error."""
+class StreamingMethod:
+    """A streaming method, which is not supported.
+
+    A generated stub creates one for each streaming method of its service, so only calling it is an error.
+    """
 
     def __init__(self, method: str) -> None:
+        """Creates the callable of the method with this full name."""
         self.method = method
 
     def __call__(self, *_: Any, **__: Any) -> NoReturn:  # noqa: ANN401
+        """Raises NotImplementedError."""
         raise NotImplementedError(f"{self.method} streams; this channel carries unary calls only")
 
 
@@ -368,13 +506,23 @@
     factory: Factory = insecure,
     kept: int = 4096,
 ) -> Channel:
-    """Opens the plug-in in the running loop; what an earlier life took on goes on from the journal.
-
-    `told` is a configuration, a mapping in its form or a TOML file; `state` the folder that lasts, its own
-    where the configuration names one. `directory` stands in place of the endpoints in the configuration and
-    may change while the channel is open. At most `kept` answers that nobody waited for are kept for
-    `Channel.collect`. Raises ConfigError with every fault, `lock.LockTakenError` where another sender has
-    the folder, and OSError where it cannot be used.
+    """Opens a channel in the running event loop; messages in the journal resume.
+
+    Args:
+        told: A configuration, a mapping in its form, or the path of a TOML file.
+        state: Folder of the journal, which must survive restarts; by default the one that the configuration
+            names.
+        directory: Endpoints in place of those in the configuration; may be updated while the channel is open.
+        route: Returns the route of a call from its method, body and metadata.
+        options: Options for every channel of the gRPC library; those that would let the library retry or
+            reroute calls by itself are ignored.
+        factory: Creates a channel of the gRPC library, for example one with TLS.
+        kept: Maximum number of answers that are stored for `Channel.collect` because no call waited for them.
+
+    Raises:
+        ConfigError: The configuration is invalid; the error lists every fault.
+        LockTakenError: Another sender uses the state folder.
+        OSError: The state folder cannot be used.
     """
     if isinstance(told, Path):
         told = general.load(told)
@@ -384,5 +532,5 @@
     if folder is None:
         raise general.ConfigError([general.ConfigFault("state", "is missing: no folder is named")])
     folder.mkdir(parents=True, exist_ok=True)
-    places = directory or StaticDirectory(told.endpoints)
-    return Channel(told, folder, places, route, options, factory, kept)
+    endpoints = directory or StaticDirectory(told.endpoints)
+    return Channel(told, folder, endpoints, route, options, factory, kept)
--- a/message_sender/grpc/status_mapping.py
+++ b/message_sender/grpc/status_mapping.py
@@ -1,17 +1,15 @@
-"""What a gRPC status means for an attempt: the one table, free of I/O.
-
-Status codes after the gRPC project's "Status codes and their use in gRPC"; RetryInfo after google/rpc/
-error_details.proto. Three things are told apart:
-
-- *final*: the endpoint's own verdict. The message is over, and its caller gets that status. Trying again
-would
-  hear the same.
-- *turned away*: the endpoint says, with RetryInfo, that it did not run the call. Without RetryInfo the same
-code
-  also comes from the library or a proxy, where the call may have run.
-- *may have run*: everything else. The library does not say whether a request had left when its connection
-broke,
-  so every break after the call was handed to an open connection counts as one that may have run.
+"""Mapping of gRPC statuses to results of attempts; free of I/O.
+
+Status codes follow the gRPC project's "Status codes and their use in gRPC", RetryInfo follows
+google/rpc/error_details.proto. There are three groups:
+
+- *Final*: the endpoint's own result. The message is complete, and its caller gets that status. A retry would
+  have the same result.
+- *Rejected*: the endpoint states by RetryInfo that it did not run the call. Without RetryInfo, the library or
+  a proxy may have set the same code, and the call may have run.
+- *May have run*: all other statuses. The library does not report whether a request was sent before its
+  connection broke, so each failure after the call was handed to an open connection counts as a call that may
+  have run.
 """
 
 import grpc
@@ -21,7 +19,7 @@
 
 Code = grpc.StatusCode
 
-#: Verdicts that another attempt would only hear again.
+#: Final codes: another attempt would have the same result.
 FINAL = frozenset(
     {
         Code.INVALID_ARGUMENT,
@@ -34,29 +32,35 @@
         Code.UNAUTHENTICATED,
     }
 )
-#: With RetryInfo from the endpoint: it never ran.
-MAY_BE_TURNED_AWAY = frozenset({Code.UNAVAILABLE, Code.RESOURCE_EXHAUSTED})
-#: Everything that may have run, and what it says of the endpoint's health.
+#: Codes that, with RetryInfo from the endpoint, mean that the call never ran.
+REJECTION_CODES = frozenset({Code.UNAVAILABLE, Code.RESOURCE_EXHAUSTED})
+#: Codes after which the call may have run, with the outcome that is counted for the endpoint's health.
 MAY_HAVE_RUN = {
-    Code.CANCELLED: Outcome.RESET,  # the endpoint, or its connection, broke it off
+    Code.CANCELLED: Outcome.RESET,  # the endpoint cancelled the call, or its connection broke
     Code.UNKNOWN: Outcome.ERROR,
     Code.DEADLINE_EXCEEDED: Outcome.TIMEOUT,
-    Code.RESOURCE_EXHAUSTED: Outcome.ERROR,  # such as an answer larger than allowed: it has run
+    Code.RESOURCE_EXHAUSTED: Outcome.ERROR,  # for example a response above the size limit: the call has run
     Code.ABORTED: Outcome.ERROR,
     Code.INTERNAL: Outcome.ERROR,
-    Code.UNAVAILABLE: Outcome.RESET,  # such as a connection that broke
+    Code.UNAVAILABLE: Outcome.RESET,  # for example a broken connection
     Code.DATA_LOSS: Outcome.ERROR,
 }
 
 
-def fate(
+def map_status(
     code: grpc.StatusCode, retry_after: float | None, reply: bytes = b"", details: str = ""
 ) -> AttemptResult:
-    """The fate of an attempt that was handed to an open connection and ended with `code`. `retry_after` is
-    the endpoint's RetryInfo in seconds, None where it sent none."""
+    """Returns the result of an attempt that was handed to an open connection.
+
+    Args:
+        code: Status code that the attempt ended with.
+        retry_after: The delay in the endpoint's RetryInfo in seconds; None if it sent none.
+        reply: The response, with the code OK.
+        details: Text of the status.
+    """
     if code is Code.OK:
         return AttemptResult(Outcome.OK, is_final=True, reply=reply)
-    if code in MAY_BE_TURNED_AWAY and retry_after is not None:
+    if code in REJECTION_CODES and retry_after is not None:
         return AttemptResult(Outcome.FULL, retry_after_us=clamped_wait(retry_after))
     if code in FINAL:
         return AttemptResult(Outcome.OK, is_final=True, status=f"{code.name} {details}".strip())
--- a/message_sender/grpc/transport.py
+++ b/message_sender/grpc/transport.py
@@ -1,4 +1,4 @@
-"""Calls out over gRPC: one channel of the library to each endpoint, one call an attempt."""
+"""Attempts over gRPC: one library channel per endpoint, one library call per attempt."""
 
 import asyncio
 from collections.abc import Callable, Mapping, Sequence
@@ -9,16 +9,17 @@
 from message_sender.core.ports import AttemptResult
 from message_sender.discovery.static import Dial
 from message_sender.grpc.retry import retry_after
-from message_sender.grpc.route import IDEMPOTENCY, PREFIX, unpaired
-from message_sender.grpc.status_mapping import fate
+from message_sender.grpc.route import IDEMPOTENCY_KEY, PREFIX, decode_extras
+from message_sender.grpc.status_mapping import map_status
 from message_sender.message import Message
 from message_sender.policy.model import Outcome
 
 Options = Sequence[tuple[str, Any]]
 Factory = Callable[[str, Options], grpc.aio.Channel]
 
-#: Nothing may act behind the engine's back: no retries of the library's (transparent ones included), no
-#: policy that a name service hands out, no connection shared with somebody else's channel.
+#: Set on every channel, so that only the engine decides on calls: no retries by the library (including
+#: transparent ones), no service configuration from name resolution, and no connection that is shared with
+#: another channel.
 OPTIONS: Options = (
     ("grpc.enable_retries", 0),
     ("grpc.service_config_disable_resolution", 1),
@@ -27,19 +28,32 @@
     ("grpc.min_reconnect_backoff_ms", 100),
     ("grpc.max_reconnect_backoff_ms", 1000),
 )
-MOST_METHODS = 256  # kept for an endpoint
-ENFORCED = frozenset(name for name, _ in OPTIONS) | {"grpc.service_config"}
+CACHED_METHODS_LIMIT = 256  # per endpoint
+#: Names of the options that the host application cannot set.
+RESERVED_OPTIONS = frozenset(name for name, _ in OPTIONS) | {"grpc.service_config"}
 
 
 def insecure(target: str, options: Options) -> grpc.aio.Channel:
+    """Returns a library channel without TLS; the default factory."""
     return grpc.aio.insecure_channel(target, options=options)
 
 
 class GrpcTransport:
-    """`dials` is the directory's: an endpoint that is no longer in it, or at another address, keeps
-    nothing."""
-
-    reads_late = True  # the library reads in threads of its own and tells the loop
+    """A `Transport` over gRPC.
+
+    Attributes:
+        connect_timeout: Maximum time to connect, in seconds.
+        dials: Returns the current address of each endpoint in the directory.
+        retry_after_received: Called with the endpoint and its RetryInfo in microseconds.
+        options: Options of every channel.
+        factory: Creates a channel.
+        channels: Address and channel by endpoint.
+        methods: Channel and its callables (by method name) by endpoint.
+        calls_in_flight: Number of attempts in flight by endpoint, where there are any.
+        closing_tasks: Tasks that close channels.
+    """
+
+    reads_late = True  # the library reads in its own threads and notifies the event loop
 
     def __init__(
         self,
@@ -49,45 +63,58 @@
         options: Options = (),
         factory: Factory = insecure,
     ) -> None:
-        """`connect_timeout` in seconds. `options` are the host's for every channel; those that would let the
-        library act by itself are passed over. `factory` makes a channel, with TLS for instance."""
+        """Creates a transport without channels.
+
+        Args:
+            connect_timeout: Maximum time to connect, in seconds.
+            dials: Returns the current address of each endpoint. The channel of an endpoint that was removed
+                or moved is closed.
+            retry_after_received: Called with the endpoint and its RetryInfo in microseconds.
+            options: The host application's options for every channel. Those in `RESERVED_OPTIONS`, which
+                would let the library retry or reroute calls by itself, are ignored.
+            factory: Creates a channel from target and options, for example one with TLS.
+        """
         self.connect_timeout, self.dials, self.retry_after_received = (
             connect_timeout,
             dials,
             retry_after_received,
         )
-        self.options = (*(each for each in options if each[0] not in ENFORCED), *OPTIONS)
+        self.options = (*(option for option in options if option[0] not in RESERVED_OPTIONS), *OPTIONS)
         self.factory = factory
         self.channels: dict[str, tuple[Dial, grpc.aio.Channel]] = {}
         self.methods: dict[str, tuple[grpc.aio.Channel, dict[str, Any]]] = {}
-        self.busy: dict[str, int] = {}
-        self.closing: set[asyncio.Task[None]] = set()
+        self.calls_in_flight: dict[str, int] = {}
+        self.closing_tasks: set[asyncio.Task[None]] = set()
 
     async def call(
         self, endpoint: str, message: Message, timeout: float, may_go: Callable[[], bool]
     ) -> AttemptResult:
-        """One attempt. Before its connection is up it has never run; from then on only an answer says."""
+        """Performs one attempt, as `Transport.call` defines it.
+
+        An attempt that ends before its connection is established has not run. After that, only the status of
+        the call shows whether it has.
+        """
         loop = asyncio.get_running_loop()
         deadline = loop.time() + timeout
         if (dial := self.dials().get(endpoint)) is None:
-            return AttemptResult(Outcome.NOT_SENT)  # gone since the module chose it
-        self.busy[endpoint] = self.busy.get(endpoint, 0) + 1
+            return AttemptResult(Outcome.NOT_SENT)  # removed from the directory after the policy chose it
+        self.calls_in_flight[endpoint] = self.calls_in_flight.get(endpoint, 0) + 1
         try:
-            channel = self.channel(endpoint, dial)
-            up = channel.get_state(try_to_connect=True) is grpc.ChannelConnectivity.READY
-            if not up and not await self.up(channel, min(self.connect_timeout, timeout)):
-                self.drop(endpoint, channel)
+            channel = self.get_channel(endpoint, dial)
+            is_ready = channel.get_state(try_to_connect=True) is grpc.ChannelConnectivity.READY
+            if not is_ready and not await self.wait_until_ready(channel, min(self.connect_timeout, timeout)):
+                self.discard(endpoint, channel)
                 return AttemptResult(Outcome.CONNECT_FAILED)
             if not may_go():
                 return AttemptResult(Outcome.NOT_SENT)
             return await self.attempt(channel, endpoint, message, max(deadline - loop.time(), 0.001))
         finally:
-            self.busy[endpoint] -= 1
-            if not self.busy[endpoint]:
-                del self.busy[endpoint]
+            self.calls_in_flight[endpoint] -= 1
+            if not self.calls_in_flight[endpoint]:
+                del self.calls_in_flight[endpoint]
 
-    async def up(self, channel: grpc.aio.Channel, timeout: float) -> bool:
-        """Whether a connection is there, within so many seconds."""
+    async def wait_until_ready(self, channel: grpc.aio.Channel, timeout: float) -> bool:
+        """Connects, and returns whether the channel is ready within `timeout` seconds."""
         try:
             async with asyncio.timeout(timeout):
                 while True:
@@ -106,82 +133,91 @@
     async def attempt(
         self, channel: grpc.aio.Channel, endpoint: str, message: Message, timeout: float
     ) -> AttemptResult:
-        method, metadata = unpaired(message.extras)
+        """Sends a message over a ready channel and returns the result, within `timeout` seconds."""
+        method, metadata = decode_extras(message.extras)
         metadata += [(PREFIX + "id", message.id)]
         if message.idempotency_key:
-            metadata += [(IDEMPOTENCY, message.idempotency_key)]
-        out = self.method(endpoint, channel, method)(
+            metadata += [(IDEMPOTENCY_KEY, message.idempotency_key)]
+        call = self.get_callable(endpoint, channel, method)(
             message.body, timeout=timeout, metadata=tuple(metadata), wait_for_ready=False
         )
         try:
-            reply = await out
+            reply = await call
         except grpc.aio.AioRpcError as error:
-            told = retry_after(error.trailing_metadata())
-            answer = fate(error.code(), told, details=error.details() or "")
+            retry_after_s = retry_after(error.trailing_metadata())
+            result = map_status(error.code(), retry_after_s, details=error.details() or "")
         else:
-            answer = fate(grpc.StatusCode.OK, None, reply=reply)
-        if answer.retry_after_us:
-            self.retry_after_received(endpoint, answer.retry_after_us)
-        return answer
-
-    def method(self, endpoint: str, channel: grpc.aio.Channel, name: str) -> Any:  # noqa: ANN401
-        """The library's callable for a method, kept with its channel."""
-        known = self.methods.get(endpoint)
-        if known is None or known[0] is not channel:
-            known = self.methods[endpoint] = channel, {}
-        made = known[1].get(name)
-        if made is None:
-            if len(known[1]) >= MOST_METHODS:
-                known[1].clear()  # guards against hosts that make method names up
-            made = known[1][name] = channel.unary_unary(name)
-        return made
-
-    def channel(self, endpoint: str, dial: Dial) -> grpc.aio.Channel:
-        known = self.channels.get(endpoint)
-        if known and known[0] == dial:
-            return known[1]
-        if known:
-            self.drop(endpoint, known[1])
+            result = map_status(grpc.StatusCode.OK, None, reply=reply)
+        if result.retry_after_us:
+            self.retry_after_received(endpoint, result.retry_after_us)
+        return result
+
+    def get_callable(self, endpoint: str, channel: grpc.aio.Channel, name: str) -> Any:  # noqa: ANN401
+        """Returns the library's callable for a method of an endpoint, cached with the channel."""
+        entry = self.methods.get(endpoint)
+        if entry is None or entry[0] is not channel:
+            entry = self.methods[endpoint] = channel, {}
+        method_callable = entry[1].get(name)
+        if method_callable is None:
+            if len(entry[1]) >= CACHED_METHODS_LIMIT:
+                entry[1].clear()  # bounds the memory if a host generates method names
+            method_callable = entry[1][name] = channel.unary_unary(name)
+        return method_callable
+
+    def get_channel(self, endpoint: str, dial: Dial) -> grpc.aio.Channel:
+        """Returns the channel to an endpoint; creates it if there is none to this address."""
+        entry = self.channels.get(endpoint)
+        if entry and entry[0] == dial:
+            return entry[1]
+        if entry:
+            self.discard(endpoint, entry[1])
         host, port = dial
-        made = self.factory(f"[{host}]:{port}" if ":" in host else f"{host}:{port}", self.options)
-        self.channels[endpoint] = dial, made
-        return made
-
-    def drop(self, endpoint: str, channel: grpc.aio.Channel) -> None:
-        """Guards a destination that is back from a channel that still waits out its own backoff."""
-        known = self.channels.get(endpoint)
-        if known and known[1] is channel:
+        created = self.factory(f"[{host}]:{port}" if ":" in host else f"{host}:{port}", self.options)
+        self.channels[endpoint] = dial, created
+        return created
+
+    def discard(self, endpoint: str, channel: grpc.aio.Channel) -> None:
+        """Removes a channel and closes it in the background.
+
+        A failed channel is not reused: it would keep its own reconnect backoff after the endpoint is
+        reachable again.
+        """
+        entry = self.channels.get(endpoint)
+        if entry and entry[1] is channel:
             del self.channels[endpoint]
             self.methods.pop(endpoint, None)
-            task = asyncio.get_running_loop().create_task(self.end(channel))
-            self.closing.add(task)
-            task.add_done_callback(self.closing.discard)
+            task = asyncio.get_running_loop().create_task(self.close_channel(channel))
+            self.closing_tasks.add(task)
+            task.add_done_callback(self.closing_tasks.discard)
 
-    async def end(self, channel: grpc.aio.Channel) -> None:
+    async def close_channel(self, channel: grpc.aio.Channel) -> None:
+        """Closes a channel and cancels its calls."""
         await channel.close(grace=None)
 
     def poll_unread(self) -> None:
-        """The library has no way to ask what it has read; see `reads_late`."""
+        """Does nothing: the library cannot be polled for unread data; see `reads_late`."""
 
     def close_idle(self, endpoint: str) -> None:
-        known = self.channels.get(endpoint)
-        if known and not self.busy.get(endpoint):
-            self.drop(endpoint, known[1])
+        """Closes the channel to an endpoint, unless a call is in flight on it."""
+        entry = self.channels.get(endpoint)
+        if entry and not self.calls_in_flight.get(endpoint):
+            self.discard(endpoint, entry[1])
 
     def close_expired(self) -> None:
-        """The library closes what stands idle by itself."""
+        """Does nothing: the library closes idle connections itself."""
 
     def endpoints_changed(self) -> None:
-        """One that has gone or moved closes; a call that is out there keeps its channel until it ends."""
+        """Closes the channels of endpoints that were removed or moved, unless calls are in flight on them."""
         dials = self.dials()
         for name, (dial, channel) in list(self.channels.items()):
-            if dials.get(name) != dial and not self.busy.get(name):
-                self.drop(name, channel)
+            if dials.get(name) != dial and not self.calls_in_flight.get(name):
+                self.discard(name, channel)
 
     def close(self) -> None:
+        """Closes all channels in the background; `wait_closed` waits for them."""
         for name, (_, channel) in list(self.channels.items()):
-            self.drop(name, channel)
+            self.discard(name, channel)
 
-    async def closed(self) -> None:
-        """Waits until every channel is."""
-        await asyncio.gather(*self.closing, return_exceptions=True)
+    async def wait_closed(self) -> None:
+        """Waits until every discarded channel is closed."""
+        await asyncio.gather(*self.closing_tasks, return_exceptions=True)
--- a/tests/compatibility/samples.py
+++ b/tests/compatibility/samples.py
@@ -35,7 +35,7 @@
 from message_sender.discovery.overrides import OverrideBook, OverrideKind
 from message_sender.fleet import wire as fleet
 from message_sender.fleet.seal import Seal
-from message_sender.grpc.route import from_metadata, pairs
+from message_sender.grpc.route import encode_extras, from_metadata
 from message_sender.http.client_connection import ClientConnection
 from message_sender.http.discovery import Discovery, EndpointList
 from message_sender.http.server import Server
@@ -552,7 +552,7 @@
         route.idempotency_key,
         route.id,
     )
-    told = {"route": fields, "passed on": pairs("/svc/Call", metadata)}
+    told = {"route": fields, "passed on": encode_extras("/svc/Call", metadata)}
     return {"metadata.json": json.dumps(told, indent=1).encode()}
 
 
--- a/tests/conformance/test_plugin.py
+++ b/tests/conformance/test_plugin.py
@@ -18,9 +18,9 @@
 from message_sender.core.ports import AttemptResult, CompletionState
 from message_sender.grpc import BadRouteError, open_channel
 from message_sender.grpc.retry import retry_after, trailers
-from message_sender.grpc.route import pairs, unpaired
-from message_sender.grpc.status_mapping import FINAL, MAY_BE_TURNED_AWAY, MAY_HAVE_RUN, fate
-from message_sender.grpc.transport import ENFORCED, OPTIONS, GrpcTransport
+from message_sender.grpc.route import decode_extras, encode_extras
+from message_sender.grpc.status_mapping import FINAL, MAY_HAVE_RUN, REJECTION_CODES, map_status
+from message_sender.grpc.transport import OPTIONS, RESERVED_OPTIONS, GrpcTransport
 from message_sender.journal.lock import LockTakenError
 from message_sender.policy.model import NEVER_RAN, Outcome
 from message_sender.testbed.grpc import GrpcEndpoint
@@ -60,7 +60,7 @@
 
 @pytest.mark.parametrize("code", list(Code), ids=lambda each: each.name)
 def test_every_status_has_its_row(code: grpc.StatusCode) -> None:
-    answer = fate(code, None)
+    answer = map_status(code, None)
     if code is Code.OK:
         assert answer == AttemptResult(Outcome.OK, is_final=True)
     elif code in FINAL:
@@ -68,9 +68,9 @@
     else:
         assert answer == AttemptResult(MAY_HAVE_RUN[code])
         assert answer.outcome not in NEVER_RAN, "only the endpoint's word proves that a call did not run"
-    said = fate(code, 0.25)
+    said = map_status(code, 0.25)
     assert said == (
-        AttemptResult(Outcome.FULL, retry_after_us=250_000) if code in MAY_BE_TURNED_AWAY else answer
+        AttemptResult(Outcome.FULL, retry_after_us=250_000) if code in REJECTION_CODES else answer
     )
 
 
@@ -83,7 +83,10 @@
 def test_metadata_goes_on_unchanged_through_the_journals_form() -> None:
     own = (("elmglade-key", "k"), ("idempotency-key", "i"))
     metadata = (("x-trace", "7"), ("x-blob-bin", b"\x00\xff"), *own)
-    assert unpaired(pairs(METHOD, metadata)) == (METHOD, [("x-trace", "7"), ("x-blob-bin", b"\x00\xff")])
+    assert decode_extras(encode_extras(METHOD, metadata)) == (
+        METHOD,
+        [("x-trace", "7"), ("x-blob-bin", b"\x00\xff")],
+    )
 
 
 # The host's side of a call.
@@ -319,7 +322,7 @@
     transport = GrpcTransport(1, dict, lambda *_: None, options)
     assert dict(transport.options)["grpc.enable_retries"] == 0
     assert dict(transport.options)["grpc.max_send_message_length"] == 9
-    assert {name for name, _ in OPTIONS} <= ENFORCED
+    assert {name for name, _ in OPTIONS} <= RESERVED_OPTIONS
 
 
 POLICY = """{"methodConfig": [{"name": [{}], "waitForReady": true, "retryPolicy": {"maxAttempts": 5,
