--- a/message_sender/grpc/channel.py
+++ b/message_sender/grpc/channel.py
@@ -149,6 +149,7 @@
         return True
 
     def _process_cancellation(self) -> None:
+        """Records the cancellation once, and withdraws the message from the engine."""
         if self._status is None:
             self._status = Code.CANCELLED, "cancelled by the host"
             self._finish(lambda: None)
--- a/tests/conformance/test_plugin.py
+++ b/tests/conformance/test_plugin.py
@@ -1,4 +1,4 @@
-"""What only a plug-in meets: its host cancels, stalls, closes, dies, and the library has ideas of its own."""
+"""Tests of the gRPC plug-in alone: its host cancels, stalls, closes or is killed; the library interferes."""
 
 import asyncio
 import contextlib
@@ -35,7 +35,7 @@
 )
 
 
-def play(test: Callable[[Path], Any]) -> Callable[[Path], None]:
+def run_async(test: Callable[[Path], Any]) -> Callable[[Path], None]:
     def run(tmp_path: Path) -> None:
         asyncio.run(asyncio.wait_for(test(tmp_path), 2 * PATIENCE))
 
@@ -43,44 +43,44 @@
     return run
 
 
-def told(kind: str = "safe", key: str = "", **more: str) -> list[tuple[str, str]]:
-    metadata = {"elmglade-class": kind, "elmglade-destination": "2", "idempotency-key": "i", **more}
+def metadata_of(kind: str = "safe", key: str = "", **other_pairs: str) -> list[tuple[str, str]]:
+    metadata = {"elmglade-class": kind, "elmglade-destination": "2", "idempotency-key": "i", **other_pairs}
     if key:
         metadata["elmglade-key"] = key
     return [(name.replace("_", "-"), value) for name, value in metadata.items()]
 
 
-def send(side: PluginSide, name: str, kind: str = "safe", key: str = "", **more: Any) -> Any:  # noqa: ANN401
+def send(side: PluginSide, name: str, kind: str = "safe", key: str = "", **options: Any) -> Any:  # noqa: ANN401
     stub = side.channel.unary_unary(METHOD)
-    return stub(b"body", metadata=told(kind, key, elmglade_id=name), **more)
+    return stub(b"body", metadata=metadata_of(kind, key, elmglade_id=name), **options)
 
 
-# The table.
+# The mapping of statuses.
 
 
-@pytest.mark.parametrize("code", list(Code), ids=lambda each: each.name)
-def test_every_status_has_its_row(code: grpc.StatusCode) -> None:
-    answer = map_status(code, None)
+@pytest.mark.parametrize("code", list(Code), ids=lambda code: code.name)
+def test_every_status_code_maps_to_a_result(code: grpc.StatusCode) -> None:
+    result = map_status(code, None)
     if code is Code.OK:
-        assert answer == AttemptResult(Outcome.OK, is_final=True)
+        assert result == AttemptResult(Outcome.OK, is_final=True)
     elif code in FINAL:
-        assert answer == AttemptResult(Outcome.OK, is_final=True, status=code.name)
+        assert result == AttemptResult(Outcome.OK, is_final=True, status=code.name)
     else:
-        assert answer == AttemptResult(MAY_HAVE_RUN[code])
-        assert answer.outcome not in NEVER_RAN, "only the endpoint's word proves that a call did not run"
-    said = map_status(code, 0.25)
-    assert said == (
-        AttemptResult(Outcome.FULL, retry_after_us=250_000) if code in REJECTION_CODES else answer
+        assert result == AttemptResult(MAY_HAVE_RUN[code])
+        assert result.outcome not in NEVER_RAN, "only RetryInfo proves that a call did not run"
+    with_retry_info = map_status(code, 0.25)
+    assert with_retry_info == (
+        AttemptResult(Outcome.FULL, retry_after_us=250_000) if code in REJECTION_CODES else result
     )
 
 
-def test_retry_info_is_read_as_it_is_written_and_noise_is_none() -> None:
+def test_retry_info_is_read_back_and_malformed_trailers_are_ignored() -> None:
     assert retry_after(trailers(Code.UNAVAILABLE, "full", 1.25)) == 1.25
     assert retry_after(None) is None and retry_after([("other", "x")]) is None
     assert retry_after([("grpc-status-details-bin", b"\xff\xff noise")]) is None
 
 
-def test_metadata_goes_on_unchanged_through_the_journals_form() -> None:
+def test_metadata_for_the_endpoint_survives_the_form_in_the_journal() -> None:
     own = (("elmglade-key", "k"), ("idempotency-key", "i"))
     metadata = (("x-trace", "7"), ("x-blob-bin", b"\x00\xff"), *own)
     assert decode_extras(encode_extras(METHOD, metadata)) == (
@@ -89,15 +89,15 @@
     )
 
 
-# The host's side of a call.
+# Calls as the host sees them.
 
 
-@play
-async def test_a_stub_gets_its_reply_and_the_endpoint_the_hosts_metadata(state: Path) -> None:
+@run_async
+async def test_a_stub_gets_the_reply_and_the_endpoint_gets_the_hosts_metadata(state: Path) -> None:
     async with PluginSide(state, {}) as side:
         stub = side.channel.unary_unary(METHOD, str.encode, bytes.decode)
         own = [("x-trace", "7"), ("x-b-bin", b"\x00")]
-        call = stub("hello", timeout=5, metadata=[*told(elmglade_id="m"), *own])
+        call = stub("hello", timeout=5, metadata=[*metadata_of(elmglade_id="m"), *own])
         assert await call == "hello" and await call.code() is Code.OK
         assert call.done() and not call.cancelled() and not call.cancel()
         endpoint = side.endpoints["c"]
@@ -107,68 +107,70 @@
         assert metadata["idempotency-key"] == "i" and "elmglade-class" not in metadata
 
 
-@play
-async def test_a_refusal_carries_retry_info_and_a_failure_promises_nothing(state: Path) -> None:
+@run_async
+async def test_a_rejection_has_retry_info_and_a_failure_has_none(state: Path) -> None:
     async with PluginSide(state, {"f": [RESET]}) as side:
-        nowhere = [*told(), ("elmglade-destination", "9")]
-        with pytest.raises(grpc.aio.AioRpcError) as refused:
-            await side.channel.unary_unary(METHOD)(b"", timeout=0.2, metadata=nowhere)
-        assert refused.value.code() is Code.UNAVAILABLE
-        assert (retry_after(refused.value.trailing_metadata()) or 0) > 0
+        unreachable = [*metadata_of(), ("elmglade-destination", "9")]
+        with pytest.raises(grpc.aio.AioRpcError) as rejected:
+            await side.channel.unary_unary(METHOD)(b"", timeout=0.2, metadata=unreachable)
+        assert rejected.value.code() is Code.UNAVAILABLE
+        assert (retry_after(rejected.value.trailing_metadata()) or 0) > 0
         with pytest.raises(grpc.aio.AioRpcError) as failed:
             await send(side, "f", "unsafe")
         assert failed.value.code() is Code.UNKNOWN and retry_after(failed.value.trailing_metadata()) is None
 
 
-@play
-async def test_a_callers_deadline_before_its_classs_ends_the_message(state: Path) -> None:
+@run_async
+async def test_a_timeout_shorter_than_the_class_deadline_ends_the_message(state: Path) -> None:
     async with PluginSide(state, {"m": [STALL]}) as side:
         call = send(side, "m", "unsafe", timeout=0.3)
         assert 0 < call.time_remaining() <= 0.3
-        with pytest.raises(grpc.aio.AioRpcError) as late:
+        with pytest.raises(grpc.aio.AioRpcError) as expired:
             await call
-        assert late.value.code() is Code.DEADLINE_EXCEEDED
+        assert expired.value.code() is Code.DEADLINE_EXCEEDED
         assert side.channel.pending() == [] and side.script.call_counts["m"] == 1
 
 
-@play
-async def test_the_endpoints_own_verdict_is_the_callers_at_once(state: Path) -> None:
+@run_async
+async def test_a_final_status_of_the_endpoint_reaches_the_caller_without_a_retry(state: Path) -> None:
     async with PluginSide(state, {}) as side:
 
-        async def refuse(act: ScriptedAnswer, call: int, request: bytes, context: Any) -> bytes:  # noqa: ANN401
+        async def reject(act: ScriptedAnswer, call: int, request: bytes, context: Any) -> bytes:  # noqa: ANN401
             await context.abort(Code.INVALID_ARGUMENT, "no such station")
             raise AssertionError
 
-        side.endpoints["c"].answer_call = refuse
-        with pytest.raises(grpc.aio.AioRpcError) as said:
+        side.endpoints["c"].answer_call = reject
+        with pytest.raises(grpc.aio.AioRpcError) as failed:
             await send(side, "m")
-        assert (said.value.code(), said.value.details()) == (Code.INVALID_ARGUMENT, "no such station")
+        assert (failed.value.code(), failed.value.details()) == (Code.INVALID_ARGUMENT, "no such station")
         assert side.script.call_counts["m"] == 1 and side.channel.pending() == []
 
 
-@pytest.mark.parametrize("way", ["call", "task"])
-def test_a_cancel_while_an_attempt_is_out_rests_its_key(way: str, tmp_path: Path) -> None:
-    """The attempt may have run; the next of the key waits for the rest; the slot is free again."""
+@pytest.mark.parametrize("cancelled", ["call", "task"])
+def test_a_cancel_during_an_attempt_delays_the_next_message_of_its_key(
+    cancelled: str, tmp_path: Path
+) -> None:
+    """The attempt may have run, so the next message of the key is delayed. The slot is freed."""
 
     async def test(state: Path) -> None:
         async with PluginSide(state, {"m1": [STALL]}, slots=1) as side:
             side.keys |= {"m1": "k", "m2": "k"}
             first = send(side, "m1", "ordered", "k")
-            waiting = asyncio.ensure_future(first) if way == "task" else None
+            task = asyncio.ensure_future(first) if cancelled == "task" else None
             await side.came("m1")
             second = send(side, "m2", "ordered", "k")
-            if waiting:
-                waiting.cancel()
+            if task:
+                task.cancel()
             else:
                 assert first.cancel()
             with contextlib.suppress(asyncio.CancelledError):
-                await (waiting or first)
+                await (task or first)
             assert first.cancelled() and await first.code() is Code.CANCELLED
             assert await second == b"body"
-            _, over, began, _ = [
-                each for each in side.history.events if isinstance(each, AttemptStarted | AttemptFinished)
+            _, finished, started, _ = [
+                event for event in side.history.events if isinstance(event, AttemptStarted | AttemptFinished)
             ]
-            assert began.at - over.at > 0.08, "the key has rested"
+            assert started.at - finished.at > 0.08, "the next message of the key was delayed"
             assert side.channel.pending() == [] and side.channel.engine.attempts.calls == {}
             assert side.script.call_counts == {"m1": 1, "m2": 1}
             assert side.channel.collect("m1") is None
@@ -176,8 +178,8 @@
     asyncio.run(asyncio.wait_for(test(tmp_path), 2 * PATIENCE))
 
 
-@play
-async def test_a_cancel_before_it_is_taken_on_leaves_nothing(state: Path) -> None:
+@run_async
+async def test_a_call_cancelled_before_acceptance_leaves_no_message(state: Path) -> None:
     async with PluginSide(state, {}) as side:
         call = send(side, "m")
         assert call.cancel()
@@ -185,8 +187,8 @@
         assert side.script.call_counts == {"n": 1} and side.channel.pending() == []
 
 
-@play
-async def test_a_cancel_of_a_held_message_ends_it_there(state: Path) -> None:
+@run_async
+async def test_cancelling_a_message_that_waits_for_its_key_removes_it(state: Path) -> None:
     async with PluginSide(state, {"m1": [ScriptedAnswer(EndpointBehavior.SERVE, 0.1)]}) as side:
         first, held = send(side, "m1", "ordered", "k"), send(side, "m2", "ordered", "k")
         await side.came("m1")
@@ -196,8 +198,8 @@
         assert side.script.call_counts == {"m1": 1, "m3": 1}
 
 
-@play
-async def test_closing_with_messages_held_keeps_them_for_the_next_life(state: Path) -> None:
+@run_async
+async def test_messages_that_wait_at_close_resume_when_the_channel_is_opened_again(state: Path) -> None:
     async with PluginSide(state, {"m1": [STALL, SERVE]}) as side:
         calls = [send(side, name, "ordered", "k") for name in ("m1", "m2")]
         await side.came("m1")
@@ -215,8 +217,8 @@
         assert side.result().order == {"k": ["m1", "m2"]}
 
 
-@play
-async def test_a_close_with_grace_lets_what_is_out_end(state: Path) -> None:
+@run_async
+async def test_close_with_grace_waits_for_the_attempt_in_flight(state: Path) -> None:
     async with PluginSide(state, {"m": [ScriptedAnswer(EndpointBehavior.SERVE, 0.1)]}) as side:
         call = send(side, "m")
         await side.came("m")
@@ -225,29 +227,32 @@
         await side.open()
 
 
-@play
-async def test_the_same_id_after_a_restart_gets_the_answer_that_was_kept_once(state: Path) -> None:
+@run_async
+async def test_a_call_with_the_same_id_after_a_restart_collects_the_stored_answer(state: Path) -> None:
     async with PluginSide(state, {"m": [STALL]}) as side:
         send(side, "m", "unsafe")
         await side.came("m")
         await side.channel.close()
-        side.channel = await open_channel(side.told(), state)  # it ends as it is opened: it may have run
+        side.channel = await open_channel(side.told(), state)  # opening ends the message: it may have run
         with pytest.raises(grpc.aio.AioRpcError) as failed:
             await send(side, "m", "unsafe")
         assert failed.value.code() is Code.UNKNOWN and side.script.call_counts["m"] == 1
         assert side.channel.collect("m") is None
 
 
-@play
-async def test_kept_answers_are_collected_once_and_bounded(state: Path) -> None:
+@run_async
+async def test_stored_answers_are_collected_once_and_their_number_is_limited(state: Path) -> None:
     async with PluginSide(state, {}) as side:
         await side.channel.close()
         channel = await open_channel(side.told(), state, kept=3)
         for number in range(5):
             channel.answers.add(f"m{number}", "delivered", 0, b"reply", "")
         assert channel.answers.lost_answers == 2 and channel.collect("m0") is None
-        end = channel.collect("m3")
-        assert end is not None and (end.state, end.reply) == (CompletionState.DELIVERED, b"reply")
+        completion = channel.collect("m3")
+        assert completion is not None and (completion.state, completion.reply) == (
+            CompletionState.DELIVERED,
+            b"reply",
+        )
         assert channel.collect("m3") is None
         await channel.close()
         channel = await open_channel(side.told(), state)
@@ -256,68 +261,68 @@
         await side.open()
 
 
-@play
-async def test_a_second_host_on_one_folder_is_refused(state: Path) -> None:
+@run_async
+async def test_a_second_channel_on_the_same_folder_is_rejected(state: Path) -> None:
     async with PluginSide(state, {}) as side:
         with pytest.raises(LockTakenError, match="another sender"):
             await open_channel(side.told(), state)
         assert await send(side, "m") == b"body"
 
 
-@play
-async def test_a_host_whose_loop_stalls_loses_nothing(state: Path) -> None:
-    """Two seconds in which nothing of it runs: the clock of the engine jumps, and that of the loop."""
+@run_async
+async def test_a_stalled_event_loop_loses_no_call(state: Path) -> None:
+    """A stall of two seconds: the clocks of the engine and of the event loop jump ahead."""
     async with PluginSide(state, {"m1": [ScriptedAnswer(EndpointBehavior.SERVE, 0.05)]}) as side:
         loop, engine = asyncio.get_running_loop(), side.channel.engine
-        calls = [send(side, f"m{each}", "ordered", "k") for each in (1, 2, 3)]
+        calls = [send(side, f"m{number}", "ordered", "k") for number in (1, 2, 3)]
         await side.came("m1")
         time, now = loop.time, engine.now
         loop.time = lambda: time() + 2.0  # type: ignore[method-assign]
         engine.now = lambda: now() + 2_000_000
-        assert [await each for each in calls] == [b"body"] * 3
+        assert [await call for call in calls] == [b"body"] * 3
         assert side.script.call_counts == {"m1": 1, "m2": 1, "m3": 1}
 
 
-@play
-async def test_a_call_from_another_thread_is_a_clear_error(state: Path) -> None:
+@run_async
+async def test_a_call_from_another_thread_raises_runtime_error(state: Path) -> None:
     async with PluginSide(state, {}) as side:
         errors: list[BaseException] = []
 
-        def elsewhere() -> None:
-            for work in (lambda: send(side, "m"), lambda: side.channel.collect("m")):
+        def use_channel() -> None:
+            for operation in (lambda: send(side, "m"), lambda: side.channel.collect("m")):
                 try:
-                    work()
+                    operation()
                 except RuntimeError as error:
                     errors.append(error)
 
-        thread = threading.Thread(target=elsewhere)
+        thread = threading.Thread(target=use_channel)
         thread.start()
         await asyncio.to_thread(thread.join)
         assert len(errors) == 2 and "another thread" in str(errors[0])
         assert side.channel.pending() == []
 
 
-@play
-async def test_what_cannot_be_handed_in_says_why(state: Path) -> None:
+@run_async
+async def test_the_error_of_an_invalid_call_states_the_reason(state: Path) -> None:
     async with PluginSide(state, {}) as side:
         stub = side.channel.unary_unary(METHOD)
-        for metadata, words in (
+        for metadata, pattern in (
             ([], "elmglade-destination"),
-            (told("nothing"), "no class 'nothing'"),
+            (metadata_of("nothing"), "no class 'nothing'"),
             ([("elmglade-class", "keyed"), ("elmglade-destination", "2")], "idempotency key"),
-            ([*told(), ("elmglade-destination", "77")], "no endpoint of destination 77"),
+            ([*metadata_of(), ("elmglade-destination", "77")], "no endpoint of destination 77"),
         ):
-            with pytest.raises(BadRouteError, match=words):
+            with pytest.raises(BadRouteError, match=pattern):
                 stub(b"", metadata=metadata)
         for kind in ("unary_stream", "stream_unary", "stream_stream"):
             with pytest.raises(NotImplementedError, match="unary calls only"):
                 getattr(side.channel, kind)(METHOD)(b"")
 
 
-# The library must not act behind the engine's back.
+# The library neither retries nor queues calls by itself.
 
 
-def test_a_host_cannot_switch_the_librarys_own_retries_on() -> None:
+def test_a_host_cannot_enable_the_retries_of_the_library() -> None:
     options = [("grpc.enable_retries", 1), ("grpc.max_send_message_length", 9)]
     transport = GrpcTransport(1, dict, lambda *_: None, options)
     assert dict(transport.options)["grpc.enable_retries"] == 0
@@ -325,17 +330,17 @@
     assert {name for name, _ in OPTIONS} <= RESERVED_OPTIONS
 
 
-POLICY = """{"methodConfig": [{"name": [{}], "waitForReady": true, "retryPolicy": {"maxAttempts": 5,
+RETRY_POLICY = """{"methodConfig": [{"name": [{}], "waitForReady": true, "retryPolicy": {"maxAttempts": 5,
 "initialBackoff": "0.01s", "maxBackoff": "0.02s", "backoffMultiplier": 1,
 "retryableStatusCodes": ["UNAVAILABLE", "INTERNAL"]}}]}"""
 
 
-@play
-async def test_the_endpoint_counts_no_call_that_the_engine_did_not_make(state: Path) -> None:
-    """With a retry policy of the host's that would repeat each five times."""
+@run_async
+async def test_the_endpoint_gets_only_the_calls_that_the_engine_makes(state: Path) -> None:
+    """The host sets a retry policy that would send each call five times."""
     async with PluginSide(state, {"u": [RESET], "e": [ScriptedAnswer(EndpointBehavior.ERROR)]}) as side:
         await side.channel.close()
-        options = [("grpc.service_config", POLICY), ("grpc.enable_retries", 1)]
+        options = [("grpc.service_config", RETRY_POLICY), ("grpc.enable_retries", 1)]
         side.channel = await open_channel(side.told(), state, options=options)
         for name in ("u", "e"):
             with pytest.raises(grpc.aio.AioRpcError):
@@ -343,75 +348,82 @@
         assert side.script.call_counts == {"u": 1, "e": 1}
 
 
-@play
-async def test_no_call_waits_behind_the_engines_back_for_an_endpoint_that_is_down(state: Path) -> None:
-    """Refused connections never ran, open the breaker, and no call of the library's comes when it is back."""
+@run_async
+async def test_the_library_queues_no_call_for_an_endpoint_that_is_down(state: Path) -> None:
+    """A call whose connection was refused never ran, and the breaker opens.
+
+    After the endpoint has started again, the library sends none of the earlier calls.
+    """
     async with PluginSide(state, {}) as side:
         await side.endpoints["c"].stop()
         for number in range(3):
-            with pytest.raises(grpc.aio.AioRpcError) as refused:
+            with pytest.raises(grpc.aio.AioRpcError) as rejected:
                 await send(side, f"m{number}", "unsafe", timeout=0.2, wait_for_ready=True)
-            assert refused.value.code() is Code.UNAVAILABLE, "it never ran, so it may come again"
+            assert rejected.value.code() is Code.UNAVAILABLE, "it never ran, so it may be retried"
         await side.endpoints["c"].start()
         assert await send(side, "after", "unsafe", timeout=6) == b"body"
         assert side.script.call_counts == {"after": 1}
 
 
 @asynccontextmanager
-async def cutting(port: int, after: Callable[[bytes], bool]) -> AsyncIterator[tuple[int, list[bytes]]]:
-    """A relay that breaks a connection off once `after` holds for what came from the client."""
-    came: list[bytes] = []
+async def breaking_relay(
+    port: int, must_break: Callable[[bytes], bool]
+) -> AsyncIterator[tuple[int, list[bytes]]]:
+    """A relay that aborts a connection once `must_break` is true for the bytes from the client."""
+    received: list[bytes] = []
 
     async def relay(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        there, to = await asyncio.open_connection("127.0.0.1", port)
+        server_reader, server_writer = await asyncio.open_connection("127.0.0.1", port)
 
-        async def back() -> None:
+        async def relay_replies() -> None:
             with contextlib.suppress(ConnectionError):
-                while data := await there.read(65536):
+                while data := await server_reader.read(65536):
                     writer.write(data)
 
-        task = asyncio.create_task(back())
+        task = asyncio.create_task(relay_replies())
         with contextlib.suppress(ConnectionError):
             while data := await reader.read(65536):
-                came.append(data)
-                if after(b"".join(came)):
+                received.append(data)
+                if must_break(b"".join(received)):
                     break
-                to.write(data)
+                server_writer.write(data)
         task.cancel()
-        for each in (writer, to):
-            each.transport.abort()
+        for stream in (writer, server_writer):
+            stream.transport.abort()
 
     server = await asyncio.start_server(relay, "127.0.0.1", 0)
     try:
-        yield server.sockets[0].getsockname()[1], came
+        yield server.sockets[0].getsockname()[1], received
     finally:
         server.close()
 
 
-def data_frame(text: bytes) -> bool:
-    return b"BODY" in text
+def has_body(data: bytes) -> bool:
+    return b"BODY" in data
 
 
 @pytest.mark.parametrize(("kind", "code"), [("unsafe", Code.UNKNOWN), ("safe", None)])
-def test_a_call_that_the_endpoint_never_saw_counts_as_one_that_may_have_run(
+def test_a_call_whose_connection_breaks_counts_as_one_that_may_have_run(
     kind: str, code: grpc.StatusCode | None, tmp_path: Path
 ) -> None:
-    """The connection breaks between its head and its last byte. The library does not say which byte was the
-    last to go, so an unsafe message fails; a safe one goes again."""
+    """The connection breaks within the request, so that the endpoint never gets the call.
+
+    The library does not report how much was sent, so an unsafe message fails, and a safe one is retried.
+    """
 
     async def test(state: Path) -> None:
         async with PluginSide(state, {}) as side:
-            cuts = [True]
+            breaks = [True]  # once
 
-            def cut(text: bytes) -> bool:
-                return data_frame(text) and bool(cuts) and cuts.pop()
+            def must_break(data: bytes) -> bool:
+                return has_body(data) and bool(breaks) and breaks.pop()
 
-            async with cutting(side.endpoints["c"].port, cut) as (port, _):
+            async with breaking_relay(side.endpoints["c"].port, must_break) as (port, _):
                 await side.channel.close()
-                real, side.endpoints["c"].port = side.endpoints["c"].port, port
+                endpoint_port, side.endpoints["c"].port = side.endpoints["c"].port, port
                 side.channel = await open_channel(side.told(), state)
-                side.endpoints["c"].port = real
-                call = side.channel.unary_unary(METHOD)(b"BODY", metadata=told(kind, elmglade_id="m"))
+                side.endpoints["c"].port = endpoint_port
+                call = side.channel.unary_unary(METHOD)(b"BODY", metadata=metadata_of(kind, elmglade_id="m"))
                 if code:
                     with pytest.raises(grpc.aio.AioRpcError) as failed:
                         await call
@@ -422,8 +434,8 @@
     asyncio.run(asyncio.wait_for(test(tmp_path), 2 * PATIENCE))
 
 
-@play
-async def test_goaway_in_the_middle_lets_what_is_out_end_and_the_next_go_on(state: Path) -> None:
+@run_async
+async def test_a_goaway_during_a_call_lets_it_end_and_later_calls_succeed(state: Path) -> None:
     async with PluginSide(state, {"m": [ScriptedAnswer(EndpointBehavior.SERVE, 0.15)]}) as side:
         first = send(side, "m", "unsafe")
         await side.came("m")
@@ -436,8 +448,8 @@
         assert side.script.call_counts == {"m": 1, "n": 1}
 
 
-@play
-async def test_a_reply_larger_than_allowed_has_run(state: Path) -> None:
+@run_async
+async def test_a_call_whose_reply_exceeds_the_size_limit_counts_as_run(state: Path) -> None:
     async with PluginSide(state, {}) as side:
         await side.channel.close()
         side.channel = await open_channel(
@@ -445,70 +457,72 @@
         )
         stub = side.channel.unary_unary(METHOD)
         with pytest.raises(grpc.aio.AioRpcError) as failed:
-            await stub(b"x" * 1000, metadata=told("unsafe", elmglade_id="m"))
+            await stub(b"x" * 1000, metadata=metadata_of("unsafe", elmglade_id="m"))
         assert failed.value.code() is Code.UNKNOWN and side.script.call_counts["m"] == 1
 
 
-@play
-async def test_a_drained_endpoint_keeps_the_call_that_is_out(state: Path) -> None:
+@run_async
+async def test_draining_an_endpoint_lets_the_call_in_flight_end(state: Path) -> None:
     async with PluginSide(state, {"m": [ScriptedAnswer(EndpointBehavior.SERVE, 0.1)]}) as side:
         call = send(side, "m")
         await side.came("m")
         side.channel.directory.drain("c")
         assert await call == b"body"
-        with pytest.raises(grpc.aio.AioRpcError) as refused:
+        with pytest.raises(grpc.aio.AioRpcError) as rejected:
             await send(side, "n", timeout=0.2)
-        assert refused.value.code() is Code.UNAVAILABLE and side.script.call_counts == {"m": 1}
+        assert rejected.value.code() is Code.UNAVAILABLE and side.script.call_counts == {"m": 1}
 
 
-@play
-async def test_a_defect_ends_the_channel_and_every_caller_hears(state: Path) -> None:
+@run_async
+async def test_a_defect_closes_the_channel_and_fails_every_call(state: Path) -> None:
     async with PluginSide(state, {"m": [STALL]}) as side:
         call = send(side, "m")
         await side.came("m")
         side.channel.engine.dispatcher.handle = lambda *_: 1 / 0  # type: ignore[assignment]
         side.channel.engine.post(None)  # type: ignore[arg-type]
-        with pytest.raises(grpc.aio.AioRpcError) as ended:
+        with pytest.raises(grpc.aio.AioRpcError) as failed:
             await call
-        assert ended.value.code() is Code.INTERNAL and "ZeroDivisionError" in (ended.value.details() or "")
+        assert failed.value.code() is Code.INTERNAL and "ZeroDivisionError" in (failed.value.details() or "")
         with pytest.raises(RuntimeError, match="ZeroDivisionError"):
             send(side, "n")
         await side.open()
 
 
-# A host that dies.
+# A host that is killed.
 
 HOST = Path(__file__).parent / "host.py"
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_a_host_that_is_killed_goes_on_in_order_from_the_journal(seed: int, tmp_path: Path) -> None:
-    """SIGKILL in the middle of three keys of six unsafe or keyed messages each, twice; then a life to its
-    end."""
+def test_a_killed_host_resumes_from_the_journal_in_order(seed: int, tmp_path: Path) -> None:
+    """The host sends six unsafe or keyed messages for each of three keys, and is killed twice before the end.
+
+    The third process runs until no message is left.
+    """
 
     async def test(state: Path) -> None:
         script, history = Script(default=ScriptedAnswer(EndpointBehavior.SERVE, 0.02)), History()
         async with GrpcEndpoint("c", script, history) as endpoint:
-            lives = 0
-            for lives, stop_at in enumerate((4 + seed, 9 + seed, None)):
+            restarts = 0
+            for restarts, stop_at in enumerate((4 + seed, 9 + seed, None)):
                 process = await asyncio.create_subprocess_exec(
-                    sys.executable, str(HOST), str(state), str(endpoint.port), str(lives),
+                    sys.executable, str(HOST), str(state), str(endpoint.port), str(restarts),
                     stdout=asyncio.subprocess.PIPE,
                     env=os.environ | {"PYTHONPATH": os.pathsep.join(sys.path)},
                 )  # fmt: skip
                 if stop_at is None:
-                    out, _ = await asyncio.wait_for(process.communicate(), PATIENCE)
+                    output, _ = await asyncio.wait_for(process.communicate(), PATIENCE)
                     assert process.returncode == 0
                 else:
                     while sum(script.call_counts.values()) < stop_at:
                         await asyncio.sleep(0.002)
                     process.send_signal(signal.SIGKILL)
                     await process.wait()
-            assert lives == 2 and out.split()[-1] == b"pending:0"
-            began = [each.message for each in history.events if type(each).__name__ == "AttemptStarted"]
+            assert restarts == 2 and output.split()[-1] == b"pending:0"
+            started = [event.message for event in history.events if type(event).__name__ == "AttemptStarted"]
             for key in "abc":
-                came = [name for name in dict.fromkeys(began) if name.startswith(key)]
-                assert came == sorted(came, key=lambda name: int(name[1:])), came
+                ids = [name for name in dict.fromkeys(started) if name.startswith(key)]
+                assert ids == sorted(ids, key=lambda name: int(name[1:])), ids
             unsafe = [name for name in script.call_counts if name.startswith("c")]
             assert unsafe and all(script.call_counts[name] == 1 for name in unsafe)
 
