--- a/message_sender/pcap/__init__.py
+++ b/message_sender/pcap/__init__.py
@@ -1,1 +1,1 @@
-"""Packet captures that others took: read as HTTP/1.1 traffic, compared, replayed; and written."""
+"""Packet captures: reading them as HTTP/1.1 traffic, comparison, replay and writing."""
--- a/message_sender/pcap/capture.py
+++ b/message_sender/pcap/capture.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 messages of a capture, in the order in which they end and in bounded memory."""
+"""Reading of HTTP/1.1 messages from captures, in the order in which they end and in bounded memory."""
 
 import base64
 import heapq
@@ -12,12 +12,12 @@
 from message_sender.pcap.layers import Endpoint, SegmentDecoder
 from message_sender.pcap.messages import HttpMessage, MessagePairs
 
-CLOCK_STEP_BACK_NS = NS_PER_S  # a smaller step back of the clock is not noted
+CLOCK_STEP_BACK_NS = NS_PER_S  # smaller backward steps of the clock are not noted
 DISTINCT_NOTES_LIMIT = 1000
 
 
 class CapturedMessage(NamedTuple):
-    """An HTTP message and its connection."""
+    """An HTTP message and the connection it was sent on."""
 
     flow: Flow
     message: HttpMessage
@@ -26,23 +26,24 @@
 class Capture:
     """Reads one capture, or several captures of the same traffic merged by time.
 
-    What more than one capture holds counts once, as repeated bytes of a TCP stream do.
+    Messages that several captures hold are read once, since repeated bytes of a TCP stream are dropped.
 
     Attributes:
-        notes: Irregularities of the capture, by text.
+        notes: Number of occurrences of each irregularity of the capture, by text.
         packets: Number of packets read.
-        bytes: Bytes of these on the wire.
-        first_at_ns: Recorded time of the first packet.
-        last_at_ns: Recorded time of the last packet.
+        bytes: Size of these packets on the wire.
+        first_at_ns: Recorded time of the first packet, since the epoch.
+        last_at_ns: Recorded time of the last packet read, since the epoch.
         decoder: Decodes packets to segments.
-        flows: The connections.
+        flows: The open connections.
+        pairs: Readers of both directions of a connection, by number of the connection.
     """
 
     def __init__(self, *streams: BinaryIO) -> None:
         """Opens the captures that the streams hold.
 
         Raises:
-            MalformedCaptureError: A stream holds no capture.
+            MalformedCaptureError: A stream is not a capture.
         """
         self.notes: Counter[str] = Counter()
         self.packets = 0
@@ -51,12 +52,12 @@
         self.last_at_ns = 0
         self.decoder = SegmentDecoder()
         self.flows = FlowTable()
-        self.pairs: dict[int, MessagePairs] = {}  # by number of the connection
+        self.pairs: dict[int, MessagePairs] = {}
         self._ended_messages: list[CapturedMessage] = []
         self._packet_sources = [read_packets(stream, self._note) for stream in streams]
 
     def messages(self) -> Iterator[CapturedMessage]:
-        """Yields each message as soon as its last byte, or what ends it, has been read."""
+        """Yields each message as soon as its last byte, or the event that aborts it, has been read."""
         decode = self.decoder.decode
         process = self.flows.process
         for packet in self._merge_packets():
@@ -117,7 +118,7 @@
 
 
 def format_decimal_seconds(at_ns: int) -> str:
-    """Returns nanoseconds as seconds with nine decimals, exactly."""
+    """Returns nanoseconds as seconds with nine decimals, without rounding."""
     return f"{at_ns // NS_PER_S}.{at_ns % NS_PER_S:09d}"
 
 
@@ -129,7 +130,7 @@
 
 
 def as_json(captured: CapturedMessage) -> dict[str, Any]:
-    """Returns the JSON object that is printed for a message."""
+    """Returns a message as the JSON object that the commands print."""
     flow, message = captured
     fields: dict[str, Any] = {
         "at": format_decimal_seconds(message.first_at_ns),
@@ -153,5 +154,5 @@
 
 
 def read_requests(streams: Sequence[BinaryIO]) -> Iterator[CapturedMessage]:
-    """Yields the requests of a capture, without the responses."""
+    """Returns the requests of a capture, without the responses."""
     return (captured for captured in Capture(*streams).messages() if not captured.message.status)
--- a/message_sender/pcap/capture_writer.py
+++ b/message_sender/pcap/capture_writer.py
@@ -1,9 +1,9 @@
 """Writes a sender's traffic as capture files, in a process of its own.
 
 The process (`python -m message_sender.pcap.capture_writer`) reads records from its standard input (a
-`RECORD_HEADER` and data, sent by message_sender/pcap/traffic_tap.py) and ends with it. The values of
-configured headers are blanked before they reach the disk. Files rotate by size, and a limited number is kept;
-each can be read alone. A failure ends this process and does not affect the sender.
+`RECORD_HEADER` and data, sent by message_sender/pcap/traffic_tap.py) and ends when its input ends. The values
+of configured headers are blanked before they are written to disk. Files rotate by size, and a limited number
+is kept; each can be read without the others. A failure ends this process and does not affect the sender.
 """
 
 import enum
@@ -16,14 +16,14 @@
 from message_sender.pcap.files import PcapWriter
 from message_sender.pcap.writer import Address, ConnectionWriter
 
-#: Kind, connection, side, ns since the epoch, bytes of data that follow.
+#: Kind, connection, side, time in ns since the epoch, and size in bytes of the data that follows.
 RECORD_HEADER = struct.Struct("<BIBQI")
 DEFAULT_FILES_LIMIT = 4
-CLIENT_SEQ_SHIFT = 16
+CLIENT_SEQ_SHIFT = 16  # a client's first sequence number is its connection's number, shifted by these bits
 
 
 class RecordKind(enum.IntEnum):
-    """What a record reports of a connection."""
+    """The kinds of events of a connection that a record reports."""
 
     OPENED = 0  # data: client and server address
     DATA = 1
@@ -33,23 +33,23 @@
 
 
 class HeaderBlanker:
-    """Blanks the values of some headers in one direction of a connection, wherever its bytes are cut.
+    """Blanks the values of some headers in one direction of a connection, however its bytes are split.
 
-    Values are replaced byte by byte, so that positions stay. The beginning of a line that may still become
-    such a header is held back until that is decided. Lines of a body that look like such a header are blanked
-    too.
+    Values are replaced byte by byte, so that the positions of other bytes do not change. The beginning of a
+    line that may still become such a header is held back until more of the line is known. Lines of a body
+    that look like such a header are blanked too.
     """
 
     def __init__(self, names: Iterable[str]) -> None:
-        """Creates a blanker of the headers with these names."""
+        """Creates a blanker of the headers with these names, in any case."""
         self._prefixes = tuple(name.lower().encode() + b":" for name in names)
         self._held_back = b""
         self._is_line_start = True  # the next byte begins a line
         self._is_in_value = False  # the next byte belongs to a blanked value
-        self._may_fold = False  # a next line that begins with a space continues a blanked value
+        self._may_fold = False  # the next line continues a blanked value if it begins with white space
 
     def blank(self, data: bytes) -> bytes:
-        """Returns what can be shown of the bytes so far."""
+        """Takes the next bytes and returns those that can be written by now, with values blanked."""
         data = self._held_back + data
         self._held_back = b""
         lines = []
@@ -96,7 +96,7 @@
 
 
 def blank_value(value: bytes) -> bytes:
-    """Returns a value with each byte before the line's end replaced."""
+    """Returns a value with each byte replaced, except for its line terminator."""
     content = value.rstrip(b"\r\n")
     return b"x" * len(content) + value[len(content) :]
 
@@ -150,7 +150,7 @@
         return sorted((path for path in paths if path.stem.split("-")[1].isdecimal()), key=file_number)
 
     def read_records(self, source: BinaryIO) -> None:
-        """Writes records up to the end of their source.
+        """Writes the records of a source until it ends.
 
         Raises:
             OSError: A file cannot be written.
@@ -161,13 +161,13 @@
         self.close()
 
     def write(self, kind: int, connection: int, side: int, at_ns: int, data: bytes) -> None:
-        """Writes a record; one of an unknown connection is ignored."""
+        """Writes a record; a record of an unknown connection is ignored."""
         if kind == RecordKind.OPENED:
             client, server = data.decode().split(" ")
             self._addresses[connection] = (parse_address(client), parse_address(server))
             self._begin_connection(connection, at_ns)
         elif connection not in self._addresses:
-            return  # its beginning was lost, or it has ended
+            return  # the record of its beginning was lost, or the connection has ended
         elif kind == RecordKind.DATA:
             blanked_data = self._blanker(connection, side).blank(data)
             self._connection(connection, at_ns).write_data(side, at_ns, blanked_data)
@@ -180,7 +180,7 @@
             self._rotate()
 
     def close(self) -> None:
-        """Writes the bytes held back, and closes the file."""
+        """Writes the bytes that the blankers hold back, and closes the file."""
         for connection, side in list(self._blankers):
             self._flush_blanker(connection, side, self._connection(connection, 0).last_packet_at_ns)
         self._file.close()
@@ -196,7 +196,7 @@
     def _rotate(self) -> None:
         self._file.close()
         self._file, self._capture = self._open_next_file()
-        self._connections.clear()  # each begins again in the new file
+        self._connections.clear()  # each gets a new handshake in the new file
 
     def _begin_connection(self, connection: int, at_ns: int) -> None:
         client, server = self._addresses[connection]
@@ -236,10 +236,10 @@
     """Writes the records on standard input.
 
     Args:
-        arguments: Folder, limit of a file's bytes, limit of files, names of headers to blank.
+        arguments: Folder, maximum bytes of a file, maximum number of files, names of headers to blank.
 
     Returns:
-        The exit code: 1 where a file cannot be written.
+        The exit code: 1 if a file cannot be written, otherwise 0.
     """
     folder, file_bytes_limit, files_limit, *blanked_headers = arguments
     try:
--- a/message_sender/pcap/compare.py
+++ b/message_sender/pcap/compare.py
@@ -1,4 +1,4 @@
-"""Comparison of the requests of two captures: contents, order, and distance in time."""
+"""Comparison of the requests of two captures: contents, order and times."""
 
 import hashlib
 import itertools
@@ -21,7 +21,8 @@
         requests: Number of requests in each capture.
         descriptions: Descriptions of the first differences.
         omitted_descriptions: Number of differences without a description.
-        max_apart_ns: The largest difference of a request's time since the first one.
+        max_apart_ns: The largest difference between the times of a request in the two captures, each
+            counted from the first request of its capture.
         max_apart_request: Number of the request with that difference; -1 for none.
     """
 
@@ -37,7 +38,7 @@
 
 
 class RequestSummary(NamedTuple):
-    """What a comparison keeps of a request.
+    """The part of a request that a comparison needs.
 
     Attributes:
         since_first_ns: Time since the first request of its capture.
@@ -51,7 +52,7 @@
 
 
 def digest_request(request: CapturedMessage, ignored_headers: frozenset[str]) -> bytes:
-    """Returns a digest of a request without its time and its connection."""
+    """Returns a digest of a request's contents; its time and its connection are not included."""
     message = request.message
     headers = [
         (name.lower(), value) for name, value in message.headers if name.lower() not in ignored_headers
@@ -75,7 +76,7 @@
 
 
 def describe_difference(number: int, one: RequestSummary | None, other: RequestSummary | None) -> str:
-    """Returns the line on requests that differ."""
+    """Returns the line that describes two requests with the same number; None for a missing request."""
     one_title = one.title if one else "none"
     other_title = other.title if other else "none"
     return f"request {number}: {one_title} | {other_title}"
--- a/message_sender/pcap/files.py
+++ b/message_sender/pcap/files.py
@@ -1,12 +1,11 @@
 """Capture files as streams of packets: reads pcap and pcapng, writes pcap with nanoseconds.
 
 Formats: draft-ietf-opsawg-pcap (the file format of libpcap) and draft-ietf-opsawg-pcapng. A source is only
-read forward, so that standard input and a growing file can be read. Memory is one packet and one buffer:
-sizes above
-`BLOCK_BYTES_LIMIT` that a file states are rejected.
+read forward, so that standard input and a growing file can be read. At most one packet and one buffer are in
+memory; a packet or block whose stated size is above `BLOCK_BYTES_LIMIT` is rejected.
 
-A source that is no capture raises `MalformedCaptureError`. A truncated or malformed part further on ends the
-reading with a note: neither format has a mark at which reading could resume.
+A source that is not a capture raises `MalformedCaptureError`. A truncated or malformed part after the file's
+header ends the reading with a note: neither format has a mark at which reading could resume.
 """
 
 import struct
@@ -22,7 +21,7 @@
 
 PCAP_HEADER_BYTES = 24
 PCAP_RECORD_HEADER_BYTES = 16
-#: By the first four bytes of a pcap file: byte order, and nanoseconds in a unit of the time's fraction.
+#: Byte order, and nanoseconds per unit of the fraction of a time, by the first four bytes of a pcap file.
 PCAP_MAGIC = {
     b"\xd4\xc3\xb2\xa1": ("<", 1000),
     b"\xa1\xb2\xc3\xd4": (">", 1000),
@@ -40,8 +39,8 @@
 PACKET_BLOCK_HEADER_BYTES = 20
 BLOCK_HEADER_BYTES = 8
 SECTION_BLOCK_MIN_BYTES = 28
-BLOCK_OVERHEAD_BYTES = 64  # of a block above its packet
-#: By the byte-order magic of a section.
+BLOCK_OVERHEAD_BYTES = 64  # maximum size of a block beyond its packet
+#: Byte order by the byte-order magic of a section.
 SECTION_BYTE_ORDERS = {b"\x4d\x3c\x2b\x1a": "<", b"\x1a\x2b\x3c\x4d": ">"}
 
 END_OF_OPTIONS = 0
@@ -58,7 +57,7 @@
 
 
 class MalformedCaptureError(Exception):
-    """A source holds no capture that can be read; the text has the reason in one line."""
+    """A source is not a readable capture; the text states the reason in one line."""
 
 
 class Packet(NamedTuple):
@@ -66,9 +65,9 @@
 
     Attributes:
         at_ns: Recorded time, since the epoch.
-        link_type: Link type, by the registry of the tcpdump group.
+        link_type: Link type from the registry of the tcpdump group.
         data: Captured bytes.
-        original_size: Bytes on the wire; above `len(data)` where the capture truncated the packet.
+        original_size: Bytes on the wire; more than `len(data)` if the capture truncated the packet.
         interface: Number of the interface in the file.
     """
 
@@ -109,14 +108,14 @@
 
 
 def read_packets(stream: BinaryIO, note: NoteListener = ignore_note) -> Iterator[Packet]:
-    """Returns the packets of a capture, in the order of the file.
+    """Returns the packets of a capture in the order of the file.
 
     Args:
         stream: A pcap or pcapng file.
         note: Called for each irregularity.
 
     Raises:
-        MalformedCaptureError: The stream holds no capture.
+        MalformedCaptureError: The stream is not a capture.
     """
     source = BufferedSource(stream)
     magic = source.read(4)
@@ -127,11 +126,13 @@
         return read_pcapng(source, note)
     if not magic:
         raise MalformedCaptureError("the file is empty")
-    raise MalformedCaptureError(f"it begins with {magic.hex()}, which no capture does")
+    raise MalformedCaptureError(
+        f"the file begins with {magic.hex()}, which is not the magic number of pcap or pcapng"
+    )
 
 
 def read_pcap(source: BufferedSource, byte_order: str, unit_ns: int, note: NoteListener) -> Iterator[Packet]:
-    """Reads a pcap file from behind its magic.
+    """Reads a pcap file, starting after its magic number.
 
     Raises:
         MalformedCaptureError: The file's header is incomplete.
@@ -139,7 +140,7 @@
     header_size = PCAP_HEADER_BYTES - 4
     header = source.read(header_size)
     if len(header) < header_size:
-        raise MalformedCaptureError("it ends within its first header")
+        raise MalformedCaptureError("the file ends within its header")
     # The upper bits hold the length of a frame check sequence.
     link_type = struct.unpack(byte_order + "HHiIII", header)[5] & 0xFFFF
     return read_pcap_records(source, struct.Struct(byte_order + "IIII"), link_type, unit_ns, note)
@@ -148,7 +149,7 @@
 def read_pcap_records(
     source: BufferedSource, record_header: struct.Struct, link_type: int, unit_ns: int, note: NoteListener
 ) -> Iterator[Packet]:
-    """Yields the packets of a pcap file from behind its header."""
+    """Yields the packets of a pcap file, starting after its header."""
     while header := source.read(PCAP_RECORD_HEADER_BYTES):
         if len(header) < PCAP_RECORD_HEADER_BYTES:
             note("the file ends within a packet's header")
@@ -171,8 +172,8 @@
 
     Attributes:
         link_type: Link type of its packets.
-        packet_bytes_limit: Bytes captured of each packet; 0 for all.
-        units_per_s: Units of time in a second.
+        packet_bytes_limit: Maximum number of bytes captured of each packet; 0 for no limit.
+        units_per_s: Units of a recorded time per second.
         offset_s: Seconds to add to each time.
     """
 
@@ -182,7 +183,7 @@
     offset_s: int = 0
 
     def time_ns(self, high: int, low: int) -> int:
-        """Returns a time, since the epoch, from the halves of its recorded value."""
+        """Returns the time in ns since the epoch from the upper and lower 32 bits of a recorded time."""
         return ((high << 32) | low) * NS_PER_S // self.units_per_s + self.offset_s * NS_PER_S
 
 
@@ -194,14 +195,14 @@
         self.byte_order = byte_order
         self.first_interface = first_interface
         self.interfaces: list[Interface] = []
-        self.last_packet_at_ns = 0  # also the time of a simple packet, which has none
+        self.last_packet_at_ns = 0  # used as the time of a simple packet, which has no time of its own
 
     def unpack(self, fields: str, data: bytes, offset: int = 0) -> tuple[int, ...]:
         """Unpacks fields in the section's byte order."""
         return struct.unpack_from(self.byte_order + fields, data, offset)
 
     def add_interface(self, body: bytes) -> None:
-        """Adds the interface that a block describes."""
+        """Adds the interface that the body of a block describes."""
         link_type, _, packet_bytes_limit = self.unpack("HHI", body)
         interface = Interface(link_type, packet_bytes_limit)
         for code, value in self._options(body[8:]):
@@ -216,8 +217,8 @@
 
         Raises:
             struct.error: The block is too short.
-            IndexError: It names an unknown interface.
-            ValueError: It states a size beyond its end.
+            IndexError: The block refers to an unknown interface.
+            ValueError: The stated size of the packet exceeds the block.
         """
         if block_type == SIMPLE_PACKET_BLOCK:
             return self._decode_simple_packet(body)
@@ -255,14 +256,14 @@
 
 
 def decode_time_resolution(value: int) -> int:
-    """Returns the units in a second from the value of the option if_tsresol."""
+    """Returns the units of time per second from the value of the option if_tsresol."""
     if value & 0x80:
         return int(2 ** (value & 0x7F))
     return int(10 ** min(value, MAX_DECIMAL_RESOLUTION))
 
 
 def read_pcapng(source: BufferedSource, note: NoteListener) -> Iterator[Packet]:
-    """Yields the packets of a pcapng file from behind the type of its first block."""
+    """Yields the packets of a pcapng file, starting after the type of its first block."""
     section: Section | None = None
     type_bytes = SECTION_BLOCK_TYPE
     interface_count = 0
@@ -287,7 +288,7 @@
 
 
 def read_section(source: BufferedSource, first_interface: int, note: NoteListener) -> Section | None:
-    """Reads the header of a section from behind its block type; None where it is malformed."""
+    """Reads the header of a section, starting after its block type; returns None if it is malformed."""
     size_bytes = source.read(4)
     byte_order = SECTION_BYTE_ORDERS.get(source.read(4))
     if byte_order is None:
@@ -305,7 +306,7 @@
 def read_block(
     source: BufferedSource, section: Section, type_bytes: bytes, note: NoteListener
 ) -> tuple[int, bytes] | None:
-    """Reads a block from behind its type; returns type and body, or None where it is malformed."""
+    """Reads a block, starting after its type; returns type and body, or None if it is malformed."""
     header = type_bytes + source.read(4)
     if len(header) < BLOCK_HEADER_BYTES:
         note("the file ends within a block's header")
@@ -322,7 +323,7 @@
 
 
 class PcapWriter:
-    """Writes a little-endian pcap file with nanoseconds and the link type raw IP."""
+    """Writes a little-endian pcap file with times in nanoseconds and the link type raw IP."""
 
     HEADER = struct.pack("<IHHiIII", 0xA1B23C4D, 2, 4, 0, 0, BLOCK_BYTES_LIMIT, LINK_RAW)
     RECORD_HEADER = struct.Struct("<IIII")
@@ -341,7 +342,7 @@
         """Writes a packet.
 
         Args:
-            at_ns: Time since the epoch, from 0 to 2**32 seconds.
+            at_ns: Time since the epoch in nanoseconds, from 0 to 2**32 seconds.
             data: IP datagram.
 
         Raises:
--- a/message_sender/pcap/flows.py
+++ b/message_sender/pcap/flows.py
@@ -1,9 +1,9 @@
-"""Assignment of TCP segments to connections. Pure, and bounded in memory.
+"""Assignment of TCP segments to connections; free of I/O, and bounded in memory.
 
-A connection is identified by its two endpoints. A SYN with another sequence number than the known one means
-that the ports were used again, and ends the earlier connection. A connection without a segment for
-`IDLE_TIMEOUT_NS` of capture time ends, and so does the one idle for longest of more than
-`OPEN_CONNECTIONS_LIMIT`.
+A connection is identified by its two endpoints. A SYN whose sequence number differs from that of the known
+SYN means that the ports were reused, and ends the earlier connection. A connection without a segment for
+`IDLE_TIMEOUT_NS` of capture time ends. If more than `OPEN_CONNECTIONS_LIMIT` connections are open, the one
+that has been idle for longest ends.
 """
 
 from collections import OrderedDict
@@ -22,12 +22,12 @@
     """A connection.
 
     Attributes:
-        number: Its number in the capture, from 1.
-        endpoints: Client and server: the client opened the connection, or sent its first captured segment.
-        has_syn: Whether its SYN was captured.
-        last_segment_at_ns: Capture time of its last segment; 0 before the first.
+        number: Number of the connection in the capture, from 1.
+        endpoints: Client and server. Without a captured SYN, the side with the lower port is the server.
+        has_syn: Whether its first captured segment is a SYN.
+        last_segment_at_ns: Capture time of its last segment; 0 before the first one.
         streams: The directions from the client and from the server.
-        syn_seqs: Sequence numbers of the SYN of the client and of the server, where captured.
+        syn_seqs: Sequence numbers of the SYN of the client and of the server; None if not captured.
     """
 
     number: int
@@ -40,13 +40,13 @@
 
 @dataclass(slots=True)
 class FlowEvent:
-    """What a segment added to a connection: parts of one direction, or the connection's end.
+    """A change of a connection: new parts of one direction, or the end of the connection.
 
     Attributes:
         flow: The connection.
         side: The sender of `parts`: 0 for the client, 1 for the server.
         parts: New parts of that direction.
-        end_reason: "closed", "reset", "replaced", "silent" or "the capture ends"; empty before the end.
+        end_reason: "closed", "reset", "replaced", "silent" or "the capture ends"; empty if it has not ended.
     """
 
     flow: Flow
@@ -65,14 +65,14 @@
         self.count = 0  # connections since the capture began
 
     def process(self, segment: Segment) -> Iterator[FlowEvent]:
-        """Yields the events that follow from the next segment of the capture."""
+        """Yields the events that the next segment of the capture causes."""
         flow = self._find(segment)
         if flow and segment.flags & SYN and self._reuses_ports(flow, segment):
             yield from self._end(flow, segment.at_ns, "replaced")
             flow = None
         if flow is None:
             if segment.flags & RST or not (segment.data or segment.missing or segment.flags & SYN):
-                return  # no connection begins with it
+                return  # such a segment begins no connection
             flow = self._begin(segment)
             yield from self._end_idle(segment.at_ns)
         flow.last_segment_at_ns = segment.at_ns
@@ -114,7 +114,7 @@
             if is_within_limits and now_ns - oldest.last_segment_at_ns < IDLE_TIMEOUT_NS:
                 return
             if oldest.last_segment_at_ns == 0:
-                return  # it has just begun
+                return  # the connection has just begun
             yield from self._end(oldest, now_ns, "silent")
 
     def _reassemble(self, flow: Flow, segment: Segment) -> Iterator[FlowEvent]:
--- a/message_sender/pcap/layers.py
+++ b/message_sender/pcap/layers.py
@@ -1,8 +1,8 @@
 """Decoding of packets to TCP segments: link layers, IPv4 and IPv6 with extension headers and fragments.
 
-Link types by the tcpdump group's registry; VLAN tags by IEEE 802.1Q and 802.1ad; IP by RFC 791 and RFC 8200.
-No library is used: the decoder has to create one tuple a packet, to tell the bytes that the capture left out
-from those that were never sent, and to raise nothing for any packet.
+Link types follow the tcpdump group's registry, VLAN tags IEEE 802.1Q and 802.1ad, IP RFC 791 and RFC 8200.
+No library is used: the decoder must create only one tuple per packet, distinguish bytes that the capture left
+out from bytes that were never sent, and not raise an exception for any packet.
 """
 
 import struct
@@ -20,7 +20,7 @@
 LINK_IPV4 = 228
 LINK_IPV6 = 229
 LINK_SLL2 = 276
-#: Bytes before the IP header, for the link types whose header has one size and no usable type field.
+#: Bytes before the IP header, for the link types whose header has a fixed size and no usable type field.
 FIXED_LINK_HEADER_BYTES = {
     LINK_NULL: 4,
     LINK_LOOP: 4,
@@ -29,7 +29,7 @@
     LINK_IPV4: 0,
     LINK_IPV6: 0,
 }
-#: Offset of the EtherType, for the link types in which VLAN tags may follow it.
+#: Offset of the EtherType, for the link types whose headers may contain VLAN tags.
 ETHER_TYPE_OFFSETS = {LINK_ETHERNET: 12, LINK_SLL: 14}
 SLL2_HEADER_BYTES = 20
 VLAN_ETHER_TYPES = frozenset({0x8100, 0x88A8, 0x9100})
@@ -69,10 +69,10 @@
         source: Endpoint that sent it.
         target: Endpoint that it was sent to.
         seq: Sequence number.
-        ack: Acknowledgement number; of meaning only with the flag ACK.
+        ack: Acknowledgement number; valid only with the flag ACK.
         flags: TCP flags.
         data: Captured payload.
-        missing: Payload bytes behind `data` that were on the wire and are not in the capture.
+        missing: Number of payload bytes after `data` that were on the wire and are not in the capture.
     """
 
     at_ns: int
@@ -86,15 +86,15 @@
 
 
 class SegmentDecoder:
-    """Decodes packets one by one, and keeps the fragments of incomplete datagrams."""
+    """Decodes packets one by one, and keeps the fragments of datagrams that are still incomplete."""
 
     def __init__(self) -> None:
         """Creates a decoder without fragments."""
         self.fragments: OrderedDict[tuple[bytes, ...], dict[int, tuple[bytes, bool]]] = OrderedDict()
-        self.skipped_packets = 0  # without a TCP header that can be decoded
+        self.skipped_packets = 0  # packets without a TCP header that can be decoded
 
     def decode(self, packet: Packet) -> Segment | None:
-        """Returns the segment in a packet; None without one, or without all of its header."""
+        """Returns the TCP segment in a packet; None if there is none, or if its header is incomplete."""
         try:
             if segment := self._decode_network_layer(packet):
                 return segment
@@ -116,7 +116,7 @@
     def _decode_ipv4(self, at_ns: int, data: bytes, offset: int) -> Segment | None:
         total_size, identification, fragment, protocol = struct.unpack_from(">HHHxB", data, offset + 2)
         start = offset + (data[offset] & 15) * 4
-        # A total size of 0: the network card split the datagram after it was captured.
+        # A total size of 0 means that the network card split the datagram after it was captured.
         end = offset + total_size if total_size else len(data)
         addresses = data[offset + 12 : offset + 16], data[offset + 16 : offset + 20]
         if not fragment & IPV4_FRAGMENT_MASK:
@@ -143,7 +143,7 @@
             elif protocol == PROTOCOL_FRAGMENT:
                 fragment, identification = struct.unpack_from(">HI", data, start + 2)
                 start += FRAGMENT_HEADER_BYTES
-                if fragment & IPV6_FRAGMENT_MASK:  # otherwise it is the only fragment
+                if fragment & IPV6_FRAGMENT_MASK:  # otherwise it is the only fragment of its datagram
                     key = (*addresses, identification.to_bytes(4, "big"))
                     is_last = not fragment & IPV6_MORE_FRAGMENTS
                     fragment_offset = fragment & IPV6_OFFSET_MASK
@@ -157,7 +157,10 @@
         return decode_tcp(at_ns, addresses, data, start, end)
 
     def _add_fragment(self, key: tuple[bytes, ...], offset: int, data: bytes, is_last: bool) -> bytes | None:
-        """Returns the payload of a complete datagram. Of overlapping fragments the first one stands."""
+        """Adds a fragment and returns the payload of its datagram; None while it is incomplete.
+
+        Where fragments overlap, the first captured one with an offset is used.
+        """
         fragments = self.fragments.setdefault(key, {})
         fragments.setdefault(offset, (data, is_last))
         if len(self.fragments) > INCOMPLETE_DATAGRAMS_LIMIT:
@@ -175,7 +178,7 @@
 
 
 def find_ip_header(link_type: int, data: bytes) -> int:
-    """Returns the offset of the IP header; -1 without one."""
+    """Returns the offset of the IP header; -1 if there is none."""
     offset = ETHER_TYPE_OFFSETS.get(link_type)
     if offset is None:
         if link_type == LINK_SLL2:
@@ -198,10 +201,10 @@
         addresses: Source and target address.
         data: The packet, or a reassembled datagram.
         offset: Where the TCP header begins.
-        end: Where the datagram ends by its IP header; `data` may end before it, where it was truncated.
+        end: Where the datagram ends according to its IP header; truncated `data` ends before it.
 
     Returns:
-        The segment; None where the header's own size is impossible.
+        The segment; None if the header states an impossible size of its own.
 
     Raises:
         struct.error: The header is incomplete.
--- a/message_sender/pcap/messages.py
+++ b/message_sender/pcap/messages.py
@@ -1,9 +1,9 @@
-"""HTTP/1.1 messages in a direction of a connection, with the times of their first and last bytes.
+"""Reading of HTTP/1.1 messages from a connection, with the times of their first and last bytes.
 
-h11 parses them (RFC 9112); this module adds what a capture needs. A gap within a body of known length is
-filled with zeros, and the message is marked as incomplete. Any other gap, and bytes that h11 rejects, end the
-current message: reading resumes at the next segment that begins with a start line, and the skipped bytes are
-a note of the message that follows.
+h11 parses the messages (RFC 9112); this module adds the handling of gaps and errors in captures. A gap within
+a body of known length is filled with zeros, and the message is marked as incomplete. Any other gap, and bytes
+that h11 rejects, end the current message: reading resumes at the next segment that begins with a start line,
+and the following message gets a note with the number of skipped bytes.
 """
 
 import contextlib
@@ -17,14 +17,14 @@
 from message_sender.http import fast_path
 from message_sender.pcap.reassembly import Gap, Part
 
-HEAD_BYTES_LIMIT = 64 * 1024  # of a message, or of a chunk
-BODY_BYTES_LIMIT = 16 * 1024 * 1024  # kept of a body
+HEAD_BYTES_LIMIT = 64 * 1024  # of the head of a message or of a chunk
+BODY_BYTES_LIMIT = 16 * 1024 * 1024  # of a body; the rest is dropped
 FILLED_GAP_BYTES_LIMIT = 16 * 1024 * 1024
 FILL_STEP_BYTES = 64 * 1024
 SWITCHING_PROTOCOLS = 101
 CLIENT_SIDE = 0
 SERVER_SIDE = 1
-#: By side: a start line at the beginning of a segment.
+#: Pattern of a start line at the beginning of a segment, by side.
 START_LINES = (
     re.compile(rb"[A-Z]{3,16} [^ \r\n]{1,8192} HTTP/1\.[01]\r?\n"),
     re.compile(rb"HTTP/1\.[01] [1-5][0-9]{2}[ \r]"),
@@ -42,10 +42,10 @@
         target: Target of a request.
         status: Status of a response; 0 for a request.
         headers: Names and values, in order.
-        body: At most `BODY_BYTES_LIMIT` bytes of its body.
+        body: The first `BODY_BYTES_LIMIT` bytes of its body at most.
         is_complete: Whether the capture holds all of it.
         notes: Irregularities.
-        request_number: Number of the request that a response belongs to, where that is known.
+        request_number: Number of the request that a response belongs to; None if it is not known.
         number: Number among the requests or responses of its connection, from 0.
     """
 
@@ -89,8 +89,9 @@
 
         Args:
             side: `CLIENT_SIDE` for requests, `SERVER_SIDE` for responses.
-            on_message: Called with each message that ended, complete or not.
-            request_method: Returns the method of the request that the next response belongs to.
+            on_message: Called with each message that has ended, complete or not.
+            request_method: Returns the method of the request that the next response belongs to; None if not
+                known.
             on_head: Called with a message whose head has been read.
         """
         self.side = side
@@ -100,12 +101,12 @@
         self._on_head = on_head
         self._message: HttpMessage | None = None
         self._body = bytearray()
-        self._remaining_body: int | None = None  # bytes to come, where that is known
+        self._remaining_body: int | None = None  # bytes still to come; None if not known
         self._codec: h11.Connection | None = None
-        self._trailing_data = b""  # behind the message that has just ended
+        self._trailing_data = b""  # after the message that has just ended
         self._is_resyncing = False
         self._skipped_bytes = 0  # while resyncing
-        self._next_notes: list[str] = []  # of the message that comes next
+        self._next_notes: list[str] = []  # of the next message
 
     def feed(self, part: Part) -> None:
         """Reads the next part of the direction."""
@@ -127,7 +128,7 @@
     def end(self, at_ns: int, reason: str) -> None:
         """Ends the direction.
 
-        A response without a length ends here, if the connection was closed without a reset.
+        A response without a length is complete here, if the connection was closed without a reset.
         """
         if self.has_switched_protocol or self._is_resyncing or self._codec is None or self._message is None:
             return
@@ -166,12 +167,12 @@
             data = self._trailing_data
 
     def _read_fast(self, at_ns: int, data: bytes) -> bool:
-        """Reads a plain message that one segment holds completely, without the state machine.
+        """Reads a simple message that one segment holds completely, without h11.
 
-        What these patterns match, h11 accepts and reads alike (tests/test_usual.py).
+        h11 accepts every message that these patterns match, and parses it alike (tests/test_usual.py).
 
         Returns:
-            False: the message has another form and is to be read by h11.
+            False: the message has another form and must be read by h11.
         """
         is_response = self.side == SERVER_SIDE
         pattern = fast_path.ANSWER if is_response else fast_path.REQUEST
@@ -276,7 +277,7 @@
         self._end_message(at_ns)
 
     def _end_message(self, at_ns: int) -> None:
-        """Reports the current message; without a start line, only its notes are kept for the next one."""
+        """Reports the current message; if it has no start line, its notes are added to the next message."""
         assert self._message is not None
         message = self._message
         message.last_at_ns = at_ns
@@ -306,10 +307,10 @@
 
 
 class MessagePairs:
-    """Reads both directions of a connection, and relates responses to requests."""
+    """Reads both directions of a connection, and assigns responses to requests."""
 
     def __init__(self, on_message: MessageListener) -> None:
-        """Creates the readers; `on_message` is called with each message that ended."""
+        """Creates the readers; `on_message` is called with each message that has ended."""
         self.sides = (
             MessageReader(CLIENT_SIDE, on_message, on_head=self._add_request),
             MessageReader(SERVER_SIDE, self._add_response, self._next_request_method),
@@ -328,7 +329,7 @@
         return self._unanswered[0][1] if self._unanswered else None
 
     def _add_request(self, message: HttpMessage) -> None:
-        """Adds a request as soon as its head was read: the response may come before its last byte."""
+        """Adds a request when its head has been read, since the response may precede its last byte."""
         message.number = self._request_count
         self._request_count += 1
         self._unanswered.append((message.number, message.method))
--- a/message_sender/pcap/reassembly.py
+++ b/message_sender/pcap/reassembly.py
@@ -1,23 +1,23 @@
-"""TCP stream reassembly from segments that arrive late, repeated, overlapping or not at all. Pure.
+"""TCP stream reassembly from segments that are late, repeated, overlapping or missing; free of I/O.
 
 The rules:
 
-- Sequence numbers are unwrapped from the first one of a direction (RFC 9293, 3.4).
-- Of bytes that are captured more than once, also with other contents, **the first capture stands**.
-- A direction begins with its SYN; without one, with its first segment that holds data.
-- A hole is filled by any later segment that covers it. It is reported as a `Gap` and skipped as soon as one
-  of these shows that it will not be filled: the other side acknowledged bytes behind it and
-  `ACKNOWLEDGED_HOLE_DELAY_NS` of capture time have passed, more than `BUFFERED_BYTES_LIMIT` are buffered
-  behind it, or the connection ends. No hole is skipped without a `Gap`.
-- Bytes behind the end (FIN) of a direction are dropped.
+- Sequence numbers are unwrapped, starting from the first one of a direction (RFC 9293, 3.4).
+- If bytes are captured more than once, even with different contents, **the first captured ones are used**.
+- A direction begins with its SYN, or without a SYN, with its first segment that holds data.
+- A hole is filled by any later segment that covers it. It is given up, and reported as a `Gap`, under one of
+  three conditions: the other side acknowledged bytes after it and `ACKNOWLEDGED_HOLE_DELAY_NS` of capture
+  time have passed since; more than `BUFFERED_BYTES_LIMIT` bytes are buffered after it; or the connection
+  ends. No hole is skipped without a `Gap`.
+- Bytes after the end (FIN) of a direction are dropped.
 """
 
 from bisect import bisect_right
 from typing import NamedTuple
 
-#: Captures record the two directions out of step by far less.
+#: Delays between the directions of a connection, as captures record them, are far shorter than this.
 ACKNOWLEDGED_HOLE_DELAY_NS = 200_000_000
-#: Bytes buffered behind a hole: the largest window that is common.
+#: Maximum number of bytes buffered after a hole: the largest common TCP window.
 BUFFERED_BYTES_LIMIT = 1 << 20
 SEQUENCE_MODULUS = 1 << 32
 _HALF_SEQUENCE_MODULUS = 1 << 31
@@ -64,13 +64,13 @@
     )
 
     def __init__(self) -> None:
-        """Creates a stream of which nothing has been captured."""
+        """Creates a stream without any captured segment."""
         self.next_seq: int | None = None  # unwrapped; None before the first segment
         self.end_seq: int | None = None  # unwrapped; None until a FIN was captured
         self.buffered_starts: list[int] = []  # sorted; no two pieces overlap
         self.buffered: dict[int, Piece] = {}  # by unwrapped sequence number
         self.buffered_bytes = 0
-        self.acknowledged_seq = -1  # the furthest one behind the current hole
+        self.acknowledged_seq = -1  # the highest one after the current hole
         self.acknowledged_at_ns = 0  # when the current hole was first acknowledged
 
     def begin(self, seq: int) -> None:
@@ -78,7 +78,7 @@
         self.next_seq = seq
 
     def add_data(self, at_ns: int, seq: int, data: bytes, parts: list[Part]) -> None:
-        """Adds the data of a segment, and appends what now continues the stream to `parts`."""
+        """Adds the data of a segment, and appends the parts that now continue the stream to `parts`."""
         if self.next_seq is None:
             self.begin(seq)
         assert self.next_seq is not None
@@ -97,7 +97,7 @@
             self._skip_hole(at_ns, parts)
 
     def acknowledge(self, at_ns: int, ack: int, parts: list[Part]) -> None:
-        """Notes that the other side has received everything before the sequence number `ack`."""
+        """Records that the other side has received all bytes before the sequence number `ack`."""
         if self.next_seq is None:
             return
         acknowledged_seq = self._unwrap(ack)
@@ -111,7 +111,7 @@
         self.advance_clock(at_ns, parts)
 
     def advance_clock(self, at_ns: int, parts: list[Part]) -> None:
-        """Skips the holes that were acknowledged too long before the capture time `at_ns`."""
+        """Gives up the holes that were acknowledged too long before the capture time `at_ns`."""
         while (
             self.next_seq is not None
             and self.acknowledged_seq > self.next_seq
@@ -131,7 +131,7 @@
         return self.end_seq is not None and self.next_seq == self.end_seq
 
     def close(self, at_ns: int, parts: list[Part]) -> None:
-        """Ends the stream: appends all that is buffered, and a gap for each hole, to `parts`."""
+        """Ends the stream: appends all buffered pieces, and a gap for each hole, to `parts`."""
         if self.next_seq is None:
             return
         if self.end_seq is not None and self.end_seq > self.next_seq:
@@ -177,7 +177,7 @@
             parts.append(piece)
 
     def _skip_hole(self, at_ns: int, parts: list[Part]) -> None:
-        """Gives up the first hole: appends its gap and the pieces behind it to `parts`."""
+        """Gives up the first hole: appends its gap and the pieces after it to `parts`."""
         assert self.next_seq is not None
         if self.buffered_starts:
             hole_end = self.buffered_starts[0]
--- a/message_sender/pcap/replay.py
+++ b/message_sender/pcap/replay.py
@@ -1,7 +1,7 @@
-"""Recorded requests sent again at their recorded times, regardless of the responses (open loop).
+"""Replay of recorded requests at their recorded times, regardless of the responses (open loop).
 
-`plan` decides what is sent when, and is pure. The latency of a request counts from its planned time, so that
-a server that stalls shows in all requests that had to wait for it, as in wrk2.
+`plan` decides what is sent when, and is free of I/O. The latency of a request is measured from its planned
+time, so that a stalled server affects the latencies of all requests that had to wait for it, as in wrk2.
 """
 
 import asyncio
@@ -16,7 +16,7 @@
 from message_sender.pcap.capture import CapturedMessage
 from message_sender.pcap.messages import HttpMessage
 
-CONNECTIONS_LIMIT = 256  # a request without a free connection is counted and not sent
+CONNECTIONS_LIMIT = 256  # a request that finds no free connection is counted and not sent
 RESPONSE_TIMEOUT_S = 30.0
 READ_BYTES = 65536
 NS_PER_S = 1e9
@@ -34,9 +34,9 @@
     """A request to send.
 
     Attributes:
-        due_s: Seconds since the first request.
-        method: Its method.
-        data: Its bytes.
+        due_s: When to send it, in seconds after the first request.
+        method: HTTP method.
+        data: The encoded request.
     """
 
     due_s: float
@@ -45,7 +45,10 @@
 
 
 class IdReplacer:
-    """Replaces the ids in a capture; equal ids get equal replacements, so that repeats stay repeats."""
+    """Replaces the ids in a capture.
+
+    Equal ids get equal replacements, so that a repeated request has the id of the original one.
+    """
 
     def __init__(self, seed: int) -> None:
         """Creates a replacer whose replacements depend on the seed and the order of the ids."""
@@ -62,14 +65,14 @@
 def plan(
     requests: Iterable[CapturedMessage], speed: float = 1.0, id_replacer: IdReplacer | None = None
 ) -> Iterator[PlannedRequest]:
-    """Yields what to send, and when.
+    """Yields the requests to send, in the order of sending.
 
-    A request that the capture does not hold completely is left out. Where the recorded clock went back, a
-    request is due at the time of the one before it.
+    A request that the capture does not hold completely is left out. If the recorded clock went back, a
+    request is due at the same time as the previous one.
 
     Args:
         requests: Recorded requests.
-        speed: Factor of the recorded pace.
+        speed: Factor by which the replay is faster than the recording.
         id_replacer: Replaces correlation ids and idempotency keys; None keeps them.
     """
     first_at_ns: int | None = None
@@ -85,7 +88,7 @@
 
 
 def encode_request(message: HttpMessage, id_replacer: IdReplacer | None) -> bytes:
-    """Returns the bytes of a recorded request, to be sent on another connection."""
+    """Returns the bytes of a recorded request for sending on another connection."""
     lines = [f"{message.method} {message.target} HTTP/1.1"]
     for name, value in message.headers:
         lower_name = name.lower()
@@ -100,7 +103,7 @@
 
 
 class Histogram(Protocol):
-    """A histogram of the library hdrhistogram."""
+    """The part of a histogram of the library hdrhistogram that a replay uses."""
 
     def record_value(self, value: int) -> bool:
         """Records a latency in whole microseconds."""
@@ -112,9 +115,9 @@
 
     Attributes:
         sent: Requests sent.
-        not_sent: Requests without a free connection.
-        max_delay_s: The longest time from a planned time to the sending.
-        responses: Number of requests by status of the response, or by error.
+        not_sent: Requests that were not sent because no connection was free.
+        max_delay_s: The longest delay in seconds between the planned time of a request and its sending.
+        responses: Number of requests by status of the response, or by kind of error.
     """
 
     sent: int = 0
@@ -131,7 +134,7 @@
 
         Raises:
             OSError: The connection broke.
-            TimeoutError: There was no response in time.
+            TimeoutError: There was no response within the time limit.
         """
 
     def is_usable(self) -> bool:
@@ -145,7 +148,7 @@
     """A connection over TCP."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Uses an open connection."""
+        """Takes over an open connection."""
         self._reader = reader
         self._writer = writer
         self._can_be_reused = True
@@ -161,7 +164,7 @@
         return cls(reader, writer)
 
     async def exchange(self, request: PlannedRequest) -> int:
-        """Sends a request and returns the status of its response, as `ReplayConnection` has it."""
+        """Sends a request and returns the status of its response, as `ReplayConnection` defines it."""
         self._can_be_reused = False
         self._writer.write(request.data)
         codec = h11.Connection(h11.CLIENT)
@@ -191,7 +194,7 @@
             elif isinstance(event, h11.Response):
                 status = event.status_code
             elif isinstance(event, h11.ConnectionClosed):
-                raise ConnectionResetError("closed without an answer")
+                raise ConnectionResetError("the server closed the connection without a response")
         return status
 
 
@@ -217,12 +220,12 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def run(self, planned: Iterable[PlannedRequest]) -> ReplayOutcome:
-        """Sends all requests; returns after the last response or timeout."""
+        """Sends all requests, and returns after the last response or timeout."""
         loop = asyncio.get_running_loop()
         started_at = loop.time()
         for request in planned:
             due_at = started_at + request.due_s
-            # A sleep of 0 lets responses be read, also where all requests are due at once.
+            # Even a sleep of 0 lets responses be read, for the case that all requests are due at once.
             await asyncio.sleep(max(due_at - loop.time(), 0))
             self._outcome.max_delay_s = max(self._outcome.max_delay_s, loop.time() - due_at)
             self._begin_request(request, due_at)
@@ -246,7 +249,7 @@
     async def _send(
         self, request: PlannedRequest, due_at: float, connection: ReplayConnection | None
     ) -> None:
-        """Sends a request once: where a reused connection breaks, the request counts as failed."""
+        """Sends a request once: if a reused connection breaks, the request counts as failed."""
         loop = asyncio.get_running_loop()
         responses = self._outcome.responses
         try:
--- a/message_sender/pcap/traffic_tap.py
+++ b/message_sender/pcap/traffic_tap.py
@@ -1,9 +1,10 @@
-"""Reports the traffic of a running sender to a process that writes it as capture files.
+"""Observer that passes the traffic of a running sender to a process that writes it as capture files.
 
-On the event loop a record is only appended to a list; once an iteration the list is written to a pipe, as far
-as the pipe accepts it at once. The other end is a process of its own (message_sender/pcap/capture_writer.py).
-Where it falls behind by more than `PENDING_BYTES_LIMIT`, records are dropped and counted, and the sender does
-not wait. The number of dropped bytes is reported, so that the capture has a gap there.
+On the event loop, a record is only appended to a list. Once per loop iteration, the list is written to the
+pipe of the writing process (message_sender/pcap/capture_writer.py), as far as the pipe accepts it without
+blocking. If more than `PENDING_BYTES_LIMIT` bytes wait for the pipe, records
+are dropped and counted, and the sender does not wait. The number of dropped bytes is reported to the process,
+so that the capture has a gap there.
 """
 
 import asyncio
@@ -18,10 +19,10 @@
 from message_sender.pcap.capture_writer import DEFAULT_FILES_LIMIT, RECORD_HEADER, RecordKind
 from message_sender.pcap.writer import Address
 
-PENDING_BYTES_LIMIT = 4_000_000  # that wait for the pipe
+PENDING_BYTES_LIMIT = 4_000_000  # that wait for the pipe before records are dropped
 RETRY_DELAY_S = 0.02  # while the pipe is full
 EXIT_TIMEOUT_S = 10.0  # of the writing process, from the end of its input
-#: Bound once: the lookup of an enum's member is a cost on each record.
+#: Bound once, since looking up an enum member would cost time for each record.
 _DATA_RECORD = RecordKind.DATA
 
 log = logging.getLogger(__name__)
@@ -33,7 +34,7 @@
     Attributes:
         dropped_records: Number of records that were not written.
         dropped_bytes: Bytes not yet reported as lost, by connection and side.
-        failure: Why recording has stopped; empty while it goes on.
+        failure: Why recording has stopped; empty while it is running.
     """
 
     def __init__(
@@ -50,8 +51,8 @@
         """
         command = [sys.executable, "-m", "message_sender.pcap.capture_writer", str(folder)]
         command += [str(file_bytes_limit), str(files_limit), *blanked_headers]
-        # In a session of its own: a signal to the sender's process group does not end it, its closed pipe
-        # does.
+        # The process gets its own session, so that a signal to the sender's process group does not end it; it
+        # ends when its pipe is closed.
         self.process = subprocess.Popen(command, stdin=subprocess.PIPE, start_new_session=True)
         assert self.process.stdin
         self._pipe = self.process.stdin.fileno()
@@ -86,7 +87,7 @@
         self._add_record(RecordKind.RESET if reset else RecordKind.ENDED, connection, side, b"")
 
     def flush(self) -> None:
-        """Writes as much as the pipe accepts, and schedules the rest."""
+        """Writes as much as the pipe accepts without blocking, and schedules the rest."""
         self._is_flush_scheduled = False
         data = b"".join(self._pending)
         try:
@@ -103,9 +104,9 @@
             asyncio.get_running_loop().call_later(RETRY_DELAY_S, self.flush)
 
     def close(self) -> None:
-        """Writes what is pending and waits for the writing process to end.
+        """Writes the pending records and waits for the writing process to end.
 
-        It blocks, and is meant for the end of the sender's process.
+        This blocks, and is meant for the end of the sender's process.
         """
         assert self.process.stdin
         os.set_blocking(self._pipe, True)
@@ -123,7 +124,7 @@
             log.warning("capture incomplete: lost_records=%d", self.dropped_records)
 
     def _add_record(self, kind: RecordKind, connection: int, side: int, data: bytes) -> bool:
-        """Returns False if the record was dropped."""
+        """Adds a record for the next flush; returns False if the record was dropped."""
         if self.failure or self._pending_bytes > PENDING_BYTES_LIMIT:
             self.dropped_records += 1
             return False
--- a/message_sender/pcap/writer.py
+++ b/message_sender/pcap/writer.py
@@ -1,7 +1,7 @@
-"""Connections written as a capture that other tools read: handshakes, segments, ends, checksums.
+"""Writing of connections as captures that other tools can read: handshakes, segments, ends, checksums.
 
-A program knows of a connection the bytes and the times at which it read or wrote them. Sequence numbers, the
-handshake and the acknowledgements are synthetic; the times of the data are the program's.
+A program only knows the bytes of a connection and the times at which it read or wrote them. These times are
+kept; sequence numbers, the handshake and the acknowledgements are synthetic.
 """
 
 import ipaddress
@@ -44,7 +44,7 @@
 
 
 def build_datagram(source: bytes, target: bytes, segment: bytes) -> bytes:
-    """Returns an IP datagram with a TCP segment, and sets the checksums.
+    """Returns an IP datagram that contains a TCP segment, with the checksums of both.
 
     Args:
         source: Source address: 4 bytes for IPv4, 16 bytes for IPv6.
@@ -79,14 +79,14 @@
         """Writes the handshake.
 
         Args:
-            capture: Where the packets go.
+            capture: The file that the packets are written to.
             client: Address of the client.
             server: Address of the server.
             at_ns: Time of the handshake.
             client_seq: First sequence number of the client.
 
         Raises:
-            ValueError: An address is no IP address, or the versions differ.
+            ValueError: An address is not an IP address, or the IP versions differ.
         """
         self.last_packet_at_ns = at_ns
         self._capture = capture
@@ -103,18 +103,18 @@
         self._write_segment(0, at_ns, ACK)
 
     def write_data(self, side: int, at_ns: int, data: bytes) -> None:
-        """Writes bytes that a side sent, in segments, and the acknowledgement of the other side."""
+        """Writes bytes that a side sent as segments, and an acknowledgement from the other side."""
         for start in range(0, len(data), SEGMENT_DATA_BYTES):
             self._write_segment(side, at_ns, ACK | PSH, data[start : start + SEGMENT_DATA_BYTES])
         if data:
             self._write_segment(1 - side, at_ns, ACK)
 
     def skip(self, side: int, size: int) -> None:
-        """Leaves a gap of `size` bytes in what a side sent."""
+        """Leaves a gap of `size` bytes in the data that a side sent."""
         self._seqs[side] = (self._seqs[side] + size) % SEQUENCE_MODULUS
 
     def end(self, side: int, at_ns: int, is_reset: bool = False) -> None:
-        """Writes the end of the connection from a side: by RST, or by FIN in both directions."""
+        """Writes the end of the connection, initiated by a side: an RST, or a FIN in both directions."""
         if self._has_ended:
             return
         self._has_ended = True
