--- a/tests/test_reassembly.py
+++ b/tests/test_reassembly.py
@@ -1,4 +1,4 @@
-"""Streams put together again, held against a plain model."""
+"""Reassembly of TCP streams, compared with a simple model."""
 
 import itertools
 
@@ -19,7 +19,7 @@
 
 
 def flatten(parts: list[Part]) -> list[int | None]:
-    """The stream's bytes; None for each that was lost."""
+    """Returns the bytes of a stream, with None for each lost byte."""
     stream_bytes: list[int | None] = []
     for part in parts:
         stream_bytes += [None] * part.size if isinstance(part, Gap) else list(part.data)
@@ -27,18 +27,20 @@
 
 
 def reassemble_bytewise(segments: list[tuple[int, bytes]], end: int) -> list[int | None]:
-    """Slow and plain: every byte by its place, the first one that came stands."""
-    places: dict[int, int] = {}
+    """Returns the bytes of a stream by a simple model: the first captured byte of each position is used."""
+    bytes_by_position: dict[int, int] = {}
     for start, data in segments:
         for offset, byte in enumerate(data):
-            places.setdefault(start + offset, byte)
-    return [places.get(place) for place in range(end)]
+            bytes_by_position.setdefault(start + offset, byte)
+    return [bytes_by_position.get(position) for position in range(end)]
 
 
 @st.composite
-def captured(draw: st.DrawFn) -> tuple[int, list[tuple[int, bytes]]]:
-    """The first sequence number, near its wrap or not, and segments: cut, late, twice (also with other
-    bytes), overlapping or lost."""
+def streams(draw: st.DrawFn) -> tuple[int, list[tuple[int, bytes]]]:
+    """Draws the first sequence number, which may be near the wrap-around, and the segments of a stream.
+
+    Segments may be late, lost, overlapping or repeated, also with different bytes.
+    """
     first = draw(
         st.sampled_from([0, 1000, SEQUENCE_MODULUS - 1, SEQUENCE_MODULUS - 150, SEQUENCE_MODULUS // 2 - 10])
     )
@@ -48,20 +50,20 @@
     for _ in range(draw(st.integers(0, 4))):
         start = draw(st.integers(0, LENGTH - 2))
         size = draw(st.integers(1, LENGTH - start))
-        other = draw(st.booleans())
-        again = (
+        has_other_bytes = draw(st.booleans())
+        repeat = (
             bytes(255 - byte for byte in source[start : start + size])
-            if other
+            if has_other_bytes
             else source[start : start + size]
         )
-        segments.append((start, again))
-    kept = draw(st.lists(st.sampled_from(segments), min_size=1, max_size=len(segments), unique_by=id))
-    return first, kept
+        segments.append((start, repeat))
+    captured = draw(st.lists(st.sampled_from(segments), min_size=1, max_size=len(segments), unique_by=id))
+    return first, captured
 
 
 @settings(max_examples=400, deadline=None, derandomize=True)
-@given(captured())
-def test_a_stream_is_what_the_plain_model_says(case: tuple[int, list[tuple[int, bytes]]]) -> None:
+@given(streams())
+def test_reassembly_agrees_with_the_simple_model(case: tuple[int, list[tuple[int, bytes]]]) -> None:
     first, segments = case
     stream, parts = Stream(), []  # type: Stream, list[Part]
     stream.begin(first)
@@ -80,7 +82,7 @@
     return stream, parts
 
 
-def test_a_hole_is_lost_only_once_its_acknowledgement_has_grown_old() -> None:
+def test_an_acknowledged_hole_is_given_up_after_a_delay() -> None:
     stream, parts = stream_with_hole()
     stream.acknowledge(1, 16, parts)
     stream.advance_clock(ACKNOWLEDGED_HOLE_DELAY_NS, parts)
@@ -89,21 +91,21 @@
     assert parts == [Gap(ACKNOWLEDGED_HOLE_DELAY_NS + 1, 10), Piece(0, b"behind")]
 
 
-def test_what_comes_late_but_in_time_fills_its_hole() -> None:
+def test_a_late_segment_fills_its_hole_before_the_delay_ends() -> None:
     stream, parts = stream_with_hole()
     stream.acknowledge(1, 16, parts)
     stream.add_data(2, 0, b"0123456789", parts)
     assert parts == [Piece(2, b"0123456789"), Piece(0, b"behind")]
 
 
-def test_only_so_much_waits_behind_a_hole() -> None:
+def test_the_bytes_buffered_after_a_hole_are_limited() -> None:
     stream, parts = stream_with_hole()
     for number in range(BUFFERED_BYTES_LIMIT // 1000 + 2):
         stream.add_data(5, 16 + 1000 * number, bytes(1000), parts)
     assert parts[0] == Gap(5, 10) and stream.buffered_bytes <= BUFFERED_BYTES_LIMIT
 
 
-def test_what_is_acknowledged_and_never_came_is_a_gap_at_the_end() -> None:
+def test_acknowledged_bytes_that_were_not_captured_are_a_gap_at_the_end() -> None:
     stream, parts = Stream(), []  # type: Stream, list[Part]
     stream.begin(0)
     stream.acknowledge(1, 7, parts)
