--- a/tests/test_control_chaos.py
+++ b/tests/test_control_chaos.py
@@ -152,7 +152,7 @@
             (Document, "check", check_only_digest),
             (Document, "apply", apply_unchecked),
         ),
-        # A step down violates both invariants; a tick checks the first one first, the end of a rule the other.
+        # A step down violates both invariants: a tick checks the first one, the end of a rule the other.
         "the version fell|applied twice, or to another version",
     ),
     "a delta is applied twice": Defect(
