--- a/message_sender/testbed/__init__.py
+++ b/message_sender/testbed/__init__.py
@@ -1,1 +1,4 @@
-"""Stand-ins on loopback and the referee, for tests, benchmarks and `message-sender demo`."""
+"""Stand-in endpoints, clusters on loopback and the history checker.
+
+Used by tests, benchmarks and `message-sender demo`.
+"""
--- a/message_sender/testbed/cluster.py
+++ b/message_sender/testbed/cluster.py
@@ -1,8 +1,8 @@
-"""A cluster of real processes of the sender on loopback, and the faults between them.
+"""A cluster of real sender processes on loopback, with fault injection.
 
-Each process has a simulated disk (testbed/simulated_disk.py), clock and boot id of its own
-(testbed/member.py). Their datagrams go through a relay (testbed/relay.py). The history checker judges the
-cluster as one by what receivers and clients observed.
+Each process has its own simulated disk (testbed/simulated_disk.py), clock and boot id (testbed/member.py).
+Datagrams between the processes pass through a relay (testbed/relay.py). The history checker checks the
+cluster as a whole, from what receivers and clients observed.
 """
 
 import asyncio
@@ -27,14 +27,23 @@
 from message_sender.testbed.relay import HOST, Relay
 
 POLL_INTERVAL_S = 0.02
-SEED_MEMBERS = 2  # how many members each configuration names as seeds of the link
+SEED_MEMBERS = 2  # number of members that each configuration lists as seeds of the gossip link
 STARTED = re.compile(r"ready on \S+:(\d+)")
 
 
 def message_fields(
     name: str, message_class: str, destination: int, time_left: float, key: str, tenant: str
 ) -> dict[str, str]:
-    """Return the header fields with which a message is submitted; its id is also its idempotency key."""
+    """Return the header fields of a message, whose id is also its idempotency key.
+
+    Args:
+        name: The message id.
+        message_class: The name of the message class.
+        destination: The number of the destination.
+        time_left: The time until the deadline, in seconds.
+        key: The ordering key; empty for none.
+        tenant: The tenant; empty for none.
+    """
     return {
         "X-Correlation-Id": name,
         "X-Service-Class": message_class,
@@ -47,7 +56,10 @@
 
 
 class Cluster:
-    """Members that run as processes; an async context manager that ends them all."""
+    """Sender processes on loopback.
+
+    The cluster is an async context manager, which kills all processes when its block ends.
+    """
 
     def __init__(
         self,
@@ -59,17 +71,17 @@
         extra_config: str = "",
         member_factory: MemberFactory | None = None,
     ) -> None:
-        """Create a cluster; nothing runs yet.
+        """Create a cluster without starting a process.
 
         Args:
-            folder: Where the folders of the members are created.
-            size: The number of members, whose names are n0, n1, ...
-            seed: The seed of power losses, relay faults and the key of the link.
+            folder: The parent of the members' folders.
+            size: The number of members. They are named n0, n1, and so on.
+            seed: The seed of the power losses, the relay faults and the key of the gossip link.
             sync: The durability of each journal: "none", "group" or "each".
-            has_link: Whether the members talk to one another.
-            extra_config: What else each configuration holds, such as classes and endpoints. It can be set
-                until the cluster is entered.
-            member_factory: A factory that is shared and already runs; by default the cluster runs its own.
+            has_link: Whether the members exchange gossip.
+            extra_config: Further TOML for every configuration, such as classes and endpoints. The attribute
+                can be changed until the cluster is entered.
+            member_factory: A running factory that clusters share. By default the cluster runs its own.
         """
         self.sync = sync
         self.has_link = has_link
@@ -79,13 +91,13 @@
         self.history = History()
         self.members = {f"n{number}": Member(f"n{number}", folder / f"n{number}") for number in range(size)}
         self.key = base64.b64encode(random.Random(f"key {seed}").randbytes(32)).decode()
-        self.accepted_by: dict[str, str] = {}  # who answered 202, by message
+        self.accepted_by: dict[str, str] = {}  # by message: the member that answered 202
         self.clients: dict[str, HttpClient] = {}
         self.owns_factory = member_factory is None
         self.member_factory = member_factory or MemberFactory()
 
     async def __aenter__(self) -> Self:
-        """Write the configurations; no member is started."""
+        """Write the configurations without starting a member."""
         if self.owns_factory:
             await self.member_factory.__aenter__()
         for member in self.members.values():
@@ -122,8 +134,8 @@
         member.config.write_text("\n".join([*lines, self.extra_config]) + "\n")
 
     def link_config(self, member: Member) -> list[str]:
-        """Return the lines of a configuration that concern the link."""
-        seeds = [f"{HOST}:{each.relay_port}" for each in self.members.values()][:SEED_MEMBERS]
+        """Return the lines of a member's configuration that set up the gossip link."""
+        seeds = [f"{HOST}:{seed.relay_port}" for seed in self.members.values()][:SEED_MEMBERS]
         return [
             "",
             "[fleet]",
@@ -135,13 +147,13 @@
         ]
 
     def select_members(self, names: Iterable[str] = ()) -> list[Member]:
-        """Return the members of these names, or all if there are none."""
+        """Return the members with these names, or all members if no name is given."""
         return [self.members[name] for name in names] or list(self.members.values())
 
     # Processes.
 
     async def start(self, *names: str) -> None:
-        """Start those of these members (default: all) whose processes do not run."""
+        """Start the processes of these members (default: all) that are not running."""
         stopped = [member for member in self.select_members(names) if not member.is_alive]
         await asyncio.gather(*(self.start_member(member) for member in stopped))
 
@@ -149,13 +161,13 @@
         """Start a process and wait until it serves clients and operators.
 
         Raises:
-            MemberStartError: If the process ends before.
+            MemberStartError: If the process ends before it is ready.
         """
         member.starts += 1
-        # A FIFO for each start: a late reader of the last one would take its lines.
+        # Each start has its own FIFO: a late reader of the previous FIFO would consume lines of this start.
         log_file = member.folder / f"log {member.starts}"
         request = member.start_request(log_file)
-        if member.pid is not None:  # the process ended by itself
+        if member.pid is not None:  # the process exited without being killed by the cluster
             await self.end_process(member)
         os.mkfifo(log_file)
         loop = asyncio.get_running_loop()
@@ -176,7 +188,10 @@
     async def read_log(
         self, member: Member, lines: asyncio.StreamReader, started: asyncio.Future[int]
     ) -> None:
-        """Collect the log of a process until it ends; `started` receives the port on which it listens."""
+        """Collect the log of a process until it ends.
+
+        `started` is resolved with the port on which the process listens, or fails with a MemberStartError.
+        """
         while line := (await lines.readline()).decode(errors="replace"):
             member.log.append(line.rstrip())
             if (match := STARTED.search(line)) and not started.done():
@@ -185,12 +200,12 @@
             started.set_exception(MemberStartError(member.name, member.log[-5:]))
 
     def signal(self, member: Member, number: int) -> None:
-        """Send a signal to the process of a member, if it has one."""
-        if member.pid is not None:  # the id remains valid until the process is waited for
+        """Send a signal to the process of a member, if the member has a process."""
+        if member.pid is not None:  # the process id remains valid until the process has been waited for
             os.kill(member.pid, number)
 
     async def end_process(self, member: Member) -> None:
-        """Kill the process of a member, if it has one, and wait for its end."""
+        """Kill the process of a member, if the member has one, and wait until the process has ended."""
         if member.pid is None:
             return
         self.signal(member, signal.SIGCONT)
@@ -201,14 +216,17 @@
         member.pid = None
         member.port = 0
 
-    # Faults, by the names that scenario files use.
+    # Faults. Scenario files refer to them by method name.
 
     async def kill(self, *names: str) -> None:
-        """Kill the processes of these members (default: all); their machines and disks keep running."""
+        """Kill the processes of these members (default: all).
+
+        Their machines and disks keep running, so no write is lost.
+        """
         members = [member for member in self.select_members(names) if member.pid is not None]
         for member in members:
             self.signal(member, signal.SIGKILL)
-            member.port = 0  # from now on another process may listen there
+            member.port = 0  # another process may listen on this port from now on
         for member in members:
             await self.end_process(member)
             member.killed_at = self.history.clock()
@@ -218,7 +236,7 @@
 
         Args:
             names: The members.
-            keeps: The share of unsynced writes that survives; by default the seed decides.
+            keeps: The probability with which an unsynced write survives; by default drawn from the seed.
         """
         await self.kill(*names)
         for member in self.select_members(names):
@@ -248,7 +266,7 @@
             member.durable = {}
 
     async def run(self, faults: Iterable[Fault]) -> None:
-        """Apply faults at their times, counted from now."""
+        """Apply faults at their times, in seconds after the call of this method."""
         started_at = time.monotonic()
         for fault in sorted(faults, key=lambda fault: fault.at):
             await asyncio.sleep(max(started_at + fault.at - time.monotonic(), 0.0))
@@ -269,9 +287,9 @@
         to: Iterable[str] = (),
         tenant: str = "",
     ) -> str | None:
-        """Submit a message to the members `to` (default: all) in turn until one accepts it.
+        """Submit a message to the members `to` (default: all) in turn until one of them accepts it.
 
-        Its deadline is `time_left` seconds from each try.
+        The deadline is `time_left` seconds after each attempt to submit the message.
 
         Returns:
             The name of the member that accepted it, or None.
@@ -285,7 +303,7 @@
             try:
                 async with asyncio.timeout(STEP_TIMEOUT_S):
                     status, _ = await client.post(f"/{message_class}", fields, b"x")
-            except OSError:  # no response: the member may have accepted it all the same
+            except OSError:  # no response: the member may still have accepted the message
                 client.close()
                 continue
             if status == 202:
@@ -298,7 +316,10 @@
         return None
 
     def completions(self) -> list[dict[str, Any]]:
-        """Return every completion that a member wrote, without exact repetitions; `by` is the member."""
+        """Return the completions that the members wrote, without duplicates.
+
+        Each has the name of its member under `by`.
+        """
         completions: dict[tuple[str, str, str], dict[str, Any]] = {}
         for member in self.members.values():
             lines = member.answers.read_text().splitlines() if member.answers.exists() else []
@@ -309,10 +330,11 @@
         return list(completions.values())
 
     def check_history(self, rules: Rules) -> list[Violation]:
-        """Check every rule over the cluster as one.
+        """Check all rules for the cluster as a whole.
 
-        The completion of a message is that of the member that answered 202. Another member that had stored
-        the message without an answer completes it too, and no client waits for that.
+        The completion of a message is the one written by the member that answered 202. Another member that
+        stored the message without answering the client also completes it, but no client waits for that
+        completion.
         """
         offset = self.history.clock() - time.time()
         for completion in self.completions():
@@ -322,7 +344,10 @@
         return HistoryChecker(rules).check(self.history.events)
 
     async def request(self, name: str, request: dict[str, Any]) -> Any:  # noqa: ANN401
-        """Return a member's answer over its control socket, which opens shortly after the HTTP port."""
+        """Return a member's answer over its control socket.
+
+        Retries while the socket is closed, since it opens shortly after the HTTP port.
+        """
         async with asyncio.timeout(STEP_TIMEOUT_S):
             while True:
                 try:
@@ -334,7 +359,7 @@
         """Wait until a condition holds.
 
         Raises:
-            TimeoutError: If it does not within `timeout` seconds.
+            TimeoutError: If the condition does not hold within `timeout` seconds.
         """
         async with asyncio.timeout(timeout):
             while not condition():
--- a/message_sender/testbed/control_cluster.py
+++ b/message_sender/testbed/control_cluster.py
@@ -1,7 +1,7 @@
-"""Control nodes and senders as processes on loopback, watchers in this process, and a relay between them.
+"""A cluster of control nodes and senders on loopback, with watchers in this process and a relay.
 
-A node's process is `python -m message_sender.control.process`, a sender's is `message-sender serve` with
-`[control]`. A kill only ends the process: its disk keeps what was written.
+A control node runs as `python -m message_sender.control.process`, a sender as `message-sender serve` with a
+`[control]` section. A kill ends only the process: the disk keeps everything that was written.
 """
 
 import asyncio
@@ -25,7 +25,7 @@
 from message_sender.testbed.relay import HOST, Relay
 
 POLL_INTERVAL_S = 0.02  # between two requests over a control socket
-LEADER_AGE_LIMIT_MS = 1_000  # of the status of a leader that is confirmed
+LEADER_AGE_LIMIT_MS = 1_000  # a leader with an older majority contact does not count as confirmed
 READY = re.compile(r"ready on \S+:\d+")
 SENDER_CLASS_AND_ENDPOINT = f"""
 [classes.c]
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodePlan:
-    """A control node as it is listed."""
+    """The configuration entry of a control node: its name, its region and its number of votes."""
 
     name: str
     region: str
@@ -58,16 +58,16 @@
 
 @dataclass
 class LabProcess:
-    """A process with a folder of its own, whether or not it runs.
+    """A process of the cluster with its own folder, running or stopped.
 
     Attributes:
-        name: Its name in the cluster.
-        folder: Its configuration, key and state.
-        listen_port: The port that it binds.
-        relay_port: The port of the relay at which others reach it.
-        process: The process, while it runs.
-        reader: The task that reads its log.
-        log: The lines that it logged.
+        name: The name in the cluster.
+        folder: The folder with the configuration, the key and the state.
+        listen_port: The UDP port that the process binds.
+        relay_port: The port of the relay through which other processes reach this one.
+        process: The operating system process; None while it is stopped.
+        reader: The task that reads the log of the process.
+        log: The lines that the process has logged.
     """
 
     name: str
@@ -89,7 +89,7 @@
         return self.folder / "state"
 
     def command(self) -> tuple[str, ...]:
-        """Return the arguments with which Python is started."""
+        """Return the arguments of the Python interpreter for this process."""
         raise NotImplementedError
 
 
@@ -100,7 +100,7 @@
     plan: NodePlan = field(kw_only=True)
 
     def command(self) -> tuple[str, ...]:
-        """Return the arguments with which Python is started."""
+        """Return the arguments of the Python interpreter for this process."""
         return "-m", "message_sender.control.process", str(self.config)
 
 
@@ -111,15 +111,24 @@
     region: str = field(kw_only=True)
 
     def command(self) -> tuple[str, ...]:
-        """Return the arguments with which Python is started."""
+        """Return the arguments of the Python interpreter for this process."""
         return "-m", "message_sender", "serve", "--config", str(self.config), "--state", str(self.state)
 
 
 class ControlCluster:
-    """Control nodes, senders and watchers; an async context manager that ends them all."""
+    """Control nodes, senders and watchers.
+
+    The cluster is an async context manager, which ends all of them when its block ends.
+    """
 
     def __init__(self, folder: Path, plans: Sequence[NodePlan] = FOUR_NODES, seed: int = 0) -> None:
-        """Create a cluster of these nodes in `folder`; the seed decides its key and relay faults."""
+        """Create a cluster of these control nodes without starting a process.
+
+        Args:
+            folder: The parent of the processes' folders.
+            plans: The control nodes.
+            seed: The seed of the key and of the relay faults.
+        """
         self.relay = Relay(seed)
         self.key = random.Random(f"control key {seed}").randbytes(32)
         self.folder = folder
@@ -130,7 +139,7 @@
         self.watchers: list[LabWatcher] = []
 
     async def __aenter__(self) -> Self:
-        """Initialise the control nodes; nothing is started."""
+        """Initialise the state of the control nodes without starting a process."""
         for name, member in self.members.items():
             member.folder.mkdir()
             member.listen_port, member.relay_port = await self.relay.add(name)
@@ -156,24 +165,24 @@
             'state = "state"',
             'key_file = "control.key"',
         ]
-        for each in self.members.values():
+        for node in self.members.values():
             lines += [
                 "[[nodes]]",
-                f'name = "{each.plan.name}"',
-                f'address = "{HOST}:{each.relay_port}"',
-                f'region = "{each.plan.region}"',
-                f"votes = {each.plan.votes}",
+                f'name = "{node.plan.name}"',
+                f'address = "{HOST}:{node.relay_port}"',
+                f'region = "{node.plan.region}"',
+                f"votes = {node.plan.votes}",
             ]
         member.config.write_text("\n".join(lines) + "\n")
 
     def write_key(self, member: LabProcess) -> None:
-        """Write the key of the cluster to a folder."""
+        """Write the key of the cluster to the folder of a process."""
         key = member.folder / "control.key"
         key.write_text(base64.b64encode(self.key).decode() + "\n")
         key.chmod(0o600)
 
     async def add_sender(self, name: str, region: str) -> None:
-        """Create a sender, which `start` starts."""
+        """Create the folder and the configuration of a sender, without starting it."""
         member = self.senders[name] = SenderMember(name, self.folder / name, region=region)
         member.folder.mkdir()
         member.listen_port, member.relay_port = await self.relay.add(name)
@@ -195,37 +204,37 @@
         member.config.write_text("\n".join(lines) + "\n")
 
     def addresses(self) -> tuple[ControlNodeAddress, ...]:
-        """Return the control nodes as senders are configured with them."""
+        """Return the addresses of the control nodes for the configuration of a sender or a watcher."""
         return tuple(
             ControlNodeAddress(name, (HOST, each.relay_port), each.plan.region)
             for name, each in self.members.items()
         )
 
     async def watch(self, name: str, region: str) -> LabWatcher:
-        """Start a watcher."""
-        own, _ = await self.relay.add(name)
+        """Start a watcher in this process."""
+        port, _ = await self.relay.add(name)
         config = next(iter(self.members.values())).config
         watcher = LabWatcher(name, region, self.addresses(), config)
         self.watchers.append(watcher)
-        await watcher.start(own)
+        await watcher.start(port)
         return watcher
 
     # Processes.
 
     def process_of(self, name: str) -> LabProcess:
-        """Return the node or sender of this name."""
+        """Return the control node or sender with this name."""
         return self.members.get(name) or self.senders[name]
 
     async def start(self, *names: str) -> None:
-        """Start these nodes and senders (default: all nodes), and wait until they serve."""
+        """Start these control nodes and senders (default: all control nodes), and wait until they serve."""
         await asyncio.gather(*(self.start_process(self.process_of(name)) for name in names or self.members))
 
     async def start_process(self, member: LabProcess) -> None:
         """Start a process and wait until it serves."""
         command = [sys.executable, *member.command()]
-        pipe, nothing = asyncio.subprocess.PIPE, asyncio.subprocess.DEVNULL
+        pipe, devnull = asyncio.subprocess.PIPE, asyncio.subprocess.DEVNULL
         member.process = await asyncio.create_subprocess_exec(
-            *command, stdin=nothing, stdout=nothing, stderr=pipe
+            *command, stdin=devnull, stdout=devnull, stderr=pipe
         )
         ready: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         member.reader = asyncio.create_task(self.read_log(member, member.process, ready))
@@ -235,7 +244,7 @@
                 await self.wait_until_responsive(member)
 
     async def wait_until_responsive(self, sender: SenderMember) -> None:
-        """Wait until a sender answers on its control socket, which opens shortly after its HTTP port."""
+        """Wait until a sender answers on its control socket, which opens shortly after the HTTP port."""
         while True:
             try:
                 await self.request(sender.name, {"do": "control"})
@@ -247,7 +256,7 @@
     async def read_log(
         self, member: LabProcess, process: asyncio.subprocess.Process, ready: asyncio.Future[None]
     ) -> None:
-        """Collect the log of a process until it ends; `ready` is resolved when it serves."""
+        """Collect the log of a process until it ends; `ready` is resolved when the process serves."""
         assert process.stderr
         while line := (await process.stderr.readline()).decode(errors="replace"):
             member.log.append(line.rstrip())
@@ -257,23 +266,23 @@
             ready.set_exception(MemberStartError(member.name, member.log[-5:]))
 
     def signal(self, name: str, number: int) -> None:
-        """Send a signal to a process, if it runs."""
+        """Send a signal to a process, if the process is running."""
         process = self.process_of(name).process
         if process is not None and process.returncode is None:
             process.send_signal(number)
 
     async def kill(self, *names: str) -> None:
-        """Kill these processes and wait for their ends."""
+        """Kill these processes and wait until they have ended."""
         for name in names:
             self.signal(name, signal.SIGKILL)
         for name in names:
             await self.wait_for_exit(name)
 
     async def wait_for_exit(self, name: str) -> int | None:
-        """Wait for the end of a process.
+        """Wait until a process has ended.
 
         Returns:
-            Its exit code, or None if it does not run.
+            The exit code, or None if the process was not running.
         """
         member = self.process_of(name)
         process, member.process = member.process, None
@@ -285,17 +294,17 @@
         return code
 
     def running_nodes(self) -> list[str]:
-        """Return the names of the control nodes whose processes run."""
+        """Return the names of the control nodes whose processes are running."""
         return [name for name, each in self.members.items() if each.process is not None]
 
     # Operators.
 
     async def request(self, name: str, request: Mapping[str, Any]) -> Any:  # noqa: ANN401
-        """Return the value of a node's or sender's answer.
+        """Return the value of the answer of a control node or sender to a request.
 
         Raises:
-            OSError: If it does not answer.
-            ValueError: If it rejects the request, or ends before it has answered.
+            OSError: If the process does not answer.
+            ValueError: If the process rejects the request, or ends before it has answered.
         """
         answer = await asyncio.to_thread(send_request, self.process_of(name).state, request)
         if not answer["ok"]:
@@ -305,7 +314,11 @@
     async def submit_change(
         self, name: str, request_id: str, base: int, put: Mapping[str, Any], within: float = STEP_TIMEOUT_S
     ) -> dict[str, Any]:
-        """Submit a change until its outcome is known, and return the outcome."""
+        """Submit a change repeatedly until its outcome is known, and return the outcome.
+
+        Raises:
+            TimeoutError: If the outcome is not known after `within` seconds.
+        """
         request = {"do": "set", "request_id": request_id, "base_version": base, "put": put, "delete": []}
         async with asyncio.timeout(within):
             while True:
@@ -320,7 +333,7 @@
         watchers: Sequence[LabWatcher],
         within: float = STEP_TIMEOUT_S,
     ) -> float:
-        """Wait until all of these have `version` in force, and return the seconds that it took."""
+        """Wait until all these nodes and watchers have `version` in force; return the duration in seconds."""
         return max((await self.measure_version_times(version, names, watchers, within)).values())
 
     async def measure_version_times(
@@ -330,7 +343,7 @@
         watchers: Sequence[LabWatcher],
         within: float = STEP_TIMEOUT_S,
     ) -> dict[str, float]:
-        """Wait until all of these have `version` in force, and return the seconds of each by name."""
+        """Wait until all these nodes and watchers have `version` in force; return the seconds by name."""
         started_at = time.monotonic()
 
         async def timed(work: Awaitable[None]) -> float:
@@ -348,7 +361,7 @@
             pass
 
     async def wait_for_leader(self) -> str:
-        """Wait until a node that runs leads, and return its name."""
+        """Wait until a running control node is a confirmed leader, and return its name."""
         async with asyncio.timeout(STEP_TIMEOUT_S):
             while True:
                 for name in self.running_nodes():
@@ -358,5 +371,5 @@
 
 
 def address_of(member: ControlMember) -> Address:
-    """Return where the process itself listens, which bypasses the relay."""
+    """Return the address that the process itself binds, which bypasses the relay."""
     return HOST, member.listen_port
--- a/message_sender/testbed/control_watcher.py
+++ b/message_sender/testbed/control_watcher.py
@@ -1,4 +1,4 @@
-"""A watcher for control clusters: the part of a sender that follows the control nodes, in this process."""
+"""A watcher for control clusters: runs a sender's watch of the control nodes in this process."""
 
 import asyncio
 import random
@@ -20,10 +20,10 @@
 
 
 class RecordingApplier:
-    """Accepts and records every version, and calls `on_version` right before it is in force."""
+    """Accepts and records every version, and calls `on_version` right before the version is in force."""
 
     def __init__(self, on_version: Callable[[], None]) -> None:
-        """Create an applier without versions."""
+        """Create an applier that has recorded no version."""
         self.versions: list[int] = []
         self.on_version = on_version
 
@@ -34,10 +34,10 @@
 
 
 class LabWatcher:
-    """A sender's watch on a socket of its own."""
+    """A sender's watch with its own socket."""
 
     def __init__(self, name: str, region: str, nodes: Sequence[ControlNodeAddress], config: Path) -> None:
-        """Create a watcher; `config` is that of any control node, whose key is used."""
+        """Create a watcher, which reads the key from `config`, the configuration file of any control node."""
         rng = random.Random(name)
         self.loop = asyncio.get_running_loop()
         self.name, self.region = name, region
@@ -62,21 +62,21 @@
         task.add_done_callback(self.tasks.discard)
 
     def version_changed(self) -> None:
-        """Schedule the notification of those that wait, for when the version is in force."""
+        """Schedule the wake-up of waiting tasks, which runs once the version is in force."""
         self.spawn(self.notify_changed())
 
     async def notify_changed(self) -> None:
-        """Wake those that wait for a version."""
+        """Wake the tasks that wait for a version."""
         async with self.changed:
             self.changed.notify_all()
 
     async def wait_for_version(self, version: int) -> None:
-        """Wait until `version` or a later one is in force here."""
+        """Wait until `version` or a later version is in force at this watcher."""
         async with self.changed:
             await self.changed.wait_for(lambda: self.watch.document.version >= version)
 
     async def run(self) -> None:
-        """Send what is due, until cancelled."""
+        """Drive the periodic work of the watch until cancelled."""
         while True:
             self.link.tick(self.loop.time())
             await asyncio.sleep(WATCH_TICK_S)
--- a/message_sender/testbed/demo.py
+++ b/message_sender/testbed/demo.py
@@ -1,4 +1,4 @@
-"""`message-sender demo`: one sender between stand-ins, through a calm phase, an outage and a cold return."""
+"""`message-sender demo`: a sender with stand-in clients and endpoints, through an outage and a slow start."""
 
 import asyncio
 import contextlib
@@ -37,7 +37,7 @@
 DESTINATIONS = 3
 ENDPOINTS_PER_DESTINATION = 2
 OUTAGE_DESTINATION = 1
-CAPACITY = 60.0  # calls a second that the checker assumes a destination can take
+CAPACITY = 60.0  # calls per second that the checker assumes a destination can take
 CALL_DURATION_S = 0.01
 ERROR_SHARE = 0.02
 REFRESH_INTERVAL_S = 0.5
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordedCommand:
-    """A command from a recording; `due` is in seconds since the first one."""
+    """A command from a recording; `due` is in seconds after the first command."""
 
     due: float
     destination: int
@@ -58,25 +58,25 @@
 
 @dataclass(slots=True)
 class DemoCounters:
-    """What the demo displays; latencies are those of delivered messages in seconds."""
+    """The counters that the demo displays; `latencies` are those of delivered messages, in seconds."""
 
     phase: str = "calm"
     sent: int = 0
-    turned_away: int = 0
+    rejected: int = 0
     attempts: int = 0
     held: int = 0
     ends: Counter[str] = field(default_factory=Counter)
     latencies: list[float] = field(default_factory=list)
 
     def row(self) -> list[tuple[str, str]]:
-        """Return the columns of the display with their values."""
+        """Return the titles of the display's columns with their values."""
         return [
             ("phase", self.phase),
             ("sent", str(self.sent)),
             ("held", str(self.held)),
             ("calls", str(self.attempts)),
             ("delivered", str(self.ends["delivered"])),
-            ("refused", str(self.ends["refused"] + self.turned_away)),
+            ("refused", str(self.ends["refused"] + self.rejected)),
             ("failed", str(self.ends["failed"])),
         ]
 
@@ -88,16 +88,16 @@
 
 
 class Demo:
-    """One run: a sender, its clients and the stand-ins of three destinations."""
+    """One run of the demo: a sender, its clients and stand-in endpoints of three destinations."""
 
     def __init__(self, pace: float, rate: float, seed: int, commands: Sequence[RecordedCommand] = ()) -> None:
         """Create a run.
 
         Args:
-            pace: The factor by which phases are longer than usual.
-            rate: The messages a second that the clients of the demo submit.
-            seed: The seed of all draws.
-            commands: Recorded commands to submit instead.
+            pace: The factor by which the duration of each phase is multiplied.
+            rate: The messages per second that the clients of the demo submit.
+            seed: The seed of all random choices.
+            commands: Recorded commands to submit in place of generated messages.
         """
         self.pace = pace
         self.rate = rate
@@ -108,13 +108,13 @@
         self.submitted_at: dict[str, float] = {}
 
     def choose_answer(self, message: str) -> ScriptedAnswer | None:
-        """Let a small share of the calls fail."""
+        """Return an error for a small share of the calls, and None for all others."""
         if self.rng.random() < ERROR_SHARE:
             return ScriptedAnswer(EndpointBehavior.ERROR)
         return None
 
     def sender_config(self, endpoints: list[HttpEndpoint]) -> general.SenderConfig:
-        """Return the configuration of a sender with these endpoints."""
+        """Return the configuration of a sender that lists these endpoints."""
         listed = [
             {
                 "id": endpoint.name,
@@ -150,7 +150,7 @@
             self.counters.latencies.append(now - self.submitted_at[name])
 
     async def run_client(self, number: int, address: Address, until: float) -> None:
-        """Submit messages one after another; each client has ordering keys of its own."""
+        """Submit messages one after another until `until`; each client has its own ordering keys."""
         client = HttpClient(address)
         interval = CLIENTS / self.rate
         due = time.monotonic() + interval * number / CLIENTS
@@ -163,7 +163,7 @@
         client.close()
 
     async def submit_commands(self, address: Address, until: float) -> None:
-        """Submit the recorded commands at their times, those of one key one after another."""
+        """Submit the recorded commands at their times, but commands of one key only one after another."""
         started_at = time.monotonic()
         last_of_key: dict[str, asyncio.Task[None]] = {}
         for number, command in enumerate(self.commands):
@@ -185,7 +185,7 @@
         key: str,
         before: asyncio.Task[None] | None,
     ) -> None:
-        """Submit a recorded command once the one before it has its response."""
+        """Submit a recorded command once the task `before`, the previous command of its key, has ended."""
         if before:
             await before
         client = HttpClient(address)
@@ -213,11 +213,11 @@
             deadline = now + DEADLINE_S
             self.history.record(MessageAdmitted(now, name, "command", destination, deadline, ordering_key))
         else:
-            self.counters.turned_away += 1
+            self.counters.rejected += 1
             self.history.record(MessageRejected(time.monotonic(), name))
 
     async def run_phases(self, endpoints: list[HttpEndpoint]) -> None:
-        """Let one destination go down and return."""
+        """Take one destination down and let it return."""
         first = ENDPOINTS_PER_DESTINATION * OUTAGE_DESTINATION
         affected = endpoints[first : first + ENDPOINTS_PER_DESTINATION]
         await asyncio.sleep(CALM_S * self.pace)
@@ -235,7 +235,7 @@
         self.counters.phase = "settling"
 
     async def run(self, show: ShowCounters) -> list[Violation]:
-        """Run all phases, and return the violations of the rules."""
+        """Run all phases, and return the violations of the delivery rules."""
         async with contextlib.AsyncExitStack() as stack:
             answer = ScriptedAnswer(EndpointBehavior.SERVE, CALL_DURATION_S)
             scripts = [
@@ -260,7 +260,7 @@
         scripts: list[Script],
         show: ShowCounters,
     ) -> None:
-        """Run clients and phases, and show the counters until every message is completed."""
+        """Run the clients and the phases, and show the counters until every message is completed."""
         until = time.monotonic() + (CALM_S + OUTAGE_S + RETURN_S) * self.pace
         address = sender.server.address()[:2]
         if self.commands:
@@ -281,7 +281,7 @@
         await asyncio.gather(*tasks)
 
     def rules(self) -> Rules:
-        """Return the rules by which the history is checked."""
+        """Return the rules against which the history is checked."""
         endpoints = range(ENDPOINTS_PER_DESTINATION * DESTINATIONS)
         return Rules(
             classes={"command": ClassRule(Effect.KEYED, IDEMPOTENCY_WINDOW_S, is_ordered=True)},
@@ -293,14 +293,14 @@
 
 
 class PlainDisplay:
-    """Prints the counters as lines."""
+    """Prints the counters as lines of text."""
 
     def __init__(self) -> None:
-        """Create a display that has printed nothing."""
+        """Create a display that has not printed a line."""
         self.printed_at = 0.0
 
     def show(self, counters: DemoCounters) -> None:
-        """Print the counters, unless the last line is recent."""
+        """Print the counters, unless a line was printed less than PLAIN_INTERVAL_S ago."""
         now = time.monotonic()
         if now - self.printed_at >= PLAIN_INTERVAL_S:
             self.printed_at = now
@@ -312,7 +312,7 @@
     """Show the counters as a table on a terminal.
 
     Raises:
-        ImportError: If the library for it is not installed.
+        ImportError: If rich is not installed.
     """
     from rich.live import Live
     from rich.table import Table
@@ -334,7 +334,10 @@
 
 @contextlib.contextmanager
 def display(plain: bool) -> Iterator[ShowCounters]:
-    """Show the counters in a live table, or as lines if `plain` is set or no table can be shown."""
+    """Show the counters in a live table.
+
+    Lines are printed instead if `plain` is set, if standard output is not a terminal or if rich is missing.
+    """
     with contextlib.ExitStack() as stack:
         show: ShowCounters = PlainDisplay().show
         if not plain and sys.stdout.isatty():
@@ -344,17 +347,17 @@
 
 
 def print_report(counters: DemoCounters, violations: list[Violation]) -> None:
-    """Print the totals and the verdict of a run."""
+    """Print the totals of a run and the violations of the delivery rules."""
     print(f"\n{'sent':12}{counters.sent:>8}")
     for name in ("delivered", "refused", "failed"):
         print(f"{name:12}{counters.ends[name]:>8}")
-    print(f"{'turned away':12}{counters.turned_away:>8}")
+    print(f"{'rejected':12}{counters.rejected:>8}")
     print(f"{'calls':12}{counters.attempts:>8}")
     for share, name in ((0.5, "p50"), (0.99, "p99")):
         print(f"{'latency ' + name:12}{percentile(counters.latencies, share) * 1e3:>8.0f} ms")
     for violation in violations:
-        print(f"broken: {violation.rule}: {violation.text}")
-    print("the referee: " + (f"{len(violations)} rules broken" if violations else "no rule broken"))
+        print(f"violation: {violation.rule}: {violation.text}")
+    print("history check: " + (f"{len(violations)} violations" if violations else "no violations"))
 
 
 def demo(
@@ -368,18 +371,18 @@
     """Run the demo.
 
     Args:
-        pace: The factor by which phases are longer than usual.
-        rate: The messages a second.
-        seed: The seed of all draws.
-        plain: Whether the counters are printed as lines even on a terminal.
+        pace: The factor by which the duration of each phase is multiplied.
+        rate: The messages per second that the clients submit.
+        seed: The seed of all random choices.
+        plain: Prints the counters as lines even on a terminal.
         commands: Recorded commands to submit in place of the demo's own messages.
 
     Returns:
-        The exit code: 0 if no rule was broken and something was delivered, else 1.
+        The exit code: 0 if there was no violation and at least one message was delivered, else 1.
     """
     logger = logging.getLogger("message_sender")
     level = logger.level
-    logger.setLevel(logging.ERROR)  # warnings on the outage would break the display
+    logger.setLevel(logging.ERROR)  # warnings about the outage would garble the display
     try:
         return run_and_report(Demo(pace, rate, seed, commands), plain)
     finally:
@@ -387,8 +390,8 @@
 
 
 def run_and_report(run: Demo, plain: bool) -> int:
-    """Run a demo with its display and report; return the exit code."""
-    print("one sender, three destinations of two endpoints each; destination 1 goes down and comes back cold")
+    """Run a demo with its display, print the report and return the exit code."""
+    print("one sender, three destinations of two endpoints each; destination 1 goes down and returns")
     with display(plain) as show:
         violations = asyncio.run(run.run(show))
     print_report(run.counters, violations)
--- a/message_sender/testbed/event_stream.py
+++ b/message_sender/testbed/event_stream.py
@@ -1,7 +1,8 @@
-"""Event streams for the decision module: a simulated world that generates them, and their record.
+"""Event streams for the decision module: a simulated world that generates them, and a format to record them.
 
-The world is closed: the actions of the module decide its next events. Everything is drawn from one seed
-without a clock, so that a stream can be generated again, recorded, and replayed with another version.
+The world is a closed loop: the actions of the module decide the next events. All random choices come from one
+seed and no clock is read, so that a stream can be generated again, recorded, and replayed with another
+version of the module.
 """
 
 import dataclasses
@@ -43,7 +44,8 @@
 Handle = Callable[[int, list[PolicyEvent]], list[PolicyAction]]
 Observer = Callable[[int, list[PolicyEvent], list[PolicyAction]], None]
 Scheduled = PolicyEvent | Callable[[], list[PolicyEvent]]
-#: Types whose name in recorded streams differs from their own: streams of every version are read.
+#: Types whose name in recorded streams differs from their own. The recorded names never change, so that
+#: streams of every version can be read.
 RECORDED_NAMES: dict[type, str] = {
     CallInFlight: "CallOut",
     DestinationKind: "Kind",
@@ -57,9 +59,9 @@
 }
 
 
-def recorded_name(of: Any) -> str:  # noqa: ANN401
+def recorded_name(recorded_type: Any) -> str:  # noqa: ANN401
     """Return the name of a type in a recorded stream."""
-    return RECORDED_NAMES.get(of) or str(of.__name__)
+    return RECORDED_NAMES.get(recorded_type) or str(recorded_type.__name__)
 
 
 #: Fields whose name in recorded streams differs from their own.
@@ -112,37 +114,37 @@
 
 
 class DestinationBehavior(Enum):
-    """What a destination does with calls."""
+    """The behavior of a destination towards calls."""
 
     SERVES = "serves"
-    REFUSES = "refuses"  # as full, often with a wait
+    REFUSES = "refuses"  # rejects most calls as full, often with a Retry-After
     SHUT = "shut"  # connections fail at once
     SILENT = "silent"  # calls time out
     ERRS = "errs"  # most calls end in an error, some in a reset
-    SLOW = "slow"  # serves, thirty times as slowly
+    SLOW = "slow"  # serves, but takes thirty times as long
 
 
 @dataclass(frozen=True)
 class StreamShape:
-    """The size and the faults of a world; rates are per second of module time."""
+    """The size and the faults of a simulated world; rates are per second of simulated time."""
 
     destinations: int = 6
     rate: float = 60.0
     seconds: float = 20.0
-    keys: int = 12  # 0: none
-    fault_share: float = 0.3  # probability that a behavior that changes becomes a faulty one
-    behavior_seconds: float = 3.0  # mean duration of a behavior, s
-    down: int = 0  # destinations that refuse connections all the time
+    keys: int = 12  # number of ordering keys; 0 for messages without a key
+    fault_share: float = 0.3  # probability that a changed behavior is drawn from all behaviors, else SERVES
+    behavior_seconds: float = 3.0  # mean duration of a behavior, in seconds
+    down: int = 0  # number of destinations that refuse all connections
     list_change_rate: float = 0.5
     withdrawn_share: float = 0.01  # share of the messages that are withdrawn
     settings: dict[str, Any] = field(default_factory=dict)
 
 
 class StreamWorld:
-    """A world of destinations and messages in module time, in microseconds."""
+    """A simulated world of destinations and messages; its time is in microseconds."""
 
     def __init__(self, shape: StreamShape, seed: int) -> None:
-        """Create a world whose every draw comes from `seed`."""
+        """Create a world; all its random choices come from `seed`."""
         self.shape = shape
         self.rng = random.Random(seed)
         settings: dict[str, Any] = {
@@ -171,22 +173,22 @@
             name = f"e{number}-{each}"
             yield Endpoint(name, number, EndpointState.READY, kind, f"z{each}", 5.0 + number % 7)
 
-    def schedule(self, delay: float, what: Scheduled) -> None:
-        """Schedule an event, or a function that returns events, after `delay` in us."""
-        heapq.heappush(self.queue, (self.now + max(int(delay), 0), next(self.count), what))
+    def schedule(self, delay: float, event: Scheduled) -> None:
+        """Schedule an event, or a function that returns events, after `delay` microseconds."""
+        heapq.heappush(self.queue, (self.now + max(int(delay), 0), next(self.count), event))
 
     def run(self, handle: Handle, observe: Observer) -> None:
-        """Run the world with the module's `handle`, and report each call to `observe`."""
+        """Run the world with the `handle` function of a module, and report each call to `observe`."""
         self.schedule(0, EndpointsUpdated(ListingKind.FULL, tuple(self.endpoints.values())))
         self.schedule(0, self.arrive)
-        for what, rate in (
+        for change, rate in (
             (self.change_list, self.shape.list_change_rate),
             (self.change_behaviors, self.shape.fault_share),
         ):
             if rate:
-                self.schedule(SECOND, what)
+                self.schedule(SECOND, change)
         while self.queue and self.queue[0][0] < self.shape.seconds * SECOND:
-            self.now = -(-self.queue[0][0] // MS) * MS  # events of one millisecond are delivered together
+            self.now = -(-self.queue[0][0] // MS) * MS  # deliver all events of one millisecond together
             events: list[PolicyEvent] = []
             while self.queue and self.queue[0][0] <= self.now:
                 event = heapq.heappop(self.queue)[2]
@@ -197,7 +199,7 @@
                 self.apply(action)
 
     def if_current(self, event: PolicyEvent) -> list[PolicyEvent]:
-        """Return the event, unless it ends an attempt that has already ended."""
+        """Return the event, or no event if it reports the end of an attempt that has already ended."""
         if isinstance(event, AttemptEnded):
             if (event.message, event.attempt) not in self.in_flight:
                 return []
@@ -205,7 +207,7 @@
         return [event]
 
     def arrive(self) -> list[PolicyEvent]:
-        """Return the acceptance of a new message, and schedule the next one."""
+        """Return the acceptance of a new message, and schedule the next arrival."""
         shape = self.shape
         rng = self.rng
         number = next(self.count)
@@ -226,7 +228,7 @@
         ]
 
     def change_behaviors(self) -> list[PolicyEvent]:
-        """Change the behavior of some destinations; no events follow at once."""
+        """Change the behavior of some destinations, which returns no event."""
         shape = self.shape
         rng = self.rng
         for destination in range(shape.down, shape.destinations):
@@ -240,7 +242,7 @@
         return []
 
     def change_list(self) -> list[PolicyEvent]:
-        """Return a change of the endpoint list, or the full list, and schedule the next one."""
+        """Return a change of the endpoint list or the full list, and schedule the next change."""
         rng = self.rng
         self.schedule(rng.expovariate(self.shape.list_change_rate) * SECOND, self.change_list)
         if rng.random() < 0.1:
@@ -252,7 +254,7 @@
         return [EndpointsUpdated(ListingKind.CHANGES, (changed,))]
 
     def apply(self, action: PolicyAction) -> None:
-        """Schedule the events that an action causes."""
+        """Schedule the events that follow from an action."""
         self.action_counts[type(action).__name__] += 1
         match action:
             case Send():
@@ -266,7 +268,7 @@
                 self.schedule(delay, WakeUp())
 
     def call(self, send: Send) -> None:
-        """Schedule the end of an attempt by the behavior of its destination."""
+        """Schedule the end of an attempt according to the behavior of its destination."""
         rng = self.rng
         destination = self.endpoints[send.endpoint].destination
         behavior = self.behaviors.get(destination, DestinationBehavior.SERVES)
@@ -287,11 +289,11 @@
         self.schedule(took, ended)
 
 
-# The record: JSON lines, the settings first, then one line for each call of the module.
+# The recording format: JSON lines. The first holds the settings, each further line one call of the module.
 
 
 def encode(value: Any) -> Any:  # noqa: ANN401
-    """Return a value of the module's interface as JSON values, under its recorded names."""
+    """Return a value of the module's interface as JSON values, with the recorded names."""
     if isinstance(value, Enum):
         return {"is": recorded_name(type(value)), "value": value.value}
     if dataclasses.is_dataclass(value) and not isinstance(value, type):
@@ -304,10 +306,10 @@
 
 
 def decode(recorded: Any) -> Any:  # noqa: ANN401
-    """Return the value that JSON values stand for.
+    """Return the value that `encode` turned into these JSON values.
 
     Raises:
-        KeyError: If the interface has no type of a recorded name.
+        KeyError: If the interface has no type with a recorded name.
     """
     if isinstance(recorded, list):
         return tuple(decode(each) for each in recorded)
@@ -318,7 +320,7 @@
 
 
 class Recorder:
-    """Records the calls of a module; it is called in place of the module's `handle`."""
+    """Records the calls of a module; an instance is called in place of the module's `handle` function."""
 
     def __init__(self, out: IO[str], settings: Settings, seed: int, handle: Handle) -> None:
         """Write the settings and the seed of the stream to `out`."""
@@ -335,7 +337,7 @@
 
 
 def read(source: Iterable[str]) -> Iterator[Any]:
-    """Yield the settings and the seed of a record, then the time, events and actions of each call."""
+    """Yield the settings and the seed of a recording, then the time, events and actions of each call."""
     lines = iter(source)
     head = json.loads(next(lines))
     yield decode(head["settings"]), head["seed"]
--- a/message_sender/testbed/grpc.py
+++ b/message_sender/testbed/grpc.py
@@ -1,7 +1,8 @@
-"""A stand-in endpoint that speaks gRPC and follows the same scripts as the HTTP one.
+"""A stand-in endpoint that speaks gRPC and follows the same scripts as the HTTP stand-in.
 
-Needs the extra `grpc`. It answers any unary method with the bytes of the request. RESET aborts the call at
-the server once the request has been received; STALL keeps it open until the sender gives it up.
+This module needs the extra `grpc`. The endpoint answers any unary method with the bytes of the request. RESET
+aborts the call at the server once the request has been received; STALL keeps the call open until the sender
+cancels it.
 """
 
 import asyncio
@@ -16,16 +17,16 @@
 
 
 class GrpcEndpoint(grpc.GenericRpcHandler):
-    """A stand-in endpoint; an async context manager that listens within its block."""
+    """A stand-in endpoint, which listens within its block as an async context manager."""
 
     def __init__(self, name: str, script: Script, history: History, port: int = 0) -> None:
-        """Create an endpoint; on port 0 the system chooses a free one."""
+        """Create an endpoint; port 0 lets the system choose a free port."""
         self.name = name
         self.script = script
         self.history = history
         self.port = port
-        self.metadata: dict[str, tuple[tuple[str, Any], ...]] = {}  # of the last call, by message
-        self.methods: dict[str, str] = {}  # of the last call, by message
+        self.metadata: dict[str, tuple[tuple[str, Any], ...]] = {}  # of the latest call, by message
+        self.methods: dict[str, str] = {}  # of the latest call, by message
 
     async def __aenter__(self) -> Self:
         """Start to listen."""
@@ -37,20 +38,20 @@
         await self.stop()
 
     async def start(self) -> None:
-        """Start to listen, on the same port as before if there was one."""
+        """Start to listen, on the same port as before after a stop."""
         self.server = grpc.aio.server(options=[("grpc.so_reuseport", 0)])
         self.server.add_generic_rpc_handlers((self,))
         self.port = self.server.add_insecure_port(f"127.0.0.1:{self.port}")
         await self.server.start()
 
     async def stop(self, grace: float | None = None) -> None:
-        """Stop as when the process ends; with a grace period (s) send a GOAWAY first."""
+        """Stop the server as if its process ended; with a grace period, in seconds, send a GOAWAY first."""
         await self.server.stop(grace)
-        # The library stops the server again when it is collected, which needs the running loop.
+        # The library stops the server again in its finalizer, which needs the running event loop.
         del self.server
 
     def service(self, handler_call_details: Any) -> grpc.RpcMethodHandler:  # noqa: ANN401
-        """Return the handler for any method."""
+        """Return a handler for the method of the call; every method is served."""
         method = handler_call_details.method
 
         async def answer(request: bytes, context: grpc.aio.ServicerContext) -> bytes:
@@ -59,7 +60,7 @@
         return grpc.unary_unary_rpc_method_handler(answer)
 
     async def handle_call(self, method: str, request: bytes, context: grpc.aio.ServicerContext) -> bytes:
-        """Answer one call by the script and record it."""
+        """Answer one call as scripted, and record the call."""
         metadata = tuple(context.invocation_metadata() or ())
         message = str(dict(metadata).get(PREFIX + "id", ""))
         self.metadata[message] = metadata
@@ -75,7 +76,7 @@
     async def answer_call(
         self, answer: ScriptedAnswer, call: int, request: bytes, context: grpc.aio.ServicerContext
     ) -> bytes:
-        """Record the end of a call and return or abort it as scripted."""
+        """Record the end of a call, and answer or abort the call as scripted."""
         match answer.behavior:
             case EndpointBehavior.SERVE:
                 if answer.seconds:
--- a/message_sender/testbed/history.py
+++ b/message_sender/testbed/history.py
@@ -1,6 +1,6 @@
-"""The history of a run as the stand-ins on the sockets observed it: the only input of the history checker.
+"""The history of a run, as the stand-in clients and endpoints observed it on their sockets.
 
-Times are in seconds of one monotonic clock.
+The history is the only input of the history checker. Times are in seconds of one monotonic clock.
 """
 
 import time
@@ -12,10 +12,10 @@
 
 
 class EffectApplied(Enum):
-    """Whether a call had its effect, as far as the endpoint knows."""
+    """Whether a call had its effect, as far as the endpoint can tell."""
 
     YES = "yes"
-    MAYBE = "maybe"  # the connection ended after the last byte, or the sender gave the call up
+    MAYBE = "maybe"  # the connection ended after the request's last byte, or the sender cancelled the call
     NEVER = "never"
 
 
@@ -27,14 +27,14 @@
     message: str
     kind: str
     destination: int
-    until: float  # its deadline
+    until: float  # the deadline
     key: str = ""
     sender: str = ""
 
 
 @dataclass(frozen=True, slots=True)
 class MessageRejected:
-    """The sender has rejected a message: no call for it may follow."""
+    """The sender has rejected a message, so that no call for the message may follow."""
 
     at: float
     message: str
@@ -42,13 +42,13 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptStarted:
-    """An endpoint has received the last byte of a call."""
+    """An endpoint has received the last byte of the request of a call."""
 
     at: float
     message: str
     endpoint: str
     call: int  # the number of the call
-    sender: str = ""  # the caller, where there are several
+    sender: str = ""  # the calling sender, if the run has several senders
 
 
 @dataclass(frozen=True, slots=True)
@@ -58,7 +58,7 @@
     at: float
     call: int
     ran: EffectApplied
-    wait: float = 0.0  # the Retry-After of the answer, s
+    wait: float = 0.0  # the Retry-After of the answer, in seconds
 
 
 @dataclass(frozen=True, slots=True)
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointDrained:
-    """The sender has been notified that an endpoint drains or is removed."""
+    """The sender has been notified that an endpoint is draining or has been removed."""
 
     at: float
     endpoint: str
@@ -92,7 +92,7 @@
 class Outage:
     """A destination was down, silent or failing from `at` to `until`.
 
-    `seen_by` holds the senders that saw a call fail meanwhile; empty means any of them.
+    `seen_by` names the senders for which a call failed during the outage; empty stands for all senders.
     """
 
     at: float
@@ -103,11 +103,11 @@
 
 @dataclass(frozen=True, slots=True)
 class SenderRestarted:
-    """A sender has restarted: the outcome of its calls in flight before is unknown."""
+    """A sender has restarted, so that the outcomes of its calls in flight are unknown."""
 
     at: float
     sender: str = ""
-    back: float = 0.0  # when it was up again, if it was down for some time
+    back: float = 0.0  # when the sender was running again, if the restart took time
 
 
 HistoryEvent = (
@@ -125,12 +125,12 @@
 
 @dataclass(slots=True)
 class ObservedCall:
-    """A call and its end, as far as they were observed.
+    """The start and the end of a call.
 
     Attributes:
-        start: Its start.
-        finish: Its end, if there was one.
-        restarted_at: When its sender restarted while it was in flight, if that happened.
+        start: The start of the call.
+        finish: The end of the call; None if no end was observed.
+        restarted_at: When the sender restarted while the call was in flight; None if it did not.
     """
 
     start: AttemptStarted
@@ -138,13 +138,13 @@
     restarted_at: float | None = None
 
     def end(self) -> float:
-        """Return when it was over for the sender; NEVER if that was not observed."""
+        """Return when the call ended for the sender; NEVER if no end was observed."""
         if self.finish:
             return self.finish.at
         return self.restarted_at if self.restarted_at is not None else NEVER
 
     def may_have_run(self) -> bool:
-        """Return whether it may have had its effect."""
+        """Return whether the call may have had its effect."""
         return self.finish is None or self.finish.ran is not EffectApplied.NEVER
 
 
@@ -161,18 +161,18 @@
         self.events.append(event)
 
     def record_start(self, message: str, endpoint: str, sender: str = "") -> int:
-        """Record a call that an endpoint received in full, and return the call's number."""
+        """Record a call that an endpoint has received in full, and return the number of the call."""
         self.calls += 1
         self.record(AttemptStarted(self.clock(), message, endpoint, self.calls, sender))
         return self.calls
 
     def record_end(self, call: int, effect: EffectApplied, wait: float = 0.0) -> None:
-        """Record the end of a call; `wait` is the Retry-After of its answer in seconds."""
+        """Record the end of a call; `wait` is the Retry-After of the answer in seconds."""
         self.record(AttemptFinished(self.clock(), call, effect, wait))
 
 
 def max_count_within(times: Iterable[float], span: float) -> int:
-    """Return the most of these times in any half-open interval of length `span`."""
+    """Return the highest number of these times in any half-open interval of length `span`."""
     in_order = sorted(times)
     first = 0
     max_count = 0
--- a/message_sender/testbed/history_checker.py
+++ b/message_sender/testbed/history_checker.py
@@ -1,22 +1,24 @@
-"""The history checker: judges what went over the sockets by the rules of delivery.
-
-It is pure and uses nothing that a sender reports about itself. Its rules:
-
-1. *one end*: each admitted message is completed exactly once, at the latest `late_tolerance` after its
-   deadline, or after the return of its sender if that was down at the deadline.
-2. *no effect twice*: once a call may have had its effect, another is sent only if the class allows it: always
-   if it is idempotent, within the window of the first such call if it is keyed (and in the same zone if its
-   window is zonal), never if it is unsafe. The completion `refused` asserts that a repetition is harmless and
-   is judged alike.
-3. *one at a time*: a message never has two calls at once.
-4. *drains*: no call to an endpoint starts later than `drain_grace` after the sender was notified.
-5. *cold*: after an outage a destination receives at most `max_overload` times what it can take during its
-   slow start, measured over `overload_interval`, unless most of the calls came from senders that did not see
-   the outage.
-6. *order*: the calls of one ordering key follow the order in which its messages were admitted, one message
-   after the other, and not before `key_pause` after a call that may have had its effect without an answer.
-7. *waits*: no call goes to a destination before the Retry-After that it sent is over, except within
-   `retry_after_grace` of the answer. A restart of the sender ends the wait.
+"""The history checker: checks the messages and calls observed on the sockets against the delivery rules.
+
+The checker is pure and does not use anything that a sender reports about itself. The rules:
+
+1. *one end*: each admitted message is completed exactly once, no later than `late_tolerance` after its
+   deadline. If the sender was down at the deadline, the time counts from the return of the sender.
+2. *no effect twice*: after a call that may have had its effect, a further call for the message is sent only
+   if the class allows it: an idempotent class always; a keyed class within the idempotency window of the
+   first such call, and only in the same zone if the window is zonal; an unsafe class never. The completion
+   `refused` asserts that a repetition of the message is harmless, so the same rule applies to it.
+3. *one at a time*: a message never has two calls in flight at once.
+4. *drains*: no call to an endpoint starts later than `drain_grace` after the sender was notified that the
+   endpoint is draining.
+5. *cold*: after an outage, a destination receives at most `max_overload` times its capacity during slow
+   start, measured over `overload_interval`. The rule does not apply if most of the calls came from senders
+   that did not see the outage.
+6. *order*: messages with the same ordering key are sent in the order of their admission, and their calls do
+   not overlap. After a call that may have had its effect without an answer, the next message waits for
+   `key_pause`.
+7. *waits*: no call to a destination starts before the Retry-After that the destination sent has elapsed,
+   except within `retry_after_grace` of the answer. A restart of the sender ends the wait.
 """
 
 import itertools
@@ -47,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClassRule:
-    """What the class of a message allows; `idempotency_window` is in seconds."""
+    """The delivery guarantees of a message class; `idempotency_window` is in seconds."""
 
     effect: Effect = Effect.IDEMPOTENT
     idempotency_window: float = 0.0
@@ -57,24 +59,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """The figures of the rules, in seconds.
+    """The parameters of the rules; all times are in seconds.
 
-    Each tolerance is what loopback sockets and a busy machine add to a rule.
+    The tolerances cover the delays that loopback sockets and a busy machine add.
 
     Attributes:
         classes: The rule of each class.
         zones: The zone of each endpoint.
         destinations: The destination of each endpoint.
-        capacity: The calls a second that each destination can take when it is warm.
-        late_tolerance: How late a message may be completed.
-        drain_grace: How long calls to a drained endpoint may still start.
-        key_pause: How long a key pauses after a call without an answer.
-        clock_tolerance: How far two stand-ins may differ in the time of one instant.
-        retry_after_grace: How long after a Retry-After calls may still start.
-        slow_start: How long a destination takes to warm up.
-        slow_start_from: The share of its capacity with which a destination starts.
-        max_overload: How many times its present capacity a destination may receive.
-        overload_interval: The interval over which that is measured.
+        capacity: The calls per second that each destination can take after its slow start.
+        late_tolerance: How long after its deadline a message may be completed.
+        drain_grace: How long after a drain calls to the endpoint may still start.
+        key_pause: How long an ordering key pauses after a call without an answer.
+        clock_tolerance: The largest difference between the times that two stand-ins record for one instant.
+        retry_after_grace: How long after an answer with Retry-After calls may still start.
+        slow_start: The duration of the slow start of a destination.
+        slow_start_from: The share of its capacity that a destination has at the beginning of the slow start.
+        max_overload: The highest allowed ratio of the calls received to the present capacity.
+        overload_interval: The interval over which the overload is measured.
     """
 
     classes: dict[str, ClassRule]
@@ -94,7 +96,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """A rule that was broken, when, and how."""
+    """A violation of a rule: the name of the rule, the time in seconds, and a description."""
 
     rule: str
     at: float
@@ -103,14 +105,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Overload:
-    """Too many calls in the interval that starts at `at`."""
+    """An interval with too many calls: its start in seconds, and the number of calls."""
 
     at: float
     calls: int
 
 
 class HistoryChecker:
-    """Checks one history."""
+    """Checks one history against the rules."""
 
     def __init__(self, rules: Rules) -> None:
         """Create a checker without events."""
@@ -133,8 +135,8 @@
 
         Args:
             events: The history.
-            until: When the history ends, by default with its latest event. A message whose deadline is later
-                need not be completed.
+            until: The end of the history, in seconds; by default the time of its latest event. A message
+                whose deadline is later need not be completed.
 
         Returns:
             All violations, in the order of the rules.
@@ -154,7 +156,7 @@
         return self.violations
 
     def add_event(self, event: HistoryEvent) -> None:
-        """Add an event to what is checked."""
+        """Index an event for the checks."""
         match event:
             case MessageAdmitted():
                 self.admitted.setdefault(event.message, event)
@@ -177,14 +179,14 @@
                 self.add_restart(event)
 
     def end_drain(self, event: EndpointRestored) -> None:
-        """Close the interval of a drain, if there was one."""
+        """Close the interval of a drain, if the endpoint was draining."""
         key = (event.endpoint, event.sender)
         drained_at = self.drained_at.pop(key, None)
         if drained_at is not None:
             self.past_drains[key].append((drained_at, event.at))
 
     def add_restart(self, event: SenderRestarted) -> None:
-        """Add a restart, which ends what the sender knew of its calls in flight."""
+        """Add a restart, which makes the outcomes of the sender's calls in flight unknown to the sender."""
         self.restarts[event.sender].append(event.at)
         self.downtimes[event.sender].append((event.at, event.back))
         for call in self.calls.values():
@@ -202,27 +204,31 @@
             self.check_completion(message, admitted, until)
         for message, rejected in self.rejected.items():
             if message not in self.admitted and self.calls_of.get(message):
-                self.add_violation("one end", rejected.at, f"{message} was turned away, and called for")
+                self.add_violation("one end", rejected.at, f"{message} was rejected, but a call was sent")
 
     def check_completion(self, message: str, admitted: MessageAdmitted, until: float) -> None:
         """Check the rule "one end" of one message."""
         ends = self.completed.get(message, [])
         if len(ends) > 1:
             states = " and ".join(end.state for end in ends)
-            self.add_violation("one end", ends[1].at, f"{message} ended {states}")
+            self.add_violation("one end", ends[1].at, f"{message} was completed repeatedly: {states}")
         latest_end = self.completion_due(admitted) + self.rules.late_tolerance
         if not ends:
             if until > latest_end:
-                self.add_violation("one end", admitted.until, f"{message} has no final answer")
+                self.add_violation("one end", admitted.until, f"{message} was not completed")
             return
         end = ends[0]
         if end.at > latest_end:
-            self.add_violation("one end", end.at, f"{message} ended {end.at - admitted.until:.3f} s late")
+            self.add_violation(
+                "one end", end.at, f"{message} was completed {end.at - admitted.until:.3f} s too late"
+            )
         if end.state == "delivered" and not any(call.may_have_run() for call in self.calls_of[message]):
-            self.add_violation("one end", end.at, f"{message} is said to be delivered, and no call ran")
+            self.add_violation(
+                "one end", end.at, f"{message} was delivered without a call that had its effect"
+            )
 
     def completion_due(self, admitted: MessageAdmitted) -> float:
-        """Return when a message is due: at its deadline, or when a sender that was down then is back."""
+        """Return when a message is due: at its deadline, or when its sender is back if it was down then."""
         due = admitted.until
         for down_at, back_at in sorted(self.downtimes[admitted.sender]):
             if down_at <= due < back_at:
@@ -230,7 +236,10 @@
         return due
 
     def class_rule(self, message: str) -> ClassRule:
-        """Return the rule for the class of a message; that of a message not admitted allows everything."""
+        """Return the rule for the class of a message.
+
+        For a message that was not admitted, the returned rule allows everything.
+        """
         admitted = self.admitted.get(message)
         return self.rules.classes.get(admitted.kind, ClassRule()) if admitted else ClassRule()
 
@@ -246,30 +255,32 @@
             self.check_repetition(rule, first, call)
         for end in self.completed.get(message, []):
             if end.state == "refused" and (rule.effect is Effect.UNSAFE or rule.is_zonal):
-                self.add_violation("no effect twice", end.at, f"{message} was refused and may have run")
+                self.add_violation(
+                    "no effect twice", end.at, f"{message} was refused, but a call may have had its effect"
+                )
 
     def check_repetition(self, rule: ClassRule, first: ObservedCall, call: ObservedCall) -> None:
-        """Check a call after the first one of its message that may have had its effect."""
+        """Check a call that follows `first`, the first call of its message that may have had its effect."""
         at = call.start.at
         reason = ""
         if rule.effect is Effect.UNSAFE:
-            reason = "and may have run before"
+            reason = "after a call that may have had its effect"
         elif at > first.start.at + rule.idempotency_window:
-            reason = "after its window"
+            reason = "after its idempotency window"
         elif rule.is_zonal and self.zone_of(call) != self.zone_of(first):
             reason = "in another zone"
         if reason:
-            self.add_violation("no effect twice", at, f"{call.start.message} was called for again {reason}")
+            self.add_violation("no effect twice", at, f"{call.start.message} was sent again {reason}")
 
     def zone_of(self, call: ObservedCall) -> str:
-        """Return the zone that a call went to."""
+        """Return the zone of the endpoint of a call."""
         return self.rules.zones.get(call.start.endpoint, "")
 
     def check_concurrent_calls(self, message: str, calls: list[ObservedCall]) -> None:
         """Check the rule "one at a time" of one message."""
         for before, after in itertools.pairwise(calls):
             if after.start.at < before.end() and before.restarted_at is None:
-                text = f"two calls for {message} were out at once"
+                text = f"two calls for {message} were in flight at once"
                 self.add_violation("one at a time", after.start.at, text)
 
     def check_drains(self) -> None:
@@ -279,7 +290,7 @@
             drains = [*self.past_drains.get(key, ()), (self.drained_at.get(key, NEVER), NEVER)]
             at = call.start.at
             if any(begins + self.rules.drain_grace < at < ends for begins, ends in drains):
-                self.add_violation("drains", at, f"{call.start.endpoint} was called after its drain")
+                self.add_violation("drains", at, f"{call.start.endpoint} was called after its drain grace")
 
     def check_slow_starts(self) -> None:
         """Check the rule "cold"."""
@@ -294,11 +305,11 @@
                 and outage.until <= call.start.at < outage.until + self.rules.slow_start
             ]
             if overload := self.find_overload(starts, outage, capacity):
-                text = f"destination {outage.destination} got {overload.calls} calls at once"
+                text = f"destination {outage.destination} received {overload.calls} calls during slow start"
                 self.add_violation("cold", overload.at, text)
 
     def find_overload(self, starts: list[AttemptStarted], outage: Outage, capacity: float) -> Overload | None:
-        """Return the first interval in which a destination received more calls than it could take.
+        """Return the first interval with more calls than a destination may receive, or None.
 
         Intervals in which less than two thirds of the calls came from senders that saw the outage are
         ignored.
@@ -339,21 +350,21 @@
         if first == second:
             return
         if places[second] < places[first]:
-            text = f"{second} of key {key} went after {first}, which was taken later"
+            text = f"{second} of key {key} was sent after {first}, which was admitted later"
             self.add_violation("order", at, text)
         if at < before.end() - self.rules.clock_tolerance and before.restarted_at is None:
-            self.add_violation("order", at, f"{second} of key {key} went while {first} was out")
+            self.add_violation("order", at, f"{second} of key {key} was sent while {first} was in flight")
         is_unanswered = before.finish is None or before.finish.ran is EffectApplied.MAYBE
         pause_ends = before.end() + self.rules.key_pause - self.rules.clock_tolerance
         if is_unanswered and at < pause_ends:
-            self.add_violation("order", at, f"{second} of key {key} went before the key had rested")
+            self.add_violation("order", at, f"{second} of key {key} was sent during the pause of the key")
 
     def sender_and_destination(self, call: ObservedCall) -> tuple[str, int]:
-        """Return who sent a call, and the destination that it went to."""
+        """Return the sender of a call, and the destination of the endpoint that was called."""
         return call.start.sender, self.rules.destinations.get(call.start.endpoint, 0)
 
     def find_waits(self) -> dict[tuple[str, int], list[Interval]]:
-        """Return the waits that each destination asked of each sender, in the order of their starts."""
+        """Return the Retry-After intervals by sender and destination, sorted by start."""
         waits: dict[tuple[str, int], list[Interval]] = defaultdict(list)
         for call in self.calls.values():
             finish = call.finish
@@ -370,8 +381,8 @@
     def check_waits(self) -> None:
         """Check the rule "waits"."""
         waits = self.find_waits()
-        begun: dict[tuple[str, int], int] = defaultdict(int)  # how many waits have begun
-        latest_end: dict[tuple[str, int], float] = {}  # the latest end of those
+        begun: dict[tuple[str, int], int] = defaultdict(int)  # number of waits that have begun
+        latest_end: dict[tuple[str, int], float] = {}  # latest end of the waits that have begun
         for call in self.calls.values():
             at = call.start.at
             key = self.sender_and_destination(call)
@@ -382,5 +393,5 @@
                 latest_end[key] = max(latest_end.get(key, 0.0), intervals[begun[key]][1])
                 begun[key] += 1
             if at < latest_end.get(key, 0.0) - self.rules.clock_tolerance:
-                text = f"{call.start.endpoint} was called {latest_end[key] - at:.3f} s too early"
+                text = f"{call.start.endpoint} was called {latest_end[key] - at:.3f} s before Retry-After"
                 self.add_violation("waits", at, text)
--- a/message_sender/testbed/http.py
+++ b/message_sender/testbed/http.py
@@ -1,7 +1,7 @@
-"""Stand-ins that speak the platform's HTTP/1.1 on loopback: an endpoint that follows a script, and a client.
+"""Stand-ins that speak the platform's HTTP/1.1 on loopback: a scripted endpoint and a client.
 
-They are written from the protocol page with plain asyncio and do not use the sender's codec: a fault that
-both sides shared would show nowhere.
+Both are written from the protocol page with plain asyncio and do not use the sender's codec, since no test
+would detect a fault that both sides share.
 """
 
 import asyncio
@@ -18,7 +18,7 @@
 
 
 async def read_head(reader: asyncio.StreamReader) -> tuple[str, dict[str, str]]:
-    """Return the first line of a message and its header fields, their names in lower case."""
+    """Return the first line of an HTTP message, and its header fields by lower-case name."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
     first_line, *field_lines = head.rstrip("\r\n").split("\r\n")
     fields = {}
@@ -30,12 +30,12 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpAnswer:
-    """A scripted answer in terms of the protocol.
+    """A scripted answer as an HTTP response.
 
     Attributes:
         status: The status code.
         effect: Whether the call had its effect.
-        fields: Header fields, each line with its end.
+        fields: Further header lines, each with its line end.
     """
 
     status: int
@@ -44,7 +44,7 @@
 
 
 def http_answer(answer: ScriptedAnswer) -> HttpAnswer:
-    """Translate an answer with a status; RESET and STALL have none."""
+    """Translate a scripted answer that has a status; RESET and STALL have no status."""
     match answer.behavior:
         case EndpointBehavior.SERVE:
             return HttpAnswer(200, EffectApplied.YES)
@@ -57,22 +57,22 @@
 
 
 class HttpEndpoint:
-    """A stand-in endpoint; an async context manager that listens within its block.
+    """A stand-in endpoint, which listens within its block as an async context manager.
 
-    While `is_down`, connections are closed before anything is read.
+    While `is_down` is set, connections are aborted before anything is read from them.
     """
 
     def __init__(self, name: str, script: Script, history: History, port: int = 0) -> None:
-        """Create an endpoint; on port 0 the system chooses a free one."""
+        """Create an endpoint; port 0 lets the system choose a free port."""
         self.name = name
         self.script = script
         self.history = history
         self.port = port
         self.is_down = False
-        self.extra_fields = ""  # header fields of every answer, each line with its end
+        self.extra_fields = ""  # further header lines of every answer, each with its line end
         self.served = 0
         self.connected_at: list[float] = []  # monotonic time of each connection, s
-        self.max_open = 0  # the most connections at once
+        self.max_open = 0  # highest number of connections open at once
         self.writers: set[asyncio.StreamWriter] = set()
         self.tasks: set[asyncio.Task[None]] = set()
 
@@ -92,7 +92,7 @@
 
     @property
     def address(self) -> Address:
-        """Where it listens."""
+        """The address on which the endpoint listens."""
         return LOOPBACK, self.port
 
     def reset_connections(self) -> None:
@@ -123,7 +123,7 @@
     async def handle_call(
         self, fields: dict[str, str], reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Answer one call by the script and record it.
+        """Answer one call as scripted, and record the call.
 
         Raises:
             ConnectionResetError: If the connection ended without an answer.
@@ -150,7 +150,7 @@
     async def abort_call(
         self, answer: ScriptedAnswer, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Abort the connection of a call: at once, or for STALL when the sender gives it up."""
+        """Abort the connection of a call: for STALL once the sender has closed it, otherwise immediately."""
         if answer.behavior is EndpointBehavior.STALL:
             with contextlib.suppress(ConnectionError):
                 await reader.read(1)  # returns when the sender closes the connection
@@ -158,10 +158,10 @@
 
 
 class HttpClient:
-    """A client with one connection, which it keeps between requests."""
+    """A client with one connection, which stays open between requests."""
 
     def __init__(self, address: Address) -> None:
-        """Create a client; it connects with its first request."""
+        """Create a client, which connects with its first request."""
         self.address = address
         self.writer: asyncio.StreamWriter | None = None
 
@@ -183,13 +183,13 @@
             status_line, response_fields = await read_head(self.reader)
             await self.reader.readexactly(int(response_fields.get("content-length", "0")))
         except asyncio.IncompleteReadError:
-            raise ConnectionResetError("the sender closed without an answer") from None
+            raise ConnectionResetError("the sender closed the connection before it responded") from None
         if response_fields.get("connection") == "close":
             self.close()
         return int(status_line.split(" ")[1]), response_fields
 
     def close(self) -> None:
-        """Close the connection, if there is one."""
+        """Close the connection, if it is open."""
         if self.writer:
             self.writer.close()
             self.writer = None
--- a/message_sender/testbed/member.py
+++ b/message_sender/testbed/member.py
@@ -1,8 +1,8 @@
-"""The process of a cluster's members: `message-sender serve` with a simulated disk, clock and boot id.
+"""The member processes of a cluster: `message-sender serve` with a simulated disk, clock and boot id.
 
-Run as a program, it imports the sender once and forks a member for each request, since most of the cost of a
-start is the import. Requests are lines of JSON on its standard input; for each it prints the id of the new
-process, or the exit status of the one that ended:
+Run as a program, this module imports the sender once and forks a process for each start request, since the
+import is most of the cost of a start. Requests are lines of JSON on standard input. The answer to each, on
+standard output, is the id of the new process, or the exit status of the process that was waited for:
 
     {"start": {"config": ..., "state": ..., "answers": ..., "ops": ..., "boot": "1", "log": FIFO}}
     {"wait": PID}
@@ -26,7 +26,7 @@
 
 
 def create_machine(start: dict[str, Any]) -> HostMachine:
-    """Return the machine of a start request; `clock` is how far its wall clock is ahead, in seconds."""
+    """Return the simulated machine of a start request; `clock` is the lead of its wall clock in seconds."""
     clock = Clock()
     clock.base += int(start.get("clock", 0) * 1e9)
     disk = RecordingDisk(Path(start["ops"]), start.get("fault", ""), start.get("slow", 0.0))
@@ -43,7 +43,7 @@
 
 
 def run_child(start: dict[str, Any]) -> NoReturn:
-    """Run a member in a forked process, with its log as standard error, and end the process."""
+    """Run a member in the forked process with its log as standard error, then exit the process."""
     code = 1
     try:
         log = os.open(start["log"], os.O_WRONLY)
@@ -51,7 +51,7 @@
         os.dup2(os.open(os.devnull, os.O_RDWR), 0)
         os.dup2(0, 1)
         code = run_member(start)
-    except BaseException:  # the boundary of the process: whatever ended it belongs in its log
+    except BaseException:  # last handler of the process: log every kind of failure
         logging.exception("member process failed")
     finally:
         sys.stderr.flush()
@@ -59,7 +59,7 @@
 
 
 def serve_requests() -> None:
-    """Answer requests until the standard input ends."""
+    """Answer requests until standard input ends."""
     for line in sys.stdin:
         request = json.loads(line)
         if "start" in request:
--- a/message_sender/testbed/member_factory.py
+++ b/message_sender/testbed/member_factory.py
@@ -1,4 +1,4 @@
-"""Members of a cluster as this process keeps them, and the factory process that forks theirs."""
+"""The members of a cluster, and the factory process that forks their sender processes."""
 
 import asyncio
 import json
@@ -7,15 +7,15 @@
 from pathlib import Path
 from typing import Any, Self
 
-STEP_TIMEOUT_S = 30.0  # after which a step of a cluster has failed
+STEP_TIMEOUT_S = 30.0  # a step of a cluster that takes longer has failed
 
 
 class MemberStartError(RuntimeError):
-    """A process of a member ended before it was ready.
+    """The process of a member ended before the member was ready.
 
     Attributes:
         member: The name of the member.
-        log: The last lines that the process logged.
+        log: The last lines of the log of the process.
     """
 
     def __init__(self, member: str, log: list[str]) -> None:
@@ -27,24 +27,24 @@
 
 @dataclass
 class Member:
-    """A member of a cluster, whether or not its process runs.
+    """A member of a cluster, with a running or a stopped process.
 
     Attributes:
-        name: Its name in the cluster.
-        folder: Its configuration, state, answers and logs.
-        link_port: The port that its link binds.
-        relay_port: The port of the relay that its link announces.
-        boot: The number of the boot of its machine.
-        port: Where its process listens for clients; 0 if it does not run.
-        clock_offset: How far its wall clock is ahead at its next start, in seconds.
-        disk_fault: The fault of its disk: "", "eio" or "full".
-        sync_delay: How long a sync of its disk takes, in seconds.
-        durable: The durable content of its disk at the last power loss, by file.
-        killed_at: When its process was killed, on the clock of the history.
-        pid: The id of its process, until the process has been waited for.
-        starts: How often it was started.
-        log: The lines that its processes logged.
-        reader: The task that reads the log of its process.
+        name: The name in the cluster.
+        folder: The folder with the configuration, the state, the answers and the logs.
+        link_port: The port that the gossip link binds.
+        relay_port: The port of the relay that the gossip link advertises.
+        boot: The boot number of the simulated machine.
+        port: The port on which the process listens for clients; 0 while it is stopped.
+        clock_offset: The lead of the wall clock at the next start, in seconds.
+        disk_fault: The fault of the disk: "", "eio" or "full".
+        sync_delay: The duration of a sync of the disk, in seconds.
+        durable: The durable content of the disk after the last power loss, by file.
+        killed_at: When the process was killed, on the clock of the history; None after a start.
+        pid: The id of the process, until the process has been waited for.
+        starts: The number of starts.
+        log: The lines that the processes of the member have logged.
+        reader: The task that reads the log of the process.
     """
 
     name: str
@@ -65,31 +65,31 @@
 
     @property
     def state(self) -> Path:
-        """The state folder of its sender."""
+        """The state folder of the sender."""
         return self.folder / "state"
 
     @property
     def config(self) -> Path:
-        """The configuration file of its sender."""
+        """The configuration file of the sender."""
         return self.folder / "config.toml"
 
     @property
     def answers(self) -> Path:
-        """The file to which its sender writes completions."""
+        """The file to which the sender writes completions."""
         return self.folder / "answers"
 
     @property
     def disk_operations(self) -> Path:
-        """The file to which its disk records operations."""
+        """The file in which the simulated disk records its operations."""
         return self.folder / "ops"
 
     @property
     def is_alive(self) -> bool:
-        """Whether its process runs."""
+        """Whether the process of the member is running."""
         return self.pid is not None and self.reader is not None and not self.reader.done()
 
     def start_request(self, log_file: Path) -> dict[str, Any]:
-        """Return the request with which the factory starts its process, which logs to `log_file`."""
+        """Return the request that makes the factory start the process, which logs to `log_file`."""
         return {
             "start": {
                 "config": str(self.config),
@@ -106,7 +106,7 @@
 
 
 class MemberFactory:
-    """The factory process (testbed/member.py), which forks members; several clusters may share one."""
+    """The factory process (testbed/member.py), which forks members. Several clusters may share a factory."""
 
     async def __aenter__(self) -> Self:
         """Start the process."""
@@ -123,7 +123,7 @@
         await self.process.wait()
 
     async def request(self, request: dict[str, Any]) -> int:
-        """Send a request and return its answer: a process id or an exit status."""
+        """Send a request and return the answer: a process id or an exit status."""
         assert self.process.stdin and self.process.stdout
         async with self.lock, asyncio.timeout(STEP_TIMEOUT_S):
             self.process.stdin.write(json.dumps(request).encode() + b"\n")
--- a/message_sender/testbed/receiver_stub.py
+++ b/message_sender/testbed/receiver_stub.py
@@ -1,4 +1,4 @@
-"""Stand-in receivers for clusters: endpoints with an outage, a rate limit and counts of their own."""
+"""Stand-in receivers for clusters: endpoints with a rate limit, simulated faults and call counts."""
 
 import asyncio
 import json
@@ -19,14 +19,14 @@
     """A receiver that rejects the calls above its rate limit.
 
     Attributes:
-        rate: Its limit, in calls a second.
-        response_delay: The time that a served call takes, in seconds.
-        failure_delay: If set, every call fails after so many seconds.
-        retry_after: If set, every call is rejected with this Retry-After in seconds.
-        call_times: When each call was received.
-        rejected: How many calls were above the limit.
-        served_at: When the calls that were served were received, by message.
-        repeat_times: When a message was received that had been received before.
+        rate: The rate limit, in calls per second.
+        response_delay: The duration of a served call, in seconds.
+        failure_delay: If not 0, every call fails after this delay in seconds.
+        retry_after: If not 0, every call is rejected with this Retry-After in seconds.
+        call_times: The monotonic time of each call, in seconds.
+        rejected: The number of calls above the rate limit.
+        served_at: The times of the served calls, by message.
+        repeat_times: The times of calls for messages that had been received before.
     """
 
     def __init__(self, name: str, history: History, rate: float) -> None:
@@ -43,7 +43,7 @@
         self.repeat_times: list[float] = []
 
     def choose_answer(self, message: str) -> ScriptedAnswer | None:
-        """Record a call, and return how it is answered."""
+        """Record a call, and return the answer; None leaves the answer to the script's default."""
         now = time.monotonic()
         self.call_times.append(now)
         if message in self.seen_messages:
@@ -61,11 +61,11 @@
         return ScriptedAnswer(EndpointBehavior.SERVE, self.response_delay) if self.response_delay else None
 
     def max_count_within(self, span: float) -> int:
-        """Return the most calls in any interval of `span` seconds."""
+        """Return the highest number of calls in any interval of `span` seconds."""
         return max_count_within(self.call_times, span)
 
     def to_config(self) -> str:
-        """Return the TOML table that lists it as an endpoint of destination 1."""
+        """Return the TOML table that lists the receiver as an endpoint of destination 1."""
         table = {
             "id": self.name,
             "zone": "a",
@@ -77,17 +77,17 @@
 
 
 class ThreadedReceiverStub(ReceiverStub):
-    """A receiver on an event loop and thread of its own.
+    """A receiver with its own thread and event loop.
 
-    Its times do not depend on what else this process does.
+    Other work of this process does not delay the receiver.
     """
 
     def run_on_thread(self, work: Coroutine[Any, Any, Any]) -> asyncio.Future[Any]:
-        """Run a coroutine on the receiver's loop and return a future of the caller's loop."""
+        """Run a coroutine on the receiver's event loop, and return a future of the caller's event loop."""
         return asyncio.wrap_future(asyncio.run_coroutine_threadsafe(work, self.loop))
 
     async def __aenter__(self) -> Self:
-        """Start the thread and listen there."""
+        """Start the thread, and listen on its event loop."""
         self.loop = asyncio.new_event_loop()
         self.thread = threading.Thread(target=self.loop.run_forever)
         self.thread.start()
@@ -95,7 +95,7 @@
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        """Close the receiver and end its thread."""
+        """Close the receiver and stop its thread."""
         await self.run_on_thread(super().__aexit__())
         self.loop.call_soon_threadsafe(self.loop.stop)
         await asyncio.to_thread(self.thread.join)
--- a/message_sender/testbed/relay.py
+++ b/message_sender/testbed/relay.py
@@ -1,4 +1,4 @@
-"""A relay for the datagrams between members of a cluster, which loses, delays, duplicates and blocks them."""
+"""A relay for the datagrams between members of a cluster that can drop, delay, duplicate and block them."""
 
 import asyncio
 import random
@@ -9,39 +9,39 @@
 
 
 class Relay:
-    """Forwards every datagram between members.
+    """Forwards all datagrams between members.
 
-    A member binds a port of its own and announces a port of the relay in its place. The relay knows the
-    sender of a datagram by its source port.
+    A member binds one port and advertises a port of the relay instead. The relay identifies the sender of a
+    datagram by the source port.
 
     Attributes:
-        loss: The share of datagrams that is lost.
-        delay: The most that a datagram is delayed, in seconds.
+        loss: The share of datagrams that is dropped.
+        delay: The longest delay of a datagram, in seconds.
         duplication: The share of datagrams that is forwarded twice.
-        partitions: The groups of names that can reach one another; empty if all can.
-        blocked_pairs: Pairs of names (from, to) between which nothing is forwarded in this direction.
+        partitions: The groups of members that can reach one another; empty without a partition.
+        blocked_pairs: Pairs of names (from, to); datagrams in this direction are dropped.
     """
 
-    reserved_ports: ClassVar[set[int]] = set()  # of all relays of this process
+    reserved_ports: ClassVar[set[int]] = set()  # shared by all relays of this process
 
     def __init__(self, seed: int = 0) -> None:
-        """Create a relay without faults, whose later ones are drawn from `seed`."""
+        """Create a relay without faults; later faults are drawn from `seed`."""
         self.rng = random.Random(f"relay {seed}")
         self.loss = 0.0
         self.delay = 0.0
         self.duplication = 0.0
         self.partitions: tuple[frozenset[str], ...] = ()
         self.blocked_pairs: set[tuple[str, str]] = set()
-        self.ports: dict[str, int] = {}  # those that the members bind
+        self.ports: dict[str, int] = {}  # by member: the port that the member binds
         self.names_by_port: dict[int, str] = {}
-        self.transports: dict[str, asyncio.DatagramTransport] = {}  # at the announced ports, by member
+        self.transports: dict[str, asyncio.DatagramTransport] = {}  # by member: advertised port
         self.timers: set[asyncio.TimerHandle] = set()
 
     async def add(self, name: str) -> tuple[int, int]:
         """Add a member.
 
         Returns:
-            The port that the member is to bind, and the port that it is to announce.
+            The port for the member to bind, and the port for the member to advertise.
         """
         member_port = self.reserve_port()
         loop = asyncio.get_running_loop()
@@ -52,7 +52,7 @@
             relay_port = int(transport.get_extra_info("sockname")[1])
             if relay_port not in self.reserved_ports:
                 break
-            transport.close()  # a member of some cluster is to bind it
+            transport.close()  # the port is reserved for a member
         self.ports[name] = member_port
         self.names_by_port[member_port] = name
         self.transports[name] = transport
@@ -69,7 +69,7 @@
                 return port
 
     def handle_datagram(self, to: str, data: bytes, source: int) -> None:
-        """Drop, delay, duplicate or forward a datagram that came from the port `source`."""
+        """Forward, drop, delay or duplicate a datagram from the port `source` to the member `to`."""
         sender = self.names_by_port.get(source, "")
         is_partitioned = self.partitions and not any({sender, to} <= side for side in self.partitions)
         if is_partitioned or (sender, to) in self.blocked_pairs or self.rng.random() < self.loss:
@@ -83,17 +83,17 @@
                 self.forward(to, data, sender)
 
     def forward(self, to: str, data: bytes, sender: str) -> None:
-        """Send a datagram on from the port at which its sender can be answered."""
+        """Forward a datagram from the relay port of its sender, so that answers pass through the relay."""
         transport = self.transports.get(sender, self.transports[to])
         if not transport.is_closing():
             transport.sendto(data, (HOST, self.ports[to]))
 
     def split(self, *sides: str) -> None:
-        """Partition the members: each argument is a group of names, separated by blanks."""
+        """Partition the members; each argument is a group of names, separated by spaces."""
         self.partitions = tuple(frozenset(side.split()) for side in sides)
 
     def heal(self) -> None:
-        """End all faults."""
+        """Clear all faults."""
         self.partitions = ()
         self.blocked_pairs = set()
         self.loss = 0.0
@@ -109,10 +109,10 @@
 
 
 class RelayPort(asyncio.DatagramProtocol):
-    """The port of a relay at which others reach one member."""
+    """The relay port through which other members reach one member."""
 
     def __init__(self, relay: Relay, name: str) -> None:
-        """Create the port of the member `name`."""
+        """Create the relay port of the member `name`."""
         self.relay = relay
         self.name = name
 
--- a/message_sender/testbed/running.py
+++ b/message_sender/testbed/running.py
@@ -1,4 +1,4 @@
-"""Start and stop of a sender in this process, for demonstrations, benchmarks and tests."""
+"""Runs a sender in this process, for demonstrations, benchmarks and tests."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -9,7 +9,7 @@
 
 @asynccontextmanager
 async def running(sender: StandaloneSender) -> AsyncIterator[StandaloneSender]:
-    """Run a sender for the length of a block, and stop it however the block ends."""
+    """Run a sender within a block, and stop the sender at the end of the block, also after an exception."""
     await sender.start()
     task = asyncio.create_task(sender.run())
     try:
--- a/message_sender/testbed/script.py
+++ b/message_sender/testbed/script.py
@@ -1,6 +1,6 @@
-"""Scripts for stand-in endpoints: how each call is answered, by message and attempt.
+"""Scripts for stand-in endpoints: the answer to each call, by message and attempt.
 
-One script serves the stand-ins of every protocol.
+The stand-ins of all protocols use the same scripts.
 """
 
 from collections import Counter
@@ -13,10 +13,10 @@
     """What a stand-in endpoint does with a call."""
 
     SERVE = "serve"
-    ERROR = "error"  # an answer after which the call may have had its effect
+    ERROR = "error"  # an error response; the call may have had its effect
     FULL = "full"  # rejected, with a Retry-After if `seconds` is set
-    RESET = "reset"  # reset after the request's last byte: the call may have had its effect
-    STALL = "stall"  # no answer at all
+    RESET = "reset"  # reset after the last byte of the request; the call may have had its effect
+    STALL = "stall"  # no answer; the call stays open
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,7 +25,7 @@
 
     Attributes:
         behavior: What the endpoint does.
-        seconds: For FULL, the Retry-After that it sends; for SERVE and ERROR, the time before it answers.
+        seconds: For FULL, the Retry-After of the answer; for SERVE and ERROR, the delay of the answer.
     """
 
     behavior: EndpointBehavior
@@ -36,11 +36,11 @@
 
 
 def no_rule(message: str) -> ScriptedAnswer | None:
-    """Leave the answer for any message to the rest of the script."""
+    """Return None, which leaves the answer to the rest of the script."""
 
 
 class Script:
-    """The answers of a stand-in endpoint, and a count of the calls that it received."""
+    """The answers of a stand-in endpoint, with a count of the calls received."""
 
     def __init__(
         self,
@@ -51,10 +51,11 @@
         """Create a script.
 
         Args:
-            answers: The answers to the attempts of a message, in order; its last one also answers all later
-                attempts.
-            rule: Decides before `answers` does, where it returns an answer.
-            default: The answer for messages that `answers` does not name.
+            answers: By message: the answers to its attempts, in order. The last answer is also used for all
+                later attempts.
+            rule: Called with the message before `answers` is used; an answer that it returns takes
+                precedence.
+            default: The answer for messages without an entry in `answers`.
         """
         self.answers = dict(answers or {})
         self.rule = rule
@@ -62,7 +63,7 @@
         self.call_counts: Counter[str] = Counter()  # by message
 
     def next_answer(self, message: str) -> ScriptedAnswer:
-        """Count a call that was received in full, and return its answer."""
+        """Count a call that was received in full, and return the answer to the call."""
         attempt_index = self.call_counts[message]
         self.call_counts[message] += 1
         if ruled := self.rule(message):
--- a/message_sender/testbed/simulated_disk.py
+++ b/message_sender/testbed/simulated_disk.py
@@ -1,12 +1,13 @@
-"""A simulated disk: after a power loss it holds what was synced, and what a seed decides of the rest.
+"""A simulated disk with power loss: synced data survives, unsynced data survives as drawn from a seed.
 
-`SimulatedDisk` is the model, pure and in memory. A file's content is durable as of its last sync, and a
-folder's names as of the last sync of the folder. Of later changes a power loss keeps any subset; a write is
-kept in full, torn at a sector boundary or as zeros. Content can survive without its name and the reverse.
+`SimulatedDisk` is the model, pure and in memory. The content of a file is durable as of its last sync, and
+the names in a folder are durable as of the last sync of the folder. Any subset of the later changes survives
+a power loss; a surviving write is kept in full, torn at a sector boundary or zeroed. The content of a file
+can survive without its name, and the name without the content.
 
 `MemoryDisk` is a file layer on that model for simulated time. `RecordingDisk` is a file layer for a real
-process: it works on real files and records each operation in a file outside their folder, from which `cut`
-computes what a power loss leaves once the process has been killed.
+process: it works on real files and records each operation in a file outside their folder. Once the process
+has been killed, `cut` computes from the record the files that survive a power loss.
 """
 
 import asyncio
@@ -21,22 +22,22 @@
 
 from message_sender.journal.disk import SystemDisk
 
-JOURNAL = "journal"  # the one file that matters, by its name
-SECTOR_BYTES = 512  # what a disk writes atomically
+JOURNAL = "journal"  # file name; the only file that `cut` also handles if no operation on it was recorded
+SECTOR_BYTES = 512  # unit that a disk writes atomically
 SYNC_DELAY_S = 0.002
-ZEROED_SHARE = 0.15  # of the surviving writes: the length is durable, the content is not
-TORN_SHARE = 0.2
+ZEROED_SHARE = 0.15  # share of surviving writes whose length is durable but whose content is zeroed
+TORN_SHARE = 0.2  # share of surviving writes that are torn
 
 
 @dataclass
 class Content:
-    """The content of a file: as of its last sync, as it is now, and the changes between."""
+    """The content of a file as of its last sync, its present content, and the changes in between."""
 
     stable: bytes = b""
     now: bytearray = field(default_factory=bytearray)
     pending: list[tuple[int, bytes | None]] = field(
         default_factory=list
-    )  # offset and data; None: truncated there
+    )  # offset and data of each change; None as data stands for a truncation at the offset
 
     def write(self, data: bytes) -> None:
         """Append data."""
@@ -44,7 +45,7 @@
         self.now += data
 
     def truncate(self, size: int) -> None:
-        """Cut off what exceeds `size` bytes."""
+        """Truncate the content to `size` bytes."""
         self.pending.append((size, None))
         del self.now[size:]
 
@@ -54,26 +55,29 @@
         self.pending = []
 
     def surviving(self, rng: random.Random, keeps: float) -> bytes:
-        """Return what a power loss leaves if each change survives with the probability `keeps`."""
-        left = bytearray(self.stable)
+        """Return the content after a power loss if an unsynced change survives with probability `keeps`."""
+        survivor = bytearray(self.stable)
         for at, data in self.pending:
             if rng.random() >= keeps:
                 continue
             if data is None:
-                del left[at:]
+                del survivor[at:]
                 continue
             fate = rng.random()
             if fate < ZEROED_SHARE:
                 data = bytes(len(data))
             elif fate < ZEROED_SHARE + TORN_SHARE:
                 data = tear(data, at, rng)
-            left += bytes(max(at + len(data) - len(left), 0))
-            left[at : at + len(data)] = data
-        return bytes(left)
+            survivor += bytes(max(at + len(data) - len(survivor), 0))
+            survivor[at : at + len(data)] = data
+        return bytes(survivor)
 
 
 def tear(data: bytes, at: int, rng: random.Random) -> bytes:
-    """Return a write at offset `at` up to some sector boundary; one within a sector is kept in full."""
+    """Return the part of a write at offset `at` that precedes a random sector boundary.
+
+    A write within one sector is kept in full.
+    """
     edges = [
         edge - at for edge in range((at // SECTOR_BYTES + 1) * SECTOR_BYTES, at + len(data), SECTOR_BYTES)
     ]
@@ -81,20 +85,20 @@
 
 
 class SimulatedDisk:
-    """A folder on a disk that can lose power."""
+    """A folder on a simulated disk that can lose power."""
 
     def __init__(self, left: dict[str, bytes] | None = None) -> None:
-        """Create a folder with these files, by name, all durable."""
+        """Create a folder that holds the files `left`, by name; all of them are durable."""
         self.contents: dict[int, Content] = {}
-        self.names: dict[str, int] = {}  # as of the last sync of the folder
-        self.now: dict[str, int] = {}
-        self.pending: list[dict[str, int | None]] = []  # changes of names, each atomic
+        self.names: dict[str, int] = {}  # by name: number of the content; as of the last sync of the folder
+        self.now: dict[str, int] = {}  # by name: number of the content; at present
+        self.pending: list[dict[str, int | None]] = []  # unsynced changes of names, each atomic
         for name, data in (left or {}).items():
             self.names[name] = self.now[name] = number = len(self.contents)
             self.contents[number] = Content(data, bytearray(data))
 
     def open(self, name: str, fresh: bool = False) -> int:
-        """Open or create a file, empty if `fresh`; return the number of its content."""
+        """Open or create a file and return the number of its content; `fresh` truncates the file."""
         if name not in self.now:
             number = len(self.contents)
             self.contents[number] = Content()
@@ -104,7 +108,7 @@
         return self.now[name]
 
     def rename(self, change: dict[str, int | None]) -> None:
-        """Change names to other contents, or to none, atomically."""
+        """Atomically change which content each name refers to; None removes the name."""
         self.pending.append(change)
         apply(self.now, change)
 
@@ -113,34 +117,34 @@
         self.rename({new: self.now[old], old: None})
 
     def unlink(self, name: str) -> None:
-        """Remove a name, if it exists."""
+        """Remove a file, if it exists."""
         if name in self.now:
             self.rename({name: None})
 
     def sync_folder(self) -> None:
-        """Make the present names durable."""
+        """Make the present file names durable."""
         self.names = dict(self.now)
         self.pending = []
 
     def cut(self, rng: random.Random, keeps: float | None = None) -> dict[str, bytes]:
-        """Return the files that a power loss leaves, by name.
+        """Return the files that survive a power loss, by name.
 
         Args:
-            rng: Decides what survives.
-            keeps: The probability with which an unsynced change survives; by default drawn from none, some
-                and all.
+            rng: Decides which changes survive.
+            keeps: The probability with which an unsynced change survives; by default drawn from 0, 0.3, 0.7
+                and 1.
         """
         keeps = rng.choice((0.0, 0.3, 0.7, 1.0)) if keeps is None else keeps
         names = dict(self.names)
         for change in self.pending:
             if rng.random() < keeps:
                 apply(names, change)
-        survivors = {number: each.surviving(rng, keeps) for number, each in self.contents.items()}
+        survivors = {number: content.surviving(rng, keeps) for number, content in self.contents.items()}
         return {name: survivors[number] for name, number in names.items()}
 
 
 def apply(names: dict[str, int], change: dict[str, int | None]) -> None:
-    """Apply a change of names."""
+    """Apply a change of names to a mapping of names to contents."""
     for name, number in change.items():
         if number is None:
             names.pop(name, None)
@@ -149,39 +153,43 @@
 
 
 def no_fault(operation: str) -> None:
-    """Let an operation succeed."""
+    """Accept an operation without a fault."""
 
 
 def default_duration() -> float:
-    """Return how long a job of a `MemoryDisk` takes, in seconds."""
+    """Return the default duration of a job of a `MemoryDisk`, in seconds."""
     return SYNC_DELAY_S
 
 
 class MemoryDisk:
-    """A file layer on a simulated disk; jobs of `run` take the time that `takes` returns, in seconds."""
+    """A file layer on a simulated disk.
+
+    `takes` returns the simulated duration of a job of `run`, in seconds.
+    """
 
     def __init__(self, platter: SimulatedDisk, before: Callable[[str], None] = no_fault) -> None:
-        """Create a layer.
+        """Create a file layer.
 
         Args:
-            platter: The disk.
-            before: Called with the name of each operation before it; it may raise to simulate a fault.
+            platter: The simulated disk.
+            before: Called before each operation with the name of the operation. The function may raise an
+                exception to simulate a fault.
         """
         self.platter = platter
         self.before = before
         self.takes: Callable[[], float] = default_duration
-        self.files: dict[int, int] = {}  # by descriptor
-        self.last = 1000  # above the descriptors of real files
+        self.files: dict[int, int] = {}  # by descriptor: number of the content
+        self.last = 1000  # latest descriptor; all are above the descriptors of real files
 
     def open(self, path: Path, fresh: bool = False) -> int:
-        """Open or create a file, empty if `fresh`, and return its descriptor."""
+        """Open or create a file and return its descriptor; `fresh` truncates the file."""
         self.before("open")
         self.last += 1
         self.files[self.last] = self.platter.open(path.name, fresh)
         return self.last
 
     def read(self, path: Path) -> bytes:
-        """Return the content of a file; empty if there is none."""
+        """Return the content of a file; empty if the file does not exist."""
         number = self.platter.now.get(path.name)
         return b"" if number is None else bytes(self.platter.contents[number].now)
 
@@ -191,7 +199,7 @@
         self.platter.contents[self.files[file]].write(data)
 
     def truncate(self, file: int, size: int) -> None:
-        """Cut off what exceeds `size` bytes of a file."""
+        """Truncate a file to `size` bytes."""
         self.before("truncate")
         self.platter.contents[self.files[file]].truncate(size)
 
@@ -201,7 +209,7 @@
         self.platter.contents[self.files[file]].sync()
 
     def sync_folder(self, path: Path) -> None:
-        """Make the names of a folder durable."""
+        """Make the file names in a folder durable."""
         self.before("sync of the folder")
         self.platter.sync_folder()
 
@@ -216,7 +224,7 @@
         self.platter.unlink(path.name)
 
     def close(self, file: int) -> None:
-        """Forget a descriptor."""
+        """Close a descriptor."""
         self.files.pop(file, None)
 
     async def run(self, job: Callable[[], None]) -> None:
@@ -225,19 +233,19 @@
         job()
 
     def finish(self) -> None:
-        """Do nothing: no job is ever left."""
+        """Do nothing, since `run` leaves no job unfinished."""
 
 
 class RecordingDisk(SystemDisk):
-    """The real files of a process; each operation is recorded before it is made."""
+    """A file layer on real files, which records each operation before it is performed."""
 
     def __init__(self, ops: Path, fault: str = "", slow: float = 0.0) -> None:
-        """Create a layer.
+        """Create a file layer.
 
         Args:
-            ops: The record, a file outside the folder of the files.
-            fault: "eio" lets each sync fail, "full" each write.
-            slow: How long a sync takes, in seconds.
+            ops: The file in which operations are recorded, outside the folder of the files.
+            fault: "eio" makes each sync fail, "full" makes each write fail.
+            slow: The duration of a sync, in seconds.
         """
         super().__init__()
         self.ops = os.open(ops, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o600)
@@ -246,13 +254,13 @@
         self.paths: dict[int, tuple[int, str]] = {}  # by descriptor: number of the open operation, file name
         self.opened = 0
 
-    def record(self, what: str, data: bytes = b"", **fields: object) -> None:
-        """Append an operation to the record."""
-        head = json.dumps({"do": what, "size": len(data), "by": os.getpid(), **fields}).encode()
+    def record(self, operation: str, data: bytes = b"", **fields: object) -> None:
+        """Append an operation to the file of recorded operations."""
+        head = json.dumps({"do": operation, "size": len(data), "by": os.getpid(), **fields}).encode()
         os.write(self.ops, head + b"\n" + data + b"\n")
 
     def open(self, path: Path, fresh: bool = False) -> int:
-        """Open or create a file, empty if `fresh`, and return its descriptor."""
+        """Open or create a file and return its descriptor; `fresh` truncates the file."""
         self.opened += 1
         self.record("open", name=path.name, fresh=fresh, file=self.opened)
         file = super().open(path, fresh)
@@ -267,7 +275,7 @@
         super().write(file, data)
 
     def truncate(self, file: int, size: int) -> None:
-        """Cut off what exceeds `size` bytes of a file."""
+        """Truncate a file to `size` bytes."""
         self.record("truncate", file=self.paths[file][0], to=size)
         super().truncate(file, size)
 
@@ -280,7 +288,7 @@
         self.record("sync", file=self.paths[file][0])
 
     def sync_folder(self, path: Path) -> None:
-        """Make the names of a folder durable."""
+        """Make the file names in a folder durable."""
         self.record("sync folder")
 
     def replace(self, old: Path, new: Path) -> None:
@@ -295,7 +303,10 @@
 
 
 def read_operations(ops: Path) -> Iterator[tuple[dict[str, Any], bytes]]:
-    """Yield the recorded operations of all processes in order, without one that a kill cut short."""
+    """Yield the recorded operations of all processes in order.
+
+    An incomplete last record, which a kill leaves behind, is skipped.
+    """
     data = ops.read_bytes() if ops.exists() else b""
     at = 0
     while (end := data.find(b"\n", at)) >= 0:
@@ -308,7 +319,12 @@
 
 
 def replay(ops: Path, before: dict[str, bytes]) -> SimulatedDisk:
-    """Return the disk after the recorded operations; `before` is what was durable before the first."""
+    """Return the disk after the recorded operations.
+
+    Args:
+        ops: The file of recorded operations.
+        before: The durable files before the first operation, by name.
+    """
     platter = SimulatedDisk(before)
     files: dict[tuple[int, int], int] = {}
     for operation, data in read_operations(ops):
@@ -338,19 +354,27 @@
 ) -> dict[str, bytes]:
     """Apply a power loss to the files of a killed process.
 
-    Files that it wrote through its `RecordingDisk` become what the power loss leaves of them. A journal that
-    it wrote in another way was never synced; other such files are not of this disk.
+    Files that the process wrote through its `RecordingDisk` are replaced by the parts that survive. A journal
+    that the process wrote in another way was never synced, so it is treated as one unsynced write. Other
+    files that the process wrote in another way do not belong to this disk and are left alone.
+
+    Args:
+        folder: The folder with the files.
+        ops: The file of recorded operations, which is deleted.
+        before: The durable files before the first recorded operation, by name.
+        seed: The seed that decides which changes survive.
+        keeps: The probability with which an unsynced change survives; by default drawn from the seed.
 
     Returns:
-        What is durable from now on, by file.
+        The files that are durable after the power loss, by name.
     """
     platter = replay(ops, before)
     if JOURNAL not in platter.now and (folder / JOURNAL).exists():
         platter.contents[platter.open(JOURNAL)].write((folder / JOURNAL).read_bytes())
-    left = platter.cut(random.Random(seed), keeps)
-    for name in {*platter.now, *platter.names, *left}:
+    survivors = platter.cut(random.Random(seed), keeps)
+    for name in {*platter.now, *platter.names, *survivors}:
         (folder / name).unlink(missing_ok=True)
-    for name, data in left.items():
+    for name, data in survivors.items():
         (folder / name).write_bytes(data)
     ops.unlink(missing_ok=True)
-    return left
+    return survivors
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -210,7 +210,7 @@
 def test_a_demo_of_a_tenth_of_its_length_breaks_no_rule(capsys: pytest.CaptureFixture[str]) -> None:
     assert main(["demo", "--pace", "0.1", "--plain"]) == 0
     out = capsys.readouterr().out
-    assert "the referee: no rule broken" in out and "cold return" in out
+    assert "history check: no violations" in out and "cold return" in out
     assert main(["demo", "--pace", "9"]) == 2
 
 
@@ -224,4 +224,4 @@
         return [Violation("order", 1.0, "forged")]
 
     monkeypatch.setattr(demo.Demo, "run", broken)
-    assert main(["demo", "--plain"]) == 1 and "broken: order: forged" in capsys.readouterr().out
+    assert main(["demo", "--plain"]) == 1 and "violation: order: forged" in capsys.readouterr().out
