--- a/message_sender/cli/__init__.py
+++ b/message_sender/cli/__init__.py
@@ -1,8 +1,8 @@
 """The command line: `message-sender --help`.
 
-Exit codes: 0 success, 1 failure, 2 wrong usage. A command's module is imported when the command runs, so that
-a command needs only its own extras of the package. `python -m message_sender` without arguments starts the
-platform's daemon and imports nothing of this package.
+Exit codes: 0 success, 1 failure, 2 wrong usage. The module of a command is imported when the command runs, so
+that a command needs only its own extras of the package. `python -m message_sender` without arguments starts
+the platform's daemon and does not import this package.
 """
 
 import importlib
@@ -11,7 +11,7 @@
 
 PROGRAM = "message-sender"
 
-#: By command: the module that defines it, and the extra that it needs besides `cli`.
+#: By command: the module that defines the command, and the extra that it needs in addition to `cli`.
 COMMANDS = {
     "check": ("message_sender.cli.basic", ""),
     "control": ("message_sender.cli.control", "fleet"),
@@ -45,7 +45,7 @@
             """Returns a command; None for an unknown name.
 
             Raises:
-                click.ClickException: A library that the command needs is not installed.
+                click.ClickException: A library that the command needs is missing.
             """
             if cmd_name not in COMMANDS:
                 return None
@@ -61,9 +61,9 @@
     @click.group(cls=Commands, context_settings={"help_option_names": ["-h", "--help"]})
     @click.version_option(package_name="message-sender", prog_name=PROGRAM)
     def root_command() -> None:
-        """A sender that loses nothing and repeats nothing.
+        """Deliver messages to endpoints without loss or duplicate effects.
 
-        Completion: eval "$(_MESSAGE_SENDER_COMPLETE=bash_source message-sender)"
+        Shell completion: eval "$(_MESSAGE_SENDER_COMPLETE=bash_source message-sender)"
         """
 
 
@@ -71,7 +71,7 @@
     """Runs a command and returns its exit code.
 
     Args:
-        arguments: Without the program's name; None: those of the process.
+        arguments: The arguments without the program name; None for the arguments of the process.
     """
     if click is None:
         print(f"{PROGRAM}: the command line needs click; pip install 'message-sender[cli]'", file=sys.stderr)
@@ -84,10 +84,8 @@
 
 
 def deprecated_main() -> int:
-    """Runs a command under the former program name `elmglade`, which is kept for one release."""
-    print(
-        f"elmglade: this command is now {PROGRAM}; the old name goes with the next release", file=sys.stderr
-    )
+    """Runs a command under the deprecated program name `elmglade`, which is kept for one release."""
+    print(f"elmglade: this command is now {PROGRAM}; the next release removes the old name", file=sys.stderr)
     return main()
 
 
--- a/message_sender/cli/basic.py
+++ b/message_sender/cli/basic.py
@@ -21,7 +21,7 @@
     from message_sender.core.inventory import DestinationRecord
     from message_sender.pcap.traffic_tap import TrafficTap
 
-STATES_HELP = "Only those: open, half-open, waits, warming, closed, asleep, listed."
+STATES_HELP = "Show only destinations in this state: open, half-open, waits, warming, closed, asleep, listed."
 INVENTORY_COLUMNS = ("number", "state", "endpoints", "held", "out", "silent s", "gap ms", "bytes")
 
 
@@ -29,7 +29,7 @@
 @click.argument("file", type=FILE_PATH)
 @click.pass_context
 def check(ctx: click.Context, file: Path) -> None:
-    """Name every fault of a configuration."""
+    """Check a configuration file and report every fault."""
     try:
         config = load(file)
     except ConfigError as error:
@@ -39,7 +39,7 @@
     except OSError as error:
         raise click.ClickException(str(error)) from None
     classes = ", ".join(message_class.name for message_class in config.settings.classes)
-    click.echo(f"{file}: good; classes {classes}; {len(config.endpoints)} endpoints")
+    click.echo(f"{file}: valid; classes {classes}; {len(config.endpoints)} endpoints")
 
 
 @click.command(
@@ -49,13 +49,15 @@
     message-sender serve --config deploy/serve.toml --state /var/lib/message-sender --log json
     """
 )
-@click.option("--config", "file", type=FILE_PATH, required=True, help="A TOML file.")
-@click.option("--state", type=FOLDER_PATH, help="The lasting folder; else the file's.")
-@click.option("--answers", type=FILE_PATH, help="Final answers go there; else to standard output.")
+@click.option("--config", "file", type=FILE_PATH, required=True, help="The TOML configuration file.")
+@click.option(
+    "--state", type=FOLDER_PATH, help="The state folder; default: the folder that the configuration names."
+)
+@click.option("--answers", type=FILE_PATH, help="Append completions to this file; default: standard output.")
 @LOG_FORMAT_OPTION
 @click.pass_context
 def serve(ctx: click.Context, file: Path, state: Path | None, answers: Path | None, form: str) -> None:
-    """Runs a standalone sender until it is stopped; its exit code is the command's."""
+    """Runs a standalone sender until it is stopped, and exits with the exit code of the sender."""
     from message_sender.cli.log_format import configure_logging
     from message_sender.service.standalone import serve as run_sender
 
@@ -64,7 +66,7 @@
         config = load(file)
         folder = state or config.state
         if folder is None:
-            raise click.ClickException("neither the configuration nor --state names a state folder")
+            raise click.ClickException("no state folder: set `state` in the configuration or use --state")
         folder.mkdir(parents=True, exist_ok=True)
         with contextlib.ExitStack() as stack:
             output: TextIO = sys.stdout
@@ -76,7 +78,7 @@
 
 @contextlib.contextmanager
 def open_traffic_tap(config: SenderConfig) -> Iterator["TrafficTap"]:
-    """Opens the writer of capture files that the configuration names, and closes it at the end."""
+    """Opens the traffic capture that the configuration sets up, and closes the capture at the end."""
     from message_sender.pcap.traffic_tap import TrafficTap
 
     assert config.capture
@@ -91,17 +93,22 @@
 
 
 @click.command(
-    help="""What a sender keeps for each destination.
+    help="""Show the state that a sender holds for each destination.
 
-    PATH is its state folder, or the file there that it writes on SIGUSR1.
+    PATH is the state folder of the sender, or the inventory file that the sender writes there on SIGUSR1.
     """
 )
 @click.argument("path", type=ANY_PATH)
 @click.option("--state", help=STATES_HELP)
-@click.option("--most", type=click.IntRange(0), default=50, help="Rows at the most, the most troubled first.")
-@click.option("--json", "as_json", is_flag=True, help="All of it as JSON lines.")
+@click.option(
+    "--most",
+    type=click.IntRange(0),
+    default=50,
+    help="Maximum number of rows; destinations in the worst state come first.",
+)
+@click.option("--json", "as_json", is_flag=True, help="Print all records as JSON lines.")
 def destinations(path: Path, state: str | None, most: int, as_json: bool) -> None:
-    """Prints the records of the inventory file that a running sender wrote."""
+    """Prints the records of the inventory file that a running sender has written."""
     from message_sender.core.inventory import read
 
     with exit_on_error():
@@ -119,11 +126,11 @@
 def print_inventory_summary(
     written_at_s: float, states: Counter[str], records: Sequence["DestinationRecord"]
 ) -> None:
-    """Prints one line: the time, destinations by state, and bytes of the selected ones.
+    """Prints one line: the time, the destinations by state, and the memory of the selected destinations.
 
     Args:
-        written_at_s: Seconds since the epoch.
-        states: Number of destinations in each state, also of those that are not selected.
+        written_at_s: The time of the inventory, in seconds since the epoch.
+        states: The number of destinations in each state, selected or not.
         records: The selected destinations.
     """
     when = datetime.fromtimestamp(written_at_s, UTC).isoformat(timespec="seconds")
@@ -131,12 +138,12 @@
     size_bytes = sum(record.bytes for record in records)
     click.echo(
         f"{when}: {sum(states.values())} destinations ({by_state or 'none'}); "
-        f"{size_bytes:,} bytes of those asked for"
+        f"{size_bytes:,} bytes in the selected destinations"
     )
 
 
 def print_inventory_table(records: Sequence["DestinationRecord"], row_limit: int) -> None:
-    """Prints a row for each destination, up to `row_limit` of them, those in the worst state first."""
+    """Prints a table of up to `row_limit` destinations, with the worst state first."""
     from message_sender.core.inventory import ORDER
 
     rank = {name: index for index, name in enumerate(ORDER)}
@@ -150,18 +157,23 @@
         click.echo(f"{row} {silent:>10} {record.gap_ms:>8.1f} {record.bytes:>7}")
     remaining = len(ordered) - row_limit
     if remaining > 0:
-        click.echo(f"and {remaining} more; --most shows them")
+        click.echo(f"and {remaining} more rows; use --most to show them")
 
 
 @click.command()
-@click.option("--pace", type=click.FloatRange(0.1, 1.2), default=1.0, help="Of its usual length of 30 s.")
-@click.option("--rate", type=click.FloatRange(1, 200), default=40.0, help="Commands a second.")
-@click.option("--seed", type=int, default=1)
-@click.option("--pcap", "capture", type=FILE_PATH, help="Hand in the commands of a capture.")
-@click.option("--plain", is_flag=True, help="Plain lines also on a terminal.")
+@click.option(
+    "--pace",
+    type=click.FloatRange(0.1, 1.2),
+    default=1.0,
+    help="Factor for the duration, which is about 30 s at 1.",
+)
+@click.option("--rate", type=click.FloatRange(1, 200), default=40.0, help="Commands per second.")
+@click.option("--seed", type=int, default=1, help="Seed of the random choices.")
+@click.option("--pcap", "capture", type=FILE_PATH, help="Submit the commands of this packet capture.")
+@click.option("--plain", is_flag=True, help="Print plain lines even on a terminal.")
 @click.pass_context
 def demo(ctx: click.Context, pace: float, rate: float, seed: int, capture: Path | None, plain: bool) -> None:
-    """Stand-ins and one sender, through an outage and back."""
+    """Run a sender with stand-in clients and endpoints through an outage of a destination."""
     from message_sender.testbed.demo import demo as run_demo
 
     if capture is None:
@@ -174,5 +186,5 @@
     except (OSError, MalformedCaptureError) as error:
         raise click.ClickException(f"{capture}: {error}") from None
     if not commands:
-        raise click.ClickException(f"{capture} holds no command that is whole")
+        raise click.ClickException(f"{capture}: no complete command with a class and a destination found")
     ctx.exit(run_demo(pace, rate, seed, plain=plain, commands=commands))
--- a/message_sender/cli/budget_chart.py
+++ b/message_sender/cli/budget_chart.py
@@ -1,6 +1,6 @@
-"""Samples a shared budget at running senders and draws grants and usage by member over time.
+"""Samples a shared budget of running senders, and charts the grants and the usage by member over time.
 
-matplotlib (`message-sender[report]`) draws one SVG without external references.
+The chart is one SVG without external references, drawn with matplotlib (`message-sender[report]`).
 """
 
 import time
@@ -13,7 +13,7 @@
 
 from message_sender.cli.sender_client import request_value
 
-SVG_ID_SALT = "elmglade"  # a constant one: the same samples give the same bytes
+SVG_ID_SALT = "elmglade"  # constant, so that equal samples give byte-identical files
 FIGURE_WIDTH_INCHES = 9
 ROW_HEIGHT_INCHES = 3.2
 
@@ -24,11 +24,12 @@
 
     Attributes:
         sampled_at_s: Times of the samples, in seconds since the first one.
-        limits: The budget's limit at each sample.
-        granted: What each member might spend at each sample.
-        spent: What each member has spent since the first sample, also over its restarts.
-        last_spent: The counter that each member reported last; it restarts from zero with the process.
-        period_s: Period of a rate; None for other budgets.
+        limits: The limit of the budget at each sample.
+        granted: By member: the grant at each sample.
+        spent: By member: the usage since the first sample, including usage before a restart of the member.
+        last_spent: By member: the usage counter of the latest response, which restarts at zero with the
+            process.
+        period_s: The period of a rate limit in seconds; None for other budgets.
     """
 
     sampled_at_s: list[float] = field(default_factory=list)
@@ -39,11 +40,11 @@
     period_s: float | None = None
 
     def add(self, now_s: float, budgets: Mapping[str, Mapping[str, Any]]) -> None:
-        """Adds a sample. A member without a response counts as one with no grant and no new usage.
+        """Adds a sample. A member that did not respond counts as having no grant and no new usage.
 
         Args:
-            now_s: Seconds since the first sample.
-            budgets: The budget as each member that responded knows it.
+            now_s: The time in seconds since the first sample.
+            budgets: By member that responded: the budget as that member reports it.
         """
         for name in budgets:
             self.granted.setdefault(name, [0] * len(self.sampled_at_s))
@@ -62,7 +63,7 @@
                 break
 
     def count_new_usage(self, name: str, budget: Mapping[str, Any] | None) -> int:
-        """Returns what a member spent since its last response; 0 for the first one."""
+        """Returns the usage of a member since its previous response; 0 for the first response."""
         if budget is None:
             return 0
         spent = int(budget["spent"])
@@ -73,7 +74,7 @@
         return spent - previous if spent >= previous else spent
 
     def usage_per_period(self, name: str) -> list[int]:
-        """Returns what a member spent of a rate in the period that ends with each sample."""
+        """Returns the usage of a member in the rate period that ends at each sample."""
         counts = self.spent[name]
         usage = list[int]()
         first = 0
@@ -85,22 +86,25 @@
 
 
 def sample_budget(name: str, folders: Iterable[Path], duration_s: float, interval_s: float) -> BudgetSeries:
-    """Samples a budget at the senders of the state folders; one without a response misses a sample."""
+    """Samples a budget of the senders in these state folders.
+
+    A sender that does not respond is left out of the sample.
+    """
     series = BudgetSeries()
     state_folders = list(folders)
-    began = time.monotonic()
-    while (now_s := time.monotonic() - began) < duration_s:
+    started_at = time.monotonic()
+    while (now_s := time.monotonic() - started_at) < duration_s:
         budgets = {}
         for folder in state_folders:
             if budget := read_budget(name, folder):
                 budgets[str(folder)] = budget
         series.add(now_s, budgets)
-        time.sleep(max(interval_s - (time.monotonic() - began - now_s), 0.0))
+        time.sleep(max(interval_s - (time.monotonic() - started_at - now_s), 0.0))
     return series
 
 
 def read_budget(name: str, folder: Path) -> Mapping[str, Any] | None:
-    """Returns a budget as the sender of a state folder knows it; None if it does not respond."""
+    """Returns a budget as the sender in a state folder reports it; None if the sender does not respond."""
     try:
         budget: Mapping[str, Any] | None = request_value(folder, {"do": "budgets"}).get(name)
     except click.ClickException:
@@ -109,7 +113,7 @@
 
 
 def shorten_labels(folders: Iterable[str]) -> list[str]:
-    """Returns the shortest part of the paths that distinguishes them: name, parent's name or all of it."""
+    """Returns the shortest labels that distinguish the paths: names, parents' names or full paths."""
     paths = [Path(folder) for folder in folders]
     for labels in ([path.name for path in paths], [path.parent.name for path in paths]):
         if len(set(labels)) == len(labels):
@@ -118,7 +122,7 @@
 
 
 def draw_chart(name: str, series: BudgetSeries, file: Path) -> None:
-    """Draws grants and, of a rate, usage by member as an SVG.
+    """Draws the grants by member as an SVG, and for a rate limit also the usage by member.
 
     Raises:
         ImportError: matplotlib is not installed.
--- a/message_sender/cli/budget_status.py
+++ b/message_sender/cli/budget_status.py
@@ -1,4 +1,4 @@
-"""Formats a shared budget, as one sender's control socket returns it, as text. Pure."""
+"""Formats a shared budget, as returned by the control socket of a sender, as text. Pure."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -7,9 +7,9 @@
 
 UNITS = {
     "calls": "calls",
-    "in_flight": "calls out at once",
-    "trials": "trials at once",
-    "repeats": "repeats",
+    "in_flight": "calls in flight",
+    "trials": "concurrent trials",
+    "repeats": "retries",
     "connections": "connections",
     "handshakes": "new connections",
     "tenant": "messages",
@@ -17,7 +17,7 @@
 
 
 def format_limit(budget: Mapping[str, Any]) -> str:
-    """Returns the budget's limit with its unit, and the period of a rate."""
+    """Returns the limit of a budget with its unit, and for a rate limit its period."""
     limit = f"{budget['whole']} {UNITS[budget['of']]}"
     if budget["per_ms"]:
         limit += f" in {budget['per_ms']:g} ms"
@@ -25,52 +25,57 @@
 
 
 def format_budget(name: str, budget: Mapping[str, Any], with_reasons: bool = False) -> list[str]:
-    """Returns the lines on one budget.
+    """Returns the lines that describe one budget.
 
     Args:
-        name: Of the budget.
-        budget: Its entry in the value of the response to `budgets`.
-        with_reasons: Adds why the member has its share.
+        name: The name of the budget.
+        budget: The entry of the budget in the response to `budgets`.
+        with_reasons: Adds the reasons for the grant of the member.
     """
-    holder = f"kept by {budget['keeper']}"
+    holder = f"granted by {budget['keeper']}"
     if not budget["keeper"]:
-        holder = "kept by nobody, as far as is known"
+        holder = "no grantor is known"
     lines = [
         f"{name}: {format_limit(budget)}, {holder}",
-        f"  this one may spend {budget['part']}, needs {budget['needed']}, has {budget['in_use']} in use, "
+        f"  this member: granted {budget['part']}, needed {budget['needed']}, in use {budget['in_use']}, "
         f"spent {budget['spent']} since its start; "
-        f"its lease is over in {format_duration(budget['lease_left_s'])}",
+        f"its lease ends in {format_duration(budget['lease_left_s'])}",
     ]
     lines += [format_lease(member, lease) for member, lease in budget["by_member"].items()]
     if budget["keeps"]:
         granted = sum(lease["granted"] for lease in budget["by_member"].values())
         spare = budget["whole"] - budget["floor"] * budget["size"] - granted
-        lines.append(f"  {'nobody':<12} {spare:>6} not given out")
-    lines += [f"  refused: {count} words, {reason}" for reason, count in budget["refused"].items()]
+        lines.append(f"  {'unassigned':<12} {spare:>6}")
+    lines += [
+        f"  refused: {count} messages between members, {reason}"
+        for reason, count in budget["refused"].items()
+    ]
     if with_reasons:
         lines += format_reasons(budget)
     return lines
 
 
 def format_lease(member: str, lease: Mapping[str, Any]) -> str:
-    """Returns the line on the lease of one member."""
+    """Returns the line that describes the lease of one member."""
     needed = "?" if lease["needed"] is None else lease["needed"]
     remaining = format_duration(lease["left_s"])
     return f"  {member:<12} {lease['granted']:>6} granted, {needed} needed, {remaining} left"
 
 
 def format_reasons(budget: Mapping[str, Any]) -> list[str]:
-    """Returns the lines on why the member has its share, and on recent changes of it."""
+    """Returns the lines that give the reasons for the grant of the member, and its recent changes."""
     lines = []
     if budget["spends_in_s"]:
         delay = format_duration(budget["spends_in_s"])
-        lines.append(f"  it spends nothing for {delay}: its life before may have")
+        lines.append(f"  spends nothing for {delay}: a grant of its previous session may be valid")
     if budget["silent_s"]:
         delay = format_duration(budget["silent_s"])
-        lines.append(f"  it promises nobody for {delay}: its life before may have")
+        lines.append(f"  supports no grantor for {delay}: a promise of its previous session may be valid")
     if not budget["keeper"]:
-        lines.append(f"  nobody is known to have more than half of {budget['size']} members: floors alone")
+        lines.append(f"  no grantor with a majority of {budget['size']} members is known: floor grants only")
     if budget["gives_in_s"]:
         delay = format_duration(budget["gives_in_s"])
-        lines.append(f"  it keeps it, and gives nothing for {delay}: others may have")
+        lines.append(
+            f"  is the grantor, but grants nothing for {delay}: grants of an earlier grantor may be valid"
+        )
     return lines + [f"  {at_s:8.2f} s {text}" for at_s, text in budget["changes"]]
--- a/message_sender/cli/configuration_change.py
+++ b/message_sender/cli/configuration_change.py
@@ -2,10 +2,10 @@
 
 Rules:
 
-- The change names the version that it was made against; where another one is in force, nothing is written.
+- The change names its base version; if another version is in force, nothing is changed.
 - While no leader with a majority is known, or the node does not respond, the same change is requested again
-  under the same request id: the control nodes apply it at most once.
-- When the time is over without an outcome, the outcome is `UNAVAILABLE`: the change may still be applied.
+  under the same request id, since the control nodes apply a request id at most once.
+- If no outcome is known at the time limit, the outcome is `UNAVAILABLE`, and the change may still be applied.
 """
 
 import json
@@ -20,7 +20,7 @@
 from message_sender.control_socket import send_request
 
 RETRY_INTERVAL_S = 0.3
-RESPONSE_TIMEOUT_S = 10.0  # for one response of a control node
+RESPONSE_TIMEOUT_S = 10.0  # for each response of a control node
 NO_LEADER_REASON = "no leader with a majority is known"
 
 
@@ -31,22 +31,22 @@
     CONFLICT = "conflict"
     INVALID = "invalid"
     UNAVAILABLE = "unavailable"
-    UNCHANGED = "unchanged"  # the present version has the requested content
+    UNCHANGED = "unchanged"  # the version in force already has the requested content
 
 
 class ControlNodeError(Exception):
-    """A request to a control node failed; `str` gives the reason, with a line for each fault."""
+    """A request to a control node failed; `str` gives the reason, one line for each fault."""
 
 
 class NodeUnreachableError(ControlNodeError):
     """A control node did not respond.
 
     Attributes:
-        folder: Its state folder.
+        folder: The state folder of the control node.
     """
 
     def __init__(self, folder: Path, cause: Exception) -> None:
-        """`cause`: what the connection failed with."""
+        """Creates the error; `cause` is the exception of the failed request."""
         super().__init__(f"no control node answers in {folder}: {cause}")
         self.folder = folder
 
@@ -55,11 +55,11 @@
     """A control node refused a request.
 
     Attributes:
-        faults: What is wrong with the request, a line for each fault.
+        faults: The faults of the request, one line for each.
     """
 
     def __init__(self, faults: Sequence[str]) -> None:
-        """`faults`: as the control node names them."""
+        """Creates the error with the faults that the control node reported."""
         super().__init__("\n".join(faults))
         self.faults = tuple(faults)
 
@@ -68,11 +68,11 @@
     """A change deletes a resource that the configuration does not have.
 
     Attributes:
-        name: Of the resource.
+        name: The name of the resource.
     """
 
     def __init__(self, name: str) -> None:
-        """`name`: of the resource."""
+        """Creates the error for the resource `name`."""
         super().__init__(name)
         self.name = name
 
@@ -82,9 +82,9 @@
     """The configuration that a control node has in force.
 
     Attributes:
-        version: Its version.
-        resources: Encoded values by name.
-        response: The complete value of the control node's response to `get`.
+        version: The version of the configuration.
+        resources: By name: the encoded value of the resource.
+        response: The complete response of the control node to `get`.
     """
 
     version: int
@@ -107,7 +107,7 @@
     author: str
 
     def as_json(self) -> dict[str, Any]:
-        """Returns the request of the control socket."""
+        """Returns the change as a request to the control socket."""
         return {
             "do": "set",
             "request_id": self.request_id,
@@ -120,14 +120,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeResult:
-    """The outcome of a change. The command prints the fields by name as JSON.
+    """The result of a change. The command prints the fields by name as JSON.
 
     Attributes:
-        outcome: What became of the change.
-        version: The version in force with it.
-        faults: Of an invalid change.
-        attempts: Requests that were sent.
-        reason: Why the outcome is not known.
+        outcome: The outcome of the change.
+        version: The version in force after the change.
+        faults: The faults of an invalid change.
+        attempts: The number of requests that were sent.
+        reason: Why the outcome is unknown; empty if it is known.
     """
 
     outcome: ChangeOutcome
@@ -142,7 +142,7 @@
 
     Raises:
         NodeUnreachableError: The node did not respond.
-        RequestRefusedError: It refused the request.
+        RequestRefusedError: The node refused the request.
     """
     try:
         response = send_request(folder, request, timeout_s)
@@ -167,13 +167,13 @@
 def compute_difference(
     current: Mapping[str, bytes], requested: Mapping[str, bytes], is_patch: bool, deleted: Sequence[str]
 ) -> Difference:
-    """Returns what is to be put and deleted.
+    """Returns the resources to put and to delete.
 
     Args:
-        current: The resources in force.
-        requested: The resources that are to be in force.
+        current: By name: the encoded resources in force.
+        requested: By name: the encoded resources that are requested.
         is_patch: Keeps the resources that `requested` does not name.
-        deleted: Names to delete, with `is_patch` only.
+        deleted: The names to delete; used only with `is_patch`.
 
     Raises:
         UnknownResourceError: A name to delete is not in force.
@@ -188,10 +188,10 @@
 
 
 def request_change(folder: Path, request: ChangeRequest, timeout_s: float) -> ChangeResult:
-    """Requests a change until its outcome is known or the time is over.
+    """Requests a change until its outcome is known or `timeout_s` seconds have passed.
 
     Raises:
-        RequestRefusedError: The control node refused the form of the request.
+        RequestRefusedError: The control node refused the request as malformed.
     """
     deadline = time.monotonic() + timeout_s
     attempts = 0
@@ -207,16 +207,16 @@
 
 
 def attempt_change(folder: Path, request: ChangeRequest, timeout_s: float, attempts: int) -> ChangeResult:
-    """Requests a change once; without a response or a leader the outcome is `UNAVAILABLE`.
+    """Requests a change once. Without a response or a leader, the outcome is `UNAVAILABLE`.
 
     Args:
         folder: The control node's state folder.
         request: The change.
-        timeout_s: For the response.
-        attempts: Number of this request, from 1.
+        timeout_s: The time limit for the response, in seconds.
+        attempts: The number of this request, counted from 1.
 
     Raises:
-        RequestRefusedError: The control node refused the form of the request.
+        RequestRefusedError: The control node refused the request as malformed.
     """
     try:
         value = request_node(folder, request.as_json(), timeout_s)
--- a/message_sender/cli/control.py
+++ b/message_sender/cli/control.py
@@ -1,6 +1,6 @@
 """`message-sender control serve|init|set|get|status`: control nodes and the configuration of all senders.
 
-Exit codes: 0 success, 1 failure (refused, outcome not known, not in force everywhere), 2 wrong usage.
+Exit codes: 0 success, 1 failure (refused, outcome unknown, not in force everywhere), 2 wrong usage.
 """
 
 import getpass
@@ -39,22 +39,26 @@
 from message_sender.cli.repetition import run_repeatedly
 from message_sender.control import schema
 
-WAIT_INTERVAL_S = 0.2  # between two polls while a version is awaited
+WAIT_INTERVAL_S = 0.2  # between two polls of `status --wait`
 
 STATE_ARGUMENT = click.argument("folder", metavar="STATE", type=FOLDER_PATH)
 CONFIG_OPTION = click.option(
     "--config", "file", type=FILE_PATH, required=True, help="The control node's TOML file."
 )
 TIMEOUT_OPTION = click.option(
-    "--timeout", type=click.FloatRange(0.1, 3600), default=30.0, show_default=True, help="Seconds."
+    "--timeout",
+    type=click.FloatRange(0.1, 3600),
+    default=30.0,
+    show_default=True,
+    help="Time limit in seconds.",
 )
 
 
 @click.group()
 def control() -> None:
-    """Control nodes, and the configuration that they keep for all senders.
+    """Run control nodes, and read or change the configuration of all senders.
 
-    STATE is the state folder of a control node on this machine; any of them will do.
+    STATE is the state folder of any control node on this machine.
     """
 
 
@@ -69,7 +73,7 @@
 @LOG_FORMAT_OPTION
 @click.pass_context
 def serve(ctx: click.Context, file: Path, form: str) -> None:
-    """Runs a control node until SIGTERM; its exit code is the command's."""
+    """Runs a control node until SIGTERM, and exits with the exit code of the node."""
     from message_sender.cli.log_format import configure_logging
     from message_sender.control.process import run
 
@@ -79,10 +83,10 @@
 
 
 @control.command(
-    help="""Make the state folder of a new control node, which may vote from then on.
+    help="""Create the state folder of a new control node, which makes the node a voter.
 
-    Once for each node, before it is first started. A node whose disk was lost is not made anew with this: it
-    may have forgotten a vote.
+    Run this once for each node, before its first start. Do not use it to replace a node whose disk was lost,
+    since that node may have given a vote that the new folder does not record.
 
     \b
     message-sender control init --config control-1.toml
@@ -95,11 +99,11 @@
 
     with exit_on_error("configuration: "):
         initialise(file)
-    click.echo(f"{file}: the state folder is made")
+    click.echo(f"{file}: state folder created")
 
 
 def read_current(folder: Path) -> CurrentConfiguration:
-    """Returns the configuration that a control node has in force; without a response the exit code is 1."""
+    """Returns the configuration in force at a control node; exits with 1 if the node does not respond."""
     try:
         return read_configuration(folder)
     except ControlNodeError as error:
@@ -111,10 +115,10 @@
 
 @control.command(
     name="set",
-    help="""Change the configuration of all senders to what FILE holds.
+    help="""Replace the configuration of all senders with the content of FILE.
 
-    FILE has `[[endpoints]]` and `[[budgets]]` as a sender's own file has them; what it does not name is
-    deleted, unless --patch is given.
+    FILE has `[[endpoints]]` and `[[budgets]]` in the format of a sender's configuration file. Resources that
+    FILE does not name are deleted, unless --patch is given.
 
     \b
     message-sender control set /var/lib/control-1 fleet.toml --expect 7
@@ -124,11 +128,16 @@
 )
 @STATE_ARGUMENT
 @click.argument("file", type=FILE_PATH, required=False)
-@click.option("--patch", is_flag=True, help="Put only what FILE names; the rest stays.")
-@click.option("--delete", multiple=True, metavar="NAME", help="Delete it, as endpoints/hub-1; with --patch.")
-@click.option("--expect", type=click.IntRange(0), help="Only if this version is in force.")
-@click.option("--request-id", help="Of an earlier try whose outcome is not known: it is made once.")
-@click.option("--author", default=getpass.getuser, show_default="you", help="Who changes it.")
+@click.option("--patch", is_flag=True, help="Change only the resources that FILE names; keep all others.")
+@click.option(
+    "--delete",
+    multiple=True,
+    metavar="NAME",
+    help="With --patch: delete a resource, such as endpoints/hub-1.",
+)
+@click.option("--expect", type=click.IntRange(0), help="Change only if this version is in force.")
+@click.option("--request-id", help="Id of an earlier request with unknown outcome; applied at most once.")
+@click.option("--author", default=getpass.getuser, show_default="you", help="Author of the change.")
 @TIMEOUT_OPTION
 @JSON_OPTION
 @click.pass_context
@@ -146,9 +155,11 @@
 ) -> None:
     """Requests a change of the configuration and prints its outcome."""
     if file is None and not (patch and delete):
-        raise click.UsageError("FILE is missing; without it --patch and --delete are needed")
+        raise click.UsageError("FILE is missing; it may be left out only with --patch and --delete")
     if delete and not patch:
-        raise click.UsageError("--delete needs --patch: without it all that FILE does not name is deleted")
+        raise click.UsageError(
+            "--delete needs --patch; without --patch, all resources that FILE does not name are deleted"
+        )
     with exit_on_error():
         requested = schema.read_toml(file) if file else {}
     current = read_current(folder)
@@ -165,7 +176,7 @@
 def find_difference(
     current: CurrentConfiguration, requested: dict[str, bytes], is_patch: bool, deleted: tuple[str, ...]
 ) -> schema.Difference:
-    """Returns what is to be put and deleted; the exit code is 1 if a name to delete is not in force."""
+    """Returns the resources to put and to delete; exits with 1 if a name to delete is not in force."""
     try:
         return compute_difference(current.resources, requested, is_patch, deleted)
     except UnknownResourceError as error:
@@ -175,13 +186,13 @@
 def decide_without_request(
     request: ChangeRequest, current: CurrentConfiguration, is_repeated: bool
 ) -> ChangeResult | None:
-    """Returns the result of a change that no control node needs to decide; None for any other change.
+    """Returns the result of a change if it is known without a request to the control nodes, else None.
 
     Args:
         request: The change.
-        current: The configuration that a control node has in force. Where the node knows no leader, it may be
-            cut off with an old version, which shows nothing of the one in force.
-        is_repeated: The operator gave the request id: the control nodes may have applied the change already.
+        current: The configuration that a control node has in force. A node that knows no leader may be
+            partitioned from the others, so that its version may be outdated.
+        is_repeated: The operator gave the request id, so the control nodes may have applied the change.
     """
     if request.base_version != current.version:
         if is_repeated:
@@ -195,7 +206,7 @@
 
 
 def apply_change(folder: Path, request: ChangeRequest, timeout_s: float) -> ChangeResult:
-    """Requests a change until its outcome is known; the exit code is 1 if the node refuses the request."""
+    """Requests a change until its outcome is known; exits with 1 if the node refuses the request."""
     try:
         return request_change(folder, request, timeout_s)
     except ControlNodeError as error:
@@ -213,12 +224,12 @@
     """
 )
 @STATE_ARGUMENT
-@click.option("--toml", "as_toml", is_flag=True, help="As `set` takes it; the default.")
+@click.option("--toml", "as_toml", is_flag=True, help="Print TOML, the input format of `set`; the default.")
 @JSON_OPTION
 def get(folder: Path, as_toml: bool, as_json: bool) -> None:
     """Prints the configuration that a control node has in force."""
     if as_toml and as_json:
-        raise click.UsageError("--toml and --json don't go together")
+        raise click.UsageError("--toml and --json cannot be used together")
     current = read_current(folder)
     response = current.response
     if as_json:
@@ -231,14 +242,14 @@
 
 
 def read_status(folder: Path) -> tuple[dict[str, Any], DeploymentStatus]:
-    """Returns the value of the response to `status`, and what it means; without one the exit code is 1."""
+    """Returns the response to `status` and its parsed form; exits with 1 if the node does not respond."""
     try:
         response = request_node(folder, {"do": "status"})
         return response, parse_status(response)
     except ControlNodeError as error:
         raise click.ClickException(str(error)) from None
     except (KeyError, TypeError) as error:
-        raise click.ClickException(f"the answer is none: {error!r}") from None
+        raise click.ClickException(f"malformed response to status: {error!r}") from None
 
 
 def print_status(folder: Path, as_json: bool) -> None:
@@ -248,7 +259,7 @@
 
 
 @control.command(
-    help="""Which version is in force where, who lags and why.
+    help="""Show the versions in force at control nodes and senders, and why some lag behind.
 
     \b
     message-sender control status /var/lib/control-1
@@ -257,10 +268,12 @@
 )
 @STATE_ARGUMENT
 @JSON_OPTION
-@click.option("--wait", "version", type=click.IntRange(0), help="Until this version is in force everywhere.")
+@click.option(
+    "--wait", "version", type=click.IntRange(0), help="Wait until this version is in force everywhere."
+)
 @TIMEOUT_OPTION
-@click.option("--reachable", is_flag=True, help="With --wait: leave out who does not answer or is silent.")
-@click.option("--watch", "is_watched", is_flag=True, help="Again and again.")
+@click.option("--reachable", is_flag=True, help="With --wait: ignore unreachable nodes and silent senders.")
+@click.option("--watch", "is_watched", is_flag=True, help="Repeat the output.")
 @INTERVAL_OPTION
 @REPETITIONS_OPTION
 @click.pass_context
@@ -275,9 +288,9 @@
     every: float,
     times: int | None,
 ) -> None:
-    """Prints the status once, repeatedly, or when a version is in force everywhere."""
+    """Prints the status once or repeatedly, or waits until a version is in force everywhere."""
     if version is not None and is_watched:
-        raise click.UsageError("--wait and --watch don't go together")
+        raise click.UsageError("--wait and --watch cannot be used together")
     if version is not None:
         ctx.exit(wait_for_version(folder, version, timeout, reachable, as_json))
 
@@ -291,12 +304,12 @@
 def wait_for_version(
     folder: Path, version: int, timeout_s: float, only_reachable: bool, as_json: bool
 ) -> int:
-    """Polls until a version is in force everywhere or the time is over; returns the exit code."""
-    began = time.monotonic()
+    """Polls until a version is in force everywhere or the time limit is reached; returns the exit code."""
+    started_at = time.monotonic()
     while True:
         _, deployment = read_status(folder)
         lagging = deployment.find_lagging(version, only_reachable)
-        elapsed_s = time.monotonic() - began
+        elapsed_s = time.monotonic() - started_at
         if not lagging or elapsed_s + WAIT_INTERVAL_S >= timeout_s:
             break
         time.sleep(WAIT_INTERVAL_S)
--- a/message_sender/cli/control_output.py
+++ b/message_sender/cli/control_output.py
@@ -28,24 +28,24 @@
 def print_change_text(
     request: ChangeRequest, result: ChangeResult, put_count: int, deleted_count: int
 ) -> None:
-    """Prints the outcome of a change for a person."""
-    tries = f" after {result.attempts} tries" if result.attempts > 1 else ""
+    """Prints the outcome of a change as text."""
+    tries = f" after {result.attempts} attempts" if result.attempts > 1 else ""
     match result.outcome:
         case ChangeOutcome.APPLIED:
             click.echo(f"version {result.version}{tries}: {put_count} put, {deleted_count} deleted")
         case ChangeOutcome.UNCHANGED:
-            click.echo(f"version {result.version} holds this already: nothing was changed")
+            click.echo(f"version {result.version} already has this content: nothing was changed")
         case ChangeOutcome.CONFLICT:
             click.echo(
-                f"version {result.version} is in force, and {request.base_version} was expected: "
+                f"version {result.version} is in force, but {request.base_version} was expected: "
                 "nothing was changed"
             )
         case ChangeOutcome.INVALID:
             click.echo("\n".join(result.faults))
             click.echo(f"nothing was changed; version {result.version} is in force")
         case ChangeOutcome.UNAVAILABLE:
-            click.echo(f"not known whether it was made{tries}: {result.reason}")
-            click.echo(f"ask again with --request-id {request.request_id}: it is made once")
+            click.echo(f"outcome unknown{tries}: {result.reason}")
+            click.echo(f"retry with --request-id {request.request_id}; the change is applied at most once")
 
 
 def print_wait_result(
@@ -54,11 +54,11 @@
     """Prints whether a version is in force everywhere.
 
     Args:
-        version: The version that was awaited.
-        sender_count: Senders that the control nodes know.
-        lagging: A line for each node and sender where it is not in force.
-        elapsed_s: Seconds that the command waited.
-        as_json: Prints a JSON object.
+        version: The version that the command waited for.
+        sender_count: The number of senders that the control nodes know.
+        lagging: A line for each node and sender where the version is not in force.
+        elapsed_s: How long the command waited, in seconds.
+        as_json: Prints a JSON object instead of text.
     """
     if as_json:
         document = {
@@ -70,7 +70,9 @@
         }
         click.echo(json.dumps(document))
     elif lagging:
-        click.echo("\n".join([f"version {version} is not everywhere after {elapsed_s:.1f} s:", *lagging]))
+        click.echo(
+            "\n".join([f"version {version} is not in force everywhere after {elapsed_s:.1f} s:", *lagging])
+        )
     else:
         click.echo(
             f"version {version} is in force everywhere, at {sender_count} senders, after {elapsed_s:.1f} s"
--- a/message_sender/cli/deployment_status.py
+++ b/message_sender/cli/deployment_status.py
@@ -1,35 +1,35 @@
-"""Which version of the configuration is in force at which control node and sender, and why others lag. Pure.
+"""The version of the configuration in force at each control node and sender, and why some lag. Pure.
 
 Rules:
 
-- Of a sender that several control nodes know, the node that it polled last counts.
-- A version is in force everywhere once each control node and each sender that they know has it, or a newer
-  one. A control node that does not respond may have senders that the others don't know: then it is not known
-  to be everywhere. `only_reachable` leaves out these nodes, and senders that were silent for longer than
-  SILENCE_LIMIT_S.
+- If several control nodes know a sender, the report of the node that the sender polled last is used.
+- A version is in force everywhere once each control node and each sender that they know has this version or a
+  newer one. A control node that does not respond may know senders that the others do not know, so the version
+  is then not considered to be in force everywhere. `only_reachable` leaves out these nodes, and senders that
+  were silent for longer than SILENCE_LIMIT_S.
 """
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 from typing import Any
 
-SILENCE_LIMIT_S = 5.0  # a sender polls each second
+SILENCE_LIMIT_S = 5.0  # a sender polls every second
 
 
 @dataclass(frozen=True, slots=True)
 class ControlNodeStatus:
-    """State of one control node, as it reports it.
+    """The state of one control node, as reported by the node.
 
     Attributes:
-        name: Of the node.
-        is_reachable: Whether it responded.
-        role: In the election.
-        leader: Name of the leader that it knows.
-        term: Of the election.
-        version: Of the configuration that it has in force.
-        age_s: Seconds since it knew a leader with a majority.
-        watchers: Number of senders that poll it.
-        fault: What an operator must look at; empty for none.
+        name: The name of the node.
+        is_reachable: Whether the node responded.
+        role: The role of the node in the election.
+        leader: The name of the leader that the node knows; empty for none.
+        term: The term of the election.
+        version: The version of the configuration that the node has in force.
+        age_s: The time in seconds since the node knew a leader with a majority.
+        watchers: The number of senders that poll the node.
+        fault: A fault that needs an operator; empty for none.
     """
 
     name: str
@@ -45,15 +45,15 @@
 
 @dataclass(frozen=True, slots=True)
 class SenderStatus:
-    """State of one sender, as the control node knows it that the sender polled last.
+    """The state of one sender, as reported by the control node that the sender polled last.
 
     Attributes:
-        name: Of the sender.
-        version: In force at the sender.
-        refused_version: The last one that it refused.
-        reason: Why it refused it.
-        silent_s: Seconds since its last poll.
-        node: Name of the control node.
+        name: The name of the sender.
+        version: The version in force at the sender.
+        refused_version: The latest version that the sender refused; 0 for none.
+        reason: Why the sender refused that version.
+        silent_s: The time in seconds since the last poll of the sender.
+        node: The name of the control node.
     """
 
     name: str
@@ -64,26 +64,26 @@
     node: str
 
     def explain_lag(self, version: int) -> str:
-        """Returns why `version` is not in force at the sender; empty if it is."""
+        """Returns why `version` is not in force at the sender; empty if the version is in force."""
         if self.version >= version:
             return ""
         if self.refused_version > self.version:
             return f"refused {self.refused_version}: {self.reason}"
         if self.silent_s > SILENCE_LIMIT_S:
             return f"silent for {self.silent_s:.1f} s"
-        return "on its way"
+        return "update pending"
 
 
 @dataclass(frozen=True, slots=True)
 class DeploymentStatus:
-    """Control nodes, and the senders that they know."""
+    """The states of all control nodes and of the senders that they know."""
 
     nodes: tuple[ControlNodeStatus, ...]
     senders: tuple[SenderStatus, ...]
 
     @property
     def version(self) -> int:
-        """The newest version that a control node has."""
+        """The newest version in force at a control node."""
         return max((node.version for node in self.nodes), default=0)
 
     def find_lagging(self, version: int, only_reachable: bool = False) -> list[str]:
@@ -132,22 +132,22 @@
 
 
 def format_node(node: ControlNodeStatus) -> str:
-    """Returns the line of `control status` on one control node."""
+    """Returns the line of `control status` that describes one control node."""
     if not node.is_reachable:
         return f"  control node {node.name:<12} does not answer"
     fault = f"; {node.fault}" if node.fault else ""
     return (
         f"  control node {node.name:<12} {node.role:<9} version {node.version}, term {node.term}, "
-        f"{node.watchers} senders, a majority {node.age_s:.1f} s ago{fault}"
+        f"{node.watchers} senders, majority seen {node.age_s:.1f} s ago{fault}"
     )
 
 
 def parse_status(response: Mapping[str, Any]) -> DeploymentStatus:
-    """Reads the value of the response to `status`.
+    """Parses the value of the response to `status`.
 
     Raises:
         KeyError: A field is missing.
-        TypeError: A field has another type.
+        TypeError: A field has an unexpected type.
     """
     nodes = [parse_node(node) for node in response["nodes"]]
     reports = [
@@ -160,7 +160,7 @@
 
 
 def parse_node(node: Mapping[str, Any]) -> ControlNodeStatus:
-    """Reads one control node of the response to `status`. Raises KeyError and TypeError."""
+    """Parses one control node of the response to `status`. Raises KeyError and TypeError."""
     if not node.get("is_reachable", True):
         return ControlNodeStatus(node["name"], is_reachable=False)
     return ControlNodeStatus(
@@ -177,7 +177,7 @@
 
 
 def parse_sender(sender: Mapping[str, Any], node: str) -> SenderStatus:
-    """Reads one sender as the control node `node` knows it. Raises KeyError and TypeError."""
+    """Parses one sender as reported by the control node `node`. Raises KeyError and TypeError."""
     return SenderStatus(
         name=sender["name"],
         version=sender["version"],
@@ -189,7 +189,7 @@
 
 
 def select_latest(reports: Iterable[SenderStatus]) -> tuple[SenderStatus, ...]:
-    """Returns for each sender the report of the node that it polled last, sorted by name."""
+    """Returns the report of the node that each sender polled last, sorted by sender name."""
     latest = dict[str, SenderStatus]()
     for report in reports:
         known = latest.get(report.name)
--- a/message_sender/cli/emulate.py
+++ b/message_sender/cli/emulate.py
@@ -1,4 +1,4 @@
-"""`message-sender emulate`: simulated runs of the sender, experiments, and the search for faults."""
+"""`message-sender emulate`: simulated runs of the sender, experiments and randomized fault search."""
 
 import json
 from pathlib import Path
@@ -27,11 +27,14 @@
 
 @click.group()
 def emulate() -> None:
-    """The sender in simulated time. Exit 0: no rule broke; 1: one did; 2: misused."""
+    """Run the sender in simulated time.
+
+    Exit codes: 0 no rule violated, 1 a rule violated or a run failed, 2 wrong usage.
+    """
 
 
 @emulate.command(
-    help="""Play one scenario.
+    help="""Run one scenario.
 
     \b
     message-sender emulate run scenarios/herd-on-return.toml --set fleet.senders=5
@@ -42,8 +45,10 @@
 @POLICY_OPTION
 @SET_OPTION
 @LEVEL_OPTION
-@click.option("--json", "output", type=FILE_PATH, help="All figures go there.")
-@click.option("--trace", type=FILE_PATH, help="Every event as a JSON line, the same bytes for the same seed.")
+@click.option("--json", "output", type=FILE_PATH, help="Write all measures to this JSON file.")
+@click.option(
+    "--trace", type=FILE_PATH, help="Write every event as a JSON line; equal seeds give equal bytes."
+)
 @click.pass_context
 def run(
     ctx: click.Context,
@@ -55,7 +60,7 @@
     output: Path | None,
     trace: Path | None,
 ) -> None:
-    """Runs one scenario, prints its figures and writes the files that the options name."""
+    """Runs one scenario, prints its measures and writes the files that the options name."""
     scenario = load_scenario(file, changes)
     chosen_seed = scenario.seed if seed is None else seed
     outcomes = run_scenario(scenario, chosen_seed, policy, is_traced=trace is not None, level=level)
@@ -69,17 +74,17 @@
 
 
 def print_outcomes(scenario: Scenario, outcomes: Outcomes) -> None:
-    """Prints the measures of a run, the rules that it violated and the messages that it did not complete."""
+    """Prints the measures of a run, its rule violations and the messages that were not completed."""
     click.echo(scenario.title)
     for name, value in outcomes.figures.measures().items():
         click.echo(f"  {name:<14} {value:10.4g}")
     for violation in outcomes.breaches[:REPORTED_VIOLATIONS]:
-        click.echo(f"  broken: {violation.at:.3f} s, {violation.rule}: {violation.text}")
+        click.echo(f"  violation: {violation.at:.3f} s, {violation.rule}: {violation.text}")
     remaining = len(outcomes.breaches) - REPORTED_VIOLATIONS
     if remaining > 0:
         click.echo(f"  and {remaining} more")
     for message in outcomes.owed[:REPORTED_VIOLATIONS]:
-        click.echo(f"  still owed: {message}")
+        click.echo(f"  not completed: {message}")
 
 
 @emulate.command()
@@ -92,13 +97,13 @@
     "output",
     type=FILE_PATH,
     required=True,
-    help="The page, one file that opens without a network.",
+    help="Write the page to this HTML file, which has no external references.",
 )
 @click.pass_context
 def report(
     ctx: click.Context, file: Path, seed: int | None, policy: str, changes: tuple[str, ...], output: Path
 ) -> None:
-    """Play one scenario and show it as a page of figures and plots."""
+    """Run one scenario and write a page with its measures and plots."""
     try:
         from message_sender.emulator.report import write as write_report
     except ImportError as error:
@@ -117,33 +122,49 @@
 
 
 @emulate.command()
-@click.option("--lives", type=click.IntRange(1), default=100, show_default=True, help="How many, one a seed.")
-@click.option("--seed", type=click.IntRange(0), default=0, help="Of the first one.")
+@click.option(
+    "--lives",
+    type=click.IntRange(1),
+    default=100,
+    show_default=True,
+    help="Number of runs, each with its own seed.",
+)
+@click.option("--seed", type=click.IntRange(0), default=0, help="Seed of the first run; the others follow.")
 @PROCESSES_OPTION
-@click.option("--json", "as_json", is_flag=True, help="A JSON object for each broken life and the sums.")
+@click.option(
+    "--json",
+    "as_json",
+    is_flag=True,
+    help="Print JSON: one object for each run that violates a rule, and the totals.",
+)
 @click.pass_context
 def search(ctx: click.Context, lives: int, seed: int, processes: int, as_json: bool) -> None:
-    """Random lives with troubles and kills, the referee after each."""
+    """Run the sender with random faults and kills, and check the history of each run."""
     from message_sender.emulator.search import search as run_search
 
     ctx.exit(run_search(seed, lives, processes, json_lines=as_json))
 
 
 @emulate.command(
-    help="""Scenarios drawn at random: fleets, troubles, kills, pauses; the referee after each.
+    help="""Run random scenarios with fleets, faults, kills and pauses, and check the history of each.
 
     \b
     message-sender emulate hunt --count 1000 --processes 8 --level bytes --keep found
     """
 )
-@click.option("--count", type=click.IntRange(1), default=100, show_default=True, help="One a seed.")
-@click.option("--seed", type=click.IntRange(0), default=0, help="Of the first one.")
+@click.option("--count", type=click.IntRange(1), default=100, show_default=True, help="Number of scenarios.")
+@click.option("--seed", type=click.IntRange(0), default=0, help="Seed of the first run; the others follow.")
 @PROCESSES_OPTION
 @LEVEL_OPTION
-@click.option("--keep", "folder", type=FOLDER_PATH, help="What breaks is cut down to a scenario file there.")
+@click.option(
+    "--keep",
+    "folder",
+    type=FOLDER_PATH,
+    help="Write a minimized scenario file for each violation to this folder.",
+)
 @click.pass_context
 def hunt(ctx: click.Context, count: int, seed: int, processes: int, level: str, folder: Path | None) -> None:
-    """Runs random scenarios and prints those that violate a rule."""
+    """Runs random scenarios and prints those that violate a rule or fail."""
     from message_sender.emulator import fuzzing
 
     failures = 0
@@ -155,22 +176,22 @@
         if not (result.breaches or result.error):
             continue
         failures += 1
-        click.echo(f"seed {result.seed}: {result.error or 'a rule broke'}")
+        click.echo(f"seed {result.seed}: {result.error or 'rule violated'}")
         for violation in result.breaches[:REPORTED_VIOLATIONS_PER_SEED]:
             click.echo(f"  {violation.at:.3f} s, {violation.rule}: {violation.text}")
         if folder and result.breaches:
             with exit_on_error():
-                click.echo(f"  kept as {fuzzing.keep(folder, result, level)}")
-    click.echo(f"scenarios {count}, broken {failures}, calls {calls}, kills {kills}")
+                click.echo(f"  written to {fuzzing.keep(folder, result, level)}")
+    click.echo(f"scenarios {count}, failed {failures}, calls {calls}, kills {kills}")
     ctx.exit(1 if failures else 0)
 
 
 @emulate.command()
-@click.option("--seed", type=click.IntRange(0), required=True, help="Of a life that breaks a rule.")
+@click.option("--seed", type=click.IntRange(0), required=True, help="Seed of a run that violates a rule.")
 @click.argument("case", type=FILE_PATH)
 @click.pass_context
 def shrink(ctx: click.Context, seed: int, case: Path) -> None:
-    """Cut a broken life down to what it takes, and write it as a case."""
+    """Minimize a run that violates a rule, and write the result to the file CASE."""
     from message_sender.emulator.search import cut_down
 
     with exit_on_error():
@@ -178,17 +199,17 @@
 
 
 @emulate.command()
-@click.option("--seed", type=click.IntRange(0), help="Of a life ...")
-@click.option("--case", "case_file", type=FILE_PATH, help="... or a case that `shrink` wrote.")
+@click.option("--seed", type=click.IntRange(0), help="Seed of the run; or use --case.")
+@click.option("--case", "case_file", type=FILE_PATH, help="A case file written by `shrink`; or use --seed.")
 @click.argument("trace", type=FILE_PATH)
 @click.pass_context
 def replay(ctx: click.Context, seed: int | None, case_file: Path | None, trace: Path) -> None:
-    """Write a life event by event, the same bytes each time."""
+    """Write the events of a run to the file TRACE; equal runs give equal bytes."""
     from message_sender.emulator.search import show
     from message_sender.emulator.shrink import Case
 
     if (seed is None) == (case_file is None):
-        raise click.UsageError("either --seed or --case")
+        raise click.UsageError("exactly one of --seed and --case is needed")
     with exit_on_error():
         case = Case.read(case_file) if case_file else Case(seed or 0)
         ctx.exit(show(case, trace))
--- a/message_sender/cli/emulate_experiments.py
+++ b/message_sender/cli/emulate_experiments.py
@@ -26,12 +26,12 @@
 MEASURES = ("goodput", "worst_10_s", "attempts", "refused_calls", "falls")
 HYPERCUBE_SEED = 1
 
-#: Values at dotted paths of a scenario.
+#: Pairs of a dotted path of a scenario and the value of that field.
 Changes = tuple[tuple[str, Any], ...]
 
 
 @click.command(
-    help="""Many values of a scenario's fields.
+    help="""Run a scenario with many combinations of field values.
 
     \b
     message-sender emulate sweep scenarios/overload.toml --grid clients.rate=60,90,120 --out runs.jsonl
@@ -42,14 +42,22 @@
 @SEEDS_OPTION
 @PROCESSES_OPTION
 @POLICY_OPTION
-@click.option("--grid", "fields", multiple=True, metavar="PATH=V,V,...", help="Every combination of them.")
-@click.option("--latin", multiple=True, metavar="PATH=LOW,HIGH", help="A Latin hypercube over ranges.")
-@click.option("--points", type=click.IntRange(2), default=16, show_default=True, help="Of the hypercube.")
+@click.option(
+    "--grid", "fields", multiple=True, metavar="PATH=V,V,...", help="Field values; all combinations are run."
+)
+@click.option("--latin", multiple=True, metavar="PATH=LOW,HIGH", help="Range of a Latin hypercube.")
+@click.option(
+    "--points",
+    type=click.IntRange(2),
+    default=16,
+    show_default=True,
+    help="Number of points of the hypercube.",
+)
 @click.option(
     "--out",
     "output",
     type=FILE_PATH,
-    help="A line of JSON for each run; what it holds already is not run again.",
+    help="Append a JSON line for each run; runs already in this file are skipped.",
 )
 @click.pass_context
 def sweep(
@@ -82,15 +90,15 @@
 
 
 def combine_changes(fields: Sequence[str], latin: Sequence[str], points: int) -> list[Changes]:
-    """Returns each combination of the grid's values, with each point of the hypercube if there is one.
+    """Returns all combinations of the grid values, each combined with every point of the hypercube if any.
 
     Args:
-        fields: Of the grid, each `PATH=VALUE,VALUE,...`.
-        latin: Ranges of the hypercube, each `PATH=LOW,HIGH`.
-        points: Number of points of the hypercube.
+        fields: The fields of the grid, each as `PATH=VALUE,VALUE,...`.
+        latin: The ranges of the hypercube, each as `PATH=LOW,HIGH`.
+        points: The number of points of the hypercube.
 
     Raises:
-        click.BadParameter: A text has another form.
+        click.BadParameter: A field or range has another form.
     """
     values = dict(parse_field(text) for text in fields)
     ranges = dict(parse_range(text) for text in latin)
@@ -107,16 +115,20 @@
 
 
 def parse_range(text: str) -> tuple[str, tuple[float, float]]:
-    """Returns path and ends of `PATH=LOW,HIGH`. Raises click.BadParameter."""
+    """Returns the path and the bounds of `PATH=LOW,HIGH`. Raises click.BadParameter."""
     path, ends = parse_field(text)
     has_two_numbers = len(ends) == 2 and all(isinstance(end, int | float) for end in ends)
     if not has_two_numbers or ends[0] >= ends[1]:
-        raise click.BadParameter(f"{path} takes LOW,HIGH")
+        raise click.BadParameter(f"{path}: expected LOW,HIGH with LOW below HIGH, got {text!r}")
     return path, (ends[0], ends[1])
 
 
 def run_jobs(jobs: Sequence[Job], processes: int, output: Path | None) -> dict[str, list[RunResult]]:
-    """Runs all jobs and returns their results by changes, as JSON; a terminal shows the progress."""
+    """Runs all jobs, with a progress bar on a terminal.
+
+    Returns:
+        The results, by the JSON text of the changes.
+    """
     results: dict[str, list[RunResult]] = {}
     with (
         exit_on_error(),
@@ -137,18 +149,20 @@
 
 
 def summarise(changes_text: str, runs: Sequence[RunResult]) -> str:
-    """Returns the line on the runs of one combination, with a confidence interval of each measure."""
+    """Returns the line on the runs of one combination, with a confidence interval for each measure."""
     completed = [result for result in runs if not result.error]
     intervals = {}
     if completed:
         for name in MEASURES:
             intervals[name] = str(experiment.interval([result.measures[name] for result in completed]))
     failures = sum(has_failed(result) for result in runs)
-    return f"{changes_text}: {intervals}, broken or failed {failures}"
+    return f"{changes_text}: {intervals}, failed {failures}"
 
 
 @click.command(
-    help="""Policies or settings on the same draws, with 95% intervals; bold is what differs from the first.
+    help="""Compare policies or settings on the same seeds, with 95% confidence intervals.
+
+    Values that differ from those of the first variant are bold.
 
     \b
     message-sender emulate compare scenarios/*.toml --processes 8
@@ -163,12 +177,12 @@
     "policies",
     multiple=True,
     type=click.Choice(list(POLICIES)),
-    help="Several; the first is what the others are held against. All, if none is given.",
+    help="May be repeated; the first one is the baseline. Default: all policies.",
 )
 @click.option(
-    "--vary", multiple=True, metavar="PATH=V,V,...", help="Values of one field, in place of policies."
+    "--vary", multiple=True, metavar="PATH=V,V,...", help="Compare values of one field instead of policies."
 )
-@click.option("--json", "output", type=FILE_PATH)
+@click.option("--json", "output", type=FILE_PATH, help="Write the table to this JSON file.")
 @click.pass_context
 def compare(
     ctx: click.Context,
@@ -179,7 +193,7 @@
     vary: tuple[str, ...],
     output: Path | None,
 ) -> None:
-    """Compares policies or values of a field on the same scenarios and seeds and prints a table."""
+    """Compares policies or field values on the same scenarios and seeds, and prints a table."""
     scenarios = {file.stem: load_scenario(file) for file in files}
     variants = list_variants(scenarios, policies, vary)
     rows = experiment.compare(scenarios, variants, range(1, seeds + 1), processes)
@@ -196,10 +210,12 @@
 def list_variants(
     scenarios: Mapping[str, Scenario], policies: Sequence[str], vary: Sequence[str]
 ) -> dict[str, Job]:
-    """Returns the variants to compare by name: policies, all of them without any option, and field values.
+    """Returns the variants to compare, by name: the policies and the field values.
+
+    Without any option, all policies are compared.
 
     Raises:
-        click.BadParameter: A text of `vary` is not `PATH=VALUE,VALUE,...`.
+        click.BadParameter: An element of `vary` is not `PATH=VALUE,VALUE,...`.
     """
     template = next(iter(scenarios.values()))  # each run replaces scenario and seed
     names = policies
--- a/message_sender/cli/emulate_scenario.py
+++ b/message_sender/cli/emulate_scenario.py
@@ -1,4 +1,4 @@
-"""What the commands of `message-sender emulate` share: options, loading a scenario and one simulated run."""
+"""Shared parts of the commands of `message-sender emulate`: options, scenario loading and a simulated run."""
 
 from pathlib import Path
 from typing import Any
@@ -16,9 +16,11 @@
 from message_sender.emulator.scenario import Scenario, changed, load
 
 FILE_ARGUMENT = click.argument("file", type=EXISTING_FILE_PATH)
-SEED_OPTION = click.option("--seed", type=click.IntRange(0), help="In place of the scenario's.")
+SEED_OPTION = click.option(
+    "--seed", type=click.IntRange(0), help="Seed to use instead of the seed of the scenario."
+)
 SEEDS_OPTION = click.option(
-    "--seeds", type=click.IntRange(1), default=5, show_default=True, help="From 1 on."
+    "--seeds", type=click.IntRange(1), default=5, show_default=True, help="Number of seeds, counted from 1."
 )
 POLICY_OPTION = click.option(
     "--policy", type=click.Choice(list(POLICIES)), default=OWN_POLICY, show_default=True
@@ -28,11 +30,11 @@
     type=click.Choice(["ports", "bytes"]),
     default="ports",
     show_default=True,
-    help="bytes: the real doors and transports too, over sockets in memory.",
+    help="bytes: also run the real servers and transports, over in-memory sockets.",
 )
 PROCESSES_OPTION = click.option("--processes", type=click.IntRange(1), default=1, show_default=True)
 SET_OPTION = click.option(
-    "--set", "changes", multiple=True, metavar="PATH=VALUE", help="Another value of a field."
+    "--set", "changes", multiple=True, metavar="PATH=VALUE", help="Set a field of the scenario."
 )
 
 
@@ -40,8 +42,8 @@
     """Loads a scenario file; a failure is reported with exit code 1.
 
     Args:
-        file: The scenario.
-        changes: Other values of fields, each as `PATH=VALUE`.
+        file: The scenario file.
+        changes: Field values to replace, each as `PATH=VALUE`.
 
     Raises:
         click.BadParameter: A change has another form.
@@ -53,13 +55,13 @@
 
 
 def parse_change(text: str) -> tuple[str, Any]:
-    """Returns path and value of `PATH=VALUE`, where the value may be a list. Raises click.BadParameter."""
+    """Returns the path and the value of `PATH=VALUE`; the value may be a list. Raises click.BadParameter."""
     path, values = parse_field(text)
     return path, values[0] if len(values) == 1 else values
 
 
 def parse_field(text: str) -> tuple[str, list[Any]]:
-    """Returns path and values of `PATH=VALUE[,VALUE...]`. Raises click.BadParameter."""
+    """Returns the path and the values of `PATH=VALUE[,VALUE...]`. Raises click.BadParameter."""
     try:
         return experiment.field_of(text)
     except ConfigError:
@@ -73,8 +75,8 @@
 
     Args:
         scenario: The scenario.
-        seed: Of its random draws.
-        policy: Name of the policy.
+        seed: The seed of the random choices.
+        policy: The name of the policy.
         is_traced: Records every event in the outcomes.
         level: `ports`, or `bytes` for the real servers and transports.
     """
--- a/message_sender/cli/errors.py
+++ b/message_sender/cli/errors.py
@@ -1,4 +1,4 @@
-"""How a command reports errors of its environment: text on standard error and exit code 1."""
+"""Reports configuration and system errors of a command as text on standard error, with exit code 1."""
 
 import contextlib
 from collections.abc import Iterator
@@ -10,7 +10,7 @@
 
 @contextlib.contextmanager
 def exit_on_error(prefix: str = "") -> Iterator[None]:
-    """Turns configuration and system errors into a message and exit code 1.
+    """Turns configuration and system errors of its block into a message and exit code 1.
 
     Args:
         prefix: Text before each fault of a configuration.
--- a/message_sender/cli/fleet.py
+++ b/message_sender/cli/fleet.py
@@ -1,7 +1,7 @@
 """`message-sender fleet status|watch|budgets|explain|chart`.
 
-Shows members of a fleet, their stages and their shares of budgets, as running senders of this machine know
-them.
+Shows the members of a fleet, their stages and their shares of budgets, as reported by running senders on this
+machine.
 """
 
 import json
@@ -28,14 +28,14 @@
 
 @click.group()
 def fleet() -> None:
-    """The members that a sender knows, the stage of each, and who tries which destination.
+    """Show the members of a fleet, their stages and their budgets, as a sender knows them.
 
-    STATE is a sender's state folder; one tells of all members, as far as it has heard.
+    STATE is the state folder of a sender on this machine.
     """
 
 
 def print_fleet(folders: tuple[Path, ...], as_json: bool) -> None:
-    """Prints the state of the fleet as the sender of each state folder knows it."""
+    """Prints the state of the fleet, as reported by the sender in each state folder."""
     status_by_folder = {str(folder): request_value(folder, {"do": "fleet"}) for folder in folders}
     if as_json:
         click.echo(json.dumps(status_by_folder))
@@ -48,7 +48,7 @@
 @FOLDERS_ARGUMENT
 @JSON_OPTION
 def status(folders: tuple[Path, ...], as_json: bool) -> None:
-    """Members, stages since when and why, what is owed, what was asked and answered, destinations."""
+    """Show members with stages and reasons, numbers of messages not completed, and destinations."""
     print_fleet(folders, as_json)
 
 
@@ -58,7 +58,7 @@
 @INTERVAL_OPTION
 @REPETITIONS_OPTION
 def watch(folders: tuple[Path, ...], as_json: bool, every: float, times: int | None) -> None:
-    """The same, again and again."""
+    """Show the output of `status` repeatedly."""
 
     def print_once() -> None:
         print_fleet(folders, as_json)
@@ -70,13 +70,13 @@
 
 
 def read_budgets(folder: Path) -> dict[str, Any]:
-    """Returns the budgets that the sender of a state folder knows, by name."""
+    """Returns the budgets that the sender in a state folder reports, by name."""
     budgets_by_name: dict[str, Any] = request_value(folder, {"do": "budgets"})
     return budgets_by_name
 
 
 def print_budgets(folders: tuple[Path, ...], names: tuple[str, ...], as_json: bool) -> None:
-    """Prints the named budgets, or all of them without names, as each sender knows them."""
+    """Prints the named budgets, or all budgets without names, as each sender reports them."""
     budgets_by_folder = {str(folder): read_budgets(folder) for folder in folders}
     if names:
         budgets_by_folder = {
@@ -96,8 +96,8 @@
 @fleet.command()
 @FOLDERS_ARGUMENT
 @JSON_OPTION
-@click.option("--name", "names", multiple=True, help="Of these alone.")
-@click.option("--watch", "is_watched", is_flag=True, help="Again and again.")
+@click.option("--name", "names", multiple=True, help="Show only this budget; may be repeated.")
+@click.option("--watch", "is_watched", is_flag=True, help="Repeat the output.")
 @INTERVAL_OPTION
 @REPETITIONS_OPTION
 def budgets(
@@ -108,7 +108,7 @@
     every: float,
     times: int | None,
 ) -> None:
-    """What is whole, granted, spent and left of each budget, by member where this one keeps it."""
+    """Show the limit, grant and usage of each budget, and all grants if the sender is the grantor."""
 
     def print_once() -> None:
         print_budgets(folders, names, as_json)
@@ -121,7 +121,7 @@
 @click.argument("name")
 @FOLDERS_ARGUMENT
 def explain(name: str, folders: tuple[Path, ...]) -> None:
-    """Why a member has what it has of the budget NAME."""
+    """Show why a member has its share of the budget NAME."""
     for folder in folders:
         known = read_budgets(folder)
         lines = [f"no budget named {name}"]
@@ -133,18 +133,24 @@
 @fleet.command()
 @click.argument("name")
 @FOLDERS_ARGUMENT
-@click.option("--to", type=FILE_PATH, required=True, help="The SVG that is written.")
-@click.option("--seconds", type=click.FloatRange(1, 3600), default=30.0, show_default=True)
-@click.option("--every", type=click.FloatRange(0.05, 60), default=0.2, show_default=True, help="Seconds.")
+@click.option("--to", type=FILE_PATH, required=True, help="The SVG file to write.")
+@click.option(
+    "--seconds", type=click.FloatRange(1, 3600), default=30.0, show_default=True, help="Duration in seconds."
+)
+@click.option(
+    "--every", type=click.FloatRange(0.05, 60), default=0.2, show_default=True, help="Interval in seconds."
+)
 def chart(name: str, folders: tuple[Path, ...], to: Path, seconds: float, every: float) -> None:
-    """Watches the budget NAME for a while, and draws who might spend and who spent how much of the whole."""
+    """Sample the budget NAME for some time, and chart grants and usage by member."""
     series = budget_chart.sample_budget(name, folders, duration_s=seconds, interval_s=every)
     if not series.granted:
-        raise click.ClickException(f"no sender told of a budget named {name}")
+        raise click.ClickException(f"no sender reported a budget named {name}")
     try:
         budget_chart.draw_chart(name, series, to)
     except ImportError:
-        raise click.ClickException("a chart needs message-sender[report]") from None
+        raise click.ClickException(
+            "the chart needs matplotlib; pip install 'message-sender[report]'"
+        ) from None
     except OSError as error:
         raise click.ClickException(f"{to}: {error.strerror}") from None
     highest = max(map(sum, zip(*series.granted.values(), strict=True)))
--- a/message_sender/cli/journal.py
+++ b/message_sender/cli/journal.py
@@ -25,7 +25,7 @@
 
 @click.group()
 def journal() -> None:
-    """What a sender's journal holds; it may be running."""
+    """Inspect, verify and repair the journal of a sender, which may be running."""
     logging.basicConfig(format="%(message)s", level=logging.WARNING)
 
 
@@ -55,16 +55,16 @@
 @FOLDER_ARGUMENT
 @click.pass_context
 def verify(ctx: click.Context, folder: Path) -> None:
-    """Exit 0 if every record in the state folder DIR is whole, 1 if any is damaged."""
+    """Verify the checksums in the state folder DIR. Exit 0 if every record is intact, 1 if not."""
     inspected = inspect_journal(folder)
     if not inspected.has_checksums:
-        click.echo("the old form, whose records have no checksum: nothing can be said of them")
+        click.echo("old journal format without checksums: the records cannot be verified")
     print_damage(inspected, "damaged")
     reading = inspected.reading
     doubtful = sum(entry.is_doubtful for entry in inspected.entries.values())
     click.echo(
-        f"{len(reading.records)} records are whole; "
-        f"{len(inspected.entries)} messages owed, {doubtful} doubtful"
+        f"{len(reading.records)} records intact; "
+        f"{len(inspected.entries)} messages not completed, {doubtful} doubtful"
     )
     is_damaged = bool(reading.gaps or reading.unwritten_gaps or reading.tail_bytes)
     ctx.exit(0 if inspected.has_checksums and not is_damaged else 1)
@@ -72,10 +72,12 @@
 
 @journal.command()
 @FOLDER_ARGUMENT
-@click.option("--json", "as_json", is_flag=True, help="All of it as JSON lines.")
-@click.option("--most", type=click.IntRange(0), default=50, help="Rows at the most, the first taken first.")
+@click.option("--json", "as_json", is_flag=True, help="Print all messages as JSON lines.")
+@click.option(
+    "--most", type=click.IntRange(0), default=50, help="Maximum number of rows, in the order of acceptance."
+)
 def show(folder: Path, as_json: bool, most: int) -> None:
-    """What is owed in the state folder DIR."""
+    """Show the messages in the state folder DIR that are not completed."""
     inspected = inspect_journal(folder)
     entries = inspected.entries
     if as_json:
@@ -83,13 +85,13 @@
             click.echo(json.dumps(describe_entry(message_id, entry)))
         return
     previous = inspected.previous_run
-    ending = "closed cleanly" if previous.was_closed else "not closed: it runs, or ended without a word"
+    ending = "closed cleanly" if previous.was_closed else "not closed: the sender is running or was killed"
     latest = format_time(previous.latest_us)
-    click.echo(f"{len(entries)} messages owed; {ending}; latest time on record {latest}")
+    click.echo(f"{len(entries)} messages not completed; {ending}; latest recorded time {latest}")
     for message_id, entry in itertools.islice(entries.items(), most):
         click.echo(format_row(describe_entry(message_id, entry)))
     if len(entries) > most:
-        click.echo(f"and {len(entries) - most} more; --most shows them")
+        click.echo(f"and {len(entries) - most} more rows; use --most to show them")
 
 
 def describe_entry(message_id: str, entry: JournalEntry) -> dict[str, Any]:
@@ -123,19 +125,21 @@
 
 
 @journal.command(
-    help="""Write what can be read of the journal in DIR as a whole one into a new folder; DIR stays as it is.
+    help="""Write the readable records of the journal in DIR as a valid journal into a new folder.
 
-    A message that was held where records are damaged counts as one that may have run. Exit 1 if anything
-    could not be saved."""
+    DIR is not changed. A message whose records may be among the damaged ones is treated as one that may have
+    run. Exit 1 if anything could not be saved."""
 )
 @FOLDER_ARGUMENT
-@click.option("--to", type=ANY_PATH, required=True, help="A state folder that is made.")
+@click.option("--to", type=ANY_PATH, required=True, help="The state folder to create.")
 @click.pass_context
 def repair(ctx: click.Context, folder: Path, to: Path) -> None:
     """Writes the readable records into a new state folder and prints what is lost or doubtful."""
     inspected = inspect_journal(folder)
     if not inspected.has_checksums:
-        raise click.ClickException("the old form has no checksums to go by; a start carries it over")
+        raise click.ClickException(
+            "cannot repair the old journal format without checksums; a start of the sender converts it"
+        )
     with exit_on_error():
         to.mkdir(parents=True)
         inspected.save(to)
@@ -146,7 +150,7 @@
         if entry.is_doubtful:
             click.echo(f"doubtful: {message_id}, which may have run")
     click.echo(
-        f"{to / JOURNAL_FILE}: {len(inspected.entries)} messages owed, "
-        f"{len(inspected.finished)} known to be over"
+        f"{to / JOURNAL_FILE}: {len(inspected.entries)} messages not completed, "
+        f"{len(inspected.finished)} known to be completed"
     )
     ctx.exit(1 if inspected.reading.gaps else 0)
--- a/message_sender/cli/log_format.py
+++ b/message_sender/cli/log_format.py
@@ -1,7 +1,7 @@
-"""Formats log records of a command and the sender under it as JSON lines or for a terminal.
+"""Formats the log records of a command and of its sender as JSON lines or for a terminal.
 
-structlog formats the records of the standard library's logging, so that the engine, which the platform runs
-with no library but h11, does not depend on it.
+structlog formats the records of the standard library's logging. The engine therefore does not depend on
+structlog, since the platform runs the engine with no library except h11.
 """
 
 import logging
@@ -14,7 +14,7 @@
 
 
 def configure_logging(log_format: LogFormat = "people", level: int = logging.INFO) -> None:
-    """Sends log records of at least `level` to standard error, in place of earlier handlers."""
+    """Sends log records of at least `level` to standard error, and removes all earlier handlers."""
     processors: list[structlog.types.Processor] = [
         structlog.contextvars.merge_contextvars,
         structlog.stdlib.add_logger_name,
--- a/message_sender/cli/override.py
+++ b/message_sender/cli/override.py
@@ -1,4 +1,4 @@
-"""`message-sender override|endpoints|explain`: reads and changes a running sender over its control socket."""
+"""`message-sender override|endpoints|explain`: query and control a running sender over its control socket."""
 
 import json
 from collections.abc import Mapping
@@ -17,8 +17,10 @@
 from message_sender.cli.sender_client import request_value
 from message_sender.discovery.time_text import format_time
 
-REASON_OPTION = click.option("--why", required=True, help="The reason, for whoever reads the list.")
-OPTIONAL_REASON_OPTION = click.option("--why", default="", help="The reason.")
+REASON_OPTION = click.option(
+    "--why", required=True, help="Reason for the override, shown by `override list`."
+)
+OPTIONAL_REASON_OPTION = click.option("--why", default="", help="Reason for the change.")
 PIN_FIELDS = ("destination", "tenant", "key")
 UNSET_VALUES = (-1, "")
 
@@ -27,8 +29,8 @@
     """Prints one override.
 
     Args:
-        override: As the control socket returns it.
-        warning: Why it has no effect; empty if it has one.
+        override: The override as returned by the control socket.
+        warning: Why the override has no effect; empty if it has an effect.
     """
     now = now_us()
     detail = ""
@@ -41,29 +43,38 @@
     click.echo(f"{override['name']}: {override['kind']} {override['endpoint']}{detail}{begins}")
     click.echo(f"    until {format_time(override['until'], now)}, by {override['who']}: {override['why']}")
     if warning:
-        click.echo(f"    does nothing: {warning}")
+        click.echo(f"    no effect: {warning}")
 
 
 @click.group()
 def override() -> None:
-    """Out of service, weights and pins, each with an end."""
+    """Take endpoints out of service, weigh them or pin traffic to them, for a limited time."""
 
 
 @override.command("set")
 @click.argument("kind", type=click.Choice(["out", "weight", "pin"]))
 @click.argument("endpoint")
-@click.option("--until", type=TimeParameter(), required=True, help="22:30, +45m or ISO; at most 7 days on.")
-@click.option("--from", "begins", type=TimeParameter(), help="Now, if not given.")
-@click.option("--weight", type=float, default=1.0, help="With weight: its share against the others', to 100.")
-@click.option("--destination", type=int, default=-1, help="With pin: whose messages go to the endpoint.")
-@click.option("--tenant", default="", help="With pin: or those of a tenant ...")
-@click.option("--key", default="", help="... or of a key.")
+@click.option(
+    "--until",
+    type=TimeParameter(),
+    required=True,
+    help="End: 22:30, +45m or ISO 8601; at most 7 days from the start.",
+)
+@click.option("--from", "begins", type=TimeParameter(), help="Start, in the same format; default: now.")
+@click.option(
+    "--weight", type=float, default=1.0, help="With weight: weight relative to other endpoints, up to 100."
+)
+@click.option(
+    "--destination", type=int, default=-1, help="With pin: destination whose messages go to ENDPOINT."
+)
+@click.option("--tenant", default="", help="With pin: tenant whose messages go to ENDPOINT.")
+@click.option("--key", default="", help="With pin: ordering key whose messages go to ENDPOINT.")
 @AUTHOR_OPTION
 @REASON_OPTION
 @STATE_OPTION
 @JSON_OPTION
 def set_override(folder: Path, as_json: bool, begins: int | None, **fields: Any) -> None:  # noqa: ANN401
-    """Takes ENDPOINT out of service, weighs it, or pins a destination to it."""
+    """Take ENDPOINT out of service, set its weight, or pin a destination, tenant or key to it."""
     begins_us = now_us() if begins is None else begins
     value = request_value(folder, fields | {"do": "set", "begins": begins_us})
     if as_json:
@@ -76,7 +87,7 @@
 @STATE_OPTION
 @JSON_OPTION
 def list_overrides(folder: Path, as_json: bool) -> None:
-    """Who set what, until when, and what does nothing."""
+    """List all overrides with author, end and reason, and those without effect."""
     value = request_value(folder, {"do": "list"})
     if as_json:
         click.echo(json.dumps(value))
@@ -95,7 +106,7 @@
 @OPTIONAL_REASON_OPTION
 @STATE_OPTION
 def end(folder: Path, name: str, who: str, why: str) -> None:
-    """Ends one now."""
+    """End the override NAME now."""
     print_override(request_value(folder, {"do": "end", "name": name, "who": who, "why": why}))
 
 
@@ -105,26 +116,30 @@
     "--until",
     type=TimeParameter(),
     required=True,
-    help="22:30, +45m or ISO; 7 days from its beginning at most.",
+    help="New end: 22:30, +45m or ISO 8601; at most 7 days from the start.",
 )
 @AUTHOR_OPTION
 @OPTIONAL_REASON_OPTION
 @STATE_OPTION
 def extend(folder: Path, name: str, until: int, who: str, why: str) -> None:
-    """Moves its end."""
+    """Change the end of the override NAME."""
     request = {"do": "extend", "name": name, "until": until, "who": who, "why": why}
     print_override(request_value(folder, request))
 
 
 @click.command()
-@click.option("--confirm", is_flag=True, help="The lists are right, also in what they miss.")
+@click.option(
+    "--confirm",
+    is_flag=True,
+    help="Confirm that the endpoint lists are correct, including their missing entries.",
+)
 @STATE_OPTION
 @JSON_OPTION
 def endpoints(folder: Path, as_json: bool, confirm: bool) -> None:
-    """What is listed, what is overridden, and what is believed of each."""
+    """Show all endpoints with their listed state, override and breaker state, and the endpoint lists."""
     if confirm:
         is_confirmed = request_value(folder, {"do": "confirm"})
-        click.echo("confirmed" if is_confirmed else "nothing was doubted")
+        click.echo("confirmed" if is_confirmed else "no entries to confirm")
         return
     value = request_value(folder, {"do": "endpoints"})
     if as_json:
@@ -149,24 +164,24 @@
 
 
 def format_endpoint_list(source: Mapping[str, Any]) -> str:
-    """Returns one line on the state of a file or resolver that endpoints come from."""
-    age = "never in order" if source["age_s"] is None else f"{source['age_s']:.0f} s old"
-    doubt = f", {len(source['doubted'])} doubted" if source["doubted"] else ""
+    """Returns the line on one source of endpoints, a file or a resolver."""
+    age = "never valid" if source["age_s"] is None else f"{source['age_s']:.0f} s old"
+    doubt = f", {len(source['doubted'])} unconfirmed" if source["doubted"] else ""
     return f"{source['file']}: {age}, {source['endpoints']} endpoints{doubt} {source['wrong']}".rstrip()
 
 
 @click.command()
 @click.argument("destination", type=int)
-@click.option("--key", default="", help="Of a message that keeps an order.")
+@click.option("--key", default="", help="The ordering key of the message.")
 @STATE_OPTION
 @JSON_OPTION
 def explain(folder: Path, destination: int, key: str, as_json: bool) -> None:
-    """Where a message would go now, and why not elsewhere."""
+    """Show which endpoint would receive a message now, and why the others would not."""
     value = request_value(folder, {"do": "explain", "destination": destination, "key": key})
     if as_json:
         click.echo(json.dumps(value))
         return
-    click.echo(f"goes to {value['goes_to']}" if value["goes_to"] else "is held")
+    click.echo(f"sent to {value['goes_to']}" if value["goes_to"] else "held")
     if value["waits_for"]:
         click.echo(f"    {value['waits_for']}")
     for name, reason in value["why_not"].items():
--- a/message_sender/cli/parameters.py
+++ b/message_sender/cli/parameters.py
@@ -14,21 +14,26 @@
 FOLDER_PATH = click.Path(path_type=Path, file_okay=False)
 ANY_PATH = click.Path(path_type=Path)
 
-JSON_OPTION = click.option("--json", "as_json", is_flag=True, help="As JSON.")
+JSON_OPTION = click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 LOG_FORMAT_OPTION = click.option(
-    "--log", "form", type=click.Choice(["people", "json"]), default="people", show_default=True
+    "--log",
+    "form",
+    type=click.Choice(["people", "json"]),
+    default="people",
+    show_default=True,
+    help="Log format.",
 )
 STATE_OPTION = click.option(
     "--state", "folder", type=ANY_PATH, required=True, help="The sender's state folder."
 )
 AUTHOR_OPTION = click.option(
-    "--who", default=getpass.getuser, help="Who it is that says so.", show_default="you"
+    "--who", default=getpass.getuser, help="Author of the change.", show_default="you"
 )
 INTERVAL_OPTION = click.option(
-    "--every", type=click.FloatRange(0.1, 60), default=1.0, show_default=True, help="Seconds."
+    "--every", type=click.FloatRange(0.1, 60), default=1.0, show_default=True, help="Interval in seconds."
 )
 REPETITIONS_OPTION = click.option(
-    "--times", type=click.IntRange(1), help="So many times; for ever, if not given."
+    "--times", type=click.IntRange(1), help="Number of outputs; default: until interrupted."
 )
 
 
@@ -43,7 +48,7 @@
     name = "TIME"
 
     def convert(self, value: Any, param: click.Parameter | None, ctx: click.Context | None) -> int:  # noqa: ANN401
-        """Returns the time that the text means, in microseconds since the epoch.
+        """Returns the time that a text stands for, in microseconds since the epoch.
 
         Raises:
             click.BadParameter: The text is not a time.
--- a/message_sender/cli/pcap.py
+++ b/message_sender/cli/pcap.py
@@ -17,7 +17,7 @@
 
 CAPTURE_FILE = click.File("rb", lazy=False)
 FILES_ARGUMENT = click.argument("files", type=CAPTURE_FILE, nargs=-1, required=True)
-JSON_OPTION = click.option("--json", "as_lines", is_flag=True, help="One JSON object.")
+JSON_OPTION = click.option("--json", "as_lines", is_flag=True, help="Print one JSON object.")
 REPORTED_NOTES = 50
 NS_PER_MS = 1e6
 LONGEST_LATENCY_US = 3_600_000_000
@@ -27,12 +27,15 @@
 
 @click.group()
 def pcap() -> None:
-    """Packet captures as traffic. FILE is pcap or pcapng; - is standard input."""
+    """Inspect, compare and replay HTTP traffic in packet captures.
+
+    FILE is a pcap or pcapng file; - is standard input.
+    """
 
 
 @contextlib.contextmanager
 def exit_on_capture_error() -> Iterator[None]:
-    """Reports a malformed capture with exit code 1, and ends quietly when the reader of the output does.
+    """Reports a malformed capture with exit code 1, and exits silently if standard output is closed.
 
     Raises:
         click.ClickException: The block raised MalformedCaptureError.
@@ -40,14 +43,14 @@
     try:
         yield
     except MalformedCaptureError as error:
-        raise click.ClickException(f"no capture that can be read: {error}") from None
+        raise click.ClickException(f"malformed capture: {error}") from None
     except BrokenPipeError:
         sys.stderr.close()  # the interpreter would report the failed flush of standard output there
         sys.exit(0)
 
 
 def format_note(text: str, count: int) -> str:
-    """Returns the line on an irregularity that a capture shows `count` times."""
+    """Returns the line on an irregularity that occurs `count` times in a capture."""
     repetitions = f" ({count} times)" if count > 1 else ""
     return f"note: {text}{repetitions}"
 
@@ -56,7 +59,7 @@
 @FILES_ARGUMENT
 @JSON_OPTION
 def info(files: Sequence[BinaryIO], as_lines: bool) -> None:
-    """What a capture holds; several of one moment are merged by time."""
+    """Summarize captures; several captures of the same period are merged by time."""
     with exit_on_capture_error():
         capture = Capture(*files)
         counts = Counter[str]()
@@ -88,10 +91,10 @@
 
 @pcap.command("requests")
 @FILES_ARGUMENT
-@click.option("--json", "as_lines", is_flag=True, help="One JSON object a line.")
-@click.option("--answers", is_flag=True, help="The answers too.")
+@click.option("--json", "as_lines", is_flag=True, help="Print one JSON object per line.")
+@click.option("--answers", is_flag=True, help="Show responses too.")
 def list_requests(files: Sequence[BinaryIO], as_lines: bool, answers: bool) -> None:
-    """The requests of a capture, each as its last byte is read."""
+    """List the requests of captures, in the order in which they are complete."""
     with exit_on_capture_error():
         capture = Capture(*files)
         for captured in capture.messages():
@@ -112,8 +115,10 @@
 @pcap.command()
 @click.argument("one", type=CAPTURE_FILE)
 @click.argument("other", type=CAPTURE_FILE)
-@click.option("--ignore", multiple=True, metavar="NAME", help="A header that does not count.")
-@click.option("--within", type=float, metavar="MS", help="Differ too where a time is further apart.")
+@click.option("--ignore", multiple=True, metavar="NAME", help="Header to ignore; may be repeated.")
+@click.option(
+    "--within", type=float, metavar="MS", help="Also report a difference if times differ by more than this."
+)
 @JSON_OPTION
 @click.pass_context
 def diff(
@@ -124,7 +129,7 @@
     within: float | None,
     as_lines: bool,
 ) -> None:
-    """The same requests in the same order? Exit 0 if so, 1 if not."""
+    """Compare the requests of two captures. Exit 0 if they are the same in the same order, 1 if not."""
     with exit_on_capture_error():
         difference = compare(read_requests([one]), read_requests([other]), ignore)
     print_difference(difference, as_lines)
@@ -155,7 +160,7 @@
 
 
 def parse_address(_: click.Context, __: click.Parameter, value: str) -> tuple[str, int]:
-    """Returns host and port of `HOST:PORT`; an IPv6 address stands in brackets.
+    """Returns the host and the port of `HOST:PORT`; an IPv6 address is in brackets.
 
     Raises:
         click.BadParameter: The value has another form.
@@ -169,11 +174,18 @@
 @pcap.command()
 @FILES_ARGUMENT
 @click.option(
-    "--to", "target", required=True, callback=parse_address, metavar="HOST:PORT", help="Where they go."
+    "--to",
+    "target",
+    required=True,
+    callback=parse_address,
+    metavar="HOST:PORT",
+    help="Server that receives the requests.",
+)
+@click.option(
+    "--speed", type=click.FloatRange(0.001, 1000), default=1.0, help="Factor for the recorded pace."
 )
-@click.option("--speed", type=click.FloatRange(0.001, 1000), default=1.0, help="Times the recorded pace.")
-@click.option("--new-ids", is_flag=True, help="Other correlation ids and idempotency keys.")
-@click.option("--seed", type=int, default=0, help="Of the new ids.")
+@click.option("--new-ids", is_flag=True, help="Replace correlation ids and idempotency keys.")
+@click.option("--seed", type=int, default=0, help="Seed of the new ids.")
 @click.pass_context
 def replay(
     context: click.Context,
@@ -183,7 +195,7 @@
     new_ids: bool,
     seed: int,
 ) -> None:
-    """Sends the recorded requests again at their times, whatever becomes of the answers."""
+    """Replay the recorded requests at their times, independent of the responses."""
     from hdrh.histogram import HdrHistogram
 
     latencies = HdrHistogram(1, LONGEST_LATENCY_US, LATENCY_DIGITS)
@@ -200,8 +212,8 @@
 
 def print_outcome(outcome: ReplayOutcome, latencies: Any) -> None:  # noqa: ANN401
     """Prints the counts of a replay and percentiles of its latencies, an HdrHistogram in microseconds."""
-    click.echo(f"sent {outcome.sent}, {outcome.max_delay_s * 1e3:.1f} ms late at most")
-    click.echo(f"not sent for want of connections {outcome.not_sent}")
+    click.echo(f"sent {outcome.sent}, maximum delay {outcome.max_delay_s * 1e3:.1f} ms")
+    click.echo(f"not sent because no connection was available {outcome.not_sent}")
     for name, count in sorted(outcome.responses.items()):
         click.echo(f"{name:>24} {count}")
     if outcome.responses:
--- a/message_sender/cli/recorded_commands.py
+++ b/message_sender/cli/recorded_commands.py
@@ -1,4 +1,4 @@
-"""Reads the commands of a packet capture, which the demonstration submits in place of generated ones."""
+"""Reads commands from a packet capture, which the demo submits in place of generated messages."""
 
 import zlib
 from pathlib import Path
@@ -12,13 +12,13 @@
 
 
 def read_recorded_commands(path: Path) -> list[RecordedCommand]:
-    """Returns the complete requests of a capture that name a class and a destination, in order of time.
+    """Returns the complete requests of a capture that name a class and a destination, sorted by time.
 
-    The first command is due at 0, the others as long after it as they were recorded.
+    The first command is due at 0, and the others at their recorded offsets from the first.
 
     Raises:
         OSError: The file cannot be read.
-        MalformedCaptureError: It is not a packet capture.
+        MalformedCaptureError: The file is not a packet capture.
     """
     with path.open("rb") as file:
         complete = [request for request in read_requests([file]) if request.message.is_complete]
@@ -41,12 +41,12 @@
 
 
 def read_headers(request: CapturedMessage) -> dict[str, str]:
-    """Returns the headers of a request by their names in lower case."""
+    """Returns the headers of a request by lower-case name."""
     return {name.lower(): value for name, value in request.message.headers}
 
 
 def parse_destination(route: str) -> int:
-    """Returns the destination's number in a route header; for any other name a checksum of the text."""
+    """Returns the destination number in a route header; for a non-numeric name, a checksum of the header."""
     parameters = dict(part.strip().partition("=")[::2] for part in route.split(","))
     name = parameters.get("dest", "")
     if name.isascii() and name.isdecimal():
--- a/message_sender/cli/repetition.py
+++ b/message_sender/cli/repetition.py
@@ -1,4 +1,4 @@
-"""Repeats the output of a command at an interval, for `--watch` and its like."""
+"""Repeats the output of a command at an interval, for options such as `--watch`."""
 
 import time
 from collections.abc import Callable
@@ -9,12 +9,12 @@
 def run_repeatedly(
     action: Callable[[], None], interval_s: float, repetitions: int | None, *, has_header: bool
 ) -> None:
-    """Calls `action` the given number of times with a pause between two calls.
+    """Calls `action` a number of times, with a pause between calls.
 
     Args:
         action: Prints one round of output.
-        interval_s: Length of the pause.
-        repetitions: Number of calls; None: until the command is interrupted.
+        interval_s: The length of the pause, in seconds.
+        repetitions: The number of calls; None to continue until the command is interrupted.
         has_header: Prints the time of day before the first call.
     """
     count = 0
--- a/message_sender/cli/sender_client.py
+++ b/message_sender/cli/sender_client.py
@@ -1,4 +1,4 @@
-"""Requests of commands to a running sender, over the control socket in its state folder."""
+"""Sends requests of commands to a running sender, over the control socket in its state folder."""
 
 from collections.abc import Mapping
 from pathlib import Path
@@ -10,14 +10,14 @@
 
 
 def request_value(folder: Path, request: Mapping[str, Any]) -> Any:  # noqa: ANN401
-    """Sends one request to a running sender and returns the value of its response.
+    """Sends one request to a running sender, and returns the value of the response.
 
     Args:
-        folder: The sender's state folder.
-        request: An object with `do`, the name of the operation.
+        folder: The state folder of the sender.
+        request: The request, with the name of the operation under `do`.
 
     Raises:
-        click.ClickException: No sender responds, or it refused the request: one line for each fault.
+        click.ClickException: No sender responds, or the sender refuses the request (one line for each fault).
     """
     try:
         response = send_request(folder, request)
--- a/tests/test_budgeted.py
+++ b/tests/test_budgeted.py
@@ -227,7 +227,7 @@
         status = json.loads(run(command.fleet, ["budgets", state, "--json"]).output)[state]["hub"]
         assert status["whole"] == LIMIT and status["keeper"] in cluster.members
         shown = run(command.fleet, ["budgets", state]).output
-        assert f"hub: {LIMIT} calls in 500 ms" in shown and f"kept by {status['keeper']}" in shown
+        assert f"hub: {LIMIT} calls in 500 ms" in shown and f"granted by {status['keeper']}" in shown
         explanation = run(command.fleet, ["explain", "hub", state]).output
         assert "from 0 to" in explanation and "needed" in explanation
         assert "no budget named other" in run(command.fleet, ["explain", "other", state]).output
--- a/tests/test_control_cli.py
+++ b/tests/test_control_cli.py
@@ -134,7 +134,7 @@
     assert stub.resources == schema.read_toml(text)
     assert run("set", write_file(tmp_path, text)) == (
         0,
-        "version 5 holds this already: nothing was changed\n",
+        "version 5 already has this content: nothing was changed\n",
     )
     assert len(stub.change_requests) == 1
 
@@ -151,7 +151,7 @@
 
 def test_a_conflict_shows_the_version_in_force(stub: StubNode, run: Run, tmp_path: Path) -> None:
     code, out = run("set", write_file(tmp_path, ""), "--expect", "3")
-    assert code == 1 and out == "version 4 is in force, and 3 was expected: nothing was changed\n"
+    assert code == 1 and out == "version 4 is in force, but 3 was expected: nothing was changed\n"
     assert not stub.change_requests and run("set", write_file(tmp_path, ""), "--expect", "4")[0] == 0
 
 
@@ -197,7 +197,7 @@
 ) -> None:
     stub.unavailable_responses = 3
     code, out = run("set", write_file(tmp_path, ""))
-    assert code == 0 and out == "version 5 after 4 tries: 0 put, 2 deleted\n"
+    assert code == 0 and out == "version 5 after 4 attempts: 0 put, 2 deleted\n"
     assert len({request["request_id"] for request in stub.change_requests}) == 1
 
 
@@ -206,7 +206,7 @@
 ) -> None:
     """Another version may be in force by now."""
     arguments = ("set", write_file(tmp_path, FLEET))
-    assert run(*arguments) == (0, "version 4 holds this already: nothing was changed\n")
+    assert run(*arguments) == (0, "version 4 already has this content: nothing was changed\n")
     stub.leader = ""
     code, out = run(*arguments)
     assert code == 1 and "no leader with a majority is known" in out and not stub.change_requests
@@ -215,7 +215,7 @@
 def test_an_unknown_outcome_is_reported_after_the_timeout(stub: StubNode, run: Run, tmp_path: Path) -> None:
     stub.unavailable_responses = 10**6
     code, out = run("set", write_file(tmp_path, ""), "--timeout", "0.2", "--request-id", "r1")
-    assert code == 1 and "not known whether it was made" in out and "--request-id r1" in out
+    assert code == 1 and "outcome unknown" in out and "--request-id r1" in out
     assert "no leader with a majority" in out and len(stub.change_requests) > 1
 
 
@@ -287,14 +287,14 @@
     code, out = run("status")
     assert code == 0 and out.splitlines() == [
         "version 7: in force at 2 of 5 senders; 3 of 4 control nodes answer",
-        "  control node c1           follower  version 7, term 3, 2 senders, a majority 0.1 s ago",
-        "  control node c2           follower  version 7, term 3, 3 senders, a majority 0.1 s ago",
+        "  control node c1           follower  version 7, term 3, 2 senders, majority seen 0.1 s ago",
+        "  control node c2           follower  version 7, term 3, 3 senders, majority seen 0.1 s ago",
         "  control node c3           does not answer",
-        "  control node c4           follower  version 5, term 3, 0 senders, a majority 0.1 s ago"
+        "  control node c4           follower  version 5, term 3, 0 senders, majority seen 0.1 s ago"
         "; a learner: its folder was not initialised",
         "  sender n2: version 6, refused 7: budgets/rate: floor",
         "  sender n3: version 6, silent for 41.0 s",
-        "  sender n4: version 6, on its way",
+        "  sender n4: version 6, update pending",
         "  sender n5: version 7, silent for 9.0 s",
     ]
     code, out = run("status", "--json")
--- a/tests/test_damage.py
+++ b/tests/test_damage.py
@@ -390,7 +390,7 @@
     (tmp_path / JOURNAL_FILE).write_bytes(overwrite(data, taken[1]))
     run = CliRunner().invoke
     verified = run(command, ["verify", str(tmp_path)])
-    assert verified.exit_code == 1 and "4 messages owed, 0 doubtful" in verified.output
+    assert verified.exit_code == 1 and "4 messages not completed, 0 doubtful" in verified.output
     assert (
         f"damaged: {taken[1].size_bytes} bytes at byte {taken[1].offset}, which were durable"
         in verified.output
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -390,7 +390,7 @@
     monkeypatch.setattr(PendingQueue, "expire_due", lambda self: None)
     longer = ["--set", "troubles.0.what=silent", "--set", "troubles.0.until=60"]
     assert main(["emulate", "run", str(file), *longer]) == 1
-    assert "broken: " in capsys.readouterr().out
+    assert "violation: " in capsys.readouterr().out
 
 
 def test_a_command_whose_library_is_missing_says_what_to_install(
