--- a/message_sender/emulator/explore.py
+++ b/message_sender/emulator/explore.py
@@ -1,17 +1,21 @@
-"""Every world that a few members of a budget can come to, up to a number of faults: the pure machine itself
-(budget/lease.py), each word lost, repeated, late or out of order, members that end and start, and each clock
-behind the others by a unit once. Nobody ever has to act or to hear, so that members that stand still and wake
-are among them. Breadth first: what breaks the rule is found by a shortest way.
+"""Exhaustive exploration of the lease protocol (budget/lease.py) for a few members and a few faults.
 
-Where what was spent counts on (`Terms.after`), what each may have spent in two ticks counts with it,
-also over a start; a member says that something is over only once no more than its part was spent in these.
+The model consists of the protocol's pure state machines. Messages are lost, duplicated, delayed and
+reordered, members restart, and the clock of each member falls behind the others by one unit once. No member
+is ever forced to act or to receive a message, so members that stall and resume are covered as well. The
+search is breadth first: a violation is reported with a shortest trace.
 
-The whole may fall by one, once, at any moment, as it is told to all: what was given before may be spent until
-its leases and spans are over, by the slowest clock, and no more from then on.
+Where usage counts for some time after it was spent (`Terms.usage_window`), the model counts what each member
+may have spent within two ticks, also across a restart. A member releases a superseded lease only when it has
+spent no more than its current share within these two ticks.
 
-Worlds are told apart by times from each member's own clock on, and by nothing that is long over: there is an
-end to them without a limit on time. Of worlds that differ by the names of their members alone one is looked
-at; the way to a breach is walked once more with the names that it began with."""
+The limit may fall by one, once, at any moment, and all members learn of it at once. What was leased before
+may be spent until its leases and windows expire by the slowest clock, and not after that.
+
+States hold times relative to each member's own clock and nothing that has expired, so their number is finite
+without a bound on time. Of the states that differ only in the numbers of their members, one is explored; the
+path to a violation is then replayed with the original numbers.
+"""
 
 from collections import deque
 from collections.abc import Iterator, Sequence
@@ -22,103 +26,135 @@
 from message_sender.budget import lease
 from message_sender.budget.lease import LeaseMessage, LeaseMessageKind, Member, Terms
 
-SOME = 500
+SAMPLE_INTERVAL = 500  # states between two samples
 
 
 class World(NamedTuple):
-    """Each member's clock stands at 0: all of its times are from there."""
+    """A state of all members and of the network. All times of a member are relative to its clock, which is 0.
+
+    Attributes:
+        members: The members, by number.
+        messages: Messages in flight; a message that was received may be delivered a second time.
+        lagged: Numbers of the members whose clock has fallen behind.
+        restarts: Restarts so far.
+        usage: The most that each member might spend before the last tick, and since; behind these pairs, the
+            same of sessions that ended. Empty if the terms have no usage window.
+        lowered: Ticks since the limit fell, up to the tick from which it has to hold; -1: it has not fallen.
+    """
 
     members: tuple[Member, ...]
-    words: frozenset[LeaseMessage] = frozenset()  # that are out; one that was heard may come again
-    lagged: frozenset[int] = frozenset()  # whose clock has fallen behind
+    messages: frozenset[LeaseMessage] = frozenset()
+    lagged: frozenset[int] = frozenset()
     restarts: int = 0
-    #: The most that each might spend before the last tick, and since, and behind them the same of lives that
-    #: ended; none: that is no matter.
-    lately: tuple[tuple[int, int], ...] = ()
-    lowered: int = -1  # ticks since the whole fell, up to where it has to hold; none: it has not
+    usage: tuple[tuple[int, int], ...] = ()
+    lowered: int = -1
 
 
 @dataclass(frozen=True)
 class Limits:
-    words: int = 2  # out at once
+    """Bounds of an exploration.
+
+    Attributes:
+        messages: Messages in flight at once.
+        restarts: Restarts of members in all.
+        lags: Members whose clock may fall behind.
+        states: States to explore.
+        falls: Whether the limit may fall by one.
+    """
+
+    messages: int = 2
     restarts: int = 1
     lags: int = 2
     states: int = 1_000_000
-    falls: bool = False  # whether the whole may fall by one
+    falls: bool = False
 
 
 @dataclass
-class Found:
+class ExplorationResult:
+    """What an exploration found.
+
+    Attributes:
+        states: Number of explored states.
+        whole: Whether all reachable states were explored.
+        trace: A shortest path to a violation; empty if there is none.
+        samples: Every `SAMPLE_INTERVAL`-th explored state.
+    """
+
     states: int = 0
-    whole: bool = True  # all of it was seen
-    trace: list[str] = field(default_factory=list)  # the shortest way to a breach; none: no breach
-    some: list[World] = field(default_factory=list)  # one of SOME that were seen
+    whole: bool = True
+    trace: list[str] = field(default_factory=list)
+    samples: list[World] = field(default_factory=list)
 
 
-def first(terms: Terms) -> World:
-    """All have been up for long."""
+def initial_world(terms: Terms) -> World:
+    """Returns the state in which all members have been up long enough to take part in everything."""
     members = tuple(
         lease.new_member(name, 0)._replace(started_at=-(terms.grantor_term + terms.margin))
         for name in range(terms.max_members)
     )
     return World(
-        tuple(from_now(each, terms, members) for each in members),
-        lately=((terms.floor, terms.floor),) * terms.max_members if terms.usage_window else (),
+        tuple(normalize_member(each, terms, members) for each in members),
+        usage=((terms.floor, terms.floor),) * terms.max_members if terms.usage_window else (),
     )
 
 
-def falls_within(terms: Terms, limits: Limits) -> int:
-    """Ticks from a fall of the whole until it has to hold: leases that were given before it, what was spent
-    of them, and a tick for each clock that is behind."""
+def ticks_until_lowered(terms: Terms, limits: Limits) -> int:
+    """Returns the ticks from a fall of the limit until the new limit has to hold.
+
+    The sum covers leases that were granted before the fall, the usage window of what was spent from them, and
+    one tick for each clock that may be behind.
+    """
     return terms.lease_duration + terms.usage_window + limits.lags
 
 
-def whole_of(world: World, terms: Terms, limits: Limits) -> int:
-    """What all may spend at the most."""
-    return terms.limit - (world.lowered >= falls_within(terms, limits))
+def spendable_limit(world: World, terms: Terms, limits: Limits) -> int:
+    """Returns the most that all members together may spend in a state."""
+    return terms.limit - (world.lowered >= ticks_until_lowered(terms, limits))
 
 
-def told_terms(world: World, terms: Terms) -> Terms:
-    """What members go by."""
+def effective_terms(world: World, terms: Terms) -> Terms:
+    """Returns the terms that the members apply: with the lower limit from its fall on."""
     return terms._replace(limit=terms.limit - 1) if world.lowered >= 0 else terms
 
 
 Form = tuple[object, ...]
 
 
-def renamed(world: World, order: Sequence[int]) -> World:
-    """`order`: the members' names by their new ones."""
-    now = {old: new for new, old in enumerate(order)} | {lease.NO_MEMBER: lease.NO_MEMBER}
+def renumbered(world: World, order: Sequence[int]) -> World:
+    """Returns a state with other member numbers; `order` lists the old number of each new one."""
+    new_numbers = {old: new for new, old in enumerate(order)} | {lease.NO_MEMBER: lease.NO_MEMBER}
     members = tuple(
         each._replace(
             number=new,
-            promised_to=now[each.promised_to],
-            votes=tuple(sorted(now[x] for x in each.votes)),
-            grants=tuple(sorted(x._replace(holder=now[x.holder]) for x in each.grants)),
+            promised_to=new_numbers[each.promised_to],
+            votes=tuple(sorted(new_numbers[x] for x in each.votes)),
+            grants=tuple(sorted(x._replace(holder=new_numbers[x.holder]) for x in each.grants)),
         )
         for new, each in enumerate(world.members[old] for old in order)
     )
-    ended = tuple(sorted(world.lately[len(order) :]))
+    ended = tuple(sorted(world.usage[len(order) :]))
     return world._replace(
         members=members,
-        words=frozenset(x._replace(sender=now[x.sender], receiver=now[x.receiver]) for x in world.words),
-        lagged=frozenset(now[x] for x in world.lagged),
-        lately=(*(world.lately[old] for old in order), *ended) if world.lately else (),
+        messages=frozenset(
+            x._replace(sender=new_numbers[x.sender], receiver=new_numbers[x.receiver]) for x in world.messages
+        ),
+        lagged=frozenset(new_numbers[x] for x in world.lagged),
+        usage=(*(world.usage[old] for old in order), *ended) if world.usage else (),
     )
 
 
-def nameless(world: World, number: int) -> Form:
-    """What tells members apart whatever they are called."""
-    each = world.members[number]
-    given = sorted(x[1:] for x in each.grants)
-    own = each._replace(number=0, promised_to=min(each.promised_to, 0), votes=(), grants=())
-    lately = world.lately[number] if world.lately else ()
-    return own, len(each.votes), given, lately, number in world.lagged
+def unnumbered_form(world: World, number: int) -> Form:
+    """Returns what distinguishes a member from others without regard to member numbers."""
+    member = world.members[number]
+    grants = sorted(x[1:] for x in member.grants)
+    own = member._replace(number=0, promised_to=min(member.promised_to, 0), votes=(), grants=())
+    usage = world.usage[number] if world.usage else ()
+    return own, len(member.votes), grants, usage, number in world.lagged
 
 
-def alike(world: World) -> World:
-    """The one that is looked at of all that differ by names alone."""
-    forms = [nameless(world, number) for number in range(len(world.members))]
+def canonical(world: World) -> World:
+    """Returns the representative of all states that differ from this one only in member numbers."""
+    forms = [unnumbered_form(world, number) for number in range(len(world.members))]
     order = sorted(range(len(forms)), key=lambda number: repr(forms[number]))
     runs: list[list[int]] = []
     for number in order:
@@ -127,56 +163,66 @@
         else:
             runs.append([number])
     if len(runs) == len(order):
-        return renamed(world, order)
+        return renumbered(world, order)
     orders: list[list[int]] = [[]]
     for run in runs:
         orders = [[*one, *more] for one in orders for more in permutations(run)]
-    return min((renamed(world, each) for each in orders), key=lambda each: (each.members, sorted(each.words)))
+    return min(
+        (renumbered(world, each) for each in orders), key=lambda each: (each.members, sorted(each.messages))
+    )
 
 
-def sum_spent(world: World, terms: Terms) -> int:
-    if world.lately:
-        return sum(map(max, world.lately))
+def total_spendable(world: World, terms: Terms) -> int:
+    """Returns what all members together may spend, or may have spent within the usage window."""
+    if world.usage:
+        return sum(map(max, world.usage))
     return sum(lease.spendable_amount(each, terms) for each in world.members)
 
 
-def noted(world: World, terms: Terms) -> World:
-    """What each might spend now is added to what it might before."""
+def with_usage_recorded(world: World, terms: Terms) -> World:
+    """Returns the state with what each member may spend now included in its usage since the last tick."""
     if not terms.usage_window:
         return world
-    now = (lease.spendable_amount(each, terms) for each in world.members)
-    own, ended = world.lately[: terms.max_members], world.lately[terms.max_members :]
-    lately = ((old, max(new, each)) for (old, new), each in zip(own, now, strict=True))
-    return world._replace(lately=(*lately, *ended))
+    spendable = (lease.spendable_amount(each, terms) for each in world.members)
+    own, ended = world.usage[: terms.max_members], world.usage[terms.max_members :]
+    usage = ((old, max(new, each)) for (old, new), each in zip(own, spendable, strict=True))
+    return world._replace(usage=(*usage, *ended))
 
 
-def forgotten(world: World, number: int) -> World:
-    """A life of a member is over; what it spent counts on."""
-    if not world.lately:
+def with_session_ended(world: World, number: int) -> World:
+    """Returns the state after a member's session has ended; what that session spent still counts."""
+    if not world.usage:
         return world
-    lately = (*world.lately, world.lately[number])
-    return world._replace(lately=tuple((0, 0) if at == number else x for at, x in enumerate(lately)))
+    usage = (*world.usage, world.usage[number])
+    return world._replace(usage=tuple((0, 0) if at == number else x for at, x in enumerate(usage)))
 
 
 def in_use(world: World, number: int, terms: Terms) -> bool:
-    """Whether more than its part may have been spent in the two ticks."""
-    return bool(terms.usage_window) and max(world.lately[number]) > lease.spendable_amount(
+    """Whether a member may have spent more than its current share within the two ticks."""
+    return bool(terms.usage_window) and max(world.usage[number]) > lease.spendable_amount(
         world.members[number], terms
     )
 
 
-def long_over(terms: Terms) -> int:
-    """From when on it is alike how long ago a thing was asked for."""
+def oldest_request_time(terms: Terms) -> int:
+    """Returns the relative time to which older request times are raised.
+
+    Requests that are older than any lease or promise have the same effect, whatever their age.
+    """
     return -max(terms.lease_duration, terms.grantor_term) - 1
 
 
-def from_now(member: Member, terms: Terms, all_of: tuple[Member, ...]) -> Member:
-    """Its clock at 0. What was asked for longer ago than any lease or promise lasts is alike; so is when it
-    started, once it is settled."""
-    clock, old = member.clock, long_over(terms)
-    given = (
+def normalize_member(member: Member, terms: Terms, all_members: tuple[Member, ...]) -> Member:
+    """Returns a member with its clock at 0 and all of its times relative to that.
+
+    Requests that are older than any lease or promise lasts become equal, and so do the start times of members
+    whose start has no effect any more.
+    """
+    clock, oldest = member.clock, oldest_request_time(terms)
+    grants = (
         x._replace(
-            expires_at=x.expires_at - clock, requested_at=max(x.requested_at - all_of[x.holder].clock, old)
+            expires_at=x.expires_at - clock,
+            requested_at=max(x.requested_at - all_members[x.holder].clock, oldest),
         )
         for x in member.grants
     )
@@ -184,159 +230,186 @@
         clock=0,
         started_at=max(member.started_at - clock, -(terms.grantor_term + terms.margin + terms.usage_window)),
         promised_until=max(member.promised_until - clock, 0),
-        votes_requested_at=max(member.votes_requested_at - clock, old),
-        votes=member.votes if member.votes_requested_at - clock > old else (),
+        votes_requested_at=max(member.votes_requested_at - clock, oldest),
+        votes=member.votes if member.votes_requested_at - clock > oldest else (),
         grantor_until=max(member.grantor_until - clock, 0),
         grants_from=max(member.grants_from - clock, 0) if clock < member.grantor_until else 0,
         leased_until=max(member.leased_until - clock, 0),
-        lease_requested_at=max(member.lease_requested_at - clock, old),
-        grants=tuple(sorted(given)),
+        lease_requested_at=max(member.lease_requested_at - clock, oldest),
+        grants=tuple(sorted(grants)),
     )
 
 
-def changed(
-    world: World, number: int, member: Member, out: tuple[LeaseMessage, ...], limits: Limits
+def with_member(
+    world: World, number: int, member: Member, sent: tuple[LeaseMessage, ...], limits: Limits
 ) -> World | None:
-    words = world.words | {*out}
-    if len(words) > limits.words:
+    """Returns the state with a changed member and its sent messages, or None if too many are in flight."""
+    messages = world.messages | {*sent}
+    if len(messages) > limits.messages:
         return None
     members = tuple(member if at == number else each for at, each in enumerate(world.members))
-    return world._replace(members=members, words=words)
+    return world._replace(members=members, messages=messages)
 
 
-def owner(word: LeaseMessage) -> int:
-    """By whose clock it was asked."""
-    return word.receiver if word.kind in (LeaseMessageKind.PROMISE, LeaseMessageKind.GRANT) else word.sender
+def requester(message: LeaseMessage) -> int:
+    """Returns the member by whose clock a message's request time is given."""
+    return (
+        message.receiver
+        if message.kind in (LeaseMessageKind.PROMISE, LeaseMessageKind.GRANT)
+        else message.sender
+    )
 
 
-def nexts(world: World, terms: Terms, limits: Limits) -> Iterator[tuple[str, World]]:
+def successors(world: World, terms: Terms, limits: Limits) -> Iterator[tuple[str, World]]:
+    """Yields each state that follows in one step, with a description of the step."""
     if limits.falls and world.lowered < 0:
-        yield "the whole falls by one", world._replace(lowered=0)
-    later = min(world.lowered + 1, falls_within(terms, limits)) if world.lowered >= 0 else -1
-    yield "time goes on", tick(world, terms, -1)._replace(lowered=later)
+        yield "the limit falls by one", world._replace(lowered=0)
+    lowered = min(world.lowered + 1, ticks_until_lowered(terms, limits)) if world.lowered >= 0 else -1
+    yield "time advances", tick(world, terms, -1)._replace(lowered=lowered)
     for number in range(terms.max_members):
         if len(world.lagged) < limits.lags and number not in world.lagged:
-            after = tick(world, terms, number)._replace(lagged=world.lagged | {number}, lowered=later)
-            yield f"time goes on, the clock of {number} falls behind", after
-    for word in world.words:
-        rest = world._replace(words=world.words - {word})
-        yield f"{told(word)} is lost", rest
-        member, out = lease.handle_message(world.members[word.receiver], told_terms(world, terms), word)
-        for how, before in (("", rest), (", and may come again", world)):
-            if after_it := changed(before, word.receiver, member, out, limits):
-                yield f"{told(word)} is heard{how}", after_it
+            after = tick(world, terms, number)._replace(lagged=world.lagged | {number}, lowered=lowered)
+            yield f"time advances, the clock of {number} falls behind", after
+    for message in world.messages:
+        rest = world._replace(messages=world.messages - {message})
+        yield f"{describe(message)} is lost", rest
+        member, sent = lease.handle_message(
+            world.members[message.receiver], effective_terms(world, terms), message
+        )
+        for suffix, before in (("", rest), (" and may be delivered again", world)):
+            if after_it := with_member(before, message.receiver, member, sent, limits):
+                yield f"{describe(message)} is delivered{suffix}", after_it
     for number in range(terms.max_members):
-        yield from member_acts(world, number, told_terms(world, terms), limits)
+        yield from member_steps(world, number, effective_terms(world, terms), limits)
 
 
-def tick(world: World, terms: Terms, late: int) -> World:
+def tick(world: World, terms: Terms, lagging: int) -> World:
+    """Returns the state one unit of time later; the clock of member `lagging` stands still, -1: of none."""
     members = tuple(
-        each if number == late else lease.advance_clock(each, 1) for number, each in enumerate(world.members)
+        each if number == lagging else lease.advance_clock(each, 1)
+        for number, each in enumerate(world.members)
+    )
+    oldest = oldest_request_time(terms)
+    messages = (
+        x._replace(requested_at=max(x.requested_at - members[requester(x)].clock, oldest))
+        for x in world.messages
     )
-    old = long_over(terms)
-    words = (x._replace(requested_at=max(x.requested_at - members[owner(x)].clock, old)) for x in world.words)
     after = world._replace(
-        members=tuple(from_now(each, terms, members) for each in members), words=frozenset(words)
+        members=tuple(normalize_member(each, terms, members) for each in members),
+        messages=frozenset(messages),
     )
-    own, ended = world.lately[: terms.max_members], world.lately[terms.max_members :]
-    lately = (*((new, 0) for _, new in own), *((new, 0) for _, new in ended if new))
-    return noted(after._replace(lately=lately), terms)
+    own, ended = world.usage[: terms.max_members], world.usage[terms.max_members :]
+    usage = (*((new, 0) for _, new in own), *((new, 0) for _, new in ended if new))
+    return with_usage_recorded(after._replace(usage=usage), terms)
 
 
-def member_acts(world: World, number: int, terms: Terms, limits: Limits) -> Iterator[tuple[str, World]]:
+def member_steps(world: World, number: int, terms: Terms, limits: Limits) -> Iterator[tuple[str, World]]:
+    """Yields each state that one member can bring about by itself, with a description of the step."""
     member = world.members[number]
     if world.restarts < limits.restarts:
         fresh = lease.new_member(number, member.session + 1)
-        found = changed(world, number, from_now(fresh, terms, world.members), (), limits)
-        if found:
-            yield f"{number} starts anew", forgotten(found, number)._replace(restarts=world.restarts + 1)
+        restarted = with_member(world, number, normalize_member(fresh, terms, world.members), (), limits)
+        if restarted:
+            yield (
+                f"{number} restarts",
+                with_session_ended(restarted, number)._replace(restarts=world.restarts + 1),
+            )
     steps = [
-        ("elects itself", lease.request_votes(member, terms)),
-        ("abandons it", (lease.abandon_election(member), ())),
+        ("requests votes", lease.request_votes(member, terms)),
+        ("abandons its election", (lease.abandon_election(member), ())),
     ]
-    for keeper, other in enumerate(world.members):
+    for grantor, other in enumerate(world.members):
         if lease.is_grantor(other):
-            wants = (terms.limit, 1) if terms.usage_window and terms.limit > 1 else (terms.limit,)
+            amounts = (terms.limit, 1) if terms.usage_window and terms.limit > 1 else (terms.limit,)
             steps += [
-                (f"asks {keeper} for {want}", lease.request_lease(member, terms, keeper, want))
-                for want in wants
+                (f"requests {amount} from {grantor}", lease.request_lease(member, terms, grantor, amount))
+                for amount in amounts
             ]
             if member.leased:
-                after, out = lease.release_lease(member, terms, keeper)
-                at_once = not terms.usage_window or max(world.lately[number]) <= terms.floor
-                steps.append((f"gives back to {keeper}", (after, out if at_once else ())))
+                after, sent = lease.release_lease(member, terms, grantor)
+                at_once = not terms.usage_window or max(world.usage[number]) <= terms.floor
+                steps.append((f"releases its lease to {grantor}", (after, sent if at_once else ())))
                 if terms.usage_window and not in_use(world, number, terms):
                     steps.append(
-                        (f"settles with {keeper}", (member, lease.release_superseded(member, terms, keeper)))
+                        (
+                            f"releases superseded leases to {grantor}",
+                            (member, lease.release_superseded(member, terms, grantor)),
+                        )
                     )
-    for what, (after, out) in steps:
-        if (after is not member or out) and (found := changed(world, number, after, out, limits)):
-            yield f"{number} {what}", found
-
-
-def told(word: LeaseMessage) -> str:
-    amount = f" of {word.amount}" if word.amount else ""
-    way = f"from {word.sender} to {word.receiver}"
-    return f"{word.kind.name.lower()}{amount} {way}, asked at {word.requested_at},"
-
-
-def explore(terms: Terms, limits: Limits | None = None) -> Found:
-    """All worlds that can be come to from the first one."""
-    limits, found = limits or Limits(), Found()
-    begin = alike(first(terms))
-    ways: dict[World, World | None] = {begin: None}
-    ahead = deque([begin])
-    while ahead:
-        world = ahead.popleft()
-        found.states += 1
-        if found.states % SOME == 0:
-            found.some.append(world)
-        for _, raw in nexts(world, terms, limits):
-            there = alike(noted(raw, terms))
-            if there in ways:
+    for what, (after, sent) in steps:
+        if (after is not member or sent) and (changed := with_member(world, number, after, sent, limits)):
+            yield f"{number} {what}", changed
+
+
+def describe(message: LeaseMessage) -> str:
+    """Returns a message as text for a trace."""
+    amount = f" of {message.amount}" if message.amount else ""
+    route = f"from {message.sender} to {message.receiver}"
+    return f"{message.kind.name.lower()}{amount} {route}, requested at {message.requested_at},"
+
+
+def explore(terms: Terms, limits: Limits | None = None) -> ExplorationResult:
+    """Explores all states that are reachable from the initial one, until a violation or a limit."""
+    limits, result = limits or Limits(), ExplorationResult()
+    begin = canonical(initial_world(terms))
+    predecessors: dict[World, World | None] = {begin: None}
+    queue = deque([begin])
+    while queue:
+        world = queue.popleft()
+        result.states += 1
+        if result.states % SAMPLE_INTERVAL == 0:
+            result.samples.append(world)
+        for _, raw in successors(world, terms, limits):
+            there = canonical(with_usage_recorded(raw, terms))
+            if there in predecessors:
                 continue
-            ways[there] = world
-            if sum_spent(there, terms) > whole_of(there, terms, limits):
-                found.trace = way(ways, there, terms, limits)
-                return found
-            ahead.append(there)
-        if found.states >= limits.states:
-            found.whole = not ahead
-            return found
-    return found
-
-
-def way(ways: dict[World, World | None], to: World, terms: Terms, limits: Limits) -> list[str]:
-    """Step by step, with the names of the beginning."""
+            predecessors[there] = world
+            if total_spendable(there, terms) > spendable_limit(there, terms, limits):
+                result.trace = build_trace(predecessors, there, terms, limits)
+                return result
+            queue.append(there)
+        if result.states >= limits.states:
+            result.whole = not queue
+            return result
+    return result
+
+
+def build_trace(
+    predecessors: dict[World, World | None], to: World, terms: Terms, limits: Limits
+) -> list[str]:
+    """Returns the steps from the initial state to a state, with the member numbers of the initial state."""
     path = [to]
-    while (before := ways[path[-1]]) is not None:
+    while (before := predecessors[path[-1]]) is not None:
         path.append(before)
     at, steps = path.pop(), ["all have been up for long"]
     for there in reversed(path):
-        after = ((what, noted(raw, terms)) for what, raw in nexts(at, terms, limits))
-        what, at = next((what, world) for what, world in after if alike(world) == there)
+        after = ((what, with_usage_recorded(raw, terms)) for what, raw in successors(at, terms, limits))
+        what, at = next((what, world) for what, world in after if canonical(world) == there)
         steps.append(what)
     return steps
 
 
-def quiet(world: World, terms: Terms, wants: int) -> int:
-    """What this member comes to hold once all faults are over: all words arrive, and nobody else wants
-    any."""
+def amount_after_faults(world: World, terms: Terms, requesting: int) -> int:
+    """Returns what one member can spend once faults are over.
+
+    From then on no message is lost, and no other member requests a lease.
+    """
     members = list(world.members)
     for _ in range(3 * (terms.grantor_term + terms.margin) + 2 * lease.max_usage_duration(terms) + 4):
         members = [lease.advance_clock(each, each.clock + 1) for each in members]
-        first_one = next((number for number, each in enumerate(members) if lease.is_grantor(each)), 0)
-        members[first_one], out = lease.request_votes(members[first_one], terms)
-        deliver(members, terms, list(out))
-        keeper = next((number for number, each in enumerate(members) if lease.is_grantor(each)), None)
-        if keeper is not None:
-            members[wants], out = lease.request_lease(members[wants], terms, keeper, terms.limit)
-            deliver(members, terms, list(out))
-    return lease.spendable_amount(members[wants], terms)
-
-
-def deliver(members: list[Member], terms: Terms, words: list[LeaseMessage]) -> None:
-    while words:
-        word = words.pop(0)
-        members[word.receiver], out = lease.handle_message(members[word.receiver], terms, word)
-        words += out
+        candidate = next((number for number, each in enumerate(members) if lease.is_grantor(each)), 0)
+        members[candidate], sent = lease.request_votes(members[candidate], terms)
+        deliver(members, terms, list(sent))
+        grantor = next((number for number, each in enumerate(members) if lease.is_grantor(each)), None)
+        if grantor is not None:
+            members[requesting], sent = lease.request_lease(members[requesting], terms, grantor, terms.limit)
+            deliver(members, terms, list(sent))
+    return lease.spendable_amount(members[requesting], terms)
+
+
+def deliver(members: list[Member], terms: Terms, messages: list[LeaseMessage]) -> None:
+    """Delivers messages in order, with all replies that follow, to the members in place."""
+    while messages:
+        message = messages.pop(0)
+        members[message.receiver], sent = lease.handle_message(members[message.receiver], terms, message)
+        messages += sent
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -12,7 +12,7 @@
 
 from message_sender.budget import lease
 from message_sender.budget.lease import LeaseMessage, LeaseMessageKind, Member, Terms
-from message_sender.emulator.explore import Limits, explore, quiet
+from message_sender.emulator.explore import Limits, amount_after_faults, explore
 
 TWO = Terms(limit=1, max_members=2, lease_duration=1, grantor_term=2, margin=1)
 STATES = int(os.environ.get("BUDGET_STATES", "40000"))  # BUDGET_STATES above ALL_STATES visits all states
@@ -22,11 +22,11 @@
 
 #: The terms, the limits of the exploration, and whether it visits all states, by world.
 WORLDS = {
-    "a member restarts": (WITH_USAGE, Limits(words=1, lags=0, states=STATES), STATES > ALL_STATES),
-    "a clock falls behind": (TWO, Limits(words=1, restarts=0, lags=1), True),
-    "a limit of three": (TWO._replace(limit=3), Limits(words=1, restarts=0, lags=0), True),
-    "the limit falls": (TWO._replace(limit=2), Limits(words=1, restarts=0, lags=0, falls=True), True),
-    "three members": (TWO._replace(max_members=3, limit=2), Limits(words=2, lags=1, states=20_000), False),
+    "a member restarts": (WITH_USAGE, Limits(messages=1, lags=0, states=STATES), STATES > ALL_STATES),
+    "a clock falls behind": (TWO, Limits(messages=1, restarts=0, lags=1), True),
+    "a limit of three": (TWO._replace(limit=3), Limits(messages=1, restarts=0, lags=0), True),
+    "the limit falls": (TWO._replace(limit=2), Limits(messages=1, restarts=0, lags=0, falls=True), True),
+    "three members": (TWO._replace(max_members=3, limit=2), Limits(messages=2, lags=1, states=20_000), False),
 }
 
 
@@ -38,7 +38,11 @@
     """
     terms, limits, _ = WORLDS[name]
     result = explore(terms, limits)
-    ends = [quiet(world, terms, wants) for world in result.some for wants in range(terms.max_members)]
+    ends = [
+        amount_after_faults(world, terms, wants)
+        for world in result.samples
+        for wants in range(terms.max_members)
+    ]
     return result.trace, result.whole, result.states, sum(each != terms.limit for each in ends)
 
 
@@ -72,44 +76,44 @@
 @pytest.mark.parametrize(
     ("target", "defect", "terms", "limits"),
     [
-        ("", None, TWO._replace(margin=0), Limits(words=1, restarts=0)),
-        ("record_grant", record_no_grant, TWO, Limits(words=1, restarts=0, lags=0)),
-        ("release_lease", release_and_keep, TWO, Limits(words=1, restarts=0, lags=0)),
+        ("", None, TWO._replace(margin=0), Limits(messages=1, restarts=0)),
+        ("record_grant", record_no_grant, TWO, Limits(messages=1, restarts=0, lags=0)),
+        ("release_lease", release_and_keep, TWO, Limits(messages=1, restarts=0, lags=0)),
         (
             "has_previous_usage_expired",
             lambda member, terms: True,
             WITH_USAGE,
-            Limits(words=1, restarts=1, lags=0),
+            Limits(messages=1, restarts=1, lags=0),
         ),
         (
             "max_usage_duration",
             lambda terms: terms.lease_duration + terms.margin,
             WITH_USAGE,
-            Limits(words=1, restarts=0, lags=1),
+            Limits(messages=1, restarts=0, lags=1),
         ),
         (
             "message_sender.emulator.explore.in_use",
             lambda world, number, terms: False,
             WITH_USAGE._replace(limit=2),
-            Limits(words=1, restarts=0, lags=0),
+            Limits(messages=1, restarts=0, lags=0),
         ),
         (
             "Terms.leasable_amount",
             lambda terms: terms.limit,
             TWO._replace(limit=2, floor=1),
-            Limits(words=1, restarts=0),
+            Limits(messages=1, restarts=0),
         ),
         (
-            "message_sender.emulator.explore.told_terms",
+            "message_sender.emulator.explore.effective_terms",
             lambda world, terms: terms,
             TWO._replace(limit=2),
-            Limits(words=1, restarts=0, lags=0, falls=True),
+            Limits(messages=1, restarts=0, lags=0, falls=True),
         ),
         pytest.param(
             "has_previous_promise_expired",
             lambda member, terms: True,
             TWO._replace(max_members=3, grantor_term=3),
-            Limits(words=2, lags=0),
+            Limits(messages=2, lags=0),
             marks=pytest.mark.skipif(STATES < ALL_STATES, reason="on request: BUDGET_STATES"),
         ),
     ],
