--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -35,36 +35,36 @@
         each, rest = divmod(budget.limit, members)
         self.tokens = {f"n{number}": each + (number < rest) for number in range(members)}
         for number in range(members):
-            self.hall.later(self.rng.uniform(0, TAKES), partial(self.beg, number))
+            self.network.later(self.rng.uniform(0, TAKES), partial(self.beg, number))
 
     def start(self, number: int, epoch: int | None = None) -> None:
         """What its life before spent counts: all of its tokens may have been."""
         super().start(number, epoch)
         name = f"n{number}"
         for _ in range(getattr(self, "tokens", {}).get(name, 0)):
-            self.spenders[name].spent_at_us.append(self.clock(number))
+            self.enforcers[name].spent_at_us.append(self.clock(number))
 
     def beg(self, number: int) -> None:
         name, other = f"n{number}", self.rng.choice(sorted(self.tokens))
-        there = name in self.hall.nodes and other in self.hall.nodes and name != other
-        apart = self.hall.sides and not any({name, other} <= side for side in self.hall.sides)
-        lost = self.rng.random() < 1 - (1 - self.hall.loss) ** 2
-        if there and not apart and not lost and self.held[name] > self.tokens[name]:
-            used = self.spenders[other].usage(self.clock(int(other[1:])))
-            needs = min(self.held[other] + used, self.budget.limit)
+        there = name in self.network.nodes and other in self.network.nodes and name != other
+        apart = self.network.sides and not any({name, other} <= side for side in self.network.sides)
+        lost = self.rng.random() < 1 - (1 - self.network.loss) ** 2
+        if there and not apart and not lost and self.backlog[name] > self.tokens[name]:
+            used = self.enforcers[other].usage(self.clock(int(other[1:])))
+            needs = min(self.backlog[other] + used, self.budget.limit)
             spare = self.tokens[other] - max(int(needs), used)
-            most = min(spare, int(self.held[name]), self.tokens[other])
+            most = min(spare, int(self.backlog[name]), self.tokens[other])
             if most > 0:
                 self.tokens[other] -= most
-                self.hall.later(TAKES + self.ledger.span, partial(self.get, name, most))
-        self.hall.later(TAKES, partial(self.beg, number))
+                self.network.later(TAKES + self.ledger.window, partial(self.get, name, most))
+        self.network.later(TAKES, partial(self.beg, number))
 
     def get(self, name: str, most: int) -> None:
-        if name in self.hall.nodes:
+        if name in self.network.nodes:
             self.tokens[name] += most
 
     def may_spend(self, number: int, name: str) -> bool:
-        return self.spenders[name].try_spend("", self.clock(number), self.tokens[name])
+        return self.enforcers[name].try_spend("", self.clock(number), self.tokens[name])
 
 
 def calm(fleet: Fleet) -> None: ...
@@ -75,28 +75,28 @@
     count = len(fleet.rates)
     for turn in range(max(round(count * UNTIL / 600), 1)):
         number, at = fleet.rng.randrange(count), fleet.rng.uniform(SINCE, UNTIL - 5)
-        fleet.hall.later(at, partial(fleet.end, number))
-        fleet.hall.later(at + 3 + turn % 3, partial(fleet.start, number))
+        fleet.network.later(at, partial(fleet.end, number))
+        fleet.network.later(at + 3 + turn % 3, partial(fleet.start, number))
 
 
 def split(fleet: Fleet) -> None:
     names = [f"n{number}" for number in range(len(fleet.rates))]
     larger = len(names) * 3 // 5
-    fleet.hall.later(SINCE, lambda: fleet.hall.split(names[:larger], names[larger:]))
+    fleet.network.later(SINCE, lambda: fleet.network.split(names[:larger], names[larger:]))
 
 
 def halved(fleet: Fleet) -> None:
-    fleet.hall.later(20.0, lambda: fleet.lower(fleet.whole // 2))
+    fleet.network.later(20.0, lambda: fleet.set_limit(fleet.receiver_limit // 2))
 
 
 def power(fleet: Fleet) -> None:
     for number in range(len(fleet.rates)):
-        fleet.hall.later(SINCE, partial(fleet.begin_again, number))
+        fleet.network.later(SINCE, partial(fleet.restart, number))
 
 
 def gone(fleet: Fleet) -> None:
     """One dies for good, with its disk."""
-    fleet.hall.later(SINCE, partial(fleet.end, 1))
+    fleet.network.later(SINCE, partial(fleet.end, 1))
 
 
 TROUBLES: dict[str, tuple[Callable[[Fleet], None], float]] = {
@@ -126,11 +126,11 @@
         else:
             fleet = Fleet(budget, members, seed, told, how, guess, loss)
         act(fleet)
-        fleet.hall.run(UNTIL)
+        fleet.network.run(UNTIL)
         ledger = fleet.ledger
         takes = whole * (0.643 if trouble.startswith("halved") else 1.0)  # 8 s of the whole, 20 s of a half
-        refused = ledger.refused / max(len(ledger.calls), 1)
-        found.append([ledger.used(SINCE, UNTIL, 1) / takes, refused, ledger.most() / whole])
+        refused = ledger.rejected / max(len(ledger.calls), 1)
+        found.append([ledger.utilization(SINCE, UNTIL, 1) / takes, refused, ledger.peak() / whole])
     return [statistics.fmean(each) for each in zip(*found, strict=True)]
 
 
@@ -166,13 +166,15 @@
     whole = 12 * members
     budget = Budget("hub", "calls", whole, members, US, lease_us=lease)
     fleet = Fleet(budget, members, seed, works("even", members, whole))
-    fleet.hall.run(20.0)
-    desk = fleet.desks["n0"]
+    fleet.network.run(20.0)
+    desk = fleet.managers["n0"]
     kept = int(desk.ledgers["hub"].grantor()[1:])
     fleet.end(kept if keeper else (kept + 1) % members)
     for tenth in range(1, 300):
-        fleet.hall.run(20.0 + tenth / 10)
-        if sum(each.ledgers["hub"].share() for each in fleet.desks.values()) >= whole * (1 - 0.1 / members):
+        fleet.network.run(20.0 + tenth / 10)
+        if sum(each.ledgers["hub"].share() for each in fleet.managers.values()) >= whole * (
+            1 - 0.1 / members
+        ):
             return tenth / 10
     return float("inf")
 
--- a/message_sender/emulator/fleet.py
+++ b/message_sender/emulator/fleet.py
@@ -70,13 +70,13 @@
 
     Attributes:
         topology: Endpoints, receivers and network delays.
-        recorder: What has happened.
-        clients: Who hands messages in.
+        recorder: Records the history, the figures and the failures.
+        clients: The clients, which hand messages in.
         incidents: Applies the scenario's incidents.
         senders: All senders, by number.
         links: Connects senders that share budgets; None if they share none.
         error: A defect of the simulation or of a sender, which ends the run.
-        list_empty_until_s: Until when the endpoint list is empty.
+        list_empty_until_s: Time in s until which the endpoint list is empty.
     """
 
     def __init__(
@@ -91,7 +91,7 @@
 
         Args:
             scenario: The scenario.
-            seed: Of everything that is random.
+            seed: Seed of all random draws.
             folder: Where the senders keep their state folders.
             decide: Builds the delivery policy of a sender from its settings and a seed.
             is_traced: Whether the results contain the history.
@@ -117,7 +117,7 @@
         fleet = self.scenario.fleet
         if not fleet.budget_span_s:
             return None
-        # Needed by few scenarios, and imports the daemon's budget service.
+        # Few scenarios need it, and it imports the daemon's budget service.
         from message_sender.emulator.shared_links import LinkHub
 
         window_us = int(fleet.budget_span_s * SECOND_US)
@@ -140,7 +140,7 @@
         self.loop.call_later(delay_s, callback, *args)
 
     def send(self, attempt: ClientAttempt) -> None:
-        """Sends a client's message on its way to a sender."""
+        """Sends a client's message to a sender."""
         delay_s = self.topology.one_way_delay_s(attempt.message.ways(attempt.number)[0])
         incarnation = attempt.sender.incarnation
         self.call_later(delay_s, self._deliver_to_sender, attempt, attempt.build_message(), incarnation)
@@ -168,7 +168,7 @@
             self.send_endpoint_list(sender)
 
     def drain(self, incident: Incident) -> None:
-        """Drains a destination's endpoints; after a while new ones replace them."""
+        """Drains a destination's endpoints; new ones replace them when the incident ends."""
         drained = self.topology.drain(incident.destination)
         self.broadcast_endpoint_list()
         self.call_later(incident.for_s, self.replace_endpoints, drained)
@@ -191,7 +191,7 @@
 
         Raises:
             RuntimeError: A sender stopped because of a defect.
-            BaseException: Whatever a callback raised.
+            BaseException: A callback raised it.
         """
         is_finished: asyncio.Future[None] = self.loop.create_future()
         self.loop.call_at(self.end_s, is_finished.set_result, None)
@@ -245,7 +245,7 @@
                 continue
             dispatcher = sender.engine.dispatcher
             second.held += len(dispatcher.messages)
-            if isinstance(dispatcher, Dispatcher):  # policies for comparison have no breakers
+            if isinstance(dispatcher, Dispatcher):  # baseline policies have no such breakers
                 second.open += sum(each.is_open() for each in dispatcher.registry.all_breakers())
         self.call_later(SAMPLE_INTERVAL_S, self.sample)
 
@@ -292,7 +292,7 @@
         traced: Whether the results contain the history.
 
     Raises:
-        EmulationError: A sender reached out of the simulation.
+        EmulationError: A sender used a real clock, thread or socket, or unseeded randomness.
     """
     disabled_level = logging.root.manager.disable
     logging.disable(logging.CRITICAL)
--- a/message_sender/emulator/fleet_checks.py
+++ b/message_sender/emulator/fleet_checks.py
@@ -9,7 +9,7 @@
 from message_sender.testbed import history as seen
 from message_sender.testbed.history_checker import ClassRule, HistoryChecker, Rules, Violation
 
-MIN_OUTAGE_S = 2.0  # a shorter one cannot be told from a limit's window or from one slow call
+MIN_OUTAGE_S = 2.0  # a shorter one cannot be distinguished from a limit's window or from one slow call
 COMPLETION_TOLERANCE_S = 0.35  # a tick, a notification and the duration of a start
 DRAIN_TOLERANCE_S = 0.05
 DEFAULT_WARM_UP_S = 1.0
@@ -28,7 +28,7 @@
     """Finds violations in what happened to one fleet."""
 
     def __init__(self, scenario: Scenario, topology: Topology, failures: Sequence[ObservedFailure]) -> None:
-        """Sets what the history is compared with.
+        """Prepares the checks of one run.
 
         Args:
             scenario: The scenario that was run.
@@ -58,7 +58,7 @@
             if receiver.terms.cold_s
         }
         first_group = self.scenario.destinations[0]
-        # A paused process cannot complete messages meanwhile.
+        # A paused process cannot complete messages during the pause.
         pauses_s = [each.for_s for each in self.scenario.incidents if each.what == "pause"]
         return Rules(
             classes,
@@ -77,7 +77,7 @@
     def _number_destinations(self, events: Sequence[seen.HistoryEvent]) -> dict[str, int]:
         """Returns the destination of each endpoint called; a separate route counts as one of its own.
 
-        A Retry-After of a separate route binds that route alone. Its number is negative.
+        A Retry-After of a separate route applies to that route only. Its number is negative.
         """
         numbers: dict[str, int] = {}
         separate_routes = 0
@@ -112,8 +112,9 @@
     def find_overloads(self, outages: Sequence[seen.Outage]) -> Iterator[Violation]:
         """Yields the overload failures that senders caused although they had seen the outage before.
 
-        A sender is responsible if it saw that outage; a failure counts from two thirds of such calls. The
-        calls themselves do not show it, since none is complete at a destination that has failed.
+        A sender is responsible if it saw that outage; an overload failure counts if at least two thirds of
+        its calls came from such senders. The calls in the history do not show the failure, because no call to
+        a failed destination completes.
         """
         for number, receiver in self.topology.shared_receivers().items():
             for fall in receiver.falls:
--- a/message_sender/emulator/fleet_clients.py
+++ b/message_sender/emulator/fleet_clients.py
@@ -38,14 +38,14 @@
         """Calls back after a delay in virtual time."""
 
     def send(self, attempt: "ClientAttempt") -> None:
-        """Sends a client's message on its way to a sender."""
+        """Sends a client's message to a sender."""
 
 
 class ClientAttempt:
     """One hand-in of a message by its client: the engine's caller.
 
     Attributes:
-        message: What is handed in.
+        message: The message that is handed in.
         number: 0 for the first hand-in, then counting retries.
         sender: The sender that it is handed to.
         name: The message id that the sender sees.
@@ -86,7 +86,11 @@
         return self.has_left
 
     def accepted(self) -> bool:
-        """Sends the client the answer that its message is accepted; the client hears no completion."""
+        """Sends the client the answer that its message is accepted.
+
+        Returns:
+            False: the client is not notified of the completion.
+        """
         simulation, message = self.simulation, self.message
         kind = simulation.scenario.classes[message.message_class]
         simulation.history.record(
@@ -109,17 +113,17 @@
         self._send_answer(False, rejected.retry_after_us)
 
     def withdrawn(self) -> None:
-        """Ignored: the client has left."""
+        """Does nothing: the client has left."""
 
     def completed(self, completion: Completion) -> None:
-        """Ignored: the completion listener records completions."""
+        """Does nothing: the completion listener records completions."""
 
     def _send_answer(self, is_accepted: bool, retry_after_us: int) -> None:
         delay_s = self.simulation.topology.one_way_delay_s(0.5)
         self.simulation.call_later(delay_s, self.receive_answer, is_accepted, retry_after_us)
 
     def receive_answer(self, is_accepted: bool, retry_after_us: int) -> None:
-        """The answer reaches the client, which retries after a rejection."""
+        """Processes the answer at the client, which retries after a rejection."""
         if self.is_answered or self.has_left:
             return
         self.is_answered = True
@@ -128,9 +132,9 @@
             self.simulation.clients.retry(self.message, self.number, retry_after_us / SECOND_US)
 
     def lose_patience(self) -> None:
-        """The client stops waiting.
+        """Makes the client stop waiting.
 
-        The sender may have accepted the message all the same, so only an idempotent one is retried.
+        The sender may have accepted the message nevertheless, so only an idempotent one is retried.
         """
         if self.is_answered:
             return
@@ -156,7 +160,7 @@
             self.simulation.loop.call_at(message.at, self.offer, message)
 
     def offer(self, message: ClientMessage) -> None:
-        """A client begins to hand in a message."""
+        """Hands in a new message of a client and schedules the next arrival."""
         self.recorder.message_offered(message)
         self.hand_in(message, 0)
         expiry_s = self.scenario.classes[message.message_class].deadline_s + EXPIRY_DELAY_S
@@ -175,8 +179,9 @@
     def choose_sender(self, message: ClientMessage, number: int) -> SimulatedSender | None:
         """Returns the sender that a hand-in goes to, or None while it is down.
 
-        An ordering key has one sender, also while that one is down: it may hold earlier messages of the key
-        that no other sender knows of. Other messages go round the senders that are up.
+        An ordering key always has the same sender, also while that sender is down: it may hold earlier
+        messages of the key that no other sender knows. Other messages are distributed round-robin over the
+        senders that are up.
         """
         senders = self.simulation.senders
         if message.key:
--- a/message_sender/emulator/fleet_incidents.py
+++ b/message_sender/emulator/fleet_incidents.py
@@ -1,4 +1,4 @@
-"""Incidents of a scenario: kills, drains, full disks, pauses and the like, applied to a simulated fleet."""
+"""Applies a scenario's incidents to a simulated fleet: kills, drains, full disks, pauses and clock errors."""
 
 from collections.abc import Callable
 from typing import Any, Protocol
@@ -9,7 +9,7 @@
 
 
 class IncidentEnvironment(Protocol):
-    """What incidents change in the simulation that they belong to."""
+    """The parts of a simulation that incidents change."""
 
     scenario: Scenario
     loop: VirtualLoop
@@ -26,10 +26,10 @@
         """Sends every sender the endpoint list as it is now."""
 
     def drain(self, incident: Incident) -> None:
-        """Drains a destination's endpoints for a while."""
+        """Drains a destination's endpoints for the duration of an incident."""
 
     def restart_sender(self, sender: SimulatedSender, downtime_s: float) -> None:
-        """Kills a sender now and starts it again after a while."""
+        """Kills a sender now and starts it again after `downtime_s` seconds."""
 
 
 class IncidentRunner:
@@ -73,26 +73,26 @@
                 self.simulation.restart_sender(sender, incident.for_s)
 
     def empty_endpoint_list(self, incident: Incident) -> None:
-        """Lists no endpoint for a while."""
+        """Lists no endpoint for the duration of the incident."""
         simulation = self.simulation
         simulation.list_empty_until_s = simulation.time() + incident.for_s
         simulation.broadcast_endpoint_list()
         simulation.call_later(incident.for_s, simulation.broadcast_endpoint_list)
 
     def isolate_senders(self, incident: Incident) -> None:
-        """Withholds endpoint lists from senders for a while."""
+        """Withholds endpoint lists from senders for the duration of the incident."""
         for sender in self.affected_senders(incident):
             sender.isolated_until_s = self.simulation.time() + incident.for_s
 
     def fill_disks(self, incident: Incident) -> None:
-        """Sets the disk limit of senders to zero for a while."""
+        """Sets the disk limit of senders to zero for the duration of the incident."""
         for sender in self.affected_senders(incident):
             journal = sender.engine.journal
             limit_bytes, journal.limit_bytes = journal.limit_bytes, 0
             self.simulation.call_later(incident.for_s, setattr, journal, "limit_bytes", limit_bytes)
 
     def pause_process(self, incident: Incident) -> None:
-        """Lets time pass while nothing can run."""
+        """Stalls the process: time passes while no callback runs."""
         self.simulation.loop.pause(incident.for_s)
 
     def shift_wall_clocks(self, incident: Incident) -> None:
--- a/message_sender/emulator/fleet_recorder.py
+++ b/message_sender/emulator/fleet_recorder.py
@@ -41,7 +41,7 @@
         self.history = History(time)
         self.figures = Figures()
         self.failures: list[ObservedFailure] = []
-        self.open_messages: dict[int, ClientMessage] = {}  # until some time after their deadlines
+        self.open_messages: dict[int, ClientMessage] = {}  # until `EXPIRY_DELAY_S` after their deadlines
         self.attempt_counts: Counter[str] = Counter()  # by message id, over all senders
         self.answered: set[int] = set()
         self.delivered: set[int] = set()
@@ -49,7 +49,7 @@
         self.completions: dict[str, RecordedCompletion] = {}
 
     def message_offered(self, message: ClientMessage) -> None:
-        """A client begins to hand in a message."""
+        """Records that a client begins to hand in a message."""
         weight = self.scenario.classes[message.message_class].worth
         self.open_messages[message.number] = message
         self.figures.offered += 1
@@ -58,7 +58,7 @@
         self.figures.tenants.setdefault(message.tenant, [0.0, 0.0])[0] += weight
 
     def message_expired(self, number: int) -> None:
-        """No client or sender can refer to a message any more."""
+        """Forgets a message to which no client or sender can refer any more."""
         del self.open_messages[number]
         self.figures.unanswered += number not in self.answered
         self.answered.discard(number)
@@ -67,7 +67,7 @@
     def call_finished(
         self, has_effect: bool, message: ClientMessage, call: int, effect: EffectApplied, wait_s: float
     ) -> None:
-        """A call ends at its endpoint, possibly after its sender has abandoned it.
+        """Records that a call ends at its endpoint, possibly after its sender has abandoned it.
 
         Args:
             has_effect: Whether the receiver executed the message.
@@ -83,13 +83,13 @@
             self.effect_applied(message)
 
     def call_abandoned(self, call: int) -> None:
-        """A sender abandons a call; whether it has an effect is unknown to that sender."""
+        """Records that a sender abandons a call, whose effect is unknown to that sender."""
         if call not in self.finished_calls:
             self.finished_calls.add(call)
             self.history.record_end(call, EffectApplied.MAYBE)
 
     def effect_applied(self, message: ClientMessage) -> None:
-        """A receiver executes a message; only the first execution counts as its delivery."""
+        """Records that a receiver executes a message; only the first execution counts as its delivery."""
         if message.number in self.delivered or message.number not in self.open_messages:
             self.figures.twice += 1
             return
@@ -110,7 +110,7 @@
         second.late += latency_s > kind.aim_s
 
     def attempt_finished(self, sender: str, endpoint: str, outcome: Outcome) -> None:
-        """A sender learns the outcome of a call."""
+        """Records the outcome of a call as its sender sees it."""
         if outcome is Outcome.NOT_SENT:
             return
         destination = destination_of(endpoint)
@@ -124,7 +124,7 @@
         self.figures.destinations.setdefault(destination, Counter())[outcome.value] += 1
 
     def message_completed(self, sender: str, incarnation: int, message: str, completion: Completion) -> None:
-        """A sender notifies a completion.
+        """Records a completion of which a sender notifies its listener.
 
         A later incarnation of the sender may repeat the same completion (docs/design/emulator.md).
         """
--- a/message_sender/emulator/fleet_sender.py
+++ b/message_sender/emulator/fleet_sender.py
@@ -88,7 +88,7 @@
             endpoint: Id of the endpoint.
             message: The message.
             timeout: Seconds from now that the call may take.
-            may_go: Asked once the connection is up; on False nothing is sent.
+            may_go: Called when the connection is up; the call is not sent if it returns False.
         """
         result = await self._call(endpoint, message, timeout, may_go)
         self.simulation.recorder.attempt_finished(self.sender.name, endpoint, result.outcome)
@@ -102,7 +102,7 @@
         listed = simulation.topology.endpoints.get(endpoint)
         if listed is None:
             return AttemptResult(Outcome.NOT_SENT)
-        if not simulation.recorder.is_open(message.id):  # long after its deadline no call is due
+        if not simulation.recorder.is_open(message.id):  # its deadline passed long ago
             return AttemptResult(Outcome.ERROR)
         zone = listed.endpoint.zone
         client_message, attempt = simulation.recorder.count_attempt(message.id)
@@ -148,7 +148,7 @@
                 recorder.call_finished(fate.ran, message, call, EFFECT_BY_OUTCOME[fate.outcome], fate.wait)
                 await asyncio.sleep(return_s)
         except (TimeoutError, asyncio.CancelledError) as error:
-            # The receiver may go on with a call that its sender has abandoned.
+            # The receiver may continue with a call that its sender has abandoned.
             if call not in recorder.finished_calls:
                 recorder.call_finished(fate.ran, message, call, EffectApplied.MAYBE, 0.0)
             if isinstance(error, TimeoutError):
@@ -188,7 +188,7 @@
         downtime_s: How long it stays down after its next kill between two writes.
         write_count: Writes to its disk so far.
         kill_at_write: The write before which it is killed; 0 for none.
-        isolated_until_s: Until when it receives no endpoint list.
+        isolated_until_s: Time in s until which it receives no endpoint list.
     """
 
     def __init__(self, simulation: SenderEnvironment, number: int, folder: Path) -> None:
@@ -211,7 +211,7 @@
         self.directory = StaticDirectory(simulation.topology.endpoints.values())
 
     def read_clock_us(self) -> int:
-        """Returns its wall clock in microseconds; it runs evenly from each start."""
+        """Returns its wall clock in microseconds, whose offset changes only at a start."""
         return EPOCH_US + round((self.simulation.time() + self.wall_offset_s) * SECOND_US)
 
     def start(self) -> None:
@@ -254,7 +254,7 @@
         self.engine.plug(ModelTransport(self), self.directory, ModelCompletionListener(self))
 
     def terminate(self) -> None:
-        """Leaves what a killed process leaves: its file is closed, and nothing of it runs any more."""
+        """Ends the process as a kill does: its file is closed, and none of its tasks runs any more."""
         engine = self.engine
         self.is_alive = False
         if self.simulation.links:
--- a/message_sender/emulator/fleet_topology.py
+++ b/message_sender/emulator/fleet_topology.py
@@ -15,9 +15,9 @@
 
 
 class Topology:
-    """Which endpoints exist and which receiver serves each of them.
+    """The endpoints, and the receiver that serves each of them.
 
-    Endpoints of a destination share one receiver, except where the scenario sets the endpoints apart.
+    Endpoints of a destination share one receiver, except where the scenario gives each a separate route.
 
     Attributes:
         endpoints: The endpoints that are listed now, by id.
@@ -25,7 +25,7 @@
     """
 
     def __init__(self, scenario: Scenario, dial_address: Callable[[str], Address]) -> None:
-        """Builds what the scenario describes.
+        """Builds the endpoints and receivers that the scenario describes.
 
         Args:
             scenario: The scenario.
@@ -77,7 +77,7 @@
         """Returns the scenario's group that a destination belongs to.
 
         Raises:
-            IndexError: The scenario has no such destination.
+            IndexError: The scenario has no destination with this number.
         """
         number = destination
         for group in self.scenario.destinations:
@@ -99,7 +99,7 @@
         return base_ms / 1e3 * (1 + network.jitter * draw)
 
     def set_dial_address(self, name: str) -> None:
-        """Gives an endpoint that was listed without one the address to dial."""
+        """Sets the address to dial of an endpoint that was listed without one."""
         self.endpoints[name] = replace(self.endpoints[name], dial=self.dial_address(name))
 
     def drain(self, destination: int | None) -> list[Endpoint]:
--- a/message_sender/emulator/net.py
+++ b/message_sender/emulator/net.py
@@ -1,20 +1,21 @@
-"""A network in memory under unchanged code: sockets, what is ready on them, and what goes wrong between them.
-
-While `Net.installed()` is held, `socket.socket`, `select.epoll` and `select.poll` are this network's.
-asyncio, the doors, transports and stand-ins above them are the real ones and cannot tell. Who opens a socket
-is its *host*: the context variable `HOST`, which tasks and callbacks inherit.
-
-- A connection is two ends with a buffer each. What is written arrives after the way's latency, in order;
-  more than `ROOM` bytes unread or under way, and a write would block. Writes take at most `segment` bytes at
-  once, so that heads and bodies come in parts.
-- FIN follows what was written. A close over unread bytes, an abort by the network and a host's death are RST
-  (RFC 9293, 3.5.2 and 3.10.4): unread bytes at the other end are lost.
-- `way_of` says of a new connection or of bytes under way: the latency, or that nobody answers (`SILENT`), or
-  that it is refused. Bytes that meet a silent way are lost, and so the connection stands half open.
-- Descriptors are counted by host: `most_open` of them, then EMFILE.
-
-Its events have a queue of their own, not the loop's timers: they happen also while a process has no core
-(`VirtualLoop.pause`), which is when a sender finds its sockets full of news on coming back.
+"""An in-memory network under unchanged code: sockets, readiness and network faults.
+
+While `Net.installed()` is active, `socket.socket`, `select.epoll` and `select.poll` are those of this
+network. asyncio, servers, transports and test doubles above them are the real ones and see no difference. A
+socket belongs to a *host*, the value of the context variable `HOST`, which tasks and callbacks inherit.
+
+- A connection has two ends with a buffer each. Written data arrives in order, after the path's latency. A
+  write blocks while `BUFFER_BYTES` bytes are unread or in flight. A write takes at most one segment, so that
+  headers and bodies arrive in parts.
+- FIN follows the written data. A close with unread data, an abort by the network and the end of a host send
+  RST (RFC 9293, 3.5.2 and 3.10.4): unread data at the other end is lost.
+- `path_delay` gives the latency for a new connection or for data in flight, or states that there is no answer
+  (`SILENT`) or that the connection is refused (`REFUSED`). Data on a silent path is lost, which leaves the
+  connection half open.
+- Descriptors are counted by host; above the host's limit, opening one raises EMFILE.
+
+The network has an event queue of its own in place of the loop's timers, so that events also occur while a
+process is stalled (`VirtualLoop.pause`). A sender that resumes then finds much data on its sockets at once.
 """
 
 import contextlib
@@ -31,49 +32,69 @@
 from typing import Any
 
 HOST: ContextVar[str] = ContextVar("host", default="world")
-FIRST = 1_000_000  # descriptors of this network: far above any real one
-ROOM = 64 * 1024  # bytes of one direction that may be under way or unread
-SILENT, REFUSED = -1.0, -2.0  # in place of a latency
+FIRST_DESCRIPTOR = 1_000_000  # far above any real descriptor
+BUFFER_BYTES = 64 * 1024  # that may be in flight or unread in one direction
+SILENT, REFUSED = -1.0, -2.0  # results of a `PathDelay` in place of a latency
 NEVER = float("inf")
 Address = tuple[str, int]
-Way = Callable[[str, Address, float], float]
+#: Returns the one-way latency in s between a host and an address at a time in s, or SILENT or REFUSED.
+PathDelay = Callable[[str, Address, float], float]
 
 
-def trouble(number: int) -> OSError:
+def os_error(number: int) -> OSError:
+    """Returns the error for an errno, with the system's text."""
     return OSError(number, os.strerror(number))
 
 
 class Net:
-    """`clock` gives the time in s. `way_of(host, address, now)` is the latency one way between them, in s, or
-    SILENT or REFUSED; it is asked for each piece under way."""
+    """A network and everything that happens on it.
+
+    Attributes:
+        clock: Returns the time in s.
+        path_delay: The latency between a host and an address; called for each connection and each segment.
+        segment: The most bytes that one write sends.
+        events: A heap of events that are due later.
+        ports: The number of ports that each host has used.
+        listeners: Listening sockets, by address.
+        sockets: Open sockets, by descriptor.
+        readable: Descriptors of the sockets that are readable.
+        descriptor_limits: Most descriptors of a host; a host that is missing here has no practical limit.
+    """
 
     def __init__(
-        self, clock: Callable[[], float], way_of: Way = lambda host, address, now: 0.0005, segment: int = ROOM
+        self,
+        clock: Callable[[], float],
+        path_delay: PathDelay = lambda host, address, now: 0.0005,
+        segment: int = BUFFER_BYTES,
     ) -> None:
-        self.clock, self.way_of, self.segment = clock, way_of, segment
+        """Creates a network without sockets; see the class for the arguments."""
+        self.clock, self.path_delay, self.segment = clock, path_delay, segment
         self.events: list[tuple[float, int, Callable[[], None]]] = []
-        self.count, self.numbers = itertools.count(), itertools.count(FIRST)
+        self.event_numbers, self.descriptors = itertools.count(), itertools.count(FIRST_DESCRIPTOR)
         self.ports: Counter[str] = Counter()
         self.listeners: dict[Address, Socket] = {}
         self.sockets: dict[int, Socket] = {}
         self.readable: set[int] = set()
-        self.most_open: dict[str, int] = {}
+        self.descriptor_limits: dict[str, int] = {}
 
-    # Its own queue of what happens.
+    # Events.
 
-    def at(self, when: float, act: Callable[[], None]) -> None:
-        heapq.heappush(self.events, (when, next(self.count), act))
+    def schedule(self, when: float, act: Callable[[], None]) -> None:
+        """Calls `act` at a time in s."""
+        heapq.heappush(self.events, (when, next(self.event_numbers), act))
 
-    def next(self) -> float:
+    def next_event_at(self) -> float:
+        """Returns the time in s of the next event, or infinity."""
         return self.events[0][0] if self.events else NEVER
 
-    def happen(self, now: float) -> None:
-        """What is due by `now`, in the order of its times."""
+    def run_events(self, now: float) -> None:
+        """Runs the events that are due at a time in s, in the order of their times."""
         while self.events and self.events[0][0] <= now:
             heapq.heappop(self.events)[2]()
 
     def ready(self, keys: dict[int, selectors.SelectorKey]) -> list[tuple[selectors.SelectorKey, int]]:
-        found = []
+        """Returns the registered descriptors that are ready, each with its events."""
+        result = []
         for number, key in keys.items():
             if (sock := self.sockets.get(number)) is None:
                 continue
@@ -83,26 +104,27 @@
             if key.events & selectors.EVENT_WRITE and sock.writable():
                 events |= selectors.EVENT_WRITE
             if events:
-                found.append((key, events))
-        return found
+                result.append((key, events))
+        return result
 
-    def open_of(self, host: str) -> int:
+    def count_open(self, host: str) -> int:
+        """Returns the number of a host's open descriptors."""
         return sum(each.host == host for each in self.sockets.values())
 
     def kill(self, host: str) -> None:
-        """A process ends: all that it had open is reset."""
+        """Ends a host's process: all of its sockets are reset."""
         for each in [each for each in self.sockets.values() if each.host == host]:
             each.abort()
 
     @contextlib.contextmanager
     def installed(self) -> Iterator[None]:
-        """Not for two at once in one process."""
+        """Replaces the system's sockets; only one network of a process may be installed at a time."""
         kind = type("socket", (Socket,), {"net": self})
         real = socket.socket, select.epoll, select.poll
         try:
             socket.socket = kind  # type: ignore[assignment,misc]
-            setattr(select, "epoll", lambda: Watch(self))  # noqa: B010
-            setattr(select, "poll", lambda: Watch(self))  # noqa: B010
+            setattr(select, "epoll", lambda: Poller(self))  # noqa: B010
+            setattr(select, "poll", lambda: Poller(self))  # noqa: B010
             yield
         finally:
             socket.socket = real[0]  # type: ignore[misc]
@@ -110,85 +132,125 @@
             setattr(select, "poll", real[2])  # noqa: B010
 
 
-class Watch:
-    """epoll(7) and poll(2), as far as the sender asks them: what is readable, and whether it has ended."""
+class Poller:
+    """The part of epoll(7) and poll(2) that the sender uses: whether a socket is readable or has ended."""
 
     def __init__(self, net: Net) -> None:
+        """Creates a poller without descriptors."""
         self.net = net
-        self.asked: dict[int, int] = {}
+        self.registered: dict[int, int] = {}
 
     def register(self, number: int, events: int = select.POLLIN) -> None:
+        """Registers a descriptor for events; raises OSError (EBADF) if it is not open."""
         if number not in self.net.sockets:
-            raise trouble(errno.EBADF)
-        self.asked[number] = events
+            raise os_error(errno.EBADF)
+        self.registered[number] = events
 
     def unregister(self, number: int) -> None:
-        del self.asked[number]
+        """Removes a descriptor."""
+        del self.registered[number]
 
     def poll(self, timeout: float = 0) -> list[tuple[int, int]]:
+        """Returns the descriptors with events; a timeout is an error, as time stands still meanwhile."""
         if timeout:
-            raise RuntimeError("a wait in emulated time would never end")
-        found = []
-        for number, events in self.asked.items():
+            raise RuntimeError(f"a poll with a timeout of {timeout} would never return in virtual time")
+        result = []
+        for number, events in self.registered.items():
             sock = self.net.sockets.get(number)
             ready = select.POLLIN if number in self.net.readable else 0
             ready |= select.POLLRDHUP if sock and sock.has_ended() else 0
             if ready & events:
-                found.append((number, ready & events))
-        return found
+                result.append((number, ready & events))
+        return result
 
     def close(self) -> None:
-        self.asked.clear()
+        """Removes all descriptors."""
+        self.registered.clear()
 
 
 class Socket:
-    """A TCP socket that never blocks. What the sender and asyncio call of socket(2) and its kin."""
+    """A non-blocking TCP socket with the methods of `socket.socket` that the sender and asyncio call.
+
+    Attributes:
+        net: The network, set in the class that `Net.installed` creates.
+        host: The host that opened it.
+        number: Its descriptor.
+        name: Its own address.
+        far: The address that was called; the same at the listener's end is the caller's.
+        other: The other end; None: there is none, or it is gone.
+        unread: Received data that was not read yet.
+        in_flight: Sent bytes that have not arrived yet.
+        up: Whether the connection was established.
+        closed: Whether it was closed here.
+        sent_end: Whether FIN was sent.
+        received_end: Whether FIN was received, or an error was reported.
+        error: The pending errno; 0: none.
+        waiting: Connections to be accepted, if it is a listener.
+        backlog: The most connections to be accepted, if it is a listener.
+        arrives: Time in s at which the last segment sent from here arrives; later ones do not overtake it.
+    """
 
     net: Net
 
     def __init__(
         self, family: int = socket.AF_INET, type: int = socket.SOCK_STREAM, proto: int = 0, fileno: Any = None  # noqa: ANN401
     ) -> None:  # fmt: skip
+        """Opens a socket.
+
+        Raises:
+            OSError: The host has reached its limit of descriptors (EMFILE).
+            RuntimeError: It is not a TCP socket.
+        """
         if type != socket.SOCK_STREAM or family not in (socket.AF_INET, socket.AF_INET6):
-            raise RuntimeError("only TCP is emulated")
+            raise RuntimeError(f"only TCP sockets are emulated, not family {family} of type {type}")
         self.family, self.type, self.proto = family, type, socket.IPPROTO_TCP
         self.host = HOST.get()
-        if self.net.open_of(self.host) >= self.net.most_open.get(self.host, 1_000_000):
-            raise trouble(errno.EMFILE)
-        self.number = next(self.net.numbers)
+        if self.net.count_open(self.host) >= self.net.descriptor_limits.get(self.host, 1_000_000):
+            raise os_error(errno.EMFILE)
+        self.number = next(self.net.descriptors)
         self.net.sockets[self.number] = self
         self.name: Address = ("0.0.0.0", 0)
-        self.far: Address = ("0.0.0.0", 0)  # the address that was called, in either end
+        self.far: Address = ("0.0.0.0", 0)
         self.other: Socket | None = None
-        self.unread, self.under_way = bytearray(), 0
-        self.up = self.closed = self.sent_end = self.heard_end = False
+        self.unread, self.in_flight = bytearray(), 0
+        self.up = self.closed = self.sent_end = self.received_end = False
         self.error = 0
-        self.waiting: deque[Socket] | None = None  # of a listener: connections to be accepted
+        self.waiting: deque[Socket] | None = None
         self.backlog = 0
-        self.arrives = 0.0  # when the last piece sent from here is there: pieces keep their order
+        self.arrives = 0.0
 
-    # What is asked of any socket.
+    # Functions of any socket.
 
     def fileno(self) -> int:
+        """Returns the descriptor, or -1 if the socket is closed."""
         return -1 if self.closed else self.number
 
-    def setblocking(self, flag: bool) -> None: ...
-    def settimeout(self, value: float | None) -> None: ...
-    def setsockopt(self, *told: Any) -> None: ...  # noqa: ANN401
+    def setblocking(self, flag: bool) -> None:
+        """Does nothing: the socket never blocks."""
+
+    def settimeout(self, value: float | None) -> None:
+        """Does nothing: the socket never blocks."""
+
+    def setsockopt(self, *args: Any) -> None:  # noqa: ANN401
+        """Does nothing: options have no effect."""
 
     def gettimeout(self) -> float:
+        """Returns 0, the timeout of a non-blocking socket."""
         return 0.0
 
     def getsockopt(self, level: int, option: int) -> int:
-        found, self.error = self.error, 0
-        return found if option == socket.SO_ERROR else 0
+        """Returns and clears the pending error for SO_ERROR, and 0 for any other option."""
+        error, self.error = self.error, 0
+        return error if option == socket.SO_ERROR else 0
 
     def getsockname(self) -> Address:
+        """Returns the socket's own address."""
         return self.name
 
     def getpeername(self) -> Address:
+        """Returns the address of the other end; raises OSError (ENOTCONN) if it was never connected."""
         if self.other is None and not self.up:
-            raise trouble(errno.ENOTCONN)
+            raise os_error(errno.ENOTCONN)
         return self.far
 
     def __enter__(self) -> "Socket":
@@ -200,46 +262,69 @@
     # Listening.
 
     def bind(self, address: Address) -> None:
+        """Binds to an address, with a free port for port 0; raises OSError (EADDRINUSE) if it is taken."""
         host, port = address[:2]
         if not port:
             self.net.ports[host] += 1
             port = 20_000 + self.net.ports[host]
         if (host, port) in self.net.listeners:
-            raise trouble(errno.EADDRINUSE)
+            raise os_error(errno.EADDRINUSE)
         self.name = (host, port)
 
     def listen(self, backlog: int = 128) -> None:
+        """Makes the socket a listener."""
         self.waiting, self.backlog = self.waiting or deque(), max(backlog, 1)
         self.net.listeners[self.name] = self
 
     def accept(self) -> "tuple[Socket, Address]":
+        """Returns the next connection and its caller's address.
+
+        Raises:
+            BlockingIOError: No connection is waiting.
+            OSError: The host has reached its limit of descriptors (EMFILE).
+        """
         if not self.waiting:
-            raise BlockingIOError(errno.EAGAIN, "nobody waits")
-        if self.net.open_of(self.host) >= self.net.most_open.get(self.host, 1_000_000) + len(self.waiting):
-            raise trouble(errno.EMFILE)
+            raise BlockingIOError(errno.EAGAIN, "no connection is waiting")
+        if self.net.count_open(self.host) >= self.net.descriptor_limits.get(self.host, 1_000_000) + len(
+            self.waiting
+        ):
+            raise os_error(errno.EMFILE)
         sock = self.waiting.popleft()
-        self.tell()
+        self.update_readiness()
         return sock, sock.far
 
     # Connecting.
 
     def connect(self, address: Address) -> None:
+        """Starts to connect; always raises BlockingIOError, as a non-blocking socket does."""
         self.far = (address[0], address[1])
         self.net.ports[self.host] += 1
-        self.name = (self.host, 40_000 + self.net.ports[self.host])  # who calls stands in its address
-        way = self.net.way_of(self.host, self.far, self.net.clock())
-        if way != SILENT:
-            self.net.at(self.net.clock() + 2 * max(way, 0.0), lambda: self.connected(way == REFUSED))
-        raise BlockingIOError(errno.EINPROGRESS, "it is under way")
-
-    def connected(self, refused: bool) -> None:
+        self.name = (
+            self.host,
+            40_000 + self.net.ports[self.host],
+        )  # the caller's host is visible in its address
+        delay = self.net.path_delay(self.host, self.far, self.net.clock())
+        if delay != SILENT:
+            self.net.schedule(
+                self.net.clock() + 2 * max(delay, 0.0), lambda: self.finish_connect(delay == REFUSED)
+            )
+        raise BlockingIOError(errno.EINPROGRESS, "the connection is being established")
+
+    def finish_connect(self, refused: bool) -> None:
+        """Establishes the connection.
+
+        It fails if it is refused or if the listener's host has no descriptor left; while the listener's
+        backlog is full, it is tried again.
+        """
         listener = self.net.listeners.get(self.far)
         if self.closed:
             return
         if refused or listener is None or listener.waiting is None:
             self.error = errno.ECONNREFUSED
         elif len(listener.waiting) >= listener.backlog:
-            self.net.at(self.net.clock() + 1.0, lambda: self.connected(False))  # the SYN is sent again
+            self.net.schedule(
+                self.net.clock() + 1.0, lambda: self.finish_connect(False)
+            )  # the SYN is sent again
             return
         else:
             token = HOST.set(listener.host)
@@ -255,104 +340,130 @@
                 far.name, far.far, far.other, far.up = listener.name, self.name, self, True
                 self.other, self.up = far, True
                 listener.waiting.append(far)
-                listener.tell()
-        self.tell()
+                listener.update_readiness()
+        self.update_readiness()
 
-    # Bytes.
+    # Data.
 
     def writable(self) -> bool:
+        """Whether a write would not block."""
         return bool(self.error) or (self.up and (self.sent_end or self.room() > 0 or self.other is None))
 
     def room(self) -> int:
-        there = len(self.other.unread) if self.other else 0
-        return ROOM - self.under_way - there
+        """Returns the bytes that can be written before the buffer is full."""
+        unread = len(self.other.unread) if self.other else 0
+        return BUFFER_BYTES - self.in_flight - unread
 
     def send(self, data: Any, flags: int = 0) -> int:  # noqa: ANN401
+        """Sends at most one segment; returns the number of bytes that were taken.
+
+        Raises:
+            BlockingIOError: The buffer is full.
+            OSError: The connection does not exist, was closed for writing or failed.
+        """
         self.raise_error()
         if self.closed or not self.up or self.sent_end:
-            raise trouble(errno.EPIPE if self.up else errno.ENOTCONN)
+            raise os_error(errno.EPIPE if self.up else errno.ENOTCONN)
         if self.other is None:
-            raise trouble(errno.EPIPE)
+            raise os_error(errno.EPIPE)
         piece = bytes(data[: min(self.net.segment, max(self.room(), 0))])
         if not piece and len(data):
             raise BlockingIOError(errno.EAGAIN, "the buffer is full")
-        self.under_way += len(piece)
-        self.travel(lambda far: far.arrive(piece), len(piece))
+        self.in_flight += len(piece)
+        self.deliver_later(lambda far: far.receive(piece), len(piece))
         return len(piece)
 
-    def travel(self, act: "Callable[[Socket], None]", size: int = 0) -> None:
-        """What is done at the other end, once it is there, unless the way swallows it."""
+    def deliver_later(self, act: "Callable[[Socket], None]", size: int = 0) -> None:
+        """Calls `act` with the other end after the path's latency, unless the path is silent.
+
+        Args:
+            act: The effect at the other end.
+            size: Bytes of data that are in flight until then.
+        """
         here, far = self, self.other
         host, address = (
             (self.host, self.far) if self.far in self.net.listeners else (far.host if far else "", self.name)
         )
-        way = self.net.way_of(host, address, self.net.clock())
+        delay = self.net.path_delay(host, address, self.net.clock())
 
-        def there() -> None:
-            here.under_way -= size
-            if far is not None and not far.closed and way != SILENT:
+        def arrive() -> None:
+            here.in_flight -= size
+            if far is not None and not far.closed and delay != SILENT:
                 act(far)
-            here.tell()
+            here.update_readiness()
 
-        self.arrives = max(self.arrives, self.net.clock() + max(way, 0.0))
-        self.net.at(self.arrives, there)
+        self.arrives = max(self.arrives, self.net.clock() + max(delay, 0.0))
+        self.net.schedule(self.arrives, arrive)
 
-    def arrive(self, piece: bytes) -> None:
-        if self.error or self.heard_end:
+    def receive(self, piece: bytes) -> None:
+        """Processes a segment; data after the connection's end is dropped."""
+        if self.error or self.received_end:
             return
         self.unread += piece
-        self.tell()
+        self.update_readiness()
 
     def recv(self, size: int, flags: int = 0) -> bytes:
+        """Reads at most `size` bytes; b"" is the end.
+
+        Raises:
+            BlockingIOError: There is no data.
+            OSError: The connection failed.
+        """
         self.raise_error()
         if not self.unread:
-            if self.heard_end:
+            if self.received_end:
                 return b""
-            raise BlockingIOError(errno.EAGAIN, "nothing has come")
+            raise BlockingIOError(errno.EAGAIN, "no data is available")
         data = bytes(self.unread[:size])
         if not flags & socket.MSG_PEEK:
             del self.unread[:size]
-            self.tell()
+            self.update_readiness()
         return data
 
     def recv_into(self, buffer: Any, nbytes: int = 0, flags: int = 0) -> int:  # noqa: ANN401
+        """Reads into a buffer; returns the number of bytes. Raises as `recv` does."""
         data = self.recv(nbytes or len(buffer), flags)
         buffer[: len(data)] = data
         return len(data)
 
     def raise_error(self) -> None:
+        """Raises the pending error, if there is one, as OSError."""
         if self.error:
-            found, self.error = self.error, 0
-            self.heard_end = True
-            self.tell()
-            raise trouble(found)
+            error, self.error = self.error, 0
+            self.received_end = True
+            self.update_readiness()
+            raise os_error(error)
 
-    # The end.
+    # End of a connection.
 
     def has_ended(self) -> bool:
-        return self.heard_end or bool(self.error)
+        """Whether the other end has closed the connection or it failed."""
+        return self.received_end or bool(self.error)
 
     def shutdown(self, how: int) -> None:
+        """Closes the connection for writing; raises OSError if it does not exist or failed."""
         self.raise_error()
         if not self.up:
-            raise trouble(errno.ENOTCONN)
+            raise os_error(errno.ENOTCONN)
         if not self.sent_end:
             self.sent_end = True
-            self.travel(Socket.hear_end)
+            self.deliver_later(Socket.receive_end)
 
-    def hear_end(self) -> None:
-        self.heard_end = True
-        self.tell()
+    def receive_end(self) -> None:
+        """Processes a FIN."""
+        self.received_end = True
+        self.update_readiness()
 
     def reset(self) -> None:
+        """Processes an RST."""
         if not self.has_ended() or self.unread or not self.sent_end:
             self.unread.clear()
             self.error = errno.ECONNRESET
         self.other = None
-        self.tell()
+        self.update_readiness()
 
     def close(self) -> None:
-        """As close(2): over unread bytes it is a reset."""
+        """Closes the socket as close(2) does: with a reset if there is unread data."""
         if self.closed:
             return
         if self.unread:
@@ -360,26 +471,28 @@
             return
         if self.up and not self.sent_end and self.other:
             self.sent_end = True
-            self.travel(Socket.hear_end)
-        self.forget()
+            self.deliver_later(Socket.receive_end)
+        self.release()
 
     def abort(self) -> None:
+        """Closes the socket with a reset, as well as the connections that wait at a listener."""
         if self.up and self.other and not self.closed:
-            self.travel(Socket.reset)
+            self.deliver_later(Socket.reset)
         for each in list(self.waiting or ()):
             each.abort()
-        self.forget()
+        self.release()
 
-    def forget(self) -> None:
+    def release(self) -> None:
+        """Releases the descriptor and the address."""
         self.closed = True
         self.net.sockets.pop(self.number, None)
         self.net.readable.discard(self.number)
         if self.net.listeners.get(self.name) is self:
             del self.net.listeners[self.name]
 
-    def tell(self) -> None:
-        """Notes whether there is something to read."""
-        ready = bool(self.unread or self.waiting or self.heard_end or self.error)
+    def update_readiness(self) -> None:
+        """Updates whether the network reports the socket as readable."""
+        ready = bool(self.unread or self.waiting or self.received_end or self.error)
         if ready and not self.closed:
             self.net.readable.add(self.number)
         else:
--- a/message_sender/emulator/policies.py
+++ b/message_sender/emulator/policies.py
@@ -1,16 +1,15 @@
-"""Plain policies in place of the decision module, to compare it with on the same draws.
+"""Baseline policies, which are compared with this package's policy on the same random draws.
 
-They stand behind the same events and actions (message_sender/interface.py), journal and transports. Each is
-what a client library commonly does, and no more: none keeps the order of keys, waits as it is told, warms
-what comes back or makes room by worth. What they break is the referee's to say.
+They use the same events and actions (message_sender/policy), journal and transports. Each does what client
+libraries commonly do, and no more: none keeps the order of keys, respects Retry-After, has a slow start for
+recovered destinations or drops messages by their value. The checks of a run report what they violate.
 
-- `none`: one call a message.
-- `fixed`: up to three calls, after waits that double, with half of each by chance ("equal jitter": Brooker,
+- `none`: one call per message.
+- `fixed`: up to three calls with exponential backoff, half of which is random ("equal jitter": Brooker,
   "Exponential Backoff and Jitter", 2015).
-- `budget`: the same, while calls that repeat are at most a fifth of those that do not, and ten more
-  (Finagle's RetryBudget).
-- `breaker`: a circuit breaker alone: five failures in a row open it for two seconds, then one trial; what
-  comes meanwhile is failed at once.
+- `budget`: the same, while retries are at most a fifth of first calls, plus ten (Finagle's RetryBudget).
+- `breaker`: only a circuit breaker: five consecutive failures open it for two seconds, then it allows one
+  trial; messages that arrive while it is open fail at once.
 """
 
 import heapq
@@ -41,104 +40,139 @@
     Settings,
 )
 
-FIRST_WAIT = 200_000  # us before the second call
-MOST_CALLS = 3
-BUDGET_SHARE, BUDGET_LEAST = 0.2, 10.0
-OPENS_AT, OPEN_FOR = 5, 2_000_000  # failures in a row; us
-LEFT_RUNNING = frozenset(
+FIRST_BACKOFF = 200_000  # us before the second call
+MAX_CALLS = 3
+RETRIES_PER_CALL, MIN_RETRIES = 0.2, 10.0
+FAILURE_THRESHOLD, OPEN_FOR = 5, 2_000_000  # consecutive failures; us
+#: Outcomes after which the endpoint may have processed the message.
+MAY_HAVE_RUN = frozenset(
     {Outcome.TIMEOUT, Outcome.RESET, Outcome.MALFORMED, Outcome.CANCELLED, Outcome.ERROR}
 )
 
 
 @dataclass
-class Held:
-    taken: MessageAccepted
-    kind: MessageClass
-    until: int
+class OpenMessage:
+    """A message that has not finished.
+
+    Attributes:
+        accepted: The event with which it was accepted.
+        message_class: Its class.
+        deadline: Its deadline in us.
+        calls: Calls made so far.
+        in_flight: Whether a call is in flight.
+        may_have_run: Whether an endpoint may have processed it.
+        ended: Whether the policy has ended it.
+    """
+
+    accepted: MessageAccepted
+    message_class: MessageClass
+    deadline: int
     calls: int = 0
-    out: bool = False
-    ran: bool = False  # a call may have
-    over: bool = False
+    in_flight: bool = False
+    may_have_run: bool = False
+    ended: bool = False
 
 
 @dataclass
-class Known:
-    """An endpoint, in the words in which the engine asks for one."""
+class KnownEndpoint:
+    """A listed endpoint and the number of its calls in flight.
+
+    The engine expects the attribute `listed` of a policy's endpoints.
+    """
 
     listed: Endpoint
-    out: int = 0
+    in_flight: int = 0
 
 
 @dataclass
-class Plain:
-    """One call a message, to the endpoint with the fewest out."""
+class SingleCall:
+    """One call per message, to the endpoint with the fewest calls in flight.
+
+    Attributes:
+        settings: The policy's settings.
+        seed: Seed of its random draws.
+        messages: Messages that have not finished, by id.
+        endpoints: Ready endpoints, by id.
+    """
 
     settings: Settings
     seed: int
-    messages: dict[str, Held] = field(default_factory=dict)
-    endpoints: dict[str, Known] = field(default_factory=dict)
+    messages: dict[str, OpenMessage] = field(default_factory=dict)
+    endpoints: dict[str, KnownEndpoint] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
         self.rng = random.Random(self.seed)
         self.classes = {each.name: each for each in self.settings.classes}
-        self.of: dict[int, list[Known]] = defaultdict(list)
+        self.by_destination: dict[int, list[KnownEndpoint]] = defaultdict(list)
         self.calls: dict[tuple[str, int], str] = {}
-        self.due: list[tuple[int, int, str, bool]] = []  # a heap: when, whom, and whether it ends then
+        # A heap: time in us, sequence number, message id, whether the message ends then.
+        self.due: list[tuple[int, int, str, bool]] = []
         self.count = itertools.count()
         self.subscribed, self.wake_at = False, 0
         self.now, self.actions = 0, []  # type: int, list[PolicyAction]
 
-    # What the engine asks for.
+    # Functions that the engine calls.
 
     def handle(self, now_us: int, events: Iterable[PolicyEvent]) -> list[PolicyAction]:
+        """Processes events and due timers; returns the resulting actions."""
         self.now, self.actions = now_us, []
         if not self.subscribed:
             self.subscribed = True
             self.actions.append(Subscribe())
         for event in events:
-            self.hear(event)
+            self.handle_event(event)
         while self.due and self.due[0][0] <= now_us:
-            _, _, name, ends = heapq.heappop(self.due)
-            self.is_due(name, ends)
+            _, _, message_id, is_end = heapq.heappop(self.due)
+            self.handle_timer(message_id, is_end)
         if self.due and (self.due[0][0] < self.wake_at or self.wake_at <= now_us):
             self.wake_at = self.due[0][0]
             self.actions.append(WakeAfter(self.wake_at - now_us))
         return self.actions
 
     def suggest_retry_after(self) -> int:
+        """Returns the Retry-After of rejections in us."""
         return min(1_000_000, self.settings.max_retry_after)
 
-    def retry_after_received(self, endpoint: str, until: int) -> None: ...
+    def retry_after_received(self, endpoint: str, until: int) -> None:
+        """Ignores a Retry-After of an endpoint."""
 
     def may_start_call(self, endpoint: str, now: int, message: str = "") -> bool:
+        """Whether the endpoint is still listed as ready."""
         return endpoint in self.endpoints
 
     # Events.
 
-    def hear(self, event: PolicyEvent) -> None:
+    def handle_event(self, event: PolicyEvent) -> None:
+        """Processes one event."""
         match event:
             case MessageAccepted():
-                self.take(event, 0, False)
-            case MessageRestored(taken, attempts, risky):
-                self.take(taken, attempts, risky is not None)
+                self.add_message(event, 0, False)
+            case MessageRestored(accepted, attempts, risky):
+                self.add_message(accepted, attempts, risky is not None)
             case AttemptEnded():
                 self.attempt_ended(event)
             case EndpointsUpdated():
                 self.list_endpoints(event)
-            case MessageWithdrawn(message):
-                self.messages.pop(message, None)
-
-    def take(self, taken: MessageAccepted, calls: int, ran: bool) -> None:
-        kind = self.classes[taken.message_class]
-        held = Held(taken, kind, self.now + taken.time_left_us, calls, ran=ran)
-        self.messages[taken.message] = held
-        heapq.heappush(self.due, (held.until - 2 * self.settings.tick, next(self.count), taken.message, True))
-        if len(self.messages) > self.settings.max_open or (calls and not self.may_repeat(held)):
-            self.end(held)
+            case MessageWithdrawn(message_id):
+                self.messages.pop(message_id, None)
+
+    def add_message(self, accepted: MessageAccepted, calls: int, may_have_run: bool) -> None:
+        """Adds an accepted or restored message, and calls or ends it."""
+        message_class = self.classes[accepted.message_class]
+        message = OpenMessage(
+            accepted, message_class, self.now + accepted.time_left_us, calls, may_have_run=may_have_run
+        )
+        self.messages[accepted.message] = message
+        heapq.heappush(
+            self.due, (message.deadline - 2 * self.settings.tick, next(self.count), accepted.message, True)
+        )
+        if len(self.messages) > self.settings.max_open or (calls and not self.may_retry(message)):
+            self.end(message)
         else:
-            self.go(held)
+            self.start_call(message)
 
     def list_endpoints(self, event: EndpointsUpdated) -> None:
+        """Updates the endpoints from a snapshot or from changes."""
         if event.listing is ListingKind.FAILED:
             self.subscribed = False
             return
@@ -146,130 +180,149 @@
             self.endpoints = {}
         for each in event.endpoints:
             if each.state is EndpointState.READY:
-                self.endpoints[each.id] = Known(each)
+                self.endpoints[each.id] = KnownEndpoint(each)
             else:
                 self.endpoints.pop(each.id, None)
-        self.of.clear()
+        self.by_destination.clear()
         for known in self.endpoints.values():
-            self.of[known.listed.destination].append(known)
+            self.by_destination[known.listed.destination].append(known)
 
     def attempt_ended(self, event: AttemptEnded) -> None:
+        """Ends the message of a finished attempt, or schedules its next call."""
         endpoint = self.calls.pop((event.message, event.attempt), "")
         if known := self.endpoints.get(endpoint):
-            known.out -= 1
-        held = self.messages.get(event.message)
-        if held is None:
+            known.in_flight -= 1
+        message = self.messages.get(event.message)
+        if message is None:
             return
-        held.out = False
-        held.ran |= event.outcome in LEFT_RUNNING
-        self.learn(held, event.outcome)
-        if event.finished or held.over:
+        message.in_flight = False
+        message.may_have_run |= event.outcome in MAY_HAVE_RUN
+        self.record_outcome(message, event.outcome)
+        if event.finished or message.ended:
             del self.messages[event.message]
-        elif not self.may_repeat(held) or (wait := self.wait(held)) is None:
-            self.end(held)
+        elif not self.may_retry(message) or (backoff := self.backoff(message)) is None:
+            self.end(message)
         else:
-            heapq.heappush(self.due, (self.now + wait, next(self.count), event.message, False))
+            heapq.heappush(self.due, (self.now + backoff, next(self.count), event.message, False))
 
     # Decisions.
 
-    def is_due(self, name: str, ends: bool) -> None:
-        held = self.messages.get(name)
-        if held is None or held.out or held.over:
+    def handle_timer(self, message_id: str, is_end: bool) -> None:
+        """Calls a message again, or ends it shortly before its deadline."""
+        message = self.messages.get(message_id)
+        if message is None or message.in_flight or message.ended:
             return
-        if ends:
-            self.end(held)
+        if is_end:
+            self.end(message)
         else:
-            self.go(held)
+            self.start_call(message)
 
-    def may_repeat(self, held: Held) -> bool:
-        """They keep to what a class allows, without its window."""
-        return not held.ran or held.kind.effect is not Effect.UNSAFE
+    def may_retry(self, message: OpenMessage) -> bool:
+        """Whether the class allows another call; its idempotency window is ignored."""
+        return not message.may_have_run or message.message_class.effect is not Effect.UNSAFE
 
-    def go(self, held: Held) -> None:
-        found = self.of.get(held.taken.destination, [])
-        if not found or not self.lets_through(held):
-            self.end(held)
+    def start_call(self, message: OpenMessage) -> None:
+        """Calls the endpoint with the fewest calls in flight, or ends the message if it may not be called."""
+        endpoints = self.by_destination.get(message.accepted.destination, [])
+        if not endpoints or not self.allows_call(message):
+            self.end(message)
             return
-        best = min(found, key=lambda each: each.out)
-        best.out += 1
-        self.calls[held.taken.message, held.calls] = best.listed.id
-        left = max(held.until - self.now - self.settings.tick, self.settings.tick)
-        self.actions.append(Send(held.taken.message, best.listed.id, left, held.calls))
-        held.calls, held.out = held.calls + 1, True
-
-    def end(self, held: Held) -> None:
-        name = held.taken.message
-        harmless = not held.ran or held.kind.effect is not Effect.UNSAFE
-        self.actions.append(Reject(name, self.suggest_retry_after()) if harmless else Fail(name))
-        held.over = True
-        if not held.out:
-            del self.messages[name]
-
-    def wait(self, held: Held) -> int | None:
-        """us until the next call; None: there is none."""
+        best = min(endpoints, key=lambda each: each.in_flight)
+        best.in_flight += 1
+        self.calls[message.accepted.message, message.calls] = best.listed.id
+        time_left = max(message.deadline - self.now - self.settings.tick, self.settings.tick)
+        self.actions.append(Send(message.accepted.message, best.listed.id, time_left, message.calls))
+        message.calls, message.in_flight = message.calls + 1, True
+
+    def end(self, message: OpenMessage) -> None:
+        """Rejects a message, or fails it if it may have run and is not idempotent."""
+        message_id = message.accepted.message
+        may_reject = not message.may_have_run or message.message_class.effect is not Effect.UNSAFE
+        self.actions.append(
+            Reject(message_id, self.suggest_retry_after()) if may_reject else Fail(message_id)
+        )
+        message.ended = True
+        if not message.in_flight:
+            del self.messages[message_id]
+
+    def backoff(self, message: OpenMessage) -> int | None:
+        """Returns the time in us until the next call; None: there is none."""
         return None
 
-    def learn(self, held: Held, outcome: Outcome) -> None: ...
+    def record_outcome(self, message: OpenMessage, outcome: Outcome) -> None:
+        """Processes the outcome of a call."""
 
-    def lets_through(self, held: Held) -> bool:
+    def allows_call(self, message: OpenMessage) -> bool:
+        """Whether a call may start now."""
         return True
 
 
-class FixedRetries(Plain):
-    def wait(self, held: Held) -> int | None:
-        if held.calls >= min(MOST_CALLS, self.settings.max_attempts):
+class FixedRetries(SingleCall):
+    """Up to `MAX_CALLS` calls with exponential backoff."""
+
+    def backoff(self, message: OpenMessage) -> int | None:
+        """Returns the time in us until the next call; None: all calls were made."""
+        if message.calls >= min(MAX_CALLS, self.settings.max_attempts):
             return None
-        most: int = FIRST_WAIT * 2 ** (held.calls - 1)
-        return most // 2 + self.rng.randrange(most // 2)
+        max_backoff: int = FIRST_BACKOFF * 2 ** (message.calls - 1)
+        return max_backoff // 2 + self.rng.randrange(max_backoff // 2)
 
 
 class RetryBudget(FixedRetries):
+    """Retries as `FixedRetries`, within a budget that first calls add to."""
+
     def __post_init__(self) -> None:
         super().__post_init__()
-        self.budget = BUDGET_LEAST
+        self.budget = MIN_RETRIES
 
-    def lets_through(self, held: Held) -> bool:
-        if not held.calls:
-            self.budget = min(self.budget + BUDGET_SHARE, 100 * BUDGET_LEAST)
+    def allows_call(self, message: OpenMessage) -> bool:
+        """Adds a first call to the budget; allows every call."""
+        if not message.calls:
+            self.budget = min(self.budget + RETRIES_PER_CALL, 100 * MIN_RETRIES)
         return True
 
-    def wait(self, held: Held) -> int | None:
-        if self.budget < 1 or (wait := super().wait(held)) is None:
+    def backoff(self, message: OpenMessage) -> int | None:
+        """Returns the time in us until the next call; None: all calls were made or the budget is used up."""
+        if self.budget < 1 or (backoff := super().backoff(message)) is None:
             return None
         self.budget -= 1
-        return wait
+        return backoff
+
 
+class BreakerOnly(SingleCall):
+    """One call per message, with a circuit breaker for each destination."""
 
-class BreakerAlone(Plain):
     def __post_init__(self) -> None:
         super().__post_init__()
         self.failures: dict[int, int] = defaultdict(int)
-        self.opened: dict[int, int] = {}
-
-    def learn(self, held: Held, outcome: Outcome) -> None:
-        at = held.taken.destination
-        self.failures[at] = 0 if outcome is Outcome.OK else self.failures[at] + 1
-        if self.failures[at] >= OPENS_AT:
-            self.opened[at] = self.now + OPEN_FOR
+        self.opened_until: dict[int, int] = {}
+
+    def record_outcome(self, message: OpenMessage, outcome: Outcome) -> None:
+        """Opens the breaker at the threshold of failures, and closes it otherwise."""
+        destination = message.accepted.destination
+        self.failures[destination] = 0 if outcome is Outcome.OK else self.failures[destination] + 1
+        if self.failures[destination] >= FAILURE_THRESHOLD:
+            self.opened_until[destination] = self.now + OPEN_FOR
         else:
-            self.opened.pop(at, None)
+            self.opened_until.pop(destination, None)
 
-    def lets_through(self, held: Held) -> bool:
-        at = held.taken.destination
-        if self.opened.get(at, 0) > self.now:
+    def allows_call(self, message: OpenMessage) -> bool:
+        """Whether the breaker is closed or its trial is due."""
+        destination = message.accepted.destination
+        if self.opened_until.get(destination, 0) > self.now:
             return False
-        if at in self.opened:  # the trial: nobody else until it is over
-            self.opened[at] = self.now + OPEN_FOR
+        if destination in self.opened_until:  # this call is the trial; no other call until it is over
+            self.opened_until[destination] = self.now + OPEN_FOR
         return True
 
 
-#: The policy of this package; the name stands in stored results and on the command line.
+#: The policy of this package; stored results and the command line use this name.
 OWN_POLICY = "elmglade"
 
 POLICIES: dict[str, Callable[[Settings, int], Any]] = {
     OWN_POLICY: Dispatcher,
-    "none": Plain,
+    "none": SingleCall,
     "fixed": FixedRetries,
     "budget": RetryBudget,
-    "breaker": BreakerAlone,
+    "breaker": BreakerOnly,
 }
--- a/message_sender/emulator/port_models.py
+++ b/message_sender/emulator/port_models.py
@@ -1,12 +1,12 @@
-"""What the models at an engine's ports share, in a simulated run and in the simulation of a fleet."""
+"""Base classes of the models at an engine's ports, for simulated runs and simulated fleets."""
 
 import asyncio
 
-ACKNOWLEDGEMENT_DELAY_S = 0.004  # of a completion, by its listener
+ACKNOWLEDGEMENT_DELAY_S = 0.004  # until the listener acknowledges a completion
 
 
 class ConnectionlessTransport:
-    """The part of the port `Transport` that does nothing where calls are modelled without connections."""
+    """The methods of the port `Transport` that do nothing because calls are modelled without connections."""
 
     reads_late = False
 
@@ -27,7 +27,7 @@
 
 
 class PassiveListener:
-    """The part of the port `CompletionListener` that has nothing to do in the background."""
+    """A `CompletionListener` without a background task."""
 
     async def run(self) -> None:
         """Waits until it is cancelled."""
--- a/message_sender/emulator/power.py
+++ b/message_sender/emulator/power.py
@@ -1,8 +1,8 @@
-"""Lives of a sender whose machine loses its power, again and again, between any two operations on its disk.
+"""Runs of a sender whose machine loses power repeatedly, between any two operations on its disk.
 
-The engine, the module and the journal that survives the machine are the real ones; the disk forgets what a
-seed says of all that was not synced (testbed/simulated_disk.py). A life goes on over its cuts with the same
-clients and destinations, and is judged as any other.
+The engine, the policy and the durable journal are the real ones. At a power cut the disk loses a part, drawn
+from the seed, of all data that was not synced (testbed/simulated_disk.py). The run continues after each cut
+with the same clients and destinations, and is checked as any other run.
 """
 
 import random
@@ -20,54 +20,69 @@
 
 @dataclass(frozen=True)
 class Cuts:
-    """How often the power goes, and what is asked of the journal."""
+    """How often the power fails, and the journal that is used.
+
+    Attributes:
+        most: Number of power cuts in a run.
+        apart: Upper bound of the operations between two cuts; an early cut hits a start.
+        before: Kind of operation before which the power fails, the only one that is counted; "": any.
+        gather: Seconds for which the journal gathers records before a sync; None: nothing is synced.
+        journal: The journal's class.
+    """
 
     most: int = 8
-    apart: int = 25  # operations between two cuts at the most; an early one catches a start
-    before: str = ""  # the power goes right before such an operation, and only these are counted; "": any
-    gather: float | None = 0.005  # s; None: nothing is synced
+    apart: int = 25
+    before: str = ""
+    gather: float | None = 0.005
     journal: type[DurableJournal] = DurableJournal
 
 
-class PowerLife(SimulatedRun):
+class PowerCutRun(SimulatedRun):
+    """A run with power cuts."""
+
     def __init__(self, seed: int, spec: RunSpec, state: Path, cuts: Cuts) -> None:
+        """Prepares a run; see `SimulatedRun` for the other arguments."""
         super().__init__(seed, spec, state)
-        self.cuts, self.power = cuts, random.Random(f"power {seed}")
-        self.platter = SimulatedDisk()
-        self.left, self.next = cuts.most, 0
-        self.draw_next()
-
-    def draw_next(self) -> None:
-        self.next = self.power.randrange(1, self.cuts.apart) if self.left else 0
-
-    def before(self, what: str) -> None:
-        """An operation on the disk comes next."""
-        if self.next and self.cuts.before in ("", what):
-            self.next -= 1
-            if not self.next:
+        self.cuts, self.power_rng = cuts, random.Random(f"power {seed}")
+        self.disk = SimulatedDisk()
+        self.cuts_left, self.operations_left = cuts.most, 0
+        self.draw_next_cut()
+
+    def draw_next_cut(self) -> None:
+        """Draws the number of operations until the next cut; 0: there is none."""
+        self.operations_left = self.power_rng.randrange(1, self.cuts.apart) if self.cuts_left else 0
+
+    def before_operation(self, kind: str) -> None:
+        """Cuts the power if the disk's next operation, of this kind, is the one that was drawn."""
+        if self.operations_left and self.cuts.before in ("", kind):
+            self.operations_left -= 1
+            if not self.operations_left:
                 raise ProcessKilled
 
     def open_journal(self, folder: Path, limit_bytes: int) -> Journal:
-        disk = MemoryDisk(self.platter, self.before)
-        disk.takes = lambda: self.power.choice((0.0005, 0.002, 0.02))
+        """Returns a journal on what the disk holds after the last cut."""
+        process_disk = MemoryDisk(self.disk, self.before_operation)
+        process_disk.takes = lambda: self.power_rng.choice((0.0005, 0.002, 0.02))
         return self.cuts.journal(
-            folder, limit_bytes, self.cuts.gather, disk, f"boot {self.kill_count}", self.read_clock_us
+            folder, limit_bytes, self.cuts.gather, process_disk, f"boot {self.kill_count}", self.read_clock_us
         )
 
     def run_process(self) -> bool:
+        """Runs one process; returns whether the run is over, False: the power failed."""
         if super().run_process():
             return True
-        self.left -= 1
-        self.platter = SimulatedDisk(self.platter.cut(self.power))
-        self.draw_next()
+        self.cuts_left -= 1
+        self.disk = SimulatedDisk(self.disk.cut(self.power_rng))
+        self.draw_next_cut()
         return False
 
     def terminate(self) -> None:
-        if hasattr(self, "engine"):  # a cut in the very first start leaves none
+        """Ends the process."""
+        if hasattr(self, "engine"):  # a cut during the first start leaves no engine
             super().terminate()
 
 
 def live(seed: int, cuts: Cuts | None = None, spec: RunSpec = SMALL) -> Outcomes:
-    """One life, from its seed."""
+    """Runs a sender with power cuts; all draws come from the seed."""
     with quietly() as folder:
-        return PowerLife(seed, spec, folder, cuts or Cuts()).run()
+        return PowerCutRun(seed, spec, folder, cuts or Cuts()).run()
--- a/message_sender/emulator/ramp.py
+++ b/message_sender/emulator/ramp.py
@@ -1,9 +1,11 @@
-"""How a whole fleet meets destinations that come back: the most calls in a span, over all senders, against
-the operators' bound. Nothing falls here, so that the whole warm-up is seen.
+"""Measures the load of a whole fleet on destinations that recover, relative to the acceptance bound.
 
-A cold destination may get N calls in the span that the settings name, N being what they allow it then; of
-what comes above, 2 root N + 2 are put down to chance. Spans in which two thirds came from senders that had
-seen a call meet the outage count, as in the rule.
+The load is the highest number of calls in a window, over all senders. Receivers do not collapse under
+overload here, so that the complete warm-up is measured.
+
+A cold destination may receive N calls in the window that the settings name, where N is what they allow it at
+that time; 2 sqrt(N) + 2 calls above that are attributed to chance. A window counts if at least two thirds of
+its calls came from senders that had made a call during the outage, as in the acceptance rule.
 """
 
 import math
@@ -17,63 +19,84 @@
 
 
 def bound(allowed: float) -> float:
-    """Calls that a cold destination may get; `allowed`: N."""
+    """Returns the calls that a cold destination may receive in a window in which it is allowed `allowed`."""
     return allowed + 2 * math.sqrt(allowed) + 2
 
 
 class Ramp:
-    """The highest share of the bound that each return came to, by receiver and outage."""
+    """The highest load of each recovery, relative to the bound, by receiver and outage.
+
+    Attributes:
+        witnesses: Senders that made a call during an outage, by receiver and start of the outage.
+        last_outage: Start of each receiver's last outage in s.
+        peaks: The highest load relative to the bound, by receiver and start of the outage.
+    """
 
     def __init__(self) -> None:
-        self.told: dict[tuple[int, float], set[str]] = {}
-        self.last: dict[int, float] = {}
+        """Starts without any measurement."""
+        self.witnesses: dict[tuple[int, float], set[str]] = {}
+        self.last_outage: dict[int, float] = {}
         self.peaks: dict[tuple[int, float], float] = {}
 
-    def met(self, receiver: Receiver, now: float, sender: str) -> None:
+    def record_call(self, receiver: Receiver, now: float, sender: str) -> None:
+        """Records a sender's call to a receiver at a time in s."""
         phase = receiver.trouble(now, sender)
         if phase and phase.is_outage():
-            self.last[id(receiver)] = phase.at
-            self.told.setdefault((id(receiver), phase.at), set()).add(sender)
-        elif id(receiver) in self.last and receiver.warmth(now) < 1:
-            self.came(receiver, now)
-
-    def came(self, receiver: Receiver, now: float) -> None:
-        back = receiver.cold_since(now)
-        span = [sender for at, sender in receiver.came if at >= back]
-        name = id(receiver), self.last[id(receiver)]
-        if 3 * sum(each in self.told[name] for each in span) >= 2 * len(span):
-            self.peaks[name] = max(self.peaks.get(name, 0.0), len(span) / bound(receiver.allowed(now)))
-
-
-def watched(ramp: Ramp) -> Iterator[Any]:
-    """Patches under which receivers tell the ramp of their calls, and never fall."""
+            self.last_outage[id(receiver)] = phase.at
+            self.witnesses.setdefault((id(receiver), phase.at), set()).add(sender)
+        elif id(receiver) in self.last_outage and receiver.warmth(now) < 1:
+            self.measure(receiver, now)
+
+    def measure(self, receiver: Receiver, now: float) -> None:
+        """Updates the peak of a receiver's recovery with the window that ends at a time in s."""
+        recovered_at = receiver.cold_since(now)
+        window = [sender for at, sender in receiver.came if at >= recovered_at]
+        key = id(receiver), self.last_outage[id(receiver)]
+        if 3 * sum(each in self.witnesses[key] for each in window) >= 2 * len(window):
+            self.peaks[key] = max(self.peaks.get(key, 0.0), len(window) / bound(receiver.allowed(now)))
+
+
+def measuring_patches(ramp: Ramp) -> Iterator[Any]:
+    """Yields patches that make receivers record their calls in the ramp and never collapse."""
     real = Receiver.call
 
-    def call(self: Receiver, now: float, sender: str, luck: ReceiverRandom, zone: str = "") -> Fate:
+    def call(self: Receiver, now: float, sender: str, draws: ReceiverRandom, zone: str = "") -> Fate:
         self.count(now, sender)
-        ramp.met(self, now, sender)
-        return real(self, now, sender, luck, zone)
+        ramp.record_call(self, now, sender)
+        return real(self, now, sender, draws, zone)
 
     yield patch.object(Receiver, "call", call)
     yield patch.object(Receiver, "pushed_over", lambda self, now, sender: False)
 
 
 def peaks(scenario: Scenario, seed: int) -> tuple[list[float], float]:
-    """Of each return, lowest first, and the fleet's goodput."""
+    """Runs a scenario; returns each recovery's peak, in ascending order, and the fleet's goodput."""
     ramp = Ramp()
-    first, second = watched(ramp)
+    first, second = measuring_patches(ramp)
     with first, second:
         figures = play(scenario, seed).figures
     return sorted(ramp.peaks.values()), figures.goodput()
 
 
-def returning(senders: int, how: str, zipf: float = 0.6) -> Scenario:
-    """Half of ten destinations are out from 4 to 9 s, and again from 22 to 25 s. `how`: shut, silent, hangs,
-    or "restarts": shut, and half of the senders are killed 1.5 s after the return. Limits have nothing to
-    spare."""
-    trouble = {"at": 4, "until": 9, "what": "shut" if how == "restarts" else how, "destinations": [*range(5)]}
+def returning(senders: int, outage: str, zipf: float = 0.6) -> Scenario:
+    """Returns a scenario in which five of ten destinations fail from 4 to 9 s and from 22 to 25 s.
+
+    The destinations' limits leave no reserve.
+
+    Args:
+        senders: Number of senders.
+        outage: How the destinations fail in the first outage: "shut", "silent", "hangs", or "restarts", which
+            is "shut" with half of the senders killed 1.5 s after the recovery.
+        zipf: Exponent of the distribution of keys.
+    """
+    trouble = {
+        "at": 4,
+        "until": 9,
+        "what": "shut" if outage == "restarts" else outage,
+        "destinations": [*range(5)],
+    }
     limit = {"rate": 40, "span_s": 1.5, "refused_count": True, "carried": 0.5, "tells": 0.7}
-    kills = range(0, senders, 2) if how == "restarts" else ()
+    kills = range(0, senders, 2) if outage == "restarts" else ()
     return read(
         {
             "title": f"{senders} senders, half of the destinations come back",
--- a/message_sender/emulator/returning.py
+++ b/message_sender/emulator/returning.py
@@ -1,5 +1,8 @@
-"""Many members that return at once, on virtual time: the link, the stages, and destinations that are down, or
-back after a while. The engine is not in it: a member calls as its stages give it leave."""
+"""Many members that start at once, on virtual time, with destinations that are down or recover after a while.
+
+The link and the recovery stages are the real ones. There is no engine: a member makes its calls directly, as
+its stages permit.
+"""
 
 from dataclasses import dataclass, field
 
@@ -10,152 +13,197 @@
 from message_sender.recovery.stages import Stages, announcement_interval_s
 
 NEVER = float("inf")
-TOOK = 0.02  # s of a call
-TURN = 0.1  # s between two looks of a member at what it may do
-COLD_FROM = 0.2  # share of its rate that a destination takes as it comes back
+CALL_DURATION = 0.02  # s
+CHECK_INTERVAL = 0.1  # s between two updates of a member's stages
+COLD_RATE_SHARE = 0.2  # share of its rate that a destination handles when it has just recovered
 
 
 @dataclass
 class Destination:
-    rate: float = 60.0  # calls a second that it takes when warm
-    back: float = 0.0  # s from which on it is up
-    cold: float = 13.0  # s until it is warm after that
-    calls: list[float] = field(default_factory=list)  # when each came that found it up
-    trials: list[tuple[float, float]] = field(default_factory=list)  # spans
+    """A destination that recovers and then warms up.
+
+    Attributes:
+        rate: Calls per second that it handles when warm.
+        back: Time in s at which it recovers.
+        cold: Seconds from its recovery until it is warm.
+        calls: Times in s of the calls that arrived while it was up.
+        trials: Start and end in s of each trial call.
+    """
+
+    rate: float = 60.0
+    back: float = 0.0
+    cold: float = 13.0
+    calls: list[float] = field(default_factory=list)
+    trials: list[tuple[float, float]] = field(default_factory=list)
 
     def warm(self, now: float) -> float:
-        """Calls a second that it can take."""
-        return self.takes(now - self.back)
+        """Returns the calls per second that it can handle at a time in s."""
+        return self.rate_after(now - self.back)
 
-    def takes(self, warmed: float | None) -> float:
-        """The same, s after it came back; None: it is warm."""
+    def rate_after(self, warmed: float | None) -> float:
+        """Returns the calls per second that it can handle `warmed` s after its recovery; None: it is warm."""
         share = 1.0 if warmed is None else min(max(warmed, 0.0) / self.cold, 1.0)
-        return self.rate * (COLD_FROM + (1 - COLD_FROM) * share)
+        return self.rate * (COLD_RATE_SHARE + (1 - COLD_RATE_SHARE) * share)
 
     def at_once(self) -> int:
-        """The most trials that were out at one time."""
-        ends = sorted([(began, 1) for began, _ in self.trials] + [(over, -1) for _, over in self.trials])
-        most = out = 0
-        for _, change in ends:
-            out += change
-            most = max(most, out)
-        return most
+        """Returns the highest number of trials in flight at one time."""
+        changes = sorted([(start, 1) for start, _ in self.trials] + [(end, -1) for _, end in self.trials])
+        peak = in_flight = 0
+        for _, change in changes:
+            in_flight += change
+            peak = max(peak, in_flight)
+        return peak
 
 
 @dataclass
 class Returning:
+    """A member that has started.
+
+    Attributes:
+        stages: Its recovery stages.
+        owed: Messages that it holds for each destination.
+        updated_at: Time in s of the last update of its stages.
+        next_announcement_at: Time in s of its next announcement.
+        last_call_at: Time in s of its last call to each destination.
+        permitted_at: Time in s since which it may call each destination.
+        in_flight: Destinations with a call in flight.
+    """
+
     stages: Stages
     owed: dict[int, int]
-    looked: float = 0.0
-    next_word: float = 0.0
-    last: dict[int, float] = field(default_factory=dict)  # when it called each destination last
-    freed: dict[int, float] = field(default_factory=dict)
-    out: set[int] = field(default_factory=set)
+    updated_at: float = 0.0
+    next_announcement_at: float = 0.0
+    last_call_at: dict[int, float] = field(default_factory=dict)
+    permitted_at: dict[int, float] = field(default_factory=dict)
+    in_flight: set[int] = field(default_factory=set)
 
 
 class Return:
-    """`owed`: messages that each member holds for each destination."""
-
-    def __init__(self, hall: MemberNetwork, destinations: list[Destination], owed: int) -> None:
-        self.hall, self.destinations, self.owed = hall, destinations, owed
+    """All members and destinations of a run.
+
+    Attributes:
+        network: The network between the members.
+        destinations: The destinations, by number.
+        owed: Messages that each member holds for each destination at its first start.
+        members: All members that have started, by name.
+    """
+
+    def __init__(self, network: MemberNetwork, destinations: list[Destination], owed: int) -> None:
+        """Prepares a run; see the class for the arguments."""
+        self.network, self.destinations, self.owed = network, destinations, owed
         self.members: dict[str, Returning] = {}
-        hall.step = self.step
+        network.step = self.step
 
     def start(self, number: int) -> None:
-        node = self.hall.start(number)
+        """Starts a member; one that ran before still owes its messages."""
+        node = self.network.start(number)
         name = node.me.name
-        stages = Stages(name, self.hall.size, self.hall.now)
-        left = self.members[name].owed if name in self.members else dict.fromkeys(
+        stages = Stages(name, self.network.size, self.network.now)
+        owed = self.members[name].owed if name in self.members else dict.fromkeys(
             range(len(self.destinations)), self.owed
         )  # fmt: skip
-        self.members[name] = Returning(stages, left)
+        self.members[name] = Returning(stages, owed)
 
-        def hear(by: str, text: bytes) -> None:
-            if word := decode_announcement(text):
-                stages.receive_announcement(by, word, self.hall.now)
+        def receive(sender: str, text: bytes) -> None:
+            if announcement := decode_announcement(text):
+                stages.receive_announcement(sender, announcement, self.network.now)
 
-        node.on_announcement = lambda by, said: hear(by, said.text)
+        node.on_announcement = lambda sender, datagram: receive(sender, datagram.text)
 
     def step(self, name: str) -> None:
-        now, member = self.hall.now, self.members[name]
-        if now < member.looked + TURN:
+        """Updates a member's stages and makes the calls that they permit, after each tick of its node.
+
+        Does nothing within `CHECK_INTERVAL` of the last update.
+        """
+        now, member = self.network.now, self.members[name]
+        if now < member.updated_at + CHECK_INTERVAL:
             return
-        member.looked = now
-        node, stages = self.hall.nodes[name], member.stages
-        gone = {each.name for each in node.members.others.values() if each.state >= MemberState.DEAD}
-        stages.remove_members(gone & stages.announcements.keys())
+        member.updated_at = now
+        node, stages = self.network.nodes[name], member.stages
+        dead = {each.name for each in node.members.others.values() if each.state >= MemberState.DEAD}
+        stages.remove_members(dead & stages.announcements.keys())
         held = {number: count for number, count in member.owed.items() if count}
-        before = None
-        while stages.stage is not before:
-            before = stages.stage
+        previous_stage = None
+        while stages.stage is not previous_stage:
+            previous_stage = stages.stage
             stages.update(held, now)
         for number in held:
-            self.consider(name, number)
-        if now >= member.next_word:
-            self.say(name)
-
-    def say(self, name: str) -> None:
-        member, now = self.members[name], self.hall.now
-        member.next_word = now + announcement_interval_s(len(member.stages.announcements))
-        self.hall.nodes[name].publish(encode_announcement(member.stages.announcement(now)), now)
-
-    def consider(self, name: str, number: int) -> None:
-        """Asked before each call, and again when the next one may go."""
-        now, member = self.hall.now, self.members.get(name)
-        if member is None or name in self.hall.frozen or name not in self.hall.nodes:
+            self.try_call(name, number)
+        if now >= member.next_announcement_at:
+            self.announce(name)
+
+    def announce(self, name: str) -> None:
+        """Publishes a member's announcement and schedules the next one."""
+        member, now = self.members[name], self.network.now
+        member.next_announcement_at = now + announcement_interval_s(len(member.stages.announcements))
+        self.network.nodes[name].publish(encode_announcement(member.stages.announcement(now)), now)
+
+    def try_call(self, name: str, number: int) -> None:
+        """Calls a destination if the member may do so now, or schedules the next attempt if that is soon."""
+        now, member = self.network.now, self.members.get(name)
+        if member is None or name in self.network.frozen or name not in self.network.nodes:
             return
-        if number in member.out or not member.owed.get(number):
+        if number in member.in_flight or not member.owed.get(number):
             return
-        leave = member.stages.permission(number, now)
-        if not leave.may_call:
-            member.freed.pop(number, None)
+        permission = member.stages.permission(number, now)
+        if not permission.may_call:
+            member.permitted_at.pop(number, None)
             return
-        due = now if leave.is_trial else self.due(member, number, leave)
+        due = now if permission.is_trial else self.next_call_at(member, number, permission)
         if due <= now:
-            self.call(name, number, leave)
-        elif due < now + TURN:
-            self.hall.later(due - now, lambda: self.consider(name, number))
-
-    def due(self, member: Returning, number: int, leave: CallPermission) -> float:
-        """When its next call may go: as the gap shrinks while the destination warms up, before it would by
-        the gap of now."""
-        now, there = self.hall.now, self.destinations[number]
-        freed, last = member.freed.setdefault(number, now), member.last.get(number, -NEVER)
+            self.call(name, number, permission)
+        elif due < now + CHECK_INTERVAL:
+            self.network.later(due - now, lambda: self.try_call(name, number))
+
+    def next_call_at(self, member: Returning, number: int, permission: CallPermission) -> float:
+        """Returns the time in s of a member's next call to a destination.
+
+        The gap between calls shrinks while the destination warms up, so the call is due earlier than the
+        present gap implies; the time is found by iteration.
+        """
+        now, destination = self.network.now, self.destinations[number]
+        permitted_at, last_call_at = (
+            member.permitted_at.setdefault(number, now),
+            member.last_call_at.get(number, -NEVER),
+        )
         due = now
         for _ in range(4):
-            warmed = None if leave.warming_for_s is None else leave.warming_for_s + due - now
-            gap = 1 / (there.takes(warmed) * leave.rate_share)
-            due = max(last + gap, freed + leave.start_phase * gap, now)
+            warmed = None if permission.warming_for_s is None else permission.warming_for_s + due - now
+            gap = 1 / (destination.rate_after(warmed) * permission.rate_share)
+            due = max(last_call_at + gap, permitted_at + permission.start_phase * gap, now)
         return due
 
-    def call(self, name: str, number: int, leave: CallPermission) -> None:
-        now, member, there = self.hall.now, self.members[name], self.destinations[number]
-        member.last[number] = now
-        member.out.add(number)
-        if leave.is_trial:
+    def call(self, name: str, number: int, permission: CallPermission) -> None:
+        """Starts a member's call to a destination."""
+        now, member, destination = self.network.now, self.members[name], self.destinations[number]
+        member.last_call_at[number] = now
+        member.in_flight.add(number)
+        if permission.is_trial:
             member.stages.start_trial(number, now)
-            there.trials.append((now, now + TOOK))
-            self.say(name)
-        up = now >= there.back
-        if up:
-            there.calls.append(now)
-        self.hall.later(TOOK, lambda: self.over(name, number, up))
-
-    def over(self, name: str, number: int, up: bool) -> None:
-        if name not in self.hall.nodes:
+            destination.trials.append((now, now + CALL_DURATION))
+            self.announce(name)
+        is_up = now >= destination.back
+        if is_up:
+            destination.calls.append(now)
+        self.network.later(CALL_DURATION, lambda: self.call_ended(name, number, is_up))
+
+    def call_ended(self, name: str, number: int, is_up: bool) -> None:
+        """Records a call's result, and announces it if it is news; does nothing if the member has ended."""
+        if name not in self.network.nodes:
             return
         member = self.members[name]
-        member.out.discard(number)
-        before, was_trial = (
-            member.stages.best_evidence(number, self.hall.now),
+        member.in_flight.discard(number)
+        evidence, was_trial = (
+            member.stages.best_evidence(number, self.network.now),
             number in member.stages.own_trials,
         )
-        member.stages.record_call_result(number, up, self.hall.now)
-        if up:
+        member.stages.record_call_result(number, is_up, self.network.now)
+        if is_up:
             member.owed[number] -= 1
-        if was_trial or before is None or before.is_up is not up:
-            self.say(name)
-        self.consider(name, number)
+        if was_trial or evidence is None or evidence.is_up is not is_up:
+            self.announce(name)
+        self.try_call(name, number)
 
     def all_open(self) -> bool:
-        return all(self.members[name].stages.stage is Stage.OPEN for name in self.hall.nodes)
+        """Whether all running members have reached the last stage."""
+        return all(self.members[name].stages.stage is Stage.OPEN for name in self.network.nodes)
--- a/message_sender/emulator/run_models.py
+++ b/message_sender/emulator/run_models.py
@@ -22,7 +22,9 @@
 from message_sender.testbed.history import EffectApplied, History
 
 ONE_WAY_DELAY_S = (0.001, 0.02)
-SLOW_PROBABILITY = 0.15  # of connections and answers; a drain or a Retry-After may overtake them
+SLOW_PROBABILITY = (
+    0.15  # that a connection or an answer is slow; a drain or a Retry-After may then arrive before it
+)
 MAX_EXTRA_DELAY_S = 0.4
 UNANSWERED_S = 60.0
 SLOW_FACTOR = 12
@@ -45,14 +47,14 @@
         """Returns how an endpoint's destination behaves now."""
 
     def note_failure(self, endpoint: str) -> None:
-        """Notes that the sender sees a call to an endpoint fail."""
+        """Records that the sender saw a call to an endpoint fail."""
 
     def message_completed(self, message: str, completion: Completion) -> None:
         """Records a completion."""
 
 
 class RunCaller:
-    """The caller of one message; hears of it as long as the process lives."""
+    """The caller of one message; it is notified of the completion while the process lives."""
 
     def __init__(self, run: RunEnvironment, message: Message) -> None:
         """Hands `message` in to the run's engine."""
@@ -60,11 +62,11 @@
         self.message = message
 
     def is_gone(self) -> bool:
-        """Returns False: it waits for the completion."""
+        """Returns False: the caller always waits for the completion."""
         return False
 
     def accepted(self) -> bool:
-        """Notes that the message is accepted; the caller waits for its completion."""
+        """Records that the message is accepted; returns True, as the caller waits for its completion."""
         message = self.message
         deadline_s = (message.deadline_us - EPOCH_US) / SECOND_US
         self.run.history.record(
@@ -80,7 +82,7 @@
         return True
 
     def rejected(self, rejected: Rejected) -> None:
-        """Notes that the message is rejected."""
+        """Records that the message is rejected."""
         self.run.history.record(seen.MessageRejected(self.run.time(), self.message.id))
 
     def withdrawn(self) -> None:
@@ -108,7 +110,7 @@
             endpoint: Id of the endpoint.
             message: The message.
             timeout: Seconds from now that the call may take.
-            may_go: Asked once the connection is up; on False nothing is sent.
+            may_go: Called when the connection is up; the call is not sent if it returns False.
         """
         run, loop = self.run, asyncio.get_running_loop()
         deadline = loop.time() + timeout
@@ -148,7 +150,7 @@
         return True
 
     def draw_delay_s(self) -> float:
-        """Draws a delay in one direction, which is long at times."""
+        """Draws a delay in one direction; a share of `SLOW_PROBABILITY` is much longer."""
         rng = self.run.rng
         extra_s = MAX_EXTRA_DELAY_S if rng.random() < SLOW_PROBABILITY else 0.0
         return rng.uniform(*ONE_WAY_DELAY_S) + rng.uniform(0, extra_s)
--- a/message_sender/emulator/run_plan.py
+++ b/message_sender/emulator/run_plan.py
@@ -1,4 +1,4 @@
-"""What a seed decides ahead of a simulated run: messages, faults of destinations, drains and kills."""
+"""The plan of a simulated run, drawn from its seed: messages, destination faults, drains and kills."""
 
 import random
 from dataclasses import dataclass
@@ -133,10 +133,10 @@
 
 @dataclass(frozen=True)
 class ScheduledEvent:
-    """One thing that a seed decides.
+    """One event of a plan.
 
     Attributes:
-        number: The same in every run of that seed.
+        number: Number of the event, which is the same in every run of the seed.
         at: Seconds of virtual time.
         text: What happens, for reports.
         action: What the run does at that time; None for a fault of a destination and for a kill before a
@@ -159,7 +159,7 @@
 
 
 class RunPlan:
-    """Everything that a seed decides ahead.
+    """The events and faults that are drawn before a run.
 
     Attributes:
         endpoints: All endpoints.
@@ -174,8 +174,8 @@
 
         Args:
             spec: The size of the run.
-            rng: Source of everything random; the run goes on with it.
-            excluded: Numbers of events that are drawn and do not take place.
+            rng: Source of all random draws; the run continues to draw from it.
+            excluded: Numbers of events that are drawn but do not take place.
         """
         self.spec = spec
         self.rng = rng
--- a/message_sender/emulator/shared.py
+++ b/message_sender/emulator/shared.py
@@ -1,11 +1,13 @@
-"""A fleet that spends one budget, on virtual time: the desks of all members (budget/manager.py) on the link's
-own ends (emulator/member_network.py), clocks that run apart, and a ledger that knows everything.
+"""A fleet that spends one shared budget on virtual time.
 
-Each member has work that comes by a rate of its own; it spends as soon as it may. The ledger notes each call
-at the receiver, at true time, and the parts of all at each of its looks. `how` tells by what a member spends:
+Each member runs a lease manager (budget/manager.py) on a node of the simulated network
+(emulator/member_network.py), and its clock drifts from the others. Calls arise at each member at a rate of
+its own, and it makes them as soon as it may. A ledger records each call at the receiver, at true time, and
+the sum of all shares after each step of a member. `how` selects what limits a member:
 
-- "budget": by its part; "guess": an even part of the whole by a `fleet_size` that may be wrong; "counter": as
-  long as a counter that all can always ask has room: the best possible.
+- "budget": its leased share.
+- "guess": an even part of the limit, by a configured fleet size that may be wrong.
+- "counter": a counter that all members can query at any time; no real scheme can do better.
 """
 
 import random
@@ -22,189 +24,240 @@
 from message_sender.fleet.node import FleetNode
 from message_sender.testbed.history import max_count_within
 
-STEP = 0.01  # s between two looks for work
-WAY = 0.009  # s that a call may take to the receiver
+STEP = 0.01  # s between two attempts of a member to make calls
+MAX_CALL_DELAY = 0.009  # s that a call takes to the receiver, at most
 US = 1_000_000
 
 
 @dataclass
 class Ledger:
-    """What really happened. Times in s."""
+    """What happened at the receiver, and the shares that members held.
 
-    span: float
+    Attributes:
+        window: Length of the budget's window in s.
+        calls: Arrival time in s and sender of each call.
+        peak_shares: The highest sum of all members' shares at one instant.
+        rejected: Calls that arrived while the window was full.
+        recent: Arrival times in s within the last window.
+    """
+
+    window: float
     calls: list[tuple[float, str]] = field(default_factory=list)
-    most_parts: int = 0  # that all might spend at one instant
-    refused: int = 0
-    lately: deque[float] = field(default_factory=deque)
-
-    def arrives(self, at: float, by: str, whole: int) -> None:
-        while self.lately and self.lately[0] <= at - self.span:
-            self.lately.popleft()
-        self.refused += len(self.lately) >= whole
-        self.lately.append(at)
-        self.calls.append((at, by))
-
-    def most(self) -> int:
-        """The most calls in any span."""
-        return max_count_within((at for at, _ in self.calls), self.span)
-
-    def used(self, since: float, until: float, whole: int) -> float:
-        """The share of the whole."""
-        return sum(since <= at < until for at, _ in self.calls) / (whole * (until - since) / self.span)
-
-    def by(self, since: float, until: float) -> dict[str, int]:
+    peak_shares: int = 0
+    rejected: int = 0
+    recent: deque[float] = field(default_factory=deque)
+
+    def record_arrival(self, at: float, sender: str, limit: int) -> None:
+        """Records a call that arrives at time `at` (s), under the receiver's limit."""
+        while self.recent and self.recent[0] <= at - self.window:
+            self.recent.popleft()
+        self.rejected += len(self.recent) >= limit
+        self.recent.append(at)
+        self.calls.append((at, sender))
+
+    def peak(self) -> int:
+        """Returns the highest number of calls in any window."""
+        return max_count_within((at for at, _ in self.calls), self.window)
+
+    def utilization(self, since: float, until: float, limit: int) -> float:
+        """Returns the share of the limit that was used between two times in s."""
+        return sum(since <= at < until for at, _ in self.calls) / (limit * (until - since) / self.window)
+
+    def calls_by_sender(self, since: float, until: float) -> dict[str, int]:
+        """Returns the number of calls of each sender between two times in s."""
         return Counter(name for at, name in self.calls if since <= at < until)
 
 
 class Fleet:
+    """Members that share one budget, on a simulated network.
+
+    Attributes:
+        network: The network between the members.
+        budget: The budget as the members know it.
+        receiver_limit: The limit that the receiver applies.
+        demands: Calls per second that arise at each member, by number.
+        managers: The lease manager of each running member, by name.
+        rates: Speed of each member's clock, by number.
+        offsets: Offset of each member's clock in us, by number.
+        backlog: Calls that wait at each member, by name.
+        enforcers: Limits by which members spend if `how` is "guess", by name.
+        ledger: What happened at the receiver.
+    """
+
     def __init__(
         self,
         budget: Budget,
         members: int,
         seed: int,
-        works: Iterable[float],
+        demands: Iterable[float],
         how: str = "budget",
         guess: int = 0,
         loss: float = 0.0,
         delay: float = 0.002,
     ) -> None:
-        """`works`: calls a second that come at each; `guess`: the members that each believes in."""
-        self.hall = MemberNetwork(max(budget.max_members, members), seed, loss, delay)
+        """Starts all members.
+
+        Args:
+            budget: The shared budget.
+            members: Number of members.
+            seed: Seed of all random draws.
+            demands: Calls per second that arise at each member.
+            how: What limits a member; see the module's docstring.
+            guess: Fleet size that members assume if `how` is "guess"; 0: the true one.
+            loss: Share of datagrams that the network loses.
+            delay: Highest delay of a datagram in s.
+        """
+        self.network = MemberNetwork(max(budget.max_members, members), seed, loss, delay)
         self.budget, self.how, self.guess = budget, how, guess or members
-        self.whole = budget.limit  # the receiver's
+        self.receiver_limit = budget.limit
         self.rng = random.Random(f"shared {seed}")
-        self.works = dict(enumerate(works))
-        self.desks: dict[str, LeaseManager] = {}
+        self.demands = dict(enumerate(demands))
+        self.managers: dict[str, LeaseManager] = {}
         self.rates = {number: self.rng.uniform(0.99, 1.01) for number in range(members)}
         self.offsets = {number: self.rng.randrange(10**12) for number in range(members)}
-        self.held: dict[str, float] = {}
-        self.read: dict[int, int] = {}
-        self.spenders: dict[str, LimitEnforcer] = {}
+        self.backlog: dict[str, float] = {}
+        self.last_reading_us: dict[int, int] = {}
+        self.enforcers: dict[str, LimitEnforcer] = {}
         self.ledger = Ledger((budget.window_us or US) / US)
-        self.counter: deque[float] = deque()
-        self.hall.step = self.step
+        self.recent_calls: deque[float] = deque()
+        self.network.step = self.step
         for number in range(members):
             self.start(number)
 
-    def draw(self, until: float) -> None:
-        """Faults at random times before `until`, s; each ends by then."""
+    def schedule_faults(self, until: float) -> None:
+        """Schedules faults at random times before `until` (s); each of them ends by then."""
         rng, count = self.rng, len(self.rates)
         for _ in range(rng.randint(2, 5)):
-            at, lasts = rng.uniform(0, until), rng.uniform(0.1, until / 3)
+            at, duration = rng.uniform(0, until), rng.uniform(0.1, until / 3)
             number = rng.randrange(count)
             name = f"n{number}"
-            match rng.choice(["dies", "loses its disk", "stands still", "split", "loss", "all start"]):
-                case "dies":
-                    self.hall.later(at, partial(self.end, number))
-                    self.hall.later(min(at + lasts, until), partial(self.begin_again, number))
-                case "loses its disk":
-                    self.hall.later(at, partial(self.begin_again, number, 1))
-                case "stands still":
-                    self.hall.later(at, partial(self.stand_still, name, min(lasts, until - at)))
+            match rng.choice(["crash", "disk loss", "stall", "split", "loss", "restart of all"]):
+                case "crash":
+                    self.network.later(at, partial(self.end, number))
+                    self.network.later(min(at + duration, until), partial(self.restart, number))
+                case "disk loss":
+                    self.network.later(at, partial(self.restart, number, 1))
+                case "stall":
+                    self.network.later(at, partial(self.stall, name, min(duration, until - at)))
                 case "split":
                     names = [f"n{each}" for each in range(count)]
                     rng.shuffle(names)
                     cut = rng.randrange(1, count)
-                    self.hall.later(at, partial(self.hall.split, names[:cut], names[cut:]))
+                    self.network.later(at, partial(self.network.split, names[:cut], names[cut:]))
                 case "loss":
-                    self.hall.later(at, partial(self.trouble, rng.uniform(0, 0.5), lasts))
-                case "all start":
+                    self.network.later(at, partial(self.impair_network, rng.uniform(0, 0.5), duration))
+                case "restart of all":
                     for each in range(count):
-                        self.hall.later(at, partial(self.begin_again, each, rng.choice([None, 1])))
-        self.hall.later(until, self.heal)
+                        self.network.later(at, partial(self.restart, each, rng.choice([None, 1])))
+        self.network.later(until, self.repair_network)
 
-    def begin_again(self, number: int, epoch: int | None = None) -> None:
+    def restart(self, number: int, epoch: int | None = None) -> None:
+        """Ends a member and starts it again; `epoch` as in `start`."""
         self.end(number)
         self.start(number, epoch)
 
-    def stand_still(self, name: str, lasts: float) -> None:
-        if name in self.hall.nodes and name not in self.hall.frozen:
-            self.hall.freeze(name)
-            self.hall.later(lasts, lambda: self.hall.thaw(name))
+    def stall(self, name: str, duration: float) -> None:
+        """Freezes a member for a duration in s."""
+        if name in self.network.nodes and name not in self.network.frozen:
+            self.network.freeze(name)
+            self.network.later(duration, lambda: self.network.thaw(name))
 
-    def trouble(self, loss: float, delay: float) -> None:
-        self.hall.loss, self.hall.double, self.hall.delay = loss, 0.2, delay
+    def impair_network(self, loss: float, delay: float) -> None:
+        """Makes the network lose and duplicate datagrams and delay them by up to `delay` s."""
+        self.network.loss, self.network.double, self.network.delay = loss, 0.2, delay
 
-    def heal(self) -> None:
-        self.hall.split()
-        self.hall.loss, self.hall.double, self.hall.delay = 0.0, 0.0, 0.002
+    def repair_network(self) -> None:
+        """Ends all faults of the network."""
+        self.network.split()
+        self.network.loss, self.network.double, self.network.delay = 0.0, 0.0, 0.002
 
     def clock(self, number: int) -> int:
-        told = self.offsets[number] + int(self.hall.now * US * self.rates[number])
-        self.read[number] = max(told, self.read.get(number, 0) + 1)  # no two reads tell the same
-        return self.read[number]
+        """Reads a member's clock in us; each reading is higher than the one before."""
+        reading = self.offsets[number] + int(self.network.now * US * self.rates[number])
+        self.last_reading_us[number] = max(reading, self.last_reading_us.get(number, 0) + 1)
+        return self.last_reading_us[number]
 
     def start(self, number: int, epoch: int | None = None) -> None:
-        node = self.hall.start(number, epoch)
-        desk = self.desks[node.me.name] = LeaseManager(
+        """Starts a member; `epoch`: the epoch on its disk, None: one above its last."""
+        node = self.network.start(number, epoch)
+        manager = self.managers[node.me.name] = LeaseManager(
             node.me.name, node.members.me.epoch, lambda: self.clock(number)
         )
         name = node.me.name
-        desk.open(self.budget, lambda: int(self.held[name]))
-        self.held.setdefault(name, 0.0)
-        self.spenders[name] = LimitEnforcer(self.budget.usage_window_us)
-        node.on_lease_datagram = lambda by, share: self.hear(name, desk, by, share)
-        node.on_epoch_raised = lambda epoch: desk.restart_session(epoch)
-        self.hall.later(self.rng.uniform(0, STEP), lambda: self.work(number, node))
+        manager.open(self.budget, lambda: int(self.backlog[name]))
+        self.backlog.setdefault(name, 0.0)
+        self.enforcers[name] = LimitEnforcer(self.budget.usage_window_us)
+        node.on_lease_datagram = lambda sender, datagram: self.receive(name, manager, sender, datagram)
+        node.on_epoch_raised = lambda epoch: manager.restart_session(epoch)
+        self.network.later(self.rng.uniform(0, STEP), lambda: self.make_calls(number, node))
 
     def end(self, number: int) -> None:
-        """It dies; its work goes elsewhere, or waits."""
-        self.hall.end(f"n{number}")
-        self.desks.pop(f"n{number}", None)
+        """Ends a member; its backlog waits for the next start."""
+        self.network.end(f"n{number}")
+        self.managers.pop(f"n{number}", None)
 
-    def hear(self, name: str, desk: LeaseManager, by: str, share: wire.LeaseDatagram) -> None:
-        if self.desks.get(name) is desk:
-            desk.handle_datagram(by, share)
-            self.post(name)
+    def receive(self, name: str, manager: LeaseManager, sender: str, datagram: wire.LeaseDatagram) -> None:
+        """Hands a datagram to a member's manager, unless the member has been restarted or has ended."""
+        if self.managers.get(name) is manager:
+            manager.handle_datagram(sender, datagram)
+            self.flush(name)
 
     def step(self, name: str) -> None:
-        if desk := self.desks.get(name):
-            desk.tick(self.hall.nodes[name].others())
-            self.post(name)
-            self.look()
-
-    def post(self, name: str) -> None:
-        """What its desk says."""
-        node, desk = self.hall.nodes[name], self.desks[name]
-        out, desk.outbox = desk.outbox, []
-        for each in out:
+        """Runs a member's manager; the network calls this after each tick of the member's node."""
+        if manager := self.managers.get(name):
+            manager.tick(self.network.nodes[name].others())
+            self.flush(name)
+            self.record_shares()
+
+    def flush(self, name: str) -> None:
+        """Sends the datagrams in the outbox of a member's manager."""
+        node, manager = self.network.nodes[name], self.managers[name]
+        outbox, manager.outbox = manager.outbox, []
+        for each in outbox:
             node.send_to(each.receiver, each.datagram)
-        self.hall.flush(name)
+        self.network.flush(name)
 
-    def look(self) -> None:
-        """Who stands still may spend as much as its clock lets it when it wakes."""
-        there = (desk.ledgers[self.budget.name].share() for desk in self.desks.values())
-        self.ledger.most_parts = max(self.ledger.most_parts, sum(there))
+    def record_shares(self) -> None:
+        """Records the sum of all shares.
 
-    def work(self, number: int, node: FleetNode) -> None:
+        A stalled member is included: it may spend its share when it resumes, as far as its clock allows.
+        """
+        shares = (manager.ledgers[self.budget.name].share() for manager in self.managers.values())
+        self.ledger.peak_shares = max(self.ledger.peak_shares, sum(shares))
+
+    def make_calls(self, number: int, node: FleetNode) -> None:
+        """Makes the calls of one step at a member, as far as its limit allows."""
         name = node.me.name
-        if self.hall.nodes.get(name) is not node:
+        if self.network.nodes.get(name) is not node:
             return
-        self.held[name] = min(self.held[name] + self.works[number] * STEP, 1e6)
-        while name not in self.hall.frozen and self.held[name] >= 1 and self.may_spend(number, name):
-            self.held[name] -= 1
-            way = self.rng.uniform(0, WAY)
-            self.hall.later(way, lambda: self.ledger.arrives(self.hall.now, name, self.whole))
-        self.hall.later(STEP, lambda: self.work(number, node))
+        self.backlog[name] = min(self.backlog[name] + self.demands[number] * STEP, 1e6)
+        while name not in self.network.frozen and self.backlog[name] >= 1 and self.may_spend(number, name):
+            self.backlog[name] -= 1
+            delay = self.rng.uniform(0, MAX_CALL_DELAY)
+            self.network.later(
+                delay, lambda: self.ledger.record_arrival(self.network.now, name, self.receiver_limit)
+            )
+        self.network.later(STEP, lambda: self.make_calls(number, node))
 
     def may_spend(self, number: int, name: str) -> bool:
+        """Whether a member may make a call now; if so, the call counts as made."""
         if self.how == "budget":
-            return self.desks[name].try_spend([self.budget.name], "")
-        now, span = self.hall.now, self.ledger.span
+            return self.managers[name].try_spend([self.budget.name], "")
+        now, window = self.network.now, self.ledger.window
         if self.how == "guess":
-            return self.spenders[name].try_spend(
+            return self.enforcers[name].try_spend(
                 "", self.clock(number), max(self.budget.limit // self.guess, 1)
             )
-        while self.counter and self.counter[0] <= now - span - WAY:
-            self.counter.popleft()
-        if len(self.counter) >= self.whole:
+        while self.recent_calls and self.recent_calls[0] <= now - window - MAX_CALL_DELAY:
+            self.recent_calls.popleft()
+        if len(self.recent_calls) >= self.receiver_limit:
             return False
-        self.counter.append(now)
+        self.recent_calls.append(now)
         return True
 
-    def lower(self, whole: int) -> None:
-        """All are told another whole, and the receiver takes it from now on."""
-        self.budget = replace(self.budget, limit=whole)
-        for desk in self.desks.values():
-            desk.update_budget(self.budget)
-        self.whole = whole
+    def set_limit(self, limit: int) -> None:
+        """Changes the limit for all members and, from now on, for the receiver."""
+        self.budget = replace(self.budget, limit=limit)
+        for manager in self.managers.values():
+            manager.update_budget(self.budget)
+        self.receiver_limit = limit
--- a/message_sender/emulator/simulated_run.py
+++ b/message_sender/emulator/simulated_run.py
@@ -1,10 +1,10 @@
-"""One run of a sender in virtual time: the real engine, policy and journal between models of everything else.
+"""One run of a sender in virtual time: the real engine, policy and journal, with models of everything else.
 
-The seed alone decides a run: what clients hand in, how each destination behaves and how long calls take,
-which endpoints drain, and when the process is killed (at an instant, or between two writes to its disk). The
-run ends when the deadlines of all messages have passed; then the history is checked against the rules. A kill
-ends the event loop with everything on it, as SIGKILL ends a process; the next process starts on the same
-folder, and the environment goes on from the same instant.
+The seed determines the complete run: the messages of clients, the behavior of each destination, the duration
+of calls, the endpoints that drain, and the times at which the process is killed (at an instant, or between
+two writes to its disk). The run ends when the deadlines of all messages have passed; then the history is
+checked against the rules. A kill ends the event loop with all of its tasks, as SIGKILL ends a process. The
+next process starts on the same folder, and the environment continues from the same instant.
 """
 
 import asyncio
@@ -52,7 +52,7 @@
 
 WARM_CAPACITY = 10.0  # calls a second; above the mean load of a destination
 COLD_CAPACITY_SHARE = 0.2
-MIN_OUTAGE_S = 0.5  # a shorter one cannot be told from a single failure
+MIN_OUTAGE_S = 0.5  # a shorter one cannot be distinguished from a single failure
 END_MARGIN_S = 1.0
 DISK_BYTES = 2_000_000
 OUTAGES = frozenset(
@@ -65,7 +65,7 @@
 )
 
 
-class ProcessKilled(SystemExit):  # asyncio lets only SystemExit pass through tasks and handles
+class ProcessKilled(SystemExit):  # of all exceptions, asyncio passes SystemExit on from tasks and callbacks
     """SIGKILL: the loop ends at once."""
 
 
@@ -79,8 +79,8 @@
         ends: Number of completed messages by state.
         calls: Number of calls.
         kills: Number of kills.
-        told_again: Completions that a later process notified once more.
-        scheduled: What the seed decided and took place.
+        told_again: Completions of which a later process notified the listener again.
+        scheduled: The scheduled events that took place.
     """
 
     breaches: list[Violation]
@@ -109,10 +109,10 @@
     """
 
     def __init__(self, seed: int, spec: RunSpec, state: Path, excluded: frozenset[int] = frozenset()) -> None:
-        """Draws what happens.
+        """Draws the plan of the run.
 
         Args:
-            seed: Of everything random.
+            seed: Seed of all random draws.
             spec: The size of the run.
             state: The sender's state folder.
             excluded: Numbers of scheduled events that do not take place.
@@ -150,7 +150,7 @@
         return DestinationBehavior.SERVES
 
     def note_failure(self, endpoint: str) -> None:
-        """Notes that the sender sees a call fail: from now on it can know of an outage."""
+        """Records that the sender saw a call fail, and can therefore know of an outage."""
         self.failures.append((self.plan.destination_of[endpoint], self.time()))
 
     def message_completed(self, message: str, completion: Completion) -> None:
@@ -242,7 +242,7 @@
                 raise ProcessKilled
 
     def terminate(self) -> None:
-        """Leaves what a killed process leaves: its files are closed, and nothing of it runs any more."""
+        """Ends the process as a kill does: its files are closed, and none of its tasks runs any more."""
         self.engine.journal.release()
         self.engine.is_closed = True
         self.loop.set_exception_handler(ignore_loop_exception)
@@ -267,7 +267,7 @@
         rules = Rules(
             CLASS_RULES,
             zones={each.endpoint.id: each.endpoint.zone for each in self.plan.endpoints},
-            # A Retry-After of a separate route binds that route alone.
+            # A Retry-After of a separate route applies to that route only.
             destinations={
                 each.endpoint.id: -number if each.endpoint.kind == "apart" else each.endpoint.destination
                 for number, each in enumerate(self.plan.endpoints, 1)
@@ -305,7 +305,7 @@
 
 
 def live(seed: int, spec: RunSpec | None = None, without: frozenset[int] = frozenset()) -> Outcomes:
-    """Runs what a seed decides.
+    """Performs the run that a seed determines.
 
     Args:
         seed: The seed.
@@ -313,7 +313,7 @@
         without: Numbers of scheduled events that do not take place.
 
     Raises:
-        EmulationError: The engine reached out of the simulation.
+        EmulationError: The engine used a real clock, thread or socket, or unseeded randomness.
     """
     with quietly() as folder:
         return SimulatedRun(seed, spec or RunSpec(), folder, without).run()
--- a/message_sender/emulator/wire.py
+++ b/message_sender/emulator/wire.py
@@ -36,7 +36,7 @@
 SEGMENT_BYTES = 1460  # the most that one write sends, as a TCP segment on Ethernet does
 CLIENT_IDLE_TIMEOUT_S = 0.5
 ACCEPTED_STATUS = 202
-REJECTED_STATUSES = (404, 429, 503)  # 404: the sender has not heard of the destination yet
+REJECTED_STATUSES = (404, 429, 503)  # 404: the sender does not know the destination yet
 
 
 class WireSimulation(FleetSimulation):
@@ -121,14 +121,14 @@
         return added
 
     def drain(self, incident: Incident) -> None:
-        """Drains a destination's endpoints; their servers go on answering."""
+        """Drains a destination's endpoints; their servers continue to answer."""
         for name, listed in self.topology.endpoints.items():
             if listed.endpoint.destination == incident.destination:
                 self.destinations.drained[name] = listed
         super().drain(incident)
 
     def abandon_call(self, message_id: str, endpoint: str) -> None:
-        """A call is over for its sender, even if the endpoint has not noticed yet."""
+        """Ends a call that is over for its sender, even if the endpoint has not noticed yet."""
         self.destinations.abandon_call(message_id, endpoint)
 
     def note_accepted(self, message: Message, sender: SimulatedSender) -> None:
--- a/message_sender/emulator/wire_destinations.py
+++ b/message_sender/emulator/wire_destinations.py
@@ -108,7 +108,7 @@
         return bool(response) and response is not MALFORMED_RESPONSE
 
     def abandon_call(self, message_id: str, endpoint: str) -> None:
-        """A call is over for its sender, even if the endpoint has not noticed yet."""
+        """Ends a call that is over for its sender, even if the endpoint has not noticed yet."""
         call = self.open_calls.pop((message_id, endpoint), 0)
         if call:
             self.recorder.call_abandoned(call)
--- a/message_sender/emulator/wire_sender.py
+++ b/message_sender/emulator/wire_sender.py
@@ -25,7 +25,7 @@
     net: Net
 
     def abandon_call(self, message_id: str, endpoint: str) -> None:
-        """A call is over for its sender."""
+        """Ends a call that is over for its sender."""
 
     def note_accepted(self, message: Message, sender: SimulatedSender) -> None:
         """Notes in the history that a sender has accepted a message."""
@@ -39,7 +39,7 @@
 
 
 class WireTransport:
-    """The daemon's transport; tells the destinations when a call is over for its sender."""
+    """The daemon's transport; also notifies the destinations when a call is over for its sender."""
 
     def __init__(self, sender: "WireSender", transport: HttpTransport) -> None:
         """Wraps the transport of a sender."""
@@ -56,7 +56,7 @@
             self.sender.simulation.abandon_call(message.id, endpoint)
 
     def __getattr__(self, name: str) -> Any:  # noqa: ANN401
-        """Everything else is the daemon's transport."""
+        """Forwards every other attribute to the daemon's transport."""
         return getattr(self.transport, name)
 
 
@@ -83,7 +83,7 @@
         self.sender_name = sender_name
 
     def attempt_finished(self, endpoint: str, outcome: Outcome) -> None:
-        """A call has ended."""
+        """Records the outcome of a call that has ended."""
         self.recorder.attempt_finished(self.sender_name, endpoint, outcome)
 
 
@@ -114,7 +114,7 @@
         self.http.plug(self.directory, ModelCompletionListener(self))
 
     def terminate(self) -> None:
-        """Leaves what a killed process leaves; its sockets are reset."""
+        """Ends the process as a kill does; its sockets are reset."""
         super().terminate()
         self.http.transport.unread.close()
         self.simulation.net.kill(self.name)
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -48,16 +48,16 @@
     size = 3 + seed % 4
     works = [60 / (1 + (each + seed) % size) for each in range(size)]
     fleet = Fleet(budget(size, floor=seed % 3), size, seed, works)
-    fleet.draw(12.0)
-    fleet.hall.run(26.2)
+    fleet.schedule_faults(12.0)
+    fleet.network.run(26.2)
     return fleet
 
 
 def find_violation(fleet: Fleet) -> str:
     ledger, limit = fleet.ledger, fleet.budget.limit
-    if ledger.most() > limit or ledger.most_parts > limit:
-        return f"{ledger.most()} in a window and {ledger.most_parts} at one instant, of {limit}"
-    used = ledger.used(20, 20 + 6 * 1.0203, limit)  # complete windows, including their slack
+    if ledger.peak() > limit or ledger.peak_shares > limit:
+        return f"{ledger.peak()} in a window and {ledger.peak_shares} at one instant, of {limit}"
+    used = ledger.utilization(20, 20 + 6 * 1.0203, limit)  # complete windows, including their slack
     return "" if used > 0.9 else f"only {used:.2f} of the limit used long after the last fault"
 
 
@@ -92,80 +92,82 @@
 
 def test_shares_follow_demand_as_it_moves_between_members() -> None:
     fleet = Fleet(budget(5, 60, floor=2), 5, 1, [50, 5, 5, 5, 5])
-    fleet.hall.run(15.0)
-    calls_before = fleet.ledger.by(10, 15)
-    fleet.works |= {0: 5.0, 3: 50.0}
-    fleet.held = dict.fromkeys(fleet.held, 0.0)
-    fleet.hall.run(30.0)
-    calls_after = fleet.ledger.by(22, 30)
+    fleet.network.run(15.0)
+    calls_before = fleet.ledger.calls_by_sender(10, 15)
+    fleet.demands |= {0: 5.0, 3: 50.0}
+    fleet.backlog = dict.fromkeys(fleet.backlog, 0.0)
+    fleet.network.run(30.0)
+    calls_after = fleet.ledger.calls_by_sender(22, 30)
     assert calls_before["n0"] >= 5 * 60 * 0.5 and calls_after["n3"] >= 8 * 60 * 0.5
     assert all(calls_before[f"n{each}"] >= 5 * 4 for each in range(1, 5)), "at least four of five a second"
-    assert fleet.ledger.most() <= 60
+    assert fleet.ledger.peak() <= 60
 
 
 def test_the_share_of_a_dead_member_is_reused_after_its_lease() -> None:
     fleet = Fleet(budget(5, 60), 5, 2, [60.0] * 5)
-    fleet.hall.run(12.0)
-    grantor = fleet.desks["n0"].ledgers["hub"].grantor()
+    fleet.network.run(12.0)
+    grantor = fleet.managers["n0"].ledgers["hub"].grantor()
     fleet.end(next(each for each in range(5) if f"n{each}" != grantor))
-    fleet.hall.run(20.0)
-    assert fleet.ledger.used(12, 14, 60) < 0.9 < fleet.ledger.used(15.9, 20, 60)
+    fleet.network.run(20.0)
+    assert fleet.ledger.utilization(12, 14, 60) < 0.9 < fleet.ledger.utilization(15.9, 20, 60)
     fleet.end(int(grantor[1:]))
-    fleet.hall.run(32.0)
-    assert fleet.ledger.used(27.9, 32, 60) > 0.9 and fleet.ledger.most() <= 60
+    fleet.network.run(32.0)
+    assert fleet.ledger.utilization(27.9, 32, 60) > 0.9 and fleet.ledger.peak() <= 60
 
 
 def test_a_minority_partition_spends_only_its_floors() -> None:
     fleet = Fleet(budget(5, 60, floor=4), 5, 3, [60.0] * 5)
-    fleet.hall.run(10.0)
-    fleet.hall.split(["n0", "n1"], ["n2", "n3", "n4"])
-    fleet.hall.run(30.0)
-    calls = fleet.ledger.by(20, 30)
+    fleet.network.run(10.0)
+    fleet.network.split(["n0", "n1"], ["n2", "n3", "n4"])
+    fleet.network.run(30.0)
+    calls = fleet.ledger.calls_by_sender(20, 30)
     assert all(34 <= calls[name] <= 40 for name in ("n0", "n1")), "the floor is 4 calls per second"
     assert sum(calls[name] for name in ("n2", "n3", "n4")) >= (60 - 8) * 10 * 0.9
-    assert fleet.ledger.most() <= 60
+    assert fleet.ledger.peak() <= 60
 
 
 def test_a_limit_of_three_rotates_among_fourteen_members() -> None:
     fleet = Fleet(budget(14, 3), 14, 4, [1.0] * 14)
-    fleet.hall.run(40.0)
-    assert fleet.ledger.most() <= 3 and fleet.ledger.used(15, 40, 3) > 0.8
-    assert len(fleet.ledger.by(10, 40)) == 14
+    fleet.network.run(40.0)
+    assert fleet.ledger.peak() <= 3 and fleet.ledger.utilization(15, 40, 3) > 0.8
+    assert len(fleet.ledger.calls_by_sender(10, 40)) == 14
 
 
 def test_a_lowered_limit_applies_after_the_leases_end() -> None:
     fleet = Fleet(budget(4, 40), 4, 5, [40.0] * 4)
-    fleet.hall.run(10.0)
-    fleet.lower(20)
-    fleet.hall.run(13.2)  # for a lease, its margin and a window
+    fleet.network.run(10.0)
+    fleet.set_limit(20)
+    fleet.network.run(13.2)  # for a lease, its margin and a window
     fleet.ledger.calls.clear()
-    fleet.hall.run(20.0)
-    assert fleet.ledger.most() <= 20 and fleet.ledger.used(14, 20, 20) > 0.9
+    fleet.network.run(20.0)
+    assert fleet.ledger.peak() <= 20 and fleet.ledger.utilization(14, 20, 20) > 0.9
 
 
 def test_the_smallest_limit_applies_when_members_disagree() -> None:
     fleet = Fleet(budget(4, 40), 4, 6, [40.0] * 4)
-    fleet.desks["n2"].update_budget(budget(4, 20))
-    fleet.whole = 20
-    fleet.hall.run(20.0)
-    assert fleet.ledger.most() <= 20 and fleet.ledger.used(14, 20, 20) > 0.9
+    fleet.managers["n2"].update_budget(budget(4, 20))
+    fleet.receiver_limit = 20
+    fleet.network.run(20.0)
+    assert fleet.ledger.peak() <= 20 and fleet.ledger.utilization(14, 20, 20) > 0.9
 
 
 def test_an_idle_transient_budget_is_closed_and_can_be_opened_again() -> None:
     fleet = Fleet(budget(3, 30), 3, 7, [20.0] * 3)
-    for manager in fleet.desks.values():
+    for manager in fleet.managers.values():
         manager.ledgers["hub"].is_transient = True
-    fleet.hall.run(8.0)
-    fleet.works = dict.fromkeys(fleet.works, 0.0)
-    fleet.hall.run(90.0)
-    sent_before = fleet.hall.sent
-    assert [manager.close_idle() for manager in fleet.desks.values()] == [["hub"]] * 3
-    for name, manager in fleet.desks.items():
-        manager.open(fleet.budget, lambda name=name: int(fleet.held[name]))  # type: ignore[misc]
-    fleet.works = dict.fromkeys(fleet.works, 20.0)
-    fleet.hall.run(105.0)
+    fleet.network.run(8.0)
+    fleet.demands = dict.fromkeys(fleet.demands, 0.0)
+    fleet.network.run(90.0)
+    sent_before = fleet.network.sent
+    assert [manager.close_idle() for manager in fleet.managers.values()] == [["hub"]] * 3
+    for name, manager in fleet.managers.items():
+        manager.open(fleet.budget, lambda name=name: int(fleet.backlog[name]))  # type: ignore[misc]
+    fleet.demands = dict.fromkeys(fleet.demands, 20.0)
+    fleet.network.run(105.0)
     assert (
-        fleet.hall.sent > sent_before and fleet.ledger.used(98, 105, 30) > 0.9 and fleet.ledger.most() <= 30
+        fleet.network.sent > sent_before
+        and fleet.ledger.utilization(98, 105, 30) > 0.9
+        and fleet.ledger.peak() <= 30
     )
 
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -19,7 +19,7 @@
 from message_sender.emulator import fuzzing, scenario
 from message_sender.emulator.fleet import Outcomes
 from message_sender.emulator.loop import DeadlockError, VirtualLoop
-from message_sender.emulator.net import HOST, REFUSED, ROOM, SILENT, Net
+from message_sender.emulator.net import BUFFER_BYTES, HOST, REFUSED, SILENT, Net
 from message_sender.emulator.play import play
 from message_sender.policy.pending import PendingQueue
 
@@ -28,7 +28,9 @@
 
 
 def on_net(
-    work: Callable[[Net, VirtualLoop], Coroutine[Any, Any, Any]], segment: int = ROOM, way: float = 0.01
+    work: Callable[[Net, VirtualLoop], Coroutine[Any, Any, Any]],
+    segment: int = BUFFER_BYTES,
+    way: float = 0.01,
 ) -> Any:  # noqa: ANN401
     """Runs it on a loop with a network whose ways take `way` seconds."""
     loop = VirtualLoop()
@@ -58,7 +60,7 @@
         assert await reader.read() == b"".join(pieces)
         writer.close()
         await asyncio.sleep(1)
-        assert net.open_of("world") == 1  # the listener
+        assert net.count_open("world") == 1  # the listener
 
     on_net(work, segment)
 
@@ -79,7 +81,7 @@
 def test_nobody_listens_or_nobody_answers(way: float) -> None:
     async def work(net: Net, loop: VirtualLoop) -> None:
         await asyncio.start_server(echo, *THERE)
-        net.way_of = lambda host, address, now: way
+        net.path_delay = lambda host, address, now: way
         async with asyncio.timeout(3):
             await asyncio.open_connection(*THERE)
 
@@ -97,11 +99,11 @@
     async def work(net: Net, loop: VirtualLoop) -> None:
         await asyncio.start_server(echo, *THERE)
         _, writer = await asyncio.open_connection(*THERE)
-        net.way_of = lambda host, address, now: SILENT
+        net.path_delay = lambda host, address, now: SILENT
         writer.write(b"lost")
         writer.close()
         await asyncio.sleep(10)
-        assert net.open_of("world") == 2  # the listener, and the other end, which heard of nothing
+        assert net.count_open("world") == 2  # the listener, and the other end, which heard of nothing
 
     on_net(work)
 
@@ -111,13 +113,13 @@
         accepted: list[Any] = []
         await asyncio.start_server(lambda reader, writer: accepted.append((reader, writer)), *THERE, limit=1)
         _, writer = await asyncio.open_connection(*THERE)
-        writer.write(b"x" * 3 * ROOM)
+        writer.write(b"x" * 3 * BUFFER_BYTES)
         await asyncio.sleep(1)
         left = writer.transport.get_write_buffer_size()
-        assert ROOM <= left < 3 * ROOM
+        assert BUFFER_BYTES <= left < 3 * BUFFER_BYTES
         (reader, _), read = accepted[0], 0
-        while read < 3 * ROOM:
-            read += len(await reader.read(ROOM))
+        while read < 3 * BUFFER_BYTES:
+            read += len(await reader.read(BUFFER_BYTES))
         assert writer.transport.get_write_buffer_size() == 0
 
     on_net(work)
@@ -162,7 +164,7 @@
                     here.recv(1)
             assert here.recv(1) == b"" and there.fileno() == -1
             here.close()
-            assert not net.open_of("there") and not net.open_of("here")
+            assert not net.count_open("there") and not net.count_open("here")
 
     on_net(work)
 
@@ -179,7 +181,7 @@
         there.accept()
         await asyncio.sleep(1.0)
         assert second.up and here.up  # type: ignore[attr-defined]
-        net.most_open["world"] = net.open_of("world")
+        net.descriptor_limits["world"] = net.count_open("world")
         with pytest.raises(OSError, match="open files"):
             socket.socket()
         with pytest.raises(OSError, match="in use"):
