--- a/message_sender/emulator/net.py
+++ b/message_sender/emulator/net.py
@@ -176,7 +176,7 @@
         host: The host that opened it.
         number: Its descriptor.
         name: Its own address.
-        far: The address that was called; the same at the listener's end is the caller's.
+        far: The address of the other end.
         other: The other end; None: there is none, or it is gone.
         unread: Received data that was not read yet.
         in_flight: Sent bytes that have not arrived yet.
