--- a/message_sender/emulator/fuzzing.py
+++ b/message_sender/emulator/fuzzing.py
@@ -1,8 +1,9 @@
-"""Scenarios drawn at random, played and judged; what breaks a rule is cut down and kept as a scenario file.
+"""Fuzzing: plays scenarios drawn at random, and reduces those that violate a rule to small scenario files.
 
-A scenario is told by a mapping, as a file tells it, so that cutting is taking out of it: troubles, incidents,
-bursts and destinations, then rate and length by halves, as long as the same rule still breaks at the same
-seed (delta debugging, as shrink.py has it for lives).
+A scenario is a mapping with the tables of a scenario file, so that reducing it means removing entries from
+it: troubles, incidents, classes, senders and destinations. Then its length and its message rate are halved.
+Each step is kept if the same rule is still violated with the same seed (delta debugging, which shrink.py
+applies to simulated runs).
 """
 
 import copy
@@ -24,16 +25,16 @@
 from message_sender.testbed.history_checker import Violation
 
 TROUBLES = tuple(each.value for each in Trouble)
-#: Sizes that a trouble may have; its own meaning is in receiver.py.
+#: The range of the size of a trouble. What the size means for each trouble is described in receiver.py.
 SIZES = {"errors": (0.2, 1.0), "full": (0.0, 1.5), "slow": (2.0, 20.0), "degrades": (2.0, 40.0)}
-SHARES = (0.2, 1.0)
-LEAST_RATE, LEAST_SECONDS = 5.0, 2.0
+DEFAULT_SIZES = (0.2, 1.0)  # of troubles that are not in SIZES
+MIN_RATE, MIN_SECONDS = 5.0, 2.0  # of a reduced scenario; the rate in messages a second
 
-Told = dict[str, Any]
+ScenarioTables = dict[str, Any]
 
 
-def draw(seed: int) -> Told:
-    """A scenario of ten seconds, decided by its seed alone."""
+def draw(seed: int) -> ScenarioTables:
+    """Returns a random scenario of ten seconds that depends on the seed alone."""
     rng = random.Random(seed)
     count, senders = rng.randint(2, 6), rng.randint(1, 3)
     group = {
@@ -62,125 +63,163 @@
         },
         "fleet": {"senders": senders, "zones": ["a", "b"], "slots": rng.randint(8, 40)},
         "destinations": [group],
-        "troubles": [drawn_trouble(rng, count, senders) for _ in range(rng.randint(0, 4))],
-        "incidents": [drawn_incident(rng, count, senders) for _ in range(rng.randint(0, 4))],
+        "troubles": [draw_trouble(rng, count, senders) for _ in range(rng.randint(0, 4))],
+        "incidents": [draw_incident(rng, count, senders) for _ in range(rng.randint(0, 4))],
     }
 
 
-def drawn_trouble(rng: random.Random, count: int, senders: int) -> Told:
+def draw_trouble(rng: random.Random, count: int, senders: int) -> ScenarioTables:
+    """Returns a random entry of `troubles` for a scenario with `count` destinations."""
     what, at = rng.choice(TROUBLES), rng.uniform(0, 8)
-    told: Told = {"at": round(at, 3), "until": round(at + rng.uniform(0.1, 4), 3), "what": what}
-    told["size"] = round(rng.uniform(*SIZES.get(what, SHARES)), 3)
-    told["destinations"] = sorted(rng.sample(range(count), rng.randint(1, count)))
+    trouble: ScenarioTables = {
+        "at": round(at, 3),
+        "until": round(at + rng.uniform(0.1, 4), 3),
+        "what": what,
+    }
+    trouble["size"] = round(rng.uniform(*SIZES.get(what, DEFAULT_SIZES)), 3)
+    trouble["destinations"] = sorted(rng.sample(range(count), rng.randint(1, count)))
     if rng.random() < 0.2:
-        told["seen_by"] = [rng.randrange(senders)]
+        trouble["seen_by"] = [rng.randrange(senders)]
     elif rng.random() < 0.2:
-        told["zone"] = rng.choice("ab")
-    return told
+        trouble["zone"] = rng.choice("ab")
+    return trouble
+
 
+def draw_incident(rng: random.Random, count: int, senders: int) -> ScenarioTables:
+    """Returns a random entry of `incidents` for a scenario with `count` destinations.
 
-def drawn_incident(rng: random.Random, count: int, senders: int) -> Told:
-    """A disk that takes nothing is not among them: with a kill it loses outcomes, which is the journal's own
-    direction (docs/ROADMAP.md)."""
+    A full disk is never drawn. Together with a kill it loses outcomes, which belongs to the work on the
+    journal (docs/ROADMAP.md).
+    """
     what = rng.choice(("kill", "kill", "kill", "drain", "drain", "empty", "deaf", "pause"))
-    told: Told = {"at": round(rng.uniform(0.5, 9.5), 3), "what": what}
-    told["for_s"] = round(rng.uniform(0.05, 0.3) if what == "pause" else rng.uniform(0.3, 2.5), 3)
+    incident: ScenarioTables = {"at": round(rng.uniform(0.5, 9.5), 3), "what": what}
+    incident["for_s"] = round(rng.uniform(0.05, 0.3) if what == "pause" else rng.uniform(0.3, 2.5), 3)
     if what == "drain":
-        told["destination"] = rng.randrange(count)
+        incident["destination"] = rng.randrange(count)
     elif what not in ("pause", "empty"):
-        told["sender"] = rng.randrange(senders)
+        incident["sender"] = rng.randrange(senders)
     if what == "kill" and rng.random() < 0.6:
-        told["write"] = rng.randint(1, 60)
-    return told
+        incident["write"] = rng.randint(1, 60)
+    return incident
 
 
 @dataclass
 class FuzzResult:
-    """What came of one drawn scenario."""
+    """The result of one drawn scenario."""
 
     seed: int
-    told: Told
+    tables: ScenarioTables
     breaches: list[Violation] = field(default_factory=list)
-    error: str = ""
+    error: str = ""  # the exception that ended the run
     calls: int = 0
     kills: int = 0
 
 
-def one(seed: int, level: str) -> FuzzResult:
-    """Never raises: a run that fails is a finding like any other."""
-    told = draw(seed)
+def run_seed(seed: int, level: str) -> FuzzResult:
+    """Draws and plays the scenario of a seed.
+
+    Never raises: an exception of the run is reported in the result.
+    """
+    tables = draw(seed)
     try:
-        outcomes = play(scenario.read(told), level=level)
+        outcomes = play(scenario.read(tables), level=level)
     except Exception as error:
-        return FuzzResult(seed, told, error=f"{type(error).__name__}: {error}")
+        return FuzzResult(seed, tables, error=f"{type(error).__name__}: {error}")
     figures = outcomes.figures
-    return FuzzResult(seed, told, outcomes.breaches, "", sum(figures.calls.values()), figures.kills)
+    return FuzzResult(seed, tables, outcomes.breaches, "", sum(figures.calls.values()), figures.kills)
 
 
 def hunt(first: int, count: int, processes: int, level: str) -> Iterator[FuzzResult]:
-    """In the order of their seeds."""
+    """Yields the results of `count` seeds from `first` on, in the order of the seeds."""
     seeds = range(first, first + count)
     if processes == 1:
-        yield from map(one, seeds, repeat(level))
+        yield from map(run_seed, seeds, repeat(level))
         return
     with ProcessPoolExecutor(processes, mp_context=get_context("spawn")) as pool:
-        yield from pool.map(one, seeds, repeat(level), chunksize=4)
+        yield from pool.map(run_seed, seeds, repeat(level), chunksize=4)
 
 
-def breaks(told: Told, rule: str, level: str) -> bool:
-    """Whether that rule still breaks; what is no scenario any more, or fails otherwise, is not the same."""
+def violates(tables: ScenarioTables, rule: str, level: str) -> bool:
+    """Returns whether a run of the scenario violates the rule.
+
+    An invalid scenario, or a run that fails with an error, does not count as a violation.
+    """
     try:
-        return any(each.rule == rule for each in play(scenario.read(told), level=level).breaches)
+        return any(each.rule == rule for each in play(scenario.read(tables), level=level).breaches)
     except (ConfigError, RuntimeError, OSError):
         return False
 
 
-def smaller(told: Told) -> Iterator[Told]:
-    """What is left where one thing more is taken out, the largest first."""
+def reduced_scenarios(tables: ScenarioTables) -> Iterator[ScenarioTables]:
+    """Yields copies of the scenario, each reduced in one place.
+
+    First without one trouble, incident, class, sender or destination, then with half the length and half the
+    rate.
+    """
     for name in ("troubles", "incidents"):
-        for at in reversed(range(len(told.get(name, ())))):
-            yield edited(told, lambda new, name=name, at=at: new[name].pop(at))  # type: ignore[misc]
-    for name in list(told["classes"]):
-        yield edited(told, lambda new, name=name: new["classes"].pop(name))  # type: ignore[misc]
-    if told["fleet"]["senders"] > 1:
-        yield edited(told, lambda new: new["fleet"].update(senders=new["fleet"]["senders"] - 1))
-    if (count := told["destinations"][0]["count"]) > 1:
-        yield edited(told, lambda new: new["destinations"][0].update(count=count - 1))
-    if told["seconds"] / 2 >= LEAST_SECONDS:
-        yield edited(told, lambda new: new.update(seconds=new["seconds"] / 2))
-    if told["clients"]["rate"] / 2 >= LEAST_RATE:
-        yield edited(told, lambda new: new["clients"].update(rate=round(new["clients"]["rate"] / 2, 2)))
-
-
-def edited(told: Told, edit: Callable[[Told], Any]) -> Told:
-    new = copy.deepcopy(told)
+        for at in reversed(range(len(tables.get(name, ())))):
+            yield edited(tables, lambda new, name=name, at=at: new[name].pop(at))  # type: ignore[misc]
+    for name in list(tables["classes"]):
+        yield edited(tables, lambda new, name=name: new["classes"].pop(name))  # type: ignore[misc]
+    if tables["fleet"]["senders"] > 1:
+        yield edited(tables, lambda new: new["fleet"].update(senders=new["fleet"]["senders"] - 1))
+    if (count := tables["destinations"][0]["count"]) > 1:
+        yield edited(tables, lambda new: new["destinations"][0].update(count=count - 1))
+    if tables["seconds"] / 2 >= MIN_SECONDS:
+        yield edited(tables, lambda new: new.update(seconds=new["seconds"] / 2))
+    if tables["clients"]["rate"] / 2 >= MIN_RATE:
+        yield edited(tables, lambda new: new["clients"].update(rate=round(new["clients"]["rate"] / 2, 2)))
+
+
+def edited(tables: ScenarioTables, edit: Callable[[ScenarioTables], Any]) -> ScenarioTables:
+    """Returns a deep copy of the scenario after `edit` has changed the copy."""
+    new = copy.deepcopy(tables)
     edit(new)
     return new
 
 
-def cut(told: Told, rule: str, level: str, most: int = 400) -> Told:
-    """The scenario with as little left as this finds in `most` runs. Raises ValueError if that rule does not
-    break in it."""
-    if not breaks(told, rule, level):
-        raise ValueError(f"the rule {rule!r} does not break")
-    found = True
-    while found:
-        found = False
-        for each in smaller(told):
+def cut(tables: ScenarioTables, rule: str, level: str, most: int = 400) -> ScenarioTables:
+    """Reduces a scenario as long as it still violates the rule.
+
+    Args:
+        tables: The scenario.
+        rule: The name of the rule.
+        level: The level of emulation at which the scenario is played.
+        most: The largest number of runs.
+
+    Returns:
+        The smallest scenario found.
+
+    Raises:
+        ValueError: The scenario does not violate the rule.
+    """
+    if not violates(tables, rule, level):
+        raise ValueError(f"the rule {rule!r} does not break in the scenario")
+    reduced = True
+    while reduced:
+        reduced = False
+        for candidate in reduced_scenarios(tables):
             most -= 1
             if most < 0:
-                return told
-            if each["classes"] and breaks(each, rule, level):
-                told, found = each, True
+                return tables
+            if candidate["classes"] and violates(candidate, rule, level):
+                tables, reduced = candidate, True
                 break
-    return told
+    return tables
+
+
+def keep(folder: Path, result: FuzzResult, level: str) -> Path:
+    """Reduces the scenario of a result that violates a rule, and writes it as a scenario file.
 
+    Returns:
+        The path of the file.
 
-def keep(folder: Path, prey: FuzzResult, level: str) -> Path:
-    """Cuts it down and writes it as a scenario file; its path. Raises OSError."""
-    rule = prey.breaches[0].rule
-    told = cut(prey.told, rule, level) | {"about": f"The rule {rule!r} breaks at the level of {level}."}
+    Raises:
+        OSError: The file cannot be written.
+    """
+    rule = result.breaches[0].rule
+    tables = cut(result.tables, rule, level) | {"about": f"The rule {rule!r} breaks at the level of {level}."}
     folder.mkdir(parents=True, exist_ok=True)
-    file = folder / f"{rule.replace(' ', '-')}-{prey.seed}.toml"
-    file.write_text(tomli_w.dumps(told))
+    file = folder / f"{rule.replace(' ', '-')}-{result.seed}.toml"
+    file.write_text(tomli_w.dumps(tables))
     return file
--- a/message_sender/emulator/scenario.py
+++ b/message_sender/emulator/scenario.py
@@ -1,7 +1,8 @@
-"""Scenario files: what a fleet of senders lives through, in TOML, checked whole.
+"""Scenario files in TOML: the load, the fleet, the destinations, and the faults of an emulated run.
 
-Times are seconds of the emulated clock, rates messages or calls a second; units stand in the names. Every
-fault of a file is named at once, with its path. The form is in docs/operate/emulator.md.
+Times are in seconds of the emulated clock, rates in messages or calls a second; the units of other values
+are in their names. All faults of a file are reported together, each with its path. The format is described
+in docs/operate/emulator.md.
 """
 
 from collections.abc import Mapping
@@ -26,21 +27,28 @@
 Positive = Annotated[float, number_between(1e-6, 2_592_000)]
 Rate = Annotated[float, number_between(1e-9, 100_000)]
 Count = Annotated[int, number_between(1, 100_000)]
-SECOND = 1_000_000  # us
+SECOND_US = 1_000_000
 
 
 class ClassTable(Table):
+    """A message class."""
+
     effect: Literal["safe", "keyed", "unsafe"] = "safe"
-    aim_s: Positive = 2.0
+    aim_s: Positive = 2.0  # the latency objective: a message delivered within it earns its full weight
     deadline_s: Positive = 8.0
-    window_s: Seconds = 0.0
-    in_order: bool = False
-    share: Positive = 1.0  # of the messages, against the other classes
-    worth: Annotated[float, number_between(0, 1e12)] = 1.0
-    late_worth: Fraction = 0.3
+    window_s: Seconds = 0.0  # the idempotency window of a keyed class
+    in_order: bool = False  # messages with the same ordering key are sent one at a time, in order
+    share: Positive = 1.0  # of the messages, relative to the shares of the other classes
+    worth: Annotated[float, number_between(0, 1e12)] = 1.0  # the weight of a message
+    late_worth: Fraction = 0.3  # the fraction of the weight that is left at the deadline
 
     @model_validator(mode="after")
     def consistent(self) -> Self:
+        """Rejects values that contradict each other.
+
+        Raises:
+            ValueError: The text names the field.
+        """
         if self.aim_s > self.deadline_s:
             raise ValueError("aim_s: must be no more than deadline_s")
         if self.effect == "keyed" and not self.window_s:
@@ -49,12 +57,17 @@
 
 
 class TenantTable(Table):
-    share: Positive = 1.0  # of the messages, against the other tenants
-    quota: Annotated[float, number_between(0, 1e12)] = 0.0  # messages a second within its share; 0: no quota
+    """A tenant."""
+
+    share: Positive = 1.0  # of the messages, relative to the shares of the other tenants
+    quota: Annotated[float, number_between(0, 1e12)] = 0.0  # messages a second, over all senders; 0: none
 
 
 class Burst(Table):
-    """The rate is `times` as high from `at` until `until`; for one tenant or destination if it names one."""
+    """A period in which the message rate is `times` the usual rate.
+
+    It applies to one tenant, to one destination, or to all messages if neither is given.
+    """
 
     at: Seconds
     until: Positive
@@ -64,33 +77,37 @@
 
 
 class Clients(Table):
-    rate: Rate = 50.0
+    """The clients that hand in messages."""
+
+    rate: Rate = 50.0  # messages a second
     bursts: tuple[Burst, ...] = ()
-    patience_s: Positive = 1.0  # for an answer that says whether it is taken on
-    retries: Annotated[int, number_between(0, 100)] = 2  # after it was turned away, or nobody answered
-    honours: Literal["told", "ignores"] = "told"
-    backoff_s: Seconds = 0.5  # where no time is told, or it is ignored
-    keys: Annotated[int, number_between(1, 1_000_000)] = 50
-    zipf: Annotated[float, number_between(0, 5)] = 0.8  # of the destinations' popularity; 0: all alike
+    patience_s: Positive = 1.0  # how long a client waits for a sender's answer
+    retries: Annotated[int, number_between(0, 100)] = 2  # after a rejection or a missing answer
+    honours: Literal["told", "ignores"] = "told"  # told: clients wait for the Retry-After of an answer
+    backoff_s: Seconds = 0.5  # without a Retry-After, or where it is ignored; doubles with each retry
+    keys: Annotated[int, number_between(1, 1_000_000)] = 50  # ordering keys of each destination
+    zipf: Annotated[float, number_between(0, 5)] = 0.8  # exponent of the destinations' popularity; 0: equal
 
 
 class Fleet(Table):
+    """The senders and their settings."""
+
     senders: Annotated[int, number_between(1, 64)] = 1
-    zones: tuple[str, ...] = ("a",)  # of the senders, in turn
-    slots: Count = 40
-    max_open: Count = 400
-    max_attempts: Annotated[int, number_between(1, 100)] = 6
-    disk_mb: Positive = 3.0
-    told_rates: bool = False  # the list tells what each destination takes
-    key_rest_s: Seconds = 0.1
-    grace_s: Seconds = 0.5  # of a drain
-    budget_span_s: Seconds = 0.0  # told rates are budgets that all share, over such a span; 0: no budgets
-    link_loss: Annotated[float, number_between(0, 1)] = 0.0  # of what senders say to one another
-    max_retry_after_s: Seconds = 2.0
+    zones: tuple[str, ...] = ("a",)  # assigned to the senders round robin
+    slots: Count = 40  # maximum number of calls in flight, of each sender
+    max_open: Count = 400  # maximum number of messages that a sender has accepted and not completed
+    max_attempts: Annotated[int, number_between(1, 100)] = 6  # of one message
+    disk_mb: Positive = 3.0  # disk space of each sender's journal
+    told_rates: bool = False  # the endpoint list contains the rate that each destination accepts
+    key_rest_s: Seconds = 0.1  # pause of a key after an attempt with an unknown result
+    grace_s: Seconds = 0.5  # how long after the announcement of a drain a new call is tolerated
+    budget_span_s: Seconds = 0.0  # window of the budgets that all senders share; 0: no budgets
+    link_loss: Annotated[float, number_between(0, 1)] = 0.0  # share of the messages lost between senders
+    max_retry_after_s: Seconds = 2.0  # longest Retry-After that a sender suggests
 
 
 class Network(Table):
-    """One way; `jitter` is the most that a way takes longer, as a share."""
+    """One-way network delays. `jitter` is the largest extra delay, as a share of the delay."""
 
     same_zone_ms: Seconds = 1.0
     cross_zone_ms: Seconds = 8.0
@@ -98,18 +115,29 @@
 
 
 class ServiceTable(Table):
+    """The distribution of a destination's service times."""
+
     mean_ms: Positive = 60.0
     spread: Literal["constant", "exponential", "lognormal", "pareto"] = "lognormal"
-    cv: Positive = 0.5
+    cv: Positive = 0.5  # lognormal: the coefficient of variation; pareto: the index
 
     @model_validator(mode="after")
     def consistent(self) -> Self:
+        """Rejects values that contradict each other.
+
+        Raises:
+            ValueError: The text names the field.
+        """
         if self.spread == "pareto" and self.cv <= 1:
-            raise ValueError("cv: must be above 1 for pareto, whose index it is: there is no mean else")
+            raise ValueError(
+                "cv: must be above 1 for pareto, where it is the index: the mean is infinite otherwise"
+            )
         return self
 
 
 class LimitTable(Table):
+    """The rate limit of a destination; receiver.Limit describes the values."""
+
     rate: Rate
     span_s: Seconds = 0.0
     burst: Positive = 1.0
@@ -119,14 +147,14 @@
 
 
 class Destinations(Table):
-    """`count` destinations alike."""
+    """A group of `count` identical destinations; receiver.Terms describes the values of their capacity."""
 
     count: Count = 1
     endpoints: Annotated[int, number_between(1, 64)] = 1
-    zones: tuple[str, ...] = ("a",)  # of the endpoints, in turn
-    apart: bool = False
+    zones: tuple[str, ...] = ("a",)  # assigned to the endpoints round robin
+    apart: bool = False  # each endpoint is a separate route, with its own limit and outages
     popularity: Annotated[float, number_between(0, 1e12)] = (
-        1.0  # of each, besides the clients' zipf; 0: gets no message
+        1.0  # of each destination, before the clients' zipf is applied; 0: it gets no messages
     )
     service: ServiceTable = ServiceTable()
     workers: Count = 4
@@ -139,6 +167,7 @@
     fallen_s: Seconds = 0.0
 
     def terms(self) -> Terms:
+        """Returns the parameters of the group's receivers."""
         service = Service(self.service.mean_ms / 1e3, Spread(self.service.spread), self.service.cv)
         limit = Limit(**self.limit.model_dump()) if self.limit else None
         return Terms(
@@ -148,46 +177,61 @@
 
 
 class TroubleTable(Table):
+    """A fault of destinations from `at` until `until`; receiver.Trouble describes its kinds and sizes."""
+
     at: Seconds
     until: Positive
     what: Literal[
         "shut", "silent", "hangs", "errors", "full", "slow", "degrades", "spoilt", "resets", "limit"
     ]
     size: Annotated[float, number_between(0, 1e12)] = 1.0
-    destinations: tuple[int, ...] = ()  # by number; none: all
-    zone: str = ""  # only endpoints there
-    seen_by: tuple[int, ...] = ()  # senders, by number; none: all
-    every_s: Seconds = 0.0  # it comes again after so long, to the end; 0: once
+    destinations: tuple[int, ...] = ()  # numbers of the affected destinations; empty: all
+    zone: str = ""  # the fault affects only endpoints in this zone; empty: in all zones
+    seen_by: tuple[int, ...] = ()  # numbers of the affected senders; empty: all
+    every_s: Seconds = 0.0  # the period with which the fault recurs until the end of the run; 0: once
 
     @model_validator(mode="after")
     def consistent(self) -> Self:
+        """Rejects values that contradict each other.
+
+        Raises:
+            ValueError: The text names the field.
+        """
         if self.until <= self.at:
             raise ValueError("until: must be later than at")
         if self.every_s and self.every_s <= self.until - self.at:
-            raise ValueError("every_s: must be longer than the trouble itself")
+            raise ValueError("every_s: must be longer than the trouble itself (until - at)")
         return self
 
     def phases(self, end: float) -> list[Phase]:
-        seen = frozenset(f"n{each}" for each in self.seen_by)
-        found, later = [], 0.0
-        while self.at + later < end:
-            found.append(
-                Phase(self.at + later, self.until + later, Trouble(self.what), self.size, seen, self.zone)
+        """Returns the fault's occurrences that begin before `end`, in seconds."""
+        senders = frozenset(f"n{number}" for number in self.seen_by)
+        phases, offset = [], 0.0
+        while self.at + offset < end:
+            phases.append(
+                Phase(
+                    self.at + offset, self.until + offset, Trouble(self.what), self.size, senders, self.zone
+                )
             )
             if not self.every_s:
                 break
-            later += self.every_s
-        return found
+            offset += self.every_s
+        return phases
 
 
 class Incident(Table):
-    """What happens to senders, the list of endpoints and the network.
-
-    `kill`: SIGKILL of `sender` (none: all), up again after `for_s`; the `write`-th record after `at` is the
-    moment, where that is above 0. `drain`: endpoints of `destination` drain, and others stand in for them
-    after `for_s`. `empty`: the list told is empty for `for_s`. `deaf`: senders hear nothing of the list.
-    `full_disk`: the disk of `sender` takes nothing. `clock`: the wall clock of `sender` is set by `by_s` at
-    its next start. `pause`: no process has a core; at the level of bytes the network goes on meanwhile.
+    """A fault of senders, of the endpoint list or of the machine at the time `at`.
+
+    Without `sender`, an incident that concerns senders affects all of them. Values of `what`:
+
+    - `kill`: the sender is killed (SIGKILL) and starts again after `for_s`. With `write` above 0 it is killed
+      not at `at` but while it writes the `write`-th journal record after it.
+    - `drain`: the endpoints of `destination` drain and are replaced by new ones after `for_s`.
+    - `empty`: the endpoint list is empty for `for_s`.
+    - `deaf`: the sender receives no endpoint lists for `for_s`.
+    - `full_disk`: the sender's disk accepts no data for `for_s`.
+    - `clock`: the sender's wall clock is shifted by `by_s` from its next start on.
+    - `pause`: no process runs for `for_s`. At the level of bytes the network continues meanwhile.
     """
 
     at: Seconds
@@ -200,23 +244,27 @@
 
 
 class Lists(Table):
-    delay_s: Seconds = 0.5  # from a change to when a sender hears of it
-    spread_s: Seconds = 0.2  # the most that one sender hears of it later than another
+    """How endpoint lists reach the senders."""
+
+    delay_s: Seconds = 0.5  # from a change until the first sender receives it
+    spread_s: Seconds = 0.2  # from the first sender that receives it until the last
 
 
 class Expect(Table):
-    """What a run of the sender in this scenario is to reach."""
+    """The required result of a run with the sender's own policy."""
 
-    goodput: Fraction = 0.0  # worth delivered in time over worth asked for
-    breaches: Annotated[int, number_between(0, 1e12)] = 0
+    goodput: Fraction = 0.0  # minimum of the weight earned, divided by the weight of all messages
+    breaches: Annotated[int, number_between(0, 1e12)] = 0  # maximum number of violations
 
 
 class Scenario(Table):
+    """A scenario file."""
+
     title: str
-    about: str  # what happens
-    source: str = ""  # where such a thing is described publicly
+    about: str  # what happens in the scenario
+    source: str = ""  # a publication that describes such a situation
     good: str = ""  # what a good sender does
-    seconds: Annotated[float, Field(gt=0, le=2_592_000)] = 30.0  # in which messages come
+    seconds: Annotated[float, Field(gt=0, le=2_592_000)] = 30.0  # the period in which messages arrive
     seed: Annotated[int, number_between(0, 1e12)] = 1
     classes: dict[str, ClassTable] = Field(default_factory=lambda: {"command": ClassTable()})
     tenants: dict[str, TenantTable] = Field(default_factory=dict)
@@ -231,56 +279,62 @@
 
     @model_validator(mode="after")
     def consistent(self) -> Self:
-        """What contradicts across tables."""
-        wrong = [text for text in self.contradictions() if text]
-        if wrong:
-            raise ValueError("\n".join(wrong))
+        """Rejects tables that contradict each other.
+
+        Raises:
+            ValueError: The text has one line for each contradiction.
+        """
+        faults = [text for text in self.find_contradictions() if text]
+        if faults:
+            raise ValueError("\n".join(faults))
         return self
 
-    def contradictions(self) -> list[str]:
+    def find_contradictions(self) -> list[str]:
+        """Returns the contradictions between tables, each as a path and a text."""
         count = sum(each.count for each in self.destinations)
-        found = ["destinations: must name at least one"] if not count else []
-        found += ["classes: must name at least one"] if not self.classes else []
+        faults = ["destinations: must name at least one"] if not count else []
+        faults += ["classes: must name at least one"] if not self.classes else []
         if not any(each.popularity for each in self.destinations):
-            found.append("destinations: none of them gets messages")
+            faults.append("destinations: none of them gets messages")
         for number, trouble in enumerate(self.troubles):
-            found += [
+            faults += [
                 f"troubles[{number}].destinations: there is no destination {each}"
                 for each in trouble.destinations
                 if each >= count
             ]
-            found += [
+            faults += [
                 f"troubles[{number}].seen_by: there is no sender {each}"
                 for each in trouble.seen_by
                 if each >= self.fleet.senders
             ]
         for number, incident in enumerate(self.incidents):
-            found += self.unfit(number, incident, count)
+            faults += self.find_incident_faults(number, incident, count)
         for number, burst in enumerate(self.clients.bursts):
             if burst.until <= burst.at:
-                found.append(f"clients.bursts[{number}].until: must be later than at")
+                faults.append(f"clients.bursts[{number}].until: must be later than at")
             if burst.tenant and burst.tenant not in self.tenants:
-                found.append(f"clients.bursts[{number}].tenant: there is no tenant {burst.tenant!r}")
-        return found
+                faults.append(f"clients.bursts[{number}].tenant: there is no tenant {burst.tenant!r}")
+        return faults
 
-    def unfit(self, number: int, incident: Incident, count: int) -> list[str]:
-        found, at = [], f"incidents[{number}]"
+    def find_incident_faults(self, number: int, incident: Incident, count: int) -> list[str]:
+        """Returns the faults of incident `number` in a scenario with `count` destinations."""
+        faults, path = [], f"incidents[{number}]"
         if incident.sender is not None and incident.sender >= self.fleet.senders:
-            found.append(f"{at}.sender: there is no sender {incident.sender}")
+            faults.append(f"{path}.sender: there is no sender {incident.sender}")
         if incident.destination is not None and incident.destination >= count:
-            found.append(f"{at}.destination: there is no destination {incident.destination}")
+            faults.append(f"{path}.destination: there is no destination {incident.destination}")
         if incident.what == "drain" and incident.destination is None:
-            found.append(f"{at}.destination: a drain needs one")
-        return found
+            faults.append(f"{path}.destination: a drain needs a destination")
+        return faults
 
     def settings(self, sender: int) -> Settings:
-        """What that sender is told."""
-        fleet, clients = self.fleet, self.tenants
-        cold = max((each.cold_s for each in self.destinations), default=0) or 10.0
+        """Returns the policy settings of the sender with this number."""
+        fleet, tenants = self.fleet, self.tenants
+        slow_start_s = max((each.cold_s for each in self.destinations), default=0) or 10.0
         classes = tuple(
             MessageClass(
-                name, int(each.aim_s * SECOND), int(each.deadline_s * SECOND), each.worth, each.late_worth,
-                Effect(each.effect), int(each.window_s * SECOND), False, each.in_order,
+                name, int(each.aim_s * SECOND_US), int(each.deadline_s * SECOND_US), each.worth,
+                each.late_worth, Effect(each.effect), int(each.window_s * SECOND_US), False, each.in_order,
             )
             for name, each in self.classes.items()
         )  # fmt: skip
@@ -293,44 +347,60 @@
             zone=fleet.zones[sender % len(fleet.zones)],
             tick=5_000,
             fleet_size=fleet.senders,
-            tenants=tuple((name, each.quota) for name, each in clients.items() if each.quota),
+            tenants=tuple((name, each.quota) for name, each in tenants.items() if each.quota),
             announces_rates=fleet.told_rates,
             must_poll=True,
-            max_retry_after=int(fleet.max_retry_after_s * SECOND),
-            slow_start=int(cold * SECOND),
+            max_retry_after=int(fleet.max_retry_after_s * SECOND_US),
+            slow_start=int(slow_start_s * SECOND_US),
             slow_start_from=min(each.cold_from for each in self.destinations),
             fall_multiple=min(each.push for each in self.destinations),
-            key_pause=int(fleet.key_rest_s * SECOND),
-            drain_grace=int(fleet.grace_s * SECOND),
+            key_pause=int(fleet.key_rest_s * SECOND_US),
+            drain_grace=int(fleet.grace_s * SECOND_US),
             acknowledges_completions=True,
         )
 
 
-def read(told: Mapping[str, Any]) -> Scenario:
-    """Raises ConfigError with all faults."""
-    return validate_table(Scenario, told)
+def read(tables: Mapping[str, Any]) -> Scenario:
+    """Returns the scenario that the tables of a file describe.
+
+    Raises:
+        ConfigError: The tables are not a valid scenario; it contains all faults.
+    """
+    return validate_table(Scenario, tables)
 
 
 def load(path: Path) -> Scenario:
-    """Raises ConfigError, also where the file is no TOML, and OSError."""
+    """Returns the scenario of a file.
+
+    Raises:
+        ConfigError: The file is not TOML, or not a valid scenario.
+        OSError: The file cannot be read.
+    """
     return read(parse(path))
 
 
 def changed(scenario: Scenario, changes: Mapping[str, Any]) -> Scenario:
-    """The scenario with other values at dotted paths, such as `fleet.senders` or `destinations.0.workers`.
-    Raises ConfigError where a path or a value does not fit."""
-    told = scenario.model_dump()
+    """Returns the scenario with other values.
+
+    Args:
+        scenario: The scenario, which stays unchanged.
+        changes: New values by dotted path, such as `fleet.senders` or `destinations.0.workers`.
+
+    Raises:
+        ConfigError: A path is not in the scenario, or a value is not valid there.
+    """
+    tables = scenario.model_dump()
     for path, value in changes.items():
-        *way, last = path.split(".")
-        at: Any = told
+        *parents, last = path.split(".")
+        table: Any = tables
         try:
-            for step in way:
-                at = at[int(step)] if isinstance(at, list | tuple) else at[step]
-            if isinstance(at, tuple | list):
+            for key in parents:
+                table = table[int(key)] if isinstance(table, list | tuple) else table[key]
+            if isinstance(table, tuple | list):
                 raise KeyError(last)
-            if last not in at:
+            if last not in table:
                 raise KeyError(last)
-            at[last] = value
+            table[last] = value
         except (KeyError, IndexError, TypeError, ValueError):
             raise ConfigError([ConfigFault(path, "is not in the scenario")]) from None
-    return read(told)
+    return read(tables)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -188,7 +188,7 @@
         ({"troubles": [{"at": 1, "until": 2, "what": "shut", "destinations": [4]}]}, "no destination 4"),
         ({"troubles": [{"at": 1, "until": 2, "what": "shut", "seen_by": [1]}]}, "no sender 1"),
         ({"incidents": [{"at": 1, "what": "kill", "sender": 2}]}, "no sender 2"),
-        ({"incidents": [{"at": 1, "what": "drain"}]}, "a drain needs one"),
+        ({"incidents": [{"at": 1, "what": "drain"}]}, "a drain needs a destination"),
         ({"clients": {"bursts": [{"at": 1, "until": 2, "times": 2, "tenant": "x"}]}}, "no tenant 'x'"),
     ],
 )
