--- a/message_sender/emulator/receiver.py
+++ b/message_sender/emulator/receiver.py
@@ -1,18 +1,18 @@
-"""What a destination does with the calls it gets: a model, free of I/O.
-
-A destination has workers and a queue, a limit or none, and troubles that come and go. Times are seconds of
-the emulated clock, rates are calls a second.
-
-- *Service.* `workers` calls are served at once; one more waits in a queue of `queue` places, beyond which it
-  is refused as full (a G/G/c/K station; Gross and others, "Fundamentals of Queueing Theory", ch. 1).
-- *Limit.* A count in each span of a fixed length, or a token bucket (RFC 2697 calls its size the burst). A
-  refused call may use the limit up too; `carried` of a span's room at the most may go to calls that were
-  refused in the one before.
-- *Cold.* After an outage a destination does `cold_from` of what it can, and grows evenly to all of it within
-  `cold_s` seconds: empty caches, connections to be made anew.
-- *Pushed over.* Sent more than `push` times what it can take at that moment for `push_s` seconds, it falls
-  over and is down for `fallen_s`. That is how a herd at the return makes a second outage of the first
-  (Bronson and others, "Metastable Failures in Distributed Systems", HotOS 2021).
+"""Model of a destination: what becomes of the calls that it receives. Free of I/O.
+
+A destination has workers, a queue, an optional rate limit, and faults ("troubles") at given times. Times are
+in seconds of the emulated clock, rates in calls a second.
+
+- *Service.* `workers` calls are served at a time and `queue` calls wait; further calls are rejected as full
+  (a G/G/c/K station; Gross and others, "Fundamentals of Queueing Theory", ch. 1).
+- *Limit.* A maximum number of calls in each window of fixed length, or a token bucket (RFC 2697 calls its
+  size the burst). Rejected calls may count against the limit, too. Calls rejected in one window may use up
+  at most the share `carried` of the next one.
+- *Slow start.* After an outage a destination has the share `cold_from` of its capacity, which grows linearly
+  to all of it within `cold_s` seconds: its caches are empty, and connections must be established again.
+- *Overload.* If a destination that is still warming up receives more than `push` times its current capacity
+  over `push_s` seconds, it fails and is down for `fallen_s`. In this way the load that returns after one
+  outage causes a second one (Bronson and others, "Metastable Failures in Distributed Systems", HotOS 2021).
 """
 
 import heapq
@@ -28,7 +28,7 @@
 NEVER = math.inf
 NORMAL = NormalDist()
 
-#: What a receiver knows of the execution of a call, by its outcome.
+#: Whether a call had its effect, as far as its outcome shows.
 EFFECT_BY_OUTCOME = {
     Outcome.OK: EffectApplied.YES,
     Outcome.ERROR: EffectApplied.YES,
@@ -39,7 +39,7 @@
 
 
 class Spread(Enum):
-    """How the times of service are distributed round their mean."""
+    """Distribution of the service times around their mean."""
 
     CONSTANT = "constant"
     EXPONENTIAL = "exponential"
@@ -49,12 +49,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Service:
+    """Distribution of the service times of calls, in seconds."""
+
     mean_s: float
     spread: Spread = Spread.EXPONENTIAL
     cv: float = 1.0
 
     def seconds(self, share: float) -> float:
-        """The time below which `share` (0 to 1) of all calls stay: the inverse of the distribution."""
+        """Returns a quantile: the service time that the given share of calls, 0 to 1, does not exceed."""
         share = min(max(share, 1e-9), 1 - 1e-9)
         match self.spread:
             case Spread.CONSTANT:
@@ -65,31 +67,41 @@
                 sigma = math.sqrt(math.log1p(self.cv**2))
                 return self.mean_s * math.exp(sigma * NORMAL.inv_cdf(share) - sigma**2 / 2)
             case Spread.PARETO:
-                least = self.mean_s * (self.cv - 1) / self.cv
-                return float(least * (1 - share) ** (-1 / self.cv))
+                minimum = self.mean_s * (self.cv - 1) / self.cv
+                return float(minimum * (1 - share) ** (-1 / self.cv))
 
 
 class Trouble(Enum):
+    """Kinds of faults; `size` is the size of the phase."""
+
     SHUT = "shut"  # connections are refused
-    SILENT = "silent"  # connections are not answered at all
-    HANGS = "hangs"  # takes calls and answers none
-    ERRORS = "errors"  # `size` is the share of calls that fail, quickly
-    FULL = "full"  # refuses all with a wait of `size` s; 0: without
-    SLOW = "slow"  # `size` times as slow
-    DEGRADES = "degrades"  # slower and slower, `size` times at its end
-    SPOILT = "spoilt"  # `size` is the share of answers that cannot be read, of calls that ran
-    RESETS = "resets"  # `size` is the share of calls whose connection breaks after the last byte
-    LIMIT = "limit"  # its limit is `size` times as high
-
-
-#: Troubles after which a destination is cold.
+    SILENT = "silent"  # connection attempts get no answer
+    HANGS = "hangs"  # calls are accepted and never answered
+    ERRORS = "errors"  # `size` is the share of calls that fail quickly
+    FULL = "full"  # all calls are rejected, with a Retry-After of `size` s; 0: without one
+    SLOW = "slow"  # service times are `size` times as long
+    DEGRADES = "degrades"  # service times grow linearly to `size` times their length at the end
+    SPOILT = "spoilt"  # `size` is the share of executed calls whose answer is malformed
+    RESETS = "resets"  # `size` is the share of calls whose connection is reset after the last byte
+    LIMIT = "limit"  # the rate limit is multiplied by `size`
+
+
+#: Faults after which a destination goes through its slow start.
 OUTAGES = frozenset({Trouble.SHUT, Trouble.SILENT, Trouble.HANGS, Trouble.FULL})
 
 
 @dataclass(frozen=True, slots=True)
 class Phase:
-    """A trouble from `at` until `until`. `seen_by` names the senders for which alone it is so, `zone` where
-    alone; none: all."""
+    """A fault from `at` until `until`.
+
+    Attributes:
+        at: When it begins, in seconds.
+        until: When it ends, in seconds; not included.
+        what: The kind of fault.
+        size: Its size; `Trouble` says what it means for each kind.
+        seen_by: Names of the affected senders; empty for all.
+        zone: Zone of the affected endpoints; empty for all.
+    """
 
     at: float
     until: float
@@ -99,57 +111,96 @@
     zone: str = ""
 
     def is_outage(self) -> bool:
-        """Of the whole destination, for everybody: what leaves some endpoints or senders served does not make
-        it cold."""
+        """Returns whether the whole destination is out of service.
+
+        A fault that leaves some endpoints or senders served is none: the destination keeps warm.
+        """
         return self.what in OUTAGES and not self.zone and not self.seen_by
 
     def holds(self, now: float, sender: str, zone: str) -> bool:
-        here = not self.zone or zone == self.zone
-        return here and self.at <= now < self.until and (not self.seen_by or sender in self.seen_by)
+        """Returns whether the fault affects a call of a sender to an endpoint in a zone now."""
+        is_in_zone = not self.zone or zone == self.zone
+        return is_in_zone and self.at <= now < self.until and (not self.seen_by or sender in self.seen_by)
 
 
 @dataclass(frozen=True, slots=True)
 class Limit:
-    rate: float  # calls a second
-    span_s: float = 0.0  # a count in each span of that length; 0: a token bucket
-    burst: float = 1.0  # tokens that a bucket holds
-    refused_count: bool = False  # a refused call uses the limit up too
-    carried: float = 0.0  # share of a span's room that calls refused in the one before may use up
-    tells: float = 0.0  # share of the refusals that tell how long to wait
+    """A rate limit.
+
+    Attributes:
+        rate: Calls a second.
+        span_s: Length of the windows in which calls are counted, in seconds; 0 for a token bucket.
+        burst: Size of the token bucket, in calls.
+        refused_count: A rejected call counts against the limit, too.
+        carried: Largest share of a window that calls rejected in the previous window use up.
+        tells: Share of the rejections that have a Retry-After.
+    """
+
+    rate: float
+    span_s: float = 0.0
+    burst: float = 1.0
+    refused_count: bool = False
+    carried: float = 0.0
+    tells: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class Terms:
+    """The parameters of a destination.
+
+    Attributes:
+        service: Distribution of its service times.
+        workers: Number of calls that it serves at a time.
+        queue: Number of calls that may wait.
+        limit: Its rate limit.
+        cold_s: Length of its slow start in seconds; 0 for none.
+        cold_from: Share of its capacity at the beginning of the slow start.
+        push: Multiple of its current capacity above which it fails while it warms up.
+        push_s: Period over which that load is measured, in seconds.
+        fallen_s: How long it is down after such a failure, in seconds; 0 if it never fails of overload.
+    """
+
     service: Service = Service(0.05)
     workers: int = 4
     queue: int = 16
     limit: Limit | None = None
-    cold_s: float = 0.0  # 0: it is never cold
+    cold_s: float = 0.0
     cold_from: float = 0.2
     push: float = 2.0
     push_s: float = 1.5
-    fallen_s: float = 0.0  # how long it is down once it was pushed over; 0: it is never pushed over
+    fallen_s: float = 0.0
 
     def capacity(self) -> float:
-        """Calls a second that it can take when it is warm, in the mean."""
-        able = self.workers / self.service.mean_s
-        return min(able, self.limit.rate) if self.limit else able
+        """Returns the mean number of calls a second that it can serve when it is warm."""
+        service_rate = self.workers / self.service.mean_s
+        return min(service_rate, self.limit.rate) if self.limit else service_rate
 
 
 @dataclass(frozen=True, slots=True)
 class Fate:
-    """What becomes of a call: its outcome after so many seconds, None for never, and the wait it tells."""
+    """What becomes of a call.
+
+    Attributes:
+        outcome: Its outcome.
+        after: Seconds until the outcome; None if there is no answer.
+        wait: The Retry-After in seconds; 0 for none.
+        connected: The connection was established.
+        ran: The call is executed, now or later.
+    """
 
     outcome: Outcome
     after: float | None
     wait: float = 0.0
-    connected: bool = True  # False: its connection never came up
-    ran: bool = False  # it has, or will have, its effect
+    connected: bool = True
+    ran: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class ReceiverRandom:
-    """A call's own draws, each from 0 to 1: the same for the same call whatever a sender did before."""
+    """The random numbers of one call, each from 0 to 1.
+
+    They belong to the call, so that they do not depend on what a sender did before.
+    """
 
     service: float
     trouble: float
@@ -158,15 +209,29 @@
 
 @dataclass(frozen=True, slots=True)
 class Fall:
-    """It was pushed over."""
+    """A failure by overload.
+
+    Attributes:
+        at: When it happened, in seconds.
+        pushed_by: The sender of each call in the period that exceeded the allowed load.
+    """
 
     at: float
-    pushed_by: tuple[str, ...]  # the sender of each call that did it
+    pushed_by: tuple[str, ...]
 
 
 @dataclass
 class Receiver:
-    """One destination, or one route of one whose endpoints are apart."""
+    """A destination, or one endpoint of a destination whose endpoints are separate routes.
+
+    Attributes:
+        terms: Its parameters.
+        phases: Its faults.
+        served: Number of calls that it served.
+        refused: Number of calls that it rejected as full.
+        falls: Its failures by overload.
+        came: Time and sender of each call in the last `push_s` seconds.
+    """
 
     terms: Terms
     phases: list[Phase] = field(default_factory=list)
@@ -175,33 +240,47 @@
     falls: list["Fall"] = field(default_factory=list)
 
     def __post_init__(self) -> None:
-        self.busy = [0.0] * self.terms.workers  # a heap: when each worker is free
-        self.begins: deque[float] = deque()  # of calls that still wait, when they begin
-        self.span, self.counted, self.turned_away = -1, 0.0, 0  # of the limit: the span and what it took
-        self.tokens, self.filled = self.terms.limit.burst if self.terms.limit else 0.0, 0.0
-        self.came: deque[tuple[float, str]] = deque()  # calls of the last `push_s`, and whose
+        """Creates an idle receiver with a full token bucket."""
+        self.worker_free_at = [0.0] * self.terms.workers  # a heap
+        self.service_starts: deque[float] = deque()  # of the calls in the queue
+        self.window, self.window_count, self.window_rejections = -1, 0.0, 0  # of a limit with windows
+        self.tokens, self.refilled_at = self.terms.limit.burst if self.terms.limit else 0.0, 0.0
+        self.came: deque[tuple[float, str]] = deque()
         self.down_until = 0.0
 
     def trouble(self, now: float, sender: str, zone: str = "") -> Phase | None:
-        """The one that binds: an outage before anything else, and the latest begun of alike ones."""
-        found = [each for each in self.phases if each.holds(now, sender, zone)]
-        return max(found, key=lambda each: (each.what in OUTAGES, each.at)) if found else None
+        """Returns the fault that decides the result of a call now, or None.
+
+        Outages come before other faults; among equals, the one that began last decides.
+        """
+        active = [each for each in self.phases if each.holds(now, sender, zone)]
+        return max(active, key=lambda each: (each.what in OUTAGES, each.at)) if active else None
 
     def cold_since(self, now: float) -> float:
-        """When the last outage of all of it ended; -inf for none."""
+        """Returns when the last outage of the whole destination ended; -inf if there was none."""
         ends = [each.until for each in self.phases if each.is_outage() and each.until <= now]
-        return max([*ends, *(fell.at + self.terms.fallen_s for fell in self.falls)], default=-NEVER)
+        return max([*ends, *(fall.at + self.terms.fallen_s for fall in self.falls)], default=-NEVER)
 
     def warmth(self, now: float) -> float:
-        """The share of its capacity that it has now."""
+        """Returns the share of its capacity that it has now."""
         since = now - self.cold_since(now)
         if not self.terms.cold_s or since >= self.terms.cold_s:
             return 1.0
         return self.terms.cold_from + (1 - self.terms.cold_from) * max(since, 0.0) / self.terms.cold_s
 
-    def call(self, now: float, sender: str, luck: ReceiverRandom, zone: str = "") -> Fate:
-        """A call's last byte has come, or its connection was asked for, at `now`; times do not go back.
-        `zone` is that of the endpoint which it came to."""
+    def call(self, now: float, sender: str, draws: ReceiverRandom, zone: str = "") -> Fate:
+        """Decides what becomes of a call.
+
+        Args:
+            now: When its last byte arrived, or when its connection was requested, in seconds. Must not
+                decrease from one call to the next.
+            sender: The name of its sender.
+            draws: Its random numbers.
+            zone: The zone of its endpoint.
+
+        Returns:
+            The result of the call, also when it comes later.
+        """
         phase = self.trouble(now, sender, zone)
         what = phase.what if phase else None
         if now < self.down_until or what is Trouble.SHUT:
@@ -215,14 +294,14 @@
         if phase and what is Trouble.FULL:
             self.refused += 1
             return Fate(Outcome.FULL, 0.002, phase.size)
-        if refusal := self.over_limit(now, phase, luck):
-            return refusal
-        if phase and what is Trouble.ERRORS and luck.trouble < phase.size:
+        if rejection := self.apply_limit(now, phase, draws):
+            return rejection
+        if phase and what is Trouble.ERRORS and draws.trouble < phase.size:
             return Fate(Outcome.ERROR, 0.005, ran=True)
-        return self.serve(now, phase, luck)
+        return self.serve(now, phase, draws)
 
     def pushed_over(self, now: float, sender: str) -> bool:
-        """Whether this call is the one too many."""
+        """Counts a call, and returns whether the destination fails by overload with it."""
         if not self.terms.fallen_s:
             return False
         self.count(now, sender)
@@ -234,44 +313,57 @@
         return True
 
     def count(self, now: float, sender: str) -> None:
-        """One more call of the last `push_s`; older ones go."""
+        """Records a call, and drops those older than `push_s`."""
         self.came.append((now, sender))
         while self.came[0][0] <= now - self.terms.push_s:
             self.came.popleft()
 
     def allowed(self, now: float) -> float:
-        """Calls that it may get in `push_s`, as warm as it is."""
+        """Returns the number of calls in `push_s` seconds above which it fails, at its current capacity."""
         return self.terms.push * self.terms.capacity() * self.warmth(now) * self.terms.push_s
 
-    def over_limit(self, now: float, phase: Phase | None, luck: ReceiverRandom) -> Fate | None:
+    def apply_limit(self, now: float, phase: Phase | None, draws: ReceiverRandom) -> Fate | None:
+        """Counts a call against the rate limit.
+
+        Returns:
+            The rejection of the call, or None if it is within the limit.
+        """
         limit = self.terms.limit
         if limit is None:
             return None
         rate = limit.rate * (phase.size if phase and phase.what is Trouble.LIMIT else 1.0)
-        wait = self.span_wait(now, limit, rate) if limit.span_s else self.bucket_wait(now, limit, rate)
+        wait = self.window_wait(now, limit, rate) if limit.span_s else self.bucket_wait(now, limit, rate)
         if wait <= 0:
             return None
         self.refused += 1
-        return Fate(Outcome.FULL, 0.002, wait if luck.tells < limit.tells else 0.0)
-
-    def span_wait(self, now: float, limit: Limit, rate: float) -> float:
-        """0: there is room in this span, and it is taken; else how long it still lasts."""
-        span = int(now / limit.span_s)
-        room = max(rate * limit.span_s, 1.0)
-        if span != self.span:
-            lost = self.turned_away if span == self.span + 1 else 0
-            self.span, self.turned_away = span, 0
-            self.counted = min(float(lost), limit.carried * room)
-        over = self.counted + 1 > room
-        self.turned_away += over
-        if not over or limit.refused_count:
-            self.counted += 1
-        return (span + 1) * limit.span_s - now if over else 0.0
+        return Fate(Outcome.FULL, 0.002, wait if draws.tells < limit.tells else 0.0)
+
+    def window_wait(self, now: float, limit: Limit, rate: float) -> float:
+        """Counts a call in the current window.
+
+        Returns:
+            0 if it is within the limit, else the seconds until the next window.
+        """
+        window = int(now / limit.span_s)
+        capacity = max(rate * limit.span_s, 1.0)
+        if window != self.window:
+            carried = self.window_rejections if window == self.window + 1 else 0
+            self.window, self.window_rejections = window, 0
+            self.window_count = min(float(carried), limit.carried * capacity)
+        is_over = self.window_count + 1 > capacity
+        self.window_rejections += is_over
+        if not is_over or limit.refused_count:
+            self.window_count += 1
+        return (window + 1) * limit.span_s - now if is_over else 0.0
 
     def bucket_wait(self, now: float, limit: Limit, rate: float) -> float:
-        """0: there was a token, and it is taken; else how long until there is one."""
-        self.tokens = min(self.tokens + (now - self.filled) * rate, limit.burst)
-        self.filled = now
+        """Takes a token for a call.
+
+        Returns:
+            0 if there was a token, else the seconds until there is one.
+        """
+        self.tokens = min(self.tokens + (now - self.refilled_at) * rate, limit.burst)
+        self.refilled_at = now
         if self.tokens >= 1:
             self.tokens -= 1
             return 0.0
@@ -279,26 +371,28 @@
             self.tokens = max(self.tokens - 1, -limit.burst)
         return (1 - self.tokens) / rate
 
-    def serve(self, now: float, phase: Phase | None, luck: ReceiverRandom) -> Fate:
-        while self.begins and self.begins[0] <= now:
-            self.begins.popleft()
-        if len(self.begins) >= self.terms.queue and self.busy[0] > now:
+    def serve(self, now: float, phase: Phase | None, draws: ReceiverRandom) -> Fate:
+        """Gives a call to the next free worker, or rejects it if the queue is full."""
+        while self.service_starts and self.service_starts[0] <= now:
+            self.service_starts.popleft()
+        if len(self.service_starts) >= self.terms.queue and self.worker_free_at[0] > now:
             self.refused += 1
             return Fate(Outcome.FULL, 0.002)
-        took = self.terms.service.seconds(luck.service) * self.slowness(now, phase) / self.warmth(now)
-        begins = max(now, heapq.heappop(self.busy))
-        heapq.heappush(self.busy, begins + took)
-        if begins > now:
-            self.begins.append(begins)
+        service_s = self.terms.service.seconds(draws.service) * self.slowness(now, phase) / self.warmth(now)
+        start = max(now, heapq.heappop(self.worker_free_at))
+        heapq.heappush(self.worker_free_at, start + service_s)
+        if start > now:
+            self.service_starts.append(start)
         self.served += 1
-        after = begins + took - now
-        if phase and phase.what is Trouble.SPOILT and luck.trouble < phase.size:
+        after = start + service_s - now
+        if phase and phase.what is Trouble.SPOILT and draws.trouble < phase.size:
             return Fate(Outcome.MALFORMED, after, ran=True)
-        if phase and phase.what is Trouble.RESETS and luck.trouble < phase.size:
+        if phase and phase.what is Trouble.RESETS and draws.trouble < phase.size:
             return Fate(Outcome.RESET, after, ran=True)
         return Fate(Outcome.OK, after, ran=True)
 
     def slowness(self, now: float, phase: Phase | None) -> float:
+        """Returns the factor by which the fault lengthens service times."""
         if phase is None:
             return 1.0
         if phase.what is Trouble.DEGRADES:
