--- a/message_sender/emulator/figures.py
+++ b/message_sender/emulator/figures.py
@@ -1,7 +1,7 @@
-"""What came of a run, in figures: of every message and call, and by the second.
+"""The figures of a run: counts of messages and calls in total, and by second.
 
-Latencies are in an HDR histogram (G. Tene, hdrhistogram.org): three digits are exact, whatever the range, and
-histograms of several runs are merged, never averaged.
+Latencies are recorded in an HDR histogram (G. Tene, hdrhistogram.org), which is exact to three significant
+digits over its whole range. Histograms of several runs can be merged; percentiles must not be averaged.
 """
 
 from collections import Counter
@@ -10,60 +10,95 @@
 
 from hdrh.histogram import HdrHistogram
 
-LONGEST = 3_600_000_000  # us, the most that is told apart
-DIGITS = 3
+MAX_LATENCY_US = 3_600_000_000
+SIGNIFICANT_DIGITS = 3
 PERCENTILES = (50.0, 90.0, 99.0, 99.9)
 
 
 def histogram() -> Any:  # noqa: ANN401
-    """Of whole microseconds."""
-    return HdrHistogram(1, LONGEST, DIGITS)
+    """Returns an empty histogram of latencies in whole microseconds."""
+    return HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
 
 
 @dataclass
 class Second:
-    """One second of a run."""
+    """The figures of one second of a run.
+
+    Attributes:
+        offered: Messages that clients intended to hand in during it.
+        good: Of these, messages delivered within their latency objective.
+        late: Of these, messages delivered after their latency objective.
+        calls: Calls that ended during it.
+        refused: Of these, calls that were rejected as full.
+        failed: Of these, calls that failed in another way.
+        held: Messages that all senders together hold at its end.
+        open: Breakers that are open at its end.
+    """
 
     offered: int = 0
-    good: int = 0  # delivered within their aim
-    late: int = 0  # delivered after it
+    good: int = 0
+    late: int = 0
     calls: int = 0
-    refused: int = 0  # calls that were turned away as full
-    failed: int = 0  # calls that failed otherwise
-    held: int = 0  # messages at its end, all senders together
-    open: int = 0  # breakers that are open at its end
+    refused: int = 0
+    failed: int = 0
+    held: int = 0
+    open: int = 0
 
 
 @dataclass
 class Figures:
-    """Counts of a run. `asked` and `earned` are worth."""
+    """The figures of a run.
+
+    Attributes:
+        asked: Weight of all messages that clients handed in.
+        earned: Weight of the delivered messages, reduced for late ones.
+        offered: Number of messages that clients handed in.
+        delivered: Number of messages that had an effect at their destination.
+        unanswered: Number of messages for which no hand-in was answered.
+        ends: Number of accepted messages by how they ended.
+        calls: Number of calls by outcome.
+        twice: Number of repeated effects, also where the class of the message allows them.
+        told_again: Number of completions that were reported again.
+        kills: Number of times that a sender was killed.
+        falls: Number of times that a destination failed by overload.
+        tries: Number of hand-ins.
+        latency: Histogram of the time from when a message was due to its first effect, in us.
+        seconds: The figures by second.
+        tenants: Weight of the messages handed in, and weight earned, by tenant.
+        destinations: Number of calls by outcome, by destination.
+    """
 
     asked: float = 0.0
     earned: float = 0.0
     offered: int = 0
     delivered: int = 0
-    unanswered: int = 0  # nobody told the client that it is taken on or not, in any of its tries
-    ends: Counter[str] = field(default_factory=Counter)  # of messages that were taken on
-    calls: Counter[str] = field(default_factory=Counter)  # by outcome
-    twice: int = 0  # effects beyond the first of one message, whatever its class allows
+    unanswered: int = 0
+    ends: Counter[str] = field(default_factory=Counter)
+    calls: Counter[str] = field(default_factory=Counter)
+    twice: int = 0
     told_again: int = 0
     kills: int = 0
     falls: int = 0
     tries: int = 0
-    latency: Any = field(default_factory=histogram)  # us from the intended time to the first effect
+    latency: Any = field(default_factory=histogram)
     seconds: dict[int, Second] = field(default_factory=dict)
-    tenants: dict[str, list[float]] = field(default_factory=dict)  # worth asked for and earned
-    destinations: dict[int, Counter[str]] = field(default_factory=dict)  # calls by outcome
+    tenants: dict[str, list[float]] = field(default_factory=dict)
+    destinations: dict[int, Counter[str]] = field(default_factory=dict)
 
     def second(self, at: float) -> Second:
+        """Returns the figures of the second that contains a time."""
         return self.seconds.setdefault(int(at), Second())
 
     def goodput(self) -> float:
-        """Worth delivered over worth asked for."""
+        """Returns the weight earned, divided by the weight of all messages handed in."""
         return self.earned / self.asked if self.asked else 1.0
 
     def worst(self, span: int = 10) -> float:
-        """The least share delivered within the aim in any `span` seconds in which something was asked for."""
+        """Returns the lowest share of messages delivered within their latency objective in a period.
+
+        Args:
+            span: Length of the periods in seconds. Those with fewer than one message a second are skipped.
+        """
         rows = [self.seconds.get(each, Second()) for each in range(max(self.seconds, default=-1) + 1)]
         shares = []
         for first in range(max(len(rows) - span + 1, 1)):
@@ -73,12 +108,12 @@
         return min(shares, default=1.0)
 
     def attempts(self) -> float:
-        """Calls for each message that was asked for."""
+        """Returns the number of calls for each message handed in."""
         return sum(self.calls.values()) / self.offered if self.offered else 0.0
 
     def measures(self) -> dict[str, float]:
-        """What runs are compared by."""
-        told = {
+        """Returns the figures by which runs are compared, by name."""
+        values = {
             "goodput": self.goodput(),
             "worst_10_s": self.worst(),
             "delivered": self.delivered / self.offered if self.offered else 1.0,
@@ -90,10 +125,11 @@
         }
         if self.latency.get_total_count():
             for each in PERCENTILES:
-                told[f"p{each:g}_ms"] = self.latency.get_value_at_percentile(each) / 1e3
-        return {name: round(value, 6) for name, value in told.items()}
+                values[f"p{each:g}_ms"] = self.latency.get_value_at_percentile(each) / 1e3
+        return {name: round(value, 6) for name, value in values.items()}
 
     def as_json(self) -> dict[str, Any]:
+        """Returns all figures as values for JSON; the latency histogram is encoded as text."""
         return {
             "measures": self.measures(),
             "offered": self.offered,
--- a/message_sender/emulator/report.py
+++ b/message_sender/emulator/report.py
@@ -1,4 +1,4 @@
-"""A run as one page that opens without a network: figures, and plots over time as SVG inside it."""
+"""The report of a run: one HTML page with figures and embedded SVG plots, which needs no network."""
 
 import io
 from collections.abc import Sequence
@@ -14,9 +14,9 @@
 from message_sender.emulator.fleet import Outcomes
 from message_sender.emulator.scenario import Scenario
 
-mpl.rcParams["svg.hashsalt"] = "elmglade"  # the same run gives the same bytes
+mpl.rcParams["svg.hashsalt"] = "elmglade"  # a fixed salt, so that the same run gives the same bytes
 mpl.rcParams["svg.fonttype"] = "none"
-SHOWN = 12  # destinations in the plot of calls, the busiest first
+MAX_DESTINATIONS = 12  # in the plot of calls, those with the most calls
 PERCENTILES = (50.0, 75.0, 90.0, 95.0, 99.0, 99.5, 99.9, 100.0)
 
 PAGE = jinja2.Template(
@@ -59,19 +59,29 @@
 
 @dataclass(frozen=True)
 class Line:
+    """A line of a plot, with one value for each second."""
+
     label: str
     values: Sequence[float]
 
 
 def svg(figure: Figure) -> str:
-    out = io.StringIO()
-    figure.savefig(out, format="svg", metadata={"Date": None})
-    text = out.getvalue()
+    """Returns the SVG element of a figure."""
+    buffer = io.StringIO()
+    figure.savefig(buffer, format="svg", metadata={"Date": None})
+    text = buffer.getvalue()
     return text[text.index("<svg") :]
 
 
 def plot(title: str, unit: str, lines: Sequence[Line], marks: Sequence[tuple[float, float]] = ()) -> str:
-    """An SVG. `marks` are spans of time that are shaded: troubles."""
+    """Returns a plot over time as SVG.
+
+    Args:
+        title: The title.
+        unit: The label of the vertical axis.
+        lines: The lines.
+        marks: Begin and end of periods that are shaded, in seconds.
+    """
     figure = Figure(figsize=(9, 2.6), layout="constrained")
     axes = figure.subplots()
     for at, until in marks:
@@ -88,8 +98,9 @@
 
 
 def plots(scenario: Scenario, outcomes: Outcomes) -> list[str]:
-    told = outcomes.figures.seconds
-    rows = [told.get(each, Second()) for each in range(max(told, default=0) + 1)]
+    """Returns the plots of a run as SVG. The scenario's faults are shaded."""
+    seconds = outcomes.figures.seconds
+    rows = [seconds.get(each, Second()) for each in range(max(seconds, default=0) + 1)]
     end = scenario.seconds
     marks = [
         (phase.at, min(phase.until, end))
@@ -103,31 +114,35 @@
     offered = [line("offered", "asked for"), line("good", "delivered in its aim"), line("late", "later")]
     calls = [line("calls", "calls"), line("refused", "refused as full"), line("failed", "failed")]
     held = [line("held", "messages held"), line("open", "breakers open")]
-    found = [
+    over_time = [
         plot("Messages, by the second in which they were wanted", "a second", offered, marks),
         plot("Calls, by the second in which they ended", "a second", calls, marks),
         plot("What senders hold", "count", held, marks),
     ]
-    return [*found, by_destination(outcomes)]
+    return [*over_time, by_destination(outcomes)]
 
 
 def by_destination(outcomes: Outcomes) -> str:
-    told = sorted(outcomes.figures.destinations.items(), key=lambda each: -sum(each[1].values()))[:SHOWN]
+    """Returns a bar chart of the calls to the busiest destinations, by outcome, as SVG."""
+    busiest = sorted(outcomes.figures.destinations.items(), key=lambda each: -sum(each[1].values()))[
+        :MAX_DESTINATIONS
+    ]
     figure = Figure(figsize=(9, 2.6), layout="constrained")
     axes = figure.subplots()
-    below = [0] * len(told)
-    for outcome in sorted({name for _, counts in told for name in counts}):
-        values = [counts[outcome] for _, counts in told]
-        axes.bar([str(number) for number, _ in told], values, bottom=below, label=outcome)
+    below = [0] * len(busiest)
+    for outcome in sorted({name for _, counts in busiest for name in counts}):
+        values = [counts[outcome] for _, counts in busiest]
+        axes.bar([str(number) for number, _ in busiest], values, bottom=below, label=outcome)
         below = [a + b for a, b in zip(below, values, strict=True)]
     axes.set_title("Calls by destination, the busiest first", fontsize=10, loc="left")
     axes.tick_params(labelsize=8)
-    if told:
+    if busiest:
         axes.legend(fontsize=7, loc="upper right")
     return svg(figure)
 
 
 def page(scenario: Scenario, seed: int, policy: str, outcomes: Outcomes) -> str:
+    """Returns the HTML page of a run."""
     figures = outcomes.figures
     latency = [
         (f"{each:g}", figures.latency.get_value_at_percentile(each) / 1e3)
@@ -135,14 +150,18 @@
         if figures.latency.get_total_count()
     ]
     tenants = sorted(figures.tenants.items()) if list(figures.tenants) != [""] else []
-    told: str = PAGE.render(
+    html: str = PAGE.render(
         scenario=scenario, seed=seed, policy=policy, breaches=outcomes.breaches, owed=outcomes.owed,
         measures=figures.measures(), latency=latency, tenants=tenants,
         plots=[Markup(each) for each in plots(scenario, outcomes)],
     )  # fmt: skip
-    return told
+    return html
 
 
 def write(file: Path, scenario: Scenario, seed: int, policy: str, outcomes: Outcomes) -> None:
-    """Raises OSError."""
+    """Writes the HTML page of a run.
+
+    Raises:
+        OSError: The file cannot be written.
+    """
     file.write_text(page(scenario, seed, policy, outcomes))
