--- a/message_sender/emulator/search.py
+++ b/message_sender/emulator/search.py
@@ -1,4 +1,7 @@
-"""Many lives, each from its seed, over several processes; and one of them event by event."""
+"""Searches simulated runs, one for each seed, for violations; replays and reduces single runs.
+
+A life is the simulated run of one seed, with its faults and kills.
+"""
 
 import json
 import multiprocessing
@@ -9,31 +12,45 @@
 from dataclasses import asdict, dataclass, field
 from pathlib import Path
 
-from message_sender.emulator.shrink import Case, shrink, told
+from message_sender.emulator.shrink import Case, format_events, shrink
 from message_sender.emulator.simulated_run import live
 from message_sender.testbed.history_checker import Violation
 
-CHUNK = 20  # lives that a process is handed at once
+SEEDS_PER_TASK = 20  # number of seeds that a worker process gets at a time
 
 
 @dataclass
 class Found:
-    """One life, as far as the search needs it."""
+    """The result of one simulated run.
+
+    Attributes:
+        seed: The seed.
+        breaches: The violations of rules.
+        error: The exception that ended the run; empty if it came to its end.
+        ends: Number of messages by how they ended.
+        calls: Number of calls.
+        kills: Number of times that the sender was killed.
+        told_again: Number of completions that were reported again.
+    """
 
     seed: int
     breaches: list[Violation] = field(default_factory=list)
-    error: str = ""  # the life did not come to its end
+    error: str = ""
     ends: dict[str, int] = field(default_factory=dict)
     calls: int = 0
     kills: int = 0
     told_again: int = 0
 
     def broken(self) -> bool:
+        """Returns whether the run violated a rule or failed."""
         return bool(self.breaches or self.error)
 
 
-def one(seed: int) -> Found:
-    """Never raises: a life that fails is a finding like any other."""
+def run_seed(seed: int) -> Found:
+    """Runs the simulation of a seed.
+
+    Never raises: an exception of the run is reported in the result.
+    """
     try:
         outcomes = live(seed)
     except Exception as error:
@@ -43,25 +60,36 @@
 
 
 def lives(first: int, count: int, processes: int) -> Iterator[Found]:
-    """In the order of their seeds."""
+    """Yields the results of `count` seeds from `first` on, in the order of the seeds."""
     seeds = range(first, first + count)
     if processes == 1:
-        yield from map(one, seeds)
+        yield from map(run_seed, seeds)
         return
     with multiprocessing.get_context("spawn").Pool(processes) as pool:
-        yield from pool.imap(one, seeds, CHUNK)
+        yield from pool.imap(run_seed, seeds, SEEDS_PER_TASK)
 
 
 def search(first: int, count: int, processes: int, json_lines: bool = False) -> int:
-    began, broken, sums = time.monotonic(), 0, Counter[str]()
-    for found in lives(first, count, processes):
-        sums.update(found.ends)
-        sums.update(calls=found.calls, kills=found.kills, told_again=found.told_again)
-        if found.broken():
+    """Runs `count` seeds from `first` on; prints those that violate a rule or fail, and the totals.
+
+    Args:
+        first: The first seed.
+        count: Number of seeds.
+        processes: Number of worker processes.
+        json_lines: Prints JSON objects instead of text.
+
+    Returns:
+        The exit code: 1 if any run violated a rule or failed, else 0.
+    """
+    start, broken, sums = time.monotonic(), 0, Counter[str]()
+    for result in lives(first, count, processes):
+        sums.update(result.ends)
+        sums.update(calls=result.calls, kills=result.kills, told_again=result.told_again)
+        if result.broken():
             broken += 1
-            tell_one(found, json_lines)
-    passed = time.monotonic() - began
-    total = {"lives": count, "broken": broken, **dict(sorted(sums.items())), "seconds": round(passed, 1)}
+            print_result(result, json_lines)
+    elapsed_s = time.monotonic() - start
+    total = {"lives": count, "broken": broken, **dict(sorted(sums.items())), "seconds": round(elapsed_s, 1)}
     if json_lines:
         print(json.dumps(total))
     else:
@@ -69,35 +97,50 @@
     return 1 if broken else 0
 
 
-def tell_one(found: Found, json_lines: bool) -> None:
+def print_result(result: Found, json_lines: bool) -> None:
+    """Prints the violations or the error of a run, as text or as a JSON object."""
     if json_lines:
-        print(json.dumps(asdict(found)), flush=True)
+        print(json.dumps(asdict(result)), flush=True)
         return
-    print(f"seed {found.seed}: {found.error or 'a rule broke'}", flush=True)
-    for each in found.breaches:
-        print(f"  {each.at:.3f} s, {each.rule}: {each.text}")
+    print(f"seed {result.seed}: {result.error or 'a rule broke'}", flush=True)
+    for violation in result.breaches:
+        print(f"  {violation.at:.3f} s, {violation.rule}: {violation.text}")
 
 
 def show(case: Case, file: Path) -> int:
-    """Writes the life's events, JSON lines, the same bytes each time."""
+    """Replays a run and writes its events as lines of JSON. The same case always gives the same bytes.
+
+    Returns:
+        The exit code: 1 if the run violated a rule, else 0.
+
+    Raises:
+        OSError: The file cannot be written.
+    """
     outcomes = case.live()
     file.write_text("".join(line + "\n" for line in outcomes.trace))
     if outcomes.breaches:
-        tell_one(Found(case.seed, outcomes.breaches), json_lines=False)
+        print_result(Found(case.seed, outcomes.breaches), json_lines=False)
     print(f"{len(outcomes.trace)} events in {file}")
     return 1 if outcomes.breaches else 0
 
 
 def cut_down(seed: int, file: Path) -> int:
-    """Shrinks the life of that seed by the first rule that it breaks, and writes the case."""
-    found = one(seed)
-    if not found.breaches:
-        print(f"seed {seed}: {found.error or 'no rule breaks'}", file=sys.stderr)
+    """Reduces the run of a seed by the first rule that it violates, and writes it as a case file.
+
+    Returns:
+        The exit code, which is always 1: a run without a violation cannot be reduced, which is an error, too.
+
+    Raises:
+        OSError: The file cannot be written.
+    """
+    result = run_seed(seed)
+    if not result.breaches:
+        print(f"seed {seed}: {result.error or 'no rule breaks'}", file=sys.stderr)
         return 1
-    case = shrink(seed, found.breaches[0].rule)
-    left = case.live()
-    case.write(file, left)
-    print(f"seed {seed}, rule {case.rule!r}: {len(left.scheduled)} happenings left, in {file}")
-    for line in told(left.scheduled):
+    case = shrink(seed, result.breaches[0].rule)
+    outcomes = case.live()
+    case.write(file, outcomes)
+    print(f"seed {seed}, rule {case.rule!r}: {len(outcomes.scheduled)} happenings left, in {file}")
+    for line in format_events(outcomes.scheduled):
         print(f"  {line}")
     return 1
