--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Scenarios in simulated time: every one of the library, the models under them, and experiments on them."""
+"""Fleet scenarios in simulated time: the library of scenarios, the models they use, and experiments."""
 
 import json
 import os
@@ -39,45 +39,48 @@
 
 ROOT = Path(__file__).parent.parent
 LIBRARY = sorted((ROOT / "scenarios").glob("*.toml"))
-EVEN = ReceiverRandom(0.5, 0.5, 0.5)
+MEDIAN_DRAWS = ReceiverRandom(0.5, 0.5, 0.5)
 SMALL: dict[str, Any] = {
     "title": "t", "about": "a", "seconds": 8.0, "clients": {"rate": 40.0}, "destinations": [{"count": 4}],
 }  # fmt: skip
 
 
 def small(**changes: Any) -> scenario.Scenario:  # noqa: ANN401
+    """Returns a short scenario with other values for some of its tables."""
     return scenario.read(SMALL | changes)
 
 
 @pytest.fixture(scope="module")
-def ran() -> dict[str, RunResult]:
-    """A run of each scenario of the library."""
-    told = {file.stem: scenario.load(file) for file in LIBRARY}
-    jobs = [Job(each, each.seed, name=name) for name, each in told.items()]
-    found = experiment.run_all(jobs, min(os.cpu_count() or 1, 4))
-    return {json.loads(each.key)["name"]: each for each in found}
+def library_results() -> dict[str, RunResult]:
+    """The result of one run of each scenario in the library, by the name of its file."""
+    scenarios = {file.stem: scenario.load(file) for file in LIBRARY}
+    jobs = [Job(each, each.seed, name=name) for name, each in scenarios.items()]
+    results = experiment.run_all(jobs, min(os.cpu_count() or 1, 4))
+    return {json.loads(each.key)["name"]: each for each in results}
 
 
-def test_the_library_holds_what_such_systems_meet() -> None:
+def test_the_library_has_at_least_25_scenarios_and_describes_each() -> None:
     assert len(LIBRARY) >= 25
     for each in map(scenario.load, LIBRARY):
         assert len(each.about) > 40 and len(each.good) > 20
 
 
 @pytest.mark.parametrize("name", [each.stem for each in LIBRARY])
-def test_a_scenario_breaks_no_rule_and_reaches_what_it_expects(name: str, ran: dict[str, RunResult]) -> None:
+def test_a_scenario_of_the_library_reaches_the_goodput_and_violations_that_it_expects(
+    name: str, library_results: dict[str, RunResult]
+) -> None:
     expect = scenario.load(ROOT / "scenarios" / f"{name}.toml").expect
-    assert not ran[name].error and len(ran[name].breaches) <= expect.breaches
-    assert ran[name].measures["goodput"] >= expect.goodput
+    assert not library_results[name].error and len(library_results[name].breaches) <= expect.breaches
+    assert library_results[name].measures["goodput"] >= expect.goodput
 
 
-def test_one_seed_gives_the_same_bytes_under_any_seed_of_hashes() -> None:
+def test_a_seed_gives_the_same_trace_with_any_hash_seed_of_python() -> None:
     code = (
         "from message_sender.emulator import play, scenario; import hashlib, pathlib; "
-        "told = scenario.load(pathlib.Path('scenarios/restart-in-outage.toml')); "
-        "print(hashlib.sha256('\\n'.join(play.play(told, 3, traced=True).trace).encode()).hexdigest())"
+        "loaded = scenario.load(pathlib.Path('scenarios/restart-in-outage.toml')); "
+        "print(hashlib.sha256('\\n'.join(play.play(loaded, 3, traced=True).trace).encode()).hexdigest())"
     )
-    found = {
+    digests = {
         subprocess.run(
             [sys.executable, "-c", code],
             env=os.environ | {"PYTHONHASHSEED": seed},
@@ -88,34 +91,46 @@
         ).stdout
         for seed in ("1", "2")
     }
-    assert len(found) == 1 and found != {""}
+    assert len(digests) == 1 and digests != {""}
 
 
-# A defect that is planted shows in the scenarios.
+# Defects planted in the sender violate rules in the scenarios.
 
 
-def warm_at_once(self: Breaker, now: int) -> float:
+def skip_slow_start(self: Breaker, now: int) -> float:
     return 0.0
 
 
-def anything_goes(self: PendingQueue, now: float, message: object, sent: object) -> bool:
+def allow_repeat(self: PendingQueue, now: float, message: object, sent: object) -> bool:
     return True
 
 
-def unrecorded(self: Journal, name: str, number: int, attempt: object) -> bool:
+def skip_attempt_record(self: Journal, name: str, number: int, attempt: object) -> bool:
     return True
 
 
-def deaf_to_waits(self: Engine, endpoint: str, wait: int) -> None: ...
+def ignore_retry_after(self: Engine, endpoint: str, wait: int) -> None: ...
 
 
 PLANTED: dict[str, tuple[type, str, Callable[..., Any], str, str]] = {
-    "it is taken for warm at once": (Breaker, "warm_up_gap", warm_at_once, "herd-on-return", "cold"),
-    "unsafe ones go again": (PendingQueue, "may_repeat_at", anything_goes, "resets", "no effect twice"),
-    "no record of attempts": (
+    "a destination gets full load at once after an outage": (
+        Breaker,
+        "warm_up_gap",
+        skip_slow_start,
+        "herd-on-return",
+        "cold",
+    ),
+    "messages that must not be repeated are": (
+        PendingQueue,
+        "may_repeat_at",
+        allow_repeat,
+        "resets",
+        "no effect twice",
+    ),
+    "attempts are not recorded in the journal": (
         Journal,
         "record_attempt",
-        unrecorded,
+        skip_attempt_record,
         "kill-between-writes",
         "no effect twice",
     ),
@@ -123,50 +138,54 @@
 
 
 @pytest.mark.parametrize("name", PLANTED)
-def test_a_planted_defect_shows(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    owner, attribute, wrong, where, rule = PLANTED[name]
-    monkeypatch.setattr(owner, attribute, wrong)
-    outcomes = play(scenario.load(ROOT / "scenarios" / f"{where}.toml"))
+def test_a_planted_defect_violates_a_rule(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    owner, attribute, defect, file_name, rule = PLANTED[name]
+    monkeypatch.setattr(owner, attribute, defect)
+    outcomes = play(scenario.load(ROOT / "scenarios" / f"{file_name}.toml"))
     assert rule in {each.rule for each in outcomes.breaches}
 
 
 @pytest.mark.parametrize("policy", [each for each in POLICIES if each != OWN_POLICY])
-def test_plain_policies_push_over_what_returns(policy: str) -> None:
+def test_policies_for_comparison_overload_destinations_that_return(policy: str) -> None:
     outcomes = play(scenario.load(ROOT / "scenarios" / "herd-on-return.toml"), decide=POLICIES[policy])
     assert outcomes.figures.falls and "cold" in {each.rule for each in outcomes.breaches}
     assert not outcomes.owed and 0 < outcomes.figures.goodput() < 0.8
 
 
-def test_three_senders_do_not_push_over_one_that_refused_and_was_silent_for_long() -> None:
-    """Breakers have fallen asleep: what was known of it is gone. It comes back cold, and refuses."""
-    long = INACTIVE_DESTINATION_AGE_US / 1e6 * 1.2
-    told = small(
-        seconds=long + 60.0,
-        clients={"rate": 30.0, "bursts": [{"at": 20.0, "until": long, "times": 1e-9}]},
+def test_three_senders_do_not_overload_a_destination_that_rejects_calls_after_a_long_idle_time() -> None:
+    """By then the senders have discarded the state of the inactive destination.
+
+    When traffic returns, it is rejecting calls and then goes through its slow start, so that senders which
+    begin at full load would overload it.
+    """
+    idle_end = INACTIVE_DESTINATION_AGE_US / 1e6 * 1.2
+    long_idle = small(
+        seconds=idle_end + 60.0,
+        clients={"rate": 30.0, "bursts": [{"at": 20.0, "until": idle_end, "times": 1e-9}]},
         fleet={"senders": 3},
         destinations=[{"count": 2, "workers": 2, "fallen_s": 10.0}],
         troubles=[
             {"at": 5.0, "until": 15.0, "what": "full", "size": 1.0},
-            {"at": long - 5.0, "until": long + 5.0, "what": "full", "size": 0.5},
+            {"at": idle_end - 5.0, "until": idle_end + 5.0, "what": "full", "size": 0.5},
         ],
     )
-    outcomes = play(told)
+    outcomes = play(long_idle)
     assert not outcomes.breaches and not outcomes.figures.falls and not outcomes.owed
-    back = [each for at, each in outcomes.figures.seconds.items() if at > long]
-    assert sum(each.offered for each in back) > 1000 and sum(each.refused for each in back) > 3
+    after_idle = [each for at, each in outcomes.figures.seconds.items() if at > idle_end]
+    assert sum(each.offered for each in after_idle) > 1000 and sum(each.refused for each in after_idle) > 3
 
 
-def test_breakers_that_open_are_counted_while_they_are_open() -> None:
-    told = small(troubles=[{"at": 2.0, "until": 5.0, "what": "shut", "destinations": [0, 1]}])
-    seconds = play(told).figures.seconds
+def test_open_breakers_are_counted_in_each_second() -> None:
+    outage = small(troubles=[{"at": 2.0, "until": 5.0, "what": "shut", "destinations": [0, 1]}])
+    seconds = play(outage).figures.seconds
     assert seconds[4].open == 2 and not seconds[1].open and seconds[4].held > 0
 
 
-# Files.
+# Scenario files.
 
 
-def test_every_fault_of_a_scenario_is_named_with_its_path() -> None:
-    wrong = SMALL | {
+def test_all_faults_of_a_scenario_file_are_reported_with_their_paths() -> None:
+    tables = SMALL | {
         "seconds": "8",
         "fleet": {"senders": 0, "zone": "a"},
         "classes": {"c": {"effect": "keyed"}},
@@ -174,7 +193,7 @@
         "troubles": [{"at": 3.0, "until": 2.0, "what": "shut"}, {"at": 1, "until": 2, "what": "sleepy"}],
     }
     with pytest.raises(ConfigError) as error:
-        scenario.read(wrong)
+        scenario.read(tables)
     assert {each.path for each in error.value.faults} == {
         "seconds", "fleet.senders", "fleet.zone", "classes.c.window_s", "destinations[0].service.cv",
         "troubles[0].until", "troubles[1].what",
@@ -192,14 +211,14 @@
         ({"clients": {"bursts": [{"at": 1, "until": 2, "times": 2, "tenant": "x"}]}}, "no tenant 'x'"),
     ],
 )
-def test_what_contradicts_is_named(changes: dict[str, Any], text: str) -> None:
+def test_contradictions_between_tables_are_reported(changes: dict[str, Any], text: str) -> None:
     with pytest.raises(ConfigError, match=text):
         small(**changes)
 
 
-def test_a_value_at_a_path_is_changed_or_its_path_named() -> None:
-    told = scenario.changed(small(), {"fleet.senders": 3, "destinations.0.workers": 2})
-    assert told.fleet.senders == 3 and told.destinations[0].workers == 2
+def test_values_are_changed_at_dotted_paths_and_unknown_paths_are_reported() -> None:
+    changed = scenario.changed(small(), {"fleet.senders": 3, "destinations.0.workers": 2})
+    assert changed.fleet.senders == 3 and changed.destinations[0].workers == 2
     for path in ("fleet.sender", "destinations.1.workers", "destinations.0", "title.x", "fleet.senders.x"):
         with pytest.raises(ConfigError, match="is not in the scenario"):
             scenario.changed(small(), {path: 1})
@@ -207,11 +226,11 @@
         scenario.changed(small(), {"fleet.senders": "many"})
 
 
-# Models.
+# The models of destinations and of arrivals.
 
 
 @pytest.mark.parametrize("spread", list(Spread))
-def test_times_of_service_have_the_mean_they_are_told(spread: Spread) -> None:
+def test_service_times_have_the_mean_of_their_settings(spread: Spread) -> None:
     service = Service(0.2, spread, 3.0 if spread is Spread.PARETO else 0.7)
     count = 20_000
     mean = sum(service.seconds((each + 0.5) / count) for each in range(count)) / count
@@ -220,52 +239,58 @@
 
 @given(st.lists(st.floats(0, 0.3), max_size=200), st.floats(1, 20), st.booleans(), st.floats(0, 2))
 @settings(max_examples=150, deadline=None, derandomize=True)
-def test_a_limit_lets_through_no_more_than_its_count_and_told_waits_are_true(
-    steps: list[float], rate: float, counted: bool, span: float
+def test_a_limit_admits_no_more_than_its_rate_and_its_retry_after_is_long_enough(
+    steps: list[float], rate: float, refused_count: bool, span: float
 ) -> None:
     span = 0.0 if span < 0.2 else span
-    limit = Limit(rate, span, burst=3.0, refused_count=counted, tells=1.0)
+    limit = Limit(rate, span, burst=3.0, refused_count=refused_count, tells=1.0)
     receiver = Receiver(Terms(Service(1e-6, Spread.CONSTANT), 100, 100, limit))
-    now, taken = 0.0, []
+    now, admitted = 0.0, []
     for step in steps:
         now += step
-        fate = receiver.call(now, "n", EVEN)
+        fate = receiver.call(now, "n", MEDIAN_DRAWS)
         if fate.outcome is Outcome.OK:
-            taken.append(now)
-        elif not counted and not span:
-            assert fate.wait > 0  # and just after it there is a token
+            admitted.append(now)
+        elif not refused_count and not span:
+            assert fate.wait > 0  # just after it there is a token
             assert Receiver.bucket_wait(receiver, now + fate.wait + 1e-6, limit, rate) == 0
             receiver.tokens += 1
-    for first in taken:
+    for first in admitted:
         if span:
-            most = max(rate * span, 1.0)
-            assert sum(int(each / span) == int(first / span) for each in taken) <= most
+            capacity = max(rate * span, 1.0)
+            assert sum(int(each / span) == int(first / span) for each in admitted) <= capacity
         else:
-            assert sum(first <= each < first + 1 for each in taken) <= rate + 3 + 1
+            assert sum(first <= each < first + 1 for each in admitted) <= rate + 3 + 1
 
 
-def test_a_receiver_serves_queues_refuses_grows_cold_and_falls() -> None:
+def test_a_receiver_queues_and_rejects_calls_warms_up_and_fails_by_overload() -> None:
     receiver = Receiver(Terms(Service(0.1, Spread.CONSTANT), workers=2, queue=1))
-    fates = [receiver.call(0.0, "n", EVEN) for _ in range(4)]
+    fates = [receiver.call(0.0, "n", MEDIAN_DRAWS) for _ in range(4)]
     assert [each.after for each in fates[:3]] == pytest.approx([0.1, 0.1, 0.2])
     assert fates[3].outcome is Outcome.FULL and receiver.refused == 1
     phases = [Phase(1.0, 2.0, Trouble.SHUT), Phase(5.0, 6.0, Trouble.ERRORS, 1.0, frozenset({"a"}), "z")]
     terms = Terms(Service(0.1, Spread.CONSTANT), 2, 9, cold_s=4.0, cold_from=0.25, fallen_s=3.0)
     receiver = Receiver(terms, phases)
-    assert receiver.call(1.5, "n", EVEN).connected is False
+    assert receiver.call(1.5, "n", MEDIAN_DRAWS).connected is False
     assert receiver.warmth(2.0) == 0.25 and receiver.warmth(4.0) == 0.625 and receiver.warmth(6.0) == 1.0
-    assert receiver.call(5.5, "a", EVEN, "z").outcome is Outcome.ERROR
-    assert receiver.call(5.5, "b", EVEN, "z").outcome is receiver.call(5.5, "a", EVEN).outcome is Outcome.OK
-    fallen = Receiver(terms, phases)
-    pushed = [fallen.call(2.0 + each / 100, "ab"[each % 2], EVEN) for each in range(40)]
-    assert pushed[-1].connected is False and len(fallen.falls) == 1
-    # A quarter of 20 a second, twice that for 1.5 s: 15 calls, and a little more as it warms.
-    assert 15 < len(fallen.falls[0].pushed_by) <= 17 and set(fallen.falls[0].pushed_by) == {"a", "b"}
-    assert fallen.call(2.2 + 3.0, "a", EVEN).outcome is Outcome.OK and fallen.warmth(5.2) < 0.3
-
-
-def test_arrivals_come_at_their_rate_in_bursts_and_in_quiet_and_the_same_again() -> None:
-    told = small(
+    assert receiver.call(5.5, "a", MEDIAN_DRAWS, "z").outcome is Outcome.ERROR
+    assert (
+        receiver.call(5.5, "b", MEDIAN_DRAWS, "z").outcome
+        is receiver.call(5.5, "a", MEDIAN_DRAWS).outcome
+        is Outcome.OK
+    )
+    overloaded = Receiver(terms, phases)
+    fates = [overloaded.call(2.0 + each / 100, "ab"[each % 2], MEDIAN_DRAWS) for each in range(40)]
+    assert fates[-1].connected is False and len(overloaded.falls) == 1
+    # Twice a quarter of 20 calls a second, for 1.5 s, is 15 calls; it is a little more as it warms up.
+    assert 15 < len(overloaded.falls[0].pushed_by) <= 17 and set(overloaded.falls[0].pushed_by) == {"a", "b"}
+    assert (
+        overloaded.call(2.2 + 3.0, "a", MEDIAN_DRAWS).outcome is Outcome.OK and overloaded.warmth(5.2) < 0.3
+    )
+
+
+def test_arrivals_have_the_rates_of_the_scenario_and_its_bursts_and_depend_on_the_seed_alone() -> None:
+    with_bursts = small(
         seconds=100.0,
         clients={"rate": 50.0, "zipf": 0.0, "bursts": [
             {"at": 20.0, "until": 40.0, "times": 9.0, "tenant": "loud"},
@@ -273,29 +298,33 @@
         ]},
         tenants={"loud": {"share": 1.0}, "other": {"share": 3.0}},
     )  # fmt: skip
-    asked = list(Arrivals(told, 7))
-    assert [each.at for each in asked] == sorted(each.at for each in asked)
-    assert [each.number for each in asked] == list(range(len(asked)))
-
-    def rate(at: float, until: float, **fits: object) -> float:
-        found = [x for x in asked if at <= x.at < until and all(getattr(x, k) == v for k, v in fits.items())]
-        return len(found) / (until - at)
+    messages = list(Arrivals(with_bursts, 7))
+    assert [each.at for each in messages] == sorted(each.at for each in messages)
+    assert [each.number for each in messages] == list(range(len(messages)))
+
+    def rate(at: float, until: float, **fields: object) -> float:
+        matches = [
+            each
+            for each in messages
+            if at <= each.at < until and all(getattr(each, name) == value for name, value in fields.items())
+        ]
+        return len(matches) / (until - at)
 
     assert rate(0, 20) == pytest.approx(50, rel=0.1) and rate(20, 40, tenant="other") == pytest.approx(
         37, rel=0.15
     )
     assert rate(20, 40, tenant="loud") == pytest.approx(9 * 12.5, rel=0.1)
     assert rate(60, 80, destination=2) < 3 and rate(60, 80, destination=1) == pytest.approx(12.5, rel=0.2)
-    again = list(Arrivals(told, 7))
-    assert [(x.at, x.key, x.destination, x.luck(2)) for x in asked] == [
-        (x.at, x.key, x.destination, x.luck(2)) for x in again
+    again = list(Arrivals(with_bursts, 7))
+    assert [(each.at, each.key, each.destination, each.luck(2)) for each in messages] == [
+        (each.at, each.key, each.destination, each.luck(2)) for each in again
     ]
 
 
 # Experiments.
 
 
-def test_a_hypercube_meets_each_part_of_each_range_once() -> None:
+def test_a_hypercube_has_one_point_in_each_part_of_each_range() -> None:
     points = experiment.hypercube({"a": (0.0, 1.0), "b": (10, 110)}, 20, 3)
     for place, (low, high) in enumerate(((0.0, 1.0), (10, 110))):
         values = [point[place][1] for point in points]
@@ -307,47 +336,51 @@
 
 @given(st.lists(st.floats(-1e6, 1e6), min_size=2, max_size=40))
 @settings(max_examples=60, deadline=None, derandomize=True)
-def test_an_interval_holds_its_mean_and_stays_within_the_values(values: list[float]) -> None:
-    told = experiment.interval(values)
-    assert min(values) - 1e-6 <= told.low <= told.high <= max(values) + 1e-6
-    assert told.low - 1e-6 <= told.mean + (max(values) - min(values)) and told == experiment.interval(values)
+def test_an_interval_is_reproducible_and_lies_within_the_values(values: list[float]) -> None:
+    result = experiment.interval(values)
+    assert min(values) - 1e-6 <= result.low <= result.high <= max(values) + 1e-6
+    assert result.low - 1e-6 <= result.mean + (max(values) - min(values)) and result == experiment.interval(
+        values
+    )
 
 
-def test_a_sweep_goes_on_where_it_was_also_after_a_torn_line(tmp_path: Path) -> None:
-    file, runs = tmp_path / "runs", []
+def test_a_sweep_continues_with_the_missing_runs_also_after_a_torn_line(tmp_path: Path) -> None:
+    file, repeated = tmp_path / "runs", []
     jobs = [Job(small(seconds=2.0), seed) for seed in (1, 2, 3)]
     whole = [each.line() for each in experiment.sweep(jobs, 1, file)]
-    kept = file.read_text()
-    assert kept.splitlines() == whole
-    file.write_text(kept[: -len(whole[-1]) // 2])
+    text = file.read_text()
+    assert text.splitlines() == whole
+    file.write_text(text[: -len(whole[-1]) // 2])
     real = experiment.run
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(experiment, "run", lambda job: runs.append(job.seed) or real(job))
+        patch.setattr(experiment, "run", lambda job: repeated.append(job.seed) or real(job))
         assert [each.line() for each in experiment.sweep(jobs, 1, file)] == whole
-    assert runs == [3] and [each.line() for each in experiment.sweep(jobs, 1, file)] == whole
+    assert repeated == [3] and [each.line() for each in experiment.sweep(jobs, 1, file)] == whole
 
 
-def test_a_run_that_fails_and_a_process_that_dies_are_told(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_failed_runs_and_killed_worker_processes_are_reported_as_errors(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     job = Job(small(), 1, changes=(("fleet.senders", 0),))
     assert "ConfigError" in experiment.run(job).error
-    monkeypatch.setattr(experiment, "run", die)
-    found = list(experiment.run_all([Job(small(seconds=1.0), 1), Job(small(seconds=1.0), 2)], 2))
-    assert [each.error for each in found] == ["its process died"] * 2
+    monkeypatch.setattr(experiment, "run", exit_process)
+    results = list(experiment.run_all([Job(small(seconds=1.0), 1), Job(small(seconds=1.0), 2)], 2))
+    assert [each.error for each in results] == ["its process died"] * 2
 
 
-def die(job: Job) -> RunResult:
+def exit_process(job: Job) -> RunResult:
     os._exit(9)
 
 
-def test_variants_are_held_against_the_first_on_the_same_draws() -> None:
-    told = {"s": small(seconds=4.0)}
-    some = next(iter(told.values()))
+def test_variants_are_compared_with_the_first_one_on_the_same_seeds() -> None:
+    scenarios = {"s": small(seconds=4.0)}
+    base = next(iter(scenarios.values()))
     variants = {
-        "a": Job(some, 0),
-        "b": Job(some, 0),
-        "none": Job(some, 0, "none", (("destinations.0.workers", 1),)),
+        "a": Job(base, 0),
+        "b": Job(base, 0),
+        "none": Job(base, 0, "none", (("destinations.0.workers", 1),)),
     }
-    first, same, other = experiment.compare(told, variants, range(1, 4), 1)
+    first, same, other = experiment.compare(scenarios, variants, range(1, 4), 1)
     assert same.against["goodput"] == experiment.Interval(0, 0, 0) and same.measures == first.measures
     assert other.against["p99_ms"].apart() or other.against["goodput"].apart()
     table = experiment.table([first, same, other], ["goodput", "nothing"])
@@ -357,7 +390,7 @@
 # The command line.
 
 
-def test_the_commands_end_with_their_codes_and_write_what_they_say(
+def test_the_commands_write_their_files_and_return_their_exit_codes(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     file = tmp_path / "s.toml"
@@ -365,35 +398,39 @@
         'title = "t"\nabout = "a"\nseconds = 4\n[tenants.x]\n[[destinations]]\ncount = 3\n'
         '[[troubles]]\nat = 1\nuntil = 2\nwhat = "errors"\nsize = 0.5\n'
     )
-    names = [tmp_path / each for each in ("one", "two", "json", "page.html", "again.html", "runs")]
-    one, two, out, page, again, runs = map(str, names)
-    assert main(["emulate", "run", str(file), "--trace", one, "--json", out]) == 0
-    assert main(["emulate", "run", str(file), "--trace", two]) == 0
-    assert names[0].read_bytes() == names[1].read_bytes() != b""
-    told = json.loads(names[2].read_text())
-    assert told["breaches"] == [] and told["measures"]["goodput"] > 0.9 and told["seconds"]["1"]["failed"]
-    for each in (page, again):
+    paths = [tmp_path / each for each in ("one", "two", "json", "page.html", "again.html", "runs")]
+    trace, second_trace, figures, page, second_page, runs = map(str, paths)
+    assert main(["emulate", "run", str(file), "--trace", trace, "--json", figures]) == 0
+    assert main(["emulate", "run", str(file), "--trace", second_trace]) == 0
+    assert paths[0].read_bytes() == paths[1].read_bytes() != b""
+    results = json.loads(paths[2].read_text())
+    assert (
+        results["breaches"] == []
+        and results["measures"]["goodput"] > 0.9
+        and results["seconds"]["1"]["failed"]
+    )
+    for each in (page, second_page):
         assert main(["emulate", "report", str(file), "--out", each]) == 0
-    text = names[3].read_text()
-    assert text == names[4].read_text() and text.count("<svg") == 4 and "http://" not in text.split("<svg")[0]
+    text = paths[3].read_text()
+    assert text == paths[4].read_text() and text.count("<svg") == 4 and "http://" not in text.split("<svg")[0]
     assert (
         main(["emulate", "sweep", str(file), "--seeds", "2", "--grid", "clients.rate=20,30", "--out", runs])
         == 0
     )
-    assert len(names[5].read_text().splitlines()) == 4
+    assert len(paths[5].read_text().splitlines()) == 4
     assert main(["emulate", "compare", str(file), "--seeds", "2", "--vary", "fleet.slots=1,40"]) == 0
     assert "| s | fleet.slots=40 |" in capsys.readouterr().out
-    for words in (["run", "none.toml"], ["sweep", str(file), "--latin", "clients.rate=3"], ["nothing"]):
-        assert main(["emulate", *words]) == 2
+    for arguments in (["run", "none.toml"], ["sweep", str(file), "--latin", "clients.rate=3"], ["nothing"]):
+        assert main(["emulate", *arguments]) == 2
     assert main(["emulate", "run", str(file), "--set", "clients.rat=3"]) == 1
     assert "clients.rat: is not in the scenario" in capsys.readouterr().err
     monkeypatch.setattr(PendingQueue, "expire_due", lambda self: None)
-    longer = ["--set", "troubles.0.what=silent", "--set", "troubles.0.until=60"]
-    assert main(["emulate", "run", str(file), *longer]) == 1
+    long_outage = ["--set", "troubles.0.what=silent", "--set", "troubles.0.until=60"]
+    assert main(["emulate", "run", str(file), *long_outage]) == 1
     assert "broken: " in capsys.readouterr().out
 
 
-def test_a_command_whose_library_is_missing_says_what_to_install(
+def test_a_command_with_a_missing_dependency_names_the_extra_to_install(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     monkeypatch.setitem(sys.modules, "message_sender.cli.emulate", None)
@@ -403,28 +440,31 @@
     assert main(["--help"]) == 1 and "message-sender[cli]" in capsys.readouterr().err
 
 
-def test_a_deadlock_in_a_world_is_an_error_and_not_silence(monkeypatch: pytest.MonkeyPatch) -> None:
-    def broken(self: object, number: int) -> float:
+def test_an_exception_in_a_callback_of_a_run_is_raised(monkeypatch: pytest.MonkeyPatch) -> None:
+    def fail(self: object, number: int) -> float:
         raise ZeroDivisionError("planted")
 
-    monkeypatch.setattr(FleetRecorder, "attempt_finished", broken)
+    monkeypatch.setattr(FleetRecorder, "attempt_finished", fail)
     with pytest.raises((RuntimeError, ZeroDivisionError)):
         play(small())
 
 
-def test_calls_refused_in_one_span_use_up_a_share_of_the_next() -> None:
-    luck = ReceiverRandom(0.5, 0.5, 0.0)
+def test_calls_rejected_in_one_window_use_up_a_share_of_the_next_window() -> None:
+    draws = ReceiverRandom(0.5, 0.5, 0.0)
     for carried, served in ((0.0, 10), (0.5, 5), (0.2, 8)):
         limit = Limit(10.0, span_s=1.0, carried=carried, tells=1.0)
-        there = Receiver(Terms(workers=50, limit=limit))
-        first = [there.call(0.1, "n0", luck).outcome for _ in range(25)]
-        second = [there.call(1.1, "n0", luck).outcome for _ in range(10)]
-        skipped = [there.call(3.1, "n0", luck).outcome for _ in range(10)]  # a span without refusals between
+        receiver = Receiver(Terms(workers=50, limit=limit))
+        first = [receiver.call(0.1, "n0", draws).outcome for _ in range(25)]
+        second = [receiver.call(1.1, "n0", draws).outcome for _ in range(10)]
+        skipped = [
+            receiver.call(3.1, "n0", draws).outcome for _ in range(10)
+        ]  # after a window without rejections
         counts = [each.count(Outcome.OK) for each in (first, second, skipped)]
         assert counts == [10, served, 10]
 
 
-def test_a_fleet_may_be_as_large_as_the_largest_of_the_operators() -> None:
+def test_a_fleet_of_60_senders_is_accepted_and_one_of_65_is_rejected() -> None:
+    """The largest fleet of the operators has 60 senders."""
     assert small(fleet={"senders": 60}).settings(59).fleet_size == 60
     with pytest.raises(ConfigError, match="senders"):
         small(fleet={"senders": 65})
