--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -1,13 +1,13 @@
-"""What one core can do, and what is left of it at twice that.
+"""The capacity of a sender on one core, and its throughput at twice that load.
 
     python benchmarks/capacity.py [--root FOLDER ...] [--seconds 4] [--clients 4] [--proxy PYTHON]
 
-For each FOLDER (a checkout with its .venv; this one without the option), with receivers and platform of
-storm.py and its clients in several processes, so that they are not what is measured: CPU microseconds of the
-sender for a message at 500 a second; the most messages a second that it took on over a ladder of rates; then
-twice that: the share left without an answer, the share refused, and taken on as a share of that most. The
-last lines compare each FOLDER with the first, in this run. PYTHON is an interpreter that has aiohttp: the
-bare proxy of proxy.py is then measured first.
+Measures for each FOLDER (a checkout with its .venv; this checkout by default): the sender's CPU time per
+message in us at 500 messages/s; the highest rate of accepted messages over a ladder of offered rates; and at
+twice that rate the share without an answer, the share rejected, and the accepted rate relative to the highest
+one. The receivers and the platform are those of storm.py; its clients run in several processes, so that they
+do not limit the rate. The last lines compare each FOLDER with the first one of the same run. PYTHON is an
+interpreter with aiohttp; with it the bare proxy of proxy.py is measured first.
 """
 
 import argparse
@@ -26,18 +26,27 @@
 import storm
 
 LADDER = (800, 1000, 1200, 1400, 1600, 1900, 2200, 2500)
-CALM = 500
+BASE_RATE = 500
 
 
 def cpu_seconds(process: int) -> float:
-    """User and system time so far, from proc(5)."""
+    """Returns the user and system time of a process so far, in s, from /proc/PID/stat (proc(5))."""
     fields = Path(f"/proc/{process}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
-def one_client(told: tuple[int, int, float, float, int, float]) -> tuple[int, int, float, Counter[int]]:
-    """Its part of a rate: sent, answered in time, the worst lateness of its own in s, and what it heard."""
-    port, number, rate, seconds, core, begin = told
+def run_client(task: tuple[int, int, float, float, int, float]) -> tuple[int, int, float, Counter[int]]:
+    """Offers the share of one client process.
+
+    Args:
+        task: The port, the number of the client, its rate in messages/s, the duration in s, its core and the
+            start time in s of time.monotonic().
+
+    Returns:
+        The numbers of sent and answered messages, the longest delay of a send after its schedule
+        time in s, and the number of answers by HTTP status.
+    """
+    port, number, rate, seconds, core, begin = task
     storm.pin(core)
     run = storm.Storm(port, number)
 
@@ -49,12 +58,13 @@
 
 
 class Sender:
-    """What is measured, started anew for each rate so that no backlog carries over."""
+    """The measured process; it is restarted for each rate, so that no backlog is carried over."""
 
     def __init__(self, root: Path, ports: list[int], pool: Any, clients: int, proxy: str = "") -> None:  # noqa: ANN401
         self.root, self.ports, self.pool, self.clients, self.proxy = root, ports, pool, clients, proxy
 
     def start(self, port: int, state: Path, log: Path) -> subprocess.Popen[bytes]:
+        """Starts the sender, or the bare proxy if one is set."""
         if not self.proxy:
             return storm.start(self.root, storm.config(port, *self.ports), state, log)
         script = Path(__file__).with_name("proxy.py")
@@ -65,6 +75,7 @@
         return process
 
     async def offer(self, rate: float, seconds: float) -> dict[str, float]:
+        """Offers messages at one rate (messages/s) to a new process."""
         with tempfile.TemporaryDirectory() as folder:
             state, port = Path(folder) / "state", storm.free_port()
             state.mkdir()
@@ -72,34 +83,35 @@
             await storm.ready(port)
             before = cpu_seconds(process.pid)
             begin = time.monotonic() + 0.3
-            parts = [
+            tasks = [
                 (port, number, rate / self.clients, seconds, storm.CLIENTS_CORE + number, begin)
                 for number in range(self.clients)
             ]
-            found = self.pool.map(one_client, parts)
+            results = self.pool.map(run_client, tasks)
             spent = cpu_seconds(process.pid) - before
             process.terminate()
             process.wait(10)
-        sent, answered = sum(each[0] for each in found), sum(each[1] for each in found)
-        statuses: Counter[int] = sum((each[3] for each in found), Counter())
+        sent, answered = sum(each[0] for each in results), sum(each[1] for each in results)
+        statuses: Counter[int] = sum((each[3] for each in results), Counter())
         return {
             "rate": rate,
             "taken_a_second": statuses[202] / seconds,
             "unanswered": 1 - answered / sent,
             "refused": (statuses[429] + statuses[503]) / sent,
             "cpu_us": spent / sent * 1e6,
-            "late_ms": max(each[2] for each in found) * 1e3,
+            "late_ms": max(each[2] for each in results) * 1e3,
         }
 
 
 async def measure(sender: Sender, seconds: float) -> dict[str, Any]:
-    calm = await sender.offer(CALM, seconds)
+    """Measures the CPU time, the highest rate and the behaviour at twice that rate."""
+    base = await sender.offer(BASE_RATE, seconds)
     ladder = [await sender.offer(rate, seconds) for rate in LADDER]
     most = max(each["taken_a_second"] for each in ladder)
     twice = await sender.offer(2 * most, seconds)
     return {
         "root": "bare proxy" if sender.proxy else sender.root.name,
-        "cpu_us_at_500": round(calm["cpu_us"]),
+        "cpu_us_at_500": round(base["cpu_us"]),
         "most_a_second": round(most),
         "twice": {
             "offered": round(2 * most),
@@ -113,27 +125,27 @@
 
 async def main_loop(options: argparse.Namespace) -> None:
     ours, theirs = multiprocessing.Pipe()
-    helper = multiprocessing.Process(target=storm.peers, args=(theirs,), daemon=True)
-    helper.start()
+    stand_ins = multiprocessing.Process(target=storm.peers, args=(theirs,), daemon=True)
+    stand_ins.start()
     ports = ours.recv()
-    found = []
+    results = []
     with multiprocessing.get_context("spawn").Pool(options.clients) as pool:
         senders = [Sender(each.resolve(), ports, pool, options.clients) for each in options.root]
         if options.proxy:
             senders.insert(0, Sender(storm.ROOT, ports, pool, options.clients, options.proxy))
         for each in senders:
-            found.append(await measure(each, options.seconds))
-            print(json.dumps(found[-1]), flush=True)
-    end(ours, helper)
-    for each in found[1:]:
-        cpu = each["cpu_us_at_500"] / found[0]["cpu_us_at_500"]
-        most = each["most_a_second"] / found[0]["most_a_second"]
+            results.append(await measure(each, options.seconds))
+            print(json.dumps(results[-1]), flush=True)
+    end(ours, stand_ins)
+    for each in results[1:]:
+        cpu = each["cpu_us_at_500"] / results[0]["cpu_us_at_500"]
+        most = each["most_a_second"] / results[0]["most_a_second"]
         print(f"{each['root']} over the first: CPU a message {cpu:.2f}, most a second {most:.2f}")
 
 
-def end(pipe: Connection, helper: multiprocessing.Process) -> None:
+def end(pipe: Connection, stand_ins: multiprocessing.Process) -> None:
     pipe.send("end")
-    helper.join(5)
+    stand_ins.join(5)
 
 
 def main() -> None:
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -1,10 +1,11 @@
-"""Forty senders in simulated time: the scenarios `forty-*`, drawn again and again.
+"""Forty senders on virtual time: several draws of the scenarios `forty-*`.
 
     ./with-env python benchmarks/fleet.py                     # twenty draws of each
-    ./with-env python benchmarks/fleet.py --root OTHER        # the decisions of another checkout beside these
+    ./with-env python benchmarks/fleet.py --root OTHER        # compares with the policy of another checkout
 
-With `--root` the policy of that checkout (its dispatcher.py, breaker.py, schedule.py) takes the place of this
-one's, in the emulator of this one, and every draw is a pair: the same clients, receivers and chance.
+With `--root` every draw also runs in a copy of this checkout whose policy modules (`POLICY_FILES`) are
+replaced by those of the other checkout. The two runs of a pair have the same emulator, clients, receivers and
+seed.
 """
 
 import argparse
@@ -18,7 +19,7 @@
 from pathlib import Path
 
 HERE = Path(__file__).resolve().parent.parent
-DECISIONS = (
+POLICY_FILES = (
     "policy/dispatcher.py",
     "policy/breaker.py",
     "policy/timers.py",
@@ -29,30 +30,39 @@
 FIGURES = ("goodput", "worst_10_s", "refused_calls", "falls")
 
 
-def play(root: Path, scenario: Path, seed: int) -> dict[str, float]:
-    """The figures of one draw. Raises RuntimeError where the run itself failed."""
+def run_draw(root: Path, scenario: Path, seed: int) -> dict[str, float]:
+    """Runs one draw.
+
+    Returns:
+        The value of each figure.
+
+    Raises:
+        RuntimeError: The run failed or did not print all figures.
+    """
     command = [sys.executable, "-m", "message_sender", "emulate", "run", str(scenario), "--seed", str(seed)]
-    ran = subprocess.run(command, cwd=root, capture_output=True, text=True, check=False)
-    lines = [line.split() for line in ran.stdout.splitlines() if line.startswith("  ")]
-    found = {line[0]: line[1] for line in lines if len(line) == 2}
-    if not set(FIGURES) <= set(found):
-        raise RuntimeError(f"{scenario.stem}, seed {seed}: {ran.stdout[-200:]}{ran.stderr[-500:]}")
-    return {name: float(found[name]) for name in FIGURES}
+    completed = subprocess.run(command, cwd=root, capture_output=True, text=True, check=False)
+    lines = [line.split() for line in completed.stdout.splitlines() if line.startswith("  ")]
+    figures = {line[0]: line[1] for line in lines if len(line) == 2}
+    if not set(FIGURES) <= set(figures):
+        raise RuntimeError(
+            f"{scenario.stem}, seed {seed}: {completed.stdout[-200:]}{completed.stderr[-500:]}"
+        )
+    return {name: float(figures[name]) for name in FIGURES}
 
 
-def with_decisions(root: Path, folder: Path) -> Path:
-    """A copy of this program with the decision module of `root`."""
+def copy_with_policy(root: Path, folder: Path) -> Path:
+    """Copies this checkout's package into `folder` with the policy modules of `root`; returns the copy."""
     copy = folder / "other"
     shutil.copytree(
         HERE / "message_sender", copy / "message_sender", ignore=shutil.ignore_patterns("__pycache__")
     )
-    for name in DECISIONS:
+    for name in POLICY_FILES:
         shutil.copy(root / "message_sender" / name, copy / "message_sender" / name)
     return copy
 
 
 def interval(values: list[float]) -> str:
-    """Mean and half of its 95% interval."""
+    """Returns the mean of the values and half the width of its 95% confidence interval."""
     half = 1.96 * statistics.stdev(values) / math.sqrt(len(values)) if len(values) > 1 else math.inf
     return f"{statistics.fmean(values):.3f} +- {half:.3f}"
 
@@ -68,19 +78,19 @@
     with tempfile.TemporaryDirectory() as folder, ThreadPoolExecutor(options.processes) as pool:
         roots = {"this": HERE}
         if options.root:
-            roots["other"] = with_decisions(options.root, Path(folder))
+            roots["other"] = copy_with_policy(options.root, Path(folder))
         for scenario in scenarios:
             runs = {
-                name: [pool.submit(play, root, scenario, seed) for seed in range(options.draws)]
+                name: [pool.submit(run_draw, root, scenario, seed) for seed in range(options.draws)]
                 for name, root in roots.items()
             }
-            found = {name: [each.result() for each in ran] for name, ran in runs.items()}
+            draws = {name: [run.result() for run in runs_of_root] for name, runs_of_root in runs.items()}
             for figure in FIGURES:
-                told = [f"{name} {interval([x[figure] for x in found[name]])}" for name in found]
-                if len(found) == 2:
-                    pairs = zip(found["this"], found["other"], strict=True)
-                    told.append(f"this less other {interval([a[figure] - b[figure] for a, b in pairs])}")
-                print(f"{scenario.stem:26} {figure:14}", "   ".join(told), flush=True)
+                cells = [f"{name} {interval([draw[figure] for draw in draws[name]])}" for name in draws]
+                if len(draws) == 2:
+                    pairs = zip(draws["this"], draws["other"], strict=True)
+                    cells.append(f"this less other {interval([a[figure] - b[figure] for a, b in pairs])}")
+                print(f"{scenario.stem:26} {figure:14}", "   ".join(cells), flush=True)
 
 
 if __name__ == "__main__":
--- a/benchmarks/listing.py
+++ b/benchmarks/listing.py
@@ -1,9 +1,10 @@
-"""What one change of the directory's list costs the decision module, by the length of the list.
+"""The cost of one change of the endpoint list in the decision module, by the length of the list.
 
     python benchmarks/listing.py [--root FOLDER]
 
-Times changes that take one endpoint out and in again, at 20, 1,000 and 10,000 listed endpoints of the module
-in FOLDER (this checkout without the option), medians of 5, and tells each as a multiple of the first.
+Times changes that set one endpoint to draining and back to ready, with 20, 1,000 and 10,000 listed endpoints,
+in the decision module of FOLDER (this checkout by default). Prints medians of 5 and their ratios to the first
+one.
 """
 
 import argparse
@@ -16,30 +17,32 @@
 SIZES, CHANGES, ROUNDS = (20, 1_000, 10_000), 40, 5
 
 
-def world(face: Any, dispatcher: Any, size: int) -> Any:  # noqa: ANN401
-    safe = face.MessageClass("safe", 2_000_000, 20_000_000, 1.0, 0.3, face.Effect.IDEMPOTENT)
-    settings = face.Settings((safe,), (("k", face.Kind()),), 20, 100, 6, "z", 5000)
-    made = dispatcher(settings, 1)
-    listed = tuple(entry(face, each) for each in range(size))
-    made.handle(0, [face.EndpointsListed(face.Listing.FULL, listed)])
-    return made
+def make_dispatcher(interface: Any, dispatcher_class: Any, size: int) -> Any:  # noqa: ANN401
+    """Returns a dispatcher that knows a list of `size` endpoints."""
+    safe = interface.MessageClass("safe", 2_000_000, 20_000_000, 1.0, 0.3, interface.Effect.IDEMPOTENT)
+    settings = interface.Settings((safe,), (("k", interface.Kind()),), 20, 100, 6, "z", 5000)
+    dispatcher = dispatcher_class(settings, 1)
+    listed = tuple(endpoint(interface, each) for each in range(size))
+    dispatcher.handle(0, [interface.EndpointsListed(interface.Listing.FULL, listed)])
+    return dispatcher
 
 
-def entry(face: Any, number: int, state: str = "ready") -> Any:  # noqa: ANN401
-    return face.Endpoint(f"e{number}", number // 2, face.EndpointState(state), "k", "z")
+def endpoint(interface: Any, number: int, state: str = "ready") -> Any:  # noqa: ANN401
+    """Returns an endpoint in the given state."""
+    return interface.Endpoint(f"e{number}", number // 2, interface.EndpointState(state), "k", "z")
 
 
-def measure(face: Any, dispatcher: Any, size: int) -> float:  # noqa: ANN401
-    """Milliseconds a change."""
-    made, now, rounds = world(face, dispatcher, size), 0, []
+def measure(interface: Any, dispatcher_class: Any, size: int) -> float:  # noqa: ANN401
+    """Returns the median time of a change in ms."""
+    dispatcher, now, rounds = make_dispatcher(interface, dispatcher_class, size), 0, []
     for _ in range(ROUNDS):
-        began = time.perf_counter()
+        started_at = time.perf_counter()
         for number in range(CHANGES):
             now += 1000
             state = "draining" if number % 2 == 0 else "ready"
-            change = face.EndpointsListed(face.Listing.CHANGES, (entry(face, 7, state),))
-            made.handle(now, [change])
-        rounds.append((time.perf_counter() - began) / CHANGES * 1e3)
+            change = interface.EndpointsListed(interface.Listing.CHANGES, (endpoint(interface, 7, state),))
+            dispatcher.handle(now, [change])
+        rounds.append((time.perf_counter() - started_at) / CHANGES * 1e3)
     return statistics.median(rounds)
 
 
@@ -49,9 +52,10 @@
     sys.path.insert(0, str(parser.parse_args().root))
     from message_sender import Dispatcher, interface
 
-    found = {size: measure(interface, Dispatcher, size) for size in SIZES}
-    for size, took in found.items():
-        print(f"{size:>7} endpoints: {took:8.3f} ms a change, {took / found[SIZES[0]]:7.1f} times the first")
+    medians = {size: measure(interface, Dispatcher, size) for size in SIZES}
+    first = medians[SIZES[0]]
+    for size, median in medians.items():
+        print(f"{size:>7} endpoints: {median:8.3f} ms a change, {median / first:7.1f} times the first")
     return 0
 
 
--- a/benchmarks/management.py
+++ b/benchmarks/management.py
@@ -1,7 +1,8 @@
-"""How long an operator's call takes while clients storm the door: ./with-env python benchmarks/management.py
+"""The response time of management calls under client load: ./with-env python benchmarks/management.py
 
-A sender in a process of its own, `RATE` hand-ins a second from `CLIENTS` connections for `SECONDS`, a hundred
-operators' connections that send half a call, and a call for the figures every 50 ms. Prints the calls' times.
+Runs a sender as a process. `CLIENTS` connections submit `RATE` messages per second for `SECONDS`, a hundred
+management connections send half a request, and a call for the statistics is made every 50 ms. Prints the
+response times of these calls.
 """
 
 import asyncio
@@ -16,10 +17,11 @@
 from peers import Platform as Discovery  # noqa: E402
 from successors import Platform  # noqa: E402
 
-RATE, CLIENTS, SECONDS, HALVES = 1600, 64, 6.0, 100
+RATE, CLIENTS, SECONDS, INCOMPLETE_REQUESTS = 1600, 64, 6.0, 100
 
 
 async def client(address: tuple[str, int], number: int, until: float) -> int:
+    """Submits messages at its share of the rate up to the time `until`; returns their number."""
     reader, writer = await asyncio.open_connection(*address)
     count = 0
     while time.monotonic() < until:
@@ -41,23 +43,25 @@
         async with Peer() as receiver, Discovery() as discovery:
             async with Platform(state, config_json(discovery, host(receiver.dial))) as platform:
                 process = await platform.start()
-                halves = [await asyncio.open_connection(*process.management) for _ in range(HALVES)]
-                for _, writer in halves:
+                incomplete = [
+                    await asyncio.open_connection(*process.management) for _ in range(INCOMPLETE_REQUESTS)
+                ]
+                for _, writer in incomplete:
                     writer.write(b"POST /healthcheck/fail HTTP/1.1\r\n")
                 until = time.monotonic() + SECONDS
                 clients = [
                     asyncio.create_task(client(platform.address, each, until)) for each in range(CLIENTS)
                 ]
-                took = []
+                latencies = []
                 while time.monotonic() < until:
-                    began = time.perf_counter()
+                    started_at = time.perf_counter()
                     assert (await process.call("GET", "/stats")).status == 200
-                    took.append(time.perf_counter() - began)
+                    latencies.append(time.perf_counter() - started_at)
                     await asyncio.sleep(0.05)
-                handed = sum(await asyncio.gather(*clients))
-                took.sort()
-                middle, most = took[len(took) // 2], took[-1]
-                print(f"{handed / SECONDS:.0f} hand-ins a second, {len(took)} calls:", end=" ")
+                submitted = sum(await asyncio.gather(*clients))
+                latencies.sort()
+                middle, most = latencies[len(latencies) // 2], latencies[-1]
+                print(f"{submitted / SECONDS:.0f} hand-ins a second, {len(latencies)} calls:", end=" ")
                 print(f"median {middle * 1e3:.1f} ms, slowest {most * 1e3:.1f} ms")
 
 
--- a/benchmarks/overrides.py
+++ b/benchmarks/overrides.py
@@ -1,5 +1,7 @@
-"""Overrides over a long list: what a change of the list costs, what a choice costs, who gets what by weight,
-and how long after `override set` its endpoint still gets bytes.
+"""Overrides with a long endpoint list.
+
+Measures the cost of a change of the list, the cost of the choice of an endpoint, the distribution of attempts
+by weight, and how long an endpoint still gets calls after `override set`.
 
     python benchmarks/overrides.py [--endpoints N] [--overrides N]
 """
@@ -44,86 +46,87 @@
 
 
 def listed(count: int) -> tuple[Endpoint, ...]:
-    """Two endpoints a destination."""
+    """Returns `count` endpoints, two for each destination."""
     return tuple(Endpoint(f"e{each}", each // 2, EndpointState.READY, "plain", "z") for each in range(count))
 
 
-def overlay_of(count: int, overrides: int) -> OverrideLayer:
+def make_layer(count: int, overrides: int) -> OverrideLayer:
+    """Returns a layer with `overrides` overrides of alternating kinds over a list of `count` endpoints."""
     book = OverrideBook()
     for each in range(overrides):
         kind = (OverrideKind.OUT, OverrideKind.WEIGHT, OverrideKind.PIN)[each % 3]
         name = f"e{each * (count // max(overrides, 1))}"
         more = {"weight": 3.0, "destination": each * (count // max(overrides, 1)) // 2}
         book.set(kind, name, "me", "bench", 0, 3600 * SECOND, 1, **more)  # type: ignore[arg-type]
-    overlay = OverrideLayer(book)
-    overlay.apply_update(EndpointsUpdated(ListingKind.FULL, listed(count)))
-    overlay.refresh(1)
-    return overlay
+    layer = OverrideLayer(book)
+    layer.apply_update(EndpointsUpdated(ListingKind.FULL, listed(count)))
+    layer.refresh(1)
+    return layer
 
 
-def change_cost(overlay: OverrideLayer, count: int) -> float:
-    """us of one change of one endpoint, the median."""
+def change_cost(layer: OverrideLayer, count: int) -> float:
+    """Returns the median time in us to apply a change of one endpoint."""
     costs = []
     for each in range(ROUNDS):
         state = EndpointState.DRAINING if each % 2 else EndpointState.READY
         one = Endpoint(f"e{(each // 2 * 37) % count}", (each // 2 * 37) % count // 2, state, "plain", "z")
-        began = time.perf_counter()
-        overlay.apply_update(EndpointsUpdated(ListingKind.CHANGES, (one,)))
-        costs.append((time.perf_counter() - began) * 1e6)
+        started_at = time.perf_counter()
+        layer.apply_update(EndpointsUpdated(ListingKind.CHANGES, (one,)))
+        costs.append((time.perf_counter() - started_at) * 1e6)
     return statistics.median(costs)
 
 
-def choice_cost(told: EndpointsUpdated, count: int) -> float:
-    """us of a message taken, sent and answered, the median of blocks."""
+def choice_cost(update: EndpointsUpdated, count: int) -> float:
+    """Returns the time in us to accept, send and complete a message: the median over blocks of messages."""
     dispatcher = Dispatcher(SETTINGS, 1)
     now, costs = SECOND, []
-    dispatcher.handle(now, [told])
+    dispatcher.handle(now, [update])
     for block in range(20):
-        began = time.perf_counter()
+        started_at = time.perf_counter()
         for each in range(200):
             now += 1000
             name = f"m{block}.{each}"
-            taken = MessageAccepted(name, "c", (each * 31) % (count // 2), 20 * SECOND)
-            if any(isinstance(x, Send) for x in dispatcher.handle(now, [taken])):
+            accepted = MessageAccepted(name, "c", (each * 31) % (count // 2), 20 * SECOND)
+            if any(isinstance(x, Send) for x in dispatcher.handle(now, [accepted])):
                 now += 1000
                 dispatcher.handle(now, [AttemptEnded(name, 0, Outcome.OK, True)])
-        costs.append((time.perf_counter() - began) * 1e6 / 200)
+        costs.append((time.perf_counter() - started_at) * 1e6 / 200)
     return statistics.median(costs)
 
 
-def shares(weights: tuple[float, ...], most: int = 10_000) -> float:
-    """By how many points the share of any endpoint is off at the most."""
+def share_error(weights: tuple[float, ...], messages: int = 10_000) -> float:
+    """Returns the largest deviation of an endpoint's share of attempts from its weight, in points."""
     dispatcher, now, count = Dispatcher(SETTINGS, 1), SECOND, Counter[str]()
-    found = [
+    endpoints = [
         Endpoint(f"e{n}", 1, EndpointState.READY, "plain", "z", weight=weight)
         for n, weight in enumerate(weights)
     ]
-    dispatcher.handle(now, [EndpointsUpdated(ListingKind.FULL, tuple(found))])
-    for each in range(most):
+    dispatcher.handle(now, [EndpointsUpdated(ListingKind.FULL, tuple(endpoints))])
+    for each in range(messages):
         now += 1000
         actions = dispatcher.handle(now, [MessageAccepted(f"m{each}", "c", 1, 20 * SECOND)])
         count.update(x.endpoint for x in actions if isinstance(x, Send))
         dispatcher.handle(now, [AttemptEnded(f"m{each}", 0, Outcome.OK, True)])
     total = sum(weights)
-    return max(abs(count[f"e{n}"] / most - weight / total) * 100 for n, weight in enumerate(weights))
+    return max(abs(count[f"e{n}"] / messages - weight / total) * 100 for n, weight in enumerate(weights))
 
 
-async def last_byte() -> float:
-    """ms from the beginning of `override set` to the last call that came to its endpoint, under load."""
+async def time_to_last_call() -> float:
+    """Returns the ms from the start of `override set` to the last call to its endpoint, under load."""
     history = History()
     async with HttpEndpoint("e0", Script(), history) as one, HttpEndpoint("e1", Script(), history) as two:
-        told = {
+        settings = {
             "classes": {"c": {"effect": "safe", "aim_ms": 4000, "deadline_ms": 8000}},
             "endpoints": [
                 {"id": each.name, "destination": 1, "dial": f"127.0.0.1:{each.port}"} for each in (one, two)
             ],
         }
         with tempfile.TemporaryDirectory() as folder:
-            sender = StandaloneSender(general.read(told), Path(folder), CompletionWriter(io.StringIO()))
+            sender = StandaloneSender(general.read(settings), Path(folder), CompletionWriter(io.StringIO()))
             async with running(sender):
                 stop = False
 
-                async def flow(number: int) -> None:
+                async def submit_messages(number: int) -> None:
                     client, count = HttpClient(sender.server.address()[:2]), 0
                     while not stop:
                         count += 1
@@ -135,48 +138,48 @@
                         await client.post("/c", fields | {"X-Route-To": "dest=1"}, b"x")
                     client.close()
 
-                flows = [asyncio.create_task(flow(number)) for number in range(8)]
+                clients = [asyncio.create_task(submit_messages(number)) for number in range(8)]
                 await asyncio.sleep(0.5)
-                now, began = time.time_ns() // 1000, time.monotonic()
+                now, started_at = time.time_ns() // 1000, time.monotonic()
                 request = {"do": "set", "kind": "out", "endpoint": "e0", "who": "me", "why": "bench"}
                 await asyncio.to_thread(
                     send_request, Path(folder), request | {"begins": now, "until": now + 60 * SECOND}
                 )
                 await asyncio.sleep(0.3)
                 stop = True
-                await asyncio.gather(*flows)
-    late = [
-        each.at - began
+                await asyncio.gather(*clients)
+    call_times = [
+        each.at - started_at
         for each in history.events
         if isinstance(each, AttemptStarted) and each.endpoint == "e0"
     ]
-    return max(late) * 1e3
+    return max(call_times) * 1e3
 
 
 def main() -> None:
-    options = argparse.ArgumentParser(
+    parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
-    options.add_argument("--endpoints", type=int, default=10_000)
-    options.add_argument("--overrides", type=int, default=1_000)
-    told = options.parse_args()
+    parser.add_argument("--endpoints", type=int, default=10_000)
+    parser.add_argument("--overrides", type=int, default=1_000)
+    options = parser.parse_args()
     logging.disable(logging.ERROR)
-    count = told.endpoints
-    overlay = overlay_of(count, told.overrides)
-    print(f"{count} endpoints, {told.overrides} overrides in force")
-    print(f"  a change of the list: {change_cost(overlay, count):.1f} us")
-    began = time.perf_counter()
-    overlay.book.set(OverrideKind.OUT, "e5", "me", "bench", 1, SECOND, 1)
-    overlay.refresh(2)
-    print(f"  an override set, in the overlay: {(time.perf_counter() - began) * 1e6:.0f} us")
+    count = options.endpoints
+    layer = make_layer(count, options.overrides)
+    print(f"{count} endpoints, {options.overrides} overrides in force")
+    print(f"  a change of the list: {change_cost(layer, count):.1f} us")
+    started_at = time.perf_counter()
+    layer.book.set(OverrideKind.OUT, "e5", "me", "bench", 1, SECOND, 1)
+    layer.refresh(2)
+    print(f"  an override set, in the overlay: {(time.perf_counter() - started_at) * 1e6:.0f} us")
     plain = EndpointsUpdated(ListingKind.FULL, listed(count))
-    under = EndpointsUpdated(ListingKind.FULL, tuple(overlay.published.values()))
+    under = EndpointsUpdated(ListingKind.FULL, tuple(layer.published.values()))
     ratios = [choice_cost(under, count) / choice_cost(plain, count) for _ in range(5)]
     print(f"  a message's cost in the decision module, to that without: {statistics.median(ratios):.3f} "
           f"({min(ratios):.3f} to {max(ratios):.3f})")  # fmt: skip
     for weights in ((1.0, 2.0), (1.0, 1.0, 8.0), (0.1, 5.0, 1.0, 1.0)):
-        print(f"  shares by weights {weights}: {shares(weights):.2f} points off at the most")
-    times = [asyncio.run(last_byte()) for _ in range(5)]
+        print(f"  shares by weights {weights}: {share_error(weights):.2f} points off at the most")
+    times = [asyncio.run(time_to_last_call()) for _ in range(5)]
     middle, most = statistics.median(times), max(times)
     print(f"  from `override set` to the last call there: {middle:.1f} ms, {most:.1f} at most")
 
--- a/benchmarks/pcap.py
+++ b/benchmarks/pcap.py
@@ -1,9 +1,9 @@
-"""Captures: reading beside dpkt and scapy, memory on a long one, and what writing costs a sender.
+"""Captures: reading speed beside dpkt and scapy, memory on a long capture, and the cost of writing.
 
     python benchmarks/pcap.py [--packets N] [--megabytes N]
 
-All figures of one run on one core; speeds are ratios to dpkt, which only reads and decodes here, while ours
-also puts streams and HTTP messages together.
+All figures are from one run on one core. Speeds are ratios to dpkt, which only reads and decodes packets
+here; our reader also reassembles streams and HTTP messages.
 """
 
 import argparse
@@ -39,29 +39,35 @@
 MESSAGES, CLIENTS, PAIRS = 1500, 8, 5
 
 
-def traffic(talks: int, rounds: int, body: bytes) -> Iterator[bytes]:
-    """A capture in parts: so many connections at a time, each with so many requests."""
-    out = io.BytesIO()
-    writer, at = PcapWriter(out), 10**18
+def traffic(connections: int, rounds: int, body: bytes) -> Iterator[bytes]:
+    """Yields the parts of an endless capture.
+
+    Args:
+        connections: The number of connections that are open at the same time.
+        rounds: The number of requests on each connection.
+        body: The body of each request.
+    """
+    buffer = io.BytesIO()
+    writer, now_ns = PcapWriter(buffer), 10**18
     while True:
         open_now = [
-            ConnectionWriter(writer, ("10.0.0.1", 1024 + each), ("10.0.0.2", 80), at, at // 10**6)
-            for each in range(talks)
+            ConnectionWriter(writer, ("10.0.0.1", 1024 + each), ("10.0.0.2", 80), now_ns, now_ns // 10**6)
+            for each in range(connections)
         ]
         for _ in range(rounds):
             for connection in open_now:
-                at += 10_000
-                connection.write_data(0, at, REQUEST % (len(body), body))
-                connection.write_data(1, at + 5_000, ANSWER)
-            yield out.getvalue()
-            out.seek(0)
-            out.truncate()
+                now_ns += 10_000
+                connection.write_data(0, now_ns, REQUEST % (len(body), body))
+                connection.write_data(1, now_ns + 5_000, ANSWER)
+            yield buffer.getvalue()
+            buffer.seek(0)
+            buffer.truncate()
         for connection in open_now:
-            connection.end(0, at)
+            connection.end(0, now_ns)
 
 
 def capture_of(packets: int, body: bytes) -> bytes:
-    """At least so many packets."""
+    """Returns a capture of at least `packets` packets."""
     parts, count = [], 0
     for part in traffic(50, 20, body):
         parts.append(part)
@@ -71,14 +77,16 @@
     raise AssertionError
 
 
-def ours(data: bytes) -> int:
+def read_messages(data: bytes) -> int:
+    """Reads packets, streams and HTTP messages with our reader; returns the number of packets."""
     capture = Capture(io.BytesIO(data))
     for _ in capture.messages():
         pass
     return capture.packets
 
 
-def ours_streams(data: bytes) -> int:
+def read_streams(data: bytes) -> int:
+    """Reads packets and streams with our reader; returns the number of packets."""
     layers, flows, count = SegmentDecoder(), FlowTable(), 0
     for packet in read_packets(io.BytesIO(data)):
         count += 1
@@ -88,7 +96,8 @@
     return count
 
 
-def with_dpkt(data: bytes) -> int:
+def read_dpkt(data: bytes) -> int:
+    """Reads and decodes packets with dpkt; returns the number of TCP packets."""
     count = 0
     for _, frame in dpkt.pcap.Reader(io.BytesIO(data)):
         packet = dpkt.ip.IP(frame)
@@ -96,7 +105,8 @@
     return count
 
 
-def with_scapy(data: bytes) -> int:
+def read_scapy(data: bytes) -> int:
+    """Reads packets with scapy; returns their number."""
     logging.getLogger("scapy").setLevel(logging.ERROR)
     from scapy.utils import PcapReader
 
@@ -104,34 +114,35 @@
 
 
 def speed(read_all: Callable[[bytes], int], data: bytes) -> float:
-    """Packets a second, the median of three."""
+    """Returns the packets per CPU second, the median of three runs."""
     rates = []
     for _ in range(3):
-        began = time.process_time()
+        started_at = time.process_time()
         count = read_all(data)
-        rates.append(count / (time.process_time() - began))
+        rates.append(count / (time.process_time() - started_at))
     return statistics.median(rates)
 
 
-def reading(packets: int) -> None:
+def measure_reading(packets: int) -> None:
+    """Prints the reading speeds."""
     for name, body in (("commands of 200 bytes", b"x" * 200), ("bodies of 60 KB", b"x" * 60_000)):
         data = capture_of(packets, body)
-        base = speed(with_dpkt, data)
-        size = len(data) / ours(data)
+        base = speed(read_dpkt, data)
+        size = len(data) / read_messages(data)
         print(f"{name}: dpkt, reading alone {base:,.0f} packets/s")
-        for label, reader in (("streams", ours_streams), ("streams and messages", ours)):
+        for label, reader in (("streams", read_streams), ("streams and messages", read_messages)):
             rate = speed(reader, data)
-            told = f"{rate:10,.0f} packets/s {rate * size / 1e6:8.1f} MB/s {rate / base:6.2f} of dpkt's"
-            print(f"  ours, {label:21}{told}")
+            speeds = f"{rate:10,.0f} packets/s {rate * size / 1e6:8.1f} MB/s {rate / base:6.2f} of dpkt's"
+            print(f"  ours, {label:21}{speeds}")
     small = capture_of(5_000, b"x" * 200)
-    print(f"  scapy, reading alone {with_scapy(small) and speed(with_scapy, small) / base:.3f} of dpkt's")
+    print(f"  scapy, reading alone {read_scapy(small) and speed(read_scapy, small) / base:.3f} of dpkt's")
 
 
-def memory(megabytes: int) -> None:
-    """Peak memory of `pcap info` on a stream that is never whole anywhere."""
-    words = [sys.executable, "-m", "message_sender", "pcap", "info", "-"]
+def measure_memory(megabytes: int) -> None:
+    """Prints the peak memory of `pcap info` on a piped capture that is never stored completely."""
+    command = [sys.executable, "-m", "message_sender", "pcap", "info", "-"]
     process = subprocess.Popen(
-        words, stdin=subprocess.PIPE, stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL
+        command, stdin=subprocess.PIPE, stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL
     )
     assert process.stdin
     sent = 0
@@ -147,67 +158,70 @@
 
 
 async def deliver(folder: Path, tap: TrafficTap | None) -> float:
-    """CPU seconds of this process for MESSAGES taken on and delivered; stand-ins and clients included."""
+    """Returns the CPU seconds of this process for MESSAGES deliveries, including endpoint and clients."""
     async with HttpEndpoint("e", Script(), History()) as endpoint:
-        told = {
+        settings = {
             "classes": {"c": {"effect": "safe", "aim_ms": 4000, "deadline_ms": 8000}},
             "limits": {"slots": 200},
             "endpoints": [{"id": "e", "destination": 1, "dial": f"127.0.0.1:{endpoint.port}"}],
         }
-        sender = StandaloneSender(general.read(told), folder, CompletionWriter(io.StringIO()), tap)
+        sender = StandaloneSender(general.read(settings), folder, CompletionWriter(io.StringIO()), tap)
         async with running(sender):
             address = sender.server.address()[:2]
-            began = time.process_time()
+            started_at = time.process_time()
 
             async def client(number: int) -> None:
-                line = HttpClient(address)
+                http_client = HttpClient(address)
                 for each in range(MESSAGES // CLIENTS):
                     fields = {
                         "X-Correlation-Id": f"{number}-{each}",
                         "X-Service-Class": "c",
                         "X-Time-Left": "5",
                     }
-                    await line.post("/c", fields | {"X-Route-To": "dest=1"}, b"x" * 200)
-                line.close()
+                    await http_client.post("/c", fields | {"X-Route-To": "dest=1"}, b"x" * 200)
+                http_client.close()
 
             await asyncio.gather(*(client(number) for number in range(CLIENTS)))
             while sender.engine.journal.entries:
                 await asyncio.sleep(0.01)
-            spent = time.process_time() - began
-        return spent
+            cpu_s = time.process_time() - started_at
+        return cpu_s
 
 
-def one_delivery(capturing: bool) -> float:
+def run_delivery(capturing: bool) -> float:
+    """Returns the CPU seconds of one run of `deliver`, with or without a capture."""
     with tempfile.TemporaryDirectory() as folder:
         tap = TrafficTap(Path(folder) / "c", 16_000_000) if capturing else None
         state = Path(folder) / "s"
         state.mkdir()
-        spent = asyncio.run(deliver(state, tap))
+        cpu_s = asyncio.run(deliver(state, tap))
         if tap:
             tap.close()
             assert not tap.dropped_records, tap.dropped_records
-        return spent
+        return cpu_s
 
 
-def writing() -> None:
-    one_delivery(False)
-    ratios = [one_delivery(True) / one_delivery(False) for _ in range(PAIRS)]
+def measure_writing() -> None:
+    """Prints the ratio of the CPU time with a capture to that without."""
+    run_delivery(False)
+    ratios = [run_delivery(True) / run_delivery(False) for _ in range(PAIRS)]
     middle = statistics.median(ratios)
     print(f"CPU a message with the capture written, in the sender: {middle:.3f} times that without "
           f"({min(ratios):.3f} to {max(ratios):.3f}, {PAIRS} pairs of {MESSAGES} messages)")  # fmt: skip
 
 
 def main() -> None:
-    options = argparse.ArgumentParser(
+    parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
-    options.add_argument("--packets", type=int, default=100_000)
-    options.add_argument("--megabytes", type=int, default=300)
-    told = options.parse_args()
+    parser.add_argument("--packets", type=int, default=100_000)
+    parser.add_argument("--megabytes", type=int, default=300)
+    options = parser.parse_args()
     logging.disable(logging.WARNING)
-    memory(told.megabytes)  # first: a child's peak counts what its parent had as it began
-    reading(told.packets)
-    writing()
+    # First, because the peak memory of a child includes the memory of its parent at the time of the fork.
+    measure_memory(options.megabytes)
+    measure_reading(options.packets)
+    measure_writing()
 
 
 if __name__ == "__main__":
--- a/benchmarks/proxy.py
+++ b/benchmarks/proxy.py
@@ -1,26 +1,27 @@
-"""A bare proxy: no journal, no rules, no resends. What a message costs without all that a sender owes.
+"""A bare proxy without journal, policy or retries: the baseline cost of forwarding a message.
 
     python benchmarks/proxy.py PORT RECEIVER_PORT
 
-Needs aiohttp, which nothing else of the project does. Each POST goes on to the receiver, and the client hears
-202 once the receiver has answered. capacity.py --proxy runs it.
+Needs aiohttp, which no other part of the project uses. Forwards each POST to the receiver and answers 202
+once the receiver has answered. capacity.py --proxy runs this script.
 """
 
 import sys
 
 from aiohttp import ClientSession, TCPConnector, web  # type: ignore[import-not-found]
 
-CALLS = 60  # out at once, as the sender's slots in storm.py
+CALLS = 60  # in flight at most; equals the slots of the sender in storm.py
 
 
 async def serve(receiver: int) -> web.Application:
+    """Returns the proxy of a receiver that listens on this port."""
     app, hook = web.Application(), f"http://127.0.0.1:{receiver}/hook"
 
     async def forward(request: web.Request) -> web.Response:
         headers = {"X-Correlation-Id": request.headers.get("X-Correlation-Id", "")}
         body = await request.read()
-        async with app["session"].post(hook, data=body, headers=headers) as got:
-            return web.Response(status=202 if got.status == 200 else 502)
+        async with app["session"].post(hook, data=body, headers=headers) as response:
+            return web.Response(status=202 if response.status == 200 else 502)
 
     async def session(app: web.Application) -> None:
         app["session"] = ClientSession(connector=TCPConnector(limit=CALLS))
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -1,4 +1,4 @@
-"""Entry of the scale tests: `./with-env python benchmarks/scale.py [DIMENSION ...]`; all without one."""
+"""Entry point of the scale tests: `./with-env python benchmarks/scale.py [DIMENSION ...]`; all by default."""
 
 import sys
 from pathlib import Path
--- a/benchmarks/scale/changes.py
+++ b/benchmarks/scale/changes.py
@@ -1,14 +1,14 @@
-"""Dimension `changes`: what the control plane costs, and how soon a change is in force, by senders.
+"""Dimension `changes`: the cost of the control plane and the delay of a change, by the number of senders.
 
-Hollow senders and control nodes on virtual time (control_plane.py), with no loss and with 1% of the datagrams
-lost:
+Hollow senders and control nodes run on virtual time (control_plane.py), without loss and with 1% of the
+datagrams lost, in these scenarios:
 
-- a day: changes at the rate of 980 a day for ten minutes, and 20 more at one moment;
-- a node lost: the leader is killed and comes back a minute later, with a change each 5 s;
-- a zone's return: its senders start at once with nothing stored, and its node with its disk;
-- all senders start at once with nothing stored.
+- a day: changes at the rate of 980 per day for ten minutes, plus a burst of 20;
+- a lost node: the leader is killed and restarts a minute later, with a change every 5 s;
+- the return of a zone: its senders start at once without stored state, its node with its disk;
+- all senders start at once without stored state.
 
-What is made of these runs for the page is in changes_report.py.
+changes_report.py derives the quantities and figures of the capacity page from these runs.
 """
 
 import gc
@@ -29,7 +29,7 @@
     HollowControlPlane,
     HollowSender,
     Request,
-    Terms,
+    RunParameters,
 )
 from message_sender.control.document import Document, decode_snapshot, encode_snapshot
 from message_sender.control.fanout import Fanout
@@ -39,19 +39,19 @@
 SENDERS = (10, 40, 126, 315, plan.SENDERS)
 SENDERS_SMALL = (10, 40)
 LOSSES = (0.0, 0.01)
-PROCESSES = 3  # runs at a time
+PROCESSES = 3  # concurrent runs
 
 # Seconds of virtual time.
-SETTLED = 5  # a leader is there, and all have greeted
-REST_FROM, REST_UNTIL = 10, 40  # no change: what rest costs
-CHANGE_EACH = plan.SECONDS_PER_DAY / plan.CONFIGURATION_CHANGES_PER_DAY
+SETTLED = 5  # by then there is a leader, and all senders have a session
+REST_FROM, REST_UNTIL = 10, 40  # without changes: the cost at rest
+CHANGE_INTERVAL = plan.SECONDS_PER_DAY / plan.CONFIGURATION_CHANGES_PER_DAY
 DAY_SECONDS, DAY_SECONDS_SMALL = 600, 150
 BURST_AT = 100.0
 BURST = 20
 LOST_AT, BACK_AT, LOST_SECONDS = 60.2, 120.0, 240
 ZONE_AWAY_AT, ZONE_BACK_AT, ZONE_SECONDS = 20.0, 60.0, 120
 START_AT, START_SECONDS = 40.0, 100
-FAULT_CHANGE_EACH = 5.0
+FAULT_CHANGE_INTERVAL = 5.0
 
 
 # Runs.
@@ -59,36 +59,44 @@
 
 @dataclass(frozen=True, slots=True)
 class Delays:
-    """Seconds from a request until it is in force, over all changes and senders; of these how many."""
+    """The delays in s over all changes and senders, and the number of delays.
+
+    Attributes:
+        p50: The median.
+        p99: The 99th percentile.
+        most: The longest delay.
+        count: The number of delays.
+        missing: The number of cases in which a running sender lacks the awaited version.
+    """
 
     p50: float
     p99: float
     most: float
     count: int
-    missing: int  # senders that are there and do not have a change in force, over all changes
+    missing: int
 
 
 @dataclass(frozen=True, slots=True)
 class Day:
-    """A run without faults but loss."""
+    """A run without faults other than lost datagrams."""
 
-    terms: Terms
+    parameters: RunParameters
     in_force: Delays
     confirmed_most: float
-    rest_bytes: float  # a sender and second
+    rest_bytes: float  # per sender and second
     rest_datagrams: float
     worst_bytes: int  # of any sender in any second
     worst_datagrams: int
-    node_rest_bytes: float  # of all four, in a second
-    node_worst_bytes: int  # of the busiest one in its worst second
+    node_rest_bytes: float  # of all four nodes, per second
+    node_worst_bytes: int  # of the busiest node in its worst second
     node_worst_datagrams: int
-    sender_cpu_share: float  # of a core, a sender, over the whole run
+    sender_cpu_share: float  # of a core, per sender, over the whole run
     node_cpu_share: float  # of a core, the mean of the nodes
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """A run with a fault. `returned`: until who started anew has the newest version."""
+    """A run with a fault; `returned` are the delays from a restart to the newest version."""
 
     in_force: Delays
     returned: Delays
@@ -99,62 +107,62 @@
     postponed: int
 
 
-def measure_day(terms: Terms) -> Day:
-    """Changes as on a day, and a burst."""
-    plane = HollowControlPlane(terms)
+def measure_day(parameters: RunParameters) -> Day:
+    """Runs the scenario of a day: changes at the planned rate and a burst."""
+    plane = HollowControlPlane(parameters)
     plane.run(REST_FROM)
-    when = REST_UNTIL + plane.rng.uniform(0, CHANGE_EACH / 2)
-    while when < terms.seconds - plan.IN_FORCE_WITHIN_S:
+    when = REST_UNTIL + plane.rng.uniform(0, CHANGE_INTERVAL / 2)
+    while when < parameters.seconds - plan.IN_FORCE_WITHIN_S:
         plane.at(when, plane.request_change)
-        when += CHANGE_EACH
+        when += CHANGE_INTERVAL
     for _ in range(BURST):
         plane.at(BURST_AT, plane.request_change)
     before = plane.sender_time.spent, plane.node_time.spent
-    plane.run(terms.seconds)
-    seconds = terms.seconds - REST_FROM
-    ends = [plane.traffic[name] for name in plane.senders]
+    plane.run(parameters.seconds)
+    seconds = parameters.seconds - REST_FROM
+    sender_traffic = [plane.traffic[name] for name in plane.senders]
     nodes = [plane.traffic[name] for name in ZONE_OF_NODE]
     rest = slice(REST_FROM, REST_UNTIL)
-    shares = terms.senders * (REST_UNTIL - REST_FROM)
+    sender_seconds = parameters.senders * (REST_UNTIL - REST_FROM)
     return Day(
-        terms=terms,
+        parameters=parameters,
         in_force=in_force_delays(plane),
         confirmed_most=max(request.confirmed_after or float("inf") for request in plane.requests.values()),
-        rest_bytes=sum(sum(end.bytes[rest]) for end in ends) / shares,
-        rest_datagrams=sum(sum(end.datagrams[rest]) for end in ends) / shares,
-        worst_bytes=max(max(end.bytes[SETTLED:]) for end in ends),
-        worst_datagrams=max(max(end.datagrams[SETTLED:]) for end in ends),
+        rest_bytes=sum(sum(traffic.bytes[rest]) for traffic in sender_traffic) / sender_seconds,
+        rest_datagrams=sum(sum(traffic.datagrams[rest]) for traffic in sender_traffic) / sender_seconds,
+        worst_bytes=max(max(traffic.bytes[SETTLED:]) for traffic in sender_traffic),
+        worst_datagrams=max(max(traffic.datagrams[SETTLED:]) for traffic in sender_traffic),
         node_rest_bytes=sum(sum(node.bytes[rest]) for node in nodes) / (REST_UNTIL - REST_FROM),
         node_worst_bytes=max(max(node.bytes[SETTLED:]) for node in nodes),
         node_worst_datagrams=max(max(node.datagrams[SETTLED:]) for node in nodes),
-        sender_cpu_share=(plane.sender_time.spent - before[0]) / seconds / terms.senders,
+        sender_cpu_share=(plane.sender_time.spent - before[0]) / seconds / parameters.senders,
         node_cpu_share=(plane.node_time.spent - before[1]) / seconds / len(nodes),
     )
 
 
-def measure_lost_node(terms: Terms) -> Fault:
-    """The leader is killed and comes back with its disk."""
-    plane = HollowControlPlane(terms)
-    plan_changes(plane)
+def measure_lost_node(parameters: RunParameters) -> Fault:
+    """Runs the scenario of a lost node: the leader is killed and restarts with its disk."""
+    plane = HollowControlPlane(parameters)
+    schedule_changes(plane)
 
-    def lose() -> None:
+    def kill_leader() -> None:
         leader = plane.leader()
         assert leader is not None
         lost = plane.kill_node(leader.name)
         plane.at(BACK_AT, partial(plane.start_node, lost.name, lost.hard_state, lost.log, 2))
 
-    plane.at(LOST_AT, lose)
-    plane.run(terms.seconds)
+    plane.at(LOST_AT, kill_leader)
+    plane.run(parameters.seconds)
     return fault_of(plane, from_second=int(LOST_AT))
 
 
-def measure_zone_return(terms: Terms) -> Fault:
-    """A zone with a node is away, then its senders start at once with nothing stored."""
-    plane = HollowControlPlane(terms)
+def measure_zone_return(parameters: RunParameters) -> Fault:
+    """Runs the scenario of a zone's return: its node restarts with its disk, its senders without state."""
+    plane = HollowControlPlane(parameters)
     zone = ZONES[0]
-    plan_changes(plane)
+    schedule_changes(plane)
 
-    def leave() -> None:
+    def fail_zone() -> None:
         for name in [name for name, sender in plane.senders.items() if sender.zone == zone]:
             plane.stop_sender(name)
             plane.at(ZONE_BACK_AT, partial(plane.start_sender, name, zone, Document(), 2))
@@ -162,62 +170,66 @@
             lost = plane.kill_node(name)
             plane.at(ZONE_BACK_AT, partial(plane.start_node, name, lost.hard_state, lost.log, 2))
 
-    plane.at(ZONE_AWAY_AT, leave)
-    plane.run(terms.seconds)
+    plane.at(ZONE_AWAY_AT, fail_zone)
+    plane.run(parameters.seconds)
     return fault_of(plane, from_second=int(ZONE_BACK_AT))
 
 
-def measure_start(terms: Terms) -> Fault:
-    """All senders start at once with nothing stored."""
-    plane = HollowControlPlane(terms)
+def measure_start(parameters: RunParameters) -> Fault:
+    """Runs the scenario in which all senders start at once without stored state."""
+    plane = HollowControlPlane(parameters)
     plane.run(SETTLED)
     senders = list(plane.senders.values())
     for sender in senders:
         plane.stop_sender(sender.name)
         plane.at(START_AT, partial(plane.start_sender, sender.name, sender.zone, Document(), 2))
-    plan_changes(plane, begin=START_AT)
-    plane.run(terms.seconds)
+    schedule_changes(plane, begin=START_AT)
+    plane.run(parameters.seconds)
     return fault_of(plane, from_second=int(START_AT))
 
 
-def plan_changes(plane: HollowControlPlane, begin: float = 10.0) -> None:
-    """One each `FAULT_CHANGE_EACH`, so that some fall into each part of a fault."""
+def schedule_changes(plane: HollowControlPlane, begin: float = 10.0) -> None:
+    """Schedules a change every `FAULT_CHANGE_INTERVAL` s, so that some fall into each phase of a fault."""
     when = begin + 0.7
-    while when < plane.terms.seconds - 2 * plan.IN_FORCE_WITHIN_S:
+    while when < plane.parameters.seconds - 2 * plan.IN_FORCE_WITHIN_S:
         plane.at(when, plane.request_change)
-        when += FAULT_CHANGE_EACH
+        when += FAULT_CHANGE_INTERVAL
 
 
 def in_force_delays(plane: HollowControlPlane) -> Delays:
-    found: list[float] = []
+    """Returns the delays from the request of a change until a sender has it in force."""
+    delays: list[float] = []
     missing = 0
     for request in plane.requests.values():
-        found += request.in_force_after.values()
+        delays += request.in_force_after.values()
         missing += sum(is_missing(request, sender) for sender in plane.senders.values())
-    return delays_of(found, missing)
+    return delays_of(delays, missing)
 
 
 def is_missing(request: Request, sender: HollowSender) -> bool:
-    was_there = sender.started_at <= request.asked_at
-    return was_there and sender.watch.document.version < request.version
+    """Returns whether a sender that ran at the time of the request does not have the change in force."""
+    was_running = sender.started_at <= request.requested_at
+    return was_running and sender.watch.document.version < request.version
 
 
-def delays_of(found: Sequence[float], missing: int = 0) -> Delays:
-    if not found:
+def delays_of(delays: Sequence[float], missing: int = 0) -> Delays:
+    """Returns the statistics of the delays; zeros if there are none."""
+    if not delays:
         return Delays(0.0, 0.0, 0.0, 0, missing)
-    p50, p99 = np.percentile(found, (50, 99))
-    return Delays(float(p50), float(p99), max(found), len(found), missing)
+    p50, p99 = np.percentile(delays, (50, 99))
+    return Delays(float(p50), float(p99), max(delays), len(delays), missing)
 
 
 def fault_of(plane: HollowControlPlane, from_second: int) -> Fault:
-    anew = [sender for sender in plane.senders.values() if sender.started_at > 0]
+    """Evaluates a run with a fault; the worst seconds are those from `from_second` on."""
+    restarted = [sender for sender in plane.senders.values() if sender.started_at > 0]
     reached = [
-        each.reached_newest_at - each.started_at for each in anew if each.reached_newest_at is not None
+        each.reached_newest_at - each.started_at for each in restarted if each.reached_newest_at is not None
     ]
     nodes = [plane.traffic[name] for name in ZONE_OF_NODE]
     return Fault(
         in_force=in_force_delays(plane),
-        returned=delays_of(reached, len(anew) - len(reached)),
+        returned=delays_of(reached, len(restarted) - len(reached)),
         worst_bytes=max(max(plane.traffic[name].bytes[from_second:]) for name in plane.senders),
         node_worst_bytes=max(max(node.bytes[from_second:]) for node in nodes),
         node_worst_datagrams=max(max(node.datagrams[from_second:]) for node in nodes),
@@ -231,17 +243,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Memory:
-    """Bytes that Python allocates, by tracemalloc."""
+    """Bytes allocated by Python objects, by tracemalloc."""
 
-    sender: float  # watch, channel and a document of its own, with the channel's part at the node
-    document: float  # of these
-    session: float  # the fan-out's part of one sender
-    snapshot_bytes: int  # encoded
+    sender: float  # watch, channel and its own document, including the state of the channel at the node
+    document: float  # the share of the document in `sender`
+    session: float  # the state of one sender in the fan-out
+    snapshot_bytes: int  # size of the encoded document
 
 
 def measure_memory(senders: int) -> Memory:
-    """Senders are started in a plane that runs already, and poll for some seconds."""
-    plane = HollowControlPlane(Terms(0, 30))
+    """Starts senders in a running control plane, lets them poll for some seconds and returns their memory."""
+    plane = HollowControlPlane(RunParameters(0, 30))
     plane.run(SETTLED)
     encoded = encode_snapshot(plane.nodes["c1"].store.document)
 
@@ -268,42 +280,42 @@
 
 
 def traced_bytes(make: Callable[[], object]) -> int:
-    """Bytes that are allocated by `make` and held by what it returns."""
+    """Returns the bytes that `make` allocates and that its result keeps in use."""
     gc.collect()
     tracemalloc.start()
     try:
         kept = make()
         gc.collect()
-        held, _ = tracemalloc.get_traced_memory()
+        traced, _ = tracemalloc.get_traced_memory()
         del kept
-        return held
+        return traced
     finally:
         tracemalloc.stop()
 
 
-# All of it.
+# All scenarios.
 
 
 @dataclass(frozen=True, slots=True)
 class Run:
-    """What one call of `run` found."""
+    """The results of all scenarios; tuples of `Fault` are in the order of `LOSSES`."""
 
     days: tuple[Day, ...]
-    lost_node: tuple[Fault, ...]  # by loss, as `LOSSES`
+    lost_node: tuple[Fault, ...]
     zone_return: tuple[Fault, ...]
     start: tuple[Fault, ...]
     memory: Memory
 
 
 def measure(is_small: bool = False, processes: int = PROCESSES) -> Run:
-    """Every scenario; what is on virtual time is the same in each run."""
+    """Runs every scenario; results on virtual time are identical in each run."""
     sizes = SENDERS_SMALL if is_small else SENDERS
     most = sizes[-1]
     day_seconds = DAY_SECONDS_SMALL if is_small else DAY_SECONDS
-    days = [Terms(size, day_seconds, loss) for loss in LOSSES for size in reversed(sizes)]
-    lost = [Terms(most, LOST_SECONDS, loss) for loss in LOSSES]
-    zone = [Terms(most, ZONE_SECONDS, loss) for loss in LOSSES]
-    start = [Terms(most, START_SECONDS, loss) for loss in LOSSES]
+    days = [RunParameters(size, day_seconds, loss) for loss in LOSSES for size in reversed(sizes)]
+    lost = [RunParameters(most, LOST_SECONDS, loss) for loss in LOSSES]
+    zone = [RunParameters(most, ZONE_SECONDS, loss) for loss in LOSSES]
+    start = [RunParameters(most, START_SECONDS, loss) for loss in LOSSES]
     with ProcessPoolExecutor(processes, multiprocessing.get_context("spawn")) as pool:
         measured_days = pool.map(measure_day, days)
         measured_lost = pool.map(measure_lost_node, lost)
--- a/benchmarks/scale/changes_report.py
+++ b/benchmarks/scale/changes_report.py
@@ -1,4 +1,4 @@
-"""The quantities and figures of the dimension `changes`, made of its runs."""
+"""Derives the quantities and figures of the dimension `changes` from its runs."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -27,13 +27,13 @@
 
 @dataclass(frozen=True, slots=True)
 class DayValue:
-    """One value of a day's run, by the number of senders."""
+    """One value of the day scenario, by the number of senders; `value_of` takes it from a run."""
 
     name: str
     title: str
     unit: str
     source: Source
-    of: Callable[[Day], float]
+    value_of: Callable[[Day], float]
     allowance: Allowance | None = None
 
 
@@ -106,31 +106,31 @@
 
 
 def run(effort: Effort) -> Measured:
-    """Measures and reports the dimension."""
+    """Measures the dimension."""
     found = measure(is_small=effort is Effort.SMALL)
     return Measured(quantities_of(found), figures_of(found))
 
 
-def loss_marks(loss: float) -> tuple[str, str]:
-    """What a name and a title end with."""
+def loss_suffixes(loss: float) -> tuple[str, str]:
+    """Returns the suffixes of the name and the title of a value that was measured with this loss."""
     return (f"_loss_{loss * 100:.0f}", f", {loss:.0%} lost") if loss else ("", "")
 
 
 def quantities_of(found: Run) -> tuple[Quantity, ...]:
-    """Lines over the number of senders."""
+    """Returns the quantities with lines over the number of senders."""
     quantities = []
     for loss in LOSSES:
-        days = [day for day in found.days if day.terms.loss == loss]
-        name_end, title_end = loss_marks(loss)
+        days = [day for day in found.days if day.parameters.loss == loss]
+        name_suffix, title_suffix = loss_suffixes(loss)
         for each in DAY_VALUES:
             quantities.append(
                 quantity_of(
-                    each.name + name_end,
-                    each.title + title_end,
+                    each.name + name_suffix,
+                    each.title + title_suffix,
                     each.unit,
                     "senders",
                     each.source,
-                    [Point(day.terms.senders, each.of(day)) for day in days],
+                    [Point(day.parameters.senders, each.value_of(day)) for day in days],
                     plan.SENDERS,
                     each.allowance,
                 )
@@ -139,7 +139,7 @@
 
 
 def figures_of(found: Run) -> tuple[Figure, ...]:
-    """Single values."""
+    """Returns the single values: memory, delays and the scenarios with faults."""
     figures = [
         Figure("sender_memory", "memory of a sender's watch", "B", Source.TRACED_MEMORY, found.memory.sender),
         Figure("document_memory", "of these, its document", "B", Source.TRACED_MEMORY, found.memory.document),
@@ -169,12 +169,13 @@
     )
     for name, title, faults in scenarios:
         for loss, fault in zip(LOSSES, faults, strict=True):
-            suffix, told = loss_marks(loss)
-            figures += fault_figures(name, title, fault, suffix, told)
+            name_suffix, title_suffix = loss_suffixes(loss)
+            figures += fault_figures(name, title, fault, name_suffix, title_suffix)
     return tuple(figures)
 
 
-def fault_figures(name: str, title: str, fault: Fault, suffix: str, told: str) -> list[Figure]:
+def fault_figures(name: str, title: str, fault: Fault, name_suffix: str, title_suffix: str) -> list[Figure]:
+    """Returns the values of a scenario with a fault."""
     values: list[tuple[str, str, str, Source, float]] = [
         ("in_force_p50", "until in force, median", "s", Source.VIRTUAL_TIME, fault.in_force.p50),
         ("in_force_p99", "until in force, p99", "s", Source.VIRTUAL_TIME, fault.in_force.p99),
@@ -211,6 +212,6 @@
             ("postponed", "answers that told to come again", "", Source.COUNT, fault.postponed),
         ]
     return [
-        Figure(f"{name}_{part}{suffix}", f"{title}: {what}{told}", unit, source, value)
+        Figure(f"{name}_{part}{name_suffix}", f"{title}: {what}{title_suffix}", unit, source, value)
         for part, what, unit, source, value in values
     ]
--- a/benchmarks/scale/command.py
+++ b/benchmarks/scale/command.py
@@ -1,9 +1,9 @@
-"""The command line: runs dimensions, prints their points and lines and writes their files.
+"""The command line: runs dimensions, prints their points and fitted lines and writes their JSON files.
 
 ./with-env python benchmarks/scale.py                     # every dimension
-./with-env python benchmarks/scale.py members held        # these
-./with-env python benchmarks/scale.py --page              # the tables of docs/CAPACITY.md anew
-./with-env python benchmarks/scale.py --check             # whether page and results agree
+./with-env python benchmarks/scale.py members held        # only the named ones
+./with-env python benchmarks/scale.py --page              # regenerates the tables of docs/CAPACITY.md
+./with-env python benchmarks/scale.py --check             # checks that the page matches the results
 """
 
 import argparse
@@ -19,26 +19,31 @@
 
 
 def run_dimension(name: str, effort: Effort = Effort.FULL) -> Result:
-    """Raises KeyError for a dimension that is not registered."""
+    """Runs one dimension.
+
+    Raises:
+        KeyError: The dimension is not registered.
+    """
     dimension = DIMENSIONS[name]
-    began = time.monotonic()
+    started_at = time.monotonic()
     measured = dimension.run(effort)
-    environment = results.environment_since(began)
+    environment = results.environment_since(started_at)
     return Result(name, dimension.title, COMMAND.format(name=name), environment, measured)
 
 
-def lines_of(result: Result) -> list[str]:
-    """What a person reads of a result."""
+def result_lines(result: Result) -> list[str]:
+    """Returns the lines of a result that are printed on the console."""
     environment = result.environment
     lines = [f"{result.dimension}: {result.title} ({environment.duration_s} s, {environment.date})"]
     for quantity in result.measured.quantities:
-        lines += lines_of_quantity(quantity)
+        lines += quantity_lines(quantity)
     for figure in result.measured.figures:
         lines.append(f"  {figure.title}: {figure.value:.4g} {figure.unit} ({figure.source.value})")
     return lines
 
 
-def lines_of_quantity(quantity: Quantity) -> list[str]:
+def quantity_lines(quantity: Quantity) -> list[str]:
+    """Returns the printed lines of one quantity: its points, the fitted line and the planned value."""
     line = quantity.line
     points = "  ".join(f"{point.size:g}: {point.value:.4g}" for point in quantity.points)
     marks = " extrapolated" if quantity.is_extrapolated else ""
@@ -53,19 +58,23 @@
     ]
 
 
-def parser() -> argparse.ArgumentParser:
-    made = argparse.ArgumentParser(description="Measures how costs grow, and fits lines to them.")
-    made.add_argument("dimensions", nargs="*", metavar="DIMENSION", help=", ".join(DIMENSIONS))
-    made.add_argument("--small", action="store_true", help="the sizes of the tests; nothing is written")
-    made.add_argument("--folder", type=Path, default=results.FOLDER, help="for the JSON files")
-    made.add_argument("--page", action="store_true", help="only render the tables of the page")
-    made.add_argument("--check", action="store_true", help="only compare the page with the results")
-    return made
+def argument_parser() -> argparse.ArgumentParser:
+    parser = argparse.ArgumentParser(description="Measures how costs grow, and fits lines to them.")
+    parser.add_argument("dimensions", nargs="*", metavar="DIMENSION", help=", ".join(DIMENSIONS))
+    parser.add_argument("--small", action="store_true", help="the sizes of the tests; nothing is written")
+    parser.add_argument("--folder", type=Path, default=results.FOLDER, help="for the JSON files")
+    parser.add_argument("--page", action="store_true", help="only render the tables of the page")
+    parser.add_argument("--check", action="store_true", help="only compare the page with the results")
+    return parser
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Returns the exit code: 1 where page and results differ, 2 for an unknown dimension."""
-    options = parser().parse_args(arguments)
+    """Runs the command line.
+
+    Returns:
+        The exit code: 0 for success, 1 if page and results differ, 2 for an unknown dimension.
+    """
+    options = argument_parser().parse_args(arguments)
     if options.check or options.page:
         return page.update(write=options.page)
     unknown = [name for name in options.dimensions if name not in DIMENSIONS]
@@ -74,7 +83,7 @@
         return 2
     for name in options.dimensions or DIMENSIONS:
         result = run_dimension(name, Effort.SMALL if options.small else Effort.FULL)
-        print("\n".join(lines_of(result)), flush=True)
+        print("\n".join(result_lines(result)), flush=True)
         if not options.small:
             results.write(result, options.folder)
     return 0
--- a/benchmarks/scale/control_plane.py
+++ b/benchmarks/scale/control_plane.py
@@ -1,12 +1,12 @@
 """Hollow control plane: four control nodes and many senders in one process, on virtual time.
 
-What is real: Replica, ConfigurationStore, Fanout, Watch, and the Channel with the encoding, the sealing and
-the sessions of every datagram. What is not: sockets, disks (a sync takes `SYNC_S`), the engine, and what a
-sender does to put a change in force. The operator's requests reach the leader without a network between.
+Real are Replica, ConfigurationStore, Fanout, Watch, and the Channel with the encoding, the sealing and the
+sessions of every datagram. Simulated or omitted are sockets, disks (a sync takes `SYNC_S`), the engine, and
+the work of a sender that puts a change in force. The operator's requests reach the leader without a network.
 
 Senders and nodes are in five zones of two regions. A datagram takes 0.5 ms within a zone, 2 ms within a
-region and 20 ms between the regions, each up to half as long again, and is lost with a given probability.
-Bytes are those of the datagrams and `HEADER_BYTES` each.
+region and 20 ms between the regions, plus a random delay of up to half of that, and is lost with a given
+probability. Byte counts include `HEADER_BYTES` per datagram.
 """
 
 import heapq
@@ -44,31 +44,31 @@
 from message_sender.fleet.seal import Seal
 
 HEADER_BYTES = 28  # UDP and IPv4
-STEP_S = 0.01  # between two rounds of ticks; a datagram is delivered at its own time
+STEP_S = 0.01  # between two rounds of ticks; datagrams are delivered at their exact time
 SENDER_TICK_S = 0.1
 NODE_TICK_S = 0.05
 SYNC_S = 0.002
 OPERATOR_RETRY_S = 0.1
 
 IN_ZONE_S, IN_REGION_S, BETWEEN_REGIONS_S = 0.0005, 0.002, 0.020
-DELAY_SPREAD = 0.5  # of the delay, drawn
+DELAY_SPREAD = 0.5  # share of the delay that is added at most, at random
 
 REGION_OF_ZONE = {"z1": "north", "z2": "north", "z3": "north", "z4": "south", "z5": "south"}
 ZONES = tuple(REGION_OF_ZONE)
 ZONE_OF_NODE = {"c1": "z1", "c2": "z2", "c3": "z4", "c4": "z5"}
 VOTES = {"c1": 2, "c2": 1, "c3": 1, "c4": 1}
 
-RESOURCES = 400  # of the document at the beginning
+RESOURCES = 400  # in the initial document
 RESOURCE_BYTES = 250
-RESOURCES_AN_ENTRY = 100
-CHANGE_BYTES = 250  # of the value that a change puts
+RESOURCES_PER_ENTRY = 100
+CHANGE_BYTES = 250  # size of the value that a change writes
 
 KEY = bytes(32)
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
-    """One run: `seconds` of virtual time."""
+class RunParameters:
+    """The parameters of one run; `seconds` are virtual time, `loss` is a probability."""
 
     senders: int
     seconds: int
@@ -78,46 +78,48 @@
 
 @dataclass(slots=True)
 class Traffic:
-    """Datagrams and bytes of one end in each second, sent and received together."""
+    """Datagrams and bytes of one participant in each second, sent and received together."""
 
     datagrams: list[int]
     bytes: list[int]
 
     @classmethod
     def of_seconds(cls, seconds: int) -> "Traffic":
+        """Returns empty counters for a run of this length."""
         return cls([0] * (seconds + 2), [0] * (seconds + 2))
 
     def count(self, now: float, size: int) -> None:
+        """Counts one datagram of `size` bytes."""
         self.datagrams[int(now)] += 1
         self.bytes[int(now)] += size
 
 
 @dataclass(slots=True)
 class Request:
-    """A change that an operator asked for, and what it led to."""
+    """A change requested by an operator, with the times in s until it was confirmed and put in force."""
 
     change: Change
     version: int
-    asked_at: float
+    requested_at: float
     confirmed_after: float | None = None
     in_force_after: dict[str, float] = field(default_factory=dict)
 
 
 class Stopwatch:
-    """Processor time that is spent within its blocks."""
+    """The CPU time in s that is spent within its `with` blocks."""
 
     def __init__(self) -> None:
         self.spent = 0.0
 
     def __enter__(self) -> None:
-        self._began = time.process_time()
+        self._started_at = time.process_time()
 
     def __exit__(self, *_: object) -> None:
-        self.spent += time.process_time() - self._began
+        self.spent += time.process_time() - self._started_at
 
 
 class HollowSender:
-    """A sender's watch and channel; puts in force by noting the time."""
+    """A sender's watch and channel; a change is put in force by recording the time."""
 
     def __init__(
         self, plane: "HollowControlPlane", name: str, zone: str, document: Document, epoch: int
@@ -125,65 +127,73 @@
         self.plane, self.name, self.zone = plane, name, zone
         self.started_at = plane.now
         self.reached_newest_at: float | None = None
-        rng = random.Random(f"{plane.terms.seed}-{name}-{epoch}")
+        rng = random.Random(f"{plane.parameters.seed}-{name}-{epoch}")
         region = REGION_OF_ZONE[zone]
         self.watch = Watch(name, plane.node_addresses, region, document, self, rng, plane.now)
         self.channel = Channel(name, epoch, rng.getrandbits(62) + 1, plane.seal, plane.addresses)
 
     def apply(self, document: Document, delta: Delta) -> None:
+        """Records that the versions of the delta are in force."""
         self.plane.note_in_force(self, delta)
 
     def receive(self, datagram: bytes, source: Address, now: float) -> None:
+        """Processes a datagram and sends the replies."""
         for name, body in self.channel.receive(datagram, source, now):
             if isinstance(body, VersionNotice | Delta | SnapshotChunk):
                 self.watch.receive(name, body, now)
         self.send(now)
 
     def tick(self, now: float) -> None:
+        """Runs the periodic work of the watch."""
         self.watch.tick(now)
         self.send(now)
 
     def send(self, now: float) -> None:
+        """Passes the messages of the watch to the channel."""
         for node, message in self.watch.take_messages():
             self.channel.send(node, message, now)
 
 
 class HollowNode:
-    """A control node: replica, store, fan-out and channel."""
+    """A control node: replica, store, fan-out, channel and disk content."""
 
     def __init__(
         self, plane: "HollowControlPlane", name: str, hard_state: HardState, log: list[LogEntry], epoch: int
     ) -> None:
         self.plane, self.name, self.zone = plane, name, ZONE_OF_NODE[name]
-        self.hard_state, self.log = hard_state, log  # on its disk
+        self.hard_state, self.log = hard_state, log  # the content of its disk
         self.epoch = epoch
-        rng = random.Random(f"{plane.terms.seed}-{name}-{epoch}")
+        rng = random.Random(f"{plane.parameters.seed}-{name}-{epoch}")
         self.replica = Replica(name, VOTES, hard_state, tuple(log), rng, plane.now)
         self.store = ConfigurationStore()
         self.fanout = Fanout(self.store, rng, plane.now, self.authority_age_ms)
         self.channel = Channel(name, epoch, rng.getrandbits(62) + 1, plane.seal, plane.addresses)
 
     def authority_age_ms(self) -> int:
+        """Returns the time since the node last knew a leader with a majority, in ms."""
         return int(self.replica.authority_age(self.plane.now) * 1000)
 
     def receive(self, datagram: bytes, source: Address, now: float) -> None:
+        """Processes a datagram and sends the replies."""
         for name, body in self.channel.receive(datagram, source, now):
-            self.take(name, body, now)
-        self.work(now)
+            self.handle(name, body, now)
+        self.process_ready(now)
 
-    def take(self, name: str, body: Body, now: float) -> None:
+    def handle(self, name: str, body: Body, now: float) -> None:
+        """Passes a message to the fan-out or the replica, by its type."""
         if isinstance(body, Poll | SnapshotRequest):
             self.fanout.receive(name, body, now)
         elif isinstance(body, VoteRequest | VoteReply | AppendRequest | AppendReply):
             self.replica.receive(name, body, now)
 
     def tick(self, now: float) -> None:
+        """Runs the periodic work of replica and fan-out."""
         self.replica.tick(now)
         self.fanout.tick(now)
-        self.work(now)
+        self.process_ready(now)
 
-    def work(self, now: float) -> None:
-        """Does what is ready; what must be durable first is gone on with after a sync."""
+    def process_ready(self, now: float) -> None:
+        """Processes the output of replica and fan-out; output that must be durable first waits for a sync."""
         while (ready := self.replica.take_ready()) is not None:
             if ready.entries or ready.hard_state or ready.truncate_from is not None:
                 self.plane.after(SYNC_S, partial(self.end_sync, ready))
@@ -193,6 +203,7 @@
             self.channel.send(sender, message, now)
 
     def end_sync(self, ready: Ready) -> None:
+        """Stores the output of the replica after a sync and continues, unless the node was killed."""
         if self.plane.nodes.get(self.name) is not self:
             return
         with self.plane.node_time:
@@ -201,10 +212,11 @@
             self.log += ready.entries
             self.hard_state = ready.hard_state or self.hard_state
             self.finish(ready, self.plane.now)
-            self.work(self.plane.now)
+            self.process_ready(self.plane.now)
         self.plane.transmit(self)
 
     def finish(self, ready: Ready, now: float) -> None:
+        """Sends the messages of a durable output and applies its committed entries."""
         for peer, message in ready.messages:
             self.channel.send(peer, message, now)
         self.replica.persisted(ready)
@@ -216,18 +228,18 @@
             self.fanout.version_changed(now)
 
 
-End = HollowSender | HollowNode
+Participant = HollowSender | HollowNode
 
 
 class HollowControlPlane:
-    """All of it. `at` and `after` plan what happens; `run` lets time pass."""
+    """The senders, nodes and network. `at` and `after` schedule actions; `run` advances the virtual time."""
 
-    def __init__(self, terms: Terms) -> None:
-        self.terms = terms
+    def __init__(self, parameters: RunParameters) -> None:
+        self.parameters = parameters
         self.now = 0.0
-        self.rng = random.Random(terms.seed)
+        self.rng = random.Random(parameters.seed)
         self.seal = Seal([KEY], self.rng.randbytes)
-        self.addresses = {name: ("10.0.0.1", 100 + at) for at, name in enumerate(ZONE_OF_NODE)}
+        self.addresses = {name: ("10.0.0.1", 100 + index) for index, name in enumerate(ZONE_OF_NODE)}
         self.node_addresses = tuple(
             ControlNodeAddress(name, self.addresses[name], REGION_OF_ZONE[zone])
             for name, zone in ZONE_OF_NODE.items()
@@ -239,67 +251,76 @@
         self._proposed: tuple[str, int] = ("", 0)
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._order = itertools.count()
-        self._ends: dict[Address, End] = {}
+        self._participants: dict[Address, Participant] = {}
         self.nodes: dict[str, HollowNode] = {}
         self.senders: dict[str, HollowSender] = {}
         self._begin()
 
     def _begin(self) -> None:
-        log = list(first_entries())
+        log = list(initial_entries())
         store = ConfigurationStore()
         for entry in log:
             store.apply(entry)
         self.first_version = store.document.version
         for name in ZONE_OF_NODE:
             self.start_node(name, HardState(1, ""), list(log), epoch=1)
-        for number in range(self.terms.senders):
+        for number in range(self.parameters.senders):
             document = Document(store.document.version, store.document.resources)
             self.start_sender(f"sender-{number:03}", ZONES[number % len(ZONES)], document, epoch=1)
 
-    # Starts and ends.
+    # Starting and stopping participants.
 
     def start_node(self, name: str, hard_state: HardState, log: list[LogEntry], epoch: int) -> None:
+        """Starts a control node with the content of its disk."""
         node = HollowNode(self, name, hard_state, log, epoch)
         self.nodes[name] = node
-        self._ends[self.addresses[name]] = node
-        self.traffic.setdefault(name, Traffic.of_seconds(self.terms.seconds))
+        self._participants[self.addresses[name]] = node
+        self.traffic.setdefault(name, Traffic.of_seconds(self.parameters.seconds))
 
     def kill_node(self, name: str) -> HollowNode:
-        """Its disk stays: the node that is returned has it."""
-        del self._ends[self.addresses[name]]
+        """Stops a control node.
+
+        Returns:
+            The node; its `hard_state` and `log` are the content of its disk.
+        """
+        del self._participants[self.addresses[name]]
         return self.nodes.pop(name)
 
     def start_sender(self, name: str, zone: str, document: Document, epoch: int) -> None:
+        """Starts a sender with its stored document."""
         sender = HollowSender(self, name, zone, document, epoch)
         self.senders[name] = sender
-        self._ends[address_of(name)] = sender
-        self.traffic.setdefault(name, Traffic.of_seconds(self.terms.seconds))
+        self._participants[address_of(name)] = sender
+        self.traffic.setdefault(name, Traffic.of_seconds(self.parameters.seconds))
 
     def stop_sender(self, name: str) -> None:
-        del self.senders[name], self._ends[address_of(name)]
+        """Stops a sender."""
+        del self.senders[name], self._participants[address_of(name)]
 
     def leader(self) -> HollowNode | None:
-        """The leader of the highest term."""
+        """Returns the leader of the highest term, or None if there is no leader."""
         leaders = [node for node in self.nodes.values() if node.replica.role is Role.LEADER]
         return max(leaders, key=lambda node: node.replica.term, default=None)
 
-    # Time.
+    # Virtual time.
 
-    def at(self, when: float, act: Callable[[], None]) -> None:
-        heapq.heappush(self._events, (when, next(self._order), act))
+    def at(self, due: float, action: Callable[[], None]) -> None:
+        """Schedules an action at the virtual time `due`, in s."""
+        heapq.heappush(self._events, (due, next(self._order), action))
 
-    def after(self, delay: float, act: Callable[[], None]) -> None:
-        self.at(self.now + delay, act)
+    def after(self, delay: float, action: Callable[[], None]) -> None:
+        """Schedules an action after `delay` s of virtual time."""
+        self.at(self.now + delay, action)
 
     def run(self, until: float) -> None:
-        """Lets time pass up to `until`."""
+        """Advances the virtual time to `until`, in s."""
         while self.now < until - STEP_S / 2:
             step = round(self.now / STEP_S) + 1
-            end = step * STEP_S
-            while self._events and self._events[0][0] <= end:
-                self.now, _, act = heapq.heappop(self._events)
-                act()
-            self.now = end
+            step_end = step * STEP_S
+            while self._events and self._events[0][0] <= step_end:
+                self.now, _, action = heapq.heappop(self._events)
+                action()
+            self.now = step_end
             self._tick(step)
 
     def _tick(self, step: int) -> None:
@@ -310,7 +331,11 @@
                 self.transmit(node)
         phases = round(SENDER_TICK_S / STEP_S)
         with self.sender_time:
-            due = [sender for at, sender in enumerate(self.senders.values()) if at % phases == step % phases]
+            due = [
+                sender
+                for index, sender in enumerate(self.senders.values())
+                if index % phases == step % phases
+            ]
             for sender in due:
                 sender.tick(self.now)
         for sender in due:
@@ -320,18 +345,18 @@
 
     # Network.
 
-    def transmit(self, source: End) -> None:
-        """Sends what a channel has."""
+    def transmit(self, source: Participant) -> None:
+        """Sends the datagrams in the channel of a participant."""
         address = self.addresses.get(source.name) or address_of(source.name)
         for to, datagram in source.channel.take_datagrams():
             size = len(datagram) + HEADER_BYTES
             self.traffic[source.name].count(self.now, size)
-            target = self._ends.get(to)
-            if target is None or self.rng.random() < self.terms.loss:
+            target = self._participants.get(to)
+            if target is None or self.rng.random() < self.parameters.loss:
                 continue
             self.after(self._delay(source, target), partial(self._deliver, target, datagram, address))
 
-    def _delay(self, source: End, target: End) -> float:
+    def _delay(self, source: Participant, target: Participant) -> float:
         if source.zone == target.zone:
             delay = IN_ZONE_S
         elif REGION_OF_ZONE[source.zone] == REGION_OF_ZONE[target.zone]:
@@ -340,7 +365,7 @@
             delay = BETWEEN_REGIONS_S
         return delay * (1 + self.rng.uniform(0, DELAY_SPREAD))
 
-    def _deliver(self, target: End, datagram: bytes, source: Address) -> None:
+    def _deliver(self, target: Participant, datagram: bytes, source: Address) -> None:
         if target is not self.senders.get(target.name) and target is not self.nodes.get(target.name):
             return
         self.traffic[target.name].count(self.now, len(datagram) + HEADER_BYTES)
@@ -351,7 +376,7 @@
     # Changes.
 
     def request_change(self) -> None:
-        """An operator asks for a change, and asks again until it is confirmed."""
+        """Requests a change as an operator, who repeats the request until the change is confirmed."""
         number = len(self.requests)
         value = self.rng.randbytes(CHANGE_BYTES // 2).hex().encode()
         put = (Resource(f"endpoints/hub-{self.rng.randrange(RESOURCES):04}", value),)
@@ -364,7 +389,7 @@
             self._propose_to(leader, [request])
 
     def _propose(self) -> None:
-        """To a new leader all is proposed again that isn't confirmed."""
+        """Proposes all unconfirmed changes again if there is a new leader."""
         leader = self.leader()
         if leader and self._unconfirmed and self._proposed != (leader.name, leader.replica.term):
             self._proposed = leader.name, leader.replica.term
@@ -374,40 +399,40 @@
         with self.node_time:
             for request in requests:
                 leader.replica.propose(encode_change(request.change), self.now)
-            leader.work(self.now)
+            leader.process_ready(self.now)
         self.transmit(leader)
 
     def note_committed(self, request_id: str, node: HollowNode) -> None:
-        """A node applied a change; its leader's operator hears that it is confirmed."""
+        """Records a change that a node applied; the operator sees it confirmed once the leader applied it."""
         request = self.requests.get(request_id)
         if request and request.confirmed_after is None and node.replica.role is Role.LEADER:
-            request.confirmed_after = self.now - request.asked_at
+            request.confirmed_after = self.now - request.requested_at
             self._unconfirmed.remove(request)
 
     def note_in_force(self, sender: HollowSender, delta: Delta) -> None:
-        """Times of the versions that were asked for since this start of the sender."""
+        """Records the delays of the versions that were requested since this start of the sender."""
         first = max(delta.from_version, self.first_version) + 1
         for version in range(first, delta.to_version + 1):
             request = self.requests.get(f"request-{version - self.first_version - 1}")
-            if request and request.asked_at >= sender.started_at:
-                request.in_force_after[sender.name] = self.now - request.asked_at
+            if request and request.requested_at >= sender.started_at:
+                request.in_force_after[sender.name] = self.now - request.requested_at
         newest = self.first_version + len(self.requests)
         if delta.to_version == newest and sender.reached_newest_at is None:
             sender.reached_newest_at = self.now
 
 
 def address_of(sender: str) -> Address:
-    """A sender's address."""
+    """Returns the address of a sender by its name."""
     return "10.0.1.1", 1_000 + int(sender.rpartition("-")[2])
 
 
-def first_entries() -> Iterable[LogEntry]:
-    """The log that makes the document at the beginning."""
+def initial_entries() -> Iterable[LogEntry]:
+    """Yields the log entries that produce the initial document."""
     rng = random.Random(0)
-    for at in range(0, RESOURCES, RESOURCES_AN_ENTRY):
+    for start in range(0, RESOURCES, RESOURCES_PER_ENTRY):
         put = tuple(
             Resource(f"endpoints/hub-{number:04}", rng.randbytes(RESOURCE_BYTES // 2).hex().encode())
-            for number in range(at, at + RESOURCES_AN_ENTRY)
+            for number in range(start, start + RESOURCES_PER_ENTRY)
         )
-        base = at // RESOURCES_AN_ENTRY
+        base = start // RESOURCES_PER_ENTRY
         yield LogEntry(base + 1, 1, encode_change(Change(f"first-{base}", base, put, ())))
--- a/benchmarks/scale/derived.py
+++ b/benchmarks/scale/derived.py
@@ -1,4 +1,4 @@
-"""Values of the page that follow from several slopes and the planned sizes."""
+"""Values of the capacity page that are derived from several slopes and the planned sizes."""
 
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
@@ -15,7 +15,11 @@
 
 
 def quantity(results: Mapping[str, Result], dimension: str, name: str) -> Quantity:
-    """Raises KeyError for what was not measured."""
+    """Returns a measured quantity.
+
+    Raises:
+        KeyError: The dimension or the quantity was not measured.
+    """
     for each in results[dimension].measured.quantities:
         if each.name == name:
             return each
@@ -23,7 +27,11 @@
 
 
 def figure(results: Mapping[str, Result], dimension: str, name: str) -> Figure:
-    """Raises KeyError for what was not measured."""
+    """Returns a measured figure.
+
+    Raises:
+        KeyError: The dimension or the figure was not measured.
+    """
     for each in results[dimension].measured.figures:
         if each.name == name:
             return each
@@ -32,21 +40,23 @@
 
 @dataclass(frozen=True, slots=True)
 class DataPath:
-    """What the senders bear in one situation."""
+    """The capacity of the senders in one situation."""
 
     situation: str
-    cpu_us: float  # a message
-    per_core: float  # messages a second that keep a sender within its utilisation
-    needed: int  # senders, for all arrivals
-    needed_without_zone: int  # the same in all, so that those of the other zones suffice
-    needed_without_region: int
-    spare: float  # messages a second that the planned senders bear beside the arrivals
-    drain_s: float  # for the planned backlog; infinite where nothing is spare
-    drain_at_full_s: float  # the same with the whole of each core in use
+    cpu_us: float  # per message
+    per_core: float  # messages per second at which a sender reaches its target utilisation
+    needed: int  # senders that serve all arrivals
+    needed_without_zone: int  # total senders, so that the others suffice after the loss of a zone
+    needed_without_region: (
+        int  # total senders, so that the others suffice after the loss of the larger region
+    )
+    spare: float  # messages per second that the planned senders can serve beyond the arrivals
+    drain_s: float  # for the planned backlog; infinite if there is no spare capacity
+    drain_at_full_s: float  # the same at full utilisation of each core
 
 
 def data_path(results: Mapping[str, Result]) -> list[DataPath]:
-    """One for each situation."""
+    """Returns the capacity in each situation."""
     return [
         data_path_of(quantity(results, "messages", name), title, plan.SENDERS)
         for name, title in SITUATIONS.items()
@@ -54,7 +64,13 @@
 
 
 def data_path_of(core: Quantity, situation: str, senders: float) -> DataPath:
-    """`core`: the share of a core by messages a second; `senders`: that there are."""
+    """Derives the capacity in one situation.
+
+    Args:
+        core: The share of a core by messages per second.
+        situation: The title of the situation.
+        senders: The number of senders.
+    """
     per_core = messages_per_s(core, plan.SENDER_UTILISATION * plan.SENDER_CORES)
     needed = plan.EVENTS_PER_S / per_core
     spare = senders * per_core - plan.EVENTS_PER_S
@@ -74,54 +90,58 @@
 
 
 def messages_per_s(core: Quantity, share: float) -> float:
-    """What a sender serves with this share of a core."""
+    """Returns the messages per second that a sender serves with this share of a core."""
     return (share - core.line.intercept) / core.line.slope
 
 
 def drain_s(spare: float) -> float:
-    """For the planned backlog, with so many messages a second beside the arrivals."""
+    """Returns the time to drain the planned backlog with `spare` messages/s beyond the arrivals."""
     return plan.BACKLOG_EVENTS / spare if spare > 0 else inf
 
 
 def senders_absent(results: Mapping[str, Result]) -> float:
-    """On average over an ordinary day: each restart and each failure keeps a sender away until it is ready
-    with its backlog."""
-    away_s = quantity(results, "held", "ready_s").planned_value
+    """Returns the average number of unavailable senders on an ordinary day.
+
+    After each restart and each failure a sender is unavailable until it has restored its backlog.
+    """
+    unavailable_s = quantity(results, "held", "ready_s").planned_value
     events = plan.RESTARTS_PER_DAY + plan.FAILED_MACHINES_PER_DAY
-    return events * away_s / plan.SECONDS_PER_DAY
+    return events * unavailable_s / plan.SECONDS_PER_DAY
 
 
 @dataclass(frozen=True, slots=True)
-class Returned:
-    """What so many senders cost that come back at once, in the first ten seconds."""
+class RestartLoad:
+    """The load that senders cause in the first ten seconds after they restart at once."""
 
     event: str
     senders: int
     other_bytes: float  # received by each other sender
-    own_bytes: float  # received by each that comes back
-    handshakes: float  # datagrams in all
+    own_bytes: float  # received by each restarted sender
+    handshakes: float  # datagrams in total
     list_calls: float
-    backlog: float  # messages that wait until they are back
+    backlog: float  # messages that wait until the senders have restarted
 
 
-def returns(results: Mapping[str, Result]) -> list[Returned]:
-    """Upper bounds: so many times the cost of one that comes back alone."""
+def restart_loads(results: Mapping[str, Result]) -> list[RestartLoad]:
+    """Returns upper bounds: the cost of a single restart, times the number of senders."""
     events = (
         ("one sender (machine or restart)", 1),
         (f"rack ({plan.SENDERS_PER_RACK} senders assumed)", plan.SENDERS_PER_RACK),
         ("zone", round(plan.SENDERS_PER_ZONE)),
         ("all in turn (a rolling restart, in sum)", plan.SENDERS),
     )
-    return [returned(results, event, count) for event, count in events]
+    return [restart_load(results, event, count) for event, count in events]
+
 
+def restart_load(results: Mapping[str, Result], event: str, count: int) -> RestartLoad:
+    """Returns the upper bound for `count` senders that restart at once."""
 
-def returned(results: Mapping[str, Result], event: str, count: int) -> Returned:
     def planned(name: str) -> float:
         return quantity(results, "restarts", name).planned_value
 
     others = plan.SENDERS - 1
     calls = figure(results, "restarts", "list_calls").value
-    return Returned(
+    return RestartLoad(
         event,
         count,
         count * planned("one_other_bytes"),
@@ -134,7 +154,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StateItem:
-    """Something that a sender keeps, at the planned size."""
+    """One kind of state in a sender at the planned size."""
 
     item: str
     count: float
@@ -154,11 +174,11 @@
 
 
 def states(results: Mapping[str, Result]) -> list[StateItem]:
-    """What one sender keeps."""
-    found = []
+    """Returns the state of one sender."""
+    items = []
     for item, dimension, name in STATES:
         each = quantity(results, dimension, name)
-        found.append(
+        items.append(
             StateItem(
                 item,
                 each.planned_size,
@@ -168,12 +188,12 @@
                 f"{dimension}: {name}",
             )
         )
-    return found
+    return items
 
 
 @dataclass(frozen=True, slots=True)
 class Share:
-    """What a part of the deployment carries at the planned size."""
+    """The load of a part of the deployment at the planned size."""
 
     part: str
     senders: float
@@ -182,12 +202,12 @@
     held: float  # messages
     held_bytes: float  # in memory
     is_held_extrapolated: bool
-    link_datagrams_per_s: float  # sent, and as many received
+    link_datagrams_per_s: float  # sent; the same number is received
     link_bytes_per_s: float
 
 
 def shares(results: Mapping[str, Result]) -> list[Share]:
-    """Of a sender, a zone, the larger region and all."""
+    """Returns the load of one sender, a zone, the larger region and the whole deployment."""
     parts = (
         ("one sender", 1.0),
         ("zone", plan.SENDERS_PER_ZONE),
@@ -198,6 +218,8 @@
 
 
 def share_of(results: Mapping[str, Result], part: str, senders: float) -> Share:
+    """Returns the load of `senders` senders."""
+
     def planned(dimension: str, name: str) -> float:
         return senders * quantity(results, dimension, name).planned_value
 
@@ -215,19 +237,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AtDestination:
-    """What one destination that is down sees of all senders, if each has messages for it."""
+class DestinationLoad:
+    """The calls to one destination that is down, if every sender has messages for it."""
 
     window: str
     calls_of_one: float
     calls_of_all: float
 
 
-def at_destination(results: Mapping[str, Result]) -> list[AtDestination]:
-    """Calls are connection attempts too, as each is refused."""
+def destination_loads(results: Mapping[str, Result]) -> list[DestinationLoad]:
+    """Returns the calls by window; each call is also a connection attempt, because each one is refused."""
     windows = (("first 10 s", "calls_at_first"), ("first 600 s", "calls_later"))
-    found = []
+    loads = []
     for window, name in windows:
         calls = figure(results, "destinations", name).value
-        found.append(AtDestination(window, calls, calls * plan.SENDERS))
-    return found
+        loads.append(DestinationLoad(window, calls, calls * plan.SENDERS))
+    return loads
--- a/benchmarks/scale/destinations.py
+++ b/benchmarks/scale/destinations.py
@@ -1,7 +1,7 @@
-"""Dimension `destinations`: what the list of destinations costs a sender, by its length.
+"""Dimension `destinations`: the cost of the list of destinations for a sender, by its length.
 
-Measured in this process on the directory's list and the decision module, on virtual time. What connections
-take is not in it.
+Measured in this process with the endpoint list of the discovery client and the decision module, on virtual
+time. The cost of connections is not included.
 """
 
 import gc
@@ -21,16 +21,16 @@
 from message_sender.policy.model import EndpointState, ListingKind
 
 SLOTS, MAX_OPEN = 60, 1_000
-CALL_US = 5_000  # virtual, between a message and the answer to its call
-CHANGES = 40  # single changes that are timed
-ROUNDS = 5  # of which the median counts
-OUTAGE_S = (10.0, 600.0)  # virtual
+CALL_US = 5_000  # virtual time between a message and the answer to its call
+CHANGES = 40  # timed single changes per round
+ROUNDS = 5  # the result is their median
+OUTAGE_S = (10.0, 600.0)  # virtual time
 UNITS_PER_S = {"s": 1.0, "us": 1e6}
 
 
 @dataclass(frozen=True, slots=True)
 class Sizes:
-    """Lengths of the list; `used`: of those whose destinations all get a message."""
+    """Lengths of the list; `used` are those of lists in which every destination gets a message."""
 
     listed: tuple[int, ...]
     used: tuple[int, ...]
@@ -42,27 +42,28 @@
 }
 
 
-class World:
-    """A dispatcher with a virtual clock, whose calls are answered as delivered."""
+class SimulatedSender:
+    """A dispatcher with a virtual clock; every call is answered as delivered."""
 
     def __init__(self) -> None:
         self.dispatcher = policy.make_dispatcher(SLOTS, MAX_OPEN)
         self.now_us = 0
 
     def handle(self, *events: PolicyEvent, after_us: int = 0) -> list[PolicyAction]:
+        """Advances the clock and passes the events to the dispatcher."""
         self.now_us += after_us
         return self.dispatcher.handle(self.now_us, events)
 
     def use(self, destination: int) -> int:
-        """One message there and its delivery; how many calls began."""
-        began = policy.sends(self.handle(policy.taken(f"m{destination}", destination), after_us=CALL_US))
-        answers = [policy.delivered(send) for send in began]
+        """Sends and delivers one message to the destination and returns the number of calls."""
+        sends = policy.sends(self.handle(policy.accepted(f"m{destination}", destination), after_us=CALL_US))
+        answers = [policy.delivered(send) for send in sends]
         self.handle(*answers, after_us=CALL_US)
-        return len(began)
+        return len(sends)
 
 
 def list_text(count: int) -> bytes:
-    """A line of discovery that lists so many destinations."""
+    """Returns a line of the directory's stream that lists `count` destinations."""
     hosts = [
         {"host": f"e{number}", "dial": f"10.0.0.1:{1024 + number % 50_000}", "site": "z1", "class": "plain"}
         | {"block": number, "health": "ready", "share": 1.0}
@@ -71,28 +72,32 @@
     return json.dumps({"seq": 1, "whole": True, "hosts": hosts}, separators=(",", ":")).encode()
 
 
-def hear_text(world: World, text: bytes) -> EndpointList:
-    """What the directory keeps; the decision module shares its endpoint records."""
+def read_list(sender: SimulatedSender, text: bytes) -> EndpointList:
+    """Passes a full list to the sender.
+
+    Returns:
+        The list as the discovery client keeps it; the decision module shares its endpoint records.
+    """
     listed = EndpointList(json.loads(text))
-    world.handle(EndpointsUpdated(ListingKind.FULL, listed.endpoints))
+    sender.handle(EndpointsUpdated(ListingKind.FULL, listed.endpoints))
     return listed
 
 
 def listed_bytes(count: int) -> int:
-    """Traced bytes of a sender's list, none of which is used: the directory's and the decision module's."""
-    world, text = World(), list_text(count)
+    """Returns the traced bytes of an unused list, in the discovery client and the decision module."""
+    sender, text = SimulatedSender(), list_text(count)
     with traced_memory() as traced:
-        kept = hear_text(world, text)
+        kept = read_list(sender, text)
     del kept
     return traced.allocated
 
 
 def used_bytes(count: int) -> int:
-    """Traced bytes of a sender's list all of which was used within the hour."""
-    world, text = World(), list_text(count)
+    """Returns the traced bytes of a list of which every destination was used within the hour."""
+    sender, text = SimulatedSender(), list_text(count)
     with traced_memory() as traced:
-        kept = hear_text(world, text)
-        calls = sum(world.use(number) for number in range(count))
+        kept = read_list(sender, text)
+        calls = sum(sender.use(number) for number in range(count))
     del kept
     if calls != count:
         raise RuntimeError(f"{calls} calls for {count} messages")
@@ -100,33 +105,36 @@
 
 
 def cpu_s(work: Callable[[], object]) -> float:
-    """The collector is kept out: a collection would fall on some sizes and not on others."""
+    """Returns the CPU seconds of a call.
+
+    Garbage collection is disabled meanwhile, as it would run at some sizes and not at others.
+    """
     gc.collect()
     gc.disable()
     try:
-        began = time.process_time()
+        started_at = time.process_time()
         work()
-        return time.process_time() - began
+        return time.process_time() - started_at
     finally:
         gc.enable()
 
 
 def full_list_s(count: int) -> float:
-    """Median CPU seconds to read a full list that says nothing new, from its JSON on."""
-    world, text = World(), list_text(count)
-    hear_text(world, text)
-    return median(cpu_s(lambda: hear_text(world, text)) for _ in range(ROUNDS))
+    """Returns the median CPU seconds to parse and process a full list without changes, from its JSON text."""
+    sender, text = SimulatedSender(), list_text(count)
+    read_list(sender, text)
+    return median(cpu_s(lambda: read_list(sender, text)) for _ in range(ROUNDS))
 
 
 def one_change_us(count: int) -> float:
-    """Median CPU microseconds to hear that one endpoint drains, or is ready again."""
-    world = World()
-    world.handle(policy.full_list(count))
+    """Returns the median CPU microseconds to process that one endpoint is draining, or ready again."""
+    sender = SimulatedSender()
+    sender.handle(policy.full_list(count))
     states = (EndpointState.DRAINING, EndpointState.READY)
 
     def change() -> None:
         for number in range(CHANGES):
-            world.handle(policy.one_change(number // 2, states[number % 2]), after_us=1_000)
+            sender.handle(policy.one_change(number // 2, states[number % 2]), after_us=1_000)
 
     return median(cpu_s(change) for _ in range(ROUNDS)) / CHANGES * 1e6
 
@@ -147,6 +155,7 @@
 
 
 def line_quantity(sizes: tuple[int, ...]) -> Quantity:
+    """Returns the size of a full list on the wire."""
     return quantity_of(
         "list_line_bytes",
         "bytes of a full list as the directory sends it, in compact JSON with short names",
@@ -160,7 +169,7 @@
 
 
 def outage_figures() -> tuple[Figure, ...]:
-    """Calls of one sender of the planned fleet, without the link, to a destination that is down."""
+    """Returns the calls of a sender of the planned fleet, without the link, to a destination that is down."""
     where = f"calls of one of {plan.SENDERS} senders to a destination that is down"
     first, later = (outage.calls_while_down(plan.SENDERS, seconds) for seconds in OUTAGE_S)
     return (
--- a/benchmarks/scale/fit.py
+++ b/benchmarks/scale/fit.py
@@ -9,15 +9,20 @@
 
 
 def fit_line(points: Sequence[Point]) -> Line:
-    """The least-squares line through the points.
+    """Returns the least-squares line through the points.
 
-    `relative_residual` is the root mean square of the residuals over the mean of the absolute values; 0 for
-    points that lie on a line. Raises ValueError for fewer than two different sizes.
+    `relative_residual` is the root mean square of the residuals, divided by the mean of the absolute values;
+    it is 0 if all points lie on the line.
+
+    Raises:
+        ValueError: There are fewer than two different sizes.
     """
     sizes = np.array([point.size for point in points], dtype=float)
     values = np.array([point.value for point in points], dtype=float)
     if len(set(sizes.tolist())) < 2:
-        raise ValueError("a line needs points of two different sizes at least")
+        raise ValueError(
+            f"a line needs points of at least two different sizes, got {sorted(set(sizes.tolist()))}"
+        )
     slope, intercept = np.polynomial.Polynomial.fit(sizes, values, 1).convert(domain=[-1, 1]).coef[::-1]
     residuals = values - (slope * sizes + intercept)
     scale = float(np.abs(values).mean())
@@ -32,10 +37,10 @@
 
 
 def value_at(line: Line, size: float) -> float:
-    """The line's value at a size, in the unit of the points."""
+    """Returns the value of the line at a size, in the unit of the points."""
     return line.slope * size + line.intercept
 
 
 def is_extrapolated(line: Line, size: float) -> bool:
-    """Whether a size lies beyond ten times the largest measured one."""
+    """Returns whether a size exceeds ten times the largest size that the line was fitted to."""
     return size > plan.EXTRAPOLATION_LIMIT * line.largest
--- a/benchmarks/scale/held.py
+++ b/benchmarks/scale/held.py
@@ -1,8 +1,8 @@
-"""Dimension `held`: what a backlog costs a sender, by the number of messages that it holds.
+"""Dimension `held`: the cost of a backlog for a sender, by the number of held messages.
 
-The journal is the durable one, with group syncs; the messages are for destinations that are down. Restoring
-is measured as the engine does it at a start: the journal is replayed, then the decision module hears of each
-message.
+The journal is the durable one, with group syncs; the messages are for destinations that are down. Recovery is
+measured in the steps of the engine's start: the journal is replayed, then each message is restored in the
+decision module.
 """
 
 import asyncio
@@ -27,20 +27,20 @@
 from message_sender.policy.model import Outcome
 
 BODY_BYTES = 300
-DESTINATIONS = 100  # that the held messages are for
+DESTINATIONS = 100  # of the held messages
 JOURNAL_LIMIT_BYTES = 2_000_000_000
-GATHER_S = 0.005  # between the beginnings of two syncs
-UNTIL_US = 10**16  # far away
-CHURN_PER_S = 500  # messages that come and go in a second of CPU time while the journal is compacted
+GATHER_S = 0.005  # between the starts of two syncs
+DEADLINE_US = 10**16  # never reached
+CHURN_PER_S = 500  # messages accepted and delivered per second of CPU time during a compaction
 LONGEST_COMPACTION_S = 60.0
-CHURN_FACTOR = 4  # messages that come and go for each held one, where written bytes are counted
+CHURN_FACTOR = 4  # messages accepted and delivered per held one, in the count of written bytes
 ENDPOINT, ZONE = "e1", "z1"
-HALF_OF_MEMORY_BYTES = 12_000_000_000  # of a machine of 24 GB
+HALF_OF_MEMORY_BYTES = 12_000_000_000  # of a machine with 24 GB
 
 
 @dataclass(frozen=True, slots=True)
 class Sizes:
-    """Numbers of held messages."""
+    """The numbers of held messages at which each cost is measured."""
 
     memory: tuple[int, ...]
     ready: tuple[int, ...]
@@ -60,45 +60,54 @@
 
 
 class CountingDisk(SystemDisk):
-    """The system's disk, without its syncs, that counts what is written."""
+    """The system's disk that counts the written bytes and skips syncs."""
 
     written_bytes = 0
 
     def write(self, file: int, data: bytes) -> None:
+        """Counts and writes the data."""
         self.written_bytes += len(data)
         super().write(file, data)
 
     def sync(self, file: int) -> None:
-        """Nothing: bytes are counted, and the run shall not wait for the disk."""
+        """Does nothing: only bytes are counted, and the run must not wait for the disk."""
 
 
 def message(number: int) -> Message:
+    """Returns a message whose name, key and destination follow from its number."""
     name = f"m{number}"
     key = f"k{number}"
     return Message(
-        name, policy.MESSAGE_CLASS.name, number % DESTINATIONS, UNTIL_US, "", key, name, False, body()
+        name, policy.MESSAGE_CLASS.name, number % DESTINATIONS, DEADLINE_US, "", key, name, False, body()
     )
 
 
 def body() -> bytes:
-    """A body of its own for each message, as they come from a socket."""
+    """Returns a new bytes object for each message, as a socket does, so that bodies share no memory."""
     return b"%0*d" % (BODY_BYTES, 0)
 
 
 def open_journal(folder: Path, disk: SystemDisk | None = None) -> DurableJournal:
+    """Opens the journal in `folder`; replays it if it exists."""
     return DurableJournal(folder, JOURNAL_LIMIT_BYTES, GATHER_S, disk)
 
 
 def fill(journal: DurableJournal, count: int) -> None:
+    """Records `count` accepted messages.
+
+    Raises:
+        RuntimeError: The journal rejected a message.
+    """
     for number in range(count):
         if not journal.record_accepted(message(number)):
-            raise RuntimeError(f"the journal did not take message {number}")
+            raise RuntimeError(f"the journal rejected message {number} of {count}")
 
 
 # Memory and disk.
 
 
 async def journal_memory(count: int, folder: Path) -> int:
+    """Returns the traced bytes of a journal with `count` messages."""
     journal = open_journal(folder)
     with traced_memory() as traced:
         fill(journal, count)
@@ -107,7 +116,7 @@
 
 
 async def journal_file(count: int, folder: Path) -> int:
-    """Bytes of the file."""
+    """Returns the size in bytes of the file of a journal with `count` messages."""
     journal = open_journal(folder)
     fill(journal, count)
     journal.release()
@@ -115,108 +124,117 @@
 
 
 async def policy_memory(count: int, folder: Path) -> int:
-    """Traced bytes of the decision module. Its destinations are listed and do not answer, so all is held."""
+    """Returns the traced bytes of the decision module with `count` held messages.
+
+    Its destinations are listed but never answer, so that every message is held.
+    """
     dispatcher = policy.make_dispatcher(slots=1, max_open=count + 1)
     dispatcher.handle(0, [policy.full_list(DESTINATIONS)])
     with traced_memory() as traced:
         for number in range(count):
-            dispatcher.handle(number, [policy.taken(f"m{number}", number % DESTINATIONS)])
+            dispatcher.handle(number, [policy.accepted(f"m{number}", number % DESTINATIONS)])
     if policy.held_count(dispatcher) != count:
-        raise RuntimeError("not all messages are held")
+        raise RuntimeError(f"{policy.held_count(dispatcher)} of {count} messages are held")
     return traced.allocated
 
 
-# Time to ready.
+# Recovery time.
 
 
 async def replay_s(count: int, folder: Path) -> float:
-    """CPU seconds to open a journal that holds so many."""
+    """Returns the CPU seconds to open a journal with `count` messages."""
     journal = open_journal(folder)
     fill(journal, count)
     journal.release()
     gc.collect()
-    began = time.process_time()
-    again = open_journal(folder)
-    spent = time.process_time() - began
-    if len(again.entries) != count:
-        raise RuntimeError("the journal lost messages")
-    again.release()
-    return spent
+    started_at = time.process_time()
+    reopened = open_journal(folder)
+    cpu_s = time.process_time() - started_at
+    if len(reopened.entries) != count:
+        raise RuntimeError(f"the journal restored {len(reopened.entries)} of {count} messages")
+    reopened.release()
+    return cpu_s
 
 
 async def restore_s(count: int, folder: Path) -> float:
-    """CPU seconds in which the decision module hears of so many held messages, in one iteration as the
-    engine tells it."""
+    """Returns the CPU seconds in which the decision module restores `count` held messages.
+
+    All are restored in one loop iteration, as the engine does it.
+    """
     dispatcher = policy.make_dispatcher(slots=1, max_open=count + 1)
     dispatcher.handle(0, [policy.full_list(DESTINATIONS)])
     gc.collect()
-    began = time.process_time()
-    told: list[PolicyEvent] = [
+    started_at = time.process_time()
+    events: list[PolicyEvent] = [
         policy.restored(f"m{number}", number % DESTINATIONS) for number in range(count)
     ]
-    dispatcher.handle(1, told)
-    spent = time.process_time() - began
+    dispatcher.handle(1, events)
+    cpu_s = time.process_time() - started_at
     if policy.held_count(dispatcher) != count:
-        raise RuntimeError("not all messages are held")
-    return spent
+        raise RuntimeError(f"{policy.held_count(dispatcher)} of {count} messages are held")
+    return cpu_s
 
 
-# The journal written anew.
+# Compaction of the journal.
 
 
 async def longest_pause_ms(count: int, folder: Path) -> float:
-    """The longest iteration of the event loop, in CPU time, while the journal is compacted beside messages
-    that come and go."""
+    """Returns the longest loop iteration in ms of CPU time while the journal is compacted.
+
+    Other messages are accepted and delivered meanwhile.
+    """
     journal = open_journal(folder)
     fill(journal, count)
-    journal.record_end(f"m{count - 1}", "delivered")  # something to be dropped
+    journal.record_end(f"m{count - 1}", "delivered")  # leaves a record that the compaction drops
     loop, numbers = asyncio.get_running_loop(), itertools.count(count)
     while journal.sync_task or journal.sync_timer:
         await asyncio.sleep(0.01)
     gc.collect()
-    began = loop.time()
-    last = work_due = time.thread_time()
+    started_at = loop.time()
+    last = next_message_at = time.thread_time()
     journal.compact()
     longest = 0.0
-    while journal.replacement and loop.time() < began + LONGEST_COMPACTION_S:
+    while journal.replacement and loop.time() < started_at + LONGEST_COMPACTION_S:
         now = time.thread_time()
         longest, last = max(longest, now - last), now
-        while work_due < last:
-            come_and_go(journal, next(numbers))
-            work_due += 1 / CHURN_PER_S
+        while next_message_at < last:
+            record_delivered_message(journal, next(numbers))
+            next_message_at += 1 / CHURN_PER_S
         await asyncio.sleep(0)
     journal.close()
     return longest * 1000
 
 
-def come_and_go(journal: DurableJournal, number: int) -> None:
-    """All records in the life of a message that is delivered at once."""
+def record_delivered_message(journal: DurableJournal, number: int) -> None:
+    """Writes all records of a message that is delivered at the first attempt."""
     each = message(number)
     journal.record_accepted(each)
-    journal.record_attempt(each.id, 0, AttemptRecord(UNTIL_US, ENDPOINT, ZONE))
+    journal.record_attempt(each.id, 0, AttemptRecord(DEADLINE_US, ENDPOINT, ZONE))
     journal.record_outcome(each.id, 0, Outcome.OK)
     journal.record_end(each.id, "delivered")
 
 
 async def written_per_message(count: int, folder: Path) -> float:
-    """Bytes written for each message that comes and goes beside `count` held ones, compactions included: the
-    least spare room makes these as frequent as they get."""
+    """Returns the bytes written per delivered message while `count` others are held, including compactions.
+
+    Compactions are as frequent as possible because the journal reserves no spare room.
+    """
     disk = CountingDisk()
     journal = open_journal(folder, disk)
     journal.reserve_bytes = 0
     fill(journal, count)
     before, churn = disk.written_bytes, CHURN_FACTOR * count
     for number in range(count, count + churn):
-        come_and_go(journal, number)
+        record_delivered_message(journal, number)
         if number % 16 == 0:
-            await asyncio.sleep(0)  # steps of a compaction
+            await asyncio.sleep(0)  # lets a compaction proceed
     written = disk.written_bytes - before
     journal.close()
     return written / churn
 
 
 def in_folder(measure: Callable[..., object], count: int) -> float:
-    """Runs a measurement on a loop and in a folder of its own."""
+    """Runs a measurement in a new event loop and a temporary folder."""
     with tempfile.TemporaryDirectory() as folder:
         return asyncio.run(measure(count, Path(folder)))  # type: ignore[arg-type]
 
@@ -251,6 +269,7 @@
 
 
 def memory_quantities(sizes: Sizes) -> list[Quantity]:
+    """Returns the memory of held messages in the journal, in the decision module and in both, and on disk."""
     in_journal = [Point(count, in_folder(journal_memory, count)) for count in sizes.memory]
     in_policy = [Point(count, in_folder(policy_memory, count)) for count in sizes.memory]
     both = [Point(a.size, a.value + b.value) for a, b in zip(in_journal, in_policy, strict=True)]
@@ -277,6 +296,7 @@
 
 
 def ready_quantity(sizes: tuple[int, ...]) -> Quantity:
+    """Returns the time of replay and restore."""
     points = []
     for count in sizes:
         replay, restore = in_folder(replay_s, count), in_folder(restore_s, count)
@@ -294,6 +314,7 @@
 
 
 def pause_quantity(sizes: tuple[int, ...]) -> Quantity:
+    """Returns the longest loop iteration during a compaction."""
     points = [Point(count, round(in_folder(longest_pause_ms, count), 2)) for count in sizes]
     return quantity_of(
         "pause_ms",
--- a/benchmarks/scale/limits.py
+++ b/benchmarks/scale/limits.py
@@ -1,4 +1,4 @@
-"""Limits in order: for each mechanism the fraction of the planned size at which it passes its allowance."""
+"""The limits of all mechanisms: the fraction of the planned size at which each exceeds its allowance."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -11,12 +11,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Limit:
-    """One mechanism; `fraction` is of the planned size, infinite where the allowance is never passed.
-    `is_extrapolated`: the size at which it is passed lies beyond ten times the measured ones."""
+    """The size at which one mechanism exceeds its allowance.
+
+    `fraction` is that size relative to the planned one; it is infinite if the allowance is never exceeded.
+    `is_extrapolated` is set if the size exceeds ten times the largest measured one.
+    """
 
     mechanism: str
-    planned_value: float | None  # at the planned size, in `unit`; None: there is nothing to measure
-    is_planned_extrapolated: bool  # the value at the planned size
+    planned_value: float | None  # at the planned size, in `unit`; None if nothing was measured
+    is_planned_extrapolated: bool  # whether `planned_value` is extrapolated
     most: float  # the allowance, in `unit`
     unit: str
     fraction: float
@@ -27,8 +30,8 @@
     is_extrapolated: bool
 
 
-def missing(results: Mapping[str, Result]) -> list[Limit]:
-    """Mechanisms of which there is nothing to measure: no dimension reports on them."""
+def unmeasured_limits(results: Mapping[str, Result]) -> list[Limit]:
+    """Returns the limits of required mechanisms that no dimension reports on."""
     if "changes" in results:
         return []
     return [
@@ -49,8 +52,14 @@
 
 
 def size_at_allowance(quantity: Quantity) -> float:
-    """The size at which the quantity first passes its allowance: between measured points where it does there,
-    else on the line beyond them. Raises ValueError for a quantity without an allowance."""
+    """Returns the size at which the quantity first exceeds its allowance.
+
+    The size is interpolated between the measured points if the allowance is exceeded there, and otherwise
+    taken from the line beyond them. It is infinite if the allowance is never exceeded.
+
+    Raises:
+        ValueError: The quantity has no allowance.
+    """
     if quantity.allowance is None:
         raise ValueError(f"{quantity.name} has no allowance")
     most, line = quantity.allowance.most, quantity.line
@@ -66,7 +75,11 @@
 
 
 def limit_of(quantity: Quantity, result: Result) -> Limit:
-    """Raises ValueError for a quantity without an allowance."""
+    """Returns the limit that follows from a quantity.
+
+    Raises:
+        ValueError: The quantity has no allowance.
+    """
     if quantity.allowance is None:
         raise ValueError(f"{quantity.name} has no allowance")
     size = size_at_allowance(quantity)
@@ -86,8 +99,10 @@
 
 
 def limits_in_order(results: Mapping[str, Result]) -> list[Limit]:
-    """The smallest fraction first: what is missing first."""
-    found = missing(results)
+    """Returns all limits by ascending fraction; mechanisms without measurements come first."""
+    limits = unmeasured_limits(results)
     for result in results.values():
-        found += [limit_of(each, result) for each in result.measured.quantities if each.allowance]
-    return sorted(found, key=lambda limit: limit.fraction)
+        limits += [
+            limit_of(quantity, result) for quantity in result.measured.quantities if quantity.allowance
+        ]
+    return sorted(limits, key=lambda limit: limit.fraction)
--- a/benchmarks/scale/load.py
+++ b/benchmarks/scale/load.py
@@ -1,7 +1,7 @@
-"""One whole sender as a process on loopback, with stand-ins for receivers, platform and clients.
+"""One complete sender as a process on loopback, with stand-ins for receivers, platform and clients.
 
-The stand-ins are those of benchmarks/storm.py; they run in processes of their own, so that the sender's CPU
-time is its own alone.
+The stand-ins of benchmarks/storm.py run outside the sender's process, so that they add nothing to its CPU
+time.
 """
 
 import asyncio
@@ -29,7 +29,7 @@
 DESTINATIONS = 500
 DOWN = round(DESTINATIONS * plan.DOWN_SHARE)
 DEADLINE_S = 3_600.0
-PATIENCE_S = 10.0  # of a client
+CLIENT_TIMEOUT_S = 10.0
 BODY_BYTES = 200
 DISK_MB = 200
 MAX_OPEN = 20_000
@@ -39,29 +39,29 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Stand:
-    """The ports of the stand-ins, and the pipe that asks them what they saw."""
+class StandIns:
+    """The ports of the stand-ins, and the pipe over which they report what they received."""
 
     receiver: int
     platform: int
     pipe: Connection
-    loads: Iterator[int] = field(default_factory=lambda: itertools.count(1))  # what tells loads' names apart
+    loads: Iterator[int] = field(default_factory=lambda: itertools.count(1))  # prefixes of the message names
 
     def delivered(self) -> int:
-        """Messages that reached a receiver."""
-        self.pipe.send("told")
+        """Returns the number of distinct messages that reached a receiver."""
+        self.pipe.send("report")
         return len(self.pipe.recv()[0])
 
 
 @contextmanager
-def stand_ins() -> Iterator[Stand]:
-    """Runs receivers and platform in a process of their own."""
+def run_stand_ins() -> Iterator[StandIns]:
+    """Runs the stand-ins for receivers and platform in a separate process."""
     ours, theirs = multiprocessing.get_context("spawn").Pipe()
     process = multiprocessing.get_context("spawn").Process(target=storm.peers, args=(theirs,), daemon=True)
     process.start()
     try:
         receiver, platform = ours.recv()
-        yield Stand(receiver, platform, ours)
+        yield StandIns(receiver, platform, ours)
     finally:
         ours.send("end")
         process.join(5)
@@ -69,37 +69,37 @@
 
 @contextmanager
 def closed_port() -> Iterator[int]:
-    """A port at which every connection is refused."""
+    """Reserves a port that refuses every connection."""
     with socket.socket() as bound:
         bound.bind((HOST, 0))
         yield int(bound.getsockname()[1])
 
 
-def configuration(port: int, stand: Stand, down: int, closed: int) -> dict[str, Any]:
-    """Of a sender whose first `down` destinations are at the closed port."""
-    told = storm.config(port, stand.receiver, stand.platform, DESTINATIONS)
-    for host in told["known"]["hosts"][:down]:
+def configuration(port: int, stand_ins: StandIns, down: int, closed: int) -> dict[str, Any]:
+    """Returns the configuration of a sender whose first `down` destinations are at the closed port."""
+    config = storm.config(port, stand_ins.receiver, stand_ins.platform, DESTINATIONS)
+    for host in config["known"]["hosts"][:down]:
         host["dial"] = f"{HOST}:{closed}"
-    told["limits"]["disk_mb"] = DISK_MB
-    told["settings"]["limits"]["max_open"] = MAX_OPEN
-    told["settings"]["services"][0]["deadline"] = int(DEADLINE_S * 1e6)
-    return told
+    config["limits"]["disk_mb"] = DISK_MB
+    config["settings"]["limits"]["max_open"] = MAX_OPEN
+    config["settings"]["services"][0]["deadline"] = int(DEADLINE_S * 1e6)
+    return config
 
 
 class Load(storm.Storm):
-    """Clients that offer messages at their times, whatever became of those before."""
+    """Open-loop clients: each message is sent on schedule, regardless of earlier answers."""
 
-    def __init__(self, port: int, first: int, destinations: range) -> None:
-        """`first` distinguishes the names of several loads of one sender."""
-        super().__init__(port, first)
+    def __init__(self, port: int, prefix: int, destinations: range) -> None:
+        """`prefix` distinguishes the message names of several loads of one sender."""
+        super().__init__(port, prefix)
         self.destinations = destinations
 
     def destination(self, number: int) -> int:
-        """Where the message of this number goes; they are numbered from 1."""
+        """Returns the destination of a message by its number, which counts from 1."""
         return self.destinations[number % len(self.destinations)]
 
     def text(self, name: str) -> bytes:
-        """The request that hands the message in."""
+        """Returns the HTTP request that submits the message."""
         destination = self.destination(int(name.rpartition("-")[2]))
         return (
             f"POST /c HTTP/1.1\r\nHost: app.svc\r\nX-Correlation-Id: {name}\r\nX-Service-Class: c\r\n"
@@ -108,41 +108,44 @@
         ).encode()
 
     def send(self) -> None:
-        """One message, on a connection that no request is out on."""
+        """Sends one message on an idle connection, or on a new one if there is none."""
         self.count += 1
         name = f"{self.run}-{self.count}"
         while self.pool:
             client = self.pool.pop()
             if not client.transport.is_closing():
-                client.ask(name, PATIENCE_S)
+                client.send_request(name, CLIENT_TIMEOUT_S)
                 return
         client = storm.Client(self)
-        client.ask(name, PATIENCE_S)
+        client.send_request(name, CLIENT_TIMEOUT_S)
         task = asyncio.get_running_loop().create_task(self.connect(client))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     async def offer_at(self, rate: float, count: int) -> None:
-        """Open loop; returns once each message has its answer, or none within the clients' patience."""
-        began = time.monotonic()
+        """Offers `count` messages at `rate` messages/s, open loop.
+
+        Returns once every message was answered or its client timed out.
+        """
+        started_at = time.monotonic()
         for number in range(count):
-            wait = began + number / rate - time.monotonic()
+            wait = started_at + number / rate - time.monotonic()
             if wait > 0.001 or number % 50 == 0:
                 await asyncio.sleep(max(wait, 0.0))
             self.send()
-        async with asyncio.timeout(PATIENCE_S + 1):
+        async with asyncio.timeout(CLIENT_TIMEOUT_S + 1):
             while len(self.answers) < self.count:
                 await asyncio.sleep(0.005)
 
     def accepted_for(self, destinations: range) -> int:
-        """Messages for these destinations that the sender took on."""
+        """Returns the number of accepted messages for these destinations."""
         names = [name for name, status in self.answers.items() if status == ACCEPTED]
         return sum(self.destination(int(name.rpartition("-")[2])) in destinations for name in names)
 
 
 @dataclass(frozen=True, slots=True)
-class Served:
-    """What became of a load, and what it cost the sender."""
+class LoadResult:
+    """The counts of a load and its cost for the sender."""
 
     offered: int
     accepted: int
@@ -152,16 +155,16 @@
 
 
 @asynccontextmanager
-async def sender(stand: Stand, down: int) -> AsyncIterator[tuple[int, int]]:
-    """A sender's process: its port and process id."""
+async def run_sender(stand_ins: StandIns, down: int) -> AsyncIterator[tuple[int, int]]:
+    """Runs a sender as a process and yields its port and process id."""
     with tempfile.TemporaryDirectory() as name, closed_port() as closed:
         folder, port = Path(name), storm.free_port()
         (folder / "state").mkdir()
         path = folder / "config.json"
-        path.write_text(json.dumps(configuration(port, stand, down, closed)))
+        path.write_text(json.dumps(configuration(port, stand_ins, down, closed)))
         environment = os.environ | {"BALANCER_CONFIG": str(path), "BALANCER_STATE": str(folder / "state")}
-        words = [sys.executable, "-m", "message_sender"]
-        process = subprocess.Popen(words, cwd=ROOT, env=environment, stderr=subprocess.DEVNULL)
+        command = [sys.executable, "-m", "message_sender"]
+        process = subprocess.Popen(command, cwd=ROOT, env=environment, stderr=subprocess.DEVNULL)
         try:
             await storm.ready(port)
             yield port, process.pid
@@ -170,27 +173,35 @@
             process.wait(10)
 
 
-async def serve(
-    stand: Stand, rate: float, count: int, down: int = 0, to_down: bool = False, backlog: int = 0
-) -> Served:
-    """Offers `count` messages to one sender, of whose destinations `down` are down, and `backlog` before that
-    to those. `to_down`: whether the messages go to these too, by their share."""
-    async with sender(stand, down) as (port, process):
+async def run_load(
+    stand_ins: StandIns, rate: float, count: int, down: int = 0, to_down: bool = False, backlog: int = 0
+) -> LoadResult:
+    """Offers messages to a new sender and measures its CPU time.
+
+    Args:
+        stand_ins: The receivers and the platform.
+        rate: Messages per second.
+        count: The number of messages.
+        down: The number of destinations that are down.
+        to_down: Whether a proportional share of the messages goes to the destinations that are down.
+        backlog: The number of messages for destinations that are down, sent before the measurement.
+    """
+    async with run_sender(stand_ins, down) as (port, process):
         if backlog:
-            await Load(port, next(stand.loads), range(down)).offer_at(1000.0, backlog)
-        load = Load(port, next(stand.loads), range(0 if to_down else down, DESTINATIONS))
-        delivered_before = stand.delivered()
-        cpu_s, began = process_cpu_s(process), time.monotonic()
+            await Load(port, next(stand_ins.loads), range(down)).offer_at(1000.0, backlog)
+        load = Load(port, next(stand_ins.loads), range(0 if to_down else down, DESTINATIONS))
+        delivered_before = stand_ins.delivered()
+        cpu_s, started_at = process_cpu_s(process), time.monotonic()
         await load.offer_at(rate, count)
         until = time.monotonic() + SETTLED_WITHIN_S
-        expected = delivered_before + load.accepted_for(range(down, DESTINATIONS))
-        while stand.delivered() < expected and time.monotonic() < until:
+        expected_delivered = delivered_before + load.accepted_for(range(down, DESTINATIONS))
+        while stand_ins.delivered() < expected_delivered and time.monotonic() < until:
             await asyncio.sleep(0.02)
-        spent, wall = process_cpu_s(process) - cpu_s, time.monotonic() - began
-        return Served(
+        spent, wall = process_cpu_s(process) - cpu_s, time.monotonic() - started_at
+        return LoadResult(
             load.count,
             load.accepted_for(range(DESTINATIONS)),
-            stand.delivered() - delivered_before,
+            stand_ins.delivered() - delivered_before,
             spent,
             wall,
         )
--- a/benchmarks/scale/members.py
+++ b/benchmarks/scale/members.py
@@ -1,7 +1,7 @@
-"""Dimension `members`: what the link costs one member at rest, by the number of members.
+"""Dimension `members`: the cost of the link for one member at rest, by the number of members.
 
-Counts come from hollow senders on virtual time; one size is measured with real processes too, so that it is
-known how far the hollow ones differ.
+Counts come from hollow senders on virtual time. One size is also measured with real processes, which shows
+how far the hollow senders differ from them.
 """
 
 import time
@@ -15,20 +15,20 @@
 from benchmarks.scale.results import Allowance, Effort, Figure, Measured, Point, Quantity, Source
 
 ANNOUNCEMENT_BYTES = 200
-LINEAR_UP_TO = 80  # members: beyond, the rate of announcements no longer grows (fleet/node.py)
-SETTLING_S = 0.5  # virtual, before anything is counted
-LONG_WINDOW_S, SHORT_WINDOW_S = 10.0, 3.0  # virtual, counted in small and in large fleets
-HEARD_S = 5.0  # virtual, in which small fleets hear each announcement
-LOSS = 0.01  # of the datagrams, where the spread of a change is measured
+LINEAR_UP_TO = 80  # members; the rate of announcements does not grow beyond this size (fleet/node.py)
+SETTLING_S = 0.5  # virtual time before counting starts
+LONG_WINDOW_S, SHORT_WINDOW_S = 10.0, 3.0  # virtual time of counting, in small and in large fleets
+ALL_ANNOUNCED_S = 5.0  # virtual time in which all members of a small fleet receive every announcement
+LOSS = 0.01  # share of lost datagrams in the measurement of the spread of a change
 CHANGES = 5  # announcements changed at once, by different members
-SPREAD_DRAWS = 200  # members over all draws of one size
-LONGEST_SPREAD_S = 60.0  # virtual
+SPREAD_DRAWS = 200  # simulated members over all draws of one fleet size
+LONGEST_SPREAD_S = 60.0  # virtual time
 SEED = 1
 
 
 @dataclass(frozen=True, slots=True)
 class Sizes:
-    """What a run measures."""
+    """The fleet sizes that a run measures."""
 
     at_rest: tuple[int, ...]
     spread: tuple[int, ...]
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rest:
-    """What one member costs at rest, a second."""
+    """The cost of one member at rest, per second."""
 
     datagrams: float
     sent_bytes: float
@@ -52,48 +52,53 @@
 
 
 def measure_rest(size: int, announcement_bytes: int = ANNOUNCEMENT_BYTES) -> Rest:
-    """Averages over all members; the larger the fleet, the shorter the time."""
+    """Returns averages over all members; large fleets are measured for a shorter virtual time."""
     fleet = HollowFleet(size, announcement_bytes, SEED)
-    fleet.acquaint()
+    fleet.join_all()
     fleet.run(SETTLING_S)
-    fleet.forget_traffic()
+    fleet.reset_traffic()
     window = LONG_WINDOW_S if size <= LINEAR_UP_TO else SHORT_WINDOW_S
-    began = time.process_time()
+    started_at = time.process_time()
     fleet.run(window)
-    spent = time.process_time() - began
-    shares = size * window
-    return Rest(fleet.traffic.sent / shares, fleet.traffic.sent_bytes / shares, spent / shares)
+    spent = time.process_time() - started_at
+    member_seconds = size * window
+    return Rest(
+        fleet.traffic.sent / member_seconds, fleet.traffic.sent_bytes / member_seconds, spent / member_seconds
+    )
 
 
 def measure_spread(size: int) -> float:
-    """Virtual seconds until changes of several members are known to all, with datagrams lost: the longest of
-    several draws, so that small fleets lose some datagrams too."""
+    """Returns the virtual seconds until all members know the changes of several, with lost datagrams.
+
+    The result is the longest of several draws, so that some datagrams are lost in small fleets as well.
+    """
     draws = max(SPREAD_DRAWS // size, 1)
     return max(spread_once(size, SEED + draw) for draw in range(draws))
 
 
 def spread_once(size: int, seed: int) -> float:
+    """Returns the virtual seconds until the changes are known to all members in one draw."""
     fleet = HollowFleet(size, ANNOUNCEMENT_BYTES, seed, LOSS)
     changed = [f"n{number}" for number in range(min(CHANGES, size))]
-    fleet.acquaint(len(changed))
+    fleet.join_all(len(changed))
     fleet.run(SETTLING_S)
-    began = fleet.now
+    started_at = fleet.now
     for name in changed:
         fleet.nodes[name].publish(b"y" * ANNOUNCEMENT_BYTES, fleet.now)
         fleet.flush(name)
-    while fleet.now < began + LONGEST_SPREAD_S:
+    while fleet.now < started_at + LONGEST_SPREAD_S:
         fleet.run(0.05)
-        if all(fleet.know(2, name) == size - 1 for name in changed):
+        if all(fleet.count_informed(2, name) == size - 1 for name in changed):
             break
-    return fleet.now - began
+    return fleet.now - started_at
 
 
 def measure_memory(size: int) -> float:
-    """Traced bytes of one member's node once it has heard all others' announcements."""
+    """Returns the traced bytes of one member's node that has received the announcements of all others."""
     with traced_memory() as traced:
         fleet = HollowFleet(size, ANNOUNCEMENT_BYTES, SEED)
-        fleet.acquaint()
-        fleet.run(HEARD_S)
+        fleet.join_all()
+        fleet.run(ALL_ANNOUNCED_S)
         fleet.events.clear()
     return traced.allocated / size
 
@@ -185,17 +190,17 @@
 
 
 def compare(size: int, real: RealRest, hollow: Rest) -> tuple[Figure, ...]:
-    """What the same fleet costs hollow and as real processes, a member and second."""
+    """Returns the cost of the same fleet as hollow senders and as real processes, per member and second."""
     pairs = (
         ("datagrams", "datagrams", "1/s", Source.COUNT, real.datagrams, hollow.datagrams),
         ("bytes", "bytes", "B/s", Source.COUNT, real.sent_bytes, hollow.sent_bytes),
         ("cpu", "share of a core", "core", Source.CPU_TIME, real.cpu_share, hollow.cpu_share),
     )
-    found = []
+    figures = []
     for name, title, unit, source, real_value, hollow_value in pairs:
-        where = f"{title} a member at rest, {size} members"
-        found.append(Figure(f"real_{name}", f"{where}, real processes", unit, source, real_value))
-        found.append(Figure(f"hollow_{name}", f"{where}, hollow", unit, source, hollow_value))
+        scope = f"{title} a member at rest, {size} members"
+        figures.append(Figure(f"real_{name}", f"{scope}, real processes", unit, source, real_value))
+        figures.append(Figure(f"hollow_{name}", f"{scope}, hollow", unit, source, hollow_value))
         ratio = hollow_value / real_value
-        found.append(Figure(f"ratio_{name}", f"{where}, hollow over real", "", source, ratio))
-    return tuple(found)
+        figures.append(Figure(f"ratio_{name}", f"{scope}, hollow over real", "", source, ratio))
+    return tuple(figures)
--- a/benchmarks/scale/memory.py
+++ b/benchmarks/scale/memory.py
@@ -1,4 +1,4 @@
-"""Bytes that Python objects take, by tracemalloc: what libraries allocate outside of Python is not in it."""
+"""Memory of Python objects by tracemalloc; allocations of libraries outside of Python are not counted."""
 
 import gc
 import tracemalloc
@@ -7,14 +7,14 @@
 
 
 class TracedMemory:
-    """Bytes that are allocated within the block and still there at its end."""
+    """Bytes that were allocated within the block and are still in use at its end."""
 
     allocated = 0
 
 
 @contextmanager
 def traced_memory() -> Iterator[TracedMemory]:
-    """Counts what the block allocates and keeps. Blocks cannot be nested."""
+    """Counts the bytes that the block allocates and keeps. Blocks cannot be nested."""
     traced = TracedMemory()
     gc.collect()
     tracemalloc.start()
--- a/benchmarks/scale/messages.py
+++ b/benchmarks/scale/messages.py
@@ -1,9 +1,9 @@
-"""Dimension `messages`: the CPU time that one whole sender takes, by the messages a second offered to it.
+"""Dimension `messages`: the CPU time of one complete sender, by the message rate.
 
-In three situations: calm; with 3.8% of its destinations down, to which messages go as well; and with a
-backlog held for those. The sender is the process that the platform starts, with the journal that outlasts a
-process and no syncs; messages have 200 B. Sizes are the messages a second that it took on: on a busy machine
-it turns some away.
+The dimension measures three situations: all destinations up; 3.8% of the destinations down, with messages for
+these as well; and a backlog held for the destinations that are down. The sender runs as the process that the
+platform starts, with the journal that survives a process crash but does not sync. Messages have 200 B. The
+size of a point is the rate of accepted messages per second, because a sender on a busy machine rejects some.
 """
 
 import asyncio
@@ -13,13 +13,13 @@
 from benchmarks.scale.quantity import quantity_of
 from benchmarks.scale.results import Allowance, Effort, Figure, Measured, Point, Quantity, Source
 
-SECONDS = 3.0  # that messages are offered at each rate
-REPEATS = 2  # of each rate; all points go into the line
+SECONDS = 3.0  # for which messages are offered at each rate
+REPEATS = 2  # of each rate; the line is fitted to the points of all repeats
 
 
 @dataclass(frozen=True, slots=True)
 class Sizes:
-    """Messages a second, and the messages of the backlog."""
+    """The offered rates (messages/s), the duration of each (s) and the number of messages in the backlog."""
 
     rates: tuple[float, ...]
     seconds: float
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Situation:
-    """What is down, and what is held for it."""
+    """The number of destinations that are down and the load that is meant for them."""
 
     name: str
     title: str
@@ -50,27 +50,31 @@
 )
 
 
-async def measure(stand: load.Stand, situation: Situation, rate: float, sizes: Sizes) -> load.Served:
+async def measure(
+    stand_ins: load.StandIns, situation: Situation, rate: float, sizes: Sizes
+) -> load.LoadResult:
+    """Offers messages to a new sender at one rate (messages/s)."""
     count = int(rate * sizes.seconds)
     backlog = sizes.backlog if situation.has_backlog else 0
-    return await load.serve(stand, rate, count, situation.down, situation.to_down, backlog)
+    return await load.run_load(stand_ins, rate, count, situation.down, situation.to_down, backlog)
 
 
 def run(effort: Effort) -> Measured:
     """Measures the dimension."""
     sizes = SIZES[effort]
-    quantities, served = [], []
-    with load.stand_ins() as stand:
+    quantities, all_runs = [], []
+    with load.run_stand_ins() as stand_ins:
         for situation in SITUATIONS:
-            found = [asyncio.run(measure(stand, situation, rate, sizes)) for rate in sizes.rates]
-            served += found
-            quantities.append(quantity(situation, sizes.backlog, found))
-    return Measured(tuple(quantities), figures(served))
+            runs = [asyncio.run(measure(stand_ins, situation, rate, sizes)) for rate in sizes.rates]
+            all_runs += runs
+            quantities.append(core_quantity(situation, sizes.backlog, runs))
+    return Measured(tuple(quantities), accepted_figures(all_runs))
 
 
-def quantity(situation: Situation, backlog: int, found: list[load.Served]) -> Quantity:
+def core_quantity(situation: Situation, backlog: int, runs: list[load.LoadResult]) -> Quantity:
+    """Returns the share of a core by the rate of accepted messages."""
     points = [
-        Point(round(each.accepted / each.wall_s, 2), round(each.cpu_s / each.wall_s, 5)) for each in found
+        Point(round(each.accepted / each.wall_s, 2), round(each.cpu_s / each.wall_s, 5)) for each in runs
     ]
     title = f"share of a core that a sender takes, {situation.title}"
     if situation.has_backlog:
@@ -87,9 +91,9 @@
     )
 
 
-def figures(served: list[load.Served]) -> tuple[Figure, ...]:
-    """Whether the load was served, without which its cost would mean nothing."""
-    offered, accepted = sum(each.offered for each in served), sum(each.accepted for each in served)
+def accepted_figures(runs: list[load.LoadResult]) -> tuple[Figure, ...]:
+    """Returns the offered messages and the accepted share; a cost is meaningful only if most are accepted."""
+    offered, accepted = sum(each.offered for each in runs), sum(each.accepted for each in runs)
     share = accepted / offered
     return (
         Figure("offered", "messages offered over all runs", "", Source.COUNT, offered),
--- a/benchmarks/scale/page.py
+++ b/benchmarks/scale/page.py
@@ -1,4 +1,4 @@
-"""The tables of docs/CAPACITY.md, rendered from the results between marker comments.
+"""Renders the tables of docs/CAPACITY.md from the results, between marker comments:
 
 <!-- table: NAME -->
 ...
@@ -18,16 +18,19 @@
 
 PAGE = ROOT / "docs" / "CAPACITY.md"
 MARKED = re.compile(r"(<!-- table: (\S+) -->\n).*?(<!-- end -->)", re.DOTALL)
-FAR_BEYOND = 10  # times the plan, from which no figure is told
+FAR_BEYOND = 10  # times the planned size; larger fractions are shown without a figure
 EXTRAPOLATED = " (extrapolated)"
 
 
 class UnknownTableError(ValueError):
-    """The page names a table that there is none of."""
+    """The page names a table that does not exist."""
 
 
 def number(value: float) -> str:
-    """Three significant digits, with separators and without an exponent where that is readable."""
+    """Formats a value with three significant digits and thousands separators.
+
+    Values that would need more than six decimals get an exponent.
+    """
     if value == 0 or not math.isfinite(value):
         return "0" if value == 0 else str(value)
     digits = max(2 - math.floor(math.log10(abs(value))), 0)
@@ -38,19 +41,20 @@
 
 
 def table(head: Sequence[str], rows: Iterable[Sequence[str]]) -> str:
+    """Returns a Markdown table."""
     lines = ["| " + " | ".join(cells) + " |" for cells in (head, ["---"] * len(head), *rows)]
     return "\n".join(lines) + "\n"
 
 
-def planned_text(quantity: Quantity) -> str:
-    """The value at the planned size and how it was come by."""
-    how = EXTRAPOLATED if quantity.is_extrapolated else ""
-    how = " (measured)" if quantity.is_measured_at_plan else how
-    return f"{number(quantity.planned_value)} {quantity.unit}{how}"
+def planned_value_text(quantity: Quantity) -> str:
+    """Returns the value at the planned size, marked if it was measured there or extrapolated."""
+    mark = EXTRAPOLATED if quantity.is_extrapolated else ""
+    mark = " (measured)" if quantity.is_measured_at_plan else mark
+    return f"{number(quantity.planned_value)} {quantity.unit}{mark}"
 
 
 def slopes_table(results: Mapping[str, Result]) -> str:
-    """Every fitted line."""
+    """Returns the table of all fitted lines."""
     head = ("dimension", "quantity", "slope", "at none", "residual", "range", "planned size", "there", "by")
     rows = []
     for result in results.values():
@@ -68,13 +72,13 @@
         f"{line.relative_residual:.1%}",
         f"{number(line.smallest)} to {number(line.largest)} {quantity.size_of}",
         number(quantity.planned_size),
-        planned_text(quantity),
+        planned_value_text(quantity),
         quantity.source.value,
     )
 
 
 def figures_table(results: Mapping[str, Result]) -> str:
-    """Every value that no line is fitted to."""
+    """Returns the table of all values without a fitted line."""
     rows = [
         (result.dimension, figure.title, f"{number(figure.value)} {figure.unit}".strip(), figure.source.value)
         for result in results.values()
@@ -84,16 +88,17 @@
 
 
 def runs_table(results: Mapping[str, Result]) -> str:
-    """Where and when the results come from."""
+    """Returns the table of the runs that the results come from."""
     rows = []
     for result in results.values():
-        where = result.environment
-        cells = (result.dimension, f"`{result.command}`", where.date, where.python, str(where.cores))
-        rows.append((*cells, where.processor, f"{where.duration_s:.0f} s"))
+        run = result.environment
+        cells = (result.dimension, f"`{result.command}`", run.date, run.python, str(run.cores))
+        rows.append((*cells, run.processor, f"{run.duration_s:.0f} s"))
     return table(("dimension", "command", "date (UTC)", "Python", "cores", "processor", "took"), rows)
 
 
 def fraction_text(limit: Limit) -> str:
+    """Returns the fraction of the planned size at which a limit is reached."""
     if math.isinf(limit.fraction):
         return "not reached"
     if limit.fraction > FAR_BEYOND:
@@ -102,7 +107,7 @@
 
 
 def limits_table(results: Mapping[str, Result]) -> str:
-    """Limits in order."""
+    """Returns the table of all limits by ascending fraction."""
     head = ["mechanism", "of the plan", "passed at", "allowance", "at the planned size", "by whom", "source"]
     rows = [limit_cells(limit) for limit in limits_in_order(results)]
     return table(head, rows)
@@ -110,27 +115,28 @@
 
 def limit_cells(limit: Limit) -> tuple[str, ...]:
     is_near = limit.fraction <= FAR_BEYOND
-    there = "-"
+    planned = "-"
     if limit.planned_value is not None:
         mark = EXTRAPOLATED if limit.is_planned_extrapolated else ""
-        there = f"{number(limit.planned_value)} {limit.unit}{mark}"
+        planned = f"{number(limit.planned_value)} {limit.unit}{mark}"
     return (
         limit.mechanism,
         fraction_text(limit),
         f"{number(limit.at_size)} {limit.size_of}" if is_near else "-",
         f"{number(limit.most)} {limit.unit}",
-        there,
+        planned,
         limit.reason,
         limit.source,
     )
 
 
 def hours_text(seconds: float) -> str:
+    """Returns a duration in hours, or "never" if it is infinite."""
     return "never" if math.isinf(seconds) else f"in {number(seconds / 3600)} h"
 
 
 def data_path_table(results: Mapping[str, Result]) -> str:
-    """What the senders bear, by situation."""
+    """Returns the table of the capacity of the senders by situation."""
     head = [
         "situation",
         "CPU a message",
@@ -146,14 +152,14 @@
     for each in derived.data_path(results):
         needed = (each.needed, each.needed_without_zone, each.needed_without_region)
         spare = f"{number(each.spare)} /s" if each.spare > 0 else "none"
-        drained = (hours_text(each.drain_s), hours_text(each.drain_at_full_s))
+        drain = (hours_text(each.drain_s), hours_text(each.drain_at_full_s))
         cells = (each.situation, f"{number(each.cpu_us)} us", number(each.per_core))
-        rows.append((*cells, *(f"{count:,}" for count in needed), spare, *drained))
+        rows.append((*cells, *(f"{count:,}" for count in needed), spare, *drain))
     return table(head, rows)
 
 
 def returns_table(results: Mapping[str, Result]) -> str:
-    """The correlated load behind failures."""
+    """Returns the table of the load after correlated failures."""
     head = [
         "comes back",
         "senders",
@@ -164,14 +170,14 @@
         "messages that waited",
     ]
     rows = []
-    for each in derived.returns(results):
+    for each in derived.restart_loads(results):
         values = (each.other_bytes, each.own_bytes, each.handshakes, each.list_calls, each.backlog)
         rows.append((each.event, str(each.senders), *(number(value) for value in values)))
     return table(head, rows)
 
 
 def state_table(results: Mapping[str, Result]) -> str:
-    """What one sender keeps at the planned size."""
+    """Returns the table of the state of one sender at the planned size."""
     rows = []
     for each in derived.states(results):
         total = f"{number(each.total / 1e6)} MB" + (EXTRAPOLATED if each.is_extrapolated else "")
@@ -180,7 +186,7 @@
 
 
 def absent_table(results: Mapping[str, Result]) -> str:
-    """Senders that are away on an ordinary day."""
+    """Returns the table of the average number of unavailable senders on an ordinary day."""
     ready = derived.quantity(results, "held", "ready_s")
     return table(
         ("restarts and failures a day", "away each time", "senders away on average"),
@@ -195,7 +201,7 @@
 
 
 def shares_table(results: Mapping[str, Result]) -> str:
-    """What each part of the deployment carries."""
+    """Returns the table of the load of each part of the deployment."""
     head = [
         "part",
         "senders",
@@ -217,10 +223,10 @@
 
 
 def destination_table(results: Mapping[str, Result]) -> str:
-    """What one destination that is down sees."""
+    """Returns the table of the calls to one destination that is down."""
     rows = [
         (each.window, number(each.calls_of_one), number(each.calls_of_all))
-        for each in derived.at_destination(results)
+        for each in derived.destination_loads(results)
     ]
     return table(("one destination, down", "calls of one sender", f"of {plan.SENDERS}"), rows)
 
@@ -240,18 +246,27 @@
 
 
 def render(text: str, results: Mapping[str, Result]) -> str:
-    """The page with each marked table made anew. Raises UnknownTableError."""
+    """Returns the page with each marked table regenerated.
+
+    Raises:
+        UnknownTableError: The page names a table that does not exist.
+    """
 
-    def replacement(found: re.Match[str]) -> str:
-        if found[2] not in TABLES:
-            raise UnknownTableError(f"the page names the table {found[2]}; there are {', '.join(TABLES)}")
-        return found[1] + TABLES[found[2]](results) + found[3]
+    def replacement(marker: re.Match[str]) -> str:
+        name = marker[2]
+        if name not in TABLES:
+            raise UnknownTableError(f"the page names the table {name}; expected one of {', '.join(TABLES)}")
+        return marker[1] + TABLES[name](results) + marker[3]
 
     return MARKED.sub(replacement, text)
 
 
 def update(write: bool, path: Path = PAGE, folder: Path = files.FOLDER) -> int:
-    """Writes the tables, or only tells where page and results differ; 1 where they do."""
+    """Writes the tables to the page, or only prints how page and results differ.
+
+    Returns:
+        The exit code: 1 if `write` is false and they differ, otherwise 0.
+    """
     before = path.read_text()
     after = render(before, files.read_all(folder))
     if write:
--- a/benchmarks/scale/policy.py
+++ b/benchmarks/scale/policy.py
@@ -1,4 +1,4 @@
-"""All that the scale tests use of the decision module, in one place."""
+"""Helpers through which the scale tests use the decision module (message_sender.policy)."""
 
 from collections.abc import Sequence
 
@@ -24,7 +24,7 @@
 
 
 def settings(slots: int, max_open: int, must_poll: bool = False, fleet_size: int = 1) -> Settings:
-    """One class, one kind of destination with one endpoint each."""
+    """Returns settings with one message class and one kind of destination, with one endpoint each."""
     return Settings(
         classes=(MESSAGE_CLASS,),
         kinds=(("plain", DestinationKind()),),
@@ -39,51 +39,56 @@
 
 
 def make_dispatcher(slots: int, max_open: int, must_poll: bool = False, fleet_size: int = 1) -> Dispatcher:
-    """`must_poll`: the list of endpoints comes only when it is asked for."""
+    """Returns a dispatcher; with `must_poll` it receives the list of endpoints only on request."""
     return Dispatcher(settings(slots, max_open, must_poll, fleet_size), SEED)
 
 
 def endpoint(number: int, state: EndpointState = EndpointState.READY) -> Endpoint:
-    """The only endpoint of destination `number`."""
+    """Returns the only endpoint of destination `number`."""
     return Endpoint(f"e{number}", number, state, "plain", ENDPOINTS_OF_ZONE)
 
 
 def full_list(count: int) -> EndpointsUpdated:
+    """Returns a full list of `count` destinations."""
     return EndpointsUpdated(ListingKind.FULL, tuple(endpoint(number) for number in range(count)))
 
 
 def one_change(number: int, state: EndpointState) -> EndpointsUpdated:
+    """Returns a list update that changes the state of one endpoint."""
     return EndpointsUpdated(ListingKind.CHANGES, (endpoint(number, state),))
 
 
-def taken(name: str, destination: int) -> MessageAccepted:
+def accepted(name: str, destination: int) -> MessageAccepted:
+    """Returns the event of a newly accepted message."""
     return MessageAccepted(name, MESSAGE_CLASS.name, destination, DEADLINE_US)
 
 
 def restored(name: str, destination: int) -> MessageRestored:
-    """A message that an earlier process took on and never sent."""
-    return MessageRestored(taken(name, destination), 0, None, "")
+    """Returns the event of a message that an earlier process accepted and never sent."""
+    return MessageRestored(accepted(name, destination), 0, None, "")
 
 
 def sends(actions: Sequence[PolicyAction]) -> list[Send]:
+    """Returns the attempts that the actions start."""
     return [action for action in actions if isinstance(action, Send)]
 
 
 def delivered(send: Send) -> AttemptEnded:
+    """Returns the event of a successful attempt."""
     return AttemptEnded(send.message, send.attempt, Outcome.OK, finished=True)
 
 
 def held_count(dispatcher: Dispatcher) -> int:
-    """Messages that are owed."""
+    """Returns the number of accepted messages that are neither delivered nor ended."""
     return len(dispatcher.messages)
 
 
-def refused(send: Send) -> AttemptEnded:
-    """Nobody listens there."""
+def connection_refused(send: Send) -> AttemptEnded:
+    """Returns the event of an attempt that failed because nothing listens at the endpoint."""
     return AttemptEnded(send.message, send.attempt, Outcome.CONNECT_FAILED)
 
 
 def wake_after_us(actions: Sequence[PolicyAction]) -> int | None:
-    """When the module asks to be called again; None: as it asked before, or not at all."""
+    """Returns the requested delay until the next call in us, or None if the actions do not change it."""
     delays = [action.delay_us for action in actions if isinstance(action, WakeAfter)]
     return delays[-1] if delays else None
--- a/benchmarks/scale/quantity.py
+++ b/benchmarks/scale/quantity.py
@@ -1,4 +1,4 @@
-"""Makes a Quantity of measured points."""
+"""Builds a Quantity from measured points."""
 
 from collections.abc import Iterable
 
@@ -18,9 +18,14 @@
     fit_up_to: float = float("inf"),
     planned_value: float | None = None,
 ) -> Quantity:
-    """Fits a line to the points whose size is `fit_up_to` at most. A point at the planned size itself gives
-    the planned value; else the line does, or `planned_value` for what is no line and follows from others.
-    Raises ValueError where no line can be fitted."""
+    """Fits a line to the points up to the size `fit_up_to`, inclusive.
+
+    The planned value is `planned_value` if given, for quantities that are not linear and derived from others;
+    otherwise the measured value if there is a point at the planned size, or else the value of the line.
+
+    Raises:
+        ValueError: No line can be fitted.
+    """
     ordered = tuple(sorted(points, key=lambda point: point.size))
     line = fit.fit_line([point for point in ordered if point.size <= fit_up_to])
     at_plan = [point.value for point in ordered if point.size == planned_size]
--- a/benchmarks/scale/registry.py
+++ b/benchmarks/scale/registry.py
@@ -1,4 +1,7 @@
-"""The dimensions by name. A new one registers itself here: a module with `run(effort)`, and a title."""
+"""The registry of dimensions by name.
+
+To add a dimension, write a module with a function `run(effort)` and enter it here with a title.
+"""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -9,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Dimension:
-    """What is measured, and the function that does it."""
+    """The title of a dimension and the function that measures it."""
 
     title: str
     run: Callable[[Effort], Measured]
--- a/benchmarks/scale/restarts.py
+++ b/benchmarks/scale/restarts.py
@@ -1,8 +1,8 @@
-"""Dimension `restarts`: what members that restart at once cost the others in the first ten seconds.
+"""Dimension `restarts`: the cost of simultaneous restarts for the other members in the first ten seconds.
 
-Hollow senders on virtual time: each restarted member is replaced in an instant by one that knows nobody. What
-the same fleet sends at rest in ten seconds is subtracted. A restarted sender also asks for the list of
-destinations once; that call is counted by the decision module, not sent.
+Uses hollow senders on virtual time. Each restarted member is replaced at once by one that knows no other
+member. The traffic of the same fleet at rest over ten seconds is subtracted. A restarted sender also requests
+the list of destinations once; that call is counted in the actions of the decision module and not sent.
 """
 
 from collections.abc import Sequence
@@ -17,15 +17,21 @@
 from message_sender.policy.model import ListingKind
 
 ANNOUNCEMENT_BYTES = 200
-WINDOW_S = 10.0  # virtual
-SETTLING_S = 0.5  # virtual
+WINDOW_S = 10.0  # virtual time
+SETTLING_S = 0.5  # virtual time
 SEED = 1
 HELLO = "Hello"
 
 
 @dataclass(frozen=True, slots=True)
 class Sizes:
-    """Fleets of `fleet` members of which `restarted` restart at once; and fleets of which one does."""
+    """The sizes that a run measures.
+
+    Attributes:
+        fleet: The members of the fleet in which several restart at once.
+        restarted: The numbers of members that restart at once.
+        fleets: The sizes of the fleets in which one member restarts.
+    """
 
     fleet: int
     restarted: tuple[int, ...]
@@ -40,18 +46,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Excess:
-    """What a restart added in the first ten seconds."""
+    """The additional traffic of a restart in the first ten seconds."""
 
     other_bytes: float  # received by each of the other members
-    other_datagrams: float
+    other_datagrams: float  # received by each of the other members
     restarted_bytes: float  # received by each restarted member
-    hellos: int  # sent by all
-    is_whole: bool  # every member knows every other one's present epoch at the end
+    hellos: int  # sent by all members
+    is_complete: bool  # at the end, every member knows the current session of every other one
 
 
 @dataclass(frozen=True, slots=True)
 class Run:
-    """A fleet after ten seconds, in which some members restarted at the beginning or none did."""
+    """A fleet ten seconds after some members restarted, or none."""
 
     fleet: HollowFleet
     traffic: Traffic
@@ -59,36 +65,38 @@
 
 
 def run_fleet(size: int, restarted: Sequence[str]) -> Run:
-    """The same fleet each time: two runs differ by the restarts alone."""
+    """Runs a fleet of `size` members; two runs of the same size differ only by the restarts."""
     fleet = HollowFleet(size, ANNOUNCEMENT_BYTES, SEED)
-    fleet.acquaint()
+    fleet.join_all()
     fleet.run(SETTLING_S)
-    fleet.forget_traffic()
+    fleet.reset_traffic()
     for name in restarted:
         fleet.restart(name)
     fleet.run(WINDOW_S)
-    return Run(fleet, fleet.traffic, fleet.kinds[HELLO])
+    return Run(fleet, fleet.traffic, fleet.body_counts[HELLO])
 
 
 def measure(size: int, restarted: int) -> Excess:
-    """Restarts the last members of a fleet at rest."""
+    """Restarts the last `restarted` members of a fleet at rest and returns the additional traffic."""
     names = [f"n{number}" for number in range(size)]
-    others, gone = names[: size - restarted], names[size - restarted :]
-    calm, after = run_fleet(size, ()), run_fleet(size, gone)
-    calm_datagrams, calm_bytes = calm.traffic.received_by(others)
+    others, restarted_names = names[: size - restarted], names[size - restarted :]
+    at_rest, after = run_fleet(size, ()), run_fleet(size, restarted_names)
+    rest_datagrams, rest_bytes = at_rest.traffic.received_by(others)
     datagrams, total_bytes = after.traffic.received_by(others)
-    gone_bytes = after.traffic.received_by(gone)[1] - calm.traffic.received_by(gone)[1]
+    restarted_bytes = (
+        after.traffic.received_by(restarted_names)[1] - at_rest.traffic.received_by(restarted_names)[1]
+    )
     return Excess(
-        (total_bytes - calm_bytes) / len(others),
-        (datagrams - calm_datagrams) / len(others),
-        gone_bytes / restarted,
-        after.hellos - calm.hellos,
-        is_whole(after.fleet),
+        (total_bytes - rest_bytes) / len(others),
+        (datagrams - rest_datagrams) / len(others),
+        restarted_bytes / restarted,
+        after.hellos - at_rest.hellos,
+        is_complete(after.fleet),
     )
 
 
-def is_whole(fleet: HollowFleet) -> bool:
-    """Whether every member believes every other one's present session."""
+def is_complete(fleet: HollowFleet) -> bool:
+    """Returns whether every member knows the current session of every other one."""
     sessions = {name: node.session for name, node in fleet.nodes.items()}
     for name, node in fleet.nodes.items():
         known = {other: peer.session for other, peer in node.peers.items()}
@@ -98,10 +106,10 @@
 
 
 def list_calls() -> int:
-    """Calls for the list of destinations that a sender makes as it starts with the list that it knew."""
+    """Returns the requests for the list of destinations by a sender that starts with a cached list."""
     dispatcher = policy.make_dispatcher(slots=60, max_open=1_000, must_poll=True)
-    told = EndpointsUpdated(ListingKind.CACHED, policy.full_list(10).endpoints)
-    actions = dispatcher.handle(0, [told])
+    cached = EndpointsUpdated(ListingKind.CACHED, policy.full_list(10).endpoints)
+    actions = dispatcher.handle(0, [cached])
     return sum(isinstance(action, Subscribe) for action in actions)
 
 
@@ -110,8 +118,8 @@
     sizes = SIZES[effort]
     at_once = {count: measure(sizes.fleet, count) for count in sizes.restarted}
     by_fleet = {size: measure(size, 1) for size in sizes.fleets}
-    if not all(each.is_whole for each in (*at_once.values(), *by_fleet.values())):
-        raise RuntimeError("a restarted member was not known to all within ten seconds")
+    if not all(each.is_complete for each in (*at_once.values(), *by_fleet.values())):
+        raise RuntimeError(f"a restarted member was not known to all others within {WINDOW_S:g} s")
     figures = (
         Figure(
             "list_calls",
@@ -125,12 +133,13 @@
 
 
 def quantities_at_once(sizes: Sizes, at_once: dict[int, Excess]) -> tuple[Quantity, ...]:
-    where = f"of a fleet of {sizes.fleet}, in 10 s"
+    """Returns the costs of simultaneous restarts, by the number of restarted members."""
+    scope = f"of a fleet of {sizes.fleet}, in 10 s"
     by_restarted = "restarted members"
     return (
         quantity_of(
             "other_bytes",
-            f"bytes that restarts add for each other member {where}",
+            f"bytes that restarts add for each other member {scope}",
             "B",
             by_restarted,
             Source.COUNT,
@@ -139,7 +148,7 @@
         ),
         quantity_of(
             "hellos",
-            f"handshake datagrams that restarts add in all {where}",
+            f"handshake datagrams that restarts add in all {scope}",
             "datagrams",
             by_restarted,
             Source.COUNT,
@@ -150,6 +159,7 @@
 
 
 def quantities_by_fleet(by_fleet: dict[int, Excess]) -> tuple[Quantity, ...]:
+    """Returns the costs of one restart, by the size of the fleet."""
     most = plan.CONTROL_BYTES_PER_S * WINDOW_S
     reason = "letter: 2 KB/s a sender for control, over 10 s"
     pair = pair_quantity(by_fleet)
@@ -190,6 +200,7 @@
 
 
 def pair_quantity(by_fleet: dict[int, Excess]) -> Quantity:
+    """Returns the bytes between a restarted member and one other, by the size of the fleet."""
     return quantity_of(
         "one_pair_bytes",
         "bytes that each other member sends to one restarted member beyond rest in 10 s",
--- a/benchmarks/scale/results.py
+++ b/benchmarks/scale/results.py
@@ -16,14 +16,14 @@
 class Source(Enum):
     """How a value was obtained."""
 
-    COUNT = "count"  # of datagrams, bytes or items: the same in each run
-    VIRTUAL_TIME = "virtual time"  # the same in each run
+    COUNT = "count"  # a count of datagrams, bytes or items; identical in every run
+    VIRTUAL_TIME = "virtual time"  # identical in every run
     CPU_TIME = "CPU time"  # user and system time of a process
     TRACED_MEMORY = "tracemalloc"  # bytes allocated by Python objects
 
 
 class Effort(Enum):
-    """How large a run is: SMALL for the tests, FULL for the figures of the page."""
+    """The extent of a run: SMALL for the tests, FULL for the figures of the capacity page."""
 
     SMALL = "small"
     FULL = "full"
@@ -47,7 +47,13 @@
 
 
 class Allowance(msgspec.Struct, frozen=True):
-    """What a quantity may be at most, in its unit, and who says so; `mechanism` is what it bounds."""
+    """The upper bound of a quantity.
+
+    Attributes:
+        mechanism: The mechanism whose cost is bounded.
+        most: The bound, in the unit of the quantity.
+        reason: The origin of the bound.
+    """
 
     mechanism: str
     most: float
@@ -57,9 +63,10 @@
 class Quantity(msgspec.Struct, frozen=True):
     """A cost measured at several sizes.
 
-    `planned_value` is the line's value at `planned_size`, or where `is_measured_at_plan` the measured one; of
-    what is no line it follows from another quantity, and the title says so.
-    Points beyond `line.largest` are not fitted: the quantity is not linear there, and the title says so.
+    `planned_value` is the value of the line at `planned_size`, or the measured value if `is_measured_at_plan`
+    is set. The planned value of a quantity that does not grow linearly is derived from another quantity,
+    which its title names. Points beyond `line.largest` are excluded from the fit because the quantity is not
+    linear there; the title states the range.
     """
 
     name: str
@@ -87,24 +94,24 @@
 
 
 class Measured(msgspec.Struct, frozen=True):
-    """What one dimension's run found."""
+    """The results of one run of a dimension."""
 
     quantities: tuple[Quantity, ...]
     figures: tuple[Figure, ...] = ()
 
 
 class Environment(msgspec.Struct, frozen=True):
-    """Where and when a run was made."""
+    """The machine, the date and the duration of a run."""
 
     date: str  # UTC, ISO 8601
     python: str
-    cores: int  # that the run could use
+    cores: int  # available to the run
     processor: str
     duration_s: float
 
 
 class Result(msgspec.Struct, frozen=True):
-    """A dimension's file."""
+    """The content of the JSON file of a dimension."""
 
     dimension: str
     title: str
@@ -114,7 +121,7 @@
 
 
 def processor_name() -> str:
-    """From proc(5); empty where it does not tell."""
+    """Returns the processor model from /proc/cpuinfo (proc(5)), or "" if it is not available."""
     try:
         lines = Path("/proc/cpuinfo").read_text().splitlines()
     except OSError:
@@ -123,19 +130,26 @@
     return names[0] if names else ""
 
 
-def environment_since(began: float) -> Environment:
-    """`began`: s, of time.monotonic()."""
+def environment_since(started_at: float) -> Environment:
+    """Describes this machine and the run that started at `started_at` (time.monotonic(), s)."""
     return Environment(
         date=datetime.datetime.now(datetime.UTC).isoformat(timespec="minutes"),
         python=platform.python_version(),
         cores=len(os.sched_getaffinity(0)),
         processor=processor_name(),
-        duration_s=round(time.monotonic() - began, 1),
+        duration_s=round(time.monotonic() - started_at, 1),
     )
 
 
 def write(result: Result, folder: Path = FOLDER) -> Path:
-    """Writes a dimension's file and returns its path. Raises OSError."""
+    """Writes the file of a dimension.
+
+    Returns:
+        The path of the file.
+
+    Raises:
+        OSError: The file cannot be written.
+    """
     folder.mkdir(parents=True, exist_ok=True)
     path = folder / f"{result.dimension}.json"
     path.write_bytes(msgspec.json.format(msgspec.json.encode(result), indent=1) + b"\n")
@@ -143,11 +157,17 @@
 
 
 def read(path: Path) -> Result:
-    """Raises OSError and msgspec.ValidationError."""
+    """Reads the file of a dimension.
+
+    Raises:
+        OSError: The file cannot be read.
+        msgspec.DecodeError: The file is not valid JSON.
+        msgspec.ValidationError: The file does not match the type `Result`.
+    """
     return msgspec.json.decode(path.read_bytes(), type=Result)
 
 
 def read_all(folder: Path = FOLDER) -> dict[str, Result]:
-    """Every dimension's result by its name, in order of names."""
-    found = [read(path) for path in sorted(folder.glob("*.json"))]
-    return {result.dimension: result for result in found}
+    """Returns the results of all dimensions by name, sorted by name."""
+    all_results = [read(path) for path in sorted(folder.glob("*.json"))]
+    return {result.dimension: result for result in all_results}
--- a/benchmarks/sites.py
+++ b/benchmarks/sites.py
@@ -1,9 +1,10 @@
-"""Lays out the site files of deploy/sites/ for a run of the bench, and what the kit provides beside them.
+"""Copies the site files of deploy/sites/ and the files of the kit into one folder for a run of the bench.
 
     python benchmarks/sites.py KIT_FOLDER [INTO]
 
-KIT_FOLDER is where the kit keeps a site of its own (with wire.json, real.json and unlock.txt); INTO is where
-to, `found/sites` in the checkout by default, which git ignores. Prints the path of each site, one a line.
+KIT_FOLDER is the folder of a site of the kit, with wire.json, real.json and unlock.txt. INTO is the target
+folder, by default `found/sites` in the checkout, which git ignores. Prints the path of each site, one per
+line.
 """
 
 import shutil
@@ -11,13 +12,20 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
-PROVIDED = ("wire.json", "real.json", "unlock.txt")
+KIT_FILES = ("wire.json", "real.json", "unlock.txt")
 
 
-def lay_out(kit: Path, into: Path) -> list[Path]:
-    """Raises FileNotFoundError where the kit lacks one of what is provided."""
+def copy_sites(kit: Path, into: Path) -> list[Path]:
+    """Copies the files.
+
+    Returns:
+        The paths of the copied site files.
+
+    Raises:
+        FileNotFoundError: One of the files of the kit is missing.
+    """
     into.mkdir(parents=True, exist_ok=True)
-    for name in PROVIDED:
+    for name in KIT_FILES:
         (into / name).unlink(missing_ok=True)
         shutil.copyfile(kit / name, into / name)
     sites = sorted((ROOT / "deploy" / "sites").glob("*.toml"))
@@ -30,7 +38,7 @@
         return 2
     into = Path(sys.argv[2]) if len(sys.argv) == 3 else ROOT / "found" / "sites"
     try:
-        for each in lay_out(Path(sys.argv[1]), into):
+        for each in copy_sites(Path(sys.argv[1]), into):
             print(each)
     except FileNotFoundError as error:
         print(f"sites: {error.filename} is missing", file=sys.stderr)
--- a/benchmarks/storm.py
+++ b/benchmarks/storm.py
@@ -1,13 +1,14 @@
-"""A bounded storm on loopback: more than one core can do, from clients whose patience ends.
+"""An overload test on loopback: more messages than one core can serve, from clients with time-outs.
 
     python benchmarks/storm.py [--root FOLDER] [--runs 10] [--rate 1600] [--seconds 6] [--json FILE]
 
-Starts one sender of FOLDER (a checkout with its .venv; this one without the option) on one core, stand-ins
-for receivers and the platform on a second and the clients on a third, and offers messages open loop: each is
-sent at its time, whatever became of those before. Half of the clients wait 0.4 s for an answer, half 2 s,
-then they close. Then half the rate for 2 s, to see what is left of it. A sender that ended is started again
-on its journal, so that what it had taken on can still end. One line a run and the sums: exits, messages taken
-on that were neither delivered nor ended by a notice (lost), the share left without an answer, the rate after.
+Starts one sender of FOLDER (a checkout with its .venv; this checkout by default) on one core, stand-ins for
+receivers and the platform on a second and the clients on a third. Messages are offered open loop: each is
+sent on schedule, regardless of earlier answers. Half of the clients wait 0.4 s for an answer and half 2 s
+before they close the connection. Afterwards half the rate is offered for 2 s, which shows whether the sender
+recovers. A sender that exited is restarted on its journal, so that its accepted messages can still end.
+Prints one line per run and the totals: exits, accepted messages that were neither delivered nor ended by a
+notice (lost), the share without an answer, and the rate afterwards.
 """
 
 import argparse
@@ -27,19 +28,19 @@
 ROOT = Path(__file__).resolve().parent.parent
 DESTINATIONS = 20
 DEADLINE = 8.0  # s
-PATIENCES = (0.4, 2.0)  # s
+TIMEOUTS_S = (0.4, 2.0)  # of the clients, in turn
 SENDER_CORE, PEERS_CORE, CLIENTS_CORE = 0, 1, 2
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 
 
 def pin(core: int, process: int = 0) -> None:
-    """Where there are fewer cores than that, they are shared."""
+    """Pins a process (0: this one) to a core; core numbers wrap around if there are fewer cores."""
     cores = sorted(os.sched_getaffinity(0))
     os.sched_setaffinity(process, {cores[core % len(cores)]})
 
 
-class Requests(asyncio.Protocol):
-    """What comes in on one connection, whole requests at a time."""
+class RequestProtocol(asyncio.Protocol):
+    """The server side of one connection: calls `request` for each complete HTTP request."""
 
     def __init__(self) -> None:
         self.unread = bytearray()
@@ -65,7 +66,9 @@
         raise NotImplementedError
 
 
-class Receiver(Requests):
+class Receiver(RequestProtocol):
+    """A receiver that counts the deliveries of each message."""
+
     delivered: Counter[str]
 
     def request(self, target: str, fields: dict[str, str], body: bytes) -> None:
@@ -73,42 +76,48 @@
         self.transport.write(OK)
 
 
-class Platform(Requests):
+class Platform(RequestProtocol):
+    """The platform: answers the discovery watch with empty lines and collects notices of ended messages."""
+
     ended: dict[str, str]
 
     def request(self, target: str, fields: dict[str, str], body: bytes) -> None:
         if "watch" in target:
             self.transport.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-            self.empty_line()
+            self.send_empty_line()
             return
         for line in body.splitlines():
-            told = json.loads(line)
-            self.ended[told["id"]] = told["state"]
+            notice = json.loads(line)
+            self.ended[notice["id"]] = notice["state"]
         self.transport.write(b"HTTP/1.1 204 It\r\n\r\n")
 
-    def empty_line(self) -> None:
+    def send_empty_line(self) -> None:
+        """Keeps the watch alive with an empty line every 2 s."""
         if not self.transport.is_closing():
             self.transport.write(b"1\r\n\n\r\n")
-            asyncio.get_running_loop().call_later(2.0, self.empty_line)
+            asyncio.get_running_loop().call_later(2.0, self.send_empty_line)
 
 
 async def serve_peers(pipe: Connection) -> None:
+    """Runs the stand-ins, sends their ports over the pipe and answers each "report" with their counts."""
     delivered: Counter[str] = Counter()
     ended: dict[str, str] = {}
     kinds = (type("R", (Receiver,), {"delivered": delivered}), type("P", (Platform,), {"ended": ended}))
     loop = asyncio.get_running_loop()
     servers = [await loop.create_server(kind, "127.0.0.1", 0) for kind in kinds]
     pipe.send([each.sockets[0].getsockname()[1] for each in servers])
-    while (await loop.run_in_executor(None, pipe.recv)) == "told":
+    while (await loop.run_in_executor(None, pipe.recv)) == "report":
         pipe.send((dict(delivered), dict(ended)))
 
 
 def peers(pipe: Connection) -> None:
+    """Runs the stand-ins on their core; the entry of their process."""
     pin(PEERS_CORE)
     asyncio.run(serve_peers(pipe))
 
 
 def config(port: int, receiver: int, platform: int, listed: int = DESTINATIONS) -> dict[str, Any]:
+    """Returns the platform configuration of a sender with `listed` destinations, all at the receiver."""
     hosts = [
         {"host": f"r{each}", "dial": f"127.0.0.1:{receiver}", "site": "z", "class": "k", "block": each}
         | {"health": "ready", "share": 1.0, "born_ms": 0}
@@ -149,10 +158,10 @@
 
 
 class Client(asyncio.Protocol):
-    """A kept connection; `pool` holds those that no request is out on."""
+    """A persistent client connection; `Storm.pool` holds the idle ones."""
 
     def __init__(self, storm: "Storm") -> None:
-        self.storm, self.data, self.name, self.sent = storm, b"", "", 0.0
+        self.storm, self.data, self.name, self.sent_at = storm, b"", "", 0.0
         self.timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -163,21 +172,24 @@
         else:
             transport.abort()
 
-    def ask(self, name: str, patience: float) -> None:
-        self.name, self.data, self.asked = name, b"", time.monotonic()
-        self.timer = asyncio.get_running_loop().call_later(patience, self.give_up)
+    def send_request(self, name: str, timeout_s: float) -> None:
+        """Sends the request of a message, on connection if there is no connection yet."""
+        self.name, self.data, self.sent_at = name, b"", time.monotonic()
+        self.timer = asyncio.get_running_loop().call_later(timeout_s, self.time_out)
         if hasattr(self, "transport"):
             self.transport.write(self.storm.text(name))
 
-    def done(self, status: int) -> None:
+    def finish(self, status: int) -> None:
+        """Records the HTTP status of the answer; 0 for no answer."""
         if self.name:
             self.storm.answers[self.name] = status
             self.name = ""
         if self.timer:
             self.timer.cancel()
 
-    def give_up(self) -> None:
-        self.done(0)
+    def time_out(self) -> None:
+        """Records that there was no answer in time and closes the connection."""
+        self.finish(0)
         if hasattr(self, "transport"):
             self.transport.close()
 
@@ -185,29 +197,35 @@
         self.data += data
         if b"\r\n\r\n" not in self.data:
             return
-        self.storm.took.append(time.monotonic() - self.asked)
-        self.done(int(self.data[9:12]))
+        self.storm.latencies_s.append(time.monotonic() - self.sent_at)
+        self.finish(int(self.data[9:12]))
         if b"connection: close" in self.data.lower():
             self.transport.close()
         else:
             self.storm.pool.append(self)
 
     def connection_lost(self, error: Exception | None) -> None:
-        self.done(0)
+        self.finish(0)
         if self in self.storm.pool:
             self.storm.pool.remove(self)
 
 
 class Storm:
+    """An open-loop load generator with a pool of connections to one sender.
+
+    `answers` maps the names of messages to the HTTP status, or to 0 if there was no answer in time.
+    """
+
     def __init__(self, port: int, run: int) -> None:
         self.port, self.run = port, run
         self.pool: list[Client] = []
         self.answers: dict[str, int] = {}
-        self.took: list[float] = []  # s from asking to the answer
+        self.latencies_s: list[float] = []  # from the request to the answer
         self.count = 0
         self.tasks: set[asyncio.Task[None]] = set()
 
     def text(self, name: str) -> bytes:
+        """Returns the HTTP request that submits the message."""
         number = int(name.rpartition("-")[2])
         head = f"POST /c HTTP/1.1\r\nHost: app.svc\r\nX-Correlation-Id: {name}\r\nX-Service-Class: c\r\n"
         return (
@@ -216,47 +234,54 @@
         ).encode()
 
     async def connect(self, client: Client) -> None:
+        """Opens a connection; a failure counts as a request without an answer."""
         loop = asyncio.get_running_loop()
         try:
             await loop.create_connection(lambda: client, "127.0.0.1", self.port)
         except OSError:
-            client.done(0)
+            client.finish(0)
 
     def send(self) -> None:
+        """Sends the next message on an idle connection, or on a new one if there is none."""
         self.count += 1
         name = f"{self.run}-{self.count}"
-        patience = PATIENCES[self.count % 2]
+        timeout_s = TIMEOUTS_S[self.count % 2]
         while self.pool:
             client = self.pool.pop()
             if not client.transport.is_closing():
-                client.ask(name, patience)
+                client.send_request(name, timeout_s)
                 return
         client = Client(self)
-        client.ask(name, patience)
+        client.send_request(name, timeout_s)
         task = asyncio.get_running_loop().create_task(self.connect(client))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     async def offer(self, rate: float, seconds: float) -> tuple[int, int, float]:
-        """Sends open loop; how many were sent, how many of them were answered in time, and how late the worst
-        was sent, in seconds."""
-        began, first, late = time.monotonic(), self.count, 0.0
+        """Offers messages open loop at `rate` messages/s.
+
+        Returns:
+            The number of sent messages, the number of those answered in time, and the longest delay in s with
+            which a message was sent after its scheduled time.
+        """
+        started_at, first, late = time.monotonic(), self.count, 0.0
         for each in range(int(rate * seconds)):
-            wait = began + each / rate - time.monotonic()
+            wait = started_at + each / rate - time.monotonic()
             late = max(late, -wait)
             if wait > 0.001:
                 await asyncio.sleep(wait)
             elif each % 50 == 0:
                 await asyncio.sleep(0)
             self.send()
-        await asyncio.sleep(max(PATIENCES) + 0.2)
+        await asyncio.sleep(max(TIMEOUTS_S) + 0.2)
         names = [f"{self.run}-{each}" for each in range(first + 1, self.count + 1)]
         return len(names), sum(1 for each in names if self.answers.get(each)), late
 
 
-def start(root: Path, told: dict[str, Any], state: Path, log: Path) -> subprocess.Popen[bytes]:
+def start(root: Path, config: dict[str, Any], state: Path, log: Path) -> subprocess.Popen[bytes]:
+    """Starts the sender of the checkout `root` on its core, with standard error appended to `log`."""
     path = state.parent / "config.json"
-    path.write_text(json.dumps(told))
+    path.write_text(json.dumps(config))
     environment = os.environ | {"BALANCER_CONFIG": str(path), "BALANCER_STATE": str(state)}
     with open(log, "ab") as out:
         process = subprocess.Popen(
@@ -267,6 +292,11 @@
 
 
 async def ready(port: int) -> None:
+    """Waits until the port accepts connections.
+
+    Raises:
+        SystemExit: It does not within 20 s.
+    """
     until = time.monotonic() + 20
     while time.monotonic() < until:
         try:
@@ -275,10 +305,11 @@
             return
         except OSError:
             await asyncio.sleep(0.05)
-    raise SystemExit("the sender did not come up")
+    raise SystemExit(f"the sender did not accept connections on port {port} within 20 s")
 
 
 def free_port() -> int:
+    """Returns a free TCP port on loopback."""
     import socket
 
     with socket.create_server(("127.0.0.1", 0)) as sock:
@@ -288,36 +319,37 @@
 async def one_run(
     number: int, options: argparse.Namespace, pipe: Connection, ports: list[int]
 ) -> dict[str, Any]:
+    """Runs the test once and returns its results."""
     with tempfile.TemporaryDirectory() as folder:
         state, log, port = Path(folder) / "state", Path(folder) / "log", free_port()
         state.mkdir()
-        told = config(port, *ports)
-        process = start(options.root, told, state, log)
+        settings = config(port, *ports)
+        process = start(options.root, settings, state, log)
         await ready(port)
         storm = Storm(port, number)
         sent, answered, late = await storm.offer(options.rate, options.seconds)
         statuses = Counter(storm.answers.values())
         exited = process.poll()
         if exited is not None:
-            process = start(options.root, told, state, log)
+            process = start(options.root, settings, state, log)
             await ready(port)
         after_sent, after, _ = await storm.offer(options.rate / 2, 2.0)
         await asyncio.sleep(DEADLINE + 1.0 if exited is not None else 1.0)
-        pipe.send("told")
+        pipe.send("report")
         delivered, ended = pipe.recv()
-        taken = [name for name, status in storm.answers.items() if status == 202]
-        over = [name for name in taken if name in delivered or name in ended]
-        if len(over) < len(taken):
+        accepted = [name for name, status in storm.answers.items() if status == 202]
+        ended_names = [name for name in accepted if name in delivered or name in ended]
+        if len(ended_names) < len(accepted):
             await asyncio.sleep(DEADLINE + 1.0)
-            pipe.send("told")
+            pipe.send("report")
             delivered, ended = pipe.recv()
         process.terminate()
         process.wait(10)
         last = log.read_text().splitlines()[-1:] if exited is not None else []
         return {
             "exit": exited,
-            "taken": len(taken),
-            "lost": sum(1 for name in taken if name not in delivered and name not in ended),
+            "taken": len(accepted),
+            "lost": sum(1 for name in accepted if name not in delivered and name not in ended),
             "unanswered": round(1 - answered / sent, 4),
             "refused": round((statuses[429] + statuses[503]) / sent, 4),
             "afterwards": round(after / after_sent * options.rate / 2),
@@ -328,8 +360,8 @@
 
 async def main_loop(options: argparse.Namespace) -> list[dict[str, Any]]:
     ours, theirs = multiprocessing.Pipe()
-    helper = multiprocessing.Process(target=peers, args=(theirs,), daemon=True)
-    helper.start()
+    stand_ins = multiprocessing.Process(target=peers, args=(theirs,), daemon=True)
+    stand_ins.start()
     pin(CLIENTS_CORE)
     ports = ours.recv()
     runs = []
@@ -337,7 +369,7 @@
         runs.append(await one_run(number, options, ours, ports))
         print(json.dumps(runs[-1]), flush=True)
     ours.send("end")
-    helper.join(5)
+    stand_ins.join(5)
     return runs
 
 
--- a/tests/test_control_hollow.py
+++ b/tests/test_control_hollow.py
@@ -13,7 +13,7 @@
     measure_start,
     measure_zone_return,
 )
-from benchmarks.scale.control_plane import ZONE_OF_NODE, HollowControlPlane, Terms
+from benchmarks.scale.control_plane import ZONE_OF_NODE, HollowControlPlane, RunParameters
 from benchmarks.scale.quantity import quantity_of
 from benchmarks.scale.results import Point, Source
 
@@ -22,7 +22,7 @@
 
 @pytest.fixture(scope="module")
 def day() -> Day:
-    return measure_day(Terms(SENDERS, 130, loss=0.01))
+    return measure_day(RunParameters(SENDERS, 130, loss=0.01))
 
 
 def test_a_day_stays_within_the_operators_limits(day: Day) -> None:
@@ -35,7 +35,7 @@
 
 
 def test_counts_and_times_are_the_same_in_each_run(day: Day) -> None:
-    again = measure_day(Terms(SENDERS, 130, loss=0.01))
+    again = measure_day(RunParameters(SENDERS, 130, loss=0.01))
     assert (again.in_force, again.rest_bytes, again.worst_bytes, again.node_worst_bytes) == (
         day.in_force,
         day.rest_bytes,
@@ -45,28 +45,28 @@
 
 
 def test_a_killed_leader_delays_changes_no_longer_than_allowed() -> None:
-    fault: Fault = measure_lost_node(Terms(SENDERS, 150, loss=0.01))
+    fault: Fault = measure_lost_node(RunParameters(SENDERS, 150, loss=0.01))
     assert fault.in_force.missing == 0
     assert fault.in_force.most < plan.IN_FORCE_WITHIN_S
     assert fault.node_changes > 0
 
 
 def test_a_zone_that_returns_without_stored_documents_soon_has_the_newest_version() -> None:
-    fault = measure_zone_return(Terms(SENDERS, 90, loss=0.01))
+    fault = measure_zone_return(RunParameters(SENDERS, 90, loss=0.01))
     assert fault.returned.count == SENDERS // 5 and fault.returned.missing == 0
     assert fault.returned.most < 10
     assert fault.in_force.missing == 0 and fault.in_force.most < plan.IN_FORCE_WITHIN_S
 
 
 def test_senders_that_start_together_get_the_document_within_the_byte_budget() -> None:
-    fault = measure_start(Terms(SENDERS, 60))
+    fault = measure_start(RunParameters(SENDERS, 60))
     assert fault.returned.count == SENDERS and fault.returned.missing == 0
     assert fault.returned.most < 10
     assert fault.node_worst_bytes < 9_500_000, "the budget of 8 MB a second, its burst, and the notices"
 
 
 def test_every_sender_and_node_ends_with_the_leaders_document() -> None:
-    plane = HollowControlPlane(Terms(SENDERS, 60, loss=0.05, seed=3))
+    plane = HollowControlPlane(RunParameters(SENDERS, 60, loss=0.05, seed=3))
     for at in range(10, 40):
         plane.at(at, plane.request_change)
     plane.at(20.5, partial(plane.kill_node, "c1"))
@@ -80,7 +80,7 @@
 
 
 def test_without_a_majority_changes_wait_and_the_active_version_stays() -> None:
-    plane = HollowControlPlane(Terms(SENDERS, 60, seed=4))
+    plane = HollowControlPlane(RunParameters(SENDERS, 60, seed=4))
     plane.run(10)
     for name in ("c1", "c2"):
         plane.kill_node(name)
