--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,4 +1,4 @@
-"""The scale tests at small sizes, by counts and on virtual time, and what their figures go through."""
+"""The scale tests at small sizes, by counts and on virtual time, and the processing of their results."""
 
 import asyncio
 import random
@@ -26,16 +26,16 @@
 from benchmarks.scale.results import Allowance, Effort, Measured, Point, Quantity, Source
 
 
-def named(measured: Measured) -> dict[str, Quantity]:
+def by_name(measured: Measured) -> dict[str, Quantity]:
     return {quantity.name: quantity for quantity in measured.quantities}
 
 
-def made(points: list[Point], planned_size: float, most: float | None = None) -> Quantity:
+def make_quantity(points: list[Point], planned_size: float, most: float | None = None) -> Quantity:
     allowance = None if most is None else Allowance("a mechanism", most, "a reason")
     return quantity_of("q", "a quantity", "B", "items", Source.COUNT, points, planned_size, allowance)
 
 
-# The line, and what is said of the planned size.
+# The fitted line and the value at the planned size.
 
 
 def test_an_exact_line_is_found_without_residual() -> None:
@@ -46,7 +46,7 @@
     assert fit.value_at(line, 100) == pytest.approx(307.0)
 
 
-def test_noise_is_told_as_residual() -> None:
+def test_noise_appears_as_residual() -> None:
     rng = random.Random(3)
     points = [Point(size, 100.0 + rng.choice((-10.0, 10.0))) for size in range(1, 201)]
     line = fit.fit_line(points)
@@ -59,11 +59,11 @@
         fit.fit_line([Point(5, 1.0), Point(5, 2.0)])
 
 
-def test_beyond_ten_times_the_range_is_marked_and_a_measured_size_never_is() -> None:
+def test_sizes_beyond_ten_times_the_range_are_marked_but_a_measured_size_never_is() -> None:
     points = [Point(10, 10.0), Point(20, 20.0)]
-    assert not made(points, 200).is_extrapolated
-    assert made(points, 201).is_extrapolated
-    at_plan = made([*points, Point(500, 499.0)], 500)
+    assert not make_quantity(points, 200).is_extrapolated
+    assert make_quantity(points, 201).is_extrapolated
+    at_plan = make_quantity([*points, Point(500, 499.0)], 500)
     assert at_plan.is_measured_at_plan and not at_plan.is_extrapolated and at_plan.planned_value == 499.0
 
 
@@ -76,22 +76,22 @@
 # Limits.
 
 
-def test_an_allowance_is_passed_between_points_on_the_line_or_never() -> None:
+def test_an_allowance_is_exceeded_between_points_on_the_line_or_never() -> None:
     points = [Point(10, 10.0), Point(20, 30.0)]
-    assert limits.size_at_allowance(made(points, 100, most=20.0)) == pytest.approx(15.0)
-    assert limits.size_at_allowance(made(points, 100, most=5.0)) == pytest.approx(5.0)
-    assert limits.size_at_allowance(made(points, 100, most=70.0)) == pytest.approx(40.0)
-    falling = made([Point(10, 10.0), Point(20, 5.0)], 100, most=70.0)
+    assert limits.size_at_allowance(make_quantity(points, 100, most=20.0)) == pytest.approx(15.0)
+    assert limits.size_at_allowance(make_quantity(points, 100, most=5.0)) == pytest.approx(5.0)
+    assert limits.size_at_allowance(make_quantity(points, 100, most=70.0)) == pytest.approx(40.0)
+    falling = make_quantity([Point(10, 10.0), Point(20, 5.0)], 100, most=70.0)
     assert limits.size_at_allowance(falling) == float("inf")
 
 
-def test_limits_come_in_order_and_what_is_missing_is_first() -> None:
+def test_limits_are_sorted_by_fraction_and_unmeasured_ones_come_first() -> None:
     points = [Point(10, 10.0), Point(20, 20.0)]
-    measured = Measured((made(points, 100, most=50.0), made(points, 100, most=15.0)))
+    measured = Measured((make_quantity(points, 100, most=50.0), make_quantity(points, 100, most=15.0)))
     result = results.Result("d", "t", "c", results.environment_since(0.0), measured)
     fractions = [limit.fraction for limit in limits.limits_in_order({"d": result})]
     assert fractions == [0.0, pytest.approx(0.15), pytest.approx(0.5)]
-    far = Measured((made(points, 1000, most=201.0), made(points, 1000, most=199.0)))
+    far = Measured((make_quantity(points, 1000, most=201.0), make_quantity(points, 1000, most=199.0)))
     marks = limits.limits_in_order({"d": results.Result("d", "t", "c", result.environment, far)})
     assert [limit.is_extrapolated for limit in marks] == [False, False, True]
     changes = results.Result("changes", "t", "c", results.environment_since(0.0), Measured(()))
@@ -101,17 +101,17 @@
 # Files and page.
 
 
-def test_a_result_is_read_as_it_was_written(tmp_path: Path) -> None:
-    measured = Measured((made([Point(10, 10.0), Point(20, 20.0)], 100, most=50.0),))
+def test_a_result_is_unchanged_after_writing_and_reading(tmp_path: Path) -> None:
+    measured = Measured((make_quantity([Point(10, 10.0), Point(20, 20.0)], 100, most=50.0),))
     result = results.Result("d", "t", "c", results.environment_since(0.0), measured)
     results.write(result, tmp_path)
     assert results.read_all(tmp_path) == {"d": result}
 
 
-def test_a_page_that_differs_from_the_results_is_found_and_mended(
+def test_a_page_that_differs_from_the_results_is_detected_and_updated(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    measured = Measured((made([Point(10, 10.0), Point(20, 20.0)], 500, most=50.0),))
+    measured = Measured((make_quantity([Point(10, 10.0), Point(20, 20.0)], 500, most=50.0),))
     results.write(results.Result("d", "t", "c", results.environment_since(0.0), measured), tmp_path)
     path = tmp_path / "page.md"
     path.write_text("Before\n<!-- table: slopes -->\nold\n<!-- end -->\nafter\n")
@@ -146,28 +146,28 @@
     assert 4.0 < first.datagrams < 4.0 + 9
 
 
-def test_every_member_hears_every_announcement_and_none_is_suspected() -> None:
+def test_every_member_receives_every_announcement_and_none_is_suspected() -> None:
     fleet = hollow.HollowFleet(8, 200)
-    fleet.acquaint()
+    fleet.join_all()
     fleet.run(3.0)
-    assert all(fleet.know(1, name) == 7 for name in fleet.nodes)
+    assert all(fleet.count_informed(1, name) == 7 for name in fleet.nodes)
     assert not any(node.members.changes for node in fleet.nodes.values())
     assert not any(node.counters.refused for node in fleet.nodes.values())
 
 
-def test_a_change_reaches_all_though_datagrams_are_lost() -> None:
+def test_a_change_reaches_all_members_despite_lost_datagrams() -> None:
     fleet = hollow.HollowFleet(10, 200, loss=0.3)
-    fleet.acquaint()
+    fleet.join_all()
     fleet.nodes["n0"].publish(b"new", fleet.now)
     fleet.flush("n0")
     fleet.run(0.01)
-    assert 0 < fleet.know(2, "n0") < 9
-    fleet.run(30.0, lambda: fleet.know(2, "n0") == 9)
-    assert fleet.know(2, "n0") == 9 and fleet.now < 30.0
+    assert 0 < fleet.count_informed(2, "n0") < 9
+    fleet.run(30.0, lambda: fleet.count_informed(2, "n0") == 9)
+    assert fleet.count_informed(2, "n0") == 9 and fleet.now < 30.0
 
 
 def test_the_dimension_members_reports_each_quantity() -> None:
-    found = named(members.run(Effort.SMALL))
+    found = by_name(members.run(Effort.SMALL))
     assert set(found) == {"bytes_at_rest", "datagrams_at_rest", "cpu_at_rest", "spread", "memory"}
     assert found["bytes_at_rest"].line.slope > 0 and found["memory"].line.slope > 0
     assert found["bytes_at_rest"].is_extrapolated  # 630 members from 20
@@ -176,8 +176,8 @@
 # Destinations.
 
 
-def test_a_used_destination_takes_more_than_a_listed_one() -> None:
-    found = named(destinations.run(Effort.SMALL))
+def test_a_used_destination_takes_more_memory_than_a_listed_one() -> None:
+    found = by_name(destinations.run(Effort.SMALL))
     listed, used = found["listed_bytes"].line, found["used_bytes"].line
     assert 200 < listed.slope < used.slope < 10_000
     assert listed.relative_residual < 0.05 and used.relative_residual < 0.05
@@ -193,8 +193,8 @@
 # Held messages.
 
 
-def test_held_messages_take_room_in_proportion() -> None:
-    found = named(held.run(Effort.SMALL))
+def test_memory_and_disk_space_grow_in_proportion_to_held_messages() -> None:
+    found = by_name(held.run(Effort.SMALL))
     assert set(found) == {"journal_bytes", "policy_bytes", "held_bytes", "disk_bytes", "ready_s"}
     for name in ("journal_bytes", "policy_bytes", "disk_bytes"):
         assert 300 < found[name].line.slope < 3_000 and found[name].line.relative_residual < 0.1
@@ -202,7 +202,7 @@
     assert found["held_bytes"].line.slope == pytest.approx(both)
 
 
-def test_what_comes_and_goes_is_written_several_times() -> None:
+def test_the_journal_writes_each_delivered_message_several_times() -> None:
     written = held.in_folder(held.written_per_message, 200)
     assert written > 2 * held.BODY_BYTES
 
@@ -210,11 +210,11 @@
 # Messages.
 
 
-def test_a_whole_sender_takes_all_that_is_offered_in_each_situation() -> None:
+def test_a_complete_sender_accepts_all_offered_messages_in_each_situation() -> None:
     sizes = messages.SIZES[Effort.SMALL]
-    with load.stand_ins() as stand:
+    with load.run_stand_ins() as stand_ins:
         served = {
-            each.name: asyncio.run(messages.measure(stand, each, 200.0, sizes))
+            each.name: asyncio.run(messages.measure(stand_ins, each, 200.0, sizes))
             for each in messages.SITUATIONS
         }
     assert all(each.offered == each.accepted == 60 for each in served.values())
@@ -226,9 +226,9 @@
 # Restarts.
 
 
-def test_a_restart_costs_the_others_more_in_a_larger_fleet_and_all_know_it_in_the_end() -> None:
+def test_a_restart_costs_more_in_a_larger_fleet_and_is_known_to_all_in_the_end() -> None:
     small, large = restarts.measure(6, 1), restarts.measure(12, 1)
-    assert small.is_whole and large.is_whole
+    assert small.is_complete and large.is_complete
     assert 0 < small.hellos < large.hellos and small.restarted_bytes < large.restarted_bytes
     assert restarts.measure(12, 1) == large
 
@@ -236,19 +236,19 @@
 def test_the_dimension_restarts_reports_each_quantity() -> None:
     measured = restarts.run(Effort.SMALL)
     names = {"other_bytes", "hellos", "one_other_bytes", "one_pair_bytes", "one_pair_hellos"}
-    assert set(named(measured)) == names | {"one_restarted_bytes"}
-    pair, whole = named(measured)["one_pair_bytes"], named(measured)["one_restarted_bytes"]
+    assert set(by_name(measured)) == names | {"one_restarted_bytes"}
+    pair, whole = by_name(measured)["one_pair_bytes"], by_name(measured)["one_restarted_bytes"]
     assert whole.planned_value == pytest.approx(pair.planned_value * 629)
-    assert named(measured)["hellos"].line.slope > 0
+    assert by_name(measured)["hellos"].line.slope > 0
     assert [figure.value for figure in measured.figures] == [1.0]
 
 
-def test_every_dimension_is_registered_and_an_unknown_one_is_refused() -> None:
+def test_every_dimension_is_registered_and_an_unknown_one_is_rejected() -> None:
     assert set(DIMENSIONS) >= {"members", "destinations", "held", "messages", "restarts"}
     assert main(["nothing"]) == 2
 
 
-def test_the_page_of_capacities_agrees_with_the_results_and_holds_each_table() -> None:
+def test_the_capacity_page_matches_the_results_and_contains_every_table() -> None:
     text = page.PAGE.read_text()
     assert {name for _, name, _ in page.MARKED.findall(text)} == set(page.TABLES)
     assert set(results.read_all()) <= set(DIMENSIONS)
