--- a/benchmarks/power.py
+++ b/benchmarks/power.py
@@ -214,7 +214,7 @@
     journal.release()
     most = max(first, during[1])
     return (
-        f"{count} owed: written anew in {during[0]:.2f} s; a pass latencies_s {most:.1f} ms at the most, "
+        f"{count} owed: written anew in {during[0]:.2f} s; a pass took {most:.1f} ms at the most, "
         f"p99.9 {during[2]:.1f} ms; in a calm stretch {before[1]:.1f} and {before[2]:.1f} ms"
     )
 
