--- a/message_sender/emulator/member_network.py
+++ b/message_sender/emulator/member_network.py
@@ -21,7 +21,8 @@
     It does not authenticate anything: `open` returns the datagram as it is.
     """
 
-    def __init__(self) -> None: ...
+    def __init__(self) -> None:
+        """Creates the seal without keys or ciphers; the initializer of `Seal` is not called."""
 
     def seal(self, data: bytes) -> bytes:
         """Returns the data unchanged."""
--- a/message_sender/emulator/net.py
+++ b/message_sender/emulator/net.py
@@ -254,9 +254,11 @@
         return self.far
 
     def __enter__(self) -> "Socket":
+        """Returns the socket, which is closed at the end of the `with` block."""
         return self
 
     def __exit__(self, *_: object) -> None:
+        """Closes the socket; an exception in the `with` block propagates."""
         self.close()
 
     # Listening.
@@ -463,7 +465,7 @@
         self.update_readiness()
 
     def close(self) -> None:
-        """Closes the socket as close(2) does: with a reset if there is unread data."""
+        """Closes the socket as the system call does: with a reset if there is unread data."""
         if self.closed:
             return
         if self.unread:
--- a/message_sender/emulator/policies.py
+++ b/message_sender/emulator/policies.py
@@ -101,6 +101,7 @@
     endpoints: dict[str, KnownEndpoint] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
+        """Creates the random source from the seed, and the empty state; times are in us."""
         self.rng = random.Random(self.seed)
         self.classes = {each.name: each for each in self.settings.classes}
         self.by_destination: dict[int, list[KnownEndpoint]] = defaultdict(list)
@@ -272,6 +273,7 @@
     """Retries as `FixedRetries`, within a budget that first calls add to."""
 
     def __post_init__(self) -> None:
+        """Starts with a budget of `MIN_RETRIES` retries."""
         super().__post_init__()
         self.budget = MIN_RETRIES
 
@@ -293,6 +295,11 @@
     """One call per message, with a circuit breaker for each destination."""
 
     def __post_init__(self) -> None:
+        """Starts with every breaker closed.
+
+        `failures` counts the consecutive failures of each destination; `opened_until` has the time in us
+        until which an open breaker admits no call.
+        """
         super().__post_init__()
         self.failures: dict[int, int] = defaultdict(int)
         self.opened_until: dict[int, int] = {}
--- a/message_sender/emulator/shared_links.py
+++ b/message_sender/emulator/shared_links.py
@@ -88,6 +88,7 @@
     ends: dict[str, tuple[LinkEnd, SharedBudgets]] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
+        """Creates the random source from the seed."""
         self.rng = random.Random(f"links {self.seed}")
 
     def join(self, name: str, engine: Engine, incarnation: int) -> None:
