--- a/benchmarks/management.py
+++ b/benchmarks/management.py
@@ -14,7 +14,7 @@
 
 from peers import Peer, config_json, host, message, read_reply  # noqa: E402
 from peers import Platform as Discovery  # noqa: E402
-from successors import Platform  # noqa: E402
+from sender_processes import Platform  # noqa: E402
 
 RATE, CLIENTS, SECONDS, HALVES = 1600, 64, 6.0, 100
 
--- a/message_sender/http/fast_path.py
+++ b/message_sender/http/fast_path.py
@@ -1,8 +1,8 @@
 """Fast path for the common request and response: parsed at once, without h11's state machine.
 
 Nearly all received data is exactly one complete, plain message. The parser accepts only that, and is as
-strict as the codec: whatever it accepts, h11 accepts too and parses alike (tests/test_usual.py compares the
-two). A result of None means that the data is not in the common form and the codec must parse it. Framing
+strict as the codec: whatever it accepts, h11 accepts too and parses alike (tests/test_fast_path.py compares
+the two). A result of None means that the data is not in the common form and the codec must parse it. Framing
 follows RFC 9112, sections 2 to 6.
 
 Deliberately left to the codec: every framing except a single Content-Length in digits, `Expect`,
--- a/message_sender/pcap/messages.py
+++ b/message_sender/pcap/messages.py
@@ -169,7 +169,7 @@
     def _read_fast(self, at_ns: int, data: bytes) -> bool:
         """Reads a simple message that one segment holds completely, without h11.
 
-        h11 accepts every message that these patterns match, and parses it alike (tests/test_usual.py).
+        h11 accepts every message that these patterns match, and parses it alike (tests/test_fast_path.py).
 
         Returns:
             False: the message has another form and must be read by h11.
--- a/tests/conformance/test_generated.py
+++ b/tests/conformance/test_generated.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 import pytest
-from faults import until
+from socket_faults import until
 
 from conformance.sides import PATIENCE, SIDES, Message, Result, Side
 from message_sender.testbed.script import EndpointBehavior, ScriptedAnswer
--- a/tests/conformance/test_replaced.py
+++ b/tests/conformance/test_replaced.py
@@ -7,7 +7,7 @@
 import pytest
 from peers import Platform as Discovery
 from peers import answer_notices, config_json, host, play
-from successors import Platform, Process
+from sender_processes import Platform, Process
 
 from message_sender.policy.model import Effect
 from message_sender.testbed.history import (
@@ -29,7 +29,7 @@
 KEYED = {"semantics": "by_key", "dedup_window": int(WINDOW * 1e6), "key_scope": "all", "serial_by_key": True}
 MESSAGES = 24
 KEYS = 4
-#: The process that is killed, and the step (see killed.py); empty for a handover without a failure.
+#: The process that is killed, and the step (see killed_sender.py); empty for a handover without a failure.
 KILL_STEPS = [
     ("", ""),
     ("new", "after take over"),
--- a/tests/control_plane_check.py
+++ b/tests/control_plane_check.py
@@ -21,7 +21,7 @@
     precondition,
     rule,
 )
-from watching import BAD, RecordingApplier, copy_of
+from watch_helpers import BAD, RecordingApplier, copy_of
 
 from message_sender.control.choice import ControlNodeAddress
 from message_sender.control.fanout import Fanout
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -7,8 +7,8 @@
 from pathlib import Path
 from typing import Any, Self
 
-from faults import turn
 from helpers import ENV
+from socket_faults import turn
 
 from message_sender.http.codec import Address
 from message_sender.http.server import Server
--- a/tests/successors.py
+++ b/tests/sender_processes.py
@@ -13,7 +13,7 @@
 from peers import Reply, call, read_reply, soon
 
 ROOT = Path(__file__).parent.parent
-KILLED_SENDER = str(Path(__file__).parent / "killed.py")
+KILLED_SENDER = str(Path(__file__).parent / "killed_sender.py")
 
 
 class Process:
@@ -70,7 +70,7 @@
         Args:
             wait_until_ready: Whether to wait until the process logs that it is ready.
             socket_fd: Value to pass instead of the number of the listening socket's descriptor.
-            kill_step: Step of a handover at which the process kills itself; see killed.py.
+            kill_step: Step of a handover at which the process kills itself; see killed_sender.py.
         """
         with socket.create_server(("127.0.0.1", 0)) as unused_port:
             management = unused_port.getsockname()
--- a/tests/test_backlog.py
+++ b/tests/test_backlog.py
@@ -5,10 +5,10 @@
 from pathlib import Path
 
 import pytest
-from faults import until
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from peers import Held, World, message, play, read_reply
+from socket_faults import until
 
 from message_sender.admission.backlog import (
     MAX_QUEUE_DELAY_S,
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -9,8 +9,8 @@
 
 import h11
 import pytest
-from faults import turn
 from peers import Peer, handed_in, play, soon
+from socket_faults import turn
 
 from message_sender.core.ports import AttemptResult
 from message_sender.http import call as call_module
--- a/tests/test_closing.py
+++ b/tests/test_connection_states.py
@@ -8,8 +8,8 @@
 from pathlib import Path
 
 import pytest
-from faults import turn, until
 from peers import READY, World, ask, message, play, read_reply, soon
+from socket_faults import turn, until
 from test_server import serving
 
 from message_sender.handover.drain import GRACE_S
--- a/tests/test_control_fanout.py
+++ b/tests/test_control_fanout.py
@@ -2,7 +2,7 @@
 
 import random
 
-from watching import ChangedStore
+from watch_helpers import ChangedStore
 
 from message_sender.control.document import Document, encode_snapshot
 from message_sender.control.fanout import (
--- a/tests/test_control_link.py
+++ b/tests/test_control_link.py
@@ -12,7 +12,7 @@
 
 from peers import play
 from sender_files import FLEET, KEY, SENDER, control_section, write_sender
-from watching import ChangedStore
+from watch_helpers import ChangedStore
 
 from message_sender.configuration.general import load
 from message_sender.control import schema
--- a/tests/test_control_chaos.py
+++ b/tests/test_control_stateful.py
@@ -11,7 +11,7 @@
 from hypothesis.stateful import (
     run_state_machine_as_test,
 )
-from watching import BAD, RecordingApplier, copy_of
+from watch_helpers import BAD, RecordingApplier, copy_of
 
 from message_sender.control import fetch
 from message_sender.control.document import DeltaMismatchError, Document, Snapshot, SnapshotError
--- a/tests/test_control_watch.py
+++ b/tests/test_control_watch.py
@@ -3,8 +3,8 @@
 from collections import Counter
 from itertools import pairwise
 
-from watch_bench import NODES, Bench, delta_between, documents, notice_of, polls
-from watching import BAD, ChangedStore, copy_of
+from watch_harness import NODES, Bench, delta_between, documents, notice_of, polls
+from watch_helpers import BAD, ChangedStore, copy_of
 
 from message_sender.control.choice import order_nodes
 from message_sender.control.document import Document
--- a/tests/test_control_watch_snapshots.py
+++ b/tests/test_control_watch_snapshots.py
@@ -1,8 +1,8 @@
 """A sender's watch: fetches of snapshots in chunks."""
 
 import pytest
-from watch_bench import Bench, notice_of
-from watching import ChangedStore
+from watch_harness import Bench, notice_of
+from watch_helpers import ChangedStore
 
 from message_sender.control.document import Document, SnapshotError, encode_snapshot
 from message_sender.control.fetch import SNAPSHOT_BYTES_LIMIT, SNAPSHOT_WINDOW_CHUNKS, SnapshotFetch
--- a/tests/test_storms.py
+++ b/tests/test_disconnects.py
@@ -17,8 +17,8 @@
 from pathlib import Path
 
 import pytest
-from faults import turn, until
 from peers import READY, Held, World, handed_in, host, message, play, read_reply, soon, tell
+from socket_faults import turn, until
 
 from message_sender.core.socket_errors import (
     REPORT_INTERVAL_S,
@@ -485,7 +485,7 @@
         inner()
     except ValueError as error:
         line = describe(error, "a turn")
-    assert line.startswith("a turn: ValueError: two lines (at test_storms.py:") and "inner < " in line
+    assert line.startswith("a turn: ValueError: two lines (at test_disconnects.py:") and "inner < " in line
 
 
 @play
--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -11,10 +11,10 @@
 
 import pytest
 from click.testing import CliRunner
-from faults import turn as loop_turn
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from peers import handed_in
+from socket_faults import turn as loop_turn
 
 from message_sender.cli.journal import journal as command
 from message_sender.journal import records
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -14,7 +14,7 @@
 from hypothesis import strategies as st
 from peers import READY, Peer, config_json, host, message, play, soon
 from peers import Platform as Discovery
-from successors import Platform, Process
+from sender_processes import Platform, Process
 
 from message_sender import Dispatcher
 from message_sender.core.engine_config import HandoverState
--- a/tests/test_damage.py
+++ b/tests/test_journal_damage.py
@@ -8,8 +8,8 @@
 
 import pytest
 from click.testing import CliRunner
-from faults import until
 from peers import handed_in
+from socket_faults import until
 
 from message_sender.cli.journal import journal as command
 from message_sender.journal import records
--- a/tests/test_crowd.py
+++ b/tests/test_large_fleet.py
@@ -94,7 +94,7 @@
 @pytest.mark.parametrize("fleet", [5, 40, 200])
 def test_list_polls_are_spread_and_none_is_delayed_beyond_the_limit(fleet: int) -> None:
     """Each delay is in its range for a thousand seeds, and of forty senders that start together only a few
-    poll in the same 100 ms. tests/test_told.py tests whether discovery can serve these polls.
+    poll in the same 100 ms. tests/test_list_freshness.py tests whether discovery can serve these polls.
     """
     times: dict[int, int] = {}
     for seed in range(1000):
--- a/tests/test_crowd_limits.py
+++ b/tests/test_large_fleet_limits.py
@@ -1,7 +1,7 @@
 """Forty senders share a rate limit that none of them knows, and that refused calls count against."""
 
 import pytest
-from crowds import LargeFleet
+from large_fleet import LargeFleet
 
 from message_sender.policy.model import Outcome
 
--- a/tests/test_late.py
+++ b/tests/test_late_iterations.py
@@ -13,9 +13,9 @@
 from typing import Any
 
 import pytest
-from faults import turn, until
 from peers import Request, Running, World, config_json, handed_in, host, play, tell
-from test_storms import Late
+from socket_faults import turn, until
+from test_disconnects import Late
 
 from message_sender.core.event_loop_lag import FIRST_BUCKET_S, REPORT_INTERVAL_S, REPORTED_LAG_S, EventLoopLag
 from message_sender.core.ports import AttemptResult, Completion, Rejected
--- a/tests/test_manage.py
+++ b/tests/test_management.py
@@ -8,7 +8,6 @@
 from pathlib import Path
 
 import pytest
-from faults import turn
 from peers import (
     READY,
     Held,
@@ -27,6 +26,7 @@
     soon,
     tell,
 )
+from socket_faults import turn
 
 from message_sender.handover.drain import GRACE_S
 from message_sender.http.codec import Address
--- a/tests/test_overrides.py
+++ b/tests/test_overrides.py
@@ -14,11 +14,11 @@
 from typing import Any
 
 import pytest
-from faults import until
 from helpers import MS, SECOND, World, endpoint, sent
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from peers import play, soon
+from socket_faults import until
 
 from message_sender.cli import main
 from message_sender.configuration import general
--- a/tests/test_crossings.py
+++ b/tests/test_race_conditions.py
@@ -16,9 +16,9 @@
 from typing import Any
 
 import pytest
-from faults import turn, until
 from peers import Request, Running, World, answer_notices, host, message, play, soon, tell
-from test_closing import Client
+from socket_faults import turn, until
+from test_connection_states import Client
 
 from message_sender.handover.drain import GRACE_S
 from message_sender.http.client_connection import ClientConnection
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -8,10 +8,10 @@
 
 import pytest
 from captures import MS, T0, CaptureBuilder, answer, read, request, summarize
-from faults import turn, until
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from peers import World, message, play, read_reply, soon
+from socket_faults import turn, until
 
 from message_sender.cli import main
 from message_sender.cli.recorded_commands import read_recorded_commands
--- a/tests/test_sender.py
+++ b/tests/test_sender.py
@@ -5,8 +5,8 @@
 from pathlib import Path
 
 import pytest
-from faults import turn as loop_turn
 from peers import KEYED, PATIENCE, READY, Running, World, ask, host, message, play, read_reply, soon, tell
+from socket_faults import turn as loop_turn
 
 from message_sender.core.restoration import Restoration
 from message_sender.handover.drain import GRACE_S
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -7,8 +7,8 @@
 from pathlib import Path
 
 import pytest
-from faults import turn
 from peers import READY, Held, Reply, ask, message, play, read_reply, soon
+from socket_faults import turn
 
 from message_sender.http.connection_state import IDLE_TIMEOUT_S, LINGER_TIMEOUT_S, READ_TIMEOUT_S
 from message_sender.http.request_parsing import TRANSIT_ALLOWANCE_US
--- a/tests/test_faults.py
+++ b/tests/test_socket_faults.py
@@ -13,8 +13,8 @@
 from pathlib import Path
 
 import pytest
-from faults import Faults, faulty, turn, until
 from peers import PATIENCE, Held, World, message, read_reply, soon
+from socket_faults import Faults, faulty, turn, until
 
 from message_sender.core.ports import AttemptResult
 from message_sender.http import client, discovery, server
--- a/tests/watch_bench.py
+++ b/tests/watch_harness.py
@@ -2,7 +2,7 @@
 
 import random
 
-from watching import ChangedStore, RecordingApplier, copy_of
+from watch_helpers import ChangedStore, RecordingApplier, copy_of
 
 from message_sender.control.choice import ControlNodeAddress
 from message_sender.control.document import Document, encode_snapshot
