--- a/tests/conformance/test_figures.py
+++ b/tests/conformance/test_figures.py
@@ -6,7 +6,7 @@
 
 import pytest
 from peers import Platform as Discovery
-from peers import Running, answer_notices, call, config_json, host, play
+from peers import Running, answer_notices, call, config_json, host, run_async_test
 
 from message_sender.testbed.history import AttemptStarted, History, MessageCompleted
 from message_sender.testbed.http import HttpClient, HttpEndpoint
@@ -35,7 +35,7 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_metrics_equal_the_recorded_attempts_and_ends(seed: int, tmp_path: Path) -> None:
-    @play
+    @run_async_test
     async def test(folder: Path) -> None:
         rng, history = random.Random(seed), History()
         acts = {f"m{at}": [rng.choice(ACTS) for _ in range(rng.randrange(3))] for at in range(MESSAGES)}
--- a/tests/conformance/test_replaced.py
+++ b/tests/conformance/test_replaced.py
@@ -6,7 +6,7 @@
 
 import pytest
 from peers import Platform as Discovery
-from peers import answer_notices, config_json, host, play
+from peers import answer_notices, config_json, host, run_async_test
 from sender_processes import Platform, Process
 
 from message_sender.policy.model import Effect
@@ -154,7 +154,7 @@
 
 @pytest.mark.parametrize(("killed_process", "step"), KILL_STEPS)
 def test_no_rule_is_broken_by_a_handover_under_load(killed_process: str, step: str, tmp_path: Path) -> None:
-    @play
+    @run_async_test
     async def test(folder: Path) -> None:
         async with Service(folder) as service:
             await service.platform.start(kill_step=step if killed_process == "old" else "")
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -16,7 +16,7 @@
 from message_sender.service.daemon import PlatformSender
 from message_sender.start import decode_config
 
-PATIENCE = 4.0  # seconds; only a failing test waits this long
+TIMEOUT_S = 4.0  # seconds; only a failing test waits this long
 READY = b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"
 CLASS = ENV["services"][0]
 KEYED = CLASS | {
@@ -27,19 +27,19 @@
 }
 
 
-def play(test: Callable[..., Coroutine[Any, Any, None]]) -> Callable[..., None]:
+def run_async_test(test: Callable[..., Coroutine[Any, Any, None]]) -> Callable[..., None]:
     """Wraps a coroutine test as a function; pytest takes the arguments from the wrapper."""
 
     def run(tmp_path: Path) -> None:
-        asyncio.run(asyncio.wait_for(test(tmp_path), 15 * PATIENCE))
+        asyncio.run(asyncio.wait_for(test(tmp_path), 15 * TIMEOUT_S))
 
     run.__name__, run.__doc__ = test.__name__, test.__doc__
     return run
 
 
-async def soon(what: Awaitable[Any]) -> Any:  # noqa: ANN401
-    """Awaits `what` for at most PATIENCE seconds."""
-    return await asyncio.wait_for(what, PATIENCE)
+async def with_timeout(what: Awaitable[Any]) -> Any:  # noqa: ANN401
+    """Awaits `what` for at most TIMEOUT_S seconds."""
+    return await asyncio.wait_for(what, TIMEOUT_S)
 
 
 class Request:
@@ -60,7 +60,7 @@
         lines = [f"HTTP/1.1 {status} It", f"Content-Length: {len(body)}", *headers]
         self.write("\r\n".join(lines) + "\r\n\r\n" + body)
 
-    def break_off(self) -> None:
+    def abort(self) -> None:
         """Aborts the connection."""
         self.writer.transport.abort()
 
@@ -113,8 +113,8 @@
         self.requests.put_nowait(request)
 
     async def next(self) -> Request:
-        """Returns the next request; fails after PATIENCE seconds."""
-        return await soon(self.requests.get())
+        """Returns the next request; fails after TIMEOUT_S seconds."""
+        return await with_timeout(self.requests.get())
 
 
 class Platform(Peer):
@@ -150,7 +150,7 @@
     return json.dumps({"seq": seq, "whole": whole, "hosts": hosts}) + "\n"
 
 
-def tell(watch: Request, seq: int, *hosts: dict[str, Any], whole: bool = False) -> None:
+def send_watch_line(watch: Request, seq: int, *hosts: dict[str, Any], whole: bool = False) -> None:
     """Sends a watch event as one chunk of a watch response."""
     text = list_line(seq, *hosts, whole=whole)
     watch.write(f"{len(text):x}\r\n{text}\r\n")
@@ -194,9 +194,9 @@
 
     async def __aexit__(self, *_: object) -> None:
         self.sender.stop(0)
-        assert await soon(self.task) == (1 if self.ended else 0)
+        assert await with_timeout(self.task) == (1 if self.ended else 0)
 
-    async def hand_in(self, name: str, body: bytes = b"x", **headers: str) -> "Reply":
+    async def submit(self, name: str, body: bytes = b"x", **headers: str) -> "Reply":
         """Submits a message and returns the reply."""
         return await ask(self.address, message(name, body, **headers))
 
@@ -215,7 +215,7 @@
         empty = host("127.0.0.1:9", "d", block=9, health="draining")  # destination 9 has no endpoint now
         self.told = config_json(self.platform, host(self.receiver.dial), empty, mode=self.mode, **self.kind)
         self.running = await self.enter_async_context(Running(self.told, self.state))
-        self.sender, self.hand_in = self.running.sender, self.running.hand_in
+        self.sender, self.submit = self.running.sender, self.running.submit
         return self
 
 
@@ -246,9 +246,9 @@
 
 async def read_reply(reader: asyncio.StreamReader) -> Reply:
     """Reads one response."""
-    head = await soon(reader.readuntil(b"\r\n\r\n"))
+    head = await with_timeout(reader.readuntil(b"\r\n\r\n"))
     reply = Reply(head, b"")
-    reply.body = await soon(reader.readexactly(int(reply.headers["content-length"])))
+    reply.body = await with_timeout(reader.readexactly(int(reply.headers["content-length"])))
     return reply
 
 
@@ -262,7 +262,7 @@
         writer.close()
 
 
-def handed_in(name: str = "m1", body: bytes = b"x", until: int = 0) -> Message:
+def sample_message(name: str = "m1", body: bytes = b"x", until: int = 0) -> Message:
     """Returns a message for destination 3 with the deadline `until`."""
     return Message(name, "c", 3, until, "", "", f"key of {name}", False, body)
 
@@ -272,11 +272,11 @@
     return await ask(address, f"{method} {path} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
 
 
-class Held:
+class HeldConnection:
     """A client connection that a test keeps open."""
 
     @classmethod
-    async def open(cls, server: Server, data: bytes = b"") -> "Held":
+    async def open(cls, server: Server, data: bytes = b"") -> "HeldConnection":
         """Connects, sends `data` and waits until the server has accepted the connection."""
         held, seen = cls(), server.accepted
         held.reader, held.writer = await asyncio.open_connection(*server.address())
@@ -288,6 +288,6 @@
     async def ended(self) -> bytes:
         """Returns the data received until the server closes the connection; empty after a reset."""
         try:
-            return await soon(self.reader.read())
+            return await with_timeout(self.reader.read())
         except ConnectionResetError:
             return b""
--- a/tests/sender_processes.py
+++ b/tests/sender_processes.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import Any, Self
 
-from peers import Reply, call, read_reply, soon
+from peers import Reply, call, read_reply, with_timeout
 
 ROOT = Path(__file__).parent.parent
 KILLED_SENDER = str(Path(__file__).parent / "killed_sender.py")
@@ -29,7 +29,7 @@
             if match := re.search(pattern, line):
                 return match
         assert self.process.stderr is not None
-        while line := (await soon(self.process.stderr.readline())).decode():
+        while line := (await with_timeout(self.process.stderr.readline())).decode():
             self.lines.append(line)
             if match := re.search(pattern, line):
                 return match
@@ -39,7 +39,7 @@
         self.process.send_signal(signal_number)
 
     async def wait_for_exit(self) -> int:
-        return int(await soon(self.process.wait()))
+        return int(await with_timeout(self.process.wait()))
 
     async def call(self, method: str, path: str) -> Reply:
         return await call(self.management, method, path)
--- a/tests/test_backlog.py
+++ b/tests/test_backlog.py
@@ -7,7 +7,7 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from peers import Held, World, message, play, read_reply
+from peers import HeldConnection, World, message, read_reply, run_async_test
 from socket_faults import until
 
 from message_sender.admission.backlog import (
@@ -97,11 +97,11 @@
     server.backlog.request_arrived(server.loop.time() - 2 * MAX_QUEUE_DELAY_S)
 
 
-@play
+@run_async_test
 async def test_rejected_requests_have_a_retry_after_and_keep_their_connections(state: Path) -> None:
     async with World(state) as world:
         server = world.sender.server
-        client = await Held.open(server, message("before"))
+        client = await HeldConnection.open(server, message("before"))
         assert (await read_reply(client.reader)).status == 202
         await crowded(world)
         for _ in range(3):
@@ -116,17 +116,17 @@
         client.writer.close()
 
 
-@play
+@run_async_test
 async def test_a_repeat_of_an_accepted_message_is_never_rejected_unread(state: Path) -> None:
     """A rejection tells the client that it may submit the message elsewhere: a second delivery."""
     async with World(state) as world:
-        assert (await world.hand_in("m")).status == 202
+        assert (await world.submit("m")).status == 202
         await crowded(world)
-        assert (await world.hand_in("m")).status == 202
-        assert (await world.hand_in("n")).status == 503
+        assert (await world.submit("m")).status == 202
+        assert (await world.submit("n")).status == 503
         (await world.receiver.next()).answer(200)
         await until(lambda: not world.sender.engine.journal.entries)
-        assert (await world.hand_in("m")).status != 503
+        assert (await world.submit("m")).status != 503
 
 
 @pytest.mark.parametrize("name", sorted(set(UNUSUAL) - {"in part", "two at once"}))
@@ -134,12 +134,12 @@
     replies = []
     for busy in (False, True):
 
-        @play
+        @run_async_test
         async def test(state: Path, busy: bool = busy) -> None:
             async with World(state) as world:
                 if busy:
                     await crowded(world)
-                client = await Held.open(world.sender.server, UNUSUAL[name])
+                client = await HeldConnection.open(world.sender.server, UNUSUAL[name])
                 replies.append(await asyncio.wait_for(client.reader.read(12), 5))
                 client.writer.close()
 
@@ -148,16 +148,18 @@
     assert replies[0] == replies[1] != b""
 
 
-@play
+@run_async_test
 async def test_a_readiness_check_is_answered_under_overload(state: Path) -> None:
     async with World(state) as world:
         await crowded(world)
-        client = await Held.open(world.sender.server, b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
+        client = await HeldConnection.open(
+            world.sender.server, b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"
+        )
         assert (await read_reply(client.reader)).status == 200
         client.writer.close()
 
 
-@play
+@run_async_test
 async def test_a_crowded_backlog_sheds_sooner(state: Path) -> None:
     """Guards against waiting requests that occupy all connections, so that new clients find none."""
     async with World(state) as world:
@@ -170,11 +172,11 @@
             ):
                 while len(server.backlog.arrival_times) < length:
                     server.backlog.request_arrived(server.loop.time() - 1.5 * TARGET_QUEUE_DELAY_S)
-                assert (await world.hand_in(f"m{status}")).status == status
+                assert (await world.submit(f"m{status}")).status == status
         assert server.backlog.crowded_length < server.connection_limit / 2
 
 
-@play
+@run_async_test
 async def test_an_iteration_accepts_many_connections_only_while_none_is_evicted(state: Path) -> None:
     async with World(state) as world:
         server = world.sender.server
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -9,7 +9,7 @@
 
 import h11
 import pytest
-from peers import Peer, handed_in, play, soon
+from peers import Peer, run_async_test, sample_message, with_timeout
 from socket_faults import turn
 
 from message_sender.core.ports import AttemptResult
@@ -40,7 +40,7 @@
 ) -> asyncio.Task[AttemptResult]:
     """Starts a call to the endpoint "r" at `address`."""
     client.dials = lambda: {"r": address}
-    work = client.call("r", handed_in(body=body), timeout, lambda: may_go)
+    work = client.call("r", sample_message(body=body), timeout, lambda: may_go)
     return asyncio.create_task(work)
 
 
@@ -66,12 +66,12 @@
         async with client_and_receiver() as (client, receiver):
             pending_call = call(client, receiver.address)
             (await receiver.next()).answer(int(status), *headers, body="nothing")
-            assert await soon(pending_call) == answer
+            assert await with_timeout(pending_call) == answer
 
-    play(test)(Path())
+    run_async_test(test)(Path())
 
 
-@play
+@run_async_test
 async def test_id_key_and_body_are_forwarded_unchanged_with_the_time_left(_: Path) -> None:
     async with client_and_receiver() as (client, receiver):
         body = bytes(range(256)) * 200
@@ -81,14 +81,14 @@
         assert request.headers["idempotency-key"] == "key of m1" and request.body == body
         assert 0 < float(request.headers["x-time-left"]) <= 10
         request.answer(200)
-        await soon(pending_call)
+        await with_timeout(pending_call)
 
 
-@play
+@run_async_test
 async def test_a_refused_connection_counts_as_connect_failed(_: Path) -> None:
     async with Peer() as receiver:
         address = receiver.address
-    assert (await soon(call(client_with(), address))).outcome is Outcome.CONNECT_FAILED
+    assert (await with_timeout(call(client_with(), address))).outcome is Outcome.CONNECT_FAILED
 
 
 def test_a_connection_that_is_never_established_counts_as_connect_failed(
@@ -100,11 +100,11 @@
 
     async def test(_: Path) -> None:
         for client, timeout in ((client_with(connect_timeout=0.01), 10), (client_with(), 0.01)):
-            answer = await soon(call(client, ("127.0.0.1", 1), timeout=timeout))
+            answer = await with_timeout(call(client, ("127.0.0.1", 1), timeout=timeout))
             assert answer.outcome is Outcome.CONNECT_FAILED
 
     monkeypatch.setattr(module.ClientConnection, "open", never)
-    play(test)(Path())
+    run_async_test(test)(Path())
 
 
 def test_a_break_before_the_last_byte_is_written_counts_as_connect_failed(
@@ -120,11 +120,11 @@
             listener.listen()
             listener.setblocking(False)
             pending_call = call(client_with(), listener.getsockname(), body=b"x" * 65536)
-            other, _peer = await soon(loop.sock_accept(listener))
-            assert await soon(loop.sock_recv(other, 10))
+            other, _peer = await with_timeout(loop.sock_accept(listener))
+            assert await with_timeout(loop.sock_recv(other, 10))
             other.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             other.close()
-            assert (await soon(pending_call)).outcome is Outcome.CONNECT_FAILED
+            assert (await with_timeout(pending_call)).outcome is Outcome.CONNECT_FAILED
 
     opened = ClientConnection.open
 
@@ -134,15 +134,15 @@
         return connection
 
     monkeypatch.setattr(module.ClientConnection, "open", small)
-    play(test)(Path())
+    run_async_test(test)(Path())
 
 
-@play
+@run_async_test
 async def test_a_break_after_the_last_byte_is_a_reset_and_the_request_is_not_resent(_: Path) -> None:
     async with client_and_receiver() as (client, receiver):
         pending_call = call(client, receiver.address)
-        (await receiver.next()).break_off()
-        assert (await soon(pending_call)).outcome is Outcome.RESET
+        (await receiver.next()).abort()
+        assert (await with_timeout(pending_call)).outcome is Outcome.RESET
         assert receiver.requests.empty() and receiver.accepted == 1
 
 
@@ -180,12 +180,12 @@
         async with client_and_receiver() as (client, receiver):
             pending_call = call(client, receiver.address)
             (await receiver.next()).write(text)
-            assert await soon(pending_call) == answer
+            assert await with_timeout(pending_call) == answer
             if "x" * 20_000 not in text:
-                await soon(receiver.ends.get())
+                await with_timeout(receiver.ends.get())
                 assert not client.pool and not client.connections
 
-    play(test)(Path())
+    run_async_test(test)(Path())
 
 
 def test_an_incomplete_response_times_out_long_before_the_deadline(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -197,13 +197,13 @@
             ):
                 pending_call = call(client, receiver.address, timeout=3600)
                 (await receiver.next()).write(text)
-                result = await soon(pending_call)
+                result = await with_timeout(pending_call)
                 assert result == answer or (result.outcome is answer and result.retry_after_us == 2_000_000)
-                await soon(receiver.ends.get())
+                await with_timeout(receiver.ends.get())
 
     monkeypatch.setattr(http, "HEAD_TIMEOUT_S", 0.05)
     monkeypatch.setattr(call_module, "BODY_PATIENCE", 0.05)
-    play(test)(Path())
+    run_async_test(test)(Path())
 
 
 @pytest.mark.parametrize("behind", [head("200 OK", "Content-Length: 0"), "noise"])
@@ -215,15 +215,15 @@
         async with client_and_receiver() as (client, receiver):
             pending_call = call(client, receiver.address)
             (await receiver.next()).write(head("200 OK", "Content-Length: 2") + "ok" + behind)
-            assert await soon(pending_call) == DELIVERED
+            assert await with_timeout(pending_call) == DELIVERED
             next_call = call(client, receiver.address)
             (await receiver.next()).answer(503)
-            assert await soon(next_call) == AttemptResult(Outcome.FULL) and receiver.accepted == 2
+            assert await with_timeout(next_call) == AttemptResult(Outcome.FULL) and receiver.accepted == 2
 
-    play(test)(Path())
+    run_async_test(test)(Path())
 
 
-@play
+@run_async_test
 async def test_interim_responses_and_malformed_load_headers_are_ignored(_: Path) -> None:
     async with client_and_receiver() as (client, receiver):
         for _n in range(2):
@@ -231,28 +231,28 @@
             request = await receiver.next()
             request.write(head("102 Wait") + head("103 Soon", "Link: x"))
             request.answer(200, "X-Backend-Load: x0=,,=%\xff", body="fine")
-            assert await soon(pending_call) == DELIVERED
+            assert await with_timeout(pending_call) == DELIVERED
         assert receiver.accepted == 1
 
 
-@play
+@run_async_test
 async def test_the_outcome_does_not_wait_for_the_body_and_the_connection_is_pooled_after_it(_: Path) -> None:
     async with client_and_receiver() as (client, receiver):
         pending_call = call(client, receiver.address)
         request = await receiver.next()
         request.write(head("200 OK", "Content-Length: 4") + "ha")
-        assert await soon(pending_call) == DELIVERED and not client.pool
+        assert await with_timeout(pending_call) == DELIVERED and not client.pool
         request.write("lf")
-        await soon(asyncio.gather(*client.body_tasks))
+        await with_timeout(asyncio.gather(*client.body_tasks))
         assert list(client.pool) == ["r"]
 
 
-@play
+@run_async_test
 async def test_a_connection_closed_before_the_response_is_a_reset(_: Path) -> None:
     async with client_and_receiver() as (client, receiver):
         pending_call = call(client, receiver.address)
         (await receiver.next()).writer.close()
-        assert (await soon(pending_call)).outcome is Outcome.RESET
+        assert (await with_timeout(pending_call)).outcome is Outcome.RESET
 
 
 @pytest.mark.parametrize("retry_after", ["1e308", "1_0", "inf", "nan", "-1", "٣", "9" * 400])
@@ -266,57 +266,57 @@
     assert answer_from(response) == AttemptResult(Outcome.FULL, retry_after_us=3_600_000_000)
 
 
-@play
+@run_async_test
 async def test_a_reused_address_gets_none_of_the_connections_of_its_previous_endpoint(_: Path) -> None:
     async with client_and_receiver() as (client, receiver):
         pending_call = call(client, receiver.address)
         (await receiver.next()).answer(200)
-        await soon(pending_call)
+        await with_timeout(pending_call)
         assert list(client.pool) == ["r"]
         client.dials = lambda: {"new": receiver.address}
         client.endpoints_changed()
-        await soon(receiver.ends.get())
-        pending_call = asyncio.create_task(client.call("new", handed_in(), 10, lambda: True))
+        await with_timeout(receiver.ends.get())
+        pending_call = asyncio.create_task(client.call("new", sample_message(), 10, lambda: True))
         request = await receiver.next()
         client.dials = dict  # the endpoint leaves while its call is in flight: that connection is not pooled
         request.answer(200)
-        assert await soon(pending_call) == DELIVERED and receiver.accepted == 2
-        await soon(receiver.ends.get())
+        assert await with_timeout(pending_call) == DELIVERED and receiver.accepted == 2
+        await with_timeout(receiver.ends.get())
         assert not client.pool and not client.connections
 
 
-@play
+@run_async_test
 async def test_at_the_connection_limit_the_longest_idle_connection_is_closed(_: Path) -> None:
     async with Peer() as receiver:
         client = client_with(connection_limit=2)
         client.dials = lambda: dict.fromkeys("abc", receiver.address)
         for endpoint in "abc":
-            pending_call = asyncio.create_task(client.call(endpoint, handed_in(), 10, lambda: True))
+            pending_call = asyncio.create_task(client.call(endpoint, sample_message(), 10, lambda: True))
             (await receiver.next()).answer(200)
-            await soon(pending_call)
-        await soon(receiver.ends.get())
+            await with_timeout(pending_call)
+        await with_timeout(receiver.ends.get())
         assert list(client.pool) == ["b", "c"] and len(client.connections) == 2
         client.close()
 
 
-@play
+@run_async_test
 async def test_a_200_counts_even_if_its_body_is_truncated(_: Path) -> None:
     async with client_and_receiver() as (client, receiver):
         pending_call = call(client, receiver.address)
         request = await receiver.next()
         request.write("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf")
         request.writer.close()
-        assert (await soon(pending_call)).outcome is Outcome.OK
+        assert (await with_timeout(pending_call)).outcome is Outcome.OK
         assert not client.pool
 
 
-@play
+@run_async_test
 async def test_a_time_out_closes_the_connection(_: Path) -> None:
     async with client_and_receiver() as (client, receiver):
         pending_call = call(client, receiver.address, timeout=0.05)
         await receiver.next()
-        assert (await soon(pending_call)).outcome is Outcome.TIMEOUT
-        await soon(receiver.ends.get())
+        assert (await with_timeout(pending_call)).outcome is Outcome.TIMEOUT
+        await with_timeout(receiver.ends.get())
 
 
 def test_a_200_read_after_the_deadline_is_no_delivery(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -326,13 +326,13 @@
         async with client_and_receiver() as (client, receiver):
             pending_call = call(client, receiver.address, timeout=0)
             (await receiver.next()).answer(200)
-            assert (await soon(pending_call)).outcome is Outcome.TIMEOUT
+            assert (await with_timeout(pending_call)).outcome is Outcome.TIMEOUT
 
     monkeypatch.setattr(asyncio, "timeout_at", lambda _: nullcontext())  # as if its timer fired too late
-    play(test)(Path())
+    run_async_test(test)(Path())
 
 
-@play
+@run_async_test
 async def test_idle_connections_to_the_endpoint_of_a_cancelled_call_are_closed(_: Path) -> None:
     """Guards a retry against using another connection that has stopped responding like the first."""
     async with client_and_receiver() as (client, receiver):
@@ -344,31 +344,31 @@
         for each in both:
             each.cancel()
         for _n in range(2):
-            await soon(receiver.ends.get())
+            await with_timeout(receiver.ends.get())
         assert not client.pool and not client.connections and second.id == "m1"
 
 
-@play
+@run_async_test
 async def test_cancelling_a_call_closes_the_connection(_: Path) -> None:
     async with client_and_receiver() as (client, receiver):
         pending_call = call(client, receiver.address)
         await receiver.next()
         pending_call.cancel()
-        await soon(receiver.ends.get())
+        await with_timeout(receiver.ends.get())
         assert pending_call.cancelled()
 
 
-@play
+@run_async_test
 async def test_may_go_is_checked_immediately_before_the_first_byte_is_written(_: Path) -> None:
     async with client_and_receiver() as (client, receiver):
-        answer = await soon(call(client, receiver.address, may_go=False))
+        answer = await with_timeout(call(client, receiver.address, may_go=False))
         assert answer == AttemptResult(Outcome.NOT_SENT) and receiver.requests.empty()
         second = call(client, receiver.address)
         (await receiver.next()).answer(200)
-        assert (await soon(second)).outcome is Outcome.OK and receiver.accepted == 1
+        assert (await with_timeout(second)).outcome is Outcome.OK and receiver.accepted == 1
 
 
-@play
+@run_async_test
 async def test_a_connection_is_reused_until_it_is_closed_or_too_old(_: Path) -> None:
     async with client_and_receiver() as (client, receiver):
         for accepted, spoil in ((1, ""), (1, "ended"), (2, "old"), (3, "close")):
@@ -376,54 +376,54 @@
             request = await receiver.next()
             assert receiver.accepted == accepted
             request.answer(200, *(["Connection: close"] if spoil == "close" else []))
-            assert (await soon(pending_call)).outcome is Outcome.OK
+            assert (await with_timeout(pending_call)).outcome is Outcome.OK
             kept = client.pool.get("r", [])
             assert len(kept) == (spoil != "close")
             if spoil == "ended":
                 request.writer.close()
-                await soon(receiver.ends.get())
+                await with_timeout(receiver.ends.get())
             if spoil == "old":
                 kept[0].idle_since -= 8.5  # the receiver may close it after 10
                 client.close_expired()
                 assert not client.pool
 
 
-@play
+@run_async_test
 async def test_a_broken_pooled_connection_is_stale_and_closes_the_other_idle_ones(_: Path) -> None:
     """Guards against counting a healthy destination as failed, and against a retry on another stale one."""
     async with client_and_receiver() as (client, receiver):
         both = [call(client, receiver.address) for _n in range(2)]
         for _n in range(2):
             (await receiver.next()).answer(200)
-        await soon(asyncio.gather(*both))
+        await with_timeout(asyncio.gather(*both))
         assert len(client.pool["r"]) == 2
         pending_call = call(client, receiver.address)
-        (await receiver.next()).break_off()
-        assert (await soon(pending_call)).outcome is Outcome.STALE and not client.pool
+        (await receiver.next()).abort()
+        assert (await with_timeout(pending_call)).outcome is Outcome.STALE and not client.pool
         second = call(client, receiver.address)
-        (await receiver.next()).break_off()
-        assert (await soon(second)).outcome is Outcome.RESET and receiver.accepted == 3
+        (await receiver.next()).abort()
+        assert (await with_timeout(second)).outcome is Outcome.RESET and receiver.accepted == 3
 
 
-@play
+@run_async_test
 async def test_a_retry_after_is_reported_before_the_rest_of_its_response(_: Path) -> None:
     async with client_and_receiver() as (client, receiver):
         waits: asyncio.Queue[tuple[str, int]] = asyncio.Queue()
         client.retry_after_received = lambda *wait: waits.put_nowait(wait)
         pending_call = call(client, receiver.address)
         (await receiver.next()).write(head("429 Wait", "Retry-After: 2", "Content-Length: 9") + "half")
-        assert await soon(waits.get()) == ("r", 2_000_000)
+        assert await with_timeout(waits.get()) == ("r", 2_000_000)
         pending_call.cancel()
 
 
-@play
+@run_async_test
 async def test_a_200_received_in_parts_counts_at_once_and_its_connection_is_pooled(_: Path) -> None:
     async with client_and_receiver() as (client, receiver):
         for rest in ("Content-", "Length: 2\r\n", "\r\no", "k"), ("Content-Length: 0\r\n\r\n",):
             pending_call = call(client, receiver.address)
             request = await receiver.next()
             request.write("HTTP/1.1 200 It\r\n")
-            assert await soon(pending_call) == DELIVERED
+            assert await with_timeout(pending_call) == DELIVERED
             assert not client.idle
             for part in rest:
                 request.write(part)
@@ -443,11 +443,11 @@
                 pending_call = call(client, receiver.address)
                 request = await receiver.next()
                 request.write("HTTP/1.1 200 It\r\n" + rest)
-                assert await soon(pending_call) == DELIVERED
-                await soon(receiver.ends.get())
+                assert await with_timeout(pending_call) == DELIVERED
+                await with_timeout(receiver.ends.get())
                 assert not (client.idle or client.body_tasks or client.connections)
 
-    play(test)(Path())
+    run_async_test(test)(Path())
 
 
 class EarlyReceiver:
@@ -466,7 +466,7 @@
             return True
 
         self.client.dials = lambda: {"r": self.listener.getsockname()}
-        answer: AttemptResult = await soon(self.client.call("r", handed_in(), 10, may_go))
+        answer: AttemptResult = await with_timeout(self.client.call("r", sample_message(), 10, may_go))
         self.listener.close()
         assert not self.client.idle and not self.client.connections
         return answer
@@ -504,7 +504,7 @@
         assert await receiver.call_meeting(says(text), resets) == answer
         assert waits == ([("r", answer.retry_after_us)] if answer.retry_after_us else [])
 
-    play(test)(Path())
+    run_async_test(test)(Path())
 
 
 @pytest.mark.parametrize("text", ["HTTP/1.1 42", "HTTP/1.1 200 It\r\nContent-Le", "noise", ""])
@@ -519,20 +519,20 @@
         assert answer.outcome not in NEVER_RAN
         accepted[0].close()
 
-    play(test)(Path())
+    run_async_test(test)(Path())
 
 
-@play
+@run_async_test
 async def test_a_pooled_connection_with_unsolicited_bytes_takes_no_call(_: Path) -> None:
     async with client_and_receiver() as (client, receiver):
         pending_call = call(client, receiver.address)
         request = await receiver.next()
         request.answer(200)
-        assert (await soon(pending_call)).outcome is Outcome.OK
+        assert (await with_timeout(pending_call)).outcome is Outcome.OK
         (kept,) = client.idle
         request.write("HTTP/1.1 5")
         while not kept.has_ended():
             await turn()
         second = call(client, receiver.address)
         (await receiver.next()).answer(200)
-        assert (await soon(second)).outcome is Outcome.OK and receiver.accepted == 2
+        assert (await with_timeout(second)).outcome is Outcome.OK and receiver.accepted == 2
--- a/tests/test_connection_states.py
+++ b/tests/test_connection_states.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 import pytest
-from peers import READY, World, ask, message, play, read_reply, soon
+from peers import READY, World, ask, message, read_reply, run_async_test, with_timeout
 from socket_faults import turn, until
 from test_server import serving
 
@@ -86,7 +86,7 @@
 
     async def rest(self) -> bytes:
         """Reads until the server closes. Raises ConnectionResetError if the connection is reset."""
-        data: bytes = await soon((await self.reader()).read())
+        data: bytes = await with_timeout((await self.reader()).read())
         self.writer.close()
         return data
 
@@ -106,7 +106,7 @@
         each.since -= 100
 
 
-@play
+@run_async_test
 async def test_a_request_that_arrives_as_the_idle_time_out_passes_is_answered(_: Path) -> None:
     async with serving() as (server, taken):
         client, idle = await idle_client(server), await idle_client(server, "m1")
@@ -119,7 +119,7 @@
         client.writer.close()
 
 
-@play
+@run_async_test
 async def test_a_first_request_that_arrives_as_the_read_time_out_passes_is_answered(_: Path) -> None:
     async with serving() as (server, taken):
         client = Client(server.address())
@@ -131,7 +131,7 @@
         client.writer.close()
 
 
-@play
+@run_async_test
 async def test_a_request_that_crosses_the_shutdown_is_dropped_and_causes_no_reset(_: Path) -> None:
     """The previous response, which the client has not read yet, remains readable."""
     async with serving() as (server, taken):
@@ -151,7 +151,7 @@
         assert [each.id for each in taken] == ["m0"]
 
 
-@play
+@run_async_test
 async def test_connections_not_accepted_yet_when_the_listener_closes_are_answered(_: Path) -> None:
     async with serving() as (server, taken):
         clients = [Client(server.address()) for _ in range(5)]
@@ -164,7 +164,7 @@
         assert len(taken) == 5
 
 
-@play
+@run_async_test
 async def test_requests_that_arrive_as_the_grace_period_ends_are_answered(_: Path) -> None:
     async with serving() as (server, taken):
         client, idle = await idle_client(server), await idle_client(server, "m1")
@@ -184,7 +184,7 @@
         assert sorted(each.id for each in taken) == ["m0", "m1", "m2", "m3"]
 
 
-@play
+@run_async_test
 async def test_the_process_ends_only_after_received_requests_are_answered(state: Path) -> None:
     """No response is pending, but one request has been received in part, and a complete one is unread."""
     async with World(state) as world:
@@ -201,11 +201,11 @@
         sender.stop(0)  # the time to stop is over
         assert (await half.rest()).startswith(b"HTTP/1.1 503")
         assert (await whole.rest()).startswith(b"HTTP/1.1 202")
-        assert await soon(world.running.task) == 0
+        assert await with_timeout(world.running.task) == 0
     assert "m2" in (state / "journal").read_text()
 
 
-@play
+@run_async_test
 async def test_a_response_is_sent_before_the_previous_one_is_acknowledged_by_tcp(_: Path) -> None:
     async with serving() as (server, _taken):
         client = await idle_client(server)
--- a/tests/test_control_command_line.py
+++ b/tests/test_control_command_line.py
@@ -12,7 +12,7 @@
 from contextlib import asynccontextmanager
 from pathlib import Path
 
-from peers import play
+from peers import run_async_test
 from sender_files import KEY_FILE, SENDER, control_section, nodes_line, write_key
 
 from message_sender.cli import main
@@ -133,7 +133,7 @@
 BUDGET = '[[budgets]]\nname = "out"\nof = "in_flight"\ndestination = 5\nwhole = 8\n'
 
 
-@play
+@run_async_test
 async def test_changes_are_activated_refused_and_survive_the_kill_of_the_watched_node(folder: Path) -> None:
     called = asyncio.Event()
 
--- a/tests/test_control_link.py
+++ b/tests/test_control_link.py
@@ -10,7 +10,7 @@
 from typing import cast
 from unittest.mock import patch
 
-from peers import play
+from peers import run_async_test
 from sender_files import FLEET, KEY, SENDER, control_section, write_sender
 from watch_helpers import ChangedStore
 
@@ -128,7 +128,7 @@
     return {"endpoints/hub": {"destination": 5, "dial": f"127.0.0.1:{port}"}}
 
 
-@play
+@run_async_test
 async def test_a_new_endpoint_becomes_active_and_receives_a_message(state: Path) -> None:
     completions, history = Completions(), History()
     async with serving(Node()) as node, HttpEndpoint("hub", Script(), history) as receiver:
@@ -146,7 +146,7 @@
     assert completions.states == {"m1": CompletionState.DELIVERED} and receiver.served == 1
 
 
-@play
+@run_async_test
 async def test_a_refused_version_is_reported_with_its_reason_and_replaced_by_the_next(state: Path) -> None:
     async with serving(Node()) as node:
         sender = sender_at(state, node.port)
@@ -162,7 +162,7 @@
             assert sender.dial_addresses() == {"hub": ("127.0.0.1", 2)}
 
 
-@play
+@run_async_test
 async def test_a_change_that_needs_a_restart_is_active_after_it(state: Path) -> None:
     budget: dict[str, object] = {"of": "in_flight", "destination": 1, "whole": 8}
     async with serving(Node()) as node:
@@ -177,7 +177,7 @@
             assert sender.membership.budgets.registry.definitions["out"].floor == 2
 
 
-@play
+@run_async_test
 async def test_without_nodes_the_last_version_survives_a_restart_and_the_newest_follows_later(
     state: Path,
 ) -> None:
@@ -194,7 +194,7 @@
             assert sender.dial_addresses() == {"hub": ("127.0.0.1", 2)}
 
 
-@play
+@run_async_test
 async def test_a_link_that_could_not_be_opened_at_the_start_is_opened_later(state: Path) -> None:
     full = OSError(28, "No space left on device")
     with patch.object(control_link, "LINK_RETRY_S", 0.01), patch.object(control_link, "write_epoch") as write:
@@ -210,7 +210,7 @@
     assert write.call_count == 3
 
 
-@play
+@run_async_test
 async def test_a_damaged_document_is_fetched_as_a_snapshot(state: Path) -> None:
     async with serving(Node(history_limit=1)) as node:
         async with running(sender_at(state, node.port)):
@@ -227,7 +227,7 @@
             assert sender.control_plane.link.watch.counts.snapshots == 1
 
 
-@play
+@run_async_test
 async def test_datagrams_sealed_with_another_key_are_only_counted(state: Path) -> None:
     async with serving(Node(key=bytes(31) + b"x")) as node:
         sender = sender_at(state, node.port)
@@ -241,7 +241,7 @@
     assert node.watcher() is None
 
 
-@play
+@run_async_test
 async def test_a_later_epoch_is_written_outside_the_event_loop(state: Path) -> None:
     may_write, has_written = threading.Event(), asyncio.Event()
     loop, written = asyncio.get_running_loop(), list[int]()
--- a/tests/test_control_sender.py
+++ b/tests/test_control_sender.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 import pytest
-from peers import play
+from peers import run_async_test
 from sender_files import FLEET, SENDER, control_section, write_sender
 
 from message_sender.configuration.general import load
@@ -67,7 +67,7 @@
     assert not [each.name for each in state.iterdir() if each.name.startswith("control.")]
 
 
-@play
+@run_async_test
 async def test_a_start_and_sighup_keep_the_configuration_of_the_control_plane(state: Path) -> None:
     file = write_sender(state, SENDER + CONTROL)
     DocumentFile(state / IN_FORCE_FILE, SystemDisk()).store(Document(7, STORED))
@@ -88,7 +88,7 @@
     assert json.loads((state / "control.epoch").read_text()) == 1
 
 
-@play
+@run_async_test
 async def test_sighup_reads_the_file_while_the_control_plane_has_no_endpoints(state: Path) -> None:
     file = write_sender(state, SENDER + CONTROL)
     sender = make_sender(file, state)
@@ -99,7 +99,7 @@
         assert set(sender.dial_addresses()) == {"new"}
 
 
-@play
+@run_async_test
 async def test_without_a_key_the_last_version_stays_active_and_the_status_has_the_fault(state: Path) -> None:
     file = write_sender(state, SENDER + CONTROL)
     (state / "control.key").unlink()
@@ -113,7 +113,7 @@
         assert set(sender.dial_addresses()) == {"held"}
 
 
-@play
+@run_async_test
 async def test_each_start_has_a_higher_epoch(state: Path) -> None:
     file = write_sender(state, SENDER + CONTROL)
     for number in (1, 2):
@@ -123,7 +123,7 @@
             assert sender.control_plane.link.channel.epoch == number
 
 
-@play
+@run_async_test
 async def test_the_first_budget_can_be_added_while_the_sender_runs(state: Path) -> None:
     sender = make_sender(write_sender(state, SENDER + CONTROL + FLEET), state)
     async with running(sender):
--- a/tests/test_disconnects.py
+++ b/tests/test_disconnects.py
@@ -17,7 +17,18 @@
 from pathlib import Path
 
 import pytest
-from peers import READY, Held, World, handed_in, host, message, play, read_reply, soon, tell
+from peers import (
+    READY,
+    HeldConnection,
+    World,
+    host,
+    message,
+    read_reply,
+    run_async_test,
+    sample_message,
+    send_watch_line,
+    with_timeout,
+)
 from socket_faults import turn, until
 
 from message_sender.core.socket_errors import (
@@ -192,7 +203,7 @@
         async with World(state) as world:
             world.sender.engine.dispatcher.stops_at = float("inf")
             late_one = Late(world)
-            bystander = await Held.open(world.sender.server, message("b"))
+            bystander = await HeldConnection.open(world.sender.server, message("b"))
             assert (await read_reply(bystander.reader)).status == 202
             (await world.receiver.next()).answer(200)
             client = await late_one.comes_to(stage)
@@ -201,7 +212,7 @@
             await late_one.serve_all()
             if late > 2:  # its connection has exceeded the idle time-out
                 bystander.writer.close()
-                bystander = await Held.open(world.sender.server)
+                bystander = await HeldConnection.open(world.sender.server)
             bystander.writer.write(message("after"))
             assert (await read_reply(bystander.reader)).status == 202
             await late_one.serve_all()
@@ -220,10 +231,10 @@
 
 def with_folder(test: Callable[[Path], object]) -> None:
     with tempfile.TemporaryDirectory() as folder:
-        play(test)(Path(folder))  # type: ignore[arg-type]
+        run_async_test(test)(Path(folder))  # type: ignore[arg-type]
 
 
-@play
+@run_async_test
 async def test_a_client_that_closes_as_the_sweep_rejects_it_affects_no_other(state: Path) -> None:
     """Guards against a failure seen at 1,600 messages per second: the response 408 reaches a client that has
     closed, its reset arrives at once, and shutdown raises ENOTCONN in the sweep, whose task ended the
@@ -235,11 +246,11 @@
         for each in list(world.sender.server.connections):
             each.since -= 60.0
         world.sender.server.expire()
-        assert (await world.hand_in("after")).status == 202
+        assert (await world.submit("after")).status == 202
         assert (await world.receiver.next()).id == "after"
 
 
-@play
+@run_async_test
 async def test_a_response_to_a_closed_client_does_not_lose_the_rest_of_the_iteration(state: Path) -> None:
     """Guards against the same error within an iteration: it was only logged, and the messages after it were
     neither answered nor sent."""
@@ -248,7 +259,7 @@
         late.sender.engine.run_iteration = lambda: None  # type: ignore[method-assign]
         first = Client(world.running.address, message("m", Connection="close"))
         await until(lambda: "m" in world.sender.engine.table.arrivals)
-        second = await Held.open(world.sender.server, message("n"))
+        second = await HeldConnection.open(world.sender.server, message("n"))
         await until(lambda: "n" in world.sender.engine.table.arrivals)
         gone, _ = world.sender.engine.table.arrivals["m"][1], first.finish()
         gone.is_gone = lambda: False  # type: ignore[method-assign]  # it closes between check and response
@@ -258,7 +269,7 @@
         second.writer.close()
 
 
-@play
+@run_async_test
 async def test_a_connection_with_an_unwritten_response_is_not_closed_for_capacity(state: Path) -> None:
     """Closing it in the iteration of its response would lose the response to a message just accepted."""
     async with World(state) as world:
@@ -274,7 +285,7 @@
         client.finish()
 
 
-@play
+@run_async_test
 async def test_late_calls_on_a_closed_connection_do_not_affect_one_that_reuses_its_descriptor(
     state: Path,
 ) -> None:
@@ -303,13 +314,13 @@
             each.finish()
 
 
-@play
+@run_async_test
 async def test_slow_requests_and_a_reconnect_storm_together_leave_the_sender_working(state: Path) -> None:
     """Forty clients send a byte per iteration while others connect, reset and reconnect; iterations take 0 to
     3 s."""
     async with World(state) as world:
         late = Late(world)
-        await soon(world.platform.watches.get())
+        await with_timeout(world.platform.watches.get())
         dripping = [(Client(world.running.address), message(f"d{each}")) for each in range(40)]
         acts = itertools.cycle(ACTS)
         for step in range(60):
@@ -325,7 +336,7 @@
         assert not world.sender.engine.defect
         late.passed += 4.0
         world.sender.server.expire()
-        assert (await world.hand_in("after")).status == 202
+        assert (await world.submit("after")).status == 202
 
 
 # Receivers.
@@ -389,12 +400,12 @@
         time = loop.time
         loop.time = lambda: time() + passed  # type: ignore[method-assign]
         transport = Transport(10, 10, 4, lambda: {"r": receiver.address})
-        pending_call = asyncio.create_task(transport.call("r", handed_in(), 2.0, lambda: True))
+        pending_call = asyncio.create_task(transport.call("r", sample_message(), 2.0, lambda: True))
         await until(receiver.accepts)
         await until(receiver.read)
         receiver.act(act)
         passed = late
-        outcome = (await soon(pending_call)).outcome
+        outcome = (await with_timeout(pending_call)).outcome
         allowed = {
             "answers": {Outcome.OK},
             "errs": {Outcome.ERROR},
@@ -409,7 +420,7 @@
     with_folder(test)
 
 
-@play
+@run_async_test
 async def test_a_call_whose_last_bytes_are_written_at_its_deadline_has_a_reliable_outcome(_: Path) -> None:
     """Guards against the loop's own sock_sendall: it wrote the last bytes in the iteration of the time-out
     and raised only a cancellation, which counted as never run."""
@@ -426,7 +437,9 @@
         return connection
 
     transport.connect = narrow  # type: ignore[assignment]
-    pending_call = asyncio.create_task(transport.call("r", handed_in(body=b"x" * 65_000), 2.0, lambda: True))
+    pending_call = asyncio.create_task(
+        transport.call("r", sample_message(body=b"x" * 65_000), 2.0, lambda: True)
+    )
     await until(receiver.accepts)
 
     def stuck() -> bool:
@@ -437,7 +450,7 @@
         if len(receiver.received) > 50_000:
             passed = 3.0  # the call times out in that iteration
         await turn()
-    outcome = (await soon(pending_call)).outcome
+    outcome = (await with_timeout(pending_call)).outcome
     assert (outcome not in NEVER_RAN) == receiver.read()
     transport.close()
     receiver.listener.close()
@@ -488,12 +501,12 @@
     assert line.startswith("a turn: ValueError: two lines (at test_disconnects.py:") and "inner < " in line
 
 
-@play
+@run_async_test
 async def test_a_defect_closes_the_journal_logs_one_line_and_ends_the_process(state: Path) -> None:
     """Nothing else is done after it, since the state may have been changed only in part."""
     async with World(state) as world:
         sender = world.sender
-        await world.hand_in("m1")
+        await world.submit("m1")
         order: list[str] = []
         close = sender.engine.journal.close
         sender.engine.journal.close = lambda: (order.append("closed"), close())  # type: ignore[method-assign]
@@ -501,8 +514,8 @@
         handle = sender.engine.dispatcher.handle
         sender.engine.dispatcher.handle = lambda *_: 1 / 0  # type: ignore[method-assign]
         try:
-            reply = asyncio.ensure_future(world.hand_in("m2"))
-            assert await soon(asyncio.shield(world.running.task)) == 1
+            reply = asyncio.ensure_future(world.submit("m2"))
+            assert await with_timeout(asyncio.shield(world.running.task)) == 1
         finally:
             log.critical, sender.engine.dispatcher.handle = critical, handle
         assert order[0] == "closed" and len(order) == 2
@@ -512,7 +525,7 @@
         world.running.ended = True
 
 
-@play
+@run_async_test
 async def test_an_os_error_of_an_iteration_is_a_defect_and_one_of_a_transport_is_not(state: Path) -> None:
     async with World(state) as world:
         client = Client(world.running.address, READY)
@@ -527,16 +540,16 @@
         world.sender.handle_loop_exception({"message": "a callback raised", "exception": broken})
         assert "ConnectionResetError" in world.sender.engine.defect
         client.finish()
-        assert await soon(asyncio.shield(world.running.task)) == 1
+        assert await with_timeout(asyncio.shield(world.running.task)) == 1
         world.running.ended = True
 
 
-@play
+@run_async_test
 async def test_a_discovery_line_with_values_of_wrong_types_changes_nothing(state: Path) -> None:
     async with World(state) as world:
-        watch = await soon(world.platform.watches.get())
+        watch = await with_timeout(world.platform.watches.get())
         for wrong in ({"class": ["k"]}, {"site": {}}, {"host": 7}):
-            tell(watch, 50, host(world.receiver.dial) | wrong, whole=True)
+            send_watch_line(watch, 50, host(world.receiver.dial) | wrong, whole=True)
             tries = len(world.platform.watched)
             late = Late(world)
             while len(world.platform.watched) == tries:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 import pytest
-from peers import Platform, host, list_line, play, soon, tell
+from peers import Platform, host, list_line, run_async_test, send_watch_line, with_timeout
 
 from message_sender.core.ports import Completion, CompletionState
 from message_sender.http import discovery as module
@@ -32,27 +32,27 @@
             task.cancel()
 
 
-@play
+@run_async_test
 async def test_changes_and_full_lists_are_reported_and_the_next_watch_resumes_from_there(_: Path) -> None:
     async with watching() as (discovery, platform, updates, _acknowledged):
-        watch = await soon(platform.watches.get())
+        watch = await with_timeout(platform.watches.get())
         assert watch.target == "/registry/instances?watch=1&after=41"
         watch.write("1\r\n\n\r\n")
-        tell(watch, 43, host(OLD, health="draining"), host(NEW, name="s", site="y", block=4))
-        update = await soon(updates.get())
+        send_watch_line(watch, 43, host(OLD, health="draining"), host(NEW, name="s", site="y", block=4))
+        update = await with_timeout(updates.get())
         assert update.listing is ListingKind.CHANGES
         assert [each.state for each in update.endpoints] == [EndpointState.DRAINING, EndpointState.READY]
         assert update.endpoints[1] == Endpoint("s", 4, EndpointState.READY, "k", "y", 1.0)
-        tell(watch, 44, host(NEW, health="gone"))
-        await soon(updates.get())
+        send_watch_line(watch, 44, host(NEW, health="gone"))
+        await with_timeout(updates.get())
         assert discovery.dials == {"s": ("127.0.0.1", 2)}
-        tell(watch, 50, host(NEW), whole=True)
-        assert (await soon(updates.get())).listing is ListingKind.FULL
+        send_watch_line(watch, 50, host(NEW), whole=True)
+        assert (await with_timeout(updates.get())).listing is ListingKind.FULL
         assert discovery.dials == {"r": ("127.0.0.1", 2)}
-        watch.break_off()
-        assert (await soon(updates.get())).listing is ListingKind.FAILED
+        watch.abort()
+        assert (await with_timeout(updates.get())).listing is ListingKind.FAILED
         next_watch = asyncio.create_task(discovery.watch())
-        assert (await soon(platform.watches.get())).target.endswith("after=50")
+        assert (await with_timeout(platform.watches.get())).target.endswith("after=50")
         next_watch.cancel()
 
 
@@ -60,41 +60,41 @@
 def test_a_watch_that_ends_or_is_malformed_is_reported_as_failed(text: str) -> None:
     async def test(_: Path) -> None:
         async with watching() as (_discovery, platform, updates, _acknowledged):
-            (await soon(platform.watches.get())).write(text)
-            assert (await soon(updates.get())).listing is ListingKind.FAILED
+            (await with_timeout(platform.watches.get())).write(text)
+            assert (await with_timeout(updates.get())).listing is ListingKind.FAILED
 
-    play(test)(Path())
+    run_async_test(test)(Path())
 
 
 def test_a_silent_watch_fails_while_its_connection_is_open(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test(_: Path) -> None:
         async with watching() as (_discovery, platform, updates, _acknowledged):
-            watch = await soon(platform.watches.get())
-            assert (await soon(updates.get())).listing is ListingKind.FAILED
+            watch = await with_timeout(platform.watches.get())
+            assert (await with_timeout(updates.get())).listing is ListingKind.FAILED
             assert not watch.writer.is_closing()
 
     monkeypatch.setattr(module, "SILENCE_TIMEOUT_S", 0.05)
-    play(test)(Path())
+    run_async_test(test)(Path())
 
 
-@play
+@run_async_test
 async def test_notices_are_posted_again_until_they_are_acknowledged(_: Path) -> None:
     async with watching() as (discovery, platform, _updates, acknowledged):
         discovery.notify("a", Completion(CompletionState.FAILED))
-        (await platform.next()).break_off()
+        (await platform.next()).abort()
         (await platform.next()).answer(503)
         request = await platform.next()
         assert acknowledged.empty()
         discovery.notify("b", Completion(CompletionState.REFUSED, 1_500_000))
         request.answer(204)
-        assert (request.target, await soon(acknowledged.get())) == ("/v1/notices", "a")
+        assert (request.target, await with_timeout(acknowledged.get())) == ("/v1/notices", "a")
         request = await platform.next()
         assert json.loads(request.body) == {"id": "b", "state": "returned", "after_ms": 1500}
         request.answer(204)
-        assert await soon(acknowledged.get()) == "b" and discovery.notices == {}
+        assert await with_timeout(acknowledged.get()) == "b" and discovery.notices == {}
 
 
-@play
+@run_async_test
 async def test_a_hung_platform_gets_the_notice_on_a_new_connection(_: Path) -> None:
     async with watching() as (discovery, platform, _updates, acknowledged):
         discovery.notify("a", Completion(CompletionState.FAILED))
@@ -102,10 +102,10 @@
         request = await platform.next()
         assert request.writer is not silent.writer and request.body == silent.body
         request.answer(204)
-        assert await soon(acknowledged.get()) == "a"
+        assert await with_timeout(acknowledged.get()) == "a"
 
 
-@play
+@run_async_test
 async def test_a_notice_rejected_as_unreadable_does_not_delay_the_others(_: Path) -> None:
     async with watching() as (discovery, platform, _updates, acknowledged):
         discovery.notify("a", Completion(CompletionState.FAILED))
@@ -116,7 +116,7 @@
         (await platform.next()).answer(400)
         (await platform.next()).answer(400)
         (await platform.next()).answer(204)
-        assert [await soon(acknowledged.get()) for _ in "abc"] == ["a", "b", "c"]
+        assert [await with_timeout(acknowledged.get()) for _ in "abc"] == ["a", "b", "c"]
 
 
 @pytest.mark.parametrize(
@@ -135,74 +135,76 @@
 
     async def test(_: Path) -> None:
         async with watching() as (discovery, platform, updates, _acknowledged):
-            watch = await soon(platform.watches.get())
-            tell(watch, 42, host(NEW, "new"), host(OLD) | bad)
-            assert (await soon(updates.get())).listing is ListingKind.FAILED
+            watch = await with_timeout(platform.watches.get())
+            send_watch_line(watch, 42, host(NEW, "new"), host(OLD) | bad)
+            assert (await with_timeout(updates.get())).listing is ListingKind.FAILED
             assert (discovery.version, discovery.dials) == (41, {"r": ("127.0.0.1", 1)})
 
-    play(test)(Path())
+    run_async_test(test)(Path())
 
 
-@play
+@run_async_test
 async def test_an_unknown_host_that_is_gone_does_not_affect_the_rest_of_its_line(_: Path) -> None:
     async with watching() as (discovery, platform, updates, _acknowledged):
-        watch = await soon(platform.watches.get())
-        tell(watch, 42, host(OLD, "never seen", health="gone"), host(NEW, "new"))
-        assert (await soon(updates.get())).listing is ListingKind.CHANGES
+        watch = await with_timeout(platform.watches.get())
+        send_watch_line(watch, 42, host(OLD, "never seen", health="gone"), host(NEW, "new"))
+        assert (await with_timeout(updates.get())).listing is ListingKind.CHANGES
         assert discovery.version == 42 and list(discovery.dials) == ["r", "new"]
 
 
-@play
+@run_async_test
 async def test_destinations_that_were_once_listed_remain_known(_: Path) -> None:
     async with watching() as (discovery, platform, updates, _acknowledged):
-        tell(await soon(platform.watches.get()), 42, host(NEW, "new", block=8), whole=True)
-        await soon(updates.get())
+        send_watch_line(await with_timeout(platform.watches.get()), 42, host(NEW, "new", block=8), whole=True)
+        await with_timeout(updates.get())
         assert discovery.destinations == {3, 8}
 
 
-@play
+@run_async_test
 async def test_a_watch_moves_to_a_new_address_without_a_gap(_: Path) -> None:
     """Versions of another service do not apply to the new one, whose full list is requested. Lines of the old
     address count until that list has been received, and not afterwards."""
     async with watching() as (discovery, old, updates, _acknowledged), Platform() as new:
-        watch = await soon(old.watches.get())
+        watch = await with_timeout(old.watches.get())
         discovery.move(new.address)
         moved = asyncio.create_task(discovery.watch())
         (await new.next()).answer(503)
         list_request = await new.next()
         assert (list_request.method, list_request.target) == ("GET", "/registry/instances")
-        tell(watch, 99, host(OLD, health="draining"))
-        assert (await soon(updates.get())).endpoints[0].state is EndpointState.DRAINING
+        send_watch_line(watch, 99, host(OLD, health="draining"))
+        assert (await with_timeout(updates.get())).endpoints[0].state is EndpointState.DRAINING
         list_request.answer(200, body=list_line(7, host(NEW, "new"), whole=True))
-        update = await soon(updates.get())
+        update = await with_timeout(updates.get())
         assert (update.listing, [each.id for each in update.endpoints]) == (ListingKind.FULL, ["new"])
-        assert (await soon(new.watches.get())).target.endswith("after=7")
-        tell(watch, 100, host(OLD))
-        await soon(old.ends.get())  # the old watch ends without a FAILED update, and its last line is ignored
+        assert (await with_timeout(new.watches.get())).target.endswith("after=7")
+        send_watch_line(watch, 100, host(OLD))
+        await with_timeout(
+            old.ends.get()
+        )  # the old watch ends without a FAILED update, and its last line is ignored
         assert updates.empty() and discovery.version == 7 and list(discovery.dials) == ["new"]
         moved.cancel()
 
 
-@play
+@run_async_test
 async def test_a_notice_in_flight_is_posted_again_to_the_new_address(_: Path) -> None:
     async with watching() as (discovery, old, _updates, acknowledged), Platform() as new:
         discovery.notify("a", Completion(CompletionState.FAILED))
         first = await old.next()
         discovery.move(new.address)
-        first.break_off()
+        first.abort()
         second = await new.next()
         assert second.body == first.body
         second.answer(204)
-        assert await soon(acknowledged.get()) == "a"
+        assert await with_timeout(acknowledged.get()) == "a"
 
 
-@play
+@run_async_test
 async def test_notices_use_the_new_address_even_with_an_open_connection_to_the_old_one(_: Path) -> None:
     async with watching() as (discovery, old, _updates, acknowledged), Platform() as new:
         discovery.notify("a", Completion(CompletionState.FAILED))
         (await old.next()).answer(204)
-        await soon(acknowledged.get())
+        await with_timeout(acknowledged.get())
         discovery.move(new.address)
         discovery.notify("b", Completion(CompletionState.FAILED))
         (await new.next()).answer(204)
-        assert await soon(acknowledged.get()) == "b" and old.requests.empty()
+        assert await with_timeout(acknowledged.get()) == "b" and old.requests.empty()
--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -13,7 +13,7 @@
 from click.testing import CliRunner
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from peers import handed_in
+from peers import sample_message
 from socket_faults import turn as loop_turn
 
 from message_sender.cli.journal import journal as command
@@ -70,7 +70,7 @@
     async def write() -> None:
         journal = open_journal(folder)
         for name in names:
-            assert journal.record_accepted(handed_in(name, until=7))
+            assert journal.record_accepted(sample_message(name, until=7))
             assert journal.record_attempt(name, 0, AttemptRecord(5, "r", "z"))
             assert await wait_until_durable(journal)
         journal.release()
@@ -141,9 +141,9 @@
 
 def test_the_process_format_is_converted_and_older_versions_reject_the_new_format(tmp_path: Path) -> None:
     old = Journal(tmp_path, LIMIT)
-    old.record_accepted(handed_in("a", until=7))
+    old.record_accepted(sample_message("a", until=7))
     old.record_attempt("a", 0, AttemptRecord(5, "r", "z"))
-    old.record_accepted(handed_in("b", until=7))
+    old.record_accepted(sample_message("b", until=7))
     old.record_end("b")
     journal = reopen(tmp_path)
     assert list(journal.entries) == ["a"] and journal.entries["a"].attempts == old.entries["a"].attempts
@@ -167,7 +167,7 @@
     async def play() -> None:
         journal = open_journal(tmp_path, FailingOnce())
         first_file = journal.file
-        journal.record_accepted(handed_in("a", until=7))
+        journal.record_accepted(sample_message("a", until=7))
         assert await wait_until_durable(journal)
         assert synced_files[1] == first_file != synced_files[2]
         journal.release()
@@ -194,7 +194,7 @@
         journal = self.journal
         if journal and journal.replacement and journal.replacement.is_complete and moment == self.moment:
             self.journal, self.failing_file = None, journal.replacement.file
-            assert journal.record_accepted(handed_in("b", until=7))
+            assert journal.record_accepted(sample_message("b", until=7))
 
     def write(self, file: int, data: bytes) -> None:
         if file == self.failing_file:
@@ -225,14 +225,14 @@
     async def play() -> None:
         disk = FailingReplacementDisk(moment)
         journal = open_journal(tmp_path, disk)
-        journal.record_accepted(handed_in("gone", until=7))
-        journal.record_accepted(handed_in("a", until=7))
+        journal.record_accepted(sample_message("gone", until=7))
+        journal.record_accepted(sample_message("a", until=7))
         journal.record_end("gone")
         assert await wait_until_durable(journal)
         disk.journal = journal
         journal.compact()
         assert journal.replacement
-        journal.record_accepted(handed_in("c", until=7))
+        journal.record_accepted(sample_message("c", until=7))
         assert await wait_until_durable(journal) and disk.journal is None
         journal.release()
 
@@ -246,8 +246,8 @@
     async def play() -> None:
         disk = FailingReplacementDisk(moment)
         journal = open_journal(tmp_path, disk)
-        journal.record_accepted(handed_in("gone", until=7))
-        journal.record_accepted(handed_in("a", until=7))
+        journal.record_accepted(sample_message("gone", until=7))
+        journal.record_accepted(sample_message("a", until=7))
         journal.record_end("gone")
         assert await wait_until_durable(journal)
         disk.journal = journal
@@ -267,12 +267,12 @@
         disk = FailingDisk()
         journal = open_journal(tmp_path, disk)
         disk.failing = {"sync"}
-        journal.record_accepted(handed_in("a", until=7))
+        journal.record_accepted(sample_message("a", until=7))
         assert not await wait_until_durable(journal), "success was reported without a sync"
-        assert not journal.has_room_for(10) and not journal.record_accepted(handed_in("b", until=7))
+        assert not journal.has_room_for(10) and not journal.record_accepted(sample_message("b", until=7))
         disk.failing = set()
         journal.retry_rewrite()
-        assert journal.record_accepted(handed_in("c", until=7)) and await wait_until_durable(journal)
+        assert journal.record_accepted(sample_message("c", until=7)) and await wait_until_durable(journal)
         journal.release()
 
     asyncio.run(play())
@@ -290,9 +290,9 @@
     async def play() -> None:
         disk = FullDisk()
         journal = open_journal(tmp_path, disk)
-        journal.record_accepted(handed_in("a", until=7))
+        journal.record_accepted(sample_message("a", until=7))
         disk.failing = {"write"}
-        assert not journal.record_accepted(handed_in("b", until=7))
+        assert not journal.record_accepted(sample_message("b", until=7))
         journal.record_end("a", "delivered")
         journal.release()
 
@@ -368,7 +368,7 @@
 @pytest.mark.parametrize("clock", [0, 10 * SECOND_US, 10**15])
 def test_after_a_power_loss_no_clock_value_extends_the_window_of_an_attempt(clock: int) -> None:
     attempt = AttemptRecord(1000 * SECOND_US, "r", "z", Outcome.RESET)
-    entry = JournalEntry(replace(handed_in("a"), message_class="x", deadline_us=10**16), {0: attempt})
+    entry = JournalEntry(replace(sample_message("a"), message_class="x", deadline_us=10**16), {0: attempt})
     start = trust.judge_start(PreviousRun("a", False, 1001 * SECOND_US), "b", clock)
     trust.limit_entries({"a": entry}, start, clock + start.clock_lag_us, {"x": 5 * SECOND_US})
     assert start.elapsed_us is None and attempt.started_us == 0
@@ -392,7 +392,7 @@
 def apply_step(journal: DurableJournal, model: dict[str, Any], kind: str, name: str) -> None:
     """Applies a step to the journal, and to a plain model of the pending messages."""
     if kind == "taken" and name not in model:
-        assert journal.record_accepted(handed_in(name, until=7))
+        assert journal.record_accepted(sample_message(name, until=7))
         model[name] = [{}, None]
     elif kind == "sent" and name in model:
         number = len(model[name][0])
@@ -452,17 +452,17 @@
     async def play() -> None:
         journal = ManuallyCompactedJournal(tmp_path, LIMIT, 0.0, None, "boot 1", lambda: 100)
         for name in ("gone", "a", "b"):
-            journal.record_accepted(handed_in(name, until=7))
+            journal.record_accepted(sample_message(name, until=7))
         journal.record_end("gone")
         assert await wait_until_durable(journal)
         journal.compact()
         replacement = journal.replacement
         assert replacement
-        journal.record_accepted(handed_in("c", until=7))
+        journal.record_accepted(sample_message("c", until=7))
         journal.record_attempt("c", 0, AttemptRecord(5, "r", "z"))
         while not replacement.is_complete:
             journal.next()
-        journal.record_accepted(handed_in("d", until=7))
+        journal.record_accepted(sample_message("d", until=7))
         assert await wait_until_durable(journal) and journal.replacement is None
         journal.release()
 
--- a/tests/test_endpoint_files.py
+++ b/tests/test_endpoint_files.py
@@ -9,7 +9,7 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from peers import play
+from peers import run_async_test
 
 from message_sender.configuration.general import read, read_endpoints
 from message_sender.control_socket import send_request
@@ -109,7 +109,7 @@
     assert files.directory().dials() == {}
 
 
-@play
+@run_async_test
 async def test_sender_uses_endpoint_files_and_retains_endpoints_missing_from_them(state: Path) -> None:
     """The configuration's list takes precedence over files; a start without a file uses the saved list."""
     config_values = {
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -12,7 +12,7 @@
 from helpers import MS, SECOND, World, ended, endpoint, sent
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from peers import READY, Peer, config_json, host, message, play, soon
+from peers import READY, Peer, config_json, host, message, run_async_test, with_timeout
 from peers import Platform as Discovery
 from sender_processes import Platform, Process
 
@@ -242,7 +242,7 @@
     return new
 
 
-@play
+@run_async_test
 async def test_clients_keep_their_connections_while_a_process_is_replaced(tmp_path: Path) -> None:
     async with service(tmp_path) as (platform, receiver, _):
         old = await platform.start()
@@ -265,7 +265,7 @@
         assert new.process.returncode is None
 
 
-@play
+@run_async_test
 async def test_a_call_in_flight_completes_in_the_old_process_and_is_not_repeated(tmp_path: Path) -> None:
     async with service(tmp_path, **ORDER) as (platform, receiver, _):
         old = await platform.start()
@@ -288,7 +288,7 @@
         assert await old.wait_for_exit() == 0
 
 
-@play
+@run_async_test
 async def test_a_retry_after_received_by_the_old_process_applies_to_the_new_one(tmp_path: Path) -> None:
     async with service(tmp_path) as (platform, receiver, _):
         old = await platform.start()
@@ -304,7 +304,7 @@
         second.answer(200)
 
 
-@play
+@run_async_test
 async def test_a_call_counts_as_reset_once_its_killed_process_has_ended(tmp_path: Path) -> None:
     async with service(tmp_path) as (platform, receiver, _):
         old = await platform.start()
@@ -315,11 +315,11 @@
         assert receiver.requests.empty()
         old.kill()
         await new.wait_for_log("predecessor ended: unfinished_calls=1")
-        await soon(receiver.ends.get())
+        await with_timeout(receiver.ends.get())
         assert (await receiver.next()).id == "m1"
 
 
-@play
+@run_async_test
 async def test_the_old_process_resumes_if_its_successor_ends_before_it_takes_over(tmp_path: Path) -> None:
     async with service(tmp_path) as (platform, receiver, _):
         old = await platform.start()
@@ -342,7 +342,7 @@
         await replace_process(platform, old)
 
 
-@play
+@run_async_test
 async def test_an_unresponsive_owner_is_killed_and_its_journal_taken_over(tmp_path: Path) -> None:
     async with service(tmp_path) as (platform, receiver, _):
         old = await platform.start()
@@ -356,7 +356,7 @@
         assert (await receiver.next()).id == "m1"
 
 
-@play
+@run_async_test
 async def test_operators_commands_survive_two_replacements_in_a_row(tmp_path: Path) -> None:
     async with service(tmp_path) as (platform, receiver, _):
         old = await platform.start()
@@ -377,7 +377,7 @@
         assert (await receiver.next()).id == "m1"
 
 
-@play
+@run_async_test
 async def test_an_invalid_socket_descriptor_is_logged_and_the_configured_address_is_bound(
     tmp_path: Path,
 ) -> None:
--- a/tests/test_inventory.py
+++ b/tests/test_inventory.py
@@ -6,7 +6,7 @@
 
 import pytest
 from helpers import MS, SECOND, World, endpoint
-from peers import play
+from peers import run_async_test
 
 from message_sender.cli import main
 from message_sender.core import inventory
@@ -83,7 +83,7 @@
     assert "none" in capsys.readouterr().err
 
 
-@play
+@run_async_test
 async def test_sender_writes_the_file_on_request_and_survives_a_write_error(state: Path) -> None:
     from message_sender.configuration import general
 
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -3,7 +3,7 @@
 from pathlib import Path
 
 import pytest
-from peers import handed_in
+from peers import sample_message
 
 from message_sender.journal import process_journal as module
 from message_sender.journal.entries import AttemptRecord
@@ -20,7 +20,7 @@
 def test_pending_messages_are_replayed_in_the_order_of_acceptance(tmp_path: Path) -> None:
     first = Journal(tmp_path, LIMIT)
     for name in ("a", "b", "c"):
-        assert first.record_accepted(handed_in(name, body=bytes(range(256)), until=7))
+        assert first.record_accepted(sample_message(name, body=bytes(range(256)), until=7))
     first.record_attempt("a", 0, AttemptRecord(5, "r", "z"))
     first.record_outcome("a", 0, Outcome.FULL)
     first.record_attempt("a", 1, AttemptRecord(6, "s", "y"))
@@ -29,7 +29,7 @@
     # The first journal is not closed, as in a process that is killed.
     second = Journal(tmp_path, LIMIT)
     assert list(second.entries) == ["a", "c"]
-    assert second.entries["a"].message == handed_in("a", body=bytes(range(256)), until=7)
+    assert second.entries["a"].message == sample_message("a", body=bytes(range(256)), until=7)
     risk = second.entries["a"].first_risky_attempt()
     assert risk is not None and (risk.started_us, risk.endpoint, risk.zone) == (6, "s", "y")
 
@@ -39,14 +39,14 @@
     tmp_path: Path, cut_bytes: int, caplog: pytest.LogCaptureFixture
 ) -> None:
     first = Journal(tmp_path, LIMIT)
-    first.record_accepted(handed_in("a"))
-    first.record_accepted(handed_in("b"))
+    first.record_accepted(sample_message("a"))
+    first.record_accepted(sample_message("b"))
     file = tmp_path / module.JOURNAL_FILE
     file.write_bytes(file.read_bytes()[:-cut_bytes])
     second = Journal(tmp_path, LIMIT)
     assert list(second.entries) == ["a"] and "dropped" in caplog.text
     # The next record begins on a new line.
-    second.record_accepted(handed_in("c"))
+    second.record_accepted(sample_message("c"))
     assert list(Journal(tmp_path, LIMIT).entries) == ["a", "c"]
 
 
@@ -55,20 +55,20 @@
 )
 def test_an_unreadable_record_does_not_affect_the_others(tmp_path: Path, text: bytes) -> None:
     first = Journal(tmp_path, LIMIT)
-    first.record_accepted(handed_in("a"))
+    first.record_accepted(sample_message("a"))
     with open(tmp_path / module.JOURNAL_FILE, "ab") as file:
         file.write(text)
-    first.record_accepted(handed_in("b"))
+    first.record_accepted(sample_message("b"))
     assert list(Journal(tmp_path, LIMIT).entries) == ["a", "b"]
 
 
 def test_compaction_drops_finished_messages(tmp_path: Path) -> None:
     journal = Journal(tmp_path, 400_000)
-    journal.record_accepted(handed_in("kept", body=b"k" * 100))
+    journal.record_accepted(sample_message("kept", body=b"k" * 100))
     journal.record_attempt("kept", 0, AttemptRecord(5, "r", "z"))
     journal.record_outcome("kept", 0, Outcome.FULL)
     for number in range(2000):
-        assert journal.record_accepted(handed_in(f"m{number}"))
+        assert journal.record_accepted(sample_message(f"m{number}"))
         journal.record_end(f"m{number}")
         assert disk_usage(tmp_path) <= 400_000
     replayed = Journal(tmp_path, 400_000).entries
@@ -89,7 +89,7 @@
 
     monkeypatch.setattr(module.os, "replace", measuring_replace)
     journal = Journal(tmp_path, limit)
-    accepted = [n for n in range(100) if journal.record_accepted(handed_in(f"m{n}", body=b"x" * 5000))]
+    accepted = [n for n in range(100) if journal.record_accepted(sample_message(f"m{n}", body=b"x" * 5000))]
     assert 5 < len(accepted) < 100
     for n in accepted:
         for number in range(6):
@@ -97,13 +97,13 @@
     assert not journal.compact()  # no message has finished: a rejected message must not cause a compaction
     for n in accepted[:-1]:
         journal.record_end(f"m{n}")
-    assert journal.record_accepted(handed_in("later", body=b"x" * 5000))
+    assert journal.record_accepted(sample_message("later", body=b"x" * 5000))
     assert journal.compact()
     assert 0 < max_usage <= limit and disk_usage(tmp_path) <= limit
 
 
 def test_the_incomplete_file_of_an_interrupted_compaction_is_removed(tmp_path: Path) -> None:
-    Journal(tmp_path, LIMIT).record_accepted(handed_in("a"))
+    Journal(tmp_path, LIMIT).record_accepted(sample_message("a"))
     (tmp_path / module.COMPACTED_FILE).write_bytes(b"half")
     assert list(Journal(tmp_path, LIMIT).entries) == ["a"]
     assert not (tmp_path / module.COMPACTED_FILE).exists()
@@ -113,9 +113,9 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     journal, write = Journal(tmp_path, LIMIT), module.os.write
-    journal.record_accepted(handed_in("a"))
+    journal.record_accepted(sample_message("a"))
     monkeypatch.setattr(module.os, "write", lambda file, data: write(file, data[:20]))
-    assert not journal.record_accepted(handed_in("b"))
+    assert not journal.record_accepted(sample_message("b"))
 
     def write_to_full_disk(file: int, data: bytes) -> int:
         raise OSError(28, "No space left on device")
@@ -123,5 +123,5 @@
     monkeypatch.setattr(module.os, "write", write_to_full_disk)
     assert not journal.record_attempt("a", 0, AttemptRecord(1, "r", "z"))
     monkeypatch.setattr(module.os, "write", write)
-    journal.record_accepted(handed_in("c"))
+    journal.record_accepted(sample_message("c"))
     assert list(Journal(tmp_path, LIMIT).entries) == ["a", "c"]
--- a/tests/test_journal_damage.py
+++ b/tests/test_journal_damage.py
@@ -8,7 +8,7 @@
 
 import pytest
 from click.testing import CliRunner
-from peers import handed_in
+from peers import sample_message
 from socket_faults import until
 
 from message_sender.cli.journal import journal as command
@@ -69,14 +69,14 @@
 async def burst(journal: DurableJournal, names: Iterable[str]) -> None:
     """Writes all messages in one group."""
     for name in names:
-        assert journal.record_accepted(handed_in(name, until=7))
+        assert journal.record_accepted(sample_message(name, until=7))
     await wait_until_durable(journal)
 
 
 async def one_by_one(journal: DurableJournal, names: Iterable[str]) -> None:
     """Writes one message after the other, each with an attempt; every second attempt has a known failure."""
     for number, name in enumerate(names):
-        assert journal.record_accepted(handed_in(name, until=7))
+        assert journal.record_accepted(sample_message(name, until=7))
         await wait_until_durable(journal)
         assert journal.record_attempt(name, 0, AttemptRecord(5, "r", "z"))
         await wait_until_durable(journal)
@@ -309,9 +309,9 @@
     async def play(journal: DurableJournal, names: Iterable[str]) -> None:
         await burst(journal, names)
         journal.record_attempt("a", 0, AttemptRecord(5, "r", "z"))
-        journal.record_accepted(handed_in("f", until=7))
+        journal.record_accepted(sample_message("f", until=7))
         journal.record_attempt("b", 0, AttemptRecord(6, "r", "z"))
-        journal.record_accepted(handed_in("g", until=7))
+        journal.record_accepted(sample_message("g", until=7))
 
     data = write_journal(folder, play)
     last_group = [
@@ -348,7 +348,7 @@
         answered.update(journal.entries)
         await wait_until_idle(journal)
         for name in ("f", "g", "h", "i"):
-            journal.record_accepted(handed_in(name, until=7))
+            journal.record_accepted(sample_message(name, until=7))
             journal.record_attempt(name, 0, AttemptRecord(5, "r", "z"))
         journal.release()
         return disk
--- a/tests/test_late_iterations.py
+++ b/tests/test_late_iterations.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 import pytest
-from peers import Request, Running, World, config_json, handed_in, host, play, tell
+from peers import Request, Running, World, config_json, host, run_async_test, sample_message, send_watch_line
 from socket_faults import turn, until
 from test_disconnects import Late
 
@@ -65,7 +65,7 @@
             "extras": (),
         }
         fields |= {"message_class": "c", "destination": 3, "tenant": "", "key": "", "idempotency_key": "i"}
-        self.engine.take(type(handed_in())(**fields | changes), caller)
+        self.engine.take(type(sample_message())(**fields | changes), caller)
         return caller
 
     async def start(self, **changes: Any) -> Request:  # noqa: ANN401
@@ -110,7 +110,7 @@
                 await test(Scenario(world))
 
         run.__name__, run.__doc__ = test.__name__, test.__doc__
-        return play(run)
+        return run_async_test(run)
 
     return wrap
 
@@ -172,10 +172,10 @@
         scenario.submit("n")
         hosts = () if whole else (host(scenario.world.receiver.dial, health="draining"),)
         if before:
-            tell(scenario.watch, 42, *hosts, whole=whole)
+            send_watch_line(scenario.watch, 42, *hosts, whole=whole)
             scenario.engine.run_iteration()
         else:
-            scenario.before_first_byte(lambda: tell(scenario.watch, 42, *hosts, whole=whole))
+            scenario.before_first_byte(lambda: send_watch_line(scenario.watch, 42, *hosts, whole=whole))
         await scenario.run_iterations()
         assert scenario.new_calls() == [] and "n" in scenario.engine.dispatcher.messages
 
@@ -352,7 +352,7 @@
     assert lag.count == 0 and lag.max_lag_s == 0.0
 
 
-@play
+@run_async_test
 async def test_stopped_sender_closes_its_epoll_descriptor(state: Path) -> None:
     async with World(state) as world:
         config = config_json(world.platform, host(world.receiver.dial))
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -10,7 +10,7 @@
 import pytest
 from peers import (
     READY,
-    Held,
+    HeldConnection,
     Peer,
     Platform,
     Reply,
@@ -21,10 +21,10 @@
     config_json,
     host,
     message,
-    play,
     read_reply,
-    soon,
-    tell,
+    run_async_test,
+    send_watch_line,
+    with_timeout,
 )
 from socket_faults import turn
 
@@ -49,7 +49,7 @@
         config = config_json(platform, host(receiver.dial), **kind) | {"management": "127.0.0.1:0"}
         world.receiver, world.platform, world.told = receiver, platform, config
         async with Running(config, state) as running:
-            world.running, world.sender, world.hand_in = running, running.sender, running.hand_in
+            world.running, world.sender, world.submit = running, running.sender, running.submit
             yield world, running.sender.management_server.address()
 
 
@@ -93,7 +93,7 @@
     )
 
 
-@play
+@run_async_test
 async def test_a_sender_replies_to_calls_and_rejects_bad_requests(tmp_path: Path) -> None:
     async with managed(tmp_path) as (world, address):
         assert (await call(address, "GET", "/healthcheck")).status == 200
@@ -117,7 +117,7 @@
         decode_config(config | {"management": "here"}, tmp_path)
 
 
-@play
+@run_async_test
 async def test_an_address_in_use_ends_the_start(tmp_path: Path) -> None:
     async with Peer() as other, Platform() as platform:
         with pytest.raises(OSError):
@@ -125,11 +125,11 @@
                 pass
 
 
-@play
+@run_async_test
 async def test_metrics_have_the_counts_of_the_tables(tmp_path: Path) -> None:
     async with managed(tmp_path) as (world, address):
         for name in ("m1", "m2", "m3"):
-            await world.hand_in(name)
+            await world.submit(name)
         first = await world.receiver.next()
         first.answer(200)
         (await world.receiver.next()).answer(410)
@@ -142,12 +142,12 @@
         assert metrics["cluster_size"] == 1 and metrics["cluster_unhealthy"] == 0
 
 
-@play
+@run_async_test
 async def test_a_returned_message_counts_as_deferred_once_the_platform_acknowledges_it(
     tmp_path: Path,
 ) -> None:
     async with managed(tmp_path) as (world, address):
-        await world.hand_in("m1", X_Time_Left="0.06")
+        await world.submit("m1", X_Time_Left="0.06")
         notice = await world.platform.next()
         while notice.target != "/v1/notices":
             notice = await world.platform.next()
@@ -161,20 +161,20 @@
         assert metrics[f"transactions.c.{kind}"] == 1 and metrics["current"] == 0
 
 
-@play
+@run_async_test
 async def test_an_endpoint_in_maintenance_gets_no_messages_whatever_the_list_says(tmp_path: Path) -> None:
     async with managed(tmp_path) as (world, address):
-        watch = await soon(world.platform.watches.get())
+        watch = await with_timeout(world.platform.watches.get())
         assert (await call(address, "POST", "/receivers/other/maint")).status == 404
         assert (await call(address, "POST", "/receivers/r/maint")).status == 200
         assert (await call(address, "POST", "/receivers/r/maint")).status == 200
         assert json.loads((tmp_path / "orders.json").read_text())["out"] == ["r"]
         assert parse_metrics(await call(address, "GET", "/stats"))["cluster_unhealthy"] == 1
-        tell(watch, 42, host(world.receiver.dial, health="gone"))
-        tell(watch, 43, host(world.receiver.dial))
+        send_watch_line(watch, 42, host(world.receiver.dial, health="gone"))
+        send_watch_line(watch, 43, host(world.receiver.dial))
         while world.sender.discovery.version != 43:
             await turn()
-        assert (await world.hand_in("m1")).status == 202
+        assert (await world.submit("m1")).status == 202
         await turn()
         assert not world.sender.engine.attempts.calls
         assert (await call(address, "POST", "/receivers/r/ready")).status == 200
@@ -184,14 +184,14 @@
         assert all(each.warm_up_gap(world.sender.engine.now()) > 0 for each in breakers)
 
 
-@play
+@run_async_test
 async def test_maintenance_survives_a_restart_but_not_an_unreadable_file(tmp_path: Path) -> None:
     async with managed(tmp_path) as (world, address):
         assert (await call(address, "POST", "/receivers/r/maint")).status == 200
         world.sender.stop(0)
         await world.running.task
         async with Running(world.told, tmp_path) as restarted:
-            await restarted.hand_in("m1")
+            await restarted.submit("m1")
             await turn()
             assert not restarted.sender.engine.attempts.calls
         (tmp_path / "orders.json").write_text('{"out": ["r"')
@@ -199,24 +199,24 @@
             assert (await world.receiver.next()).id == "m1"
 
 
-@play
+@run_async_test
 async def test_an_order_that_cannot_be_recorded_is_rejected_and_has_no_effect(tmp_path: Path) -> None:
     async with managed(tmp_path) as (world, address):
         (tmp_path / "orders.json.new").mkdir()
         assert (await call(address, "POST", "/receivers/r/maint")).status == 503
         assert (await call(address, "POST", "/healthcheck/fail")).status == 503
-        assert (await world.hand_in("m1")).status == 202
+        assert (await world.submit("m1")).status == 202
         assert (await world.receiver.next()).id == "m1"
         assert (await ask(world.running.address, READY)).status == 200
 
 
-@play
+@run_async_test
 async def test_draining_closes_connections_and_resuming_accepts_them(tmp_path: Path) -> None:
     async with managed(tmp_path) as (world, address):
         server = world.sender.server
-        kept = await Held.open(server, message("m1"))
+        kept = await HeldConnection.open(server, message("m1"))
         assert (await read_reply(kept.reader)).status == 202
-        silent = await Held.open(server)
+        silent = await HeldConnection.open(server)
         assert (await call(address, "POST", "/healthcheck/fail")).status == 200
         assert (await call(address, "POST", "/healthcheck/fail")).status == 200
         assert (await ask(world.running.address, READY)).status == 503
@@ -236,7 +236,7 @@
         assert not json.loads((tmp_path / "orders.json").read_text())["away"]
 
 
-@play
+@run_async_test
 async def test_draining_survives_a_restart(tmp_path: Path) -> None:
     async with managed(tmp_path) as (world, address):
         assert (await call(address, "POST", "/healthcheck/fail")).status == 200
@@ -261,7 +261,7 @@
         self.listener.close_expired()
 
 
-@play
+@run_async_test
 async def test_a_hundred_incomplete_requests_do_not_block_others(tmp_path: Path) -> None:
     listener = ManagementServer(lambda call: ManagementReply(200, "yes"))
     listener.listen("127.0.0.1", 0)
@@ -280,7 +280,7 @@
     listener.close()
 
 
-@play
+@run_async_test
 async def test_a_request_in_pieces_is_read_and_a_defect_gives_500(tmp_path: Path) -> None:
     calls: list[ManagementCall] = []
 
@@ -297,16 +297,19 @@
         writer.write(bytes([byte]))
         await turn()
     assert (await read_reply(reader)).status == 500
-    assert await soon(reader.read()) == b"" and calls == [ManagementCall(Operation.METRICS)]
+    assert await with_timeout(reader.read()) == b"" and calls == [ManagementCall(Operation.METRICS)]
     writer.close()
     listener.close()
 
 
-@play
+@run_async_test
 async def test_a_connection_storm_does_not_delay_a_call(tmp_path: Path) -> None:
     async with managed(tmp_path) as (world, address):
         server = world.sender.server
-        held = [await Held.open(server, message(f"s{number}")) for number in range(server.connection_limit)]
+        held = [
+            await HeldConnection.open(server, message(f"s{number}"))
+            for number in range(server.connection_limit)
+        ]
         assert (await call(address, "GET", "/stats")).status == 200
         assert len(server.connections) <= server.connection_limit + server.lingering
         for each in held:
--- a/tests/test_many_destinations.py
+++ b/tests/test_many_destinations.py
@@ -11,7 +11,7 @@
 from contextlib import AsyncExitStack
 from pathlib import Path
 
-from peers import play
+from peers import run_async_test
 
 from message_sender.configuration import general
 from message_sender.policy.model import Effect
@@ -71,7 +71,7 @@
             assert status == 202
 
 
-@play
+@run_async_test
 async def test_ten_thousand_destinations_keep_every_rule(state: Path) -> None:
     scenario = Scenario()
     async with AsyncExitStack() as stack:
--- a/tests/test_overrides.py
+++ b/tests/test_overrides.py
@@ -17,7 +17,7 @@
 from helpers import MS, SECOND, World, endpoint, sent
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from peers import play, soon
+from peers import run_async_test, with_timeout
 from socket_faults import until
 
 from message_sender.cli import main
@@ -239,7 +239,7 @@
     assert outliers.records["a"].ejections == 2
 
 
-@play
+@run_async_test
 async def test_sender_ejects_a_failing_endpoint_and_returns_it_to_service(state: Path) -> None:
     async with service(state, {"eject": {"failures": 2, "base_s": 0.5}}) as world:
         world.endpoints[0].script.rule = lambda message: ScriptedAnswer(EndpointBehavior.ERROR)
@@ -456,7 +456,7 @@
     assert (breaker.warm_up_gap(world.now) > 0) is (others == 0)
 
 
-@play
+@run_async_test
 async def test_override_that_ends_between_two_clock_readings_is_removed(state: Path) -> None:
     """Guards against a fault seen on a busy machine: an override that ended after the check for ended
     overrides and before the timer was set was never removed."""
@@ -501,7 +501,7 @@
     async def until(self, condition: Callable[[], bool]) -> None:
         while not condition():
             self.update_event.clear()
-            await soon(self.update_event.wait())
+            await with_timeout(self.update_event.wait())
 
     async def deliver(self, count: int = 10, tenant: str = "") -> Counter[str]:
         """Sends messages one after another, each until it ends; returns the calls served per endpoint."""
@@ -523,7 +523,7 @@
         client.close()
 
     async def request(self, **request: object) -> Any:  # noqa: ANN401
-        return await soon(asyncio.to_thread(send_request, self.folder, request))
+        return await with_timeout(asyncio.to_thread(send_request, self.folder, request))
 
     async def set(self, kind: str, name: str, seconds: float = 60, **more: object) -> dict[str, Any]:
         now = time.time_ns() // 1000
@@ -549,7 +549,7 @@
             yield running_service
 
 
-@play
+@run_async_test
 async def test_out_of_service_weight_and_pin_overrides_take_effect_and_end(state: Path) -> None:
     async with service(state) as world:
         assert set(await world.deliver()) == {"e0", "e1"}
@@ -576,7 +576,7 @@
         assert [each["did"] for each in lines] == ["set", "ended", "set", "set", "ended", "set"]
 
 
-@play
+@run_async_test
 async def test_endpoint_out_of_service_gets_no_new_calls_under_load(state: Path) -> None:
     async with service(state) as world:
         submissions = [asyncio.create_task(world.submit(25)) for _ in range(4)]
@@ -591,7 +591,7 @@
     assert [each for each in HistoryChecker(rules).check(world.history.events) if each.rule == "drains"] == []
 
 
-@play
+@run_async_test
 async def test_messages_are_held_while_all_endpoints_are_out_and_sent_after_expiry(state: Path) -> None:
     async with service(state) as world:
         await world.deliver()
@@ -607,7 +607,7 @@
         assert breaker.warm_up_gap(world.sender.engine.now()) > 0
 
 
-@play
+@run_async_test
 async def test_overrides_persist_over_a_restart_and_expire_while_no_sender_runs(state: Path) -> None:
     async with service(state) as world:
         lasting, short = await world.set("out", "e0"), await world.set("out", "e1", seconds=60)
@@ -638,21 +638,23 @@
         async with service(state) as world:
             reader, writer = await asyncio.open_unix_connection(str(state / "control"))
             writer.write(line)
-            reply = json.loads(await soon(reader.readline()))
+            reply = json.loads(await with_timeout(reader.readline()))
             assert not reply["ok"] and text in " ".join(reply["faults"])
             writer.close()
             assert sum((await world.deliver(1)).values()) == 1
 
-    play(test)(tmp_path)
+    run_async_test(test)(tmp_path)
 
 
-@play
+@run_async_test
 async def test_idle_control_connections_are_bounded_and_do_not_affect_delivery(state: Path) -> None:
     async with service(state) as world:
         connections = [
             await asyncio.open_unix_connection(str(state / "control")) for _ in range(CONNECTIONS_LIMIT + 50)
         ]
-        closed = [each for each in connections[CONNECTIONS_LIMIT:] if await soon(each[0].read()) == b""]
+        closed = [
+            each for each in connections[CONNECTIONS_LIMIT:] if await with_timeout(each[0].read()) == b""
+        ]
         assert len(closed) == 50 and sum((await world.deliver(3)).values()) == 3
         for _, writer in connections:
             writer.close()
@@ -688,10 +690,10 @@
     def failing(self: object, book: OverrideBook) -> None:
         raise OSError(28, "No space left on device")
 
-    play(test)(tmp_path)
+    run_async_test(test)(tmp_path)
 
 
-@play
+@run_async_test
 async def test_override_commands(state: Path) -> None:
     def run(*words: str) -> int:
         return main([*words, "--state", str(state)])
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 import pytest
-from peers import READY, Peer, Platform, ask, config_json, host, message, play, soon
+from peers import READY, Peer, Platform, ask, config_json, host, message, run_async_test, with_timeout
 
 from message_sender import start as start_module
 
@@ -57,7 +57,9 @@
     process = await start(config_values, state)
     try:
         assert process.stderr is not None
-        while not (match := re.search(rb"ready on (\S+):(\d+)", await soon(process.stderr.readline()))):
+        while not (
+            match := re.search(rb"ready on (\S+):(\d+)", await with_timeout(process.stderr.readline()))
+        ):
             assert process.returncode is None
         yield process, (match[1].decode(), int(match[2]))
     finally:
@@ -66,7 +68,7 @@
             await process.wait()
 
 
-@play
+@run_async_test
 async def test_accepted_messages_survive_sigkill(tmp_path: Path) -> None:
     state = tmp_path / "state"
     state.mkdir()
@@ -78,7 +80,7 @@
             (await receiver.next()).answer(200)
             await receiver.next()
             process.send_signal(signal.SIGKILL)
-            await soon(process.wait())
+            await with_timeout(process.wait())
         while not receiver.requests.empty():
             receiver.requests.get_nowait()
         async with running_process(config_values, state) as (process, address):
@@ -90,16 +92,16 @@
                 request.answer(200)
 
 
-@play
+@run_async_test
 async def test_sigterm_ends_the_process_with_exit_code_0(tmp_path: Path) -> None:
     state = tmp_path / "state"
     state.mkdir()
     async with Platform() as platform, running_process(config_json(platform), state) as (process, _):
         process.send_signal(signal.SIGTERM)
-        assert await soon(process.wait()) == 0
+        assert await with_timeout(process.wait()) == 0
 
 
-@play
+@run_async_test
 async def test_sighup_while_the_configuration_is_read_is_handled_later(tmp_path: Path) -> None:
     """Holds the process while it reads its configuration, by means of a pipe, and sends SIGHUP meanwhile.
 
@@ -118,7 +120,7 @@
         os.close(write)
         assert (await new.next()).target == "/registry/instances"
         process.send_signal(signal.SIGTERM)
-        assert await soon(process.wait()) == 0
+        assert await with_timeout(process.wait()) == 0
 
 
 async def run_in_thread(work: Callable[[], Any]) -> Any:  # noqa: ANN401
@@ -131,7 +133,7 @@
         loop.call_soon_threadsafe(done.set_result, result)
 
     threading.Thread(target=run, daemon=True).start()
-    return await soon(done)
+    return await with_timeout(done)
 
 
 SLOW_IMPORT = """
@@ -144,7 +146,7 @@
 """
 
 
-@play
+@run_async_test
 async def test_sighup_during_imports_does_not_end_the_process(tmp_path: Path) -> None:
     """A replacement of h11 that blocks while it is imported holds the start at that step."""
     state, library = tmp_path / "state", tmp_path / "library"
@@ -160,9 +162,9 @@
         await run_in_thread(Path(pipes["STEP"]).read_text)
         process.send_signal(signal.SIGHUP)
         await run_in_thread(lambda: Path(pipes["GO"]).write_text("go"))
-        assert (await soon(platform.watches.get())).target
+        assert (await with_timeout(platform.watches.get())).target
         process.send_signal(signal.SIGTERM)
-        assert await soon(process.wait()) == 0
+        assert await with_timeout(process.wait()) == 0
 
 
 def test_sighup_before_the_sender_serves_is_handled_once_it_does(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -181,7 +183,7 @@
     asyncio.run(test())
 
 
-@play
+@run_async_test
 async def test_discovery_is_reachable_while_idle_clients_take_every_descriptor(tmp_path: Path) -> None:
     """The process' descriptor limit equals its configured limit; discovery is down while clients connect."""
     state, sockets = tmp_path / "state", 96
@@ -194,14 +196,16 @@
         config.write_text(json.dumps(config_values))
         process = await launch(config, state, descriptor_limit=sockets)
         assert process.stderr is not None
-        while not (match := re.search(rb"ready on (\S+):(\d+)", await soon(process.stderr.readline()))):
+        while not (
+            match := re.search(rb"ready on (\S+):(\d+)", await with_timeout(process.stderr.readline()))
+        ):
             assert process.returncode is None
         address = match[1].decode(), int(match[2])
         idle = [await asyncio.open_connection(*address) for _ in range(2 * sockets)]
         assert (await ask(address, message("m1"))).status == 202
         (await receiver.next()).answer(200)
         back = await asyncio.start_server(platform.serve, *platform.address)
-        assert (await soon(platform.watches.get())).target
+        assert (await with_timeout(platform.watches.get())).target
         back.close()
         for _, writer in idle:
             writer.transport.abort()
@@ -229,32 +233,32 @@
         async with Platform() as platform:
             config_values = change if isinstance(change, str) else config_json(platform) | change
             process = await start(config_values, state)
-            _, text = await soon(process.communicate())
+            _, text = await with_timeout(process.communicate())
             assert process.returncode == 1
             assert len(text.splitlines()) == 1 and expected in text.decode()
 
-    play(test)(tmp_path)
+    run_async_test(test)(tmp_path)
 
 
-@play
+@run_async_test
 async def test_missing_state_folder_is_reported_in_one_line(tmp_path: Path) -> None:
     async with Platform() as platform:
         process = await start(config_json(platform), tmp_path / "nowhere")
-        _, text = await soon(process.communicate())
+        _, text = await with_timeout(process.communicate())
         assert process.returncode == 1 and len(text.splitlines()) == 1 and b"nowhere" in text
 
 
-@play
+@run_async_test
 async def test_sighup_moves_discovery_and_an_invalid_file_changes_nothing(tmp_path: Path) -> None:
     state = tmp_path / "state"
     state.mkdir()
     async with Peer() as receiver, Platform() as old, Platform() as new:
         config_values = config_json(old, host(receiver.dial))
         async with running_process(config_values, state) as (process, address):
-            await soon(old.watches.get())
+            await with_timeout(old.watches.get())
             (tmp_path / "config.json").write_text("{")
             process.send_signal(signal.SIGHUP)
-            while b"configuration not reloaded: reason=" not in await soon(process.stderr.readline()):
+            while b"configuration not reloaded: reason=" not in await with_timeout(process.stderr.readline()):
                 assert process.returncode is None
             (tmp_path / "config.json").write_text(json.dumps(config_json(new, host(receiver.dial))))
             process.send_signal(signal.SIGHUP)
--- a/tests/test_race_conditions.py
+++ b/tests/test_race_conditions.py
@@ -16,7 +16,17 @@
 from typing import Any
 
 import pytest
-from peers import Request, Running, World, answer_notices, host, message, play, soon, tell
+from peers import (
+    Request,
+    Running,
+    World,
+    answer_notices,
+    host,
+    message,
+    run_async_test,
+    send_watch_line,
+    with_timeout,
+)
 from socket_faults import turn, until
 from test_connection_states import Client
 
@@ -114,7 +124,7 @@
     async def dialling(self) -> None:
         """The sender connects to the receiver."""
         await self.submit()
-        await soon(self.dialled.wait())
+        await with_timeout(self.dialled.wait())
 
     async def written(self) -> None:
         """The request has arrived at the receiver."""
@@ -184,7 +194,7 @@
 
     def list_lost(self) -> None:
         for each in self.world.platform.watched:
-            each.break_off()
+            each.abort()
 
     def operators_drain(self) -> None:
         self.sender.operator_commands.apply_change("r", self.sender.maintenance.take_out_of_service("r"))
@@ -274,7 +284,7 @@
         """Ends the process, and starts another on its state folder."""
         if not self.killed:
             self.sender.stop(0)
-        await soon(self.running.task)
+        await with_timeout(self.running.task)
         assert self.engine.defect == ""
         config = self.world.told | {"known": {"seq": 50, "whole": True, "hosts": self.hosts()}}
         async with Running(config, self.world.state) as restarted:
@@ -392,7 +402,7 @@
 
     async def test(state: Path) -> None:
         async with World(state, semantics=effect) as world:
-            tell(await soon(world.platform.watches.get()), 42, host(world.receiver.dial))
+            send_watch_line(await with_timeout(world.platform.watches.get()), 42, host(world.receiver.dial))
             crossing = Crossing(world)
             crossings.append(crossing)
             crossing.step = step
@@ -407,4 +417,4 @@
             if crossing.killed or crossing.stopping:
                 world.running.task = asyncio.create_task(asyncio.sleep(0, 0))
 
-    play(test)(tmp_path)
+    run_async_test(test)(tmp_path)
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -10,7 +10,7 @@
 from captures import MS, T0, CaptureBuilder, answer, read, request, summarize
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from peers import World, message, play, read_reply, soon
+from peers import World, message, read_reply, run_async_test, with_timeout
 from socket_faults import turn, until
 
 from message_sender.cli import main
@@ -230,7 +230,7 @@
     assert capsys.readouterr().err.startswith("message-sender: nothing more is captured: ")
 
 
-@play
+@run_async_test
 async def test_traffic_with_clients_and_endpoints_is_captured(state: Path) -> None:
     (state / "s").mkdir()
     async with World(state / "s") as world:
@@ -317,7 +317,7 @@
         path = tmp_path / "one.pcap"
         path.write_bytes(capture_of(0, 1, 2).file.getvalue())
         arguments = ("replay", str(path), "--to", f"127.0.0.1:{port}", "--new-ids")
-        return await soon(asyncio.to_thread(run_command, capsys, *arguments))
+        return await with_timeout(asyncio.to_thread(run_command, capsys, *arguments))
 
     code, out = asyncio.run(test())
     assert code == 0 and "sent 3" in out and re.search(r"200 3", out)
--- a/tests/test_sender.py
+++ b/tests/test_sender.py
@@ -5,7 +5,20 @@
 from pathlib import Path
 
 import pytest
-from peers import KEYED, PATIENCE, READY, Running, World, ask, host, message, play, read_reply, soon, tell
+from peers import (
+    KEYED,
+    READY,
+    TIMEOUT_S,
+    Running,
+    World,
+    ask,
+    host,
+    message,
+    read_reply,
+    run_async_test,
+    send_watch_line,
+    with_timeout,
+)
 from socket_faults import turn as loop_turn
 
 from message_sender.core.restoration import Restoration
@@ -33,20 +46,20 @@
     return list(journal.entries)
 
 
-@play
+@run_async_test
 async def test_message_is_accepted_sent_and_completed(state: Path) -> None:
     async with World(state) as world:
-        assert (await world.hand_in("m1")).status == 202
+        assert (await world.submit("m1")).status == 202
         request = await world.receiver.next()
         assert request.id == "m1" and journalled_ids(state) == ["m1"]
-        assert (await world.hand_in("m1")).status == 202  # a repeated submission is not a second message
+        assert (await world.submit("m1")).status == 202  # a repeated submission is not a second message
         request.answer(200)
         while world.sender.engine.journal.entries:
             await loop_turn()
         assert journalled_ids(state) == [] and world.receiver.requests.empty()
 
 
-@play
+@run_async_test
 async def test_message_is_journalled_before_its_202_and_each_attempt_before_its_call(state: Path) -> None:
     steps: list[str] = []
     async with World(state) as world:
@@ -60,43 +73,43 @@
             server_module.ServerConnection.answer = lambda *args, **kwargs: (
                 steps.append("answer") or answer(*args, **kwargs)
             )
-            assert (await world.hand_in("m1")).status == 202
+            assert (await world.submit("m1")).status == 202
             await world.receiver.next()
         finally:
             server_module.ServerConnection.answer = answer
     assert steps == ["taken", "answer", "sent", "call"]
 
 
-@play
+@run_async_test
 async def test_rejected_message_is_answered_at_once_with_a_retry_after(state: Path) -> None:
     async with World(state) as world:
-        reply = await world.hand_in("late", X_Time_Left="0")
+        reply = await world.submit("late", X_Time_Left="0")
         assert reply.status == 429 and float(reply.headers["retry-after"]) > 0
         assert journalled_ids(state) == [] and world.platform.requests.empty()
 
 
-@play
+@run_async_test
 async def test_messages_beyond_the_configured_limit_are_rejected(state: Path) -> None:
     async with World(state) as world:
         world.sender.engine.arrivals.max_messages = 1
-        assert (await world.hand_in("m1")).status == 202
-        reply = await world.hand_in("m2")
+        assert (await world.submit("m1")).status == 202
+        reply = await world.submit("m2")
         assert reply.status == 503 and float(reply.headers["retry-after"]) > 0
 
 
-@play
+@run_async_test
 async def test_message_is_rejected_and_not_sent_when_the_journal_is_full(state: Path) -> None:
     async with World(state) as world:
         world.sender.engine.journal.limit_bytes = 0
-        reply = await world.hand_in("m1")
+        reply = await world.submit("m1")
         assert reply.status == 503 and float(reply.headers["retry-after"]) > 0
         world.sender.engine.journal.limit_bytes = 3_000_000
-        assert (await world.hand_in("m2")).status == 202
+        assert (await world.submit("m2")).status == 202
         assert (await world.receiver.next()).id == "m2"
         assert journalled_ids(state) == ["m2"] and list(world.sender.engine.dispatcher.messages) == ["m2"]
 
 
-@play
+@run_async_test
 async def test_client_that_closes_before_its_answer_withdraws_its_message(state: Path) -> None:
     async with World(state) as world:
         run_iteration, closed = world.sender.engine.run_iteration, asyncio.Event()
@@ -112,15 +125,15 @@
         closed.set()
         world.sender.engine.run_iteration = run_iteration
         run_iteration()
-        assert (await world.hand_in("m2")).status == 202
+        assert (await world.submit("m2")).status == 202
         assert (await world.receiver.next()).id == "m2"
         assert journalled_ids(state) == ["m2"]
 
 
-@play
+@run_async_test
 async def test_completion_is_journalled_when_its_notice_is_answered(state: Path) -> None:
     async with World(state) as world:
-        assert (await world.hand_in("m1", **WITHOUT_ENDPOINT, **SHORT_DEADLINE)).status == 202
+        assert (await world.submit("m1", **WITHOUT_ENDPOINT, **SHORT_DEADLINE)).status == 202
         notice = await world.platform.next()
         content = json.loads(notice.body)
         assert (content["id"], content["state"]) == ("m1", "returned") and content["after_ms"] > 0
@@ -131,28 +144,28 @@
         assert journalled_ids(state) == []
 
 
-@play
+@run_async_test
 async def test_next_message_of_a_key_waits_for_the_answer_to_the_notice_of_the_previous_one(
     state: Path,
 ) -> None:
     async with World(state, **KEYED) as world:
-        await world.hand_in("m1", X_Session_Key="k", **WITHOUT_ENDPOINT, **SHORT_DEADLINE)
-        await world.hand_in("m2", X_Session_Key="k")
+        await world.submit("m1", X_Session_Key="k", **WITHOUT_ENDPOINT, **SHORT_DEADLINE)
+        await world.submit("m2", X_Session_Key="k")
         notice = await world.platform.next()
-        await world.hand_in("other", X_Session_Key="l")
+        await world.submit("other", X_Session_Key="l")
         assert (await world.receiver.next()).id == "other" and world.receiver.requests.empty()
         notice.answer(204)
         assert (await world.receiver.next()).id == "m2"
 
 
-@play
+@run_async_test
 async def test_retry_after_is_observed_for_all_messages_of_the_destination(state: Path) -> None:
     async with World(state) as world:
-        await world.hand_in("m1")
+        await world.submit("m1")
         (await world.receiver.next()).answer(429, "Retry-After: 3600")
         while world.sender.engine.attempts.calls:
             await loop_turn()
-        await world.hand_in("m2", **SHORT_DEADLINE)
+        await world.submit("m2", **SHORT_DEADLINE)
         # m2 reaches its deadline without a call, and m1 still waits.
         assert json.loads((await world.platform.next()).body)["id"] == "m2"
         assert world.receiver.requests.empty() and list(world.sender.engine.dispatcher.messages) == ["m1"]
@@ -164,23 +177,23 @@
 
     async def test(state: Path) -> None:
         async with World(state, mode=mode) as world:
-            watch = await soon(world.platform.watches.get())
-            await world.hand_in("m1")
+            watch = await with_timeout(world.platform.watches.get())
+            await world.submit("m1")
             (await world.receiver.next()).answer(200)
-            tell(watch, 42, host(world.receiver.dial, health="draining"))
+            send_watch_line(watch, 42, host(world.receiver.dial, health="draining"))
             while world.sender.engine.dispatcher.endpoints:
                 await loop_turn()
-            await world.hand_in("m2", **SHORT_DEADLINE)
+            await world.submit("m2", **SHORT_DEADLINE)
             assert json.loads((await world.platform.next()).body)["id"] == "m2"
             assert world.receiver.requests.empty()
 
-    play(test)(tmp_path)
+    run_async_test(test)(tmp_path)
 
 
-@play
+@run_async_test
 async def test_drain_reported_while_a_call_connects_stops_the_call(state: Path) -> None:
     async with World(state) as world:
-        watch, client = await soon(world.platform.watches.get()), world.sender.transport
+        watch, client = await with_timeout(world.platform.watches.get()), world.sender.transport
         connecting, may_connect, connect = asyncio.Event(), asyncio.Event(), client.connect
 
         async def delayed_connect(address: tuple[str, int]) -> object:
@@ -189,9 +202,9 @@
             return await connect(address)
 
         client.connect = delayed_connect
-        await world.hand_in("m1", X_Time_Left="1")
-        await soon(connecting.wait())
-        tell(watch, 42, host(world.receiver.dial, health="gone"))
+        await world.submit("m1", X_Time_Left="1")
+        await with_timeout(connecting.wait())
+        send_watch_line(watch, 42, host(world.receiver.dial, health="gone"))
         while world.sender.engine.dispatcher.endpoints:
             await loop_turn()
         may_connect.set()
@@ -199,21 +212,21 @@
         assert world.receiver.requests.empty()
 
 
-@play
+@run_async_test
 async def test_watch_is_resumed_after_its_connection_closed(state: Path) -> None:
     async with World(state) as world:
-        watch = await soon(world.platform.watches.get())
-        tell(watch, 57, host(world.receiver.dial))
+        watch = await with_timeout(world.platform.watches.get())
+        send_watch_line(watch, 57, host(world.receiver.dial))
         await loop_turn()
         watch.writer.close()
-        assert (await soon(world.platform.watches.get())).target.endswith("after=57")
+        assert (await with_timeout(world.platform.watches.get())).target.endswith("after=57")
 
 
-@play
+@run_async_test
 async def test_accepted_messages_continue_in_order_after_a_restart(state: Path) -> None:
     async with World(state, **KEYED) as world:
-        await world.hand_in("m1", X_Session_Key="k")
-        await world.hand_in("m2", X_Session_Key="k")
+        await world.submit("m1", X_Session_Key="k")
+        await world.submit("m2", X_Session_Key="k")
         first = await world.receiver.next()
         world.sender.stop(0)
         await world.running.task
@@ -234,10 +247,10 @@
             assert float(second.headers["x-time-left"]) < 8
 
 
-@play
+@run_async_test
 async def test_unsafe_message_in_flight_is_completed_as_failed_after_a_restart(state: Path) -> None:
     async with World(state, semantics="once") as world:
-        await world.hand_in("m1")
+        await world.submit("m1")
         await world.receiver.next()
         world.sender.stop(0)
         await world.running.task
@@ -248,10 +261,10 @@
         assert world.receiver.requests.empty()
 
 
-@play
+@run_async_test
 async def test_message_past_its_deadline_is_completed_after_a_restart(state: Path) -> None:
     async with World(state) as world:
-        await world.hand_in("m1", **WITHOUT_ENDPOINT)
+        await world.submit("m1", **WITHOUT_ENDPOINT)
         world.sender.stop(0)
         await world.running.task
         file = state / "journal"
@@ -264,17 +277,17 @@
             notice.answer(204)
 
 
-@play
+@run_async_test
 async def test_sigterm_finishes_calls_and_accepts_messages_during_the_grace_period(state: Path) -> None:
     async with World(state) as world:
-        await world.hand_in("m1")
+        await world.submit("m1")
         request = await world.receiver.next()
         reader, writer = await asyncio.open_connection(*world.running.address)
         world.sender.terminate()
         writer.write(message("m2"))
         reply = await read_reply(reader)
         assert reply.status == 202 and reply.headers["connection"] == "close"
-        assert await soon(reader.read()) == b""
+        assert await with_timeout(reader.read()) == b""
         assert (await ask(world.running.address, READY)).status == 503
         world.sender.drain.terminated_at_s -= GRACE_S  # the grace period is over
         world.sender.end_drain_grace()
@@ -283,22 +296,22 @@
         assert not world.sender.engine.stopped.done()
         request.answer(200)
         (await world.receiver.next()).answer(200)
-        assert await asyncio.wait_for(world.running.task, PATIENCE) == 0
+        assert await asyncio.wait_for(world.running.task, TIMEOUT_S) == 0
         assert journalled_ids(state) == []
 
 
-@play
+@run_async_test
 async def test_stopping_sender_starts_no_call_that_may_not_finish(state: Path) -> None:
     async with World(state) as world:
         world.sender.engine.dispatcher.stops_at = world.sender.engine.now() + 1000
-        await world.hand_in("m1")
-        await world.hand_in("m2")
+        await world.submit("m1")
+        await world.submit("m2")
         world.sender.stop(0)
         await world.running.task
         assert world.receiver.requests.empty() and journalled_ids(state) == ["m1", "m2"]
 
 
-@play
+@run_async_test
 async def test_unexpected_error_ends_the_process_with_exit_code_1(state: Path) -> None:
     async with World(state) as world:
 
@@ -306,8 +319,8 @@
             raise RuntimeError("an unexpected error")
 
         world.sender.transport.call = broken
-        await world.hand_in("m1")
-        assert await soon(world.running.task) == 1
+        await world.submit("m1")
+        assert await with_timeout(world.running.task) == 1
         world.running.task = asyncio.create_task(asyncio.sleep(0, 0))
     assert journalled_ids(state) == ["m1"]
 
@@ -317,7 +330,7 @@
 
     async def test(state: Path) -> None:
         async with World(state) as world:
-            await world.hand_in("m1", **WITHOUT_ENDPOINT)
+            await world.submit("m1", **WITHOUT_ENDPOINT)
             journal = world.sender.engine.journal
             for number, outcome in enumerate((Outcome.FULL, Outcome.ERROR, Outcome.RESET)):
                 journal.record_attempt("m1", number, AttemptRecord(1000 + number, "r", f"z{number}"))
@@ -331,17 +344,17 @@
             restored = restoration.restored(restarted.journal.entries["m1"])
             assert (restored.attempts, restored.uncertain_since, restored.uncertain_zone) == (3, 1001, "z1")
 
-    play(test)(tmp_path)
+    run_async_test(test)(tmp_path)
 
 
-@play
+@run_async_test
 async def test_message_delivered_by_an_earlier_process_is_not_sent_again(state: Path) -> None:
     """The process ended between the record of the outcome and that of the completion.
 
     Guards against a restart after which an unsafe message failed, and any other message was sent again.
     """
     async with World(state) as world:
-        await world.hand_in("m1", **WITHOUT_ENDPOINT)
+        await world.submit("m1", **WITHOUT_ENDPOINT)
         journal = world.sender.engine.journal
         journal.record_attempt("m1", 0, AttemptRecord(1000, "r", "z"))
         journal.record_outcome("m1", 0, Outcome.OK)
@@ -349,32 +362,32 @@
         await world.running.task
         async with Running(world.told, state) as restarted:
             assert not restarted.sender.engine.journal.entries
-            assert (await restarted.hand_in("m2")).status == 202
+            assert (await restarted.submit("m2")).status == 202
             assert (await world.receiver.next()).id == "m2"
             assert not restarted.sender.discovery.notices
 
 
-@play
+@run_async_test
 async def test_repeated_submission_of_a_completed_message_is_not_a_new_message(state: Path) -> None:
     """Guards against a second effect when a client repeats a submission, as after a lost answer."""
     async with World(state) as world:
-        await world.hand_in("m1")
+        await world.submit("m1")
         (await world.receiver.next()).answer(200)
         while world.sender.engine.journal.entries:
             await loop_turn()
-        assert (await world.hand_in("m1")).status == 202
-        await world.hand_in("m2")
+        assert (await world.submit("m1")).status == 202
+        await world.submit("m2")
         assert (await world.receiver.next()).id == "m2" and world.receiver.requests.empty()
 
 
-@play
+@run_async_test
 async def test_destination_without_endpoints_is_not_unknown(state: Path) -> None:
     async with World(state) as world:
-        assert (await world.hand_in("m1", X_Route_To="dest=8")).status == 404
-        assert (await world.hand_in("m2", **WITHOUT_ENDPOINT)).status == 202
+        assert (await world.submit("m1", X_Route_To="dest=8")).status == 404
+        assert (await world.submit("m2", **WITHOUT_ENDPOINT)).status == 202
 
 
-@play
+@run_async_test
 async def test_new_wake_timer_cancels_the_previous_one(state: Path) -> None:
     """Guards against timers that pile up: the policy requests ever earlier times and cancels none."""
     async with World(state) as world:
@@ -408,21 +421,21 @@
 
     async def test(state: Path) -> None:
         async with World(state, **KEYED) as world:
-            await world.hand_in("m1", X_Session_Key="other")
+            await world.submit("m1", X_Session_Key="other")
             request = await world.receiver.next()
             if is_completed:
                 request.answer(200)
                 while world.sender.engine.journal.entries:
                     await loop_turn()
-            reply = await world.hand_in("m1", X_Session_Key="k")
+            reply = await world.submit("m1", X_Session_Key="k")
             assert reply.status == 503 and float(reply.headers["retry-after"]) > 0
-            assert (await world.hand_in("m1", X_Session_Key="other")).status == 202
+            assert (await world.submit("m1", X_Session_Key="other")).status == 202
 
-    play(test)(tmp_path)
+    run_async_test(test)(tmp_path)
 
 
-@play
+@run_async_test
 async def test_two_messages_with_one_id_in_one_iteration_are_one_message(state: Path) -> None:
     async with World(state) as world:
-        replies = await asyncio.gather(*(world.hand_in("m1", body) for body in (b"x", b"y")))
+        replies = await asyncio.gather(*(world.submit("m1", body) for body in (b"x", b"y")))
         assert sorted(each.status for each in replies) == [202, 503]
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 import pytest
-from peers import READY, Held, Reply, ask, message, play, read_reply, soon
+from peers import READY, HeldConnection, Reply, ask, message, read_reply, run_async_test, with_timeout
 from socket_faults import turn
 
 from message_sender.http.connection_state import IDLE_TIMEOUT_S, LINGER_TIMEOUT_S, READ_TIMEOUT_S
@@ -40,7 +40,7 @@
     return await ask(server.address(), data)
 
 
-@play
+@run_async_test
 async def test_a_request_is_parsed_into_a_message_with_all_its_fields(_: Path) -> None:
     async with serving() as (server, taken):
         body = bytes(range(256)) * 256
@@ -92,10 +92,10 @@
             assert [each.id for each in taken] == ["fine"]
         assert errors == []
 
-    play(test)(Path())
+    run_async_test(test)(Path())
 
 
-@play
+@run_async_test
 async def test_a_long_chunked_body_is_cut_off(_: Path) -> None:
     async with serving() as (server, taken):
         head = message("m").replace(b"Content-Length: 1", b"Transfer-Encoding: chunked")
@@ -104,7 +104,7 @@
         assert (await raw(server, head + b"\r\n\r\n" + chunk * 3)).status == 413 and taken == []
 
 
-@play
+@run_async_test
 async def test_requests_follow_each_other_on_one_connection_even_pipelined(_: Path) -> None:
     async with serving() as (server, taken):
         reader, writer = await asyncio.open_connection(*server.address())
@@ -116,7 +116,7 @@
         writer.close()
 
 
-@play
+@run_async_test
 async def test_time_left_counts_from_the_first_byte(_: Path) -> None:
     async with serving() as (server, taken):
         reader, writer = await asyncio.open_connection(*server.address())
@@ -131,16 +131,16 @@
         writer.close()
 
 
-@play
+@run_async_test
 async def test_silent_and_idle_connections_are_closed_for_clients_with_requests(_: Path) -> None:
     """Guards normal clients against others that open hundreds of connections and send nothing."""
     async with serving(connection_limit=3) as (server, taken):
-        normal = await Held.open(server, message("a"))
+        normal = await HeldConnection.open(server, message("a"))
         assert (await read_reply(normal.reader)).status == 202
-        silent = [await Held.open(server) for _ in range(2)]
+        silent = [await HeldConnection.open(server) for _ in range(2)]
         assert (await raw(server, message("b"))).status == 202
         assert await silent[0].ended() == b""
-        late = [await Held.open(server) for _ in range(20)]
+        late = [await HeldConnection.open(server) for _ in range(20)]
         normal.writer.write(message("c"))
         assert (await read_reply(normal.reader)).status == 202
         assert [each.id for each in taken] == ["a", "b", "c"]
@@ -149,15 +149,15 @@
             each.writer.close()
 
 
-@play
+@run_async_test
 async def test_many_health_check_clients_displace_each_other_and_no_new_connection(_: Path) -> None:
     """Guards against a past incident: at the connection limit, each new connection was closed before its
     request arrived."""
     async with serving(connection_limit=4) as (server, _taken):
-        normal = await Held.open(server, message("a"))
+        normal = await HeldConnection.open(server, message("a"))
         assert (await read_reply(normal.reader)).status == 202
-        fresh = await Held.open(server)
-        crowd = [await Held.open(server, READY) for _ in range(8)]
+        fresh = await HeldConnection.open(server)
+        crowd = [await HeldConnection.open(server, READY) for _ in range(8)]
         for each in crowd[-2:]:
             assert (await read_reply(each.reader)).status == 200
         for held, name in ((fresh, "b"), (normal, "c")):
@@ -168,16 +168,16 @@
             each.writer.close()
 
 
-@play
+@run_async_test
 async def test_a_new_connection_is_not_closed_in_favour_of_idle_ones(_: Path) -> None:
     """Guards against a past incident: with the limit reached by idle connections, each new one was closed
     before its request arrived, and its client kept reconnecting."""
     async with serving(connection_limit=4) as (server, taken):
-        kept = [await Held.open(server, message(name)) for name in "abcd"]
+        kept = [await HeldConnection.open(server, message(name)) for name in "abcd"]
         for each in kept:
             assert (await read_reply(each.reader)).status == 202
-        fresh = await Held.open(server)
-        late = await Held.open(server, message("e"))
+        fresh = await HeldConnection.open(server)
+        late = await HeldConnection.open(server, message("e"))
         assert (await read_reply(late.reader)).status == 202
         fresh.writer.write(message("f"))
         assert (await read_reply(fresh.reader)).status == 202
@@ -186,22 +186,22 @@
             each.writer.close()
 
 
-@play
+@run_async_test
 async def test_with_every_connection_in_use_a_further_one_is_rejected(_: Path) -> None:
     async with serving(connection_limit=1) as (server, _taken):
-        half = await Held.open(server, message("a")[:30])
+        half = await HeldConnection.open(server, message("a")[:30])
         while server.table.silent or not server.connections:
             await turn()
         assert (await raw(server, b"")).status == 503
         server.lingering = -1
-        assert await (await Held.open(server, b"x")).ended() == b""
+        assert await (await HeldConnection.open(server, b"x")).ended() == b""
         half.writer.close()
 
 
-@play
+@run_async_test
 async def test_a_shortage_of_descriptors_stops_accepting_only_briefly(_: Path) -> None:
     async with serving() as (server, _taken):
-        idle = await Held.open(server, message("a"))
+        idle = await HeldConnection.open(server, message("a"))
         assert (await read_reply(idle.reader)).status == 202
         assert server.listener is not None
         listener, tries = server.listener, iter([OSError(errno.EMFILE, "none left")])
@@ -222,13 +222,13 @@
         assert await idle.ended() == b""  # the unused connection was closed to free a descriptor
 
 
-@play
+@run_async_test
 async def test_connections_with_unfinished_requests_or_without_requests_are_closed(_: Path) -> None:
     """The time limit of a request that arrives in small pieces counts from connecting, not each piece."""
     async with serving() as (server, _taken):
-        half = await Held.open(server, message("m")[:30])
-        silent = await Held.open(server)
-        idle = await Held.open(server, message("i"))
+        half = await HeldConnection.open(server, message("m")[:30])
+        silent = await HeldConnection.open(server)
+        idle = await HeldConnection.open(server, message("i"))
         assert (await read_reply(idle.reader)).status == 202
         while len(server.table.silent) != 1 or len(server.connections) != 3:
             await turn()
@@ -251,10 +251,10 @@
             each.writer.close()
 
 
-@play
+@run_async_test
 async def test_bytes_after_a_rejected_head_are_dropped_and_the_client_can_read_the_response(_: Path) -> None:
     async with serving() as (server, taken):
-        held = await Held.open(server, message("m", b"x" * 65537) + b"x" * 8_000_000)
+        held = await HeldConnection.open(server, message("m", b"x" * 65537) + b"x" * 8_000_000)
         assert (await read_reply(held.reader)).status == 413
         (connection,) = server.connections
         while connection.transport.is_reading():
@@ -267,24 +267,24 @@
         held.writer.close()
 
 
-@play
+@run_async_test
 async def test_a_request_with_two_body_lengths_cannot_smuggle_a_second_request(_: Path) -> None:
     hidden = message("hidden")
     head = message("m", hidden).replace(b"Host", b"Transfer-Encoding: chunked\r\nHost")
     chunked = head.partition(b"\r\n\r\n")[0] + b"\r\n\r\n0\r\n\r\n" + hidden
     async with serving() as (server, taken):
         for data in (head, chunked):
-            held = await Held.open(server, data)
+            held = await HeldConnection.open(server, data)
             assert (await read_reply(held.reader)).status == 400
             assert await held.ended() == b"" and taken == []
             held.writer.close()
 
 
-@play
+@run_async_test
 async def test_reading_pauses_while_many_pipelined_requests_wait_for_a_response(_: Path) -> None:
     async with serving() as (server, _taken):
         server.submit = lambda *_: None  # the answer is still pending
-        held = await Held.open(server, message("m"))
+        held = await HeldConnection.open(server, message("m"))
         while not any(each.is_answering for each in server.connections):
             await turn()
         (connection,) = server.connections
@@ -299,14 +299,14 @@
         held.writer.close()
 
 
-@play
+@run_async_test
 async def test_a_flood_is_read_for_a_limited_time_per_iteration_and_proven_clients_first(_: Path) -> None:
     """Guards against a loop so busy with bad requests that it ignored a receiver's Retry-After."""
     async with serving(connection_limit=40) as (server, taken):
-        normal = await Held.open(server, message("a"))
+        normal = await HeldConnection.open(server, message("a"))
         assert (await read_reply(normal.reader)).status == 202
         read_available, server.read_queue.run = server.read_queue.run, lambda: None  # type: ignore[method-assign]
-        flood = [await Held.open(server, message(f"m{each}")) for each in range(10)]
+        flood = [await HeldConnection.open(server, message(f"m{each}")) for each in range(10)]
         normal.writer.write(message("b"))
         while len(server.read_queue) < 11:
             await turn()
@@ -321,7 +321,7 @@
         normal.writer.close()
 
 
-@play
+@run_async_test
 async def test_a_message_for_a_destination_that_was_never_listed_is_rejected(_: Path) -> None:
     async with serving() as (server, taken):
         server.knows_destination = lambda destination: destination == 3
@@ -330,16 +330,16 @@
         assert [each.destination for each in taken] == [3]
 
 
-@play
+@run_async_test
 async def test_an_unexpected_exception_ends_only_its_own_connection(_: Path) -> None:
     async with serving() as (server, _taken):
         take, server.submit = server.submit, None  # type: ignore[assignment]
-        assert await (await Held.open(server, message("m"))).ended() == b""
+        assert await (await HeldConnection.open(server, message("m"))).ended() == b""
         server.submit = take
         assert (await raw(server, message("m"))).status == 202
 
 
-@play
+@run_async_test
 async def test_a_stopping_server_answers_and_closes(_: Path) -> None:
     async with serving() as (server, taken):
         assert (await raw(server, READY)).status == 200
@@ -351,5 +351,5 @@
         writer.write(message("b"))
         reply = await read_reply(reader)
         assert reply.status == 202 and reply.headers["connection"] == "close"
-        assert await soon(reader.read()) == b"" and len(taken) == 2
+        assert await with_timeout(reader.read()) == b"" and len(taken) == 2
         writer.close()
--- a/tests/test_socket_faults.py
+++ b/tests/test_socket_faults.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 
 import pytest
-from peers import PATIENCE, Held, World, message, read_reply, soon
+from peers import TIMEOUT_S, HeldConnection, World, message, read_reply, with_timeout
 from socket_faults import Faults, faulty, turn, until
 
 from message_sender.core.ports import AttemptResult
@@ -93,7 +93,7 @@
         self.sender.engine.post(WakeUp())
         await until(lambda: not self.sender.engine.inbox)
 
-    async def deliver(self, client_connection: Held, message_id: str) -> int:
+    async def deliver(self, client_connection: HeldConnection, message_id: str) -> int:
         """Submits a message on an open connection and answers all calls; returns the number of its calls."""
         client_connection.writer.write(message(message_id))
         assert (await read_reply(client_connection.reader)).status == 202
@@ -122,18 +122,18 @@
         assert self.faults.fault_count == 1, "the scenario did not reach this call: the case shows nothing"
         assert not self.sender.engine.defect and not self.sender.engine.stopped.done()
         assert await self.deliver(self.bystander, "after") == 1
-        second_client = await Held.open(self.sender.server)
+        second_client = await HeldConnection.open(self.sender.server)
         assert await self.deliver(second_client, "fresh") == 1
         second_client.writer.close()
         assert self.bystander.reader.at_eof() is False
         self.bystander.writer.close()
         connections = self.sender.server.connections
         for each in list(connections):
-            each.since -= PATIENCE  # expires the connections that are still at the stage of the fault
+            each.since -= TIMEOUT_S  # expires the connections that are still at the stage of the fault
         while connections:
             self.sender.server.expire()
             for each in list(connections):
-                each.since -= PATIENCE
+                each.since -= TIMEOUT_S
             await turn()
         await until(lambda: self.faults.open("client") == 0)
         await until(lambda: self.faults.open("receiver") == len(self.sender.transport.connections))
@@ -146,9 +146,9 @@
         faults.listener = world.running.address[1]
         faults.sides = {world.receiver.address[1]: "receiver", world.platform.address[1]: "platform"}
         stage = Stage(world, faults, case)
-        stage.bystander = await Held.open(world.sender.server)  # type: ignore[attr-defined]
+        stage.bystander = await HeldConnection.open(world.sender.server)  # type: ignore[attr-defined]
         assert await stage.deliver(stage.bystander, "before") == 1  # type: ignore[attr-defined]
-        await soon(world.platform.watches.get())
+        await with_timeout(world.platform.watches.get())
         yield stage
 
 
@@ -171,7 +171,7 @@
                 await stage.check()
 
     with faulty() as (faults, loop):
-        loop.run_until_complete(asyncio.wait_for(test(faults), PATIENCE / 4))
+        loop.run_until_complete(asyncio.wait_for(test(faults), TIMEOUT_S / 4))
 
 
 CLIENT = {
@@ -190,7 +190,7 @@
     """A client that proceeds up to the stage of the fault and then resets its connection."""
     sender, faulty_stage = stage.sender, stage.case[0]
     stage.arm_at("connecting", "client")
-    client_connection = await Held.open(sender.server)
+    client_connection = await HeldConnection.open(sender.server)
     if faulty_stage == "connecting":
         await until(lambda: stage.faults.fault_count == 1)
     else:
@@ -204,7 +204,7 @@
             await until(lambda: connection.began is not None)
             stage.arm_at("half", "client")
             if stage.case[1] in ("send", "shutdown"):
-                connection.since -= PATIENCE
+                connection.since -= TIMEOUT_S
                 sender.server.expire()
             else:
                 client_connection.writer.write(message("m")[30:40])
@@ -252,7 +252,7 @@
     await until(lambda: stage.sender.server.listener.fileno() >= 0)
     # If the listener freed a descriptor, it closed the bystander's connection, the only idle one.
     if not stage.sender.server.table.idle:
-        stage.bystander = await Held.open(stage.sender.server)  # type: ignore[attr-defined]
+        stage.bystander = await HeldConnection.open(stage.sender.server)  # type: ignore[attr-defined]
 
 
 @pytest.mark.parametrize("case", pairs({"accepting": ("accept",)}), ids=case_id)
@@ -349,9 +349,9 @@
             stage.arm_at(stage_name, "platform")
             watch.write("1\r\n\n\r\n")
             if stage.case[1] == "close":
-                watch.break_off()
+                watch.abort()
         else:
-            watch.break_off()
+            watch.abort()
         watch_count = len(discovery.watched)
         while len(discovery.watched) == watch_count:  # the sender subscribes again and receives a list
             await stage.skip(0.25)
@@ -368,7 +368,7 @@
             if stage.faults.fault_count == 0:
                 stage.arm_at("notice hearing", "platform")
             if stage.case[1] == "close" and stage.faults.fault_count == 0:
-                request.break_off()
+                request.abort()
             else:
                 request.answer(204)
         await turn()
