--- a/message_sender/control/channel.py
+++ b/message_sender/control/channel.py
@@ -1,4 +1,6 @@
-"""Sealed datagrams among control nodes, and between control nodes and senders. No I/O; driver.py sends them.
+"""Sealed datagrams among control nodes, and between control nodes and senders. No I/O, no clock.
+
+The driver (driver.py) sends the datagrams.
 
 Rules:
 
--- a/message_sender/control/choice.py
+++ b/message_sender/control/choice.py
@@ -1,4 +1,4 @@
-"""Selects the control node that a sender watches. No I/O.
+"""Selects the control node that a sender watches. No I/O, no clock.
 
 Rules:
 
--- a/message_sender/control/fanout.py
+++ b/message_sender/control/fanout.py
@@ -1,4 +1,4 @@
-"""The server side of the watches on a control node: sessions, pushes, snapshots and rate limits. No I/O.
+"""The server side of watches on a control node: sessions, pushes, snapshots, rate limits. No I/O, no clock.
 
 Rules:
 
--- a/message_sender/control/node.py
+++ b/message_sender/control/node.py
@@ -1,4 +1,4 @@
-"""A control node: combines channel, replica, store, fan-out and operators' requests. No I/O.
+"""A control node: combines channel, replica, store, fan-out and operators' requests. No I/O, no clock.
 
 Rules:
 
--- a/message_sender/control/watch.py
+++ b/message_sender/control/watch.py
@@ -1,4 +1,4 @@
-"""A sender's watch of the configuration: the node it polls, the versions it applies and refuses. No I/O.
+"""A sender's watch of the configuration: the polled node, the versions applied and refused. No I/O, no clock.
 
 Rules:
 
