--- a/message_sender/core/ports.py
+++ b/message_sender/core/ports.py
@@ -39,7 +39,7 @@
     status: str = ""
 
 
-def clamped_wait(seconds: float) -> int:
+def clamp_retry_after_us(seconds: float) -> int:
     """Converts a Retry-After in seconds to whole microseconds, between 0 and `MAX_RETRY_AFTER_S`."""
     return math.ceil(min(max(seconds, 0.0), MAX_RETRY_AFTER_S) * 1e6)
 
--- a/message_sender/grpc/status_mapping.py
+++ b/message_sender/grpc/status_mapping.py
@@ -14,7 +14,7 @@
 
 import grpc
 
-from message_sender.core.ports import AttemptResult, clamped_wait
+from message_sender.core.ports import AttemptResult, clamp_retry_after_us
 from message_sender.policy.model import Outcome
 
 Code = grpc.StatusCode
@@ -61,7 +61,7 @@
     if code is Code.OK:
         return AttemptResult(Outcome.OK, is_final=True, reply=reply)
     if code in REJECTION_CODES and retry_after is not None:
-        return AttemptResult(Outcome.FULL, retry_after_us=clamped_wait(retry_after))
+        return AttemptResult(Outcome.FULL, retry_after_us=clamp_retry_after_us(retry_after))
     if code in FINAL:
         return AttemptResult(Outcome.OK, is_final=True, status=f"{code.name} {details}".strip())
     return AttemptResult(MAY_HAVE_RUN[code])
--- a/message_sender/http/response_mapping.py
+++ b/message_sender/http/response_mapping.py
@@ -2,7 +2,7 @@
 
 import re
 
-from message_sender.core.ports import AttemptResult, clamped_wait
+from message_sender.core.ports import AttemptResult, clamp_retry_after_us
 from message_sender.http.codec import decimal, header
 from message_sender.http.fast_path import ResponseHead
 from message_sender.policy.model import Outcome
@@ -19,7 +19,7 @@
             return AttemptResult(Outcome.OK, is_final=True)
         case 429:
             seconds = decimal(header(response.headers, b"retry-after") or "") or 0.0
-            return AttemptResult(Outcome.FULL, retry_after_us=clamped_wait(seconds))
+            return AttemptResult(Outcome.FULL, retry_after_us=clamp_retry_after_us(seconds))
         case 503 if header(response.headers, b"x-egress-full") == "1":
             return AttemptResult(Outcome.NOT_SENT)
         case 503:
