--- a/message_sender/cli/basic.py
+++ b/message_sender/cli/basic.py
@@ -144,9 +144,9 @@
 
 def print_inventory_table(records: Sequence["DestinationRecord"], row_limit: int) -> None:
     """Prints a table of up to `row_limit` destinations, with the worst state first."""
-    from message_sender.core.inventory import ORDER
+    from message_sender.core.inventory import SEVERITY_ORDER
 
-    rank = {name: index for index, name in enumerate(ORDER)}
+    rank = {name: index for index, name in enumerate(SEVERITY_ORDER)}
     ordered = sorted(
         records, key=lambda record: (rank.get(record.state, len(rank)), -record.held, record.number)
     )
--- a/message_sender/core/inventory.py
+++ b/message_sender/core/inventory.py
@@ -18,7 +18,7 @@
 
 FILE_NAME = "destinations.json"
 #: States of breakers, the most severe first.
-ORDER = ("open", "half-open", "waits", "warming", "closed")
+SEVERITY_ORDER = ("open", "half-open", "waits", "warming", "closed")
 
 
 @dataclass(frozen=True, slots=True)
@@ -77,11 +77,11 @@
     if destination.breakers_by_route is None:
         return "listed" if destination.inactive_since is None else "asleep"
     states = [breaker_state(each, now) for each in destination.breakers_by_route.values()]
-    return min(states, key=ORDER.index, default="closed")
+    return min(states, key=SEVERITY_ORDER.index, default="closed")
 
 
 def breaker_state(breaker: Breaker, now: int) -> str:
-    """The state of a breaker, one of `ORDER`. `now`: microseconds on the policy's clock."""
+    """The state of a breaker, one of `SEVERITY_ORDER`. `now`: microseconds on the policy's clock."""
     if breaker.is_open():
         return "half-open" if breaker.trial else "open"
     if breaker.wait_until > now:
