--- a/message_sender/recovery/learned_snapshot.py
+++ b/message_sender/recovery/learned_snapshot.py
@@ -73,7 +73,7 @@
         return None
 
 
-def restore_believed(
+def restore_trusted(
     at_us: int, breakers: Breakers, conditions: StartConditions, now_us: int
 ) -> InheritedState:
     """Returns the part of a snapshot that is trusted.
--- a/message_sender/service/learned_state.py
+++ b/message_sender/service/learned_state.py
@@ -17,7 +17,7 @@
     Breakers,
     KnownBreaker,
     LearnedSnapshots,
-    restore_believed,
+    restore_trusted,
 )
 from message_sender.recovery.startup import RecoveryStart
 
@@ -83,7 +83,7 @@
         if snapshot is None:
             return {}
         now = self.engine.now()
-        self.loaded = restore_believed(*snapshot, self.recovery_start.conditions, now)
+        self.loaded = restore_trusted(*snapshot, self.recovery_start.conditions, now)
         waits = remaining_waits(self.loaded.breakers, now)
         log.info("learned state loaded: breakers=%d waits=%d", len(self.loaded.breakers), len(waits))
         return waits
