--- a/message_sender/admission/backlog.py
+++ b/message_sender/admission/backlog.py
@@ -61,7 +61,7 @@
         self.offered_in_window += 1
         self.arrival_times.append(now)
 
-    def request_taken(self, now: float) -> None:
+    def request_read(self, now: float) -> None:
         """Records that the oldest request is being read, or that its client has disconnected."""
         self.roll_window(now)
         self.read_in_window += 1
--- a/message_sender/http/read_queue.py
+++ b/message_sender/http/read_queue.py
@@ -59,7 +59,7 @@
     def _read_first(self, queue: deque[ServerConnection]) -> None:
         connection = queue.popleft()
         connection.is_queued = False
-        self.backlog.request_taken(self.loop.time())
+        self.backlog.request_read(self.loop.time())
         connection.advance()
 
     def freeze(self) -> None:
--- a/tests/test_backlog.py
+++ b/tests/test_backlog.py
@@ -43,7 +43,7 @@
         if step == "read" and arrivals:
             waited = now - arrivals.pop(0)
             was_shedding = backlog.is_shedding
-            backlog.request_taken(now)
+            backlog.request_read(now)
             if arrivals and waited >= MAX_QUEUE_DELAY_S:
                 assert backlog.is_shedding
             if waited < TARGET_QUEUE_DELAY_S or not arrivals:
@@ -59,7 +59,7 @@
     for each in range(2000):
         now = each / 500
         backlog.request_arrived(now)
-        backlog.request_taken(now)
+        backlog.request_read(now)
         for _ in range(int(overload) - 1):
             backlog.request_rejected(now)
     assert backlog.overload_ratio == pytest.approx(overload, rel=0.05)
@@ -109,7 +109,7 @@
             reply = await read_reply(client.reader)
             assert reply.status == 503 and MIN_RETRY_AFTER_S <= float(reply.headers["retry-after"]) <= 2.0
         assert "again" not in world.sender.engine.journal.entries and server.backlog.rejected_total == 3
-        server.backlog.request_taken(server.loop.time())  # the request that began shedding has been read
+        server.backlog.request_read(server.loop.time())  # the request that began shedding has been read
         client.writer.write(message("after"))
         assert (await read_reply(client.reader)).status == 202
         assert {(await world.receiver.next()).id for _ in range(2)} == {"before", "after"}
