--- a/message_sender/http/call.py
+++ b/message_sender/http/call.py
@@ -23,7 +23,7 @@
 from message_sender.message import Message
 from message_sender.policy.model import NEVER_RAN, Outcome
 
-BODY_PATIENCE = 0.5  # seconds for the rest of a response after its head; the content of the body is not used
+BODY_TIMEOUT_S = 0.5  # seconds for the rest of a response after its head; the content of the body is not used
 TARGET = "/hook"
 OK_STATUS = 200
 
@@ -210,7 +210,7 @@
             self.is_returned = self.owner.return_if_complete(self.endpoint, connection)
             return
         # Only a complete, well-formed response proves that the request did not run, whatever its status says.
-        async with asyncio.timeout(BODY_PATIENCE):
+        async with asyncio.timeout(BODY_TIMEOUT_S):
             await connection.skip_body()
         self.is_returned = connection.next_cycle() and self.owner.return_to_pool(self.endpoint, connection)
 
--- a/message_sender/http/client.py
+++ b/message_sender/http/client.py
@@ -10,7 +10,7 @@
 from message_sender.core.socket_errors import Cause, ErrorReports, cause_of
 from message_sender.core.traffic_observer import ObservedConnection, TrafficObserver
 from message_sender.http import fast_path
-from message_sender.http.call import BODY_PATIENCE, HttpCall
+from message_sender.http.call import BODY_TIMEOUT_S, HttpCall
 from message_sender.http.client_connection import ClientConnection, do_nothing
 from message_sender.http.codec import CONNECTION_ERRORS, Address
 from message_sender.http.response_mapping import answer_from
@@ -122,7 +122,7 @@
     def close_all_idle(self) -> None:
         """Closes all idle connections."""
         for connection in list(self.idle):
-            self.close_one(connection)
+            self.close_idle_connection(connection)
 
     def poll_unread(self) -> None:
         """Reads the bytes that are unread in the sockets of calls in flight.
@@ -132,7 +132,7 @@
         """
         for connection in self.unread.ready():
             if connection in self.idle:
-                self.close_one(connection)
+                self.close_idle_connection(connection)
             elif (endpoint := self.awaiting_answer.get(connection)) and connection.poll():
                 self.received_result(endpoint, connection)
 
@@ -193,7 +193,7 @@
     async def connect(self, address: Address) -> ClientConnection:
         """Opens a connection, closing an idle one at the connection limit. Raises as `open_connection`."""
         if len(self.connections) + self.connecting >= self.connection_limit and self.idle:
-            self.close_one(next(iter(self.idle)))
+            self.close_idle_connection(next(iter(self.idle)))
         self.connecting += 1
         try:
             async with asyncio.timeout(self.connect_timeout):
@@ -225,7 +225,7 @@
                     raise
                 self.reports.report(error, "opening a connection")
             if self.idle:
-                self.close_one(next(iter(self.idle)))
+                self.close_idle_connection(next(iter(self.idle)))
             await asyncio.sleep(SHORTAGE_RETRY_S)
 
     def drop(self, connection: ClientConnection) -> None:
@@ -265,7 +265,7 @@
     ) -> None:
         is_returned = False
         try:
-            async with asyncio.timeout(BODY_PATIENCE):
+            async with asyncio.timeout(BODY_TIMEOUT_S):
                 await rest
             is_returned = connection.next_cycle() and self.return_to_pool(endpoint, connection)
         except CONNECTION_ERRORS:
@@ -314,15 +314,15 @@
     def close_expired(self) -> None:
         """Closes idle connections that are too old or closed by the receiver; called periodically."""
         for connection in [each for each in self.idle if self.is_too_old(each) or each.has_ended()]:
-            self.close_one(connection)
+            self.close_idle_connection(connection)
 
     def endpoints_changed(self) -> None:
         """Closes idle connections to endpoints that are no longer listed or have moved."""
         for connection, endpoint in list(self.idle.items()):
             if self.dials().get(endpoint) != connection.address:
-                self.close_one(connection)
+                self.close_idle_connection(connection)
 
-    def close_one(self, connection: ClientConnection) -> None:
+    def close_idle_connection(self, connection: ClientConnection) -> None:
         """Closes an idle connection."""
         self.remove_idle(connection)
         self.drop(connection)
@@ -330,7 +330,7 @@
     def close_idle(self, endpoint: str) -> None:
         """Closes the idle connections to an endpoint."""
         for connection in list(self.pool.get(endpoint, ())):
-            self.close_one(connection)
+            self.close_idle_connection(connection)
 
     def close(self) -> None:
         """Closes the idle connections and cancels the background reads."""
--- a/message_sender/service/connection_budgets.py
+++ b/message_sender/service/connection_budgets.py
@@ -7,7 +7,7 @@
 
 from message_sender.budget.manager import LeaseManager
 from message_sender.core.engine import Engine
-from message_sender.http.call import BODY_PATIENCE
+from message_sender.http.call import BODY_TIMEOUT_S
 from message_sender.http.client import HttpTransport
 from message_sender.service.budget_registry import AnnouncedLimit, BudgetRegistry
 from message_sender.service.call_reservations import CallReservations
@@ -98,7 +98,7 @@
         for name in self.connection_names(endpoint):
             budget = self.manager.ledgers[name].budget
             if budget.window_us is None:
-                age_s = min(age_s, budget.max_hold_us / 2 / US_PER_S - BODY_PATIENCE)
+                age_s = min(age_s, budget.max_hold_us / 2 / US_PER_S - BODY_TIMEOUT_S)
         return age_s
 
     def close_excess(self) -> None:
@@ -117,7 +117,7 @@
             if name in self.connection_names(endpoint)
         ]
         for connection in bound[:number]:
-            transport.close_one(connection)
+            transport.close_idle_connection(connection)
 
     def record_announced_limit(self, endpoint: str, calls: int, window_us: int) -> None:
         """Records a limit that a response announced: `calls` in `window_us` microseconds."""
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -202,7 +202,7 @@
                 await with_timeout(receiver.ends.get())
 
     monkeypatch.setattr(http, "HEAD_TIMEOUT_S", 0.05)
-    monkeypatch.setattr(call_module, "BODY_PATIENCE", 0.05)
+    monkeypatch.setattr(call_module, "BODY_TIMEOUT_S", 0.05)
     run_async_test(test)(Path())
 
 
@@ -434,8 +434,8 @@
 
 
 def test_reading_the_rest_of_a_200_times_out(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(module, "BODY_PATIENCE", 0.01)
-    monkeypatch.setattr(call_module, "BODY_PATIENCE", 0.01)
+    monkeypatch.setattr(module, "BODY_TIMEOUT_S", 0.01)
+    monkeypatch.setattr(call_module, "BODY_TIMEOUT_S", 0.01)
 
     async def test(_: Path) -> None:
         async with client_and_receiver() as (client, receiver):
