--- a/message_sender/http/server.py
+++ b/message_sender/http/server.py
@@ -21,8 +21,8 @@
 
 LISTEN_BACKLOG = 512
 MAX_WAITING_FRACTION = 1 / 4  # of the connection limit; with more waiting requests, rejection starts sooner
-ACCEPTS = 16  # connections accepted per loop iteration, so that open ones are served too
-ACCEPTS_FREE = 64  # the same while no connection has to be closed to accept others
+MAX_ACCEPTS_PER_ITERATION = 16  # connections accepted per loop iteration, so that open ones are served too
+MAX_ACCEPTS_WITH_CAPACITY = 64  # the same while no connection has to be closed to accept others
 ACCEPT_RETRY_S = 0.05  # after accepting failed, for example because no descriptor was left
 
 Submit = Callable[[Message, ServerConnection], None]
@@ -133,7 +133,12 @@
 
     def accept(self) -> None:
         """Accepts waiting connections, enough at once that clients of a burst do not time out in a queue."""
-        for _ in range(max(ACCEPTS, min(self.connection_limit - len(self.connections), ACCEPTS_FREE))):
+        for _ in range(
+            max(
+                MAX_ACCEPTS_PER_ITERATION,
+                min(self.connection_limit - len(self.connections), MAX_ACCEPTS_WITH_CAPACITY),
+            )
+        ):
             if self.listener is None or self.is_frozen:
                 return
             try:
--- a/message_sender/service/daemon.py
+++ b/message_sender/service/daemon.py
@@ -29,7 +29,7 @@
     Discovery,
     EndpointList,
 )
-from message_sender.http.server import ACCEPTS, Server
+from message_sender.http.server import MAX_ACCEPTS_PER_ITERATION, Server
 from message_sender.management import server as management
 from message_sender.policy.events import EndpointsUpdated, Stopping
 from message_sender.policy.model import ListingKind, Settings
@@ -89,7 +89,7 @@
     # journal and its copy, the configuration, the watch and the notices, each with its replacement at a new
     # address, and the poll: 15 in all. In addition, connections that are accepted in one loop iteration may
     # replace others, which are closed only after that iteration.
-    OWN_DESCRIPTORS: ClassVar[int] = 20 + ACCEPTS
+    OWN_DESCRIPTORS: ClassVar[int] = 20 + MAX_ACCEPTS_PER_ITERATION
 
     clients: int
     rejected_clients: int
--- a/tests/test_backlog.py
+++ b/tests/test_backlog.py
@@ -17,7 +17,7 @@
     TARGET_QUEUE_DELAY_S,
     Backlog,
 )
-from message_sender.http.server import ACCEPTS, ACCEPTS_FREE
+from message_sender.http.server import MAX_ACCEPTS_PER_ITERATION, MAX_ACCEPTS_WITH_CAPACITY
 
 STEPS = st.lists(st.tuples(st.sampled_from(["arrival", "read", "pause"]), st.floats(0, 0.1)), max_size=300)
 
@@ -181,9 +181,14 @@
     async with World(state) as world:
         server = world.sender.server
         loop, before = server.loop, server.accepted
-        for free_slots, accepted_count in ((before + ACCEPTS_FREE + 40, ACCEPTS_FREE), (0, ACCEPTS)):
+        for free_slots, accepted_count in (
+            (before + MAX_ACCEPTS_WITH_CAPACITY + 40, MAX_ACCEPTS_WITH_CAPACITY),
+            (0, MAX_ACCEPTS_PER_ITERATION),
+        ):
             loop.remove_reader(server.listener)
-            sockets = [socket.create_connection(world.running.address) for _ in range(ACCEPTS_FREE + 20)]
+            sockets = [
+                socket.create_connection(world.running.address) for _ in range(MAX_ACCEPTS_WITH_CAPACITY + 20)
+            ]
             server.connection_limit, before = free_slots + len(server.connections), server.accepted
             server.accept()
             assert server.accepted - before == accepted_count
--- a/tests/test_sender.py
+++ b/tests/test_sender.py
@@ -24,7 +24,7 @@
 from message_sender.core.restoration import Restoration
 from message_sender.handover.drain import GRACE_S
 from message_sender.http import server as server_module
-from message_sender.http.server import ACCEPTS
+from message_sender.http.server import MAX_ACCEPTS_PER_ITERATION
 from message_sender.journal.entries import AttemptRecord
 from message_sender.journal.process_journal import Journal
 from message_sender.policy.actions import WakeAfter
@@ -407,7 +407,7 @@
     )
     assert share.calls >= 16 and (sockets < 256 or share.clients > sockets / 3)
     assert (
-        DescriptorBudget.OWN_DESCRIPTORS >= 15 + ACCEPTS
+        DescriptorBudget.OWN_DESCRIPTORS >= 15 + MAX_ACCEPTS_PER_ITERATION
     )  # the descriptors that are not divided, as counted in its comment
 
 
