--- a/message_sender/http/fast_path.py
+++ b/message_sender/http/fast_path.py
@@ -12,7 +12,7 @@
 import re
 from dataclasses import dataclass, field
 
-HEAD_MOST = 8 * 1024  # bytes; longer heads are left to the codec
+MAX_HEAD_BYTES = 8 * 1024  # bytes; longer heads are left to the codec
 VALUE = rb"[\t\x20-\x7e\x80-\xff]*"
 LINES = rb"((?:[!#$%&'*+\-.^_`|~0-9A-Za-z]+:" + VALUE + rb"\r\n)+)\r\n"
 REQUEST = re.compile(rb"POST (/[\x21-\x7e]*) HTTP/1\.1\r\n" + LINES)
@@ -44,7 +44,7 @@
     headers: Fields
 
 
-def fields_of(lines: bytes) -> tuple[Fields, dict[bytes, bytes]] | None:
+def parse_fields(lines: bytes) -> tuple[Fields, dict[bytes, bytes]] | None:
     """Parses header lines.
 
     Returns:
@@ -66,7 +66,7 @@
     return headers, framing
 
 
-def body_of(data: bytes, end: int, framing: dict[bytes, bytes], max_body_bytes: int) -> bytes | None:
+def complete_body(data: bytes, end: int, framing: dict[bytes, bytes], max_body_bytes: int) -> bytes | None:
     """Returns the bytes after the head, which ends at `end`; None unless Content-Length is their number."""
     length = framing.get(b"content-length", b"")
     if not LENGTH.fullmatch(length) or int(length) > max_body_bytes or len(data) != end + int(length):
@@ -76,20 +76,20 @@
 
 def request(data: bytes, max_body_bytes: int) -> FastRequest | None:
     """Parses data that is exactly one request, with a body of at most `max_body_bytes`; otherwise None."""
-    if not (match := REQUEST.match(data, 0, HEAD_MOST)) or not (fields := fields_of(match[2])):
+    if not (match := REQUEST.match(data, 0, MAX_HEAD_BYTES)) or not (fields := parse_fields(match[2])):
         return None
     headers, framing = fields
-    body = body_of(data, match.end(), framing, max_body_bytes)
+    body = complete_body(data, match.end(), framing, max_body_bytes)
     return None if body is None or b"host" not in framing else FastRequest(match[1], headers, body)
 
 
 def answer(data: bytes, max_body_bytes: int) -> ResponseHead | None:
     """Parses the head of data that is exactly one response, with a body of at most `max_body_bytes`."""
-    if not (match := ANSWER.match(data, 0, HEAD_MOST)) or not (fields := fields_of(match[2])):
+    if not (match := ANSWER.match(data, 0, MAX_HEAD_BYTES)) or not (fields := parse_fields(match[2])):
         return None
     headers, framing = fields
     status = int(match[1])
-    if status in BODILESS or body_of(data, match.end(), framing, max_body_bytes) is None:
+    if status in BODILESS or complete_body(data, match.end(), framing, max_body_bytes) is None:
         return None
     return ResponseHead(status, headers)
 
--- a/message_sender/pcap/messages.py
+++ b/message_sender/pcap/messages.py
@@ -176,11 +176,11 @@
         """
         is_response = self.side == SERVER_SIDE
         pattern = fast_path.ANSWER if is_response else fast_path.REQUEST
-        match = pattern.match(data, 0, fast_path.HEAD_MOST)
-        if not match or not (parsed := fast_path.fields_of(match[2])):
+        match = pattern.match(data, 0, fast_path.MAX_HEAD_BYTES)
+        if not match or not (parsed := fast_path.parse_fields(match[2])):
             return False
         fields = parsed[1]
-        body = fast_path.body_of(data, match.end(), fields, BODY_BYTES_LIMIT)
+        body = fast_path.complete_body(data, match.end(), fields, BODY_BYTES_LIMIT)
         if body is None or (not is_response and b"host" not in fields):
             return False
         if is_response and (
