--- a/message_sender/control/process.py
+++ b/message_sender/control/process.py
@@ -27,7 +27,7 @@
 from message_sender.control.schema import Validator
 from message_sender.control.store import ConfigurationStore
 from message_sender.control_socket import ControlSocket
-from message_sender.fleet.seal import KeyFileError, Seal, read_keys, reread_keys
+from message_sender.fleet.seal import KeyFileError, Seal, read_keys, reload_keys
 from message_sender.fleet.udp_socket import UdpSocket
 from message_sender.journal.disk import Disk, SystemDisk
 from message_sender.journal.lock import Lock, LockTakenError
@@ -193,7 +193,7 @@
         """
         for number in (signal.SIGTERM, signal.SIGINT):
             self.loop.add_signal_handler(number, self.terminate)
-        self.loop.add_signal_handler(signal.SIGHUP, self.reread_keys)
+        self.loop.add_signal_handler(signal.SIGHUP, self.reload_keys)
         try:
             await self.socket.open(self.config.listen, self.driver.receive)
             await self.control.start()
@@ -240,9 +240,9 @@
         log.critical("control: unexpected error: node=%s", self.config.name, exc_info=error)
         self.stop(1)
 
-    def reread_keys(self) -> None:
+    def reload_keys(self) -> None:
         """Handles SIGHUP: reads the key file again."""
-        reread_keys(self.seal, self.config.key_file, "control")
+        reload_keys(self.seal, self.config.key_file, "control")
 
 
 if __name__ == "__main__":
--- a/message_sender/fleet/seal.py
+++ b/message_sender/fleet/seal.py
@@ -114,7 +114,7 @@
         raise RefusedError("sealed with another key, or changed on its way")
 
 
-def reread_keys(seal: Seal, path: Path, component: str) -> None:
+def reload_keys(seal: Seal, path: Path, component: str) -> None:
     """Reloads the keys from the file; if it cannot be used, logs the reason and keeps the current keys.
 
     Args:
--- a/message_sender/fleet/udp.py
+++ b/message_sender/fleet/udp.py
@@ -11,7 +11,7 @@
 from message_sender.fleet.default_handlers import ignore_tick
 from message_sender.fleet.node import FleetNode, LocalMember
 from message_sender.fleet.refused_datagrams import RefusedDatagramsLog
-from message_sender.fleet.seal import Seal, read_keys, reread_keys
+from message_sender.fleet.seal import Seal, read_keys, reload_keys
 from message_sender.fleet.udp_socket import UdpSocket
 from message_sender.fleet.wire import Address
 
@@ -115,9 +115,9 @@
             )
         self._refused_datagrams.update(self.node.counters.refused, now)
 
-    def reread_keys(self) -> None:
+    def reload_keys(self) -> None:
         """Reloads the keys on SIGHUP; keeps the current ones if the key file cannot be used."""
-        reread_keys(self.seal, self.key_file, "fleet")
+        reload_keys(self.seal, self.key_file, "fleet")
 
     def close(self) -> None:
         """Stops the ticks, announces the shutdown and closes the socket."""
--- a/message_sender/service/control_link.py
+++ b/message_sender/service/control_link.py
@@ -21,7 +21,7 @@
 from message_sender.control.watch_link import WatchLink
 from message_sender.files import replace_json
 from message_sender.fleet.refused_datagrams import RefusedDatagramsLog
-from message_sender.fleet.seal import KeyFileError, Seal, read_keys, reread_keys
+from message_sender.fleet.seal import KeyFileError, Seal, read_keys, reload_keys
 from message_sender.journal.disk import Disk, SystemDisk
 from message_sender.service.control_configuration import (
     ConfigurableBudgets,
@@ -159,9 +159,9 @@
             log.info("control: watched node changed: node=%s before=%s", status.node, before.node)
         self.refused_datagrams.update(self.channel.refused, now)
 
-    def reread_keys(self) -> None:
+    def reload_keys(self) -> None:
         """Rereads the key file, on SIGHUP."""
-        reread_keys(self.seal, self.config.key_file, "control")
+        reload_keys(self.seal, self.config.key_file, "control")
 
     def close(self) -> None:
         """Cancels the tasks and closes the socket."""
@@ -243,7 +243,7 @@
     def reload(self, config: SenderConfig) -> SenderConfig:
         """Applies the sender's own file, reread on SIGHUP; returns the effective configuration."""
         if self.link:
-            self.link.reread_keys()
+            self.link.reload_keys()
         if config.control != self.plane:
             log.warning("control: change of table [control] waits for the next start")
         return self.configuration.reload(config)
--- a/message_sender/service/standalone.py
+++ b/message_sender/service/standalone.py
@@ -243,7 +243,7 @@
     Each of the three is replaced completely or not at all; any other change needs a restart.
     """
     if sender.membership:
-        sender.membership.link.reread_keys()
+        sender.membership.link.reload_keys()
     try:
         config = load(path)
         if sender.control_plane:
