--- a/message_sender/cli/journal.py
+++ b/message_sender/cli/journal.py
@@ -108,7 +108,7 @@
         "key": entry.message.key,
         "until": format_time(entry.message.deadline_us),
         "attempts": len(entry.attempts),
-        "may_have_run": entry.first_risky_attempt() is not None,
+        "may_have_run": entry.first_uncertain_attempt() is not None,
         "doubtful": entry.is_doubtful,
         "end": completion,
     }
--- a/message_sender/core/engine.py
+++ b/message_sender/core/engine.py
@@ -149,9 +149,9 @@
         if handed_over:
             self.post(handed_over.inherited)
             self.table.inherit_completed(handed_over.ended)
-        elif resting_keys := self.journal.resting_keys(self.settings.key_pause):
+        elif paused_keys := self.journal.paused_keys(self.settings.key_pause):
             until = self.now() + self.settings.key_pause
-            self.post(InheritedState(keys=tuple((key, until) for key in sorted(resting_keys))))
+            self.post(InheritedState(keys=tuple((key, until) for key in sorted(paused_keys))))
         log.info("messages restored: sender=%s messages=%d", self.config.name, len(self.journal.entries))
         self.hooks.messages_restored()
         self.run_iteration()
--- a/message_sender/core/restoration.py
+++ b/message_sender/core/restoration.py
@@ -86,7 +86,7 @@
             entry: The journal's entry of the message.
             in_flight: Number of the attempt whose result is still expected; `NO_ATTEMPT` for none.
         """
-        risky_attempt = entry.first_risky_attempt(in_flight)
+        risky_attempt = entry.first_uncertain_attempt(in_flight)
         return MessageRestored(
             accepted=self.arrivals.acceptance_event(entry.message),
             attempts=max(entry.attempts, default=-1) + 1,
--- a/message_sender/journal/contents.py
+++ b/message_sender/journal/contents.py
@@ -243,13 +243,13 @@
         body = b"".join(self.snapshot_parts(dict.fromkeys(self.entries), digest))
         return frame_header(len(body), digest) + body
 
-    def resting_keys(self, quiet_us: int) -> set[str]:
-        """Returns ordering keys with a message that finished less than `quiet_us` before the latest record.
+    def paused_keys(self, pause_us: int) -> set[str]:
+        """Returns ordering keys with a message that finished less than `pause_us` before the latest record.
 
         Keys of messages with an undelivered completion are included. The duration of a power loss is not
         counted, because the machine's clock may not have advanced during it.
         """
-        since_us = self.latest_us - quiet_us
+        since_us = self.latest_us - pause_us
         keys = {finished.key for finished in self.finished.values() if finished.finished_us >= since_us}
         keys |= {entry.message.key for entry in self.entries.values() if entry.completion}
         return keys - {""}
--- a/message_sender/journal/entries.py
+++ b/message_sender/journal/entries.py
@@ -62,7 +62,7 @@
         """Whether an attempt succeeded."""
         return any(attempt.outcome is Outcome.OK for attempt in self.attempts.values())
 
-    def first_risky_attempt(self, excluded_number: int = -1) -> AttemptRecord | None:
+    def first_uncertain_attempt(self, excluded_number: int = -1) -> AttemptRecord | None:
         """Returns the first attempt that may have run.
 
         Args:
--- a/message_sender/journal/process_journal.py
+++ b/message_sender/journal/process_journal.py
@@ -169,8 +169,8 @@
     def record_completion(self, message_id: str, state: str, retry_after_us: int) -> None:
         """Records a completion before it is delivered; the process journal needs no such record."""
 
-    def resting_keys(self, quiet_us: int) -> set[str]:
-        """Returns ordering keys with a message that finished less than `quiet_us` ago.
+    def paused_keys(self, pause_us: int) -> set[str]:
+        """Returns ordering keys with a message that finished less than `pause_us` ago.
 
         The process journal does not keep them and returns an empty set.
         """
--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -116,7 +116,7 @@
     (tmp_path / JOURNAL_FILE).write_bytes(data)
     journal = reopen(tmp_path)
     assert list(journal.entries) == ["a", "b"]
-    assert journal.entries["a"].is_doubtful and journal.entries["a"].first_risky_attempt() is not None
+    assert journal.entries["a"].is_doubtful and journal.entries["a"].first_uncertain_attempt() is not None
     assert not journal.entries["b"].is_doubtful, "it was accepted after the damage"
     gap = journal.previous_run.damage[0]
     assert f"offset={gap.offset} bytes={gap.size_bytes} reason=unreadable may_have_run=a\n" in caplog.text
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -30,7 +30,7 @@
     second = Journal(tmp_path, LIMIT)
     assert list(second.entries) == ["a", "c"]
     assert second.entries["a"].message == sample_message("a", body=bytes(range(256)), until=7)
-    risk = second.entries["a"].first_risky_attempt()
+    risk = second.entries["a"].first_uncertain_attempt()
     assert risk is not None and (risk.started_us, risk.endpoint, risk.zone) == (6, "s", "y")
 
 
