--- a/tests/test_backlog.py
+++ b/tests/test_backlog.py
@@ -5,10 +5,10 @@
 from pathlib import Path
 
 import pytest
-from faults import until
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from peers import Held, World, message, play, read_reply
+from peers import HeldConnection, World, message, read_reply, run_async_test
+from socket_faults import until
 
 from message_sender.admission.backlog import (
     MAX_QUEUE_DELAY_S,
@@ -17,7 +17,7 @@
     TARGET_QUEUE_DELAY_S,
     Backlog,
 )
-from message_sender.http.server import ACCEPTS, ACCEPTS_FREE
+from message_sender.http.server import MAX_ACCEPTS_PER_ITERATION, MAX_ACCEPTS_WITH_CAPACITY
 
 STEPS = st.lists(st.tuples(st.sampled_from(["arrival", "read", "pause"]), st.floats(0, 0.1)), max_size=300)
 
@@ -43,7 +43,7 @@
         if step == "read" and arrivals:
             waited = now - arrivals.pop(0)
             was_shedding = backlog.is_shedding
-            backlog.request_taken(now)
+            backlog.request_read(now)
             if arrivals and waited >= MAX_QUEUE_DELAY_S:
                 assert backlog.is_shedding
             if waited < TARGET_QUEUE_DELAY_S or not arrivals:
@@ -59,7 +59,7 @@
     for each in range(2000):
         now = each / 500
         backlog.request_arrived(now)
-        backlog.request_taken(now)
+        backlog.request_read(now)
         for _ in range(int(overload) - 1):
             backlog.request_rejected(now)
     assert backlog.overload_ratio == pytest.approx(overload, rel=0.05)
@@ -97,11 +97,11 @@
     server.backlog.request_arrived(server.loop.time() - 2 * MAX_QUEUE_DELAY_S)
 
 
-@play
+@run_async_test
 async def test_rejected_requests_have_a_retry_after_and_keep_their_connections(state: Path) -> None:
     async with World(state) as world:
         server = world.sender.server
-        client = await Held.open(server, message("before"))
+        client = await HeldConnection.open(server, message("before"))
         assert (await read_reply(client.reader)).status == 202
         await crowded(world)
         for _ in range(3):
@@ -109,24 +109,24 @@
             reply = await read_reply(client.reader)
             assert reply.status == 503 and MIN_RETRY_AFTER_S <= float(reply.headers["retry-after"]) <= 2.0
         assert "again" not in world.sender.engine.journal.entries and server.backlog.rejected_total == 3
-        server.backlog.request_taken(server.loop.time())  # the request that began shedding has been read
+        server.backlog.request_read(server.loop.time())  # the request that began shedding has been read
         client.writer.write(message("after"))
         assert (await read_reply(client.reader)).status == 202
         assert {(await world.receiver.next()).id for _ in range(2)} == {"before", "after"}
         client.writer.close()
 
 
-@play
+@run_async_test
 async def test_a_repeat_of_an_accepted_message_is_never_rejected_unread(state: Path) -> None:
     """A rejection tells the client that it may submit the message elsewhere: a second delivery."""
     async with World(state) as world:
-        assert (await world.hand_in("m")).status == 202
+        assert (await world.submit("m")).status == 202
         await crowded(world)
-        assert (await world.hand_in("m")).status == 202
-        assert (await world.hand_in("n")).status == 503
+        assert (await world.submit("m")).status == 202
+        assert (await world.submit("n")).status == 503
         (await world.receiver.next()).answer(200)
         await until(lambda: not world.sender.engine.journal.entries)
-        assert (await world.hand_in("m")).status != 503
+        assert (await world.submit("m")).status != 503
 
 
 @pytest.mark.parametrize("name", sorted(set(UNUSUAL) - {"in part", "two at once"}))
@@ -134,12 +134,12 @@
     replies = []
     for busy in (False, True):
 
-        @play
+        @run_async_test
         async def test(state: Path, busy: bool = busy) -> None:
             async with World(state) as world:
                 if busy:
                     await crowded(world)
-                client = await Held.open(world.sender.server, UNUSUAL[name])
+                client = await HeldConnection.open(world.sender.server, UNUSUAL[name])
                 replies.append(await asyncio.wait_for(client.reader.read(12), 5))
                 client.writer.close()
 
@@ -148,16 +148,18 @@
     assert replies[0] == replies[1] != b""
 
 
-@play
+@run_async_test
 async def test_a_readiness_check_is_answered_under_overload(state: Path) -> None:
     async with World(state) as world:
         await crowded(world)
-        client = await Held.open(world.sender.server, b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
+        client = await HeldConnection.open(
+            world.sender.server, b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"
+        )
         assert (await read_reply(client.reader)).status == 200
         client.writer.close()
 
 
-@play
+@run_async_test
 async def test_a_crowded_backlog_sheds_sooner(state: Path) -> None:
     """Guards against waiting requests that occupy all connections, so that new clients find none."""
     async with World(state) as world:
@@ -170,18 +172,23 @@
             ):
                 while len(server.backlog.arrival_times) < length:
                     server.backlog.request_arrived(server.loop.time() - 1.5 * TARGET_QUEUE_DELAY_S)
-                assert (await world.hand_in(f"m{status}")).status == status
+                assert (await world.submit(f"m{status}")).status == status
         assert server.backlog.crowded_length < server.connection_limit / 2
 
 
-@play
+@run_async_test
 async def test_an_iteration_accepts_many_connections_only_while_none_is_evicted(state: Path) -> None:
     async with World(state) as world:
         server = world.sender.server
         loop, before = server.loop, server.accepted
-        for free_slots, accepted_count in ((before + ACCEPTS_FREE + 40, ACCEPTS_FREE), (0, ACCEPTS)):
+        for free_slots, accepted_count in (
+            (before + MAX_ACCEPTS_WITH_CAPACITY + 40, MAX_ACCEPTS_WITH_CAPACITY),
+            (0, MAX_ACCEPTS_PER_ITERATION),
+        ):
             loop.remove_reader(server.listener)
-            sockets = [socket.create_connection(world.running.address) for _ in range(ACCEPTS_FREE + 20)]
+            sockets = [
+                socket.create_connection(world.running.address) for _ in range(MAX_ACCEPTS_WITH_CAPACITY + 20)
+            ]
             server.connection_limit, before = free_slots + len(server.connections), server.accepted
             server.accept()
             assert server.accepted - before == accepted_count
