--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -310,11 +310,11 @@
     data = bytearray(write_journal(tmp_path, "a", "b"))
     run = CliRunner().invoke
     intact = run(command, ["verify", str(tmp_path)])
-    assert intact.exit_code == 0 and "2 messages owed, 0 doubtful" in intact.output
+    assert intact.exit_code == 0 and "2 messages not completed, 0 doubtful" in intact.output
     data[data.index(b'{"sent":"a"')] ^= 1
     (tmp_path / JOURNAL_FILE).write_bytes(data)
     damaged = run(command, ["verify", str(tmp_path)])
-    assert damaged.exit_code == 1 and "2 messages owed, 1 doubtful" in damaged.output
+    assert damaged.exit_code == 1 and "2 messages not completed, 1 doubtful" in damaged.output
     shown = run(command, ["show", str(tmp_path), "--json"])
     assert shown.exit_code == 0 and '"b"' in shown.output
     assert (tmp_path / JOURNAL_FILE).read_bytes() == data, "the commands do not change the file"
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -218,7 +218,7 @@
     monkeypatch.setattr(command, "request_value", lambda folder, request: status)
     text = CliRunner().invoke(command.fleet, ["status", str(tmp_path)]).output
     for words in (
-        "owes 3",
+        "3 not completed",
         "suspect",
         "destination 1: unknown",
         "tried by b",
