--- a/tests/conformance/sides.py
+++ b/tests/conformance/sides.py
@@ -18,6 +18,8 @@
 from message_sender.service.standalone import CompletionWriter, StandaloneSender
 from message_sender.testbed.grpc import GrpcEndpoint
 from message_sender.testbed.history import (
+    AttemptFinished,
+    AttemptStarted,
     History,
     MessageAdmitted,
     MessageCompleted,
@@ -144,6 +146,7 @@
         await self.close()
         self.history.record(SenderRestarted(self.history.clock()))
         self.restarts += 1
+        await self.calls_ended()
         await self.open()
 
     def note(self, message: Message) -> MessageAdmitted:
@@ -181,6 +184,23 @@
             while self.script.call_counts[name] < times:
                 await asyncio.sleep(0.002)
 
+    async def calls_ended(self) -> None:
+        """Waits until the endpoints have recorded the end of every call that they have received.
+
+        The endpoints share the event loop with the sender. Without this wait, a slow start of the sender
+        delays the record of a call that the previous sender had closed, and the checker counts the pause of
+        the key from that late record.
+        """
+        async with asyncio.timeout(PATIENCE):
+            while self.calls_in_flight():
+                await asyncio.sleep(0.002)
+
+    def calls_in_flight(self) -> set[int]:
+        """Returns the numbers of the calls without a recorded end."""
+        events = self.history.events
+        started = {event.call for event in events if isinstance(event, AttemptStarted)}
+        return started - {event.call for event in events if isinstance(event, AttemptFinished)}
+
     def engine(self) -> Any:  # noqa: ANN401
         """Returns the sender's engine."""
         raise NotImplementedError
