--- a/benchmarks/streams.py
+++ b/benchmarks/streams.py
@@ -7,7 +7,8 @@
 `record` runs a closed simulation (message_sender/testbed/event_stream.py) with the decision module of
 CHECKOUT (this checkout by default) and writes one file per seed. `replay` prints the first call of each file
 at which the module of CHECKOUT returns other actions, with both lists of actions. `cost` prints the CPU time
-per message: without faults, with 100 destinations down, and with 10,000 listed destinations without traffic.
+per message: without faults, with 100 destinations down, and with 10,000 listed destinations, most of which
+get no message.
 """
 
 import argparse
@@ -18,13 +19,13 @@
 from pathlib import Path
 from typing import Any
 
-HERE = Path(__file__).resolve().parent.parent
+ROOT = Path(__file__).resolve().parent.parent
 
 
 def load_stream() -> Any:  # noqa: ANN401
     """Loads the simulation of this checkout, which then imports the decision module of the measured one."""
     spec = importlib.util.spec_from_file_location(
-        "stream", HERE / "message_sender" / "testbed" / "event_stream.py"
+        "stream", ROOT / "message_sender" / "testbed" / "event_stream.py"
     )
     assert spec and spec.loader
     module = importlib.util.module_from_spec(spec)
@@ -91,6 +92,7 @@
         actions: list[Any] = module.handle(now, events)
         if now >= skip * 1e6:
             spent_ns += time.process_time_ns() - started_at
+            # MessageTaken is the name of the event in older checkouts.
             accepted += sum(type(each).__name__ in ("MessageAccepted", "MessageTaken") for each in events)
         return actions
 
@@ -99,20 +101,24 @@
 
 
 def cost(stream: Any, dispatcher_class: Any) -> None:  # noqa: ANN401
-    """Prints the CPU time per message in each situation."""
-    small = {"slots": 64, "max_open": 4_500, "announces_rates": False, "fleet_size": 1}
+    """Prints the CPU time per message in each situation, the median of three runs."""
+    settings = {"slots": 64, "max_open": 4_500, "announces_rates": False, "fleet_size": 1}
     base = {
         "fault_share": 0,
         "list_change_rate": 0,
         "keys": 0,
         "rate": 200.0,
         "seconds": 24.0,
-        "settings": small,
+        "settings": settings,
     }
     shapes = {
-        "calm, 20 destinations": stream.StreamShape(destinations=20, **base),
-        "100 of 120 down": stream.StreamShape(destinations=120, down=100, **base | {"rate": 300.0}),
-        "beside 10,000 quiet": stream.StreamShape(destinations=10_000, **base | {"seconds": 12.0}),
+        "20 destinations, none down": stream.StreamShape(destinations=20, **base),
+        "100 of 120 destinations down": stream.StreamShape(
+            destinations=120, down=100, **base | {"rate": 300.0}
+        ),
+        "10,000 destinations, most unused": stream.StreamShape(
+            destinations=10_000, **base | {"seconds": 12.0}
+        ),
     }
     first = None
     for name, shape in shapes.items():
@@ -120,15 +126,15 @@
         results = [measure(stream, dispatcher_class, shape, skip) for _ in range(3)]
         cost_us, held = statistics.median(each[0] for each in results), results[0][1]
         first = first or cost_us
-        print(f"{name:>24}: {cost_us:8.1f} us a message, {cost_us / first:6.2f} times the first; {held} held")
+        print(f"{name:>32}: {cost_us:8.1f} us/message, {cost_us / first:6.2f} of the first; {held} held")
 
 
 def main() -> int:
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("what", choices=("record", "replay", "cost"))
-    parser.add_argument("folder", type=Path, nargs="?")
+    parser.add_argument("folder", type=Path, nargs="?", metavar="FOLDER")
     parser.add_argument("--seeds", type=int, default=12)
-    parser.add_argument("--root", type=Path, default=HERE)
+    parser.add_argument("--root", type=Path, default=ROOT, metavar="CHECKOUT")
     options = parser.parse_args()
     sys.path.insert(0, str(options.root))
     from message_sender import Dispatcher
@@ -137,7 +143,7 @@
     if options.what == "cost":
         cost(stream, Dispatcher)
     elif options.folder is None:
-        parser.error(f"{options.what} needs a folder")
+        parser.error(f"{options.what} requires FOLDER")
     elif options.what == "record":
         record(stream, Dispatcher, options.folder, options.seeds)
     else:
