--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -3,11 +3,11 @@
     python benchmarks/capacity.py [--root FOLDER ...] [--seconds 4] [--clients 4] [--proxy PYTHON]
 
 Measures for each FOLDER (a checkout with its .venv; this checkout by default): the sender's CPU time per
-message in us at 500 messages/s; the highest rate of accepted messages over a ladder of offered rates; and at
-twice that rate the share without an answer, the share rejected, and the accepted rate relative to the highest
+message in us at 500 messages/s; the highest rate of accepted messages over a series of offered rates; and at
+twice that rate the share without an answer, the share refused, and the accepted rate relative to the highest
 one. The receivers and the platform are those of storm.py; its clients run in several processes, so that they
 do not limit the rate. The last lines compare each FOLDER with the first one of the same run. PYTHON is an
-interpreter with aiohttp; with it the bare proxy of proxy.py is measured first.
+interpreter with aiohttp; if it is given, the bare proxy of proxy.py is measured first.
 """
 
 import argparse
@@ -25,8 +25,8 @@
 
 import storm
 
-LADDER = (800, 1000, 1200, 1400, 1600, 1900, 2200, 2500)
-BASE_RATE = 500
+OFFERED_RATES = (800, 1000, 1200, 1400, 1600, 1900, 2200, 2500)
+BASE_RATE = 500  # messages/s at which the CPU time per message is measured
 
 
 def cpu_seconds(process: int) -> float:
@@ -36,7 +36,7 @@
 
 
 def run_client(task: tuple[int, int, float, float, int, float]) -> tuple[int, int, float, Counter[int]]:
-    """Offers the share of one client process.
+    """Offers the share of one client process; runs in that process.
 
     Args:
         task: The port, the number of the client, its rate in messages/s, the duration in s, its core and the
@@ -48,17 +48,17 @@
     """
     port, number, rate, seconds, core, begin = task
     storm.pin(core)
-    run = storm.Storm(port, number)
+    generator = storm.LoadGenerator(port, number)
 
     async def offer() -> tuple[int, int, float]:
         await asyncio.sleep(max(begin - time.monotonic(), 0.0))
-        return await run.offer(rate, seconds)
+        return await generator.offer(rate, seconds)
 
-    return (*asyncio.run(offer()), Counter(run.answers.values()))
+    return (*asyncio.run(offer()), Counter(generator.answers.values()))
 
 
 class Sender:
-    """The measured process; it is restarted for each rate, so that no backlog is carried over."""
+    """Measures a sender, which is started anew for each rate, so that no backlog is carried over."""
 
     def __init__(self, root: Path, ports: list[int], pool: Any, clients: int, proxy: str = "") -> None:  # noqa: ANN401
         self.root, self.ports, self.pool, self.clients, self.proxy = root, ports, pool, clients, proxy
@@ -80,7 +80,7 @@
             state, port = Path(folder) / "state", storm.free_port()
             state.mkdir()
             process = self.start(port, state, Path(folder) / "log")
-            await storm.ready(port)
+            await storm.wait_until_ready(port)
             before = cpu_seconds(process.pid)
             begin = time.monotonic() + 0.3
             tasks = [
@@ -95,7 +95,7 @@
         statuses: Counter[int] = sum((each[3] for each in results), Counter())
         return {
             "rate": rate,
-            "taken_a_second": statuses[202] / seconds,
+            "accepted_per_s": statuses[202] / seconds,
             "unanswered": 1 - answered / sent,
             "refused": (statuses[429] + statuses[503]) / sent,
             "cpu_us": spent / sent * 1e6,
@@ -106,26 +106,27 @@
 async def measure(sender: Sender, seconds: float) -> dict[str, Any]:
     """Measures the CPU time, the highest rate and the behaviour at twice that rate."""
     base = await sender.offer(BASE_RATE, seconds)
-    ladder = [await sender.offer(rate, seconds) for rate in LADDER]
-    most = max(each["taken_a_second"] for each in ladder)
-    twice = await sender.offer(2 * most, seconds)
+    runs = [await sender.offer(rate, seconds) for rate in OFFERED_RATES]
+    max_rate = max(each["accepted_per_s"] for each in runs)
+    twice = await sender.offer(2 * max_rate, seconds)
     return {
         "root": "bare proxy" if sender.proxy else sender.root.name,
         "cpu_us_at_500": round(base["cpu_us"]),
-        "most_a_second": round(most),
+        "max_per_s": round(max_rate),
         "twice": {
-            "offered": round(2 * most),
+            "offered": round(2 * max_rate),
             "unanswered": round(twice["unanswered"], 4),
             "refused": round(twice["refused"], 3),
-            "of_the_most": round(twice["taken_a_second"] / most, 3),
+            "share_of_max": round(twice["accepted_per_s"] / max_rate, 3),
             "generator_late_ms": round(twice["late_ms"]),
         },
     }
 
 
-async def main_loop(options: argparse.Namespace) -> None:
+async def compare(options: argparse.Namespace) -> None:
+    """Measures all senders and prints each result, and the ratios to the first one."""
     ours, theirs = multiprocessing.Pipe()
-    stand_ins = multiprocessing.Process(target=storm.peers, args=(theirs,), daemon=True)
+    stand_ins = multiprocessing.Process(target=storm.run_peers, args=(theirs,), daemon=True)
     stand_ins.start()
     ports = ours.recv()
     results = []
@@ -136,14 +137,15 @@
         for each in senders:
             results.append(await measure(each, options.seconds))
             print(json.dumps(results[-1]), flush=True)
-    end(ours, stand_ins)
+    stop_stand_ins(ours, stand_ins)
     for each in results[1:]:
         cpu = each["cpu_us_at_500"] / results[0]["cpu_us_at_500"]
-        most = each["most_a_second"] / results[0]["most_a_second"]
-        print(f"{each['root']} over the first: CPU a message {cpu:.2f}, most a second {most:.2f}")
+        rate = each["max_per_s"] / results[0]["max_per_s"]
+        print(f"{each['root']}, ratio to the first: CPU time per message {cpu:.2f}, highest rate {rate:.2f}")
 
 
-def end(pipe: Connection, stand_ins: multiprocessing.Process) -> None:
+def stop_stand_ins(pipe: Connection, stand_ins: multiprocessing.Process) -> None:
+    """Ends the process of the stand-ins and waits for it for up to 5 s."""
     pipe.send("end")
     stand_ins.join(5)
 
@@ -152,9 +154,9 @@
     parser = argparse.ArgumentParser(description=__doc__.partition("\n")[0])
     parser.add_argument("--root", type=Path, nargs="+", default=[storm.ROOT])
     parser.add_argument("--seconds", type=float, default=4.0)
-    parser.add_argument("--clients", type=int, default=4, help="processes, each on a core of its own")
-    parser.add_argument("--proxy", default="", metavar="PYTHON")
-    asyncio.run(main_loop(parser.parse_args()))
+    parser.add_argument("--clients", type=int, default=4, help="client processes, each on its own core")
+    parser.add_argument("--proxy", default="", metavar="PYTHON", help="an interpreter with aiohttp")
+    asyncio.run(compare(parser.parse_args()))
 
 
 if __name__ == "__main__":
--- a/benchmarks/proxy.py
+++ b/benchmarks/proxy.py
@@ -10,26 +10,28 @@
 
 from aiohttp import ClientSession, TCPConnector, web  # type: ignore[import-not-found]
 
-CALLS = 60  # in flight at most; equals the slots of the sender in storm.py
+MAX_CONNECTIONS = 60  # calls in flight at most; equals the slots of the sender in storm.py
 
 
-async def serve(receiver: int) -> web.Application:
-    """Returns the proxy of a receiver that listens on this port."""
-    app, hook = web.Application(), f"http://127.0.0.1:{receiver}/hook"
+async def make_proxy(receiver_port: int) -> web.Application:
+    """Returns the proxy for a receiver that listens on this port."""
+    app, url = web.Application(), f"http://127.0.0.1:{receiver_port}/hook"
 
     async def forward(request: web.Request) -> web.Response:
         headers = {"X-Correlation-Id": request.headers.get("X-Correlation-Id", "")}
         body = await request.read()
-        async with app["session"].post(hook, data=body, headers=headers) as response:
+        async with app["session"].post(url, data=body, headers=headers) as response:
             return web.Response(status=202 if response.status == 200 else 502)
 
-    async def session(app: web.Application) -> None:
-        app["session"] = ClientSession(connector=TCPConnector(limit=CALLS))
+    async def open_session(app: web.Application) -> None:
+        app["session"] = ClientSession(connector=TCPConnector(limit=MAX_CONNECTIONS))
 
-    app.on_startup.append(session)
+    app.on_startup.append(open_session)
     app.router.add_post("/{name}", forward)
     return app
 
 
 if __name__ == "__main__":
-    web.run_app(serve(int(sys.argv[2])), host="127.0.0.1", port=int(sys.argv[1]), access_log=None, print=None)
+    web.run_app(
+        make_proxy(int(sys.argv[2])), host="127.0.0.1", port=int(sys.argv[1]), access_log=None, print=None
+    )
--- a/benchmarks/scale/load.py
+++ b/benchmarks/scale/load.py
@@ -57,7 +57,9 @@
 def run_stand_ins() -> Iterator[StandIns]:
     """Runs the stand-ins for receivers and platform in a separate process."""
     ours, theirs = multiprocessing.get_context("spawn").Pipe()
-    process = multiprocessing.get_context("spawn").Process(target=storm.peers, args=(theirs,), daemon=True)
+    process = multiprocessing.get_context("spawn").Process(
+        target=storm.run_peers, args=(theirs,), daemon=True
+    )
     process.start()
     try:
         receiver, platform = ours.recv()
@@ -86,7 +88,7 @@
     return config
 
 
-class Load(storm.Storm):
+class Load(storm.LoadGenerator):
     """Open-loop clients: each message is sent on schedule, regardless of earlier answers."""
 
     def __init__(self, port: int, prefix: int, destinations: range) -> None:
@@ -98,7 +100,7 @@
         """Returns the destination of a message by its number, which counts from 1."""
         return self.destinations[number % len(self.destinations)]
 
-    def text(self, name: str) -> bytes:
+    def encode_request(self, name: str) -> bytes:
         """Returns the HTTP request that submits the message."""
         destination = self.destination(int(name.rpartition("-")[2]))
         return (
@@ -166,7 +168,7 @@
         command = [sys.executable, "-m", "message_sender"]
         process = subprocess.Popen(command, cwd=ROOT, env=environment, stderr=subprocess.DEVNULL)
         try:
-            await storm.ready(port)
+            await storm.wait_until_ready(port)
             yield port, process.pid
         finally:
             process.kill()
@@ -174,7 +176,7 @@
 
 
 async def run_load(
-    stand_ins: StandIns, rate: float, count: int, down: int = 0, to_down: bool = False, backlog: int = 0
+    stand_ins: StandIns, rate: float, count: int, down: int = 0, include_down: bool = False, backlog: int = 0
 ) -> LoadResult:
     """Offers messages to a new sender and measures its CPU time.
 
@@ -183,13 +185,13 @@
         rate: Messages per second.
         count: The number of messages.
         down: The number of destinations that are down.
-        to_down: Whether a proportional share of the messages goes to the destinations that are down.
+        include_down: Whether a proportional share of the messages goes to the destinations that are down.
         backlog: The number of messages for destinations that are down, sent before the measurement.
     """
     async with run_sender(stand_ins, down) as (port, process):
         if backlog:
             await Load(port, next(stand_ins.loads), range(down)).offer_at(1000.0, backlog)
-        load = Load(port, next(stand_ins.loads), range(0 if to_down else down, DESTINATIONS))
+        load = Load(port, next(stand_ins.loads), range(0 if include_down else down, DESTINATIONS))
         delivered_before = stand_ins.delivered()
         cpu_s, started_at = process_cpu_s(process), time.monotonic()
         await load.offer_at(rate, count)
--- a/benchmarks/scale/messages.py
+++ b/benchmarks/scale/messages.py
@@ -34,19 +34,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Situation:
-    """The number of destinations that are down and the load that is meant for them."""
+    """The destinations that are down and the load for them; the parameters of `load.run_load`."""
 
     name: str
     title: str
     down: int = 0
-    to_down: bool = False
+    include_down: bool = False
     has_backlog: bool = False
 
 
 SITUATIONS = (
     Situation("calm", "all destinations up"),
-    Situation("down", f"{plan.DOWN_SHARE:.1%} of destinations down", load.DOWN, to_down=True),
-    Situation("backlog", "a backlog for those that are down", load.DOWN, has_backlog=True),
+    Situation("down", f"{plan.DOWN_SHARE:.1%} of destinations down", load.DOWN, include_down=True),
+    Situation("backlog", "a backlog for destinations that are down", load.DOWN, has_backlog=True),
 )
 
 
@@ -56,7 +56,7 @@
     """Offers messages to a new sender at one rate (messages/s)."""
     count = int(rate * sizes.seconds)
     backlog = sizes.backlog if situation.has_backlog else 0
-    return await load.run_load(stand_ins, rate, count, situation.down, situation.to_down, backlog)
+    return await load.run_load(stand_ins, rate, count, situation.down, situation.include_down, backlog)
 
 
 def run(effort: Effort) -> Measured:
@@ -76,7 +76,7 @@
     points = [
         Point(round(each.accepted / each.wall_s, 2), round(each.cpu_s / each.wall_s, 5)) for each in runs
     ]
-    title = f"share of a core that a sender takes, {situation.title}"
+    title = f"share of a core that a sender uses, {situation.title}"
     if situation.has_backlog:
         title += f" ({backlog} messages)"
     return quantity_of(
@@ -87,7 +87,7 @@
         Source.CPU_TIME,
         points,
         plan.EVENTS_PER_S_PER_SENDER,
-        Allowance(f"CPU of a sender, {situation.title}", plan.SENDER_CORES, "platform: one core a sender"),
+        Allowance(f"CPU of a sender, {situation.title}", plan.SENDER_CORES, "platform: one core per sender"),
     )
 
 
@@ -97,5 +97,5 @@
     share = accepted / offered
     return (
         Figure("offered", "messages offered over all runs", "", Source.COUNT, offered),
-        Figure("accepted_share", "share of them that was taken on", "", Source.COUNT, share),
+        Figure("accepted_share", "share of them that was accepted", "", Source.COUNT, share),
     )
--- a/benchmarks/storm.py
+++ b/benchmarks/storm.py
@@ -1,12 +1,12 @@
-"""An overload test on loopback: more messages than one core can serve, from clients with time-outs.
+"""An overload test on loopback: more messages than one core can process, from clients with timeouts.
 
     python benchmarks/storm.py [--root FOLDER] [--runs 10] [--rate 1600] [--seconds 6] [--json FILE]
 
 Starts one sender of FOLDER (a checkout with its .venv; this checkout by default) on one core, stand-ins for
-receivers and the platform on a second and the clients on a third. Messages are offered open loop: each is
+receivers and the platform on a second, and the clients on a third. Messages are offered open loop: each is
 sent on schedule, regardless of earlier answers. Half of the clients wait 0.4 s for an answer and half 2 s
 before they close the connection. Afterwards half the rate is offered for 2 s, which shows whether the sender
-recovers. A sender that exited is restarted on its journal, so that its accepted messages can still end.
+recovers. A sender that exited is restarted with its journal, so that its accepted messages can still end.
 Prints one line per run and the totals: exits, accepted messages that were neither delivered nor ended by a
 notice (lost), the share without an answer, and the rate afterwards.
 """
@@ -63,6 +63,7 @@
             self.request(head.split(b" ", 2)[1].decode(), fields, body)
 
     def request(self, target: str, fields: dict[str, str], body: bytes) -> None:
+        """Handles a complete request; `target` is its path, `fields` are its headers in lower case."""
         raise NotImplementedError
 
 
@@ -110,8 +111,8 @@
         pipe.send((dict(delivered), dict(ended)))
 
 
-def peers(pipe: Connection) -> None:
-    """Runs the stand-ins on their core; the entry of their process."""
+def run_peers(pipe: Connection) -> None:
+    """Runs the stand-ins on their core; the entry point of their process."""
     pin(PEERS_CORE)
     asyncio.run(serve_peers(pipe))
 
@@ -158,31 +159,31 @@
 
 
 class Client(asyncio.Protocol):
-    """A persistent client connection; `Storm.pool` holds the idle ones."""
+    """A persistent client connection; `LoadGenerator.pool` holds the idle ones."""
 
-    def __init__(self, storm: "Storm") -> None:
-        self.storm, self.data, self.name, self.sent_at = storm, b"", "", 0.0
+    def __init__(self, generator: "LoadGenerator") -> None:
+        self.generator, self.data, self.name, self.sent_at = generator, b"", "", 0.0
         self.timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         if self.name:
-            transport.write(self.storm.text(self.name))
+            transport.write(self.generator.encode_request(self.name))
         else:
             transport.abort()
 
     def send_request(self, name: str, timeout_s: float) -> None:
-        """Sends the request of a message, on connection if there is no connection yet."""
+        """Sends the request of a message; without a connection, `connection_made` sends it."""
         self.name, self.data, self.sent_at = name, b"", time.monotonic()
         self.timer = asyncio.get_running_loop().call_later(timeout_s, self.time_out)
         if hasattr(self, "transport"):
-            self.transport.write(self.storm.text(name))
+            self.transport.write(self.generator.encode_request(name))
 
     def finish(self, status: int) -> None:
         """Records the HTTP status of the answer; 0 for no answer."""
         if self.name:
-            self.storm.answers[self.name] = status
+            self.generator.answers[self.name] = status
             self.name = ""
         if self.timer:
             self.timer.cancel()
@@ -197,26 +198,27 @@
         self.data += data
         if b"\r\n\r\n" not in self.data:
             return
-        self.storm.latencies_s.append(time.monotonic() - self.sent_at)
+        self.generator.latencies_s.append(time.monotonic() - self.sent_at)
         self.finish(int(self.data[9:12]))
         if b"connection: close" in self.data.lower():
             self.transport.close()
         else:
-            self.storm.pool.append(self)
+            self.generator.pool.append(self)
 
     def connection_lost(self, error: Exception | None) -> None:
         self.finish(0)
-        if self in self.storm.pool:
-            self.storm.pool.remove(self)
+        if self in self.generator.pool:
+            self.generator.pool.remove(self)
 
 
-class Storm:
+class LoadGenerator:
     """An open-loop load generator with a pool of connections to one sender.
 
-    `answers` maps the names of messages to the HTTP status, or to 0 if there was no answer in time.
+    `answers` maps the names of messages to the HTTP status, or to 0 if the client timed out before an answer.
     """
 
     def __init__(self, port: int, run: int) -> None:
+        """`run` is the prefix of the message names; it distinguishes the messages of several runs."""
         self.port, self.run = port, run
         self.pool: list[Client] = []
         self.answers: dict[str, int] = {}
@@ -224,7 +226,7 @@
         self.count = 0
         self.tasks: set[asyncio.Task[None]] = set()
 
-    def text(self, name: str) -> bytes:
+    def encode_request(self, name: str) -> bytes:
         """Returns the HTTP request that submits the message."""
         number = int(name.rpartition("-")[2])
         head = f"POST /c HTTP/1.1\r\nHost: app.svc\r\nX-Correlation-Id: {name}\r\nX-Service-Class: c\r\n"
@@ -291,7 +293,7 @@
     return process
 
 
-async def ready(port: int) -> None:
+async def wait_until_ready(port: int) -> None:
     """Waits until the port accepts connections.
 
     Raises:
@@ -325,19 +327,19 @@
         state.mkdir()
         settings = config(port, *ports)
         process = start(options.root, settings, state, log)
-        await ready(port)
-        storm = Storm(port, number)
-        sent, answered, late = await storm.offer(options.rate, options.seconds)
-        statuses = Counter(storm.answers.values())
+        await wait_until_ready(port)
+        generator = LoadGenerator(port, number)
+        sent, answered, late = await generator.offer(options.rate, options.seconds)
+        statuses = Counter(generator.answers.values())
         exited = process.poll()
         if exited is not None:
             process = start(options.root, settings, state, log)
-            await ready(port)
-        after_sent, after, _ = await storm.offer(options.rate / 2, 2.0)
+            await wait_until_ready(port)
+        sent_afterwards, answered_afterwards, _ = await generator.offer(options.rate / 2, 2.0)
         await asyncio.sleep(DEADLINE + 1.0 if exited is not None else 1.0)
         pipe.send("report")
         delivered, ended = pipe.recv()
-        accepted = [name for name, status in storm.answers.items() if status == 202]
+        accepted = [name for name, status in generator.answers.items() if status == 202]
         ended_names = [name for name in accepted if name in delivered or name in ended]
         if len(ended_names) < len(accepted):
             await asyncio.sleep(DEADLINE + 1.0)
@@ -352,15 +354,16 @@
             "lost": sum(1 for name in accepted if name not in delivered and name not in ended),
             "unanswered": round(1 - answered / sent, 4),
             "refused": round((statuses[429] + statuses[503]) / sent, 4),
-            "afterwards": round(after / after_sent * options.rate / 2),
+            "afterwards": round(answered_afterwards / sent_afterwards * options.rate / 2),
             "late_ms": round(late * 1e3),
             "last_line": last,
         }
 
 
 async def main_loop(options: argparse.Namespace) -> list[dict[str, Any]]:
+    """Runs the test `options.runs` times, prints each result and returns them."""
     ours, theirs = multiprocessing.Pipe()
-    stand_ins = multiprocessing.Process(target=peers, args=(theirs,), daemon=True)
+    stand_ins = multiprocessing.Process(target=run_peers, args=(theirs,), daemon=True)
     stand_ins.start()
     pin(CLIENTS_CORE)
     ports = ours.recv()
