--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -1,11 +1,11 @@
-"""Forty senders on virtual time: several draws of the scenarios `forty-*`.
+"""Fleets of forty senders on virtual time: the scenarios `forty-*` with many random seeds.
 
-    ./with-env python benchmarks/fleet.py                     # twenty draws of each
+    ./with-env python benchmarks/fleet.py                     # twenty seeds of each
     ./with-env python benchmarks/fleet.py --root OTHER        # compares with the policy of another checkout
 
-With `--root` every draw also runs in a copy of this checkout whose policy modules (`POLICY_FILES`) are
-replaced by those of the other checkout. The two runs of a pair have the same emulator, clients, receivers and
-seed.
+With `--root` every seed also runs in a copy of this checkout whose policy modules (`POLICY_FILES`) are
+replaced by those of the other checkout. The two runs with a seed have the same emulator, clients and
+receivers. Prints the mean of each figure with its 95% confidence interval.
 """
 
 import argparse
@@ -18,7 +18,7 @@
 from concurrent.futures import ThreadPoolExecutor
 from pathlib import Path
 
-HERE = Path(__file__).resolve().parent.parent
+ROOT = Path(__file__).resolve().parent.parent
 POLICY_FILES = (
     "policy/dispatcher.py",
     "policy/breaker.py",
@@ -30,8 +30,8 @@
 FIGURES = ("goodput", "worst_10_s", "refused_calls", "falls")
 
 
-def run_draw(root: Path, scenario: Path, seed: int) -> dict[str, float]:
-    """Runs one draw.
+def run_scenario(root: Path, scenario: Path, seed: int) -> dict[str, float]:
+    """Runs a scenario once.
 
     Returns:
         The value of each figure.
@@ -54,7 +54,7 @@
     """Copies this checkout's package into `folder` with the policy modules of `root`; returns the copy."""
     copy = folder / "other"
     shutil.copytree(
-        HERE / "message_sender", copy / "message_sender", ignore=shutil.ignore_patterns("__pycache__")
+        ROOT / "message_sender", copy / "message_sender", ignore=shutil.ignore_patterns("__pycache__")
     )
     for name in POLICY_FILES:
         shutil.copy(root / "message_sender" / name, copy / "message_sender" / name)
@@ -69,27 +69,27 @@
 
 def main() -> None:
     parser = argparse.ArgumentParser(description=__doc__.split("\n", 1)[0])
-    parser.add_argument("--root", type=Path)
-    parser.add_argument("--draws", type=int, default=20)
-    parser.add_argument("--processes", type=int, default=8)
-    parser.add_argument("--only", default="forty-")
+    parser.add_argument("--root", type=Path, help="a checkout to compare with")
+    parser.add_argument("--seeds", type=int, default=20, help="runs of each scenario")
+    parser.add_argument("--processes", type=int, default=8, help="concurrent runs")
+    parser.add_argument("--prefix", default="forty-", help="of the scenario files")
     options = parser.parse_args()
-    scenarios = sorted((HERE / "scenarios").glob(f"{options.only}*.toml"))
+    scenarios = sorted((ROOT / "scenarios").glob(f"{options.prefix}*.toml"))
     with tempfile.TemporaryDirectory() as folder, ThreadPoolExecutor(options.processes) as pool:
-        roots = {"this": HERE}
+        roots = {"this": ROOT}
         if options.root:
             roots["other"] = copy_with_policy(options.root, Path(folder))
         for scenario in scenarios:
             runs = {
-                name: [pool.submit(run_draw, root, scenario, seed) for seed in range(options.draws)]
+                name: [pool.submit(run_scenario, root, scenario, seed) for seed in range(options.seeds)]
                 for name, root in roots.items()
             }
-            draws = {name: [run.result() for run in runs_of_root] for name, runs_of_root in runs.items()}
+            results = {name: [run.result() for run in runs_of_root] for name, runs_of_root in runs.items()}
             for figure in FIGURES:
-                cells = [f"{name} {interval([draw[figure] for draw in draws[name]])}" for name in draws]
-                if len(draws) == 2:
-                    pairs = zip(draws["this"], draws["other"], strict=True)
-                    cells.append(f"this less other {interval([a[figure] - b[figure] for a, b in pairs])}")
+                cells = [f"{name} {interval([each[figure] for each in results[name]])}" for name in results]
+                if len(results) == 2:
+                    pairs = zip(results["this"], results["other"], strict=True)
+                    cells.append(f"this minus other {interval([a[figure] - b[figure] for a, b in pairs])}")
                 print(f"{scenario.stem:26} {figure:14}", "   ".join(cells), flush=True)
 
 
