--- a/benchmarks/management.py
+++ b/benchmarks/management.py
@@ -1,8 +1,8 @@
 """The response time of management calls under client load: ./with-env python benchmarks/management.py
 
 Runs a sender as a process. `CLIENTS` connections submit `RATE` messages per second for `SECONDS`, a hundred
-management connections send half a request, and a call for the statistics is made every 50 ms. Prints the
-response times of these calls.
+other management connections each send only half a request, and a call for the statistics is made every 50 ms.
+Prints the response times of these calls.
 """
 
 import asyncio
@@ -21,7 +21,7 @@
 
 
 async def client(address: tuple[str, int], number: int, until: float) -> int:
-    """Submits messages at its share of the rate up to the time `until`; returns their number."""
+    """Submits messages at its share of the rate until the time `until` (s); returns their number."""
     reader, writer = await asyncio.open_connection(*address)
     count = 0
     while time.monotonic() < until:
@@ -60,9 +60,9 @@
                     await asyncio.sleep(0.05)
                 submitted = sum(await asyncio.gather(*clients))
                 latencies.sort()
-                middle, most = latencies[len(latencies) // 2], latencies[-1]
-                print(f"{submitted / SECONDS:.0f} hand-ins a second, {len(latencies)} calls:", end=" ")
-                print(f"median {middle * 1e3:.1f} ms, slowest {most * 1e3:.1f} ms")
+                median, longest = latencies[len(latencies) // 2], latencies[-1]
+                print(f"{submitted / SECONDS:.0f} messages/s submitted, {len(latencies)} calls:", end=" ")
+                print(f"median {median * 1e3:.1f} ms, longest {longest * 1e3:.1f} ms")
 
 
 asyncio.run(main())
--- a/benchmarks/overrides.py
+++ b/benchmarks/overrides.py
@@ -1,7 +1,7 @@
-"""Overrides with a long endpoint list.
+"""The cost of overrides with a long endpoint list.
 
-Measures the cost of a change of the list, the cost of the choice of an endpoint, the distribution of attempts
-by weight, and how long an endpoint still gets calls after `override set`.
+Measures the time to process a change of the list, the time to choose an endpoint for a message, the
+distribution of attempts by weight, and how long an endpoint still gets calls after `override set`.
 
     python benchmarks/overrides.py [--endpoints N] [--overrides N]
 """
@@ -40,9 +40,9 @@
 from message_sender.testbed.script import Script
 
 SECOND = 1_000_000
-KIND = MessageClass("c", 4 * SECOND, 20 * SECOND, 1.0, 0.3, Effect.IDEMPOTENT)
-SETTINGS = Settings((KIND,), (("plain", DestinationKind()),), 64, 1000, 6, "z", 5000)
-ROUNDS = 400
+MESSAGE_CLASS = MessageClass("c", 4 * SECOND, 20 * SECOND, 1.0, 0.3, Effect.IDEMPOTENT)
+SETTINGS = Settings((MESSAGE_CLASS,), (("plain", DestinationKind()),), 64, 1000, 6, "z", 5000)
+ROUNDS = 400  # changes of the list
 
 
 def listed(count: int) -> tuple[Endpoint, ...]:
@@ -56,8 +56,8 @@
     for each in range(overrides):
         kind = (OverrideKind.OUT, OverrideKind.WEIGHT, OverrideKind.PIN)[each % 3]
         name = f"e{each * (count // max(overrides, 1))}"
-        more = {"weight": 3.0, "destination": each * (count // max(overrides, 1)) // 2}
-        book.set(kind, name, "me", "bench", 0, 3600 * SECOND, 1, **more)  # type: ignore[arg-type]
+        details = {"weight": 3.0, "destination": each * (count // max(overrides, 1)) // 2}
+        book.set(kind, name, "me", "bench", 0, 3600 * SECOND, 1, **details)  # type: ignore[arg-type]
     layer = OverrideLayer(book)
     layer.apply_update(EndpointsUpdated(ListingKind.FULL, listed(count)))
     layer.refresh(1)
@@ -69,9 +69,9 @@
     costs = []
     for each in range(ROUNDS):
         state = EndpointState.DRAINING if each % 2 else EndpointState.READY
-        one = Endpoint(f"e{(each // 2 * 37) % count}", (each // 2 * 37) % count // 2, state, "plain", "z")
+        changed = Endpoint(f"e{(each // 2 * 37) % count}", (each // 2 * 37) % count // 2, state, "plain", "z")
         started_at = time.perf_counter()
-        layer.apply_update(EndpointsUpdated(ListingKind.CHANGES, (one,)))
+        layer.apply_update(EndpointsUpdated(ListingKind.CHANGES, (changed,)))
         costs.append((time.perf_counter() - started_at) * 1e6)
     return statistics.median(costs)
 
@@ -95,7 +95,7 @@
 
 
 def share_error(weights: tuple[float, ...], messages: int = 10_000) -> float:
-    """Returns the largest deviation of an endpoint's share of attempts from its weight, in points."""
+    """Returns the largest difference between an endpoint's share of attempts and its weight, in points."""
     dispatcher, now, count = Dispatcher(SETTINGS, 1), SECOND, Counter[str]()
     endpoints = [
         Endpoint(f"e{n}", 1, EndpointState.READY, "plain", "z", weight=weight)
@@ -167,21 +167,23 @@
     count = options.endpoints
     layer = make_layer(count, options.overrides)
     print(f"{count} endpoints, {options.overrides} overrides in force")
-    print(f"  a change of the list: {change_cost(layer, count):.1f} us")
+    print(f"  a change of the list, applied to the overlay: {change_cost(layer, count):.1f} us")
     started_at = time.perf_counter()
     layer.book.set(OverrideKind.OUT, "e5", "me", "bench", 1, SECOND, 1)
     layer.refresh(2)
-    print(f"  an override set, in the overlay: {(time.perf_counter() - started_at) * 1e6:.0f} us")
-    plain = EndpointsUpdated(ListingKind.FULL, listed(count))
-    under = EndpointsUpdated(ListingKind.FULL, tuple(layer.published.values()))
-    ratios = [choice_cost(under, count) / choice_cost(plain, count) for _ in range(5)]
-    print(f"  a message's cost in the decision module, to that without: {statistics.median(ratios):.3f} "
+    print(f"  an override set and applied to the overlay: {(time.perf_counter() - started_at) * 1e6:.0f} us")
+    without = EndpointsUpdated(ListingKind.FULL, listed(count))
+    overridden = EndpointsUpdated(ListingKind.FULL, tuple(layer.published.values()))
+    ratios = [choice_cost(overridden, count) / choice_cost(without, count) for _ in range(5)]
+    print(f"  decision module, time per message relative to no overrides: {statistics.median(ratios):.3f} "
           f"({min(ratios):.3f} to {max(ratios):.3f})")  # fmt: skip
     for weights in ((1.0, 2.0), (1.0, 1.0, 8.0), (0.1, 5.0, 1.0, 1.0)):
-        print(f"  shares by weights {weights}: {share_error(weights):.2f} points off at the most")
+        print(f"  shares with weights {weights}: at most {share_error(weights):.2f} percentage points off")
     times = [asyncio.run(time_to_last_call()) for _ in range(5)]
-    middle, most = statistics.median(times), max(times)
-    print(f"  from `override set` to the last call there: {middle:.1f} ms, {most:.1f} at most")
+    median, longest = statistics.median(times), max(times)
+    print(
+        f"  from `override set` to the last call of its endpoint: {median:.1f} ms, at most {longest:.1f} ms"
+    )
 
 
 if __name__ == "__main__":
--- a/benchmarks/pcap.py
+++ b/benchmarks/pcap.py
@@ -1,9 +1,9 @@
-"""Captures: reading speed beside dpkt and scapy, memory on a long capture, and the cost of writing.
+"""Captures: reading speed compared with dpkt and scapy, memory on a long capture, and the cost of writing.
 
     python benchmarks/pcap.py [--packets N] [--megabytes N]
 
-All figures are from one run on one core. Speeds are ratios to dpkt, which only reads and decodes packets
-here; our reader also reassembles streams and HTTP messages.
+All figures are from one run on one core. Speeds are also given relative to dpkt, which only reads and
+decodes packets here; the reader of message_sender also reassembles streams and HTTP messages.
 """
 
 import argparse
@@ -78,7 +78,7 @@
 
 
 def read_messages(data: bytes) -> int:
-    """Reads packets, streams and HTTP messages with our reader; returns the number of packets."""
+    """Reads packets, streams and HTTP messages with message_sender; returns the number of packets."""
     capture = Capture(io.BytesIO(data))
     for _ in capture.messages():
         pass
@@ -86,7 +86,7 @@
 
 
 def read_streams(data: bytes) -> int:
-    """Reads packets and streams with our reader; returns the number of packets."""
+    """Reads packets and streams with message_sender; returns the number of packets."""
     layers, flows, count = SegmentDecoder(), FlowTable(), 0
     for packet in read_packets(io.BytesIO(data)):
         count += 1
@@ -125,17 +125,17 @@
 
 def measure_reading(packets: int) -> None:
     """Prints the reading speeds."""
-    for name, body in (("commands of 200 bytes", b"x" * 200), ("bodies of 60 KB", b"x" * 60_000)):
+    for name, body in (("messages of 200 bytes", b"x" * 200), ("messages of 60 KB", b"x" * 60_000)):
         data = capture_of(packets, body)
         base = speed(read_dpkt, data)
         size = len(data) / read_messages(data)
-        print(f"{name}: dpkt, reading alone {base:,.0f} packets/s")
+        print(f"{name}: dpkt, packets only {base:,.0f} packets/s")
         for label, reader in (("streams", read_streams), ("streams and messages", read_messages)):
             rate = speed(reader, data)
-            speeds = f"{rate:10,.0f} packets/s {rate * size / 1e6:8.1f} MB/s {rate / base:6.2f} of dpkt's"
-            print(f"  ours, {label:21}{speeds}")
+            speeds = f"{rate:10,.0f} packets/s {rate * size / 1e6:8.1f} MB/s {rate / base:6.2f} times dpkt"
+            print(f"  message_sender, {label:21}{speeds}")
     small = capture_of(5_000, b"x" * 200)
-    print(f"  scapy, reading alone {read_scapy(small) and speed(read_scapy, small) / base:.3f} of dpkt's")
+    print(f"  scapy, packets only {read_scapy(small) and speed(read_scapy, small) / base:.3f} times dpkt")
 
 
 def measure_memory(megabytes: int) -> None:
@@ -154,7 +154,7 @@
     process.stdin.close()
     process.wait()
     peak = resource.getrusage(resource.RUSAGE_CHILDREN).ru_maxrss / 1024
-    print(f"pcap info on {sent / 1e6:.0f} MB from a pipe: {peak:.1f} MB at the peak")
+    print(f"pcap info on {sent / 1e6:.0f} MB from a pipe: peak memory {peak:.1f} MB")
 
 
 async def deliver(folder: Path, tap: TrafficTap | None) -> float:
@@ -189,7 +189,7 @@
 
 
 def run_delivery(capturing: bool) -> float:
-    """Returns the CPU seconds of one run of `deliver`, with or without a capture."""
+    """Returns the CPU seconds of `deliver` in a new folder, with or without a capture."""
     with tempfile.TemporaryDirectory() as folder:
         tap = TrafficTap(Path(folder) / "c", 16_000_000) if capturing else None
         state = Path(folder) / "s"
@@ -205,8 +205,8 @@
     """Prints the ratio of the CPU time with a capture to that without."""
     run_delivery(False)
     ratios = [run_delivery(True) / run_delivery(False) for _ in range(PAIRS)]
-    middle = statistics.median(ratios)
-    print(f"CPU a message with the capture written, in the sender: {middle:.3f} times that without "
+    median = statistics.median(ratios)
+    print(f"CPU time per message with a capture: {median:.3f} times that without "
           f"({min(ratios):.3f} to {max(ratios):.3f}, {PAIRS} pairs of {MESSAGES} messages)")  # fmt: skip
 
 
--- a/benchmarks/plugin.py
+++ b/benchmarks/plugin.py
@@ -1,4 +1,4 @@
-"""Latency and CPU time per message: the plug-in, compared with a bare gRPC call and with the daemon.
+"""Latency and CPU time per message of the plug-in, compared with a bare gRPC call and with the daemon.
 
     python benchmarks/plugin.py [--rounds 5] [--messages 400] [--json FILE]
 
@@ -157,13 +157,13 @@
     return int(re.search(r"VmRSS:\s+(\d+)", Path("/proc/self/status").read_text())[1])  # type: ignore[index]
 
 
-def run_variant(way: str, port: int, messages: int) -> None:
+def run_variant(variant: str, port: int, messages: int) -> None:
     """Measures one variant in this process and prints the results as JSON."""
     pin(HOST_CORE)
     latencies = asyncio.run(
-        {"bare": measure_bare, "plugin": measure_plugin, "daemon": measure_daemon}[way](port, messages)
+        {"bare": measure_bare, "plugin": measure_plugin, "daemon": measure_daemon}[variant](port, messages)
     )
-    cpu_s = cpu_seconds() + (cpu_seconds(resource.RUSAGE_CHILDREN) if way == "daemon" else 0.0)
+    cpu_s = cpu_seconds() + (cpu_seconds(resource.RUSAGE_CHILDREN) if variant == "daemon" else 0.0)
     ordered = sorted(latencies)
     quantiles = {"p50": statistics.median(ordered), "p99": ordered[int(0.99 * len(ordered)) - 1]}
     print(
@@ -174,10 +174,19 @@
     )
 
 
-def run_process(way: str, ports: list[int], messages: int) -> dict[str, float]:
+def run_process(variant: str, ports: list[int], messages: int) -> dict[str, float]:
     """Measures one variant in a new process and returns its results."""
-    port = ports[1] if way == "daemon" else ports[0]
-    command = [sys.executable, __file__, "--way", way, "--port", str(port), "--messages", str(messages)]
+    port = ports[1] if variant == "daemon" else ports[0]
+    command = [
+        sys.executable,
+        __file__,
+        "--variant",
+        variant,
+        "--port",
+        str(port),
+        "--messages",
+        str(messages),
+    ]
     output = subprocess.run(command, capture_output=True, check=True, text=True, timeout=120).stdout
     return json.loads(output.splitlines()[-1])  # type: ignore[no-any-return]
 
@@ -188,20 +197,20 @@
     The CPU time per message is the difference between a long and a short run, which removes the cost of the
     start.
     """
-    command = [sys.executable, __file__, "--way", "endpoints"]
+    command = [sys.executable, __file__, "--variant", "endpoints"]
     with subprocess.Popen(command, stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True) as process:
         assert process.stdout is not None
         ports = [int(each) for each in process.stdout.readline().split()]
         results: dict[str, list[dict[str, float]]] = {"bare": [], "plugin": [], "daemon": []}
         for _ in range(rounds):
-            for way, rows in results.items():
-                short, row = run_process(way, ports, messages // 4), run_process(way, ports, messages)
+            for variant, rows in results.items():
+                short, row = run_process(variant, ports, messages // 4), run_process(variant, ports, messages)
                 row["cpu"] = (row["cpu"] - short["cpu"]) / (messages - messages // 4) * 1e6
                 rows.append(row)
         process.communicate("")
     return {
-        way: {name: statistics.median(row[name] for row in rows) for name in rows[0]}
-        for way, rows in results.items()
+        variant: {name: statistics.median(row[name] for row in rows) for name in rows[0]}
+        for variant, rows in results.items()
     }
 
 
@@ -210,22 +219,24 @@
     parser.add_argument("--rounds", type=int, default=5)
     parser.add_argument("--messages", type=int, default=400)
     parser.add_argument("--json", type=Path)
-    parser.add_argument("--way", help=argparse.SUPPRESS)
+    parser.add_argument("--variant", help=argparse.SUPPRESS)
     parser.add_argument("--port", type=int, help=argparse.SUPPRESS)
     options = parser.parse_args()
-    if options.way == "endpoints":
+    if options.variant == "endpoints":
         asyncio.run(run_endpoints())
         return 0
-    if options.way:
-        run_variant(options.way, options.port, options.messages)
+    if options.variant:
+        run_variant(options.variant, options.port, options.messages)
         return 0
     medians = measure(options.rounds, options.messages)
     print(f"{'':8}{'p50 us':>9}{'p99 us':>9}{'CPU us':>9}{'RSS kB':>9}")
-    for way, row in medians.items():
-        print(f"{way:8}" + "".join(f"{row[name]:>9.0f}" for name in ("p50", "p99", "cpu", "rss")))
-    print(f"plugin over bare: {medians['plugin']['p50'] - medians['bare']['p50']:.0f} us (aim: at most 400)")
+    for variant, row in medians.items():
+        print(f"{variant:8}" + "".join(f"{row[name]:>9.0f}" for name in ("p50", "p99", "cpu", "rss")))
+    print(
+        f"plugin minus bare: {medians['plugin']['p50'] - medians['bare']['p50']:.0f} us (target: at most 400)"
+    )
     share = 1 - medians["plugin"]["p50"] / medians["daemon"]["p50"]
-    print(f"plugin under daemon: {share:.0%} (aim: at least 33%)")
+    print(f"plugin, saving compared with daemon: {share:.0%} (target: at least 33%)")
     if options.json:
         options.json.write_text(json.dumps(medians, indent=1) + "\n")
     return 0
