--- a/benchmarks/power.py
+++ b/benchmarks/power.py
@@ -1,17 +1,18 @@
-"""The cost of surviving a machine failure, and the recovery of service after a power loss.
+"""The cost of a journal that survives a machine failure, and the recovery of service after a power loss.
 
 The sync modes (none, group, each) are compared within one run.
 
-cost: one journal on a real file system with closed-loop clients, by their number: the durable messages per
-second, their latency and the CPU time per message. door: the same through a complete sender, up to the 202.
-anew: the longest loop iteration while the journal is compacted with --count held messages and other messages
-are accepted. return: five senders (--size) hold 600 messages for a destination that is down; then the power
-fails and the destination is up again; with and without the link.
+cost: the durable messages per second of one journal on a real file system, their latency and the CPU time per
+message, by the number of closed-loop clients. acceptance: the rate and the latency of a complete sender, up
+to the answer 202. compaction: the longest loop iteration while the journal is compacted with --count held
+messages and other messages are accepted. recovery: five senders (--size) hold 600 messages for a destination
+that is down; then the power fails, the senders restart and the destination is up again; with and without the
+link.
 
     ./with-env python -m benchmarks.power cost --folder DIR
-    ./with-env python -m benchmarks.power door --folder DIR
-    ./with-env python -m benchmarks.power anew --folder DIR --count 20000
-    ./with-env python -m benchmarks.power return
+    ./with-env python -m benchmarks.power acceptance --folder DIR
+    ./with-env python -m benchmarks.power compaction --folder DIR --count 20000
+    ./with-env python -m benchmarks.power recovery
 """
 
 import argparse
@@ -30,8 +31,8 @@
 from message_sender.testbed.http import HttpClient
 from message_sender.testbed.receiver_stub import ReceiverStub
 
-LIMIT = 200_000_000  # bytes
-HELD = 600  # messages that all senders hold together when the power fails
+JOURNAL_LIMIT = 200_000_000  # bytes
+HELD = 600  # messages that all senders together hold when the power fails
 CONFIG = """
 [limits]
 max_open = 700
@@ -56,12 +57,12 @@
 def open_journal(folder: Path, sync: str) -> Journal:
     """Opens a journal with the given sync mode: none, group or each."""
     if sync == "none":
-        return Journal(folder, LIMIT)
-    return DurableJournal(folder, LIMIT, {"group": 0.005, "each": 0.0}[sync])
+        return Journal(folder, JOURNAL_LIMIT)
+    return DurableJournal(folder, JOURNAL_LIMIT, {"group": 0.005, "each": 0.0}[sync])
 
 
-async def measure_cost(folder: Path, sync: str, count: int, at_once: int) -> str:
-    """Measures the journal with `at_once` clients, each of which records one message after the other."""
+async def measure_cost(folder: Path, sync: str, count: int, clients: int) -> str:
+    """Measures the journal with closed-loop clients, each of which records one message after the other."""
     journal, latencies_s, numbers = open_journal(folder, sync), list[float](), iter(range(count))
     loop = asyncio.get_running_loop()
 
@@ -80,13 +81,13 @@
             await asyncio.sleep(0)
 
     started_at, cpu = time.perf_counter(), time.process_time()
-    await asyncio.gather(*(client() for _ in range(at_once)))
-    spent, cpu = time.perf_counter() - started_at, time.process_time() - cpu
+    await asyncio.gather(*(client() for _ in range(clients)))
+    elapsed, cpu = time.perf_counter() - started_at, time.process_time() - cpu
     journal.close()
     cuts = statistics.quantiles(latencies_s, n=100)
     return (
-        f"{sync:<6} {at_once:4d} at once: {count / spent:8.0f} a second, p50 {cuts[49] * 1e3:6.2f} ms, "
-        f"p99 {cuts[98] * 1e3:6.2f} ms, cpu {cpu / count * 1e6:5.0f} us a message"
+        f"{sync:<6} {clients:4d} clients: {count / elapsed:8.0f} messages/s, p50 {cuts[49] * 1e3:6.2f} ms, "
+        f"p99 {cuts[98] * 1e3:6.2f} ms, CPU {cpu / count * 1e6:5.0f} us per message"
     )
 
 
@@ -101,16 +102,16 @@
 """
 
 
-async def measure_return(folder: Path, sync: str, link: bool, size: int = 5, budget: bool = False) -> str:
-    """Measures the delivery of held messages after a power loss, in s after the restart of the processes."""
+async def measure_recovery(folder: Path, sync: str, link: bool, size: int = 5, budget: bool = False) -> str:
+    """Measures the delivery of held messages after a power loss, from the restart of the processes on."""
     cluster = Cluster(folder, size, 1, sync, link)
     async with ReceiverStub("hub", cluster.history, 60) as hub:
         hub.is_down = True
         cluster.extra_config = CONFIG.format(size=size) + BUDGET * budget + hub.to_config()
         async with cluster:
             await cluster.start()
-            whole = HELD
-            for number in range(whole):
+            held = HELD
+            for number in range(held):
                 name = f"m{number}"
                 assert await cluster.submit(name, "charge", 1, 60, f"k{number}", [f"n{number % size}"])
             await cluster.cut(keeps=0.0)
@@ -118,26 +119,26 @@
             hub.call_times.clear()
             started_at = time.monotonic()
             await cluster.start()
-            while time.monotonic() < started_at + 33 and len(hub.served_at) < whole * 0.97:
+            while time.monotonic() < started_at + 33 and len(hub.served_at) < held * 0.97:
                 await asyncio.sleep(0.1)
             delivered = sorted(each[0] - started_at for each in hub.served_at.values())
             times = (
                 f"first {delivered[0]:.2f} s, 90% {delivered[int(len(delivered) * 0.9)]:.1f} s"
                 if delivered
-                else "nothing came"
+                else "none delivered"
             )
             repeated = sum(len(each) > 1 for each in hub.served_at.values())
-            elapsed, variant = time.monotonic() - started_at, "link" if link else "alone"
+            elapsed, variant = time.monotonic() - started_at, "with link" if link else "without link"
             variant += ", budget" * budget
             summary = (
-                f"{len(delivered)} of {whole} ran by {elapsed:.1f} s; "
-                f"{times}; twice {repeated}; refused {hub.rejected}"
+                f"{len(delivered)} of {held} delivered within {elapsed:.1f} s; "
+                f"{times}; more than once {repeated}; refused {hub.rejected}"
             )
-            return f"{sync:<6} {variant}: {summary}; most in 100 ms {hub.max_count_within(0.1)}"
+            return f"{sync:<6} {variant}: {summary}; peak per 100 ms {hub.max_count_within(0.1)}"
 
 
-async def measure_door(folder: Path, sync: str, clients: int, seconds: float = 4.0) -> str:
-    """Measures how fast a complete sender accepts messages, up to the answer 202.
+async def measure_acceptance(folder: Path, sync: str, clients: int, seconds: float = 4.0) -> str:
+    """Measures the rate and the latency at which a complete sender accepts messages, up to the answer 202.
 
     The sender runs as a process, its destination is down, and `clients` closed-loop clients submit messages.
     """
@@ -169,7 +170,7 @@
             await asyncio.gather(*(client() for _ in range(clients)))
             cuts = statistics.quantiles(latencies_s, n=100)
             return (
-                f"{sync:<6} {clients:4d} clients: {len(latencies_s) / seconds:6.0f} a second, "
+                f"{sync:<6} {clients:4d} clients: {len(latencies_s) / seconds:6.0f} messages/s, "
                 f"p50 {cuts[49] * 1e3:6.2f} ms, p99 {cuts[98] * 1e3:6.2f} ms"
             )
 
@@ -179,7 +180,7 @@
 
     The journal holds `count` messages; 500 other messages per second are accepted and end at once.
     """
-    journal = DurableJournal(folder, LIMIT, 0.005)
+    journal = DurableJournal(folder, JOURNAL_LIMIT, 0.005)
     for number in range(count):
         journal.record_accepted(message(number))
     loop, numbers, gaps = asyncio.get_running_loop(), itertools.count(count), list[float]()
@@ -212,41 +213,41 @@
     first = (loop.time() - started_at) * 1000
     during = await measure_gaps(lambda: journal.replacement is None)
     journal.release()
-    most = max(first, during[1])
+    longest = max(first, during[1])
     return (
-        f"{count} owed: written anew in {during[0]:.2f} s; a pass took {most:.1f} ms at the most, "
-        f"p99.9 {during[2]:.1f} ms; in a calm stretch {before[1]:.1f} and {before[2]:.1f} ms"
+        f"{count} held: compacted in {during[0]:.2f} s; longest loop iteration {longest:.1f} ms, "
+        f"p99.9 {during[2]:.1f} ms; before the compaction {before[1]:.1f} and {before[2]:.1f} ms"
     )
 
 
 async def main() -> None:
-    parser = argparse.ArgumentParser()
-    parser.add_argument("what", choices=["cost", "door", "anew", "return"])
+    parser = argparse.ArgumentParser(description=__doc__.partition("\n")[0])
+    parser.add_argument("what", choices=["cost", "acceptance", "compaction", "recovery"])
     parser.add_argument("--folder", type=Path, help="a folder on the file system to be measured")
-    parser.add_argument("--count", type=int, default=6000)
-    parser.add_argument("--size", type=int, default=5, help="senders")
+    parser.add_argument("--count", type=int, default=6000, help="messages")
+    parser.add_argument("--size", type=int, default=5, help="number of senders")
     options = parser.parse_args()
     if options.what == "cost":
-        for at_once in (1, 16, 128):
+        for clients in (1, 16, 128):
             for sync in ("none", "group", "each") * 2:
                 with tempfile.TemporaryDirectory(dir=options.folder) as folder:
-                    count = options.count if at_once > 1 else options.count // 10
-                    print(await measure_cost(Path(folder), sync, count, at_once), flush=True)
+                    count = options.count if clients > 1 else options.count // 10
+                    print(await measure_cost(Path(folder), sync, count, clients), flush=True)
         return
-    if options.what == "anew":
+    if options.what == "compaction":
         with tempfile.TemporaryDirectory(dir=options.folder) as folder:
             print(await measure_compaction(Path(folder), options.count), flush=True)
         return
-    if options.what == "door":
+    if options.what == "acceptance":
         for clients in (8, 64):
             for sync in ("none", "group", "each") * 2:
                 with tempfile.TemporaryDirectory(dir=options.folder) as folder:
-                    print(await measure_door(Path(folder), sync, clients), flush=True)
+                    print(await measure_acceptance(Path(folder), sync, clients), flush=True)
         return
     variants = (("none", False), ("group", False), ("each", True), ("group", True), ("group", True, True))
     for sync, link, *budget in variants:
         with tempfile.TemporaryDirectory(dir=options.folder) as folder:
-            print(await measure_return(Path(folder), sync, link, options.size, *budget), flush=True)
+            print(await measure_recovery(Path(folder), sync, link, options.size, *budget), flush=True)
 
 
 if __name__ == "__main__":
