--- a/benchmarks/sites.py
+++ b/benchmarks/sites.py
@@ -1,10 +1,10 @@
-"""Copies the site files of deploy/sites/ and the files of the kit into one folder for a run of the bench.
+"""Copies the site files of deploy/sites/ and the files of a site of the test kit into one folder.
 
     python benchmarks/sites.py KIT_FOLDER [INTO]
 
-KIT_FOLDER is the folder of a site of the kit, with wire.json, real.json and unlock.txt. INTO is the target
-folder, by default `found/sites` in the checkout, which git ignores. Prints the path of each site, one per
-line.
+The operators' test bench runs the sites from that folder. KIT_FOLDER is the folder of a site of the test kit,
+with wire.json, real.json and unlock.txt. INTO is the target folder, by default `found/sites` in the checkout,
+which git ignores. Prints the path of each copied site file, one per line.
 """
 
 import shutil
@@ -16,13 +16,13 @@
 
 
 def copy_sites(kit: Path, into: Path) -> list[Path]:
-    """Copies the files.
+    """Copies the site files and the files of the test kit; replaces older copies.
 
     Returns:
         The paths of the copied site files.
 
     Raises:
-        FileNotFoundError: One of the files of the kit is missing.
+        FileNotFoundError: A file of the test kit is missing.
     """
     into.mkdir(parents=True, exist_ok=True)
     for name in KIT_FILES:
