--- a/tests/conformance/test_generated.py
+++ b/tests/conformance/test_generated.py
@@ -1,4 +1,4 @@
-"""Runs histories from fixed seeds on both sides: equal ends, calls and order, no violation of a rule."""
+"""Runs histories from fixed seeds on both sides: equal results, and no violation of a rule."""
 
 import asyncio
 import random
@@ -9,12 +9,12 @@
 import pytest
 from socket_faults import until
 
-from conformance.sides import PATIENCE, SIDES, Message, Result, Side
+from conformance.sides import SIDES, TIMEOUT_S, Message, Result, Side
 from message_sender.testbed.script import EndpointBehavior, ScriptedAnswer
 
 SEEDS = 240
 CONCURRENT_HISTORIES = 20  # in one event loop, each with its own sender
-KINDS = ("safe", "keyed", "zoned", "unsafe", "ordered", "ordered-unsafe")
+MESSAGE_CLASSES = ("safe", "keyed", "zoned", "unsafe", "ordered", "ordered-unsafe")
 
 
 @dataclass(frozen=True)
@@ -22,29 +22,29 @@
     """The messages of a history, the scripted answers of each, and when the sender restarts."""
 
     messages: list[Message]
-    acts: dict[str, list[ScriptedAnswer]]
+    answers: dict[str, list[ScriptedAnswer]]
     restart_after: int | None  # the index of the message after whose submission the sender restarts
 
 
-def plan(seed: int) -> Plan:
+def draw_plan(seed: int) -> Plan:
     """Draws the plan of a seed.
 
-    At most two attempts per destination are not served. Three in a row would make the destination doubtful;
-    its warm-up would then depend on the clock, which differs between two runs. Other tests cover the warm-up.
+    At most two attempts per destination are not served. Three in a row would open the destination's breaker;
+    its slow start would then depend on the clock, which differs between two runs. Other tests cover it.
     """
     rng = random.Random(seed)
-    messages, acts = [], {}
+    messages, answers = [], {}
     failures_left = {1: 2, 2: 2}
     for number in range(rng.randint(3, 7)):
-        kind, destination = rng.choice(KINDS), rng.choice((1, 2))
-        key = f"k{rng.randrange(2)}-{destination}" if kind.startswith("ordered") else ""
+        message_class, destination = rng.choice(MESSAGE_CLASSES), rng.choice((1, 2))
+        key = f"k{rng.randrange(2)}-{destination}" if message_class.startswith("ordered") else ""
         name = f"m{number}"
-        messages.append(Message(name, kind, destination, key))
-        acts[name] = [draw_failure(rng) for _ in range(min(rng.randint(0, 2), failures_left[destination]))]
-        failures_left[destination] -= len(acts[name])
-        acts[name].append(ScriptedAnswer(EndpointBehavior.SERVE, rng.choice((0.0, 0.0, 0.02))))
+        messages.append(Message(name, message_class, destination, key))
+        answers[name] = [draw_failure(rng) for _ in range(min(rng.randint(0, 2), failures_left[destination]))]
+        failures_left[destination] -= len(answers[name])
+        answers[name].append(ScriptedAnswer(EndpointBehavior.SERVE, rng.choice((0.0, 0.0, 0.02))))
     restart = rng.randrange(len(messages)) if rng.random() < 0.25 else None
-    return Plan(messages, acts, restart)
+    return Plan(messages, answers, restart)
 
 
 def draw_failure(rng: random.Random) -> ScriptedAnswer:
@@ -54,7 +54,7 @@
     return ScriptedAnswer(behavior, rng.choice((0.0, 0.03)) if behavior is EndpointBehavior.FULL else 0.0)
 
 
-async def idle(side: Side) -> None:
+async def wait_until_idle(side: Side) -> None:
     """Waits until no call is in flight or about to start, so that a restart has equal effects on both sides.
 
     An event in the inbox may start the next call of a key, which a restart would abort before its first byte.
@@ -64,47 +64,47 @@
         engine = side.engine()
         return not (engine.attempts.calls or engine.table.arrivals or engine.inbox)
 
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(TIMEOUT_S):
         await until(is_idle, 10**9)
 
 
-async def run(seed: int, side_type: type[Side], state: Path) -> Result:
-    """Plays the history of a seed on one side."""
-    made = plan(seed)
-    async with side_type(state, made.acts) as side:
-        for number, message in enumerate(made.messages):
-            await side.hand_in(message)
-            if number == made.restart_after:
-                await idle(side)
+async def run_history(seed: int, side_type: type[Side], state: Path) -> Result:
+    """Runs the history of a seed on one side and returns its result."""
+    plan = draw_plan(seed)
+    async with side_type(state, plan.answers) as side:
+        for number, message in enumerate(plan.messages):
+            await side.submit(message)
+            if number == plan.restart_after:
+                await wait_until_idle(side)
                 await side.restart()
-        await side.all_ended(*(each.id for each in made.messages))
-        assert side.judge() == [], f"seed {seed}"
-        return side.result()
+        await side.wait_until_completed(*(each.id for each in plan.messages))
+        assert side.find_violations() == [], f"seed {seed}"
+        return side.collect_result()
 
 
 async def compare_sides(seed: int, limit: asyncio.Semaphore) -> None:
     async with limit:
         results = []
-        for kind in SIDES.values():
+        for side_type in SIDES.values():
             with tempfile.TemporaryDirectory() as state:
-                results.append(await run(seed, kind, Path(state)))
+                results.append(await run_history(seed, side_type, Path(state)))
         assert results[0] == results[1], f"seed {seed}"
 
 
 @pytest.fixture(scope="module", autouse=True)
 def modules_are_imported() -> None:
-    """Plays one history with a restart on each side and ignores its result.
+    """Runs one history with a restart on each side and ignores its result.
 
     On a fresh checkout, compiling and importing modules during a history would block its event loop.
     """
 
-    async def play() -> None:
-        seed = next(seed for seed in range(SEEDS) if plan(seed).restart_after is not None)
-        for kind in SIDES.values():
+    async def run_once() -> None:
+        seed = next(seed for seed in range(SEEDS) if draw_plan(seed).restart_after is not None)
+        for side_type in SIDES.values():
             with tempfile.TemporaryDirectory() as state:
-                await run(seed, kind, Path(state))
+                await run_history(seed, side_type, Path(state))
 
-    asyncio.run(asyncio.wait_for(play(), 60))
+    asyncio.run(asyncio.wait_for(run_once(), 60))
 
 
 @pytest.mark.parametrize("first", range(0, SEEDS, 40))
@@ -113,17 +113,17 @@
         limit = asyncio.Semaphore(CONCURRENT_HISTORIES)
         await asyncio.gather(*(compare_sides(seed, limit) for seed in range(first, first + 40)))
 
-    asyncio.run(asyncio.wait_for(compare_all(), 8 * PATIENCE))
+    asyncio.run(asyncio.wait_for(compare_all(), 8 * TIMEOUT_S))
 
 
 def test_plans_contain_all_behaviors_and_classes_and_enough_restarts() -> None:
-    made = [plan(seed) for seed in range(SEEDS)]
-    behaviors = {act.behavior for each in made for acts in each.acts.values() for act in acts}
+    plans = [draw_plan(seed) for seed in range(SEEDS)]
+    behaviors = {answer.behavior for each in plans for answers in each.answers.values() for answer in answers}
     assert behaviors == {
         EndpointBehavior.SERVE,
         EndpointBehavior.ERROR,
         EndpointBehavior.FULL,
         EndpointBehavior.RESET,
     }
-    assert {message.kind for each in made for message in each.messages} == set(KINDS)
-    assert sum(each.restart_after is not None for each in made) > 30
+    assert {message.message_class for each in plans for message in each.messages} == set(MESSAGE_CLASSES)
+    assert sum(each.restart_after is not None for each in plans) > 30
--- a/tests/conformance/test_plugin.py
+++ b/tests/conformance/test_plugin.py
@@ -1,4 +1,4 @@
-"""Tests of the gRPC plug-in alone: its host cancels, stalls, closes or is killed; the library interferes."""
+"""Tests of the gRPC plug-in alone: cancelled calls, a stalled or killed host, broken connections."""
 
 import asyncio
 import contextlib
@@ -14,7 +14,7 @@
 import grpc
 import pytest
 
-from conformance.sides import METHOD, PATIENCE, PluginSide
+from conformance.sides import METHOD, TIMEOUT_S, PluginSide
 from message_sender.core.ports import AttemptResult, CompletionState
 from message_sender.grpc import BadRouteError, open_channel
 from message_sender.grpc.retry import retry_after, trailers
@@ -37,25 +37,36 @@
 
 def run_async(test: Callable[[Path], Any]) -> Callable[[Path], None]:
     def run(tmp_path: Path) -> None:
-        asyncio.run(asyncio.wait_for(test(tmp_path), 2 * PATIENCE))
+        asyncio.run(asyncio.wait_for(test(tmp_path), 2 * TIMEOUT_S))
 
     run.__name__, run.__doc__ = test.__name__, test.__doc__
     return run
 
 
-def metadata_of(kind: str = "safe", key: str = "", **other_pairs: str) -> list[tuple[str, str]]:
-    metadata = {"elmglade-class": kind, "elmglade-destination": "2", "idempotency-key": "i", **other_pairs}
+def build_metadata(message_class: str = "safe", key: str = "", **other_pairs: str) -> list[tuple[str, str]]:
+    metadata = {
+        "elmglade-class": message_class,
+        "elmglade-destination": "2",
+        "idempotency-key": "i",
+        **other_pairs,
+    }
     if key:
         metadata["elmglade-key"] = key
     return [(name.replace("_", "-"), value) for name, value in metadata.items()]
 
 
-def send(side: PluginSide, name: str, kind: str = "safe", key: str = "", **options: Any) -> Any:  # noqa: ANN401
+def send(
+    side: PluginSide,
+    message_id: str,
+    message_class: str = "safe",
+    key: str = "",
+    **options: Any,  # noqa: ANN401
+) -> Any:  # noqa: ANN401
     stub = side.channel.unary_unary(METHOD)
-    return stub(b"body", metadata=metadata_of(kind, key, elmglade_id=name), **options)
+    return stub(b"body", metadata=build_metadata(message_class, key, elmglade_id=message_id), **options)
 
 
-# The mapping of statuses.
+# Mapping of status codes and metadata.
 
 
 @pytest.mark.parametrize("code", list(Code), ids=lambda code: code.name)
@@ -81,8 +92,8 @@
 
 
 def test_metadata_for_the_endpoint_survives_the_form_in_the_journal() -> None:
-    own = (("elmglade-key", "k"), ("idempotency-key", "i"))
-    metadata = (("x-trace", "7"), ("x-blob-bin", b"\x00\xff"), *own)
+    routing = (("elmglade-key", "k"), ("idempotency-key", "i"))
+    metadata = (("x-trace", "7"), ("x-blob-bin", b"\x00\xff"), *routing)
     assert decode_extras(encode_extras(METHOD, metadata)) == (
         METHOD,
         [("x-trace", "7"), ("x-blob-bin", b"\x00\xff")],
@@ -96,8 +107,8 @@
 async def test_a_stub_gets_the_reply_and_the_endpoint_gets_the_hosts_metadata(state: Path) -> None:
     async with PluginSide(state, {}) as side:
         stub = side.channel.unary_unary(METHOD, str.encode, bytes.decode)
-        own = [("x-trace", "7"), ("x-b-bin", b"\x00")]
-        call = stub("hello", timeout=5, metadata=[*metadata_of(elmglade_id="m"), *own])
+        host_metadata = [("x-trace", "7"), ("x-b-bin", b"\x00")]
+        call = stub("hello", timeout=5, metadata=[*build_metadata(elmglade_id="m"), *host_metadata])
         assert await call == "hello" and await call.code() is Code.OK
         assert call.done() and not call.cancelled() and not call.cancel()
         endpoint = side.endpoints["c"]
@@ -110,7 +121,7 @@
 @run_async
 async def test_a_rejection_has_retry_info_and_a_failure_has_none(state: Path) -> None:
     async with PluginSide(state, {"f": [RESET]}) as side:
-        unreachable = [*metadata_of(), ("elmglade-destination", "9")]
+        unreachable = [*build_metadata(), ("elmglade-destination", "9")]
         with pytest.raises(grpc.aio.AioRpcError) as rejected:
             await side.channel.unary_unary(METHOD)(b"", timeout=0.2, metadata=unreachable)
         assert rejected.value.code() is Code.UNAVAILABLE
@@ -135,7 +146,7 @@
 async def test_a_final_status_of_the_endpoint_reaches_the_caller_without_a_retry(state: Path) -> None:
     async with PluginSide(state, {}) as side:
 
-        async def reject(act: ScriptedAnswer, call: int, request: bytes, context: Any) -> bytes:  # noqa: ANN401
+        async def reject(answer: ScriptedAnswer, call: int, request: bytes, context: Any) -> bytes:  # noqa: ANN401
             await context.abort(Code.INVALID_ARGUMENT, "no such station")
             raise AssertionError
 
@@ -157,7 +168,7 @@
             side.keys |= {"m1": "k", "m2": "k"}
             first = send(side, "m1", "ordered", "k")
             task = asyncio.ensure_future(first) if cancelled == "task" else None
-            await side.came("m1")
+            await side.wait_for_calls("m1")
             second = send(side, "m2", "ordered", "k")
             if task:
                 task.cancel()
@@ -175,7 +186,7 @@
             assert side.script.call_counts == {"m1": 1, "m2": 1}
             assert side.channel.collect("m1") is None
 
-    asyncio.run(asyncio.wait_for(test(tmp_path), 2 * PATIENCE))
+    asyncio.run(asyncio.wait_for(test(tmp_path), 2 * TIMEOUT_S))
 
 
 @run_async
@@ -191,7 +202,7 @@
 async def test_cancelling_a_message_that_waits_for_its_key_removes_it(state: Path) -> None:
     async with PluginSide(state, {"m1": [ScriptedAnswer(EndpointBehavior.SERVE, 0.1)]}) as side:
         first, held = send(side, "m1", "ordered", "k"), send(side, "m2", "ordered", "k")
-        await side.came("m1")
+        await side.wait_for_calls("m1")
         assert side.channel.pending() == ["m1", "m2"] and held.cancel()
         assert side.channel.pending() == ["m1"]
         assert await first == b"body" and await send(side, "m3", "ordered", "k") == b"body"
@@ -202,7 +213,7 @@
 async def test_messages_that_wait_at_close_resume_when_the_channel_is_opened_again(state: Path) -> None:
     async with PluginSide(state, {"m1": [STALL, SERVE]}) as side:
         calls = [send(side, name, "ordered", "k") for name in ("m1", "m2")]
-        await side.came("m1")
+        await side.wait_for_calls("m1")
         await side.channel.close()
         for call in calls:
             with pytest.raises(grpc.aio.AioRpcError) as closed:
@@ -212,16 +223,16 @@
             send(side, "m3")
         side.keys |= {"m1": "k", "m2": "k"}
         await side.open()
-        await side.all_ended("m1", "m2")
-        assert side.ends == {"m1": "delivered", "m2": "delivered"}
-        assert side.result().order == {"k": ["m1", "m2"]}
+        await side.wait_until_completed("m1", "m2")
+        assert side.final_states == {"m1": "delivered", "m2": "delivered"}
+        assert side.collect_result().order == {"k": ["m1", "m2"]}
 
 
 @run_async
 async def test_close_with_grace_waits_for_the_attempt_in_flight(state: Path) -> None:
     async with PluginSide(state, {"m": [ScriptedAnswer(EndpointBehavior.SERVE, 0.1)]}) as side:
         call = send(side, "m")
-        await side.came("m")
+        await side.wait_for_calls("m")
         await side.channel.close(grace=5)
         assert await call == b"body"
         await side.open()
@@ -231,9 +242,11 @@
 async def test_a_call_with_the_same_id_after_a_restart_collects_the_stored_answer(state: Path) -> None:
     async with PluginSide(state, {"m": [STALL]}) as side:
         send(side, "m", "unsafe")
-        await side.came("m")
+        await side.wait_for_calls("m")
         await side.channel.close()
-        side.channel = await open_channel(side.told(), state)  # opening ends the message: it may have run
+        side.channel = await open_channel(
+            side.configuration(), state
+        )  # opening completes the message as failed: it may have run
         with pytest.raises(grpc.aio.AioRpcError) as failed:
             await send(side, "m", "unsafe")
         assert failed.value.code() is Code.UNKNOWN and side.script.call_counts["m"] == 1
@@ -244,7 +257,7 @@
 async def test_stored_answers_are_collected_once_and_their_number_is_limited(state: Path) -> None:
     async with PluginSide(state, {}) as side:
         await side.channel.close()
-        channel = await open_channel(side.told(), state, kept=3)
+        channel = await open_channel(side.configuration(), state, kept=3)
         for number in range(5):
             channel.answers.add(f"m{number}", "delivered", 0, b"reply", "")
         assert channel.answers.lost_answers == 2 and channel.collect("m0") is None
@@ -255,7 +268,7 @@
         )
         assert channel.collect("m3") is None
         await channel.close()
-        channel = await open_channel(side.told(), state)
+        channel = await open_channel(side.configuration(), state)
         assert channel.collect("m3") is None and channel.collect("m4") is not None
         await channel.close()
         await side.open()
@@ -265,7 +278,7 @@
 async def test_a_second_channel_on_the_same_folder_is_rejected(state: Path) -> None:
     async with PluginSide(state, {}) as side:
         with pytest.raises(LockTakenError, match="another sender"):
-            await open_channel(side.told(), state)
+            await open_channel(side.configuration(), state)
         assert await send(side, "m") == b"body"
 
 
@@ -275,7 +288,7 @@
     async with PluginSide(state, {"m1": [ScriptedAnswer(EndpointBehavior.SERVE, 0.05)]}) as side:
         loop, engine = asyncio.get_running_loop(), side.channel.engine
         calls = [send(side, f"m{number}", "ordered", "k") for number in (1, 2, 3)]
-        await side.came("m1")
+        await side.wait_for_calls("m1")
         time, now = loop.time, engine.now
         loop.time = lambda: time() + 2.0  # type: ignore[method-assign]
         engine.now = lambda: now() + 2_000_000
@@ -308,9 +321,9 @@
         stub = side.channel.unary_unary(METHOD)
         for metadata, pattern in (
             ([], "elmglade-destination"),
-            (metadata_of("nothing"), "no class 'nothing'"),
+            (build_metadata("nothing"), "no class 'nothing'"),
             ([("elmglade-class", "keyed"), ("elmglade-destination", "2")], "idempotency key"),
-            ([*metadata_of(), ("elmglade-destination", "77")], "no endpoint of destination 77"),
+            ([*build_metadata(), ("elmglade-destination", "77")], "no endpoint of destination 77"),
         ):
             with pytest.raises(BadRouteError, match=pattern):
                 stub(b"", metadata=metadata)
@@ -319,7 +332,7 @@
                 getattr(side.channel, kind)(METHOD)(b"")
 
 
-# The library neither retries nor queues calls by itself.
+# The gRPC library neither retries nor queues calls by itself.
 
 
 def test_a_host_cannot_enable_the_retries_of_the_library() -> None:
@@ -337,11 +350,11 @@
 
 @run_async
 async def test_the_endpoint_gets_only_the_calls_that_the_engine_makes(state: Path) -> None:
-    """The host sets a retry policy that would send each call five times."""
+    """The host sets a retry policy with which the gRPC library would send each call five times."""
     async with PluginSide(state, {"u": [RESET], "e": [ScriptedAnswer(EndpointBehavior.ERROR)]}) as side:
         await side.channel.close()
         options = [("grpc.service_config", RETRY_POLICY), ("grpc.enable_retries", 1)]
-        side.channel = await open_channel(side.told(), state, options=options)
+        side.channel = await open_channel(side.configuration(), state, options=options)
         for name in ("u", "e"):
             with pytest.raises(grpc.aio.AioRpcError):
                 await send(side, name, "unsafe")
@@ -352,7 +365,7 @@
 async def test_the_library_queues_no_call_for_an_endpoint_that_is_down(state: Path) -> None:
     """A call whose connection was refused never ran, and the breaker opens.
 
-    After the endpoint has started again, the library sends none of the earlier calls.
+    After the endpoint has started again, the gRPC library sends none of the earlier calls.
     """
     async with PluginSide(state, {}) as side:
         await side.endpoints["c"].stop()
@@ -408,12 +421,12 @@
 ) -> None:
     """The connection breaks within the request, so that the endpoint never gets the call.
 
-    The library does not report how much was sent, so an unsafe message fails, and a safe one is retried.
+    The gRPC library does not report how much was sent, so an unsafe message fails, and a safe one is retried.
     """
 
     async def test(state: Path) -> None:
         async with PluginSide(state, {}) as side:
-            breaks = [True]  # once
+            breaks = [True]  # emptied by the first break
 
             def must_break(data: bytes) -> bool:
                 return has_body(data) and bool(breaks) and breaks.pop()
@@ -421,9 +434,11 @@
             async with breaking_relay(side.endpoints["c"].port, must_break) as (port, _):
                 await side.channel.close()
                 endpoint_port, side.endpoints["c"].port = side.endpoints["c"].port, port
-                side.channel = await open_channel(side.told(), state)
+                side.channel = await open_channel(side.configuration(), state)
                 side.endpoints["c"].port = endpoint_port
-                call = side.channel.unary_unary(METHOD)(b"BODY", metadata=metadata_of(kind, elmglade_id="m"))
+                call = side.channel.unary_unary(METHOD)(
+                    b"BODY", metadata=build_metadata(kind, elmglade_id="m")
+                )
                 if code:
                     with pytest.raises(grpc.aio.AioRpcError) as failed:
                         await call
@@ -431,14 +446,14 @@
                 else:
                     assert await call == b"BODY" and side.script.call_counts["m"] == 1
 
-    asyncio.run(asyncio.wait_for(test(tmp_path), 2 * PATIENCE))
+    asyncio.run(asyncio.wait_for(test(tmp_path), 2 * TIMEOUT_S))
 
 
 @run_async
 async def test_a_goaway_during_a_call_lets_it_end_and_later_calls_succeed(state: Path) -> None:
     async with PluginSide(state, {"m": [ScriptedAnswer(EndpointBehavior.SERVE, 0.15)]}) as side:
         first = send(side, "m", "unsafe")
-        await side.came("m")
+        await side.wait_for_calls("m")
         endpoint = side.endpoints["c"]
         stopping = asyncio.create_task(endpoint.stop(grace=5))
         assert await first == b"body"
@@ -453,11 +468,11 @@
     async with PluginSide(state, {}) as side:
         await side.channel.close()
         side.channel = await open_channel(
-            side.told(), state, options=[("grpc.max_receive_message_length", 64)]
+            side.configuration(), state, options=[("grpc.max_receive_message_length", 64)]
         )
         stub = side.channel.unary_unary(METHOD)
         with pytest.raises(grpc.aio.AioRpcError) as failed:
-            await stub(b"x" * 1000, metadata=metadata_of("unsafe", elmglade_id="m"))
+            await stub(b"x" * 1000, metadata=build_metadata("unsafe", elmglade_id="m"))
         assert failed.value.code() is Code.UNKNOWN and side.script.call_counts["m"] == 1
 
 
@@ -465,7 +480,7 @@
 async def test_draining_an_endpoint_lets_the_call_in_flight_end(state: Path) -> None:
     async with PluginSide(state, {"m": [ScriptedAnswer(EndpointBehavior.SERVE, 0.1)]}) as side:
         call = send(side, "m")
-        await side.came("m")
+        await side.wait_for_calls("m")
         side.channel.directory.drain("c")
         assert await call == b"body"
         with pytest.raises(grpc.aio.AioRpcError) as rejected:
@@ -477,7 +492,7 @@
 async def test_a_defect_closes_the_channel_and_fails_every_call(state: Path) -> None:
     async with PluginSide(state, {"m": [STALL]}) as side:
         call = send(side, "m")
-        await side.came("m")
+        await side.wait_for_calls("m")
         side.channel.engine.dispatcher.handle = lambda *_: 1 / 0  # type: ignore[assignment]
         side.channel.engine.post(None)  # type: ignore[arg-type]
         with pytest.raises(grpc.aio.AioRpcError) as failed:
@@ -488,7 +503,7 @@
         await side.open()
 
 
-# A host that is killed.
+# A killed host.
 
 HOST = Path(__file__).parent / "host.py"
 
@@ -511,7 +526,7 @@
                     env=os.environ | {"PYTHONPATH": os.pathsep.join(sys.path)},
                 )  # fmt: skip
                 if stop_at is None:
-                    output, _ = await asyncio.wait_for(process.communicate(), PATIENCE)
+                    output, _ = await asyncio.wait_for(process.communicate(), TIMEOUT_S)
                     assert process.returncode == 0
                 else:
                     while sum(script.call_counts.values()) < stop_at:
@@ -526,4 +541,4 @@
             unsafe = [name for name in script.call_counts if name.startswith("c")]
             assert unsafe and all(script.call_counts[name] == 1 for name in unsafe)
 
-    asyncio.run(asyncio.wait_for(test(tmp_path), 3 * PATIENCE))
+    asyncio.run(asyncio.wait_for(test(tmp_path), 3 * TIMEOUT_S))
--- a/tests/conformance/test_scenarios.py
+++ b/tests/conformance/test_scenarios.py
@@ -1,4 +1,4 @@
-"""Runs each scenario on both sides: expected ends, calls and order, and no violation of a rule."""
+"""Runs each scenario on both sides: expected final states, calls and order, and no violation of a rule."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Sequence
@@ -7,7 +7,7 @@
 
 import pytest
 
-from conformance.sides import PATIENCE, SIDES, Message, Side
+from conformance.sides import SIDES, TIMEOUT_S, Message, Side
 from message_sender.testbed.script import EndpointBehavior, ScriptedAnswer
 
 ERROR, RESET = ScriptedAnswer(EndpointBehavior.ERROR), ScriptedAnswer(EndpointBehavior.RESET)
@@ -22,112 +22,138 @@
 
 @dataclass(frozen=True)
 class Scenario:
-    """Messages, scripted answers, and the expected ends, calls and order."""
+    """Messages, the scripted answers to them, and the expected results.
+
+    Attributes:
+        final_states: The expected final state of each message, by message id.
+        calls: The expected number of calls for each message that is called at all.
+        answers: The scripted answers to the calls for each message; messages without an entry are served.
+        order: The expected messages of each key in the order of their first calls.
+        limits: The limits of the sender.
+        after_submission: Runs after the last message is submitted.
+        unreported: Messages whose completion is not reported.
+    """
 
     name: str
     messages: Sequence[Message]
-    ends: dict[str, str]
+    final_states: dict[str, str]
     calls: dict[str, int]
-    acts: dict[str, Sequence[ScriptedAnswer]] = field(default_factory=dict)
+    answers: dict[str, Sequence[ScriptedAnswer]] = field(default_factory=dict)
     order: dict[str, list[str]] = field(default_factory=dict)
     limits: dict[str, object] = field(default_factory=dict)
-    between: Step | None = None  # runs after the last message is submitted
-    untold: Sequence[str] = ()  # messages whose end is not reported
+    after_submission: Step | None = None
+    unreported: Sequence[str] = ()
 
 
-def one(
-    name: str, kind: str, acts: Sequence[ScriptedAnswer], end: str, calls: int, **more: object
+def single(
+    name: str,
+    message_class: str,
+    answers: Sequence[ScriptedAnswer],
+    final_state: str,
+    calls: int,
+    **message_fields: object,
 ) -> Scenario:
-    """A scenario with one message; `more` are further fields of the message."""
-    message = Message("m", kind, **more)  # type: ignore[arg-type]
-    return Scenario(name, [message], {"m": end}, {"m": calls} if calls else {}, {"m": acts})
+    """Returns a scenario with one message; `message_fields` are further fields of the message."""
+    message = Message("m", message_class, **message_fields)  # type: ignore[arg-type]
+    return Scenario(name, [message], {"m": final_state}, {"m": calls} if calls else {}, {"m": answers})
 
 
 def key_sequence(
-    name: str, kind: str, acts: dict[str, Sequence[ScriptedAnswer]], ends: str, calls: Sequence[int]
+    name: str,
+    message_class: str,
+    answers: dict[str, Sequence[ScriptedAnswer]],
+    final_states: str,
+    calls: Sequence[int],
 ) -> Scenario:
-    """A scenario with three messages of one key, submitted one after another.
+    """Returns a scenario with three messages of one key, submitted one after another.
 
-    `ends` has one letter per message: d for delivered, f for failed, r for refused.
+    `final_states` has one letter per message: d for delivered, f for failed, r for refused.
     """
     ids = ("m1", "m2", "m3")
     states = {"d": "delivered", "f": "failed", "r": "refused"}
-    messages = [Message(each, kind, key="k") for each in ids]
+    messages = [Message(each, message_class, key="k") for each in ids]
     return Scenario(
         name,
         messages,
-        {each: states[end] for each, end in zip(ids, ends, strict=True)},
+        {each: states[letter] for each, letter in zip(ids, final_states, strict=True)},
         dict(zip(ids, calls, strict=True)),
-        acts,
+        answers,
         {"k": list(ids)},
     )
 
 
 async def restart_with_a_call_in_flight(side: Side) -> None:
-    await side.came("m")
+    await side.wait_for_calls("m")
     await side.restart()
 
 
 async def restart_during_a_key_sequence(side: Side) -> None:
-    await side.came("m1")
+    await side.wait_for_calls("m1")
     await side.restart()
 
 
 async def drain_the_endpoint(side: Side) -> None:
-    """Drains the endpoint of the first attempt; its calls in flight may end, new calls use the other one."""
+    """Drains the endpoint of the first attempt: its calls in flight may end, new calls use the other one."""
     directory = side.engine().directory
-    directory = getattr(directory, "source", directory)  # the daemon's is wrapped by one with overrides
-    await side.came("m")
+    directory = getattr(directory, "source", directory)  # the daemon wraps its directory to apply overrides
+    await side.wait_for_calls("m")
     endpoint = next(each.endpoint for each in side.history.events if type(each).__name__ == "AttemptStarted")
     directory.drain(endpoint)
     side.drained = endpoint  # type: ignore[attr-defined]
 
 
-async def wait_for_the_end(side: Side) -> None:
-    """Waits until the message has ended."""
-    await side.all_ended("m")
+async def wait_for_completion(side: Side) -> None:
+    """Waits until the message has a final state."""
+    await side.wait_until_completed("m")
 
 
 NO_ENDPOINT = {"destination": 9, "time_left": 0.3}
 SCENARIOS = [
-    *(one(f"a {kind} message is delivered", kind, [SERVE], "delivered", 1) for kind in ("safe", "keyed")),
-    *(one(f"a {kind} message is delivered", kind, [SERVE], "delivered", 1) for kind in ("zoned", "unsafe")),
-    one("a slow answer is accepted", "unsafe", [SLOW], "delivered", 1),
-    one("a safe message is retried after an error", "safe", [ERROR, SERVE], "delivered", 2),
-    one("a keyed message is retried after an error", "keyed", [ERROR, SERVE], "delivered", 2),
-    one("an unsafe message is not retried after an error", "unsafe", [ERROR, SERVE], "failed", 1),
-    one("a safe message is retried after a reset", "safe", [RESET, SERVE], "delivered", 2),
-    one("a keyed message is retried after a reset", "keyed", [RESET, SERVE], "delivered", 2),
-    one("a zoned message is retried after a reset", "zoned", [RESET, SERVE], "delivered", 2),
-    one("an unsafe message is not retried after a reset", "unsafe", [RESET, SERVE], "failed", 1),
-    one("a safe message is delivered after two errors", "safe", [ERROR, ERROR, SERVE], "delivered", 3),
-    one(
+    *(single(f"a {name} message is delivered", name, [SERVE], "delivered", 1) for name in ("safe", "keyed")),
+    *(
+        single(f"a {name} message is delivered", name, [SERVE], "delivered", 1)
+        for name in ("zoned", "unsafe")
+    ),
+    single("a slow answer is accepted", "unsafe", [SLOW], "delivered", 1),
+    single("a safe message is retried after an error", "safe", [ERROR, SERVE], "delivered", 2),
+    single("a keyed message is retried after an error", "keyed", [ERROR, SERVE], "delivered", 2),
+    single("an unsafe message is not retried after an error", "unsafe", [ERROR, SERVE], "failed", 1),
+    single("a safe message is retried after a reset", "safe", [RESET, SERVE], "delivered", 2),
+    single("a keyed message is retried after a reset", "keyed", [RESET, SERVE], "delivered", 2),
+    single("a zoned message is retried after a reset", "zoned", [RESET, SERVE], "delivered", 2),
+    single("an unsafe message is not retried after a reset", "unsafe", [RESET, SERVE], "failed", 1),
+    single("a safe message is delivered after two errors", "safe", [ERROR, ERROR, SERVE], "delivered", 3),
+    single(
         "a keyed message is delivered after an error and a reset",
         "keyed",
         [ERROR, RESET, SERVE],
         "delivered",
         3,
     ),
-    one("a rejected unsafe message is retried", "unsafe", [FULL, SERVE], "delivered", 2),
-    one("an unsafe message is retried after two rejections", "unsafe", [FULL, FULL, SERVE], "delivered", 3),
-    one("a rejected safe message is retried", "safe", [FULL, SERVE], "delivered", 2),
-    one("a rejected keyed message is retried", "keyed", [FULL, SERVE], "delivered", 2),
-    one("a retry delay is observed", "safe", [WAIT, SERVE], "delivered", 2),
-    one("a retry delay is observed for an unsafe message", "unsafe", [WAIT, SERVE], "delivered", 2),
-    one("two retry delays are observed", "keyed", [WAIT, WAIT, SERVE], "delivered", 3),
-    one("a rejection then a reset", "unsafe", [FULL, RESET, SERVE], "failed", 2),
-    one("a rejection then an error", "unsafe", [WAIT, ERROR, SERVE], "failed", 2),
+    single("a rejected unsafe message is retried", "unsafe", [FULL, SERVE], "delivered", 2),
+    single(
+        "an unsafe message is retried after two rejections", "unsafe", [FULL, FULL, SERVE], "delivered", 3
+    ),
+    single("a rejected safe message is retried", "safe", [FULL, SERVE], "delivered", 2),
+    single("a rejected keyed message is retried", "keyed", [FULL, SERVE], "delivered", 2),
+    single("a retry delay is observed", "safe", [WAIT, SERVE], "delivered", 2),
+    single("a retry delay is observed for an unsafe message", "unsafe", [WAIT, SERVE], "delivered", 2),
+    single("two retry delays are observed", "keyed", [WAIT, WAIT, SERVE], "delivered", 3),
+    single("a rejection then a reset", "unsafe", [FULL, RESET, SERVE], "failed", 2),
+    single("a rejection then an error", "unsafe", [WAIT, ERROR, SERVE], "failed", 2),
     # Each zone deduplicates separately, so the retry has to stay in the zone of the first attempt.
-    one("a zoned message is retried in its zone", "zoned", [RESET, SERVE], "delivered", 2, destination=1),
-    one("a safe message may be retried in any zone", "safe", [RESET, SERVE], "delivered", 2, destination=1),
-    one("a stalled call fails an unsafe message", "unsafe", [STALL], "failed", 1, time_left=0.6),
-    one("a stalled call leaves a safe message refused", "safe", [STALL], "refused", 1, time_left=0.6),
-    one("a zoned message that may have run is not refused", "zoned", [STALL], "failed", 1, time_left=0.6),
-    one("no endpoint: a safe message is refused", "safe", [], "refused", 0, **NO_ENDPOINT),
-    one("no endpoint: an unsafe message is refused", "unsafe", [], "refused", 0, **NO_ENDPOINT),
-    one("no endpoint: a zoned message is refused", "zoned", [], "refused", 0, **NO_ENDPOINT),
-    one("no time left: a safe message is rejected", "safe", [], "rejected", 0, time_left=0.0),
-    one("no time left: an unsafe message is rejected", "unsafe", [], "rejected", 0, time_left=0.0),
+    single("a zoned message is retried in its zone", "zoned", [RESET, SERVE], "delivered", 2, destination=1),
+    single(
+        "a safe message may be retried in any zone", "safe", [RESET, SERVE], "delivered", 2, destination=1
+    ),
+    single("a stalled call fails an unsafe message", "unsafe", [STALL], "failed", 1, time_left=0.6),
+    single("a stalled call leaves a safe message refused", "safe", [STALL], "refused", 1, time_left=0.6),
+    single("a zoned message that may have run is not refused", "zoned", [STALL], "failed", 1, time_left=0.6),
+    single("no endpoint: a safe message is refused", "safe", [], "refused", 0, **NO_ENDPOINT),
+    single("no endpoint: an unsafe message is refused", "unsafe", [], "refused", 0, **NO_ENDPOINT),
+    single("no endpoint: a zoned message is refused", "zoned", [], "refused", 0, **NO_ENDPOINT),
+    single("no time left: a safe message is rejected", "safe", [], "rejected", 0, time_left=0.0),
+    single("no time left: an unsafe message is rejected", "unsafe", [], "rejected", 0, time_left=0.0),
     key_sequence("a key keeps its order", "ordered", {}, "ddd", (1, 1, 1)),
     key_sequence("a key waits for a slow message", "ordered", {"m1": [SLOW]}, "ddd", (1, 1, 1)),
     key_sequence("a key waits through an error", "ordered", {"m1": [ERROR, SERVE]}, "ddd", (2, 1, 1)),
@@ -166,7 +192,7 @@
         {"m": "delivered"},
         {"m": 2},
         {"m": [STALL, SERVE]},
-        between=restart_with_a_call_in_flight,
+        after_submission=restart_with_a_call_in_flight,
     ),
     Scenario(
         "a keyed message in flight at a restart is retried within its window",
@@ -174,7 +200,7 @@
         {"m": "delivered"},
         {"m": 2},
         {"m": [STALL, SERVE]},
-        between=restart_with_a_call_in_flight,
+        after_submission=restart_with_a_call_in_flight,
     ),
     Scenario(
         "an unsafe message in flight at a restart is not retried",
@@ -182,7 +208,7 @@
         {"m": "failed"},
         {"m": 1},
         {"m": [STALL, SERVE]},
-        between=restart_with_a_call_in_flight,
+        after_submission=restart_with_a_call_in_flight,
     ),
     Scenario(
         "a key in flight at a restart continues in order",
@@ -191,7 +217,7 @@
         {"m1": 2, "m2": 1, "m3": 1},
         {"m1": [STALL, SERVE]},
         {"k": ["m1", "m2", "m3"]},
-        between=restart_during_a_key_sequence,
+        after_submission=restart_during_a_key_sequence,
     ),
     Scenario(
         "an unsafe key in flight at a restart continues in order",
@@ -200,7 +226,7 @@
         {"m1": 1, "m2": 1, "m3": 1},
         {"m1": [STALL]},
         {"k": ["m1", "m2", "m3"]},
-        between=restart_during_a_key_sequence,
+        after_submission=restart_during_a_key_sequence,
     ),
     Scenario(
         "a draining endpoint gets no new calls",
@@ -208,14 +234,14 @@
         {"m": "delivered"},
         {"m": 2},
         {"m": [ScriptedAnswer(EndpointBehavior.FULL, 0.0), SERVE]},
-        between=drain_the_endpoint,
+        after_submission=drain_the_endpoint,
     ),
     Scenario(
         "an unsafe message is called once",
         [Message("m", "unsafe")],
         {"m": "delivered"},
         {"m": 1},
-        between=wait_for_the_end,
+        after_submission=wait_for_completion,
     ),
 ]
 
@@ -224,22 +250,22 @@
     assert len(SCENARIOS) >= 40 and len({each.name for each in SCENARIOS}) == len(SCENARIOS)
 
 
-async def play(scenario: Scenario, side_type: type[Side], state: Path) -> None:
-    async with side_type(state, scenario.acts, **scenario.limits) as side:
+async def run_scenario(scenario: Scenario, side_type: type[Side], state: Path) -> None:
+    async with side_type(state, scenario.answers, **scenario.limits) as side:
         for message in scenario.messages:
-            await side.hand_in(message)
-        if scenario.between:
-            await scenario.between(side)
-        await side.all_ended(*scenario.ends)
-        result = side.result()
-        assert result.ends == scenario.ends
+            await side.submit(message)
+        if scenario.after_submission:
+            await scenario.after_submission(side)
+        await side.wait_until_completed(*scenario.final_states)
+        result = side.collect_result()
+        assert result.final_states == scenario.final_states
         assert result.attempts == scenario.calls
         assert result.order == scenario.order
-        assert side.judge() == []
+        assert side.find_violations() == []
         assert not side.engine().journal.entries
 
 
 @pytest.mark.parametrize("side", SIDES)
 @pytest.mark.parametrize("scenario", SCENARIOS, ids=lambda each: each.name.replace(" ", "-"))
 def test_scenario_has_its_expected_result(scenario: Scenario, side: str, tmp_path: Path) -> None:
-    asyncio.run(asyncio.wait_for(play(scenario, SIDES[side], tmp_path), 2 * PATIENCE))
+    asyncio.run(asyncio.wait_for(run_scenario(scenario, SIDES[side], tmp_path), 2 * TIMEOUT_S))
