--- a/tests/compatibility/outward_names.py
+++ b/tests/compatibility/outward_names.py
@@ -1,6 +1,7 @@
-"""Names that leave the process and that no stored file or datagram shows: settings, lines, commands, figures.
+"""Samples of names that leave the process but are in no sample of samples.py.
 
-Each function makes one sample, as those of samples.py do. The recorded ones are in `recorded/` as well.
+These are the keys of settings, the lines of the adapter and of traces, commands, and fields of reports. Each
+function in OUTWARD_SAMPLES makes one sample; the recorded ones are in `recorded/` as well.
 """
 
 import dataclasses
@@ -85,7 +86,7 @@
 
 
 def describe_type(annotation: Any) -> object:  # noqa: ANN401
-    """The form of a setting: plain types by name, choices as a list, tables by their keys."""
+    """Returns the type of a setting: plain types by name, choices as a list, tables by their keys."""
     if inspect.isclass(annotation) and issubclass(annotation, BaseModel):
         return describe_table(annotation)
     origin, parts = get_origin(annotation), get_args(annotation)
@@ -100,7 +101,7 @@
 
 
 def describe_table(table: type[BaseModel]) -> dict[str, object]:
-    """The keys of a table with their types, and their defaults where these are plain."""
+    """Returns the keys of a table, each with its type, its default if plain, and whether it is required."""
     described: dict[str, object] = {}
     for name, field in table.model_fields.items():
         default = field.default if isinstance(field.default, PLAIN_TYPES) else None
@@ -108,69 +109,69 @@
     return described
 
 
-def as_json(value: object) -> bytes:
+def encode_json(value: object) -> bytes:
     return json.dumps(value, indent=1, sort_keys=True).encode()
 
 
 def settings_keys() -> Sample:
-    """The keys of all files in TOML."""
+    """The keys of all TOML files."""
     tables = {
         "sender": GeneralTable, "control-node": NodeFile, "control-document": ConfigurationTable,
         "scenario": Scenario,
     }  # fmt: skip
-    return {f"{name}.json": as_json(describe_table(table)) for name, table in tables.items()}
+    return {f"{name}.json": encode_json(describe_table(table)) for name, table in tables.items()}
 
 
 def environment() -> Sample:
-    """The environment variables of the platform's sender."""
+    """The environment variables of the platform sender."""
     variables = (
         start.CONFIG_VARIABLE, start.STATE_VARIABLE, start.MANAGEMENT_VARIABLE, start.LISTENER_VARIABLE,
     )  # fmt: skip
-    return {"variables.json": as_json(variables)}
+    return {"variables.json": encode_json(variables)}
 
 
 def adapter_lines() -> Sample:
     """The lines that the simulator's adapter writes for a fixed input."""
-    sink = io.StringIO()
-    Adapter(io.StringIO("\n".join(ADAPTER_LINES) + "\n"), sink).run()
-    return {"output": sink.getvalue().encode()}
+    output = io.StringIO()
+    Adapter(io.StringIO("\n".join(ADAPTER_LINES) + "\n"), output).run()
+    return {"output": output.getvalue().encode()}
 
 
 def event_stream_names() -> Sample:
-    """Types, fields and values of recorded event streams."""
-    named: dict[str, object] = {}
+    """The types in recorded event streams, with their fields or values."""
+    names: dict[str, object] = {}
     for name, each in event_stream.TYPES.items():
         if issubclass(each, Enum):
-            named[name] = [value.value for value in each]
+            names[name] = [value.value for value in each]
         else:
             fields = (field.name for field in dataclasses.fields(each))
-            named[name] = [event_stream.RECORDED_FIELDS.get(field, field) for field in fields]
-    return {"types.json": as_json(named)}
+            names[name] = [event_stream.RECORDED_FIELDS.get(field, field) for field in fields]
+    return {"types.json": encode_json(names)}
 
 
 def trace_lines() -> Sample:
-    """A line of a trace for each event of a history."""
+    """The lines of a trace, one for each kind of history event."""
     return {"trace": "\n".join(encode_trace(HISTORY_EVENTS)).encode()}
 
 
 def search_lines() -> Sample:
-    """What a search and an experiment write for each run."""
+    """The reports that a search and an experiment write for each run."""
     found = Found(5, [Violation("order", 1.5, "text")], "", {"delivered": 2}, 3, 4, 5)
     result = RunResult("key", {"goodput": 0.5}, ["order"], "")
-    return {"found.json": as_json(dataclasses.asdict(found)), "result": result.line().encode()}
+    return {"found.json": encode_json(dataclasses.asdict(found)), "result": result.line().encode()}
 
 
 def command_names() -> Sample:
     """The commands of the control sockets, of a sender and of a control node."""
-    owner: Any = None  # the commands are bound, not called
+    owner: Any = None  # not used: the commands are listed, not called
     commands = {"sender": StandaloneCommands(owner).by_name(), "node": OperatorCommands(owner).commands()}
-    return {"commands.json": as_json({name: sorted(each) for name, each in commands.items()})}
+    return {"commands.json": encode_json({name: sorted(each) for name, each in commands.items()})}
 
 
 def state_files() -> Sample:
-    """Files of the state folder besides those of samples.py: epochs, destinations, the last good list."""
+    """Files of the state folder that are in no sample of samples.py: epoch, destinations, last valid list."""
 
-    def files(folder: Path) -> Iterator[tuple[str, bytes]]:
+    def make_files(folder: Path) -> Iterator[tuple[str, bytes]]:
         world = World(endpoint("a"))
         world.take()
         control_link.write_epoch(folder, 3)
@@ -178,14 +179,14 @@
         path = inventory.write(world.dispatcher, world.now, folder)
         content = json.loads(path.read_text())
         for each in content["destinations"]:
-            each["bytes"] = 0  # its value is the interpreter's
-        yield path.name, as_json(content)
-        listed = StaticEndpoint(Endpoint("e1", 3, EndpointState.READY, "k", "z"), ("10.0.0.1", 80))
-        yield LAST_GOOD_FILE, as_json(row_from_endpoint(listed))
-        yield "names.json", as_json({"fleet": udp.EPOCH_FILE})
+            each["bytes"] = 0  # depends on the interpreter
+        yield path.name, encode_json(content)
+        static_endpoint = StaticEndpoint(Endpoint("e1", 3, EndpointState.READY, "k", "z"), ("10.0.0.1", 80))
+        yield LAST_GOOD_FILE, encode_json(row_from_endpoint(static_endpoint))
+        yield "names.json", encode_json({"fleet": udp.EPOCH_FILE})
 
     with tempfile.TemporaryDirectory() as name:
-        return dict(files(Path(name)))
+        return dict(make_files(Path(name)))
 
 
 OUTWARD_SAMPLES: tuple[Callable[[], Sample], ...] = (
--- a/tests/compatibility/samples.py
+++ b/tests/compatibility/samples.py
@@ -1,7 +1,8 @@
-"""Samples of all that the program stores or sends: each function makes one sample with the present code.
+"""Samples of everything that the program stores or sends, made by the present code.
 
-A sample is a set of named byte strings. The recorded ones in `recorded/` were written by version 0.2.0,
-before its modules and names were changed; test_compatibility.py compares the two byte for byte.
+A sample is a set of named byte strings; each function in SAMPLES makes one. The recorded samples, in a folder
+of `recorded/` with the function's name, were written by version 0.2.0, before its modules and names were
+changed. test_compatibility.py compares the samples with the recorded ones byte for byte.
 """
 
 import asyncio
@@ -18,8 +19,8 @@
 
 from message_sender.budget.definition import Budget
 from message_sender.budget.manager import LeaseManager
-from message_sender.budget.status import describe_budgets as budget_status
-from message_sender.cli import root_command as command_table
+from message_sender.budget.status import describe_budgets
+from message_sender.cli import root_command
 from message_sender.control import messages as control
 from message_sender.control.channel import Channel, KnownStart
 from message_sender.control.document import Document
@@ -57,41 +58,41 @@
 Sample = dict[str, bytes]
 
 RECORDED = Path(__file__).parent / "recorded"
-LIMIT_BYTES = 100_000  # of a journal
+JOURNAL_LIMIT_BYTES = 100_000
 KEY = bytes(range(32))
 EXTRAS = ((":path", "/svc/Call"), ("x-trace-bin", "AAEC"))
 
 
-def in_folder(make: Callable[[Path], None]) -> Sample:
-    """The files that `make` leaves in an empty folder."""
+def collect_files(write_files: Callable[[Path], None]) -> Sample:
+    """Returns the files that `write_files` creates in an empty folder, without lock files."""
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
-        make(folder)
-        found = {str(each.relative_to(folder)): each for each in sorted(folder.rglob("*")) if each.is_file()}
-        return {each: path.read_bytes() for each, path in found.items() if each != "lock"}
+        write_files(folder)
+        paths = {str(each.relative_to(folder)): each for each in sorted(folder.rglob("*")) if each.is_file()}
+        return {each: path.read_bytes() for each, path in paths.items() if each != "lock"}
 
 
-def message(name: str, **changes: object) -> Message:
-    """A message with every field set."""
+def build_message(message_id: str, **changes: object) -> Message:
+    """Returns a message with every field set, with `changes` applied."""
     values: dict[str, object] = {
         "message_class": "keyed", "destination": 3, "deadline_us": 1_700_000_000_000_000,
-        "tenant": "t\u00e9", "key": "k 1", "idempotency_key": f"key of {name}", "is_repeat": False,
+        "tenant": "t\u00e9", "key": "k 1", "idempotency_key": f"key of {message_id}", "is_repeat": False,
         "body": bytes(range(0, 256, 5)),
     }  # fmt: skip
-    return Message(id=name, **(values | changes))  # type: ignore[arg-type]
+    return Message(id=message_id, **(values | changes))  # type: ignore[arg-type]
 
 
-def fill(journal: Journal) -> None:
-    """Messages in every state that a journal holds."""
-    journal.record_accepted(message("m1"))
-    journal.record_accepted(message("m2", is_repeat=True, key="", tenant="", extras=EXTRAS))
-    journal.record_accepted(message("m3", body=b"", destination=2**40))
+def fill_journal(journal: Journal) -> None:
+    """Records messages in every state that a journal can contain."""
+    journal.record_accepted(build_message("m1"))
+    journal.record_accepted(build_message("m2", is_repeat=True, key="", tenant="", extras=EXTRAS))
+    journal.record_accepted(build_message("m3", body=b"", destination=2**40))
     journal.record_attempt("m1", 0, AttemptRecord(1_600_000_000_000_001, "hub-1", "z1"))
     journal.record_outcome("m1", 0, Outcome.FULL)
     journal.record_attempt("m1", 1, AttemptRecord(1_600_000_000_000_002, "hub-2", ""))
     journal.record_attempt("m3", 0, AttemptRecord(1_600_000_000_000_003, "hub-\u00fc", "z2"))
     journal.record_outcome("m3", 0, Outcome.MALFORMED)
-    journal.record_accepted(message("m4"))
+    journal.record_accepted(build_message("m4"))
     journal.record_completion("m2", CompletionState.REFUSED.value, 1_500_000)
     journal.record_attempt("m4", 0, AttemptRecord(1_600_000_000_000_004, "hub-1", "z1"))
     journal.record_outcome("m4", 0, Outcome.OK)
@@ -99,76 +100,79 @@
 
 
 def platform_journal() -> Sample:
-    """The journal of the platform's sender, as it was appended to."""
+    """The process journal after its records were appended."""
 
-    def make(folder: Path) -> None:
-        journal = Journal(folder, LIMIT_BYTES)
-        fill(journal)
+    def write_files(folder: Path) -> None:
+        journal = Journal(folder, JOURNAL_LIMIT_BYTES)
+        fill_journal(journal)
         journal.close()
 
-    return in_folder(make)
+    return collect_files(write_files)
 
 
 def compacted_journal() -> Sample:
-    """The same after a start, which writes only what is owed."""
+    """The process journal after a restart, which rewrites only the messages that have not finished."""
 
-    def make(folder: Path) -> None:
-        journal = Journal(folder, LIMIT_BYTES)
-        fill(journal)
+    def write_files(folder: Path) -> None:
+        journal = Journal(folder, JOURNAL_LIMIT_BYTES)
+        fill_journal(journal)
         journal.close()
-        Journal(folder, LIMIT_BYTES).close()
+        Journal(folder, JOURNAL_LIMIT_BYTES).close()
 
-    return in_folder(make)
+    return collect_files(write_files)
 
 
-def open_durable(folder: Path, gather: float | None) -> DurableJournal:
-    """A journal that survives the machine, on a clock that counts up."""
+def open_durable_journal(folder: Path, sync_interval_s: float | None) -> DurableJournal:
+    """Opens a durable journal whose clock advances by 1 us with each reading.
+
+    `sync_interval_s` None disables syncing.
+    """
     clock = itertools.count(1_600_000_000_000_010)
-    return DurableJournal(folder, LIMIT_BYTES, gather, None, "boot 1", lambda: next(clock))
+    return DurableJournal(folder, JOURNAL_LIMIT_BYTES, sync_interval_s, None, "boot 1", lambda: next(clock))
 
 
 def durable_journal() -> Sample:
-    """The journal that survives the machine, with its proofs, and the room that it keeps."""
+    """The durable journal with its sync records, and its ballast file."""
 
-    def make(folder: Path) -> None:
-        async def write() -> None:
-            journal = open_durable(folder, 0.0)
-            fill(journal)
+    def write_files(folder: Path) -> None:
+        async def write_journal() -> None:
+            journal = open_durable_journal(folder, 0.0)
+            fill_journal(journal)
             synced = asyncio.get_running_loop().create_future()
             journal.when_durable(synced.set_result)
             assert await synced
-            journal.record_accepted(message("m5"))
+            journal.record_accepted(build_message("m5"))
             journal.close()
 
-        asyncio.run(write())
+        asyncio.run(write_journal())
 
-    return in_folder(make)
+    return collect_files(write_files)
 
 
 def carried_over_journal() -> Sample:
-    """The durable journal that a start makes of the platform's form."""
+    """The durable journal that a start creates from a process journal."""
 
-    def make(folder: Path) -> None:
-        journal = Journal(folder, LIMIT_BYTES)
-        fill(journal)
+    def write_files(folder: Path) -> None:
+        journal = Journal(folder, JOURNAL_LIMIT_BYTES)
+        fill_journal(journal)
         journal.close()
-        open_durable(folder, None).close()
+        open_durable_journal(folder, None).close()
 
-    return in_folder(make)
+    return collect_files(write_files)
 
 
 def answers() -> Sample:
-    """Final answers that a host has not collected."""
+    """Final answers that the host has not collected."""
 
-    def make(folder: Path) -> None:
-        kept = AnswerStore(folder, 3)
-        kept.add("m1", CompletionState.DELIVERED.value, 0, b"\0reply", "")
-        kept.add("m2", CompletionState.REFUSED.value, 1_500_000, b"", "FULL")
-        kept.add("m3", CompletionState.FAILED.value, 0, b"", "")
-        kept.collect("m1")
-        kept.close()
+    def write_files(folder: Path) -> None:
+        store = AnswerStore(folder, 3)
+        store.add("m1", CompletionState.DELIVERED.value, 0, b"\0reply", "")
+        store.add("m2", CompletionState.REFUSED.value, 1_500_000, b"", "FULL")
+        store.add("m3", CompletionState.FAILED.value, 0, b"", "")
+        store.collect("m1")
+        store.close()
 
-    return in_folder(make)
+    return collect_files(write_files)
 
 
 BREAKER_VALUES = {
@@ -179,48 +183,48 @@
 
 
 def learned() -> Sample:
-    """What a sender has learned of its destinations."""
+    """The learned state of destinations and endpoints."""
     return {
         "learned": learned_snapshot.encode(1_600_000_000_000_000, ((3, "hub-1", BREAKER_VALUES), (4, "", {})))
     }
 
 
 def overrides() -> Sample:
-    """Overrides of each kind, and the log of who set them."""
-
-    def make(folder: Path) -> None:
-        book, store, second = OverrideBook(), OverrideStore(folder), 1_000_000
-        span = (1_000 * second, 2_000 * second, 1_500 * second)
-        made = [
-            book.set(OverrideKind.OUT, "hub-1", "ann", "disk \u00e9", *span),
-            book.set(OverrideKind.WEIGHT, "hub-2", "bob", "slow", *span, weight=0.25),
-            book.set(OverrideKind.PIN, "hub-3", "cas", "trial", *span, destination=7),
-            book.set(OverrideKind.PIN, "hub-3", "cas", "trial", *span, tenant="t1"),
-            book.set(OverrideKind.PIN, "hub-3", "cas", "trial", *span, key="k1"),
+    """Overrides of each kind, and the log of their changes."""
+
+    def write_files(folder: Path) -> None:
+        book, store, second_us = OverrideBook(), OverrideStore(folder), 1_000_000
+        times_us = (1_000 * second_us, 2_000 * second_us, 1_500 * second_us)  # begins, until, now
+        created = [
+            book.set(OverrideKind.OUT, "hub-1", "ann", "disk \u00e9", *times_us),
+            book.set(OverrideKind.WEIGHT, "hub-2", "bob", "slow", *times_us, weight=0.25),
+            book.set(OverrideKind.PIN, "hub-3", "cas", "trial", *times_us, destination=7),
+            book.set(OverrideKind.PIN, "hub-3", "cas", "trial", *times_us, tenant="t1"),
+            book.set(OverrideKind.PIN, "hub-3", "cas", "trial", *times_us, key="k1"),
         ]
         store.save(book)
-        for each in made:
-            store.record(1_500 * second, each.who, "set", each, each.why)
-        store.record(1_600 * second, "ann", "ended", made[0])
+        for each in created:
+            store.record(1_500 * second_us, each.who, "set", each, each.why)
+        store.record(1_600 * second_us, "ann", "ended", created[0])
 
-    return in_folder(make)
+    return collect_files(write_files)
 
 
 def maintenance() -> Sample:
-    """The operators' orders."""
-    return in_folder(lambda folder: MaintenanceFile(folder).save({"hub-2", "hub-1"}, True))
+    """The file of operators' maintenance orders."""
+    return collect_files(lambda folder: MaintenanceFile(folder).save({"hub-2", "hub-1"}, True))
 
 
-def document() -> Document:
-    """A document of the control plane."""
+def build_document() -> Document:
+    """Returns a document of the control plane."""
     resources = {"endpoints/hub-1": b'{"destination":1}', "budgets/b\u00e9": b'{"calls":5}'}
     return Document(7, resources)
 
 
 def control_folder() -> Sample:
-    """A control node's folder: identity, epoch, starts, mark of a learner, log and hard state."""
+    """A control node's state folder: identity, epoch, known starts, learner mark, log and hard state."""
 
-    def make(folder: Path) -> None:
+    def write_files(folder: Path) -> None:
         disk, path = SystemDisk(), folder / "node"
         state = StateFolder(path)
         state.initialise(Identity("fleet", "node-1", "2026-12-01T00:00:00Z"), disk)
@@ -238,23 +242,23 @@
         log.close()
         disk.finish()
 
-    return in_folder(make)
+    return collect_files(write_files)
 
 
 def control_documents() -> Sample:
-    """What a sender keeps of the control plane: the version in force and the one for its next start."""
+    """A sender's copies of control documents: the version in force and the one for its next start."""
 
-    def make(folder: Path) -> None:
+    def write_files(folder: Path) -> None:
         disk = SystemDisk()
-        DocumentFile(folder / "control.document", disk).store(document())
+        DocumentFile(folder / "control.document", disk).store(build_document())
         DocumentFile(folder / "control.next", disk).store(Document(8))
         disk.finish()
 
-    return in_folder(make)
+    return collect_files(write_files)
 
 
-def handed_state() -> HandoverState:
-    """What an engine hands over, with every field set."""
+def build_handover_state() -> HandoverState:
+    """Returns the state that an engine hands over, with every field set."""
     inherited = InheritedState(
         breakers=((3, "hub-1", BREAKER_VALUES | {"last_served": -1.0}),),
         endpoints=(("hub-1", {"bad_until": 1.0, "last_sent": 2.0, "refused_at": 3.0, "scarce_until": 4.0}),),
@@ -275,33 +279,33 @@
 
 
 def handover_packet() -> Sample:
-    """Version 1 of what a process tells the one that follows."""
-    hosts = [
+    """Version 1 of the state that a process sends to its successor."""
+    listed_hosts = [
         {"host": "hub-1", "dial": "10.0.0.1:80", "site": "z1", "class": "k", "block": 3, "health": "ready",
          "share": 2.0},
         {"host": "hub-2", "dial": "10.0.0.2:80", "site": "", "class": "", "block": 4, "health": "draining",
          "share": 1.0},
     ]  # fmt: skip
-    listed = EndpointList({"seq": 41, "whole": True, "hosts": hosts})
-    engine = SimpleNamespace(export_state=handed_state)
-    discovery = SimpleNamespace(version=41, dials=listed.dials, destinations={4, 3, 9})
+    endpoint_list = EndpointList({"seq": 41, "whole": True, "hosts": listed_hosts})
+    engine = SimpleNamespace(export_state=build_handover_state)
+    discovery = SimpleNamespace(version=41, dials=endpoint_list.dials, destinations={4, 3, 9})
     maintenance = SimpleNamespace(
-        listed={each.id: each for each in listed.endpoints}, returned={"hub-9", "hub-2"}
+        listed={each.id: each for each in endpoint_list.endpoints}, returned={"hub-9", "hub-2"}
     )
     sender = SimpleNamespace(
         engine=engine, discovery=discovery, maintenance=maintenance, clock=SimpleNamespace(base=123_456_789),
         drain=SimpleNamespace(ordered_at_s=12.5),
     )  # fmt: skip
-    steps = ProcessHandover(sender, None)  # type: ignore[arg-type]
-    text = json.dumps(steps.encode_state())
+    handover = ProcessHandover(sender, None)  # type: ignore[arg-type]
+    text = json.dumps(handover.encode_state())
     return {
         "packet.json": text.encode(),
-        "engine.json": json.dumps(encode_engine_state(handed_state())).encode(),
+        "engine.json": json.dumps(encode_engine_state(build_handover_state())).encode(),
     }
 
 
 def fleet_datagrams() -> Sample:
-    """Sealed datagrams between senders, one of each kind, under a fixed key and nonce."""
+    """Sealed datagrams between senders, one of each kind, with a fixed key and nonce."""
     seal = Seal([KEY], lambda size: bytes(range(size)))
     bodies: dict[str, fleet.Body] = {
         "hello": fleet.Hello(3, True),
@@ -313,15 +317,15 @@
         "leave": fleet.Leave(),
         "share": fleet.LeaseDatagram("b1", 2, 3, 4, 5, 6, 7, 8, 9, 1000),
     }
-    news = (fleet.MembershipUpdate("s3", ("10.0.0.3", 7000), 5, 6, 1),)
+    updates = (fleet.MembershipUpdate("s3", ("10.0.0.3", 7000), 5, 6, 1),)
     return {
-        name: seal.seal(fleet.encode(fleet.Envelope("s1", ("10.0.0.1", 7000), 2, 9, 8, 7, body, news)))
+        name: seal.seal(fleet.encode(fleet.Envelope("s1", ("10.0.0.1", 7000), 2, 9, 8, 7, body, updates)))
         for name, body in bodies.items()
     }
 
 
 def control_bodies() -> Iterator[tuple[str, control.Body]]:
-    """One message of each kind of the control plane."""
+    """Yields a name and a body for each kind of control-plane message, and one body that needs fragments."""
     put = (control.Resource("endpoints/a", b'{"x":1}'),)
     change = control.Change("r1", 4, put, ("budgets/b",), "ann")
     result = control.ChangeResult("r1", control.Outcome.INVALID, 4, ("budgets/b: no",))
@@ -345,47 +349,47 @@
 
 
 def control_channels() -> tuple[Channel, Channel]:
-    """The two ends of a link, n1 and s1, with fixed sessions."""
+    """Returns the two ends of a link, n1 and s1, with fixed sessions."""
     addresses = {"n1": ("10.0.0.1", 7100)}
-    first = Channel("n1", 2, 1001, Seal([KEY], lambda size: bytes(range(size))), addresses)
-    second = Channel("s1", 5, 2002, Seal([KEY], lambda size: bytes(range(1, size + 1))), addresses)
-    return first, second
+    node = Channel("n1", 2, 1001, Seal([KEY], lambda size: bytes(range(size))), addresses)
+    sender = Channel("s1", 5, 2002, Seal([KEY], lambda size: bytes(range(1, size + 1))), addresses)
+    return node, sender
 
 
 def control_datagrams() -> Sample:
-    """Sealed datagrams between a sender and a control node: greetings, then one message of each kind."""
+    """Sealed datagrams between a sender and a control node: the session setup, then each kind of message."""
     node, sender = control_channels()
-    found: Sample = {}
+    datagrams: Sample = {}
     sender.send("n1", control.Poll(1, 2), 0.0)
     for step in range(4):
         for _, datagram in sender.take_datagrams():
-            found[f"greeting-{step}-sender-{len(found)}"] = datagram
+            datagrams[f"greeting-{step}-sender-{len(datagrams)}"] = datagram
             node.receive(datagram, ("10.0.0.9", 9000), 0.0)
         for address, datagram in node.take_datagrams():
-            found[f"greeting-{step}-node-{len(found)}"] = datagram
+            datagrams[f"greeting-{step}-node-{len(datagrams)}"] = datagram
             sender.receive(datagram, address, 0.0)
     for name, body in control_bodies():
         sender.send("n1", body, 1.0)
         for number, (_, datagram) in enumerate(sender.take_datagrams()):
-            found[f"{name}-{number}"] = datagram
-    return found
+            datagrams[f"{name}-{number}"] = datagram
+    return datagrams
 
 
 def questions() -> Sample:
-    """What a sender asks the others of ids that it owes, and their answer."""
-    known = {"m1": id_inquiry.IdState.IN_FLIGHT, "m2": id_inquiry.IdState.COMPLETED}
-    asked = id_inquiry.encode_questions(["m1", "m2", "m3", "x" * 600, "y" * 600])
-    reply = id_inquiry.answer_question(asked[0], known.get)
+    """The questions of an id inquiry, and the answer to the first one."""
+    states = {"m1": id_inquiry.IdState.IN_FLIGHT, "m2": id_inquiry.IdState.COMPLETED}
+    encoded = id_inquiry.encode_questions(["m1", "m2", "m3", "x" * 600, "y" * 600])
+    reply = id_inquiry.answer_question(encoded[0], states.get)
     assert reply is not None
-    return {f"question-{number}": each for number, each in enumerate(asked)} | {"answer": reply}
+    return {f"question-{number}": each for number, each in enumerate(encoded)} | {"answer": reply}
 
 
 def notices() -> Sample:
-    """Lines that tell the platform how messages ended."""
-    listed = EndpointList({"seq": 1, "whole": True, "hosts": []})
+    """The notices that report completions to the platform, one a line."""
+    endpoint_list = EndpointList({"seq": 1, "whole": True, "hosts": []})
 
     async def make() -> dict[str, str]:
-        discovery = Discovery(("127.0.0.1", 1), listed, lambda event: None, lambda name: None)
+        discovery = Discovery(("127.0.0.1", 1), endpoint_list, lambda event: None, lambda name: None)
         assert discovery.notify("m1", Completion(CompletionState.REFUSED, 1_500_001))
         assert discovery.notify("m2 \u00e9", Completion(CompletionState.FAILED))
         assert discovery.notify("m3", Completion(CompletionState.REFUSED))
@@ -395,8 +399,8 @@
     return {"notices": "\n".join(asyncio.run(make()).values()).encode()}
 
 
-class Heard:
-    """A socket that keeps what is written to it."""
+class RecordingSocket:
+    """A socket that keeps the data written to it."""
 
     def __init__(self) -> None:
         self.data = b""
@@ -406,7 +410,8 @@
         return len(data)
 
 
-def request_headers() -> dict[str, str]:
+def build_call_headers() -> dict[str, str]:
+    """Returns the header fields of a call to an endpoint."""
     return {
         "X-Correlation-Id": "m1",
         "Idempotency-Key": "k\u00e9",
@@ -416,73 +421,73 @@
 
 
 def requests() -> Sample:
-    """Calls to a receiver and to discovery, written plainly and by the codec."""
+    """Requests to an endpoint, written by the fast path and by the codec, and a request to discovery."""
 
-    async def make(quick: bool, method: str, target: str, headers: dict[str, str], body: bytes) -> bytes:
-        heard = Heard()
-        connection = ClientConnection(heard, ("10.0.0.1", 80))  # type: ignore[arg-type]
-        connection.is_fast = quick
+    async def make(is_fast: bool, method: str, target: str, headers: dict[str, str], body: bytes) -> bytes:
+        connection_socket = RecordingSocket()
+        connection = ClientConnection(connection_socket, ("10.0.0.1", 80))  # type: ignore[arg-type]
+        connection.is_fast = is_fast
         await connection.send(method, target, headers, body)
-        return heard.data
+        return connection_socket.data
 
     return {
-        "call-quick": asyncio.run(make(True, "POST", "/hook", request_headers(), b"body")),
-        "call-codec": asyncio.run(make(False, "POST", "/hook", request_headers(), b"body")),
+        "call-quick": asyncio.run(make(True, "POST", "/hook", build_call_headers(), b"body")),
+        "call-codec": asyncio.run(make(False, "POST", "/hook", build_call_headers(), b"body")),
         "watch": asyncio.run(make(False, "GET", "/registry/instances?watch=1&after=41", {}, b"")),
     }
 
 
-def client_request(path: str = "/safe/x", method: str = "POST", **headers: str | None) -> bytes:
-    """A client's request; None takes a header out."""
-    usual = {
+def build_client_request(path: str = "/safe/x", method: str = "POST", **headers: str | None) -> bytes:
+    """Returns a client's request; the value None omits a header field."""
+    fields = {
         "Host": "x", "X-Service-Class": "safe", "X-Route-To": "dest=1", "X-Time-Left": "2.5",
         "X-Correlation-Id": "m1", "Content-Length": "1",
     }  # fmt: skip
-    lines = {name: headers.get(name.replace("-", "_"), value) for name, value in usual.items()}
+    lines = {name: headers.get(name.replace("-", "_"), value) for name, value in fields.items()}
     head = "".join(f"{name}: {value}\r\n" for name, value in lines.items() if value is not None)
     return f"{method} {path} HTTP/1.1\r\n{head}\r\nx".encode()
 
 
-REQUESTS = {
-    "accepted": client_request(),
-    "again": client_request(X_Correlation_Id="again"),
-    "refused": client_request(X_Correlation_Id="refused"),
-    "no-room": client_request(X_Correlation_Id="no-room"),
-    "other-id": client_request(X_Correlation_Id="other-id"),
-    "no-class": client_request("/other/x", X_Service_Class="other"),
-    "no-class-header": client_request(X_Service_Class=None),
-    "no-route": client_request(X_Route_To="x=1"),
-    "no-time": client_request(X_Time_Left="1e3"),
-    "no-id": client_request(X_Correlation_Id=None),
-    "no-key": client_request("/keyed/x", X_Service_Class="keyed"),
-    "no-destination": client_request(X_Route_To="dest=99"),
-    "too-long": client_request(Content_Length="70000"),
-    "bad-length": client_request(Content_Length="1, 2"),
-    "long-head": client_request(Host="x" * 17_000),
+CLIENT_REQUESTS = {
+    "accepted": build_client_request(),
+    "again": build_client_request(X_Correlation_Id="again"),
+    "refused": build_client_request(X_Correlation_Id="refused"),
+    "no-room": build_client_request(X_Correlation_Id="no-room"),
+    "other-id": build_client_request(X_Correlation_Id="other-id"),
+    "no-class": build_client_request("/other/x", X_Service_Class="other"),
+    "no-class-header": build_client_request(X_Service_Class=None),
+    "no-route": build_client_request(X_Route_To="x=1"),
+    "no-time": build_client_request(X_Time_Left="1e3"),
+    "no-id": build_client_request(X_Correlation_Id=None),
+    "no-key": build_client_request("/keyed/x", X_Service_Class="keyed"),
+    "no-destination": build_client_request(X_Route_To="dest=99"),
+    "too-long": build_client_request(Content_Length="70000"),
+    "bad-length": build_client_request(Content_Length="1, 2"),
+    "long-head": build_client_request(Host="x" * 17_000),
     "spoilt": b"NONSENSE\r\n\r\n",
-    "get": client_request("/safe/x", "GET"),
-    "put": client_request("/health/ready", "PUT"),
+    "get": build_client_request("/safe/x", "GET"),
+    "put": build_client_request("/health/ready", "PUT"),
     "ready": b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n",
     "head-ready": b"HEAD /health/ready HTTP/1.1\r\nHost: x\r\n\r\n",
 }
 
 
 def client_answers() -> Sample:
-    """What clients hear on a socket, by the request that they sent."""
+    """The responses of the server to each request of CLIENT_REQUESTS, as bytes on a socket."""
     from message_sender.core.ports import Rejected, RejectReason
 
-    def take(taken: Message, caller: object) -> None:
+    def submit(message: Message, caller: object) -> None:
         rejections = {
             "refused": Rejected(RejectReason.REFUSED, 1_250_000),
             "no-room": Rejected(RejectReason.NO_ROOM, 0),
             "other-id": Rejected(RejectReason.OTHER_ID, 500_000),
         }
-        if taken.id in rejections:
-            caller.rejected(rejections[taken.id])  # type: ignore[attr-defined]
+        if message.id in rejections:
+            caller.rejected(rejections[message.id])  # type: ignore[attr-defined]
         else:
             caller.accepted()  # type: ignore[attr-defined]
 
-    async def ask(server: Server, data: bytes) -> bytes:
+    async def send_request(server: Server, data: bytes) -> bytes:
         reader, writer = await asyncio.open_connection(*server.address())
         writer.write(data)
         writer.write_eof()
@@ -493,51 +498,54 @@
 
     async def make() -> Sample:
         classes = {each.name: each for each in (SAFE, KEYED)}
-        server = Server(classes, take, lambda: 1_000_000, 50, named=lambda number: number != 99)
+        server = Server(classes, submit, lambda: 1_000_000, 50, named=lambda number: number != 99)
         server.listen("127.0.0.1", 0)
         server.is_ready = True
-        found = {name: await ask(server, data) for name, data in REQUESTS.items()}
+        responses = {name: await send_request(server, data) for name, data in CLIENT_REQUESTS.items()}
         server.is_ready = False
-        found["not-ready"] = await ask(server, REQUESTS["ready"])
+        responses["not-ready"] = await send_request(server, CLIENT_REQUESTS["ready"])
         server.close()
-        return found
+        return responses
 
     return asyncio.run(make())
 
 
 def figures() -> Sample:
-    """The figures of the management API."""
-    ends = {"safe": {"answered": 3, "deferred": 2, "errored": 1}, "keyed": dict.fromkeys(("answered",), 0)}
-    return {"figures": Metrics(ends, 12, 5, 40, 2).text().encode()}
+    """The metrics of the management API."""
+    completions = {
+        "safe": {"answered": 3, "deferred": 2, "errored": 1},
+        "keyed": dict.fromkeys(("answered",), 0),
+    }
+    return {"figures": Metrics(completions, 12, 5, 40, 2).text().encode()}
 
 
 def people_json() -> Sample:
-    """Objects that the control socket and the state folder tell: destinations, endpoints, a message's way."""
+    """Objects in replies of the control socket and in a state file: destinations, endpoints, `explain`."""
     world = World(endpoint("a"), endpoint("b", destination=2))
     world.take()
     world.answer("m1", Outcome.FULL, wait=500_000)
     dispatcher, now = world.dispatcher, world.now
     destinations = [asdict(each) for each in inventory.inventory(dispatcher, now)]
-    told = {
-        "destinations": [each | {"bytes": 0} for each in destinations],  # its value is the interpreter's
+    output = {
+        "destinations": [each | {"bytes": 0} for each in destinations],  # depends on the interpreter
         "endpoints": explain.endpoints(dispatcher, now),
         "explain": explain.explain(dispatcher, 1, "", now),
     }
-    return {"told.json": json.dumps(told, indent=1, sort_keys=True).encode()}
+    return {"told.json": json.dumps(output, indent=1, sort_keys=True).encode()}
 
 
 def budget_json() -> Sample:
-    """A budget as `fleet budgets` shows it."""
+    """A budget as `fleet budgets` prints it."""
     clock = itertools.count(5_000_000, 1_000_000)
-    desk = LeaseManager("s1", 3, lambda: next(clock))
-    desk.open(Budget("b1", "calls", 10, 2, 1_000_000), lambda: 3)
+    manager = LeaseManager("s1", 3, lambda: next(clock))
+    manager.open(Budget("b1", "calls", 10, 2, 1_000_000), lambda: 3)
     for _ in range(4):
-        desk.tick(["s2"])
-    return {"budgets.json": json.dumps(budget_status(desk), indent=1, sort_keys=True).encode()}
+        manager.tick(["s2"])
+    return {"budgets.json": json.dumps(describe_budgets(manager), indent=1, sort_keys=True).encode()}
 
 
 def grpc_metadata() -> Sample:
-    """Metadata that routes a call, and what of it goes on."""
+    """The route that is read from a call's metadata, and the metadata that is passed on to the endpoint."""
     metadata = (
         ("elmglade-destination", "7"), ("elmglade-class", "keyed"), ("elmglade-tenant", "t1"),
         ("elmglade-key", "k1"), ("elmglade-id", "m1"), ("idempotency-key", "i1"), ("x-own", "1"),
@@ -552,12 +560,12 @@
         route.idempotency_key,
         route.id,
     )
-    told = {"route": fields, "passed on": encode_extras("/svc/Call", metadata)}
-    return {"metadata.json": json.dumps(told, indent=1).encode()}
+    output = {"route": fields, "passed on": encode_extras("/svc/Call", metadata)}
+    return {"metadata.json": json.dumps(output, indent=1).encode()}
 
 
-def describe(command: click.Command) -> dict[str, object]:
-    """A command's options and arguments, without their help."""
+def describe_command(command: click.Command) -> dict[str, object]:
+    """Returns the options, arguments and subcommands of a command, without their help texts."""
     context = click.Context(command)
     names = command.list_commands(context) if isinstance(command, click.Group) else []
     return {
@@ -568,13 +576,13 @@
             }
             for each in command.params
         ],
-        "commands": {name: describe(each) for name in names if (each := command.get_command(context, name))},  # type: ignore[attr-defined]
+        "commands": {name: describe_command(each) for name in names if (each := command.get_command(context, name))},  # type: ignore[attr-defined]  # noqa: E501
     }  # fmt: skip
 
 
 def command_line() -> Sample:
     """All commands with their options and arguments."""
-    return {"commands.json": json.dumps(describe(command_table), indent=1, sort_keys=True).encode()}
+    return {"commands.json": json.dumps(describe_command(root_command), indent=1, sort_keys=True).encode()}
 
 
 SAMPLES: tuple[Callable[[], Sample], ...] = (
@@ -585,8 +593,8 @@
 )  # fmt: skip
 
 
-def recorded(make: Callable[[], Sample]) -> Sample:
-    """The recorded sample of that name."""
+def read_recorded(make: Callable[[], Sample]) -> Sample:
+    """Returns the recorded sample of a function that makes samples."""
     folder = RECORDED / make.__name__
     return {
         str(each.relative_to(folder)): each.read_bytes()
@@ -595,8 +603,8 @@
     }
 
 
-def write_all(makers: Iterable[Callable[[], Sample]] = SAMPLES) -> None:
-    """Records samples that are not there yet; those that are stay as they were."""
+def record_missing_samples(makers: Iterable[Callable[[], Sample]] = SAMPLES) -> None:
+    """Records samples that are not recorded yet; recorded samples are left unchanged."""
     for make in makers:
         folder = RECORDED / make.__name__
         if folder.exists():
@@ -608,4 +616,4 @@
 
 
 if __name__ == "__main__":
-    write_all()
+    record_missing_samples()
--- a/tests/compatibility/test_compatibility.py
+++ b/tests/compatibility/test_compatibility.py
@@ -1,4 +1,4 @@
-"""Stored data and wires keep their form: samples equal the recorded ones, and the recorded ones are read."""
+"""Stored and sent data keep their format: samples equal the recorded ones, and the recorded ones are read."""
 
 import json
 import shutil
@@ -8,7 +8,7 @@
 import pytest
 
 from compatibility import samples
-from compatibility.samples import KEY, LIMIT_BYTES, RECORDED, SAMPLES, Sample
+from compatibility.samples import JOURNAL_LIMIT_BYTES, KEY, RECORDED, SAMPLES, Sample
 from message_sender.control import messages as control
 from message_sender.control.document_file import DocumentFile
 from message_sender.control.folder import StateFolder
@@ -27,92 +27,94 @@
 
 
 @pytest.mark.parametrize("make", SAMPLES, ids=lambda make: make.__name__)
-def test_what_is_written_is_equal_to_the_recorded_sample(make: Callable[[], Sample]) -> None:
-    written, recorded = make(), samples.recorded(make)
+def test_written_data_are_equal_to_the_recorded_sample(make: Callable[[], Sample]) -> None:
+    written, recorded = make(), samples.read_recorded(make)
     assert recorded and written.keys() == recorded.keys()
     for name, data in recorded.items():
         assert written[name] == data, name
 
 
-def copied(name: str, folder: Path) -> Path:
-    """A recorded sample that may be written to."""
+def copy_recorded(name: str, folder: Path) -> Path:
+    """Returns a copy of a recorded sample, which the test may change."""
     return Path(shutil.copytree(RECORDED / name, folder / name))
 
 
-def check_owed(journal: Journal | JournalContents) -> None:
-    """The messages that samples.fill leaves."""
+def check_pending_messages(journal: Journal | JournalContents) -> None:
+    """Checks that the unfinished messages are those that samples.fill_journal records."""
     assert list(journal.entries) == ["m1", "m2", "m3"]
     first, second, third = journal.entries.values()
-    assert first.message == samples.message("m1")
-    assert second.message == samples.message("m2", is_repeat=True, key="", tenant="", extras=samples.EXTRAS)
-    assert third.message == samples.message("m3", body=b"", destination=2**40)
-    told = {
+    assert first.message == samples.build_message("m1")
+    assert second.message == samples.build_message(
+        "m2", is_repeat=True, key="", tenant="", extras=samples.EXTRAS
+    )
+    assert third.message == samples.build_message("m3", body=b"", destination=2**40)
+    attempts = {
         number: (each.started_us, each.endpoint, each.zone, each.outcome)
         for number, each in first.attempts.items()
     }
-    assert told[0] == (1_600_000_000_000_001, "hub-1", "z1", samples.Outcome.FULL)
-    assert told[1] == (1_600_000_000_000_002, "hub-2", "", None)
+    assert attempts[0] == (1_600_000_000_000_001, "hub-1", "z1", samples.Outcome.FULL)
+    assert attempts[1] == (1_600_000_000_000_002, "hub-2", "", None)
     assert third.attempts[0].outcome is samples.Outcome.MALFORMED
 
 
 @pytest.mark.parametrize("name", ["platform_journal", "compacted_journal"])
-def test_the_platform_journal_is_replayed(tmp_path: Path, name: str) -> None:
-    check_owed(Journal(copied(name, tmp_path), LIMIT_BYTES))
+def test_the_process_journal_is_replayed(tmp_path: Path, name: str) -> None:
+    check_pending_messages(Journal(copy_recorded(name, tmp_path), JOURNAL_LIMIT_BYTES))
 
 
 def test_the_durable_journal_is_replayed(tmp_path: Path) -> None:
-    folder = copied("durable_journal", tmp_path)
-    found = InspectedJournal(folder)
-    assert list(found.entries) == ["m1", "m2", "m3", "m5"]
+    folder = copy_recorded("durable_journal", tmp_path)
+    journal = InspectedJournal(folder)
+    assert list(journal.entries) == ["m1", "m2", "m3", "m5"]
     assert (
-        found.previous_run.was_closed
-        and found.previous_run.boot_id == "boot 1"
-        and not found.previous_run.damage
+        journal.previous_run.was_closed
+        and journal.previous_run.boot_id == "boot 1"
+        and not journal.previous_run.damage
     )
-    assert found.entries["m2"].completion == ("refused", 1_500_000)
-    assert {name: (each.state, each.key) for name, each in found.finished.items()} == {
+    assert journal.entries["m2"].completion == ("refused", 1_500_000)
+    assert {name: (each.state, each.key) for name, each in journal.finished.items()} == {
         "m4": ("delivered", "k 1")
     }
-    del found.entries["m5"]
-    check_owed(found)
+    del journal.entries["m5"]
+    check_pending_messages(journal)
 
 
-def test_the_platform_form_is_carried_over_by_a_durable_start(tmp_path: Path) -> None:
-    found = samples.open_durable(copied("platform_journal", tmp_path), None)
-    check_owed(found)
-    found.close()
+def test_a_process_journal_is_converted_by_a_start_with_a_durable_journal(tmp_path: Path) -> None:
+    journal = samples.open_durable_journal(copy_recorded("platform_journal", tmp_path), None)
+    check_pending_messages(journal)
+    journal.close()
 
 
 def test_answers_are_collected_from_the_recorded_file(tmp_path: Path) -> None:
-    kept = AnswerStore(copied("answers", tmp_path), 3)
-    assert kept.collect("m1") is None
-    found = kept.collect("m2")
-    assert found is not None and (found["state"], found["retry_after"], found["status"]) == (
+    store = AnswerStore(copy_recorded("answers", tmp_path), 3)
+    assert store.collect("m1") is None
+    answer = store.collect("m2")
+    assert answer is not None and (answer["state"], answer["retry_after"], answer["status"]) == (
         "refused",
         1_500_000,
         "FULL",
     )
-    kept.close()
+    store.close()
 
 
-def test_what_was_learned_reads() -> None:
+def test_learned_state_is_decoded() -> None:
     values = {name: value for name, value in samples.BREAKER_VALUES.items() if name != "last_served"}
-    found = learned_snapshot.decode((RECORDED / "learned" / "learned").read_bytes())
-    assert found == (1_600_000_000_000_000, ((3, "hub-1", values), (4, "", {})))
+    learned = learned_snapshot.decode((RECORDED / "learned" / "learned").read_bytes())
+    assert learned == (1_600_000_000_000_000, ((3, "hub-1", values), (4, "", {})))
 
 
-def test_overrides_and_orders_read(tmp_path: Path) -> None:
-    store = OverrideStore(copied("overrides", tmp_path))
+def test_overrides_and_maintenance_orders_are_read(tmp_path: Path) -> None:
+    store = OverrideStore(copy_recorded("overrides", tmp_path))
     book = store.load()
     assert list(book.overrides) == ["o1", "o2", "o3", "o4", "o5"] and book.last_number == 5
     before = (tmp_path / "overrides" / "overrides.json").read_bytes()
     store.save(book)
     assert (tmp_path / "overrides" / "overrides.json").read_bytes() == before
-    assert MaintenanceFile(copied("maintenance", tmp_path)).load() == (["hub-1", "hub-2"], True)
+    assert MaintenanceFile(copy_recorded("maintenance", tmp_path)).load() == (["hub-1", "hub-2"], True)
 
 
-def test_a_control_nodes_folder_reads(tmp_path: Path) -> None:
-    path = copied("control_folder", tmp_path) / "node"
+def test_a_control_nodes_state_folder_is_read(tmp_path: Path) -> None:
+    path = copy_recorded("control_folder", tmp_path) / "node"
     folder, disk = StateFolder(path), SystemDisk()
     identity = folder.identity()
     assert identity is not None and (identity.cluster, identity.name) == ("fleet", "node-1")
@@ -128,33 +130,33 @@
     disk.finish()
 
 
-def test_a_senders_control_documents_read(tmp_path: Path) -> None:
-    folder, disk = copied("control_documents", tmp_path), SystemDisk()
-    found = DocumentFile(folder / "control.document", disk).load()
-    expected = samples.document()
-    assert found is not None
-    assert (found.version, found.digest, found.resources) == (7, expected.digest, expected.resources)
-    waiting = DocumentFile(folder / "control.next", disk).load()
-    assert waiting is not None and waiting.version == 8
+def test_a_senders_control_documents_are_read(tmp_path: Path) -> None:
+    folder, disk = copy_recorded("control_documents", tmp_path), SystemDisk()
+    in_force = DocumentFile(folder / "control.document", disk).load()
+    expected = samples.build_document()
+    assert in_force is not None
+    assert (in_force.version, in_force.digest, in_force.resources) == (7, expected.digest, expected.resources)
+    next_document = DocumentFile(folder / "control.next", disk).load()
+    assert next_document is not None and next_document.version == 8
     disk.finish()
 
 
-def test_a_hand_over_packet_reads_as_it_was_told() -> None:
-    told = decode_state((RECORDED / "handover_packet" / "packet.json").read_text())
-    assert told.engine_state == samples.handed_state() and told.clock_base_ns == 123_456_789
+def test_the_state_in_a_handover_packet_is_decoded() -> None:
+    state = decode_state((RECORDED / "handover_packet" / "packet.json").read_text())
+    assert state.engine_state == samples.build_handover_state() and state.clock_base_ns == 123_456_789
     assert (
-        told.destinations == (3, 4, 9)
-        and told.returned == ("hub-2", "hub-9")
-        and told.drain_ordered_at == 12.5
+        state.destinations == (3, 4, 9)
+        and state.returned == ("hub-2", "hub-9")
+        and state.drain_ordered_at == 12.5
     )
-    assert told.endpoint_list.dials == {"hub-1": ("10.0.0.1", 80), "hub-2": ("10.0.0.2", 80)}
+    assert state.endpoint_list.dials == {"hub-1": ("10.0.0.1", 80), "hub-2": ("10.0.0.2", 80)}
     text = (RECORDED / "handover_packet" / "engine.json").read_text()
-    assert decode_engine_state(json.loads(text)) == samples.handed_state()
+    assert decode_engine_state(json.loads(text)) == samples.build_handover_state()
 
 
-def test_fleet_datagrams_open_and_decode() -> None:
+def test_fleet_datagrams_are_opened_and_decoded() -> None:
     seal = Seal([KEY])
-    for name, data in samples.recorded(samples.fleet_datagrams).items():
+    for name, data in samples.read_recorded(samples.fleet_datagrams).items():
         envelope = decode(seal.open(data))
         assert (envelope.name, envelope.epoch, envelope.session, envelope.to_session, envelope.number) == (
             "s1",
@@ -169,7 +171,7 @@
 
 def test_control_datagrams_are_received() -> None:
     node, _ = samples.control_channels()
-    recorded = samples.recorded(samples.control_datagrams)
+    recorded = samples.read_recorded(samples.control_datagrams)
     bodies: list[control.Body] = []
     order = [name for name in recorded if "sender" in name]
     order += [f"{name}-{number}" for name, _ in samples.control_bodies() for number in range(3)]
@@ -180,13 +182,13 @@
     assert not any(node.refused.values())
 
 
-def test_questions_of_ids_are_answered_alike() -> None:
-    recorded = samples.recorded(samples.questions)
-    known = {"m1": id_inquiry.IdState.IN_FLIGHT, "m2": id_inquiry.IdState.COMPLETED}
-    assert id_inquiry.answer_question(recorded["question-0"], known.get) == recorded["answer"]
+def test_an_id_inquiry_gets_the_recorded_answer() -> None:
+    recorded = samples.read_recorded(samples.questions)
+    states = {"m1": id_inquiry.IdState.IN_FLIGHT, "m2": id_inquiry.IdState.COMPLETED}
+    assert id_inquiry.answer_question(recorded["question-0"], states.get) == recorded["answer"]
 
 
-def test_a_sample_is_the_same_each_time() -> None:
-    """Else a comparison would prove nothing."""
+def test_samples_are_deterministic() -> None:
+    """Otherwise a comparison with the recorded samples would prove nothing."""
     for make in SAMPLES:
         assert make() == make(), make.__name__
