--- a/tests/test_import_rules.py
+++ b/tests/test_import_rules.py
@@ -1,4 +1,4 @@
-"""Who may know whom: the arrows of the design run downward only, and the daemon imports no extra."""
+"""Imports within the package follow its layers, without cycles; the daemon imports no optional dependency."""
 
 import ast
 import subprocess
@@ -8,13 +8,14 @@
 import pytest
 
 ROOT = Path(__file__).parent.parent / "message_sender"
-#: What each part may import of the package, besides itself; the parts above are not in any of these.
+#: The lowest parts, which most other parts may import.
 BASE = {"files", "message", "policy.actions", "policy.events", "policy.limits", "policy.model"}
 CONFIGURATION = {"configuration.general", "configuration.resources", "configuration.tables"}
-FLEET = {"budget", "journal", "recovery", "fleet"}  # of a sender of our own, imported where it is asked for
-#: The policy's messages, from below, and its parts, from below.
+FLEET = {"budget", "journal", "recovery", "fleet"}  # of the standalone sender, imported only if it is enabled
+#: The data types of the policy.
 POLICY_TYPES = {"policy.model", "policy.events", "policy.actions", "policy.limits"}
-PARTS = (
+#: The other modules of the policy, in order from the lowest layer to the highest.
+POLICY_MODULES = (
     "pending_message",
     "breaker",
     "timers",
@@ -27,6 +28,7 @@
     "inflight",
     "state_transfer",
 )
+#: The other parts of the package that each part may import; a part never imports a part of a higher layer.
 ALLOWED: dict[str, set[str]] = {
     "files": set(),
     "message": set(),
@@ -44,10 +46,13 @@
     "policy.urgency": {"policy.breaker", "policy.model", "policy.pending_message"},
     "policy.destination": {"policy.breaker", "policy.pending_message", "policy.urgency"},
     **{
-        f"policy.{part}": {*(f"policy.{each}" for each in PARTS[: PARTS.index(part)]), *POLICY_TYPES}
+        f"policy.{part}": {
+            *(f"policy.{each}" for each in POLICY_MODULES[: POLICY_MODULES.index(part)]),
+            *POLICY_TYPES,
+        }
         for part in ("endpoints", "pending", "inflight", "state_transfer")
     },
-    "policy.dispatcher": {*(f"policy.{each}" for each in PARTS), *POLICY_TYPES},
+    "policy.dispatcher": {*(f"policy.{each}" for each in POLICY_MODULES), *POLICY_TYPES},
     "journal": BASE,
     "admission": BASE,
     "discovery": BASE,
@@ -135,7 +140,7 @@
         "service",
         "testbed",
     },
-    "pcap": {"http"},  # a codec's patterns
+    "pcap": {"http"},  # the patterns of its codec
     "cli": {
         "configuration.general",
         "configuration.tables",
@@ -153,23 +158,24 @@
     "__main__": {"cli", "start"},
     "__init__": {"policy.dispatcher"},
 }
-#: Packages whose modules are parts by themselves.
-PARTED = ("configuration", "policy")
+#: Packages of which each module is a part of its own; any other package is one part.
+SPLIT_PACKAGES = ("configuration", "policy")
 
 
-def part(file: Path) -> str:
-    parts = file.relative_to(ROOT).with_suffix("").parts
-    return part_of([each for each in parts if each != "__init__"] or ["__init__"])
+def part_of_file(file: Path) -> str:
+    """Returns the part of the package that a source file belongs to."""
+    names = file.relative_to(ROOT).with_suffix("").parts
+    return part_of_module([each for each in names if each != "__init__"] or ["__init__"])
 
 
-def part_of(names: list[str]) -> str:
-    """A package is one part, but for those whose modules are parts by themselves."""
-    return ".".join(names[:2] if names[0] in PARTED else names[:1])
+def part_of_module(names: list[str]) -> str:
+    """Returns the part that a module belongs to; `names` are the components of the module's name."""
+    return ".".join(names[:2] if names[0] in SPLIT_PACKAGES else names[:1])
 
 
-def imported(file: Path) -> set[str]:
-    """The parts of the package that a file imports, wherever it does."""
-    found = set()
+def imported_parts(file: Path) -> set[str]:
+    """Returns the parts of the package that a file imports, at its head or in a function."""
+    parts = set()
     for node in ast.walk(ast.parse(file.read_text())):
         names = []
         if isinstance(node, ast.ImportFrom) and node.module and node.level == 0:
@@ -179,35 +185,38 @@
         for name in names:
             top, _, rest = name.partition(".")
             if top == "message_sender" and rest:
-                found.add(part_of(rest.split(".")))
-    return found
+                parts.add(part_of_module(rest.split(".")))
+    return parts
 
 
 @pytest.mark.parametrize("file", sorted(ROOT.rglob("*.py")), ids=lambda file: str(file.relative_to(ROOT)))
-def test_arrows_run_downward(file: Path) -> None:
-    own = part(file)
-    assert imported(file) - {own, "Dispatcher"} <= ALLOWED[own]
+def test_a_module_imports_only_allowed_parts(file: Path) -> None:
+    own = part_of_file(file)
+    assert imported_parts(file) - {own, "Dispatcher"} <= ALLOWED[own]
 
 
-def modules(file: Path) -> set[str]:
-    """The modules of the package that a file names in its imports, also those for types alone."""
-    found = set()
+def imported_modules(file: Path) -> set[str]:
+    """Returns the modules of the package that a file imports, also those for type checking only.
+
+    The result also has the names that are imported from these modules.
+    """
+    modules = set()
     for node in ast.walk(ast.parse(file.read_text())):
         if isinstance(node, ast.ImportFrom) and node.module and node.module.startswith("message_sender"):
-            found |= {node.module, *(f"{node.module}.{each.name}" for each in node.names)}
-    return found
+            modules |= {node.module, *(f"{node.module}.{each.name}" for each in node.names)}
+    return modules
 
 
-def test_no_module_is_in_a_circle_of_imports() -> None:
-    files = {file.relative_to(ROOT).with_suffix("").parts: file for file in ROOT.rglob("*.py")}
-    names = {".".join(("message_sender", *parts)): file for parts, file in files.items()}
-    known = {name: (modules(file) & names.keys()) - {name} for name, file in names.items()}
-    while free := {name for name, below in known.items() if not below & known.keys()}:
-        known = {name: below for name, below in known.items() if name not in free}
-    assert not known, f"a circle among {sorted(known)}"
+def test_no_module_is_in_an_import_cycle() -> None:
+    paths = {file.relative_to(ROOT).with_suffix("").parts: file for file in ROOT.rglob("*.py")}
+    modules = {".".join(("message_sender", *names)): file for names, file in paths.items()}
+    remaining = {name: (imported_modules(file) & modules.keys()) - {name} for name, file in modules.items()}
+    while independent := {name for name, imports in remaining.items() if not imports & remaining.keys()}:
+        remaining = {name: imports for name, imports in remaining.items() if name not in independent}
+    assert not remaining, f"import cycle among {sorted(remaining)}"
 
 
-def test_the_core_and_what_is_below_it_know_no_protocol() -> None:
+def test_the_core_and_the_parts_below_it_import_no_protocol() -> None:
     for name in (
         "core",
         "journal",
@@ -220,6 +229,7 @@
         assert not ALLOWED[name] & {"http", "grpc", "service", "testbed", "cli"}
 
 
+#: Packages of the optional dependencies.
 EXTRAS = {
     "click", "pydantic", "structlog", "numpy", "grpc", "google", "hdrh", "rich", "hypothesis",
     "google_crc32c", "cryptography", "msgspec", "xxhash",
@@ -228,9 +238,9 @@
 
 @pytest.mark.parametrize("module", ["__main__", "start", "service.daemon", "adapter"])
 def test_the_daemon_imports_no_extra_and_nothing_of_the_control_plane(module: str) -> None:
-    control = "{name for name in sys.modules if (name + '.').startswith('message_sender.control.')}"
-    found = f"{EXTRAS} & set(sys.modules) | {control}"
-    code = f"import sys, message_sender.{module}; print(sorted({found}))"
-    words = [sys.executable, "-c", code]
-    out = subprocess.run(words, cwd=ROOT.parent, capture_output=True, check=True, text=True)
-    assert out.stdout.strip() == "[]"
+    control_modules = "{name for name in sys.modules if (name + '.').startswith('message_sender.control.')}"
+    imported = f"{EXTRAS} & set(sys.modules) | {control_modules}"
+    code = f"import sys, message_sender.{module}; print(sorted({imported}))"
+    command = [sys.executable, "-c", code]
+    result = subprocess.run(command, cwd=ROOT.parent, capture_output=True, check=True, text=True)
+    assert result.stdout.strip() == "[]"
