--- a/message_sender/fleet/members.py
+++ b/message_sender/fleet/members.py
@@ -159,11 +159,11 @@
             self.worsen_health()
             self.transmissions[self.me.name] = 0
 
-    def note_datagram(self, name: str, address: Address, epoch: int, now: float) -> None:
+    def record_datagram(self, name: str, address: Address, epoch: int, now: float) -> None:
         """Records a datagram received from a member, which proves that it is alive."""
         answered = [number for number, probe in self.pending_probes.items() if probe.target == name]
         for number in answered:
-            self.note_ack(number)
+            self.record_ack(number)
         known = self.others.get(name)
         if known and known.epoch == epoch and known.state is MemberState.ALIVE:
             known.address = address
@@ -172,7 +172,7 @@
         update = MembershipUpdate(name, address, epoch, incarnation, MemberState.ALIVE)
         self.apply_update(update, name, now)
 
-    def note_left(self, name: str, now: float) -> None:
+    def record_leave(self, name: str, now: float) -> None:
         """Records that a member has announced its shutdown."""
         known = self.others.get(name)
         if known:
@@ -187,7 +187,7 @@
         member.state = state
         self.transmissions[member.name] = 0
 
-    def note_ack(self, number: int) -> None:
+    def record_ack(self, number: int) -> None:
         """Records the answer to a probe; improves the local health."""
         if self.pending_probes.pop(number, None):
             self.health = max(self.health - 1, 1)
--- a/message_sender/fleet/node.py
+++ b/message_sender/fleet/node.py
@@ -269,7 +269,7 @@
             return
         is_first = self._accept_number(envelope, now)
         self.counters.received += 1
-        self.members.note_datagram(envelope.name, envelope.address, envelope.epoch, now)
+        self.members.record_datagram(envelope.name, envelope.address, envelope.epoch, now)
         for update in envelope.updates:
             self.members.apply_update(update, envelope.name, now)
         self._dispatch(envelope, now)
@@ -367,7 +367,7 @@
             case wire.LeaseDatagram():
                 self.on_lease_datagram(name, envelope.body)
             case wire.Leave():
-                self.members.note_left(name, now)
+                self.members.record_leave(name, now)
 
     def _handle_ping(self, name: str, number: int, target: str) -> None:
         """Answers a direct probe; for an indirect one, probes `target` under a negative number."""
@@ -378,7 +378,7 @@
 
     def _handle_ack(self, number: int) -> None:
         if number >= 0:
-            self.members.note_ack(number)
+            self.members.record_ack(number)
             return
         probe = self._indirect_probes.take(-number)
         if probe is not None:
