--- a/message_sender/recovery/learned_snapshot.py
+++ b/message_sender/recovery/learned_snapshot.py
@@ -1,7 +1,7 @@
 """Periodic snapshots of what a sender has learned about its destinations, trusted by age after a restart.
 
 A snapshot is one file with one checksummed record (journal/records.py), replaced atomically. It is built in
-steps of a bounded number of destinations, so that ten thousand of them don't hold up a loop iteration. Beyond
+steps of a bounded number of destinations, so that ten thousand of them don't delay a loop iteration. Beyond
 MAX_BREAKERS, the most recently called breakers are kept. An unreadable snapshot is dropped, because all of
 its content can be learned again.
 """
@@ -28,7 +28,7 @@
 FIELDS_BY_KIND = {
     KnowledgeKind.BREAKERS: ("failures", "trial_at", "sick", "unserved"),
     KnowledgeKind.GAPS: ("gap", "gap_changed"),
-    KnowledgeKind.WARM_UPS: ("cold_since", "last_sent", "last_served", "served_sent"),
+    KnowledgeKind.SLOW_STARTS: ("cold_since", "last_sent", "last_served", "served_sent"),
     KnowledgeKind.USUAL_RATES: ("calls", "span", "took", "spread", "known"),
     KnowledgeKind.RETRY_AFTER: ("wait_until",),
 }
--- a/message_sender/recovery/pacing.py
+++ b/message_sender/recovery/pacing.py
@@ -94,13 +94,13 @@
                 values["cold_since"] = now_us - permission.warming_for_s * US_PER_S
             return values | {"calls": 0.1, "span": 1e5 * max(settings.fleet_size / 4, 1)}
         gap_us = US_PER_S / (route.rate_per_s * self._warm_fraction(permission) * permission.rate_share)
-        push = settings.fall_multiple * 0.75 * settings.slow_start_from
+        usual_gap_ratio = settings.fall_multiple * 0.75 * settings.slow_start_from
         return values | {
             "cold_since": now_us,
             "wait_until": max(now_us, int(since_us + permission.start_phase * gap_us)),
             "calls": 1.0,
-            "span": gap_us * push,
-            "gap": gap_us if gap_us > route.own_gap_us / push else 0.0,
+            "span": gap_us * usual_gap_ratio,
+            "gap": gap_us if gap_us > route.own_gap_us / usual_gap_ratio else 0.0,
         }
 
     def _warm_fraction(self, permission: CallPermission) -> float:
--- a/message_sender/recovery/trust.py
+++ b/message_sender/recovery/trust.py
@@ -32,17 +32,17 @@
 class PreviousEnd(Enum):
     """How the previous run ended. The log shows the member's name in lower case."""
 
-    FIRST = "there was none"
-    CLEAN = "closed"
+    FIRST = "no previous run"
+    CLEAN = "the journal was closed"
     PROCESS = "the process ended"
-    POWER = "the power went"
+    POWER = "the machine lost power"
 
 
 class Confidence(Enum):
     """How far a kind of knowledge is trusted."""
 
-    TRUSTED = "believed"
-    CONSERVATIVE = "believed where it is the more careful"
+    TRUSTED = "trusted"
+    CONSERVATIVE = "trusted where it makes the sender more cautious"
     DROPPED = "dropped"
 
 
@@ -50,15 +50,15 @@
     """The kinds of state that a sender keeps."""
 
     OWED_MESSAGES = "owed messages and their attempts"
-    FINISHED_IDS = "ids that are over"
-    RESTING_KEYS = "key rests"
-    RETRY_AFTER = "told waits"
+    FINISHED_IDS = "ids of completed messages"
+    KEY_PAUSES = "pauses of keys"
+    RETRY_AFTER = "Retry-After"
     BREAKERS = "breakers"
     GAPS = "gaps"
-    WARM_UPS = "warm-ups"
+    SLOW_STARTS = "slow starts"
     USUAL_RATES = "usual rates"
     OUT_OF_SERVICE = "endpoints out of service"
-    ENDPOINT_LIST = "the list"
+    ENDPOINT_LIST = "endpoint list"
     GRANTS = "grants"
 
 
@@ -83,11 +83,11 @@
 TRUST_RULES = {
     KnowledgeKind.OWED_MESSAGES: TrustRule("journal", FOREVER, FOREVER, Confidence.TRUSTED),
     KnowledgeKind.FINISHED_IDS: TrustRule("journal", FOREVER, FOREVER, Confidence.TRUSTED),
-    KnowledgeKind.RESTING_KEYS: TrustRule("journal", FOREVER, FOREVER),
+    KnowledgeKind.KEY_PAUSES: TrustRule("journal", FOREVER, FOREVER),
     KnowledgeKind.RETRY_AFTER: TrustRule("snapshot", FOREVER, FOREVER),
     KnowledgeKind.BREAKERS: TrustRule("snapshot", 10 * SECOND_US, 60 * SECOND_US),
     KnowledgeKind.GAPS: TrustRule("snapshot", 10 * SECOND_US, 60 * SECOND_US),
-    KnowledgeKind.WARM_UPS: TrustRule("snapshot", 10 * SECOND_US, 3600 * SECOND_US),
+    KnowledgeKind.SLOW_STARTS: TrustRule("snapshot", 10 * SECOND_US, 3600 * SECOND_US),
     KnowledgeKind.USUAL_RATES: TrustRule(
         "snapshot", 3600 * SECOND_US, 24 * 3600 * SECOND_US, Confidence.TRUSTED
     ),
