--- a/message_sender/cli/basic.py
+++ b/message_sender/cli/basic.py
@@ -56,12 +56,12 @@
 @click.option("--answers", type=FILE_PATH, help="Append completions to this file; default: standard output.")
 @LOG_FORMAT_OPTION
 @click.pass_context
-def serve(ctx: click.Context, file: Path, state: Path | None, answers: Path | None, form: str) -> None:
+def serve(ctx: click.Context, file: Path, state: Path | None, answers: Path | None, log_format: str) -> None:
     """Runs a standalone sender until it is stopped, and exits with the exit code of the sender."""
     from message_sender.cli.log_format import configure_logging
     from message_sender.service.standalone import serve as run_sender
 
-    configure_logging("json" if form == "json" else "people")
+    configure_logging("json" if log_format == "json" else "people")
     with exit_on_error("configuration: "):
         config = load(file)
         folder = state or config.state
--- a/message_sender/cli/control.py
+++ b/message_sender/cli/control.py
@@ -72,12 +72,12 @@
 @CONFIG_OPTION
 @LOG_FORMAT_OPTION
 @click.pass_context
-def serve(ctx: click.Context, file: Path, form: str) -> None:
+def serve(ctx: click.Context, file: Path, log_format: str) -> None:
     """Runs a control node until SIGTERM, and exits with the exit code of the node."""
     from message_sender.cli.log_format import configure_logging
     from message_sender.control.process import run
 
-    configure_logging("json" if form == "json" else "people")
+    configure_logging("json" if log_format == "json" else "people")
     with exit_on_error("configuration: "):
         ctx.exit(run(file))
 
--- a/message_sender/cli/parameters.py
+++ b/message_sender/cli/parameters.py
@@ -17,7 +17,7 @@
 JSON_OPTION = click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 LOG_FORMAT_OPTION = click.option(
     "--log",
-    "form",
+    "log_format",
     type=click.Choice(["people", "json"]),
     default="people",
     show_default=True,
--- a/message_sender/cli/pcap.py
+++ b/message_sender/cli/pcap.py
@@ -21,7 +21,7 @@
 REPORTED_NOTES = 50
 NS_PER_MS = 1e6
 LONGEST_LATENCY_US = 3_600_000_000
-LATENCY_DIGITS = 3  # significant format_decimal_seconds digits
+LATENCY_DIGITS = 3  # significant decimal digits
 REPORTED_PERCENTILES = (50, 90, 99, 99.9)
 
 
