--- a/message_sender/service/budget_registry.py
+++ b/message_sender/service/budget_registry.py
@@ -30,8 +30,8 @@
 #: Names of the settings behind fields of `SharedBudget`, for logs and refusals, where the two differ.
 FILE_NAMES = {
     "resource": "of",
-    "binding": "what it is bound to",
-    "value": "which one it is bound to",
+    "binding": "kind of binding",
+    "value": "bound value",
     "retry_fraction": "share",
     "window_us": "per_ms",
     "lease_us": "lease_ms",
@@ -183,7 +183,7 @@
                 names = ", ".join(changed)
                 texts.append(f"budgets/{definition.name}: {names} cannot change before the next start")
         for name in sorted(self.definitions.keys() - {each.name for each in definitions}):
-            texts.append(f"budgets/{name}: it cannot be taken away before the next start")
+            texts.append(f"budgets/{name}: cannot be removed before the next start")
         return texts
 
     def has_connection_budgets(self) -> bool:
--- a/message_sender/service/control_configuration.py
+++ b/message_sender/service/control_configuration.py
@@ -38,7 +38,7 @@
 class ConfigurableEndpoints(Protocol):
     """The operation of the sender's directory that a new version needs."""
 
-    def configure(self, places: Sequence[StaticEndpoint]) -> None:
+    def configure(self, endpoints: Sequence[StaticEndpoint]) -> None:
         """Replaces the configured endpoints."""
 
 
@@ -191,7 +191,9 @@
         """
         after = self.apply_delta(document, delta)
         if after.version < self.newest_version:
-            raise RefusedConfigurationError(f"version {self.newest_version} was in force here")
+            raise RefusedConfigurationError(
+                f"older than version {self.newest_version}, which was in force here"
+            )
         interpretation = self.interpret_delta(document, delta)
         if faults := find_faults(self.own_config, interpretation):
             raise RefusedConfigurationError("; ".join(faults))
@@ -244,7 +246,7 @@
         if before.budgets == after.budgets:
             return []
         if self.budgets is None:
-            return ["budgets: the link to the fleet could not be made at this start"]
+            return ["budgets: the link to the fleet could not be opened at this start"]
         return self.budgets.changes_for_next_start(after.budgets)
 
     def configure_parts(self, before: SenderConfig, after: SenderConfig) -> None:
--- a/message_sender/service/endpoint_overrides.py
+++ b/message_sender/service/endpoint_overrides.py
@@ -86,7 +86,9 @@
         now = self.overrides.now()
         until = now + int(min(remaining_s, OUT_OF_SERVICE_LIMIT_S) * 1e6)
         try:
-            self.overrides.set(OverrideKind.OUT, endpoint, member, "it keeps it out of service", now, until)
+            self.overrides.set(
+                OverrideKind.OUT, endpoint, member, "this member keeps it out of service", now, until
+            )
         except (OverrideError, OSError) as error:
             log.warning(
                 "fleet: override not taken over: member=%s endpoint=%s reason=%s", member, endpoint, error
--- a/message_sender/service/membership.py
+++ b/message_sender/service/membership.py
@@ -62,13 +62,13 @@
     """Implements the recovery coordinator's port to an engine.
 
     Attributes:
-        local_endpoints: The sender's endpoints that are out of service.
+        out_of_service_endpoints: The sender's endpoints that are out of service.
     """
 
     def __init__(self, engine: Engine) -> None:
         """Initializes without endpoints out of service."""
         self.engine = engine
-        self.local_endpoints: OutOfServiceEndpoints = NoEndpointsOutOfService()
+        self.out_of_service_endpoints: OutOfServiceEndpoints = NoEndpointsOutOfService()
 
     def now(self) -> int:
         """Returns the time of the engine's clock, in microseconds."""
@@ -131,11 +131,11 @@
 
     def out_of_service(self) -> dict[str, float]:
         """Returns the seconds for which endpoints stay out of service here, by endpoint id."""
-        return self.local_endpoints.remaining_s()
+        return self.out_of_service_endpoints.remaining_s()
 
     def take_out_of_service(self, endpoint: str, duration_s: float, member: str) -> None:
         """Takes over another member's order: the endpoint stays out of service for `duration_s` seconds."""
-        self.local_endpoints.take_over(endpoint, duration_s, member)
+        self.out_of_service_endpoints.take_over(endpoint, duration_s, member)
 
 
 class Membership(EngineHooks):
--- a/message_sender/service/standalone.py
+++ b/message_sender/service/standalone.py
@@ -186,7 +186,7 @@
             self.engine, config.fleet, state, self.set_ready, config.budgets, may_add_budgets
         )
         if membership:
-            membership.view.local_endpoints = OverriddenOutOfService(
+            membership.view.out_of_service_endpoints = OverriddenOutOfService(
                 self.overrides, membership.link, self.recovery_start
             )
         return membership
--- a/tests/test_control_configuration.py
+++ b/tests/test_control_configuration.py
@@ -210,7 +210,7 @@
 def test_a_waiting_version_that_is_invalid_at_the_restart_leaves_the_old_one_active(tmp_path: Path) -> None:
     sender = RestartableSender(tmp_path)
     sender.apply(1, {"endpoints/a": endpoint(2)})
-    sender.running.reasons = ["budgets: the link to the fleet could not be made at this start"]
+    sender.running.reasons = ["budgets: the link to the fleet could not be opened at this start"]
     sender.apply_refused(2, {"budgets/rate": RATE | {"floor": 15}})
     sender.own = {**OWN_FILE, "fleet": OWN_FILE["fleet"] | {"size": 5}}
     sender.start()
@@ -221,7 +221,7 @@
     disk = FullDisk()
     disk.is_full = False
     sender = RestartableSender(tmp_path, disk)
-    sender.running.reasons = ["budgets: the link to the fleet could not be made at this start"]
+    sender.running.reasons = ["budgets: the link to the fleet could not be opened at this start"]
     sender.apply_refused(2, {"budgets/rate": RATE, "endpoints/a": endpoint(2)})
     disk.is_full = True
     sender.start()
@@ -238,7 +238,10 @@
     sender.own = {**OWN_FILE, "fleet": None}
     sender.start()  # without a fleet the budget is refused, so this start does not apply version 7
     assert sender.configuration.document.version == 0 and sender.running.ids() == ["own"]
-    assert sender.apply_refused(6, {"endpoints/a": endpoint(2)}) == "version 7 was in force here"
+    assert (
+        sender.apply_refused(6, {"endpoints/a": endpoint(2)})
+        == "older than version 7, which was in force here"
+    )
     sender.apply(8, {"endpoints/a": endpoint(2)})
     assert sender.running.ids() == ["a"]
 
--- a/tests/test_control_sender.py
+++ b/tests/test_control_sender.py
@@ -171,8 +171,8 @@
         "budgets/calls: per_ms, floor, lease_ms cannot change before the next start"
     ]
     assert reasons(replace(calls, binding="zone", value="z")) == [
-        "budgets/calls: what it is bound to, which one it is bound to cannot change before the next start"
+        "budgets/calls: kind of binding, bound value cannot change before the next start"
     ]
-    assert reasons() == ["budgets/calls: it cannot be taken away before the next start"]
+    assert reasons() == ["budgets/calls: cannot be removed before the next start"]
     new = replace(calls, name="new", resource="in_flight", window_us=None)
     assert reasons(calls, new) == [] and len(reasons()) == 2
