--- a/message_sender/grpc/channel.py
+++ b/message_sender/grpc/channel.py
@@ -498,7 +498,7 @@
 
 
 async def open_channel(
-    told: SenderConfig | Mapping[str, Any] | Path,
+    configuration: SenderConfig | Mapping[str, Any] | Path,
     state: Path | str | None = None,
     *,
     directory: StaticDirectory | None = None,
@@ -510,9 +510,8 @@
     """Opens a channel in the running event loop; messages in the journal resume.
 
     Args:
-        told: A configuration, a mapping in its form, or the path of a TOML file.
-        state: Folder of the journal, which must survive restarts; by default the one that the configuration
-            names.
+        configuration: A configuration, a mapping in its form, or the path of a TOML file.
+        state: Folder of the journal, which must survive restarts; by default the one in the configuration.
         directory: Endpoints in place of those in the configuration; may be updated while the channel is open.
         route: Returns the route of a call from its method, body and metadata.
         options: Options for every channel of the gRPC library; those that would let the library retry or
@@ -525,13 +524,14 @@
         LockTakenError: Another sender uses the state folder.
         OSError: The state folder cannot be used.
     """
-    if isinstance(told, Path):
-        told = general.load(told)
-    elif not isinstance(told, SenderConfig):
-        told = general.read(told)
-    folder = Path(state) if state is not None else told.state
+    if isinstance(configuration, Path):
+        configuration = general.load(configuration)
+    elif not isinstance(configuration, SenderConfig):
+        configuration = general.read(configuration)
+    folder = Path(state) if state is not None else configuration.state
     if folder is None:
-        raise general.ConfigError([general.ConfigFault("state", "is missing: no folder is named")])
+        text = "is missing: neither the configuration nor the call names a folder"
+        raise general.ConfigError([general.ConfigFault("state", text)])
     folder.mkdir(parents=True, exist_ok=True)
-    endpoints = directory or StaticDirectory(told.endpoints)
-    return Channel(told, folder, endpoints, route, options, factory, kept)
+    endpoints = directory or StaticDirectory(configuration.endpoints)
+    return Channel(configuration, folder, endpoints, route, options, factory, kept)
