--- a/message_sender/configuration/general_tables.py
+++ b/message_sender/configuration/general_tables.py
@@ -66,14 +66,16 @@
 def check_control_name(value: str) -> str:
     """Validates the name of a control node."""
     if not CONTROL_NAME.fullmatch(value):
-        raise ValueError(f"must be letters, digits, dots and dashes, {CONTROL_NAME_LENGTH_LIMIT} at the most")
+        raise ValueError(
+            f"must be 1 to {CONTROL_NAME_LENGTH_LIMIT} letters, digits, dots and dashes, not {value!r}"
+        )
     return value
 
 
 def require_class(classes: dict[str, "ClassTable"]) -> dict[str, "ClassTable"]:
     """Validates that at least one class of messages is defined."""
     if not classes:
-        raise ValueError("must name at least one class")
+        raise ValueError("must define at least one class")
     return classes
 
 
@@ -94,9 +96,10 @@
         """Checks that the durations are consistent with each other and with the effect."""
         faults = []
         if self.aim_ms > self.deadline_ms:
-            faults.append("aim_ms: must be no more than deadline_ms")
+            faults.append(f"aim_ms: must be at most deadline_ms ({self.deadline_ms:g}), not {self.aim_ms:g}")
         if self.effect == "keyed" and self.window_ms <= 0:
-            faults.append("window_ms: must be above 0 for a keyed class: how long repeats are dropped")
+            reason = "the time for which repeats are dropped"
+            faults.append(f"window_ms: must be above 0 for a keyed class ({reason}), not {self.window_ms:g}")
         if faults:
             raise ValueError("\n".join(faults))
         return self
@@ -243,7 +246,7 @@
         """Checks that there are nodes, and that their names and addresses are unique."""
         faults = find_node_faults([(node.name, node.address) for node in self.nodes])
         if not self.nodes:
-            faults.append("nodes: must name at least one control node")
+            faults.append("nodes: must list at least one control node")
         if faults:
             raise ValueError("\n".join(faults))
         return self
@@ -278,14 +281,16 @@
         """Checks the budgets against the fleet, and the sender's name against the control plane."""
         faults = []
         if self.budgets and not self.fleet:
-            faults.append("budgets: need a [fleet] to be shared in")
+            faults.append("budgets: require a [fleet] table")
         fleet_size = self.fleet.size if self.fleet else 1
         for fault in find_budget_faults(self.budgets, fleet_size):
             faults.append(f"budgets[{fault.index}].{fault.field}: {fault.text}")
         if self.control and len(self.name) > CONTROL_NAME_LENGTH_LIMIT:
-            faults.append(f"name: must be {CONTROL_NAME_LENGTH_LIMIT} characters at the most with [control]")
+            limit = CONTROL_NAME_LENGTH_LIMIT
+            faults.append(f"name: must have at most {limit} characters with [control], not {len(self.name)}")
         if self.control and self.name in {node.name for node in self.control.nodes}:
-            faults.append(f"name: {self.name!r} is a control node's, which would take this for its old disk")
+            reason = "that node would treat its own disk as outdated"
+            faults.append(f"name: must differ from the names of control nodes, not {self.name!r}: {reason}")
         if faults:
             raise ValueError("\n".join(faults))
         return self
--- a/message_sender/configuration/resources.py
+++ b/message_sender/configuration/resources.py
@@ -24,7 +24,9 @@
 #: Resources of which a budget limits the concurrent use; budgets of the others limit a rate.
 CONCURRENCY_BUDGETS = frozenset({"in_flight", "trials", "connections"})
 BUDGET_NAME = re.compile(r"[A-Za-z0-9.-]{1,48}")
-NOT_NUMERIC = "must be an IP address and a port: a name would be looked up for each datagram, on the loop"
+NOT_NUMERIC = (
+    "must be an IP address and a port: a name would be looked up on the event loop for each datagram"
+)
 ADDRESS = re.compile(r"(\[[0-9a-fA-F:.]+\]|[^:\s]+):([0-9]{1,5})")
 
 
@@ -71,7 +73,7 @@
         ValueError: The value has another form.
     """
     if not isinstance(value, str):
-        raise ValueError(f"must be a text, not {value!r}")
+        raise ValueError(f"must be a string, not {value!r}")
     match = ADDRESS.fullmatch(value)
     if not match or int(match[2]) > PORT_LIMIT:
         raise ValueError(f"must be host:port, not {value!r}")
@@ -89,9 +91,9 @@
         if name in names:
             faults.append(f"nodes[{index}].name: {name!r} is listed twice")
         if address in addresses:
-            faults.append(f"nodes[{index}].address: two nodes at one address")
+            faults.append(f"nodes[{index}].address: {address[0]}:{address[1]} is listed twice")
         if address[1] == 0:
-            faults.append(f"nodes[{index}].address: must name a port")
+            faults.append(f"nodes[{index}].address: must have a port above 0, not 0")
         elif not is_numeric(address):
             faults.append(f"nodes[{index}].address: {NOT_NUMERIC}")
         names.add(name)
@@ -122,11 +124,11 @@
     """Validates a destination's number or "each"."""
     if value == "each" or is_integer_between(value, 0, INTEGER_LIMIT):
         return value  # type: ignore[return-value]
-    raise ValueError(f'must be a number or "each", not {value!r}')
+    raise ValueError(f'must be a whole number from 0 to {INTEGER_LIMIT} or "each", not {value!r}')
 
 
 def validate_limit(value: object) -> int | str:
-    """Validates a budget's limit: an integer, or "told" for the announced rate."""
+    """Validates a budget's limit: an integer, or "told" for the rate that is announced."""
     if value == "told" or is_integer_between(value, 1, INTEGER_LIMIT):
         return value  # type: ignore[return-value]
     raise ValueError(f'must be a whole number from 1 to {INTEGER_LIMIT} or "told", not {value!r}')
@@ -204,17 +206,24 @@
         """Checks the name, and that resource, binding, limit and period fit together."""
         faults = []
         if not BUDGET_NAME.fullmatch(self.name):
-            faults.append("name: must be letters, digits, dots and dashes, 48 of them at the most")
+            faults.append(f"name: must be 1 to 48 letters, digits, dots and dashes, not {self.name!r}")
         if (self.of in CONCURRENCY_BUDGETS) is not (self.per_ms is None):
-            faults.append("per_ms: must be told for what has a rate, and not for what is held at once")
+            if self.per_ms is None:
+                faults.append(f"per_ms: is required with of = {self.of!r}, which limits a rate")
+            else:
+                faults.append(f"per_ms: is not allowed with of = {self.of!r}, which limits concurrent use")
         bindings = self.bindings()
+        bound_to = " and ".join(bindings) or "none"
         if len(bindings) != 1 or (self.of == "tenant") is not (bindings == ["tenant"]):
             kind = "tenant" if self.of == "tenant" else "destination, endpoint or zone"
-            faults.append(f'{bindings[-1] if bindings else "destination"}: must name one {kind}, or "each"')
+            key = bindings[-1] if bindings else "destination"
+            faults.append(f'{key}: exactly one {kind} is required, or "each", not {bound_to}')
         if (self.whole is None) is (self.share is None) or (self.share and self.of != "repeats"):
-            faults.append("whole: must be told, or for repeats a share in its place")
+            limits = [key for key in ("whole", "share") if getattr(self, key) is not None]
+            given = " and ".join(limits) or "neither"
+            faults.append(f"whole: is required, or share for repeats; got {given} with of = {self.of!r}")
         if self.whole == "told" and (self.of != "calls" or bindings != ["destination"]):
-            faults.append("whole: can be told for the calls of a destination alone")
+            faults.append(f'whole: "told" requires calls of a destination, not {self.of} of {bound_to}')
         if faults:
             raise ValueError("\n".join(faults))
         return self
@@ -270,11 +279,14 @@
     faults, names, scopes = [], set[str](), set[tuple[str, str, object]]()
     for index, budget in enumerate(budgets):
         if budget.name in names:
-            faults.append(BudgetFault(index, "name", f"{budget.name!r} is there twice"))
+            faults.append(BudgetFault(index, "name", f"{budget.name!r} is listed twice"))
         if budget.scope() in scopes:
-            faults.append(BudgetFault(index, "of", "two budgets over one thing"))
+            resource, binding, value = budget.scope()
+            text = f"another budget also limits {resource} of {binding} {value!r}"
+            faults.append(BudgetFault(index, "of", text))
         if isinstance(budget.whole, int) and budget.floor * size > budget.whole:
-            text = f"{budget.floor} for each of {size} is over the whole"
+            limit = f"{budget.whole // size} (a whole of {budget.whole} in a fleet of {size})"
+            text = f"must be at most {limit}, not {budget.floor}"
             faults.append(BudgetFault(index, "floor", text))
         names.add(budget.name)
         scopes.add(budget.scope())
--- a/message_sender/configuration/tables.py
+++ b/message_sender/configuration/tables.py
@@ -15,7 +15,7 @@
 
 #: The expected type in a fault's text, by pydantic's type of error.
 TYPE_NAMES = {
-    "string_type": "a text",
+    "string_type": "a string",
     "int_type": "a whole number",
     "int_from_float": "a whole number",
     "float_type": "a number",
@@ -108,7 +108,7 @@
     if kind == "missing":
         return "is missing"
     if kind == "extra_forbidden":
-        return "is not known here"
+        return "is not a known key"
     if kind in TYPE_NAMES:
         return f"must be {TYPE_NAMES[kind]}, not {value!r}"
     if kind == "literal_error":
--- a/message_sender/control/schema.py
+++ b/message_sender/control/schema.py
@@ -159,9 +159,7 @@
     if not isinstance(fields, dict):
         raise ConfigError([ConfigFault(name, "must be a table")])
     if kind.key in fields:
-        raise ConfigError(
-            [ConfigFault(f"{name}.{kind.key}", "is not known here: the resource's name tells it")]
-        )
+        raise ConfigError([ConfigFault(f"{name}.{kind.key}", "must not be set: it is the resource's name")])
     try:
         return kind, validate_table(kind.table, {kind.key: own_name, **fields})
     except ConfigError as error:
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -53,17 +53,21 @@
 FAULTS: list[tuple[list[Any], Any, str]] = [
     (["listen"], "here", "listen: must be host:port, not 'here'"),
     (["listen"], "h:99999", "listen: must be host:port, not 'h:99999'"),
-    (["name"], 7, "name: must be a text, not 7"),
+    (["name"], 7, "name: must be a string, not 7"),
     (["seed"], -1, "seed: must be from 0 to 9223372036854775808, not -1"),
-    (["nmae"], "n", "nmae: is not known here"),
-    (["classes"], {}, "classes: must name at least one class"),
+    (["nmae"], "n", "nmae: is not a known key"),
+    (["classes"], {}, "classes: must define at least one class"),
     (["classes", "command"], 1, "classes.command: must be a table"),
     (["classes", "command", "effect"], "twice", "effect: must be one of safe, keyed, unsafe, not 'twice'"),
     (["classes", "command", "aim_ms"], None, "classes.command.aim_ms: is missing"),
     (["classes", "command", "aim_ms"], True, "classes.command.aim_ms: must be a number, not True"),
-    (["classes", "command", "aim_ms"], 30000, "classes.command.aim_ms: must be no more than deadline_ms"),
+    (
+        ["classes", "command", "aim_ms"],
+        30000,
+        "classes.command.aim_ms: must be at most deadline_ms (20000), not 30000",
+    ),
     (["classes", "command", "window_ms"], 0, "classes.command.window_ms: must be above 0 for a keyed class"),
-    (["classes", "command", "widnow_ms"], 1, "classes.command.widnow_ms: is not known here"),
+    (["classes", "command", "widnow_ms"], 1, "classes.command.widnow_ms: is not a known key"),
     (["endpoints", 0, "dial"], "nowhere", "endpoints[0].dial: must be host:port"),
     (["endpoints", 1, "id"], "a", "endpoints[1].id: 'a' is listed twice"),
     (["endpoints", 1, "id"], "", "endpoints[1].id: must not be empty"),
@@ -71,28 +75,44 @@
     (["endpoints", 1, "state"], "gone", "endpoints[1].state: must be one of ready, draining"),
     (["endpoints", 0, "destination"], -3, "endpoints[0].destination: must be from 0"),
     (["limits", "slots"], 0, "limits.slots: must be from 1"),
-    (["limits", "slot"], 3, "limits.slot: is not known here"),
+    (["limits", "slot"], 3, "limits.slot: is not a known key"),
     (["limits", "disk_mb"], "much", "limits.disk_mb: must be a number, not 'much'"),
     (["rules", "cold_from"], 2, "rules.cold_from: must be from 0.01 to 1, not 2"),
     (["rules"], [], "rules: must be a table, not []"),
     (["budgets", 0, "whole"], -1, "budgets[0].whole: must be a whole number from 1 to 1000000000 or"),
     (["budgets", 0, "whole"], 0.5, "budgets[0].whole: must be a whole number"),
-    (["budgets", 0, "whole"], None, "budgets[0].whole: must be told, or for repeats"),
+    (["budgets", 0, "whole"], None, "budgets[0].whole: is required, or share for repeats; got neither"),
     (["budgets", 0, "of"], "calsl", "budgets[0].of: must be one of calls, in_flight, trials, repeats"),
-    (["budgets", 0, "per_ms"], None, "budgets[0].per_ms: must be told for what has a rate"),
-    (["budgets", 0, "destination"], None, "budgets[0].destination: must name one destination, endpoint"),
-    (["budgets", 0, "name"], "a b", "budgets[0].name: must be letters"),
-    (["budgets", 1, "per_ms"], 100, "budgets[1].per_ms: must be told for what has a rate, and not for"),
-    (["budgets", 1, "whole"], "told", "budgets[1].whole: can be told for the calls"),
-    (["budgets", 1, "floor"], 2, "budgets[1].floor: 2 for each of 5 is over the whole"),
-    (["budgets", 1, "name"], "hub", "budgets[1].name: 'hub' is there twice"),
-    (["budgets", 2, "tenant"], None, "budgets[2].destination: must name one tenant"),
-    (["budgets", 2], {"name": "b", "of": "calls", "destination": 1, "whole": 3, "per_ms": 50}, "two budgets"),
-    (["budgets", 0, "share"], 0.1, "budgets[0].whole: must be told, or for repeats a share"),
-    (["budgets", 0, "endpoint"], "a", "budgets[0].endpoint: must name one destination, endpoint or zone"),
-    (["budgets", 2, "destination"], 1, "budgets[2].tenant: must name one tenant"),
+    (["budgets", 0, "per_ms"], None, "budgets[0].per_ms: is required with of = 'calls', which limits a rate"),
+    (["budgets", 0, "destination"], None, "budgets[0].destination: exactly one destination, endpoint"),
+    (
+        ["budgets", 0, "name"],
+        "a b",
+        "budgets[0].name: must be 1 to 48 letters, digits, dots and dashes, not 'a b'",
+    ),
+    (["budgets", 1, "per_ms"], 100, "budgets[1].per_ms: is not allowed with of = 'in_flight', which"),
+    (["budgets", 1, "whole"], "told", 'budgets[1].whole: "told" requires calls of a destination, not'),
+    (["budgets", 1, "floor"], 2, "budgets[1].floor: must be at most 1 (a whole of 8 in a fleet of 5), not 2"),
+    (["budgets", 1, "name"], "hub", "budgets[1].name: 'hub' is listed twice"),
+    (["budgets", 2, "tenant"], None, "budgets[2].destination: exactly one tenant is required"),
+    (
+        ["budgets", 2],
+        {"name": "b", "of": "calls", "destination": 1, "whole": 3, "per_ms": 50},
+        "another budget also limits",
+    ),
+    (
+        ["budgets", 0, "share"],
+        0.1,
+        "budgets[0].whole: is required, or share for repeats; got whole and share",
+    ),
+    (
+        ["budgets", 0, "endpoint"],
+        "a",
+        "budgets[0].endpoint: exactly one destination, endpoint or zone is required",
+    ),
+    (["budgets", 2, "destination"], 1, "budgets[2].tenant: exactly one tenant is required"),
     (["budgets", 1, "of"], "list", "budgets[1].of: must be one of calls"),
-    (["fleet"], None, "budgets: need a [fleet] to be shared in"),
+    (["fleet"], None, "budgets: require a [fleet] table"),
     (["tenants", "acme"], "x", "tenants.acme: must be a number"),
 ]
 
@@ -156,32 +176,36 @@
         read({**VALID, "control": {"nodes": nodes, "listen": 7, "keys": "x"}})
     assert sorted(map(str, error.value.faults)) == [
         "control.key_file: is missing",
-        "control.keys: is not known here",
-        "control.listen: must be a text, not 7",
+        "control.keys: is not a known key",
+        "control.listen: must be a string, not 7",
         "control.nodes[2].address: must be host:port, not 'here'",
-        "control.nodes[2].name: must be letters, digits, dots and dashes, 64 at the most",
-        "control.nodes[3].zone: is not known here",
+        "control.nodes[2].name: must be 1 to 64 letters, digits, dots and dashes, not 'c 3'",
+        "control.nodes[3].zone: is not a known key",
     ]
     nodes = [node, node, {"name": "c4", "address": "h:0"}]
     with pytest.raises(ConfigError) as error:
         read({**VALID, "name": "n" * 65, "control": {"nodes": nodes, "key_file": "x"}})
     assert sorted(map(str, error.value.faults)) == [
-        "control.nodes[1].address: two nodes at one address",
+        "control.nodes[1].address: 127.0.0.1:7801 is listed twice",
         "control.nodes[1].name: 'c1' is listed twice",
-        "control.nodes[2].address: must name a port",
+        "control.nodes[2].address: must have a port above 0, not 0",
     ]
     for changes, text in (
-        ({"name": "n" * 65, "control": CONTROL}, "name: must be 64 characters at the most with [control]"),
+        (
+            {"name": "n" * 65, "control": CONTROL},
+            "name: must have at most 64 characters with [control], not 65",
+        ),
         (
             {"name": "c1", "control": CONTROL},
-            "name: 'c1' is a control node's, which would take this for its old disk",
+            "name: must differ from the names of control nodes, not 'c1': that node would treat its own "
+            "disk as outdated",
         ),
         (
             {"control": CONTROL | {"nodes": [{"name": "c1", "address": "control-1.example:7801"}]}},
-            "control.nodes[0].address: must be an IP address and a port: a name would be looked up for each "
-            "datagram, on the loop",
+            "control.nodes[0].address: must be an IP address and a port: a name would be looked up on the "
+            "event loop for each datagram",
         ),
-        ({"control": CONTROL | {"nodes": []}}, "control.nodes: must name at least one control node"),
+        ({"control": CONTROL | {"nodes": []}}, "control.nodes: must list at least one control node"),
     ):
         with pytest.raises(ConfigError) as error:
             read({**VALID, **changes})
@@ -195,8 +219,8 @@
     out = capsys.readouterr().out
     assert out.splitlines() == [
         "listen: must be host:port, not 'x'",
-        "classes: must name at least one class",
-        "slots: is not known here",
+        "classes: must define at least one class",
+        "slots: is not a known key",
     ]
     file.write_text("no toml")
     assert main(["check", str(file)]) == 1 and str(file) in capsys.readouterr().out
--- a/tests/test_control_cli.py
+++ b/tests/test_control_cli.py
@@ -187,7 +187,7 @@
     row = '[[budgets]]\nname = "new"\nof = "in_flight"\ndestination = 1\nwhole = 8\n'
     code, out = run("set", write_file(tmp_path, row), "--patch")
     assert code == 1 and out.splitlines() == [
-        "budgets/old.of: two budgets over one thing",
+        "budgets/old.of: another budget also limits in_flight of destination 1",
         "nothing was changed; version 4 is in force",
     ]
 
--- a/tests/test_control_configuration.py
+++ b/tests/test_control_configuration.py
@@ -166,7 +166,7 @@
     sender = RestartableSender(tmp_path)
     sender.apply(1, {"endpoints/a": endpoint(2)})
     reason = sender.apply_refused(2, {"endpoints/b": endpoint(3), "budgets/rate": RATE | {"floor": 16}})
-    assert reason == "budgets/rate.floor: 16 for each of 4 is over the whole"
+    assert reason == "budgets/rate.floor: must be at most 15 (a whole of 60 in a fleet of 4), not 16"
     assert not (tmp_path / NEXT_START_FILE).exists()
     (tmp_path / "alone").mkdir()
     alone = RestartableSender(tmp_path / "alone", fleet=None)
--- a/tests/test_control_schema.py
+++ b/tests/test_control_schema.py
@@ -112,9 +112,9 @@
     assert [str(each) for each in error.value.faults] == [
         "endpoints[0].destination: must be a whole number, not 'x'",
         "endpoints[0].dial: must be host:port, not 'here'",
-        "endpoints[0].colour: is not known here",
-        "budgets[0].per_ms: must be told for what has a rate, and not for what is held at once",
-        "name: is not known here",
+        "endpoints[0].colour: is not a known key",
+        "budgets[0].per_ms: is required with of = 'calls', which limits a rate",
+        "name: is not a known key",
     ]
     file.write_text("no toml")
     with pytest.raises(ConfigError, match=r"fleet\.toml"):
@@ -128,10 +128,10 @@
     with pytest.raises(ConfigError) as error:
         schema.read_toml(row + row)
     assert [str(each) for each in error.value.faults] == [
-        "budgets[0].floor: 9 for each of 1 is over the whole",
-        "budgets[1].name: 'b' is there twice",
-        "budgets[1].of: two budgets over one thing",
-        "budgets[1].floor: 9 for each of 1 is over the whole",
+        "budgets[0].floor: must be at most 8 (a whole of 8 in a fleet of 1), not 9",
+        "budgets[1].name: 'b' is listed twice",
+        "budgets[1].of: another budget also limits in_flight of destination 1",
+        "budgets[1].floor: must be at most 8 (a whole of 8 in a fleet of 1), not 9",
     ]
 
 
@@ -152,19 +152,21 @@
         "budgets/e: must be a table",
         "endpoints/.id: must not be empty",
         "endpoints/a.dial: must be host:port, not 'here'",
-        "endpoints/a.colour: is not known here",
-        "endpoints/b.id: is not known here: the resource's name tells it",
+        "endpoints/a.colour: is not a known key",
+        "endpoints/b.id: must not be set: it is the resource's name",
         "hub: must be one of endpoints/NAME, budgets/NAME",
         "routes/c: must be one of endpoints/NAME, budgets/NAME",
-        "budgets/f.floor: 9 for each of 1 is over the whole",
-        "budgets/g.of: two budgets over one thing",
+        "budgets/f.floor: must be at most 8 (a whole of 8 in a fleet of 1), not 9",
+        "budgets/g.of: another budget also limits in_flight of destination 1",
     )
 
 
 def test_a_floor_is_checked_against_the_size_of_the_senders_fleet() -> None:
     resources = {"budgets/f": b'{"of":"in_flight","destination":1,"whole":8,"floor":2}'}
     assert schema.validate(resources) == () and schema.validate(resources, 4) == ()
-    assert schema.validate(resources, 5) == ("budgets/f.floor: 2 for each of 5 is over the whole",)
+    assert schema.validate(resources, 5) == (
+        "budgets/f.floor: must be at most 1 (a whole of 8 in a fleet of 5), not 2",
+    )
 
 
 def test_values_with_the_same_meaning_have_the_same_bytes() -> None:
