--- a/message_sender/emulator/__init__.py
+++ b/message_sender/emulator/__init__.py
@@ -1,4 +1,4 @@
-"""The real engine in simulated time: its loop, the world round it, and a search for lives that break a rule.
+"""Runs the production engine in simulated time, with models of its environment, and searches for violations.
 
-The engine does not know it. What waits, waits on the loop; what reads a clock reads the one it was given.
+The engine is unchanged: it waits only on the event loop, and reads only the clock that it is given.
 """
--- a/message_sender/emulator/arrivals.py
+++ b/message_sender/emulator/arrivals.py
@@ -1,4 +1,4 @@
-"""The messages that clients hand in: the time, class, tenant, destination, key and random numbers of each.
+"""The messages that clients submit: the time, class, tenant, destination, key and random numbers of each.
 
 All of it is drawn ahead from one seed by numpy's PCG64, with an independent stream for the usual load and for
 each burst (SeedSequence.spawn). Two senders that are compared on one seed therefore get the same messages,
@@ -16,8 +16,10 @@
 from message_sender.emulator.receiver import ReceiverRandom
 from message_sender.emulator.scenario import Burst, Scenario
 
-ATTEMPTS = 8  # attempts of a message with their own random numbers; the ninth uses those of the first again
-DRAWS = 5  # for an attempt: service, fault, whether there is a Retry-After, delays of the request and answer
+#: Attempts of a message with their own random numbers; the ninth uses those of the first again.
+ATTEMPTS_WITH_DRAWS = 8
+#: Service, fault, whether there is a Retry-After, delays of the request and the answer.
+DRAWS_PER_ATTEMPT = 5
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,12 +28,12 @@
 
     Attributes:
         number: Its number in the run, from 0.
-        at: When the client intends to hand it in, in seconds.
+        at: When the client intends to submit it, in seconds.
         message_class: Its class.
         tenant: Its tenant; empty for none.
         destination: The number of its destination.
         key: Its ordering key; empty for none.
-        draws: The random numbers of its attempts, `DRAWS` each, from 0 to 1.
+        draws: The random numbers of its attempts, `DRAWS_PER_ATTEMPT` each, from 0 to 1.
     """
 
     number: int
@@ -42,14 +44,14 @@
     key: str
     draws: npt.NDArray[np.float64]
 
-    def luck(self, attempt: int) -> ReceiverRandom:
+    def receiver_random(self, attempt: int) -> ReceiverRandom:
         """Returns the random numbers that an attempt has at its receiver."""
-        first = attempt % ATTEMPTS * DRAWS
+        first = attempt % ATTEMPTS_WITH_DRAWS * DRAWS_PER_ATTEMPT
         return ReceiverRandom(*map(float, self.draws[first : first + 3]))
 
-    def ways(self, attempt: int) -> tuple[float, float]:
+    def delay_draws(self, attempt: int) -> tuple[float, float]:
         """Returns the random numbers, from 0 to 1, for the network delays of an attempt and its answer."""
-        first = attempt % ATTEMPTS * DRAWS + 3
+        first = attempt % ATTEMPTS_WITH_DRAWS * DRAWS_PER_ATTEMPT + 3
         return float(self.draws[first]), float(self.draws[first + 1])
 
 
@@ -118,14 +120,14 @@
         Args:
             seed: Seed of its random numbers.
             rate: Messages a second.
-            start: Its begin in seconds.
+            start: Its start in seconds.
             end: Its end in seconds.
             burst: The burst that the messages belong to; None for the usual load.
         """
         rng, at = np.random.Generator(np.random.PCG64(seed)), start
         while (at := at + float(rng.exponential(1 / rate))) < end:
             # The first five: class, tenant, destination, key, whether a burst below 1 drops the message.
-            draws = rng.random(5 + ATTEMPTS * DRAWS)
+            draws = rng.random(5 + ATTEMPTS_WITH_DRAWS * DRAWS_PER_ATTEMPT)
             if burst or not self.is_dropped(at, draws):
                 yield at, self.message_fields(draws, burst)
 
--- a/message_sender/emulator/experiment.py
+++ b/message_sender/emulator/experiment.py
@@ -200,7 +200,7 @@
         """Returns the mean and the interval, with four significant digits."""
         return f"{self.mean:.4g} [{self.low:.4g}, {self.high:.4g}]"
 
-    def apart(self) -> bool:
+    def excludes_zero(self) -> bool:
         """Returns whether 0 is outside the interval."""
         return self.low > 0 or self.high < 0
 
@@ -332,13 +332,13 @@
 
     A figure is bold if its difference from the first variant is significant.
     """
-    lines = ["| scenario | variant | " + " | ".join(measures) + " | runs with a broken rule |"]
+    lines = ["| scenario | variant | " + " | ".join(measures) + " | runs with violations |"]
     lines.append("| --- " * (len(measures) + 3) + "|")
     for row in rows:
         cells = []
         for name in measures:
             text = str(row.measures[name]) if name in row.measures else "-"
-            differs = name in row.against and row.against[name].apart()
+            differs = name in row.against and row.against[name].excludes_zero()
             cells.append(f"**{text}**" if differs else text)
         lines.append(f"| {row.name} | {row.variant} | {' | '.join(cells)} | {row.broken} of {row.runs} |")
     return "\n".join(lines)
--- a/message_sender/emulator/explore.py
+++ b/message_sender/emulator/explore.py
@@ -59,14 +59,14 @@
         restarts: Restarts of members in all.
         lags: Members whose clock may fall behind.
         states: States to explore.
-        falls: Whether the limit may fall by one.
+        limit_may_fall: Whether the limit may fall by one.
     """
 
     messages: int = 2
     restarts: int = 1
     lags: int = 2
     states: int = 1_000_000
-    falls: bool = False
+    limit_may_fall: bool = False
 
 
 @dataclass
@@ -75,13 +75,13 @@
 
     Attributes:
         states: Number of explored states.
-        whole: Whether all reachable states were explored.
+        is_complete: Whether all reachable states were explored.
         trace: A shortest path to a violation; empty if there is none.
         samples: Every `SAMPLE_INTERVAL`-th explored state.
     """
 
     states: int = 0
-    whole: bool = True
+    is_complete: bool = True
     trace: list[str] = field(default_factory=list)
     samples: list[World] = field(default_factory=list)
 
@@ -262,7 +262,7 @@
 
 def successors(world: World, terms: Terms, limits: Limits) -> Iterator[tuple[str, World]]:
     """Yields each state that follows in one step, with a description of the step."""
-    if limits.falls and world.lowered < 0:
+    if limits.limit_may_fall and world.lowered < 0:
         yield "the limit falls by one", world._replace(lowered=0)
     lowered = min(world.lowered + 1, ticks_until_lowered(terms, limits)) if world.lowered >= 0 else -1
     yield "time advances", tick(world, terms, -1)._replace(lowered=lowered)
@@ -351,9 +351,9 @@
 def explore(terms: Terms, limits: Limits | None = None) -> ExplorationResult:
     """Explores all states that are reachable from the initial one, until a violation or a limit."""
     limits, result = limits or Limits(), ExplorationResult()
-    begin = canonical(initial_world(terms))
-    predecessors: dict[World, World | None] = {begin: None}
-    queue = deque([begin])
+    initial = canonical(initial_world(terms))
+    predecessors: dict[World, World | None] = {initial: None}
+    queue = deque([initial])
     while queue:
         world = queue.popleft()
         result.states += 1
@@ -369,7 +369,7 @@
                 return result
             queue.append(there)
         if result.states >= limits.states:
-            result.whole = not queue
+            result.is_complete = not queue
             return result
     return result
 
@@ -381,7 +381,7 @@
     path = [to]
     while (before := predecessors[path[-1]]) is not None:
         path.append(before)
-    at, steps = path.pop(), ["all have been up for long"]
+    at, steps = path.pop(), ["all members have been up for long"]
     for there in reversed(path):
         after = ((what, with_usage_recorded(raw, terms)) for what, raw in successors(at, terms, limits))
         what, at = next((what, world) for what, world in after if canonical(world) == there)
--- a/message_sender/emulator/figures.py
+++ b/message_sender/emulator/figures.py
@@ -25,7 +25,7 @@
     """The figures of one second of a run.
 
     Attributes:
-        offered: Messages that clients intended to hand in during it.
+        offered: Messages that clients intended to submit during it.
         good: Of these, messages delivered within their latency objective.
         late: Of these, messages delivered after their latency objective.
         calls: Calls that ended during it.
@@ -50,21 +50,21 @@
     """The figures of a run.
 
     Attributes:
-        asked: Weight of all messages that clients handed in.
+        asked: Weight of all messages that clients submitted.
         earned: Weight of the delivered messages, reduced for late ones.
-        offered: Number of messages that clients handed in.
+        offered: Number of messages that clients submitted.
         delivered: Number of messages that had an effect at their destination.
-        unanswered: Number of messages for which no hand-in was answered.
+        unanswered: Number of messages for which no submission was answered.
         ends: Number of accepted messages by how they ended.
         calls: Number of calls by outcome.
         twice: Number of repeated effects, also where the class of the message allows them.
         told_again: Number of completions that were reported again.
         kills: Number of times that a sender was killed.
         falls: Number of times that a destination failed by overload.
-        tries: Number of hand-ins.
+        tries: Number of submissions.
         latency: Histogram of the time from when a message was due to its first effect, in us.
         seconds: The figures by second.
-        tenants: Weight of the messages handed in, and weight earned, by tenant.
+        tenants: Weight of the messages submitted, and weight earned, by tenant.
         destinations: Number of calls by outcome, by destination.
     """
 
@@ -90,7 +90,7 @@
         return self.seconds.setdefault(int(at), Second())
 
     def goodput(self) -> float:
-        """Returns the weight earned, divided by the weight of all messages handed in."""
+        """Returns the weight earned, divided by the weight of all messages submitted."""
         return self.earned / self.asked if self.asked else 1.0
 
     def worst(self, span: int = 10) -> float:
@@ -108,7 +108,7 @@
         return min(shares, default=1.0)
 
     def attempts(self) -> float:
-        """Returns the number of calls for each message handed in."""
+        """Returns the number of calls for each message submitted."""
         return sum(self.calls.values()) / self.offered if self.offered else 0.0
 
     def measures(self) -> dict[str, float]:
--- a/message_sender/emulator/fleet.py
+++ b/message_sender/emulator/fleet.py
@@ -71,7 +71,7 @@
     Attributes:
         topology: Endpoints, receivers and network delays.
         recorder: Records the history, the figures and the failures.
-        clients: The clients, which hand messages in.
+        clients: The clients, which submit messages.
         incidents: Applies the scenario's incidents.
         senders: All senders, by number.
         links: Connects senders that share budgets; None if they share none.
@@ -141,10 +141,10 @@
 
     def send(self, attempt: ClientAttempt) -> None:
         """Sends a client's message to a sender."""
-        delay_s = self.topology.one_way_delay_s(attempt.message.ways(attempt.number)[0])
+        delay_s = self.topology.one_way_delay_s(attempt.message.delay_draws(attempt.number)[0])
         incarnation = attempt.sender.incarnation
         self.call_later(delay_s, self._deliver_to_sender, attempt, attempt.build_message(), incarnation)
-        self.call_later(self.scenario.clients.patience_s, attempt.lose_patience)
+        self.call_later(self.scenario.clients.patience_s, attempt.stop_waiting)
 
     def _deliver_to_sender(self, attempt: ClientAttempt, message: Message, incarnation: int) -> None:
         sender = attempt.sender
@@ -261,7 +261,7 @@
 
     def _build_outcomes(self) -> Outcomes:
         figures, events = self.recorder.figures, self.history.events
-        figures.falls = sum(len(each.falls) for each in self.topology.receivers.values())
+        figures.falls = sum(len(each.overload_failures) for each in self.topology.receivers.values())
         checker = FleetChecker(self.scenario, self.topology, self.recorder.failures)
         violations = checker.find_violations(events)
         trace = encode_trace(events) if self.is_traced else []
--- a/message_sender/emulator/fleet_checks.py
+++ b/message_sender/emulator/fleet_checks.py
@@ -99,7 +99,7 @@
         """
         for number, receiver in self.topology.shared_receivers().items():
             spans = [(each.at, each.until) for each in receiver.phases if each.is_outage()]
-            spans += [(fall.at, fall.at + receiver.terms.fallen_s) for fall in receiver.falls]
+            spans += [(each.at, each.at + receiver.terms.fallen_s) for each in receiver.overload_failures]
             for start, end in spans:
                 observers = frozenset(
                     each.sender
@@ -117,15 +117,15 @@
         a failed destination completes.
         """
         for number, receiver in self.topology.shared_receivers().items():
-            for fall in receiver.falls:
-                earlier = [x for x in outages if x.destination == number and x.until <= fall.at]
+            for failure in receiver.overload_failures:
+                earlier = [x for x in outages if x.destination == number and x.until <= failure.at]
                 if not earlier:
                     continue
                 observers = max(earlier, key=lambda outage: outage.until).seen_by
-                responsible = sum(sender in observers for sender in fall.pushed_by)
-                if 3 * responsible >= 2 * len(fall.pushed_by):
-                    text = f"destination {number} was pushed over by {responsible} calls"
-                    yield Violation("cold", fall.at, text)
+                responsible = sum(sender in observers for sender in failure.senders)
+                if 3 * responsible >= 2 * len(failure.senders):
+                    text = f"destination {number} failed by overload after {responsible} calls"
+                    yield Violation("cold", failure.at, text)
 
 
 def destination_of(endpoint: str) -> int:
--- a/message_sender/emulator/fleet_clients.py
+++ b/message_sender/emulator/fleet_clients.py
@@ -1,4 +1,4 @@
-"""Clients of a simulated fleet: they hand messages in, wait for the answer and retry."""
+"""Clients of a simulated fleet: they submit messages, wait for the answer and retry."""
 
 import zlib
 from collections.abc import Callable
@@ -42,12 +42,12 @@
 
 
 class ClientAttempt:
-    """One hand-in of a message by its client: the engine's caller.
+    """One submission of a message by its client: the engine's caller.
 
     Attributes:
-        message: The message that is handed in.
-        number: 0 for the first hand-in, then counting retries.
-        sender: The sender that it is handed to.
+        message: The message that is submitted.
+        number: 0 for the first submission, then counting retries.
+        sender: The sender that it is submitted to.
         name: The message id that the sender sees.
         is_answered: The client has received an answer.
         has_left: The client stopped waiting.
@@ -56,7 +56,7 @@
     def __init__(
         self, simulation: ClientEnvironment, message: ClientMessage, number: int, sender: SimulatedSender
     ) -> None:
-        """Begins a hand-in that has no answer yet."""
+        """Begins a submission that has no answer yet."""
         self.simulation = simulation
         self.message = message
         self.number = number
@@ -131,7 +131,7 @@
         if not is_accepted:
             self.simulation.clients.retry(self.message, self.number, retry_after_us / SECOND_US)
 
-    def lose_patience(self) -> None:
+    def stop_waiting(self) -> None:
         """Makes the client stop waiting.
 
         The sender may have accepted the message nevertheless, so only an idempotent one is retried.
@@ -160,15 +160,15 @@
             self.simulation.loop.call_at(message.at, self.offer, message)
 
     def offer(self, message: ClientMessage) -> None:
-        """Hands in a new message of a client and schedules the next arrival."""
+        """Submits a new message of a client and schedules the next arrival."""
         self.recorder.message_offered(message)
-        self.hand_in(message, 0)
+        self.submit(message, 0)
         expiry_s = self.scenario.classes[message.message_class].deadline_s + EXPIRY_DELAY_S
         self.simulation.call_later(expiry_s, self.recorder.message_expired, message.number)
         self.schedule_next()
 
-    def hand_in(self, message: ClientMessage, number: int) -> None:
-        """Hands a message to a sender; `number` counts the hand-ins before this one."""
+    def submit(self, message: ClientMessage, number: int) -> None:
+        """Submits a message to a sender; `number` counts the submissions before this one."""
         self.recorder.figures.tries += 1
         sender = self.choose_sender(message, number)
         if sender is None:
@@ -177,7 +177,7 @@
         self.simulation.send(ClientAttempt(self.simulation, message, number, sender))
 
     def choose_sender(self, message: ClientMessage, number: int) -> SimulatedSender | None:
-        """Returns the sender that a hand-in goes to, or None while it is down.
+        """Returns the sender of a submission, or None while it is down.
 
         An ordering key always has the same sender, also while that sender is down: it may hold earlier
         messages of the key that no other sender knows. Other messages are distributed round-robin over the
@@ -191,11 +191,11 @@
         return alive[(message.number + number) % len(alive)] if alive else None
 
     def retry(self, message: ClientMessage, number: int, retry_after_s: float) -> None:
-        """Schedules the next hand-in, unless the retries or the time of the message are used up.
+        """Schedules the next submission, unless the retries or the time of the message are used up.
 
         Args:
             message: The message.
-            number: The hand-in that failed.
+            number: The submission that failed.
             retry_after_s: The Retry-After of the answer; 0 for none.
         """
         clients = self.scenario.clients
@@ -204,7 +204,7 @@
         if clients.honours == "told" and retry_after_s > 0:
             delay_s = retry_after_s
         else:
-            delay_s = clients.backoff_s * 2**number * (0.5 + message.ways(number)[1])
+            delay_s = clients.backoff_s * 2**number * (0.5 + message.delay_draws(number)[1])
         deadline_s = message.at + self.scenario.classes[message.message_class].deadline_s
         if self.simulation.time() + delay_s < deadline_s:
-            self.simulation.call_later(delay_s, self.hand_in, message, number + 1)
+            self.simulation.call_later(delay_s, self.submit, message, number + 1)
--- a/message_sender/emulator/fleet_recorder.py
+++ b/message_sender/emulator/fleet_recorder.py
@@ -14,7 +14,7 @@
 from message_sender.testbed import history as seen
 from message_sender.testbed.history import EffectApplied, History
 
-ATTEMPTS_PER_HAND_IN = 3  # distance between the random draws of two hand-ins of one message
+ATTEMPTS_PER_SUBMISSION = 3  # distance between the random draws of two submissions of one message
 
 
 @dataclass(frozen=True, slots=True)
@@ -49,7 +49,7 @@
         self.completions: dict[str, RecordedCompletion] = {}
 
     def message_offered(self, message: ClientMessage) -> None:
-        """Records that a client begins to hand in a message."""
+        """Records that a client begins to submit a message."""
         weight = self.scenario.classes[message.message_class].worth
         self.open_messages[message.number] = message
         self.figures.offered += 1
@@ -58,7 +58,7 @@
         self.figures.tenants.setdefault(message.tenant, [0.0, 0.0])[0] += weight
 
     def message_expired(self, number: int) -> None:
-        """Forgets a message to which no client or sender can refer any more."""
+        """Drops a message to which no client or sender can refer any more."""
         del self.open_messages[number]
         self.figures.unanswered += number not in self.answered
         self.answered.discard(number)
@@ -150,10 +150,10 @@
         """Counts a call for a message id.
 
         Returns:
-            The client's message, and the number of this call among the calls of all its hand-ins.
+            The client's message, and the number of this call among the calls of all its submissions.
         """
-        number, _, hand_in = message_id[1:].partition(".")
+        number, _, submission = message_id[1:].partition(".")
         message = self.open_messages[int(number)]
         self.attempt_counts[message_id] += 1
-        attempt = int(hand_in or 0) * ATTEMPTS_PER_HAND_IN + self.attempt_counts[message_id] - 1
+        attempt = int(submission or 0) * ATTEMPTS_PER_SUBMISSION + self.attempt_counts[message_id] - 1
         return message, attempt
--- a/message_sender/emulator/fleet_sender.py
+++ b/message_sender/emulator/fleet_sender.py
@@ -18,7 +18,7 @@
     ConnectionlessTransport,
     PassiveListener,
 )
-from message_sender.emulator.receiver import EFFECT_BY_OUTCOME, Fate
+from message_sender.emulator.receiver import EFFECT_BY_OUTCOME, CallResult
 from message_sender.emulator.scenario import Scenario
 from message_sender.emulator.simulated_run import ProcessKilled
 from message_sender.emulator.wall_clock import EPOCH_US, SECOND_US
@@ -108,49 +108,51 @@
         client_message, attempt = simulation.recorder.count_attempt(message.id)
         outward_s, return_s = (
             simulation.topology.one_way_delay_s(draw, sender.zone, zone)
-            for draw in client_message.ways(attempt)
+            for draw in client_message.delay_draws(attempt)
         )
         await asyncio.sleep(min(outward_s, timeout))
         receiver = simulation.topology.receiver_of(listed.endpoint)
-        if receiver.trouble(loop.time(), sender.name, zone) is None and loop.time() >= deadline:
+        if receiver.active_phase(loop.time(), sender.name, zone) is None and loop.time() >= deadline:
             return AttemptResult(Outcome.CONNECT_FAILED)
         if not may_go():
             return AttemptResult(Outcome.NOT_SENT)
-        fate = receiver.call(loop.time(), sender.name, client_message.luck(attempt), zone)
-        if not fate.connected:
-            await self._wait_for_connection(fate, deadline)
+        result = receiver.call(loop.time(), sender.name, client_message.receiver_random(attempt), zone)
+        if not result.connected:
+            await self._wait_for_connection(result, deadline)
             return AttemptResult(Outcome.CONNECT_FAILED)
         call = simulation.history.record_start(message.id, endpoint, sender.name)
-        if not await self._wait_for_answer(fate, client_message, call, deadline, return_s):
+        if not await self._wait_for_answer(result, client_message, call, deadline, return_s):
             return AttemptResult(Outcome.TIMEOUT)
-        retry_after_us = int(fate.wait * SECOND_US)
+        retry_after_us = int(result.retry_after_s * SECOND_US)
         if retry_after_us:
             sender.engine.retry_after_received(endpoint, retry_after_us)
-        is_final = fate.outcome is Outcome.OK
-        return AttemptResult(fate.outcome, is_final=is_final, retry_after_us=retry_after_us)
+        is_final = result.outcome is Outcome.OK
+        return AttemptResult(result.outcome, is_final=is_final, retry_after_us=retry_after_us)
 
-    async def _wait_for_connection(self, fate: Fate, deadline: float) -> None:
+    async def _wait_for_connection(self, result: CallResult, deadline: float) -> None:
         """Waits as long as the connection attempt to an endpoint that does not accept it takes."""
-        if fate.after is not None:
+        if result.delay_s is not None:
             return
         connect_timeout_s = self.sender.engine.settings.connect_timeout / SECOND_US
         time_left_s = deadline - asyncio.get_running_loop().time()
         await asyncio.sleep(max(min(connect_timeout_s, time_left_s), 0.0))
 
     async def _wait_for_answer(
-        self, fate: Fate, message: ClientMessage, call: int, deadline: float, return_s: float
+        self, result: CallResult, message: ClientMessage, call: int, deadline: float, return_s: float
     ) -> bool:
         """Returns whether the answer came before the deadline."""
         recorder = self.simulation.recorder
         try:
             async with asyncio.timeout_at(deadline):
-                await asyncio.sleep(UNLIMITED_S if fate.after is None else fate.after)
-                recorder.call_finished(fate.ran, message, call, EFFECT_BY_OUTCOME[fate.outcome], fate.wait)
+                await asyncio.sleep(UNLIMITED_S if result.delay_s is None else result.delay_s)
+                recorder.call_finished(
+                    result.ran, message, call, EFFECT_BY_OUTCOME[result.outcome], result.retry_after_s
+                )
                 await asyncio.sleep(return_s)
         except (TimeoutError, asyncio.CancelledError) as error:
             # The receiver may continue with a call that its sender has abandoned.
             if call not in recorder.finished_calls:
-                recorder.call_finished(fate.ran, message, call, EffectApplied.MAYBE, 0.0)
+                recorder.call_finished(result.ran, message, call, EffectApplied.MAYBE, 0.0)
             if isinstance(error, TimeoutError):
                 return False
             raise
@@ -258,7 +260,7 @@
         engine = self.engine
         self.is_alive = False
         if self.simulation.links:
-            self.simulation.links.gone(self.name)
+            self.simulation.links.leave(self.name)
         engine.is_closed = True
         os.close(engine.journal.file)
         for task in [*engine.attempts.calls.values(), *engine.tasks]:
@@ -287,6 +289,6 @@
         self.directory.replace(listed.values())
 
     def acknowledge_completion(self, incarnation: int, message: str) -> None:
-        """Acknowledges a completion that the given incarnation notified, while that one lives."""
+        """Acknowledges a completion that the given incarnation notified, while that one runs."""
         if self.is_alive and incarnation == self.incarnation:
             self.engine.completion_acknowledged(message)
--- a/message_sender/emulator/fuzzing.py
+++ b/message_sender/emulator/fuzzing.py
@@ -34,7 +34,7 @@
 
 
 def draw(seed: int) -> ScenarioTables:
-    """Returns a random scenario of ten seconds that depends on the seed alone."""
+    """Returns a random scenario of ten seconds that depends only on the seed."""
     rng = random.Random(seed)
     count, senders = rng.randint(2, 6), rng.randint(1, 3)
     group = {
@@ -178,14 +178,14 @@
     return new
 
 
-def cut(tables: ScenarioTables, rule: str, level: str, most: int = 400) -> ScenarioTables:
+def reduce_scenario(tables: ScenarioTables, rule: str, level: str, max_runs: int = 400) -> ScenarioTables:
     """Reduces a scenario as long as it still violates the rule.
 
     Args:
         tables: The scenario.
         rule: The name of the rule.
         level: The level of emulation at which the scenario is played.
-        most: The largest number of runs.
+        max_runs: The largest number of runs.
 
     Returns:
         The smallest scenario found.
@@ -194,13 +194,13 @@
         ValueError: The scenario does not violate the rule.
     """
     if not violates(tables, rule, level):
-        raise ValueError(f"the rule {rule!r} does not break in the scenario")
+        raise ValueError(f"the scenario does not violate the rule {rule!r}")
     reduced = True
     while reduced:
         reduced = False
         for candidate in reduced_scenarios(tables):
-            most -= 1
-            if most < 0:
+            max_runs -= 1
+            if max_runs < 0:
                 return tables
             if candidate["classes"] and violates(candidate, rule, level):
                 tables, reduced = candidate, True
@@ -218,7 +218,9 @@
         OSError: The file cannot be written.
     """
     rule = result.breaches[0].rule
-    tables = cut(result.tables, rule, level) | {"about": f"The rule {rule!r} breaks at the level of {level}."}
+    tables = reduce_scenario(result.tables, rule, level) | {
+        "about": f"Violates the rule {rule!r} at the level {level}."
+    }
     folder.mkdir(parents=True, exist_ok=True)
     file = folder / f"{rule.replace(' ', '-')}-{result.seed}.toml"
     file.write_text(tomli_w.dumps(tables))
--- a/message_sender/emulator/loop.py
+++ b/message_sender/emulator/loop.py
@@ -14,7 +14,7 @@
 from message_sender.emulator.net import Net
 
 NEVER = float("inf")
-LIVELOCK = 100_000  # loop iterations at one instant; far more than any correct program needs
+LIVELOCK_ITERATIONS = 100_000  # loop iterations at one instant; far more than any correct program needs
 RESOLUTION = 1e-6  # s; timers due within it run together, because the policy's clock counts microseconds
 
 
@@ -35,13 +35,13 @@
 
     Attributes:
         now: Virtual time in s.
-        passes: Loop iterations at this instant so far.
+        iterations: Loop iterations at this instant so far.
         net: The in-memory network, if there is one.
     """
 
     def __init__(self, now: float) -> None:
         """Starts at a time in s."""
-        self.now, self.passes = now, 0
+        self.now, self.iterations = now, 0
         self.keys: dict[int, selectors.SelectorKey] = {}
         self.net: Net | None = None
 
@@ -70,23 +70,25 @@
 
         Raises:
             DeadlockError: There is neither an event nor a timeout.
-            LivelockError: Time has not advanced for `LIVELOCK` calls.
+            LivelockError: Time has not advanced for `LIVELOCK_ITERATIONS` calls.
         """
         until = NEVER if timeout is None else self.now + max(timeout, 0.0)
         ready = self.poll_network()
         while not ready and self.now < until:
             self.advance_time(min(until, self.net.next_event_at() if self.net else NEVER))
             ready = self.poll_network()
-        self.passes += 1
-        if self.passes > LIVELOCK:
-            raise LivelockError(f"{self.passes} loop iterations at {self.now:.6f} s: time does not advance")
+        self.iterations += 1
+        if self.iterations > LIVELOCK_ITERATIONS:
+            raise LivelockError(
+                f"{self.iterations} loop iterations at {self.now:.6f} s: time does not advance"
+            )
         return ready
 
     def advance_time(self, to: float) -> None:
         """Advances the virtual time to a time in s."""
         if to == NEVER:
             raise DeadlockError("nothing is left to run, and no timer is set")
-        self.passes = 0 if to > self.now else self.passes
+        self.iterations = 0 if to > self.now else self.iterations
         self.now = max(self.now, to)
 
     def poll_network(self) -> list[tuple[selectors.SelectorKey, int]]:
--- a/message_sender/emulator/member_network.py
+++ b/message_sender/emulator/member_network.py
@@ -41,7 +41,7 @@
         size: Configured number of members.
         loss: Share of datagrams that are lost.
         delay: Highest delay of a datagram in s.
-        double: Share of datagrams that are duplicated.
+        duplication: Share of datagrams that are duplicated.
         now: Virtual time in s.
         nodes: The running nodes, by name.
         epochs: The epoch that each member used last, by name.
@@ -55,7 +55,7 @@
     def __init__(self, size: int, seed: int, loss: float = 0.0, delay: float = 0.002) -> None:
         """Prepares a network without nodes; see the class for the arguments."""
         self.rng = random.Random(seed)
-        self.size, self.loss, self.delay, self.double = size, loss, delay, 0.0
+        self.size, self.loss, self.delay, self.duplication = size, loss, delay, 0.0
         self.now = 0.0
         self.count = itertools.count()
         self.heap: list[tuple[float, int, Callable[[], None]]] = []
@@ -71,9 +71,9 @@
         """Returns the address of a member."""
         return f"10.0.{number // 250}.{number % 250}", 7000
 
-    def later(self, delay: float, act: Callable[[], None]) -> None:
-        """Calls `act` after a delay in s."""
-        heapq.heappush(self.heap, (self.now + delay, next(self.count), act))
+    def later(self, delay: float, callback: Callable[[], None]) -> None:
+        """Calls `callback` after a delay in s."""
+        heapq.heappush(self.heap, (self.now + delay, next(self.count), callback))
 
     def start(self, number: int, epoch: int | None = None) -> FleetNode:
         """Starts a member.
@@ -125,7 +125,7 @@
         is_cut_off = self.sides and not any({sender, receiver} <= side for side in self.sides)
         if is_cut_off or self.rng.random() < self.loss:
             return
-        for _ in range(1 + (self.rng.random() < self.double)):
+        for _ in range(1 + (self.rng.random() < self.duplication)):
             self.later(self.rng.uniform(0.0002, self.delay), lambda: self.deliver(receiver, data))
 
     def deliver(self, receiver: str, data: bytes) -> None:
@@ -152,6 +152,6 @@
     def run(self, until: float) -> None:
         """Runs all events up to a time in s."""
         while self.heap and self.heap[0][0] <= until:
-            self.now, _, act = heapq.heappop(self.heap)
-            act()
+            self.now, _, callback = heapq.heappop(self.heap)
+            callback()
         self.now = until
--- a/message_sender/emulator/net.py
+++ b/message_sender/emulator/net.py
@@ -79,9 +79,9 @@
 
     # Events.
 
-    def schedule(self, when: float, act: Callable[[], None]) -> None:
-        """Calls `act` at a time in s."""
-        heapq.heappush(self.events, (when, next(self.event_numbers), act))
+    def schedule(self, when: float, callback: Callable[[], None]) -> None:
+        """Calls `callback` at a time in s."""
+        heapq.heappush(self.events, (when, next(self.event_numbers), callback))
 
     def next_event_at(self) -> float:
         """Returns the time in s of the next event, or infinity."""
@@ -176,18 +176,19 @@
         host: The host that opened it.
         number: Its descriptor.
         name: Its own address.
-        far: The address of the other end.
+        peer: The address of the other end.
         other: The other end; None: there is none, or it is gone.
         unread: Received data that was not read yet.
         in_flight: Sent bytes that have not arrived yet.
-        up: Whether the connection was established.
+        is_established: Whether the connection was established.
         closed: Whether it was closed here.
-        sent_end: Whether FIN was sent.
-        received_end: Whether FIN was received, or an error was reported.
+        has_sent_fin: Whether FIN was sent.
+        has_received_fin: Whether FIN was received, or an error was reported.
         error: The pending errno; 0: none.
         waiting: Connections to be accepted, if it is a listener.
         backlog: The most connections to be accepted, if it is a listener.
-        arrives: Time in s at which the last segment sent from here arrives; later ones do not overtake it.
+        last_arrival_at: Time in s at which the last segment sent from here arrives, so that no later one
+            overtakes it.
     """
 
     net: Net
@@ -210,14 +211,14 @@
         self.number = next(self.net.descriptors)
         self.net.sockets[self.number] = self
         self.name: Address = ("0.0.0.0", 0)
-        self.far: Address = ("0.0.0.0", 0)
-        self.other: Socket | None = None
+        self.peer_address: Address = ("0.0.0.0", 0)
+        self.peer: Socket | None = None
         self.unread, self.in_flight = bytearray(), 0
-        self.up = self.closed = self.sent_end = self.received_end = False
+        self.is_established = self.closed = self.has_sent_fin = self.has_received_fin = False
         self.error = 0
         self.waiting: deque[Socket] | None = None
         self.backlog = 0
-        self.arrives = 0.0
+        self.last_arrival_at = 0.0
 
     # Functions of any socket.
 
@@ -249,9 +250,9 @@
 
     def getpeername(self) -> Address:
         """Returns the address of the other end; raises OSError (ENOTCONN) if it was never connected."""
-        if self.other is None and not self.up:
+        if self.peer is None and not self.is_established:
             raise os_error(errno.ENOTCONN)
-        return self.far
+        return self.peer_address
 
     def __enter__(self) -> "Socket":
         """Returns the socket, which is closed at the end of the `with` block."""
@@ -293,19 +294,19 @@
             raise os_error(errno.EMFILE)
         sock = self.waiting.popleft()
         self.update_readiness()
-        return sock, sock.far
+        return sock, sock.peer_address
 
     # Connecting.
 
     def connect(self, address: Address) -> None:
         """Starts to connect; always raises BlockingIOError, as a non-blocking socket does."""
-        self.far = (address[0], address[1])
+        self.peer_address = (address[0], address[1])
         self.net.ports[self.host] += 1
         self.name = (
             self.host,
             40_000 + self.net.ports[self.host],
         )  # the caller's host is visible in its address
-        delay = self.net.path_delay(self.host, self.far, self.net.clock())
+        delay = self.net.path_delay(self.host, self.peer_address, self.net.clock())
         if delay != SILENT:
             self.net.schedule(
                 self.net.clock() + 2 * max(delay, 0.0), lambda: self.finish_connect(delay == REFUSED)
@@ -318,7 +319,7 @@
         It fails if it is refused or if the listener's host has no descriptor left; while the listener's
         backlog is full, it is tried again.
         """
-        listener = self.net.listeners.get(self.far)
+        listener = self.net.listeners.get(self.peer_address)
         if self.closed:
             return
         if refused or listener is None or listener.waiting is None:
@@ -331,17 +332,22 @@
         else:
             token = HOST.set(listener.host)
             try:
-                far: Socket | None = self.__class__()
+                peer: Socket | None = self.__class__()
             except OSError:
-                far = None
+                peer = None
             finally:
                 HOST.reset(token)
-            if far is None:
+            if peer is None:
                 self.error = errno.ECONNRESET
             else:
-                far.name, far.far, far.other, far.up = listener.name, self.name, self, True
-                self.other, self.up = far, True
-                listener.waiting.append(far)
+                peer.name, peer.peer_address, peer.peer, peer.is_established = (
+                    listener.name,
+                    self.name,
+                    self,
+                    True,
+                )
+                self.peer, self.is_established = peer, True
+                listener.waiting.append(peer)
                 listener.update_readiness()
         self.update_readiness()
 
@@ -349,11 +355,13 @@
 
     def writable(self) -> bool:
         """Whether a write would not block."""
-        return bool(self.error) or (self.up and (self.sent_end or self.room() > 0 or self.other is None))
+        return bool(self.error) or (
+            self.is_established and (self.has_sent_fin or self.room() > 0 or self.peer is None)
+        )
 
     def room(self) -> int:
         """Returns the bytes that can be written before the buffer is full."""
-        unread = len(self.other.unread) if self.other else 0
+        unread = len(self.peer.unread) if self.peer else 0
         return BUFFER_BYTES - self.in_flight - unread
 
     def send(self, data: Any, flags: int = 0) -> int:  # noqa: ANN401
@@ -364,42 +372,44 @@
             OSError: The connection does not exist, was closed for writing or failed.
         """
         self.raise_error()
-        if self.closed or not self.up or self.sent_end:
-            raise os_error(errno.EPIPE if self.up else errno.ENOTCONN)
-        if self.other is None:
+        if self.closed or not self.is_established or self.has_sent_fin:
+            raise os_error(errno.EPIPE if self.is_established else errno.ENOTCONN)
+        if self.peer is None:
             raise os_error(errno.EPIPE)
         piece = bytes(data[: min(self.net.segment, max(self.room(), 0))])
         if not piece and len(data):
             raise BlockingIOError(errno.EAGAIN, "the buffer is full")
         self.in_flight += len(piece)
-        self.deliver_later(lambda far: far.receive(piece), len(piece))
+        self.deliver_later(lambda peer: peer.receive(piece), len(piece))
         return len(piece)
 
-    def deliver_later(self, act: "Callable[[Socket], None]", size: int = 0) -> None:
-        """Calls `act` with the other end after the path's latency, unless the path is silent.
+    def deliver_later(self, callback: "Callable[[Socket], None]", size: int = 0) -> None:
+        """Calls `callback` with the other end after the path's latency, unless the path is silent.
 
         Args:
-            act: The effect at the other end.
+            callback: The effect at the other end.
             size: Bytes of data that are in flight until then.
         """
-        here, far = self, self.other
+        here, peer = self, self.peer
         host, address = (
-            (self.host, self.far) if self.far in self.net.listeners else (far.host if far else "", self.name)
+            (self.host, self.peer_address)
+            if self.peer_address in self.net.listeners
+            else (peer.host if peer else "", self.name)
         )
         delay = self.net.path_delay(host, address, self.net.clock())
 
         def arrive() -> None:
             here.in_flight -= size
-            if far is not None and not far.closed and delay != SILENT:
-                act(far)
+            if peer is not None and not peer.closed and delay != SILENT:
+                callback(peer)
             here.update_readiness()
 
-        self.arrives = max(self.arrives, self.net.clock() + max(delay, 0.0))
-        self.net.schedule(self.arrives, arrive)
+        self.last_arrival_at = max(self.last_arrival_at, self.net.clock() + max(delay, 0.0))
+        self.net.schedule(self.last_arrival_at, arrive)
 
     def receive(self, piece: bytes) -> None:
         """Processes a segment; data after the connection's end is dropped."""
-        if self.error or self.received_end:
+        if self.error or self.has_received_fin:
             return
         self.unread += piece
         self.update_readiness()
@@ -413,7 +423,7 @@
         """
         self.raise_error()
         if not self.unread:
-            if self.received_end:
+            if self.has_received_fin:
                 return b""
             raise BlockingIOError(errno.EAGAIN, "no data is available")
         data = bytes(self.unread[:size])
@@ -432,7 +442,7 @@
         """Raises the pending error, if there is one, as OSError."""
         if self.error:
             error, self.error = self.error, 0
-            self.received_end = True
+            self.has_received_fin = True
             self.update_readiness()
             raise os_error(error)
 
@@ -440,28 +450,28 @@
 
     def has_ended(self) -> bool:
         """Whether the other end has closed the connection or it failed."""
-        return self.received_end or bool(self.error)
+        return self.has_received_fin or bool(self.error)
 
     def shutdown(self, how: int) -> None:
         """Closes the connection for writing; raises OSError if it does not exist or failed."""
         self.raise_error()
-        if not self.up:
+        if not self.is_established:
             raise os_error(errno.ENOTCONN)
-        if not self.sent_end:
-            self.sent_end = True
+        if not self.has_sent_fin:
+            self.has_sent_fin = True
             self.deliver_later(Socket.receive_end)
 
     def receive_end(self) -> None:
         """Processes a FIN."""
-        self.received_end = True
+        self.has_received_fin = True
         self.update_readiness()
 
     def reset(self) -> None:
         """Processes an RST."""
-        if not self.has_ended() or self.unread or not self.sent_end:
+        if not self.has_ended() or self.unread or not self.has_sent_fin:
             self.unread.clear()
             self.error = errno.ECONNRESET
-        self.other = None
+        self.peer = None
         self.update_readiness()
 
     def close(self) -> None:
@@ -471,14 +481,14 @@
         if self.unread:
             self.abort()
             return
-        if self.up and not self.sent_end and self.other:
-            self.sent_end = True
+        if self.is_established and not self.has_sent_fin and self.peer:
+            self.has_sent_fin = True
             self.deliver_later(Socket.receive_end)
         self.release()
 
     def abort(self) -> None:
         """Closes the socket with a reset, as well as the connections that wait at a listener."""
-        if self.up and self.other and not self.closed:
+        if self.is_established and self.peer and not self.closed:
             self.deliver_later(Socket.reset)
         for each in list(self.waiting or ()):
             each.abort()
@@ -494,7 +504,7 @@
 
     def update_readiness(self) -> None:
         """Updates whether the network reports the socket as readable."""
-        ready = bool(self.unread or self.waiting or self.received_end or self.error)
+        ready = bool(self.unread or self.waiting or self.has_received_fin or self.error)
         if ready and not self.closed:
             self.net.readable.add(self.number)
         else:
--- a/message_sender/emulator/power.py
+++ b/message_sender/emulator/power.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 from message_sender.emulator.run_plan import RunSpec
-from message_sender.emulator.simulated_run import Outcomes, ProcessKilled, SimulatedRun, quietly
+from message_sender.emulator.simulated_run import Outcomes, ProcessKilled, SimulatedRun, isolated_folder
 from message_sender.journal.durable import DurableJournal
 from message_sender.journal.process_journal import Journal
 from message_sender.testbed.simulated_disk import MemoryDisk, SimulatedDisk
@@ -23,17 +23,17 @@
     """How often the power fails, and the journal that is used.
 
     Attributes:
-        most: Number of power cuts in a run.
-        apart: Upper bound of the operations between two cuts; an early cut hits a start.
+        max_cuts: Number of power cuts in a run.
+        max_operations_between: Upper bound of the operations between two cuts; an early cut hits a start.
         before: Kind of operation before which the power fails, the only one that is counted; "": any.
-        gather: Seconds for which the journal gathers records before a sync; None: nothing is synced.
+        sync_interval_s: Seconds for which the journal gathers records before a sync; None: nothing is synced.
         journal: The journal's class.
     """
 
-    most: int = 8
-    apart: int = 25
+    max_cuts: int = 8
+    max_operations_between: int = 25
     before: str = ""
-    gather: float | None = 0.005
+    sync_interval_s: float | None = 0.005
     journal: type[DurableJournal] = DurableJournal
 
 
@@ -45,12 +45,14 @@
         super().__init__(seed, spec, state)
         self.cuts, self.power_rng = cuts, random.Random(f"power {seed}")
         self.disk = SimulatedDisk()
-        self.cuts_left, self.operations_left = cuts.most, 0
+        self.cuts_left, self.operations_left = cuts.max_cuts, 0
         self.draw_next_cut()
 
     def draw_next_cut(self) -> None:
         """Draws the number of operations until the next cut; 0: there is none."""
-        self.operations_left = self.power_rng.randrange(1, self.cuts.apart) if self.cuts_left else 0
+        self.operations_left = (
+            self.power_rng.randrange(1, self.cuts.max_operations_between) if self.cuts_left else 0
+        )
 
     def before_operation(self, kind: str) -> None:
         """Cuts the power if the disk's next operation, of this kind, is the one that was drawn."""
@@ -62,9 +64,14 @@
     def open_journal(self, folder: Path, limit_bytes: int) -> Journal:
         """Returns a journal on what the disk holds after the last cut."""
         process_disk = MemoryDisk(self.disk, self.before_operation)
-        process_disk.takes = lambda: self.power_rng.choice((0.0005, 0.002, 0.02))
+        process_disk.job_duration = lambda: self.power_rng.choice((0.0005, 0.002, 0.02))
         return self.cuts.journal(
-            folder, limit_bytes, self.cuts.gather, process_disk, f"boot {self.kill_count}", self.read_clock_us
+            folder,
+            limit_bytes,
+            self.cuts.sync_interval_s,
+            process_disk,
+            f"boot {self.kill_count}",
+            self.read_clock_us,
         )
 
     def run_process(self) -> bool:
@@ -82,7 +89,7 @@
             super().terminate()
 
 
-def live(seed: int, cuts: Cuts | None = None, spec: RunSpec = SMALL) -> Outcomes:
+def run_with_power_cuts(seed: int, cuts: Cuts | None = None, spec: RunSpec = SMALL) -> Outcomes:
     """Runs a sender with power cuts; all draws come from the seed."""
-    with quietly() as folder:
+    with isolated_folder() as folder:
         return PowerCutRun(seed, spec, folder, cuts or Cuts()).run()
--- a/message_sender/emulator/ramp.py
+++ b/message_sender/emulator/ramp.py
@@ -14,7 +14,7 @@
 from unittest.mock import patch
 
 from message_sender.emulator.fleet import play
-from message_sender.emulator.receiver import Fate, Receiver, ReceiverRandom
+from message_sender.emulator.receiver import CallResult, Receiver, ReceiverRandom
 from message_sender.emulator.scenario import Scenario, read
 
 
@@ -27,46 +27,48 @@
     """The highest load of each recovery, relative to the bound, by receiver and outage.
 
     Attributes:
-        witnesses: Senders that made a call during an outage, by receiver and start of the outage.
+        outage_senders: Senders that made a call during an outage, by receiver and start of the outage.
         last_outage: Start of each receiver's last outage in s.
         peaks: The highest load relative to the bound, by receiver and start of the outage.
     """
 
     def __init__(self) -> None:
         """Starts without any measurement."""
-        self.witnesses: dict[tuple[int, float], set[str]] = {}
+        self.outage_senders: dict[tuple[int, float], set[str]] = {}
         self.last_outage: dict[int, float] = {}
         self.peaks: dict[tuple[int, float], float] = {}
 
     def record_call(self, receiver: Receiver, now: float, sender: str) -> None:
         """Records a sender's call to a receiver at a time in s."""
-        phase = receiver.trouble(now, sender)
+        phase = receiver.active_phase(now, sender)
         if phase and phase.is_outage():
             self.last_outage[id(receiver)] = phase.at
-            self.witnesses.setdefault((id(receiver), phase.at), set()).add(sender)
+            self.outage_senders.setdefault((id(receiver), phase.at), set()).add(sender)
         elif id(receiver) in self.last_outage and receiver.warmth(now) < 1:
             self.measure(receiver, now)
 
     def measure(self, receiver: Receiver, now: float) -> None:
         """Updates the peak of a receiver's recovery with the window that ends at a time in s."""
         recovered_at = receiver.cold_since(now)
-        window = [sender for at, sender in receiver.came if at >= recovered_at]
+        window = [sender for at, sender in receiver.recent_calls if at >= recovered_at]
         key = id(receiver), self.last_outage[id(receiver)]
-        if 3 * sum(each in self.witnesses[key] for each in window) >= 2 * len(window):
-            self.peaks[key] = max(self.peaks.get(key, 0.0), len(window) / bound(receiver.allowed(now)))
+        if 3 * sum(each in self.outage_senders[key] for each in window) >= 2 * len(window):
+            self.peaks[key] = max(
+                self.peaks.get(key, 0.0), len(window) / bound(receiver.overload_threshold(now))
+            )
 
 
 def measuring_patches(ramp: Ramp) -> Iterator[Any]:
     """Yields patches that make receivers record their calls in the ramp and never collapse."""
     real = Receiver.call
 
-    def call(self: Receiver, now: float, sender: str, draws: ReceiverRandom, zone: str = "") -> Fate:
-        self.count(now, sender)
+    def call(self: Receiver, now: float, sender: str, draws: ReceiverRandom, zone: str = "") -> CallResult:
+        self.record_call(now, sender)
         ramp.record_call(self, now, sender)
         return real(self, now, sender, draws, zone)
 
     yield patch.object(Receiver, "call", call)
-    yield patch.object(Receiver, "pushed_over", lambda self, now, sender: False)
+    yield patch.object(Receiver, "fails_by_overload", lambda self, now, sender: False)
 
 
 def peaks(scenario: Scenario, seed: int) -> tuple[list[float], float]:
@@ -78,7 +80,7 @@
     return sorted(ramp.peaks.values()), figures.goodput()
 
 
-def returning(senders: int, outage: str, zipf: float = 0.6) -> Scenario:
+def recovery_scenario(senders: int, outage: str, zipf: float = 0.6) -> Scenario:
     """Returns a scenario in which five of ten destinations fail from 4 to 9 s and from 22 to 25 s.
 
     The destinations' limits leave no reserve.
@@ -99,10 +101,10 @@
     kills = range(0, senders, 2) if outage == "restarts" else ()
     return read(
         {
-            "title": f"{senders} senders, half of the destinations come back",
-            "about": "Peaks of calls at returning destinations, over the fleet.",
+            "title": f"{senders} senders, half of the destinations recover",
+            "about": "Peaks of calls at recovering destinations, over the fleet.",
             "source": "docs/design/acceptance.md",
-            "good": "Keeps to the bound.",
+            "good": "Stays within the bound.",
             "seconds": 34,
             "clients": {"rate": 250, "keys": 2000, "zipf": zipf, "retries": 1, "backoff_s": 1.0},
             "fleet": {
--- a/message_sender/emulator/receiver.py
+++ b/message_sender/emulator/receiver.py
@@ -1,4 +1,4 @@
-"""Model of a destination: what becomes of the calls that it receives. Free of I/O.
+"""Model of a destination, which decides the result of each call that it receives. Free of I/O.
 
 A destination has workers, a queue, an optional rate limit, and faults ("troubles") at given times. Times are
 in seconds of the emulated clock, rates in calls a second.
@@ -55,7 +55,7 @@
     spread: Spread = Spread.EXPONENTIAL
     cv: float = 1.0
 
-    def seconds(self, share: float) -> float:
+    def quantile_s(self, share: float) -> float:
         """Returns a quantile: the service time that the given share of calls, 0 to 1, does not exceed."""
         share = min(max(share, 1e-9), 1 - 1e-9)
         match self.spread:
@@ -113,11 +113,11 @@
     def is_outage(self) -> bool:
         """Returns whether the whole destination is out of service.
 
-        A fault that leaves some endpoints or senders served is none: the destination keeps warm.
+        A fault that leaves some endpoints or senders served is none: the destination stays warm.
         """
         return self.what in OUTAGES and not self.zone and not self.seen_by
 
-    def holds(self, now: float, sender: str, zone: str) -> bool:
+    def affects(self, now: float, sender: str, zone: str) -> bool:
         """Returns whether the fault affects a call of a sender to an endpoint in a zone now."""
         is_in_zone = not self.zone or zone == self.zone
         return is_in_zone and self.at <= now < self.until and (not self.seen_by or sender in self.seen_by)
@@ -177,20 +177,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fate:
-    """What becomes of a call.
+class CallResult:
+    """The result of a call.
 
     Attributes:
         outcome: Its outcome.
-        after: Seconds until the outcome; None if there is no answer.
-        wait: The Retry-After in seconds; 0 for none.
+        delay_s: Seconds until the outcome; None if there is no answer.
+        retry_after_s: The Retry-After in seconds; 0 for none.
         connected: The connection was established.
         ran: The call is executed, now or later.
     """
 
     outcome: Outcome
-    after: float | None
-    wait: float = 0.0
+    delay_s: float | None
+    retry_after_s: float = 0.0
     connected: bool = True
     ran: bool = False
 
@@ -204,20 +204,20 @@
 
     service: float
     trouble: float
-    tells: float
+    retry_after: float
 
 
 @dataclass(frozen=True, slots=True)
-class Fall:
+class OverloadFailure:
     """A failure by overload.
 
     Attributes:
         at: When it happened, in seconds.
-        pushed_by: The sender of each call in the period that exceeded the allowed load.
+        senders: The sender of each call in the period that exceeded the allowed load.
     """
 
     at: float
-    pushed_by: tuple[str, ...]
+    senders: tuple[str, ...]
 
 
 @dataclass
@@ -229,15 +229,15 @@
         phases: Its faults.
         served: Number of calls that it served.
         refused: Number of calls that it rejected as full.
-        falls: Its failures by overload.
-        came: Time and sender of each call in the last `push_s` seconds.
+        overload_failures: Its failures by overload.
+        recent_calls: Time and sender of each call in the last `push_s` seconds.
     """
 
     terms: Terms
     phases: list[Phase] = field(default_factory=list)
     served: int = 0
     refused: int = 0
-    falls: list["Fall"] = field(default_factory=list)
+    overload_failures: list["OverloadFailure"] = field(default_factory=list)
 
     def __post_init__(self) -> None:
         """Creates an idle receiver with a full token bucket."""
@@ -245,21 +245,23 @@
         self.service_starts: deque[float] = deque()  # of the calls in the queue
         self.window, self.window_count, self.window_rejections = -1, 0.0, 0  # of a limit with windows
         self.tokens, self.refilled_at = self.terms.limit.burst if self.terms.limit else 0.0, 0.0
-        self.came: deque[tuple[float, str]] = deque()
+        self.recent_calls: deque[tuple[float, str]] = deque()
         self.down_until = 0.0
 
-    def trouble(self, now: float, sender: str, zone: str = "") -> Phase | None:
+    def active_phase(self, now: float, sender: str, zone: str = "") -> Phase | None:
         """Returns the fault that decides the result of a call now, or None.
 
         Outages come before other faults; among equals, the one that began last decides.
         """
-        active = [each for each in self.phases if each.holds(now, sender, zone)]
+        active = [each for each in self.phases if each.affects(now, sender, zone)]
         return max(active, key=lambda each: (each.what in OUTAGES, each.at)) if active else None
 
     def cold_since(self, now: float) -> float:
         """Returns when the last outage of the whole destination ended; -inf if there was none."""
         ends = [each.until for each in self.phases if each.is_outage() and each.until <= now]
-        return max([*ends, *(fall.at + self.terms.fallen_s for fall in self.falls)], default=-NEVER)
+        return max(
+            [*ends, *(each.at + self.terms.fallen_s for each in self.overload_failures)], default=-NEVER
+        )
 
     def warmth(self, now: float) -> float:
         """Returns the share of its capacity that it has now."""
@@ -268,8 +270,8 @@
             return 1.0
         return self.terms.cold_from + (1 - self.terms.cold_from) * max(since, 0.0) / self.terms.cold_s
 
-    def call(self, now: float, sender: str, draws: ReceiverRandom, zone: str = "") -> Fate:
-        """Decides what becomes of a call.
+    def call(self, now: float, sender: str, draws: ReceiverRandom, zone: str = "") -> CallResult:
+        """Decides the result of a call.
 
         Args:
             now: When its last byte arrived, or when its connection was requested, in seconds. Must not
@@ -281,48 +283,48 @@
         Returns:
             The result of the call, also when it comes later.
         """
-        phase = self.trouble(now, sender, zone)
+        phase = self.active_phase(now, sender, zone)
         what = phase.what if phase else None
         if now < self.down_until or what is Trouble.SHUT:
-            return Fate(Outcome.CONNECT_FAILED, 0.0, connected=False)
+            return CallResult(Outcome.CONNECT_FAILED, 0.0, connected=False)
         if what is Trouble.SILENT:
-            return Fate(Outcome.CONNECT_FAILED, None, connected=False)
-        if self.pushed_over(now, sender):
-            return Fate(Outcome.RESET, 0.001)
+            return CallResult(Outcome.CONNECT_FAILED, None, connected=False)
+        if self.fails_by_overload(now, sender):
+            return CallResult(Outcome.RESET, 0.001)
         if phase and what is Trouble.HANGS:
-            return Fate(Outcome.TIMEOUT, None, ran=True)
+            return CallResult(Outcome.TIMEOUT, None, ran=True)
         if phase and what is Trouble.FULL:
             self.refused += 1
-            return Fate(Outcome.FULL, 0.002, phase.size)
+            return CallResult(Outcome.FULL, 0.002, phase.size)
         if rejection := self.apply_limit(now, phase, draws):
             return rejection
         if phase and what is Trouble.ERRORS and draws.trouble < phase.size:
-            return Fate(Outcome.ERROR, 0.005, ran=True)
+            return CallResult(Outcome.ERROR, 0.005, ran=True)
         return self.serve(now, phase, draws)
 
-    def pushed_over(self, now: float, sender: str) -> bool:
+    def fails_by_overload(self, now: float, sender: str) -> bool:
         """Counts a call, and returns whether the destination fails by overload with it."""
         if not self.terms.fallen_s:
             return False
-        self.count(now, sender)
-        if self.warmth(now) >= 1 or len(self.came) <= max(self.allowed(now), 2.0):
+        self.record_call(now, sender)
+        if self.warmth(now) >= 1 or len(self.recent_calls) <= max(self.overload_threshold(now), 2.0):
             return False
-        self.falls.append(Fall(now, tuple(each for _, each in self.came)))
+        self.overload_failures.append(OverloadFailure(now, tuple(each for _, each in self.recent_calls)))
         self.down_until = now + self.terms.fallen_s
-        self.came.clear()
+        self.recent_calls.clear()
         return True
 
-    def count(self, now: float, sender: str) -> None:
+    def record_call(self, now: float, sender: str) -> None:
         """Records a call, and drops those older than `push_s`."""
-        self.came.append((now, sender))
-        while self.came[0][0] <= now - self.terms.push_s:
-            self.came.popleft()
+        self.recent_calls.append((now, sender))
+        while self.recent_calls[0][0] <= now - self.terms.push_s:
+            self.recent_calls.popleft()
 
-    def allowed(self, now: float) -> float:
+    def overload_threshold(self, now: float) -> float:
         """Returns the number of calls in `push_s` seconds above which it fails, at its current capacity."""
         return self.terms.push * self.terms.capacity() * self.warmth(now) * self.terms.push_s
 
-    def apply_limit(self, now: float, phase: Phase | None, draws: ReceiverRandom) -> Fate | None:
+    def apply_limit(self, now: float, phase: Phase | None, draws: ReceiverRandom) -> CallResult | None:
         """Counts a call against the rate limit.
 
         Returns:
@@ -336,7 +338,7 @@
         if wait <= 0:
             return None
         self.refused += 1
-        return Fate(Outcome.FULL, 0.002, wait if draws.tells < limit.tells else 0.0)
+        return CallResult(Outcome.FULL, 0.002, wait if draws.retry_after < limit.tells else 0.0)
 
     def window_wait(self, now: float, limit: Limit, rate: float) -> float:
         """Counts a call in the current window.
@@ -371,14 +373,16 @@
             self.tokens = max(self.tokens - 1, -limit.burst)
         return (1 - self.tokens) / rate
 
-    def serve(self, now: float, phase: Phase | None, draws: ReceiverRandom) -> Fate:
+    def serve(self, now: float, phase: Phase | None, draws: ReceiverRandom) -> CallResult:
         """Gives a call to the next free worker, or rejects it if the queue is full."""
         while self.service_starts and self.service_starts[0] <= now:
             self.service_starts.popleft()
         if len(self.service_starts) >= self.terms.queue and self.worker_free_at[0] > now:
             self.refused += 1
-            return Fate(Outcome.FULL, 0.002)
-        service_s = self.terms.service.seconds(draws.service) * self.slowness(now, phase) / self.warmth(now)
+            return CallResult(Outcome.FULL, 0.002)
+        service_s = (
+            self.terms.service.quantile_s(draws.service) * self.slowdown(now, phase) / self.warmth(now)
+        )
         start = max(now, heapq.heappop(self.worker_free_at))
         heapq.heappush(self.worker_free_at, start + service_s)
         if start > now:
@@ -386,12 +390,12 @@
         self.served += 1
         after = start + service_s - now
         if phase and phase.what is Trouble.SPOILT and draws.trouble < phase.size:
-            return Fate(Outcome.MALFORMED, after, ran=True)
+            return CallResult(Outcome.MALFORMED, after, ran=True)
         if phase and phase.what is Trouble.RESETS and draws.trouble < phase.size:
-            return Fate(Outcome.RESET, after, ran=True)
-        return Fate(Outcome.OK, after, ran=True)
+            return CallResult(Outcome.RESET, after, ran=True)
+        return CallResult(Outcome.OK, after, ran=True)
 
-    def slowness(self, now: float, phase: Phase | None) -> float:
+    def slowdown(self, now: float, phase: Phase | None) -> float:
         """Returns the factor by which the fault lengthens service times."""
         if phase is None:
             return 1.0
--- a/message_sender/emulator/report.py
+++ b/message_sender/emulator/report.py
@@ -33,20 +33,20 @@
 {% if scenario.good %}<p><b>A good sender</b>: {{ scenario.good }}</p>{% endif %}
 {% if scenario.source %}<p>See {{ scenario.source }}.</p>{% endif %}
 <p>Seed {{ seed }}, policy {{ policy }}.
-{% if breaches %}<b class="bad">{{ breaches|length }} times a rule broke.</b>
-{% else %}No rule broke.{% endif %}
+{% if breaches %}<b class="bad">{{ breaches|length }} violations of the delivery rules.</b>
+{% else %}No violation.{% endif %}
 </p>
 {% if breaches %}<table><tr><th>at, s</th><th>rule</th><th>what</th></tr>
 {% for each in breaches[:100] %}<tr><td>{{ "%.3f"|format(each.at) }}</td><th>{{ each.rule }}</th>
 <th>{{ each.text }}</th></tr>{% endfor %}</table>{% endif %}
-{% if owed %}<p class="bad">Still owed: {{ owed|join("; ") }}</p>{% endif %}
+{% if owed %}<p class="bad">Not completed: {{ owed|join("; ") }}</p>{% endif %}
 <h2>Figures</h2><table>
 {% for name, value in measures.items() %}<tr><td>{{ name }}</td><td>{{ "%.4g"|format(value) }}</td></tr>
 {% endfor %}</table>
 <h2>Latency, from the intended time to the first effect</h2><table><tr><th>percentile</th><th>ms</th></tr>
 {% for name, value in latency %}<tr><td>{{ name }}</td><td>{{ "%.1f"|format(value) }}</td></tr>{% endfor %}
 </table>
-{% if tenants %}<h2>Tenants</h2><table><tr><th>tenant</th><th>worth asked for</th><th>earned</th></tr>
+{% if tenants %}<h2>Tenants</h2><table><tr><th>tenant</th><th>weight submitted</th><th>share earned</th></tr>
 {% for name, (asked, earned) in tenants %}<tr><td>{{ name }}</td><td>{{ "%.0f"|format(asked) }}</td>
 <td>{{ "%.3f"|format(earned / asked if asked else 1) }}</td></tr>{% endfor %}</table>{% endif %}
 <h2>Over time</h2>
@@ -111,13 +111,17 @@
     def line(name: str, label: str) -> Line:
         return Line(label, [getattr(row, name) for row in rows])
 
-    offered = [line("offered", "asked for"), line("good", "delivered in its aim"), line("late", "later")]
-    calls = [line("calls", "calls"), line("refused", "refused as full"), line("failed", "failed")]
+    offered = [
+        line("offered", "submitted"),
+        line("good", "delivered within the objective"),
+        line("late", "delivered after it"),
+    ]
+    calls = [line("calls", "calls"), line("refused", "rejected as full"), line("failed", "failed")]
     held = [line("held", "messages held"), line("open", "breakers open")]
     over_time = [
-        plot("Messages, by the second in which they were wanted", "a second", offered, marks),
+        plot("Messages, by the second of their intended submission", "a second", offered, marks),
         plot("Calls, by the second in which they ended", "a second", calls, marks),
-        plot("What senders hold", "count", held, marks),
+        plot("Held messages and open breakers", "count", held, marks),
     ]
     return [*over_time, by_destination(outcomes)]
 
--- a/message_sender/emulator/returning.py
+++ b/message_sender/emulator/returning.py
@@ -24,28 +24,28 @@
 
     Attributes:
         rate: Calls per second that it handles when warm.
-        back: Time in s at which it recovers.
-        cold: Seconds from its recovery until it is warm.
+        recovers_at: Time in s at which it recovers.
+        warm_up_s: Seconds from its recovery until it is warm.
         calls: Times in s of the calls that arrived while it was up.
         trials: Start and end in s of each trial call.
     """
 
     rate: float = 60.0
-    back: float = 0.0
-    cold: float = 13.0
+    recovers_at: float = 0.0
+    warm_up_s: float = 13.0
     calls: list[float] = field(default_factory=list)
     trials: list[tuple[float, float]] = field(default_factory=list)
 
-    def warm(self, now: float) -> float:
+    def present_rate(self, now: float) -> float:
         """Returns the calls per second that it can handle at a time in s."""
-        return self.rate_after(now - self.back)
+        return self.rate_after(now - self.recovers_at)
 
     def rate_after(self, warmed: float | None) -> float:
         """Returns the calls per second that it can handle `warmed` s after its recovery; None: it is warm."""
-        share = 1.0 if warmed is None else min(max(warmed, 0.0) / self.cold, 1.0)
+        share = 1.0 if warmed is None else min(max(warmed, 0.0) / self.warm_up_s, 1.0)
         return self.rate * (COLD_RATE_SHARE + (1 - COLD_RATE_SHARE) * share)
 
-    def at_once(self) -> int:
+    def peak_concurrent_trials(self) -> int:
         """Returns the highest number of trials in flight at one time."""
         changes = sorted([(start, 1) for start, _ in self.trials] + [(end, -1) for _, end in self.trials])
         peak = in_flight = 0
@@ -56,12 +56,12 @@
 
 
 @dataclass
-class Returning:
+class StartedMember:
     """A member that has started.
 
     Attributes:
         stages: Its recovery stages.
-        owed: Messages that it holds for each destination.
+        held: Messages that it holds for each destination.
         updated_at: Time in s of the last update of its stages.
         next_announcement_at: Time in s of its next announcement.
         last_call_at: Time in s of its last call to each destination.
@@ -70,7 +70,7 @@
     """
 
     stages: Stages
-    owed: dict[int, int]
+    held: dict[int, int]
     updated_at: float = 0.0
     next_announcement_at: float = 0.0
     last_call_at: dict[int, float] = field(default_factory=dict)
@@ -78,31 +78,31 @@
     in_flight: set[int] = field(default_factory=set)
 
 
-class Return:
+class RecoveryRun:
     """All members and destinations of a run.
 
     Attributes:
         network: The network between the members.
         destinations: The destinations, by number.
-        owed: Messages that each member holds for each destination at its first start.
+        held: Messages that each member holds for each destination at its first start.
         members: All members that have started, by name.
     """
 
-    def __init__(self, network: MemberNetwork, destinations: list[Destination], owed: int) -> None:
+    def __init__(self, network: MemberNetwork, destinations: list[Destination], held: int) -> None:
         """Prepares a run; see the class for the arguments."""
-        self.network, self.destinations, self.owed = network, destinations, owed
-        self.members: dict[str, Returning] = {}
+        self.network, self.destinations, self.held = network, destinations, held
+        self.members: dict[str, StartedMember] = {}
         network.step = self.step
 
     def start(self, number: int) -> None:
-        """Starts a member; one that ran before still owes its messages."""
+        """Starts a member; one that ran before keeps its remaining messages."""
         node = self.network.start(number)
         name = node.me.name
         stages = Stages(name, self.network.size, self.network.now)
-        owed = self.members[name].owed if name in self.members else dict.fromkeys(
-            range(len(self.destinations)), self.owed
+        held = self.members[name].held if name in self.members else dict.fromkeys(
+            range(len(self.destinations)), self.held
         )  # fmt: skip
-        self.members[name] = Returning(stages, owed)
+        self.members[name] = StartedMember(stages, held)
 
         def receive(sender: str, text: bytes) -> None:
             if announcement := decode_announcement(text):
@@ -122,12 +122,12 @@
         node, stages = self.network.nodes[name], member.stages
         dead = {each.name for each in node.members.others.values() if each.state >= MemberState.DEAD}
         stages.remove_members(dead & stages.announcements.keys())
-        held = {number: count for number, count in member.owed.items() if count}
+        remaining = {number: count for number, count in member.held.items() if count}
         previous_stage = None
         while stages.stage is not previous_stage:
             previous_stage = stages.stage
-            stages.update(held, now)
-        for number in held:
+            stages.update(remaining, now)
+        for number in remaining:
             self.try_call(name, number)
         if now >= member.next_announcement_at:
             self.announce(name)
@@ -143,7 +143,7 @@
         now, member = self.network.now, self.members.get(name)
         if member is None or name in self.network.frozen or name not in self.network.nodes:
             return
-        if number in member.in_flight or not member.owed.get(number):
+        if number in member.in_flight or not member.held.get(number):
             return
         permission = member.stages.permission(number, now)
         if not permission.may_call:
@@ -155,7 +155,7 @@
         elif due < now + CHECK_INTERVAL:
             self.network.later(due - now, lambda: self.try_call(name, number))
 
-    def next_call_at(self, member: Returning, number: int, permission: CallPermission) -> float:
+    def next_call_at(self, member: StartedMember, number: int, permission: CallPermission) -> float:
         """Returns the time in s of a member's next call to a destination.
 
         The gap between calls shrinks while the destination warms up, so the call is due earlier than the
@@ -182,7 +182,7 @@
             member.stages.start_trial(number, now)
             destination.trials.append((now, now + CALL_DURATION))
             self.announce(name)
-        is_up = now >= destination.back
+        is_up = now >= destination.recovers_at
         if is_up:
             destination.calls.append(now)
         self.network.later(CALL_DURATION, lambda: self.call_ended(name, number, is_up))
@@ -199,7 +199,7 @@
         )
         member.stages.record_call_result(number, is_up, self.network.now)
         if is_up:
-            member.owed[number] -= 1
+            member.held[number] -= 1
         if was_trial or evidence is None or evidence.is_up is not is_up:
             self.announce(name)
         self.try_call(name, number)
--- a/message_sender/emulator/run_models.py
+++ b/message_sender/emulator/run_models.py
@@ -46,7 +46,7 @@
     def behavior_of(self, endpoint: str) -> DestinationBehavior:
         """Returns how an endpoint's destination behaves now."""
 
-    def note_failure(self, endpoint: str) -> None:
+    def record_failure(self, endpoint: str) -> None:
         """Records that the sender saw a call to an endpoint fail."""
 
     def message_completed(self, message: str, completion: Completion) -> None:
@@ -57,7 +57,7 @@
     """The caller of one message; it is notified of the completion while the process lives."""
 
     def __init__(self, run: RunEnvironment, message: Message) -> None:
-        """Hands `message` in to the run's engine."""
+        """Submits `message` to the run's engine."""
         self.run = run
         self.message = message
 
@@ -117,14 +117,14 @@
         await asyncio.sleep(min(self.draw_delay_s(), timeout))
         behavior = run.behavior_of(endpoint)
         if behavior is DestinationBehavior.SHUT or loop.time() >= deadline:
-            run.note_failure(endpoint)
+            run.record_failure(endpoint)
             return AttemptResult(Outcome.CONNECT_FAILED)
         if not may_go():
             return AttemptResult(Outcome.NOT_SENT)
         call = run.history.record_start(message.id, endpoint)
-        duration_s, outcome, wait_s = self.draw_fate(behavior)
+        duration_s, outcome, wait_s = self.draw_result(behavior)
         if outcome is not Outcome.OK:
-            run.note_failure(endpoint)
+            run.record_failure(endpoint)
         if not await self._wait_for_answer(call, duration_s, deadline):
             return AttemptResult(Outcome.TIMEOUT)
         run.history.record_end(call, EFFECT_BY_OUTCOME[outcome], wait_s)
@@ -155,7 +155,7 @@
         extra_s = MAX_EXTRA_DELAY_S if rng.random() < SLOW_PROBABILITY else 0.0
         return rng.uniform(*ONE_WAY_DELAY_S) + rng.uniform(0, extra_s)
 
-    def draw_fate(self, behavior: DestinationBehavior) -> tuple[float, Outcome, float]:
+    def draw_result(self, behavior: DestinationBehavior) -> tuple[float, Outcome, float]:
         """Draws a call's duration in seconds, its outcome and its Retry-After in seconds."""
         rng = self.run.rng
         duration_s = rng.uniform(0.01, 0.15)
--- a/message_sender/emulator/run_plan.py
+++ b/message_sender/emulator/run_plan.py
@@ -110,8 +110,8 @@
 
 
 @dataclass(frozen=True)
-class HandIn:
-    """A client hands a message in."""
+class SubmitMessage:
+    """A client submits a message."""
 
     message: Message
 
@@ -128,7 +128,7 @@
     """The process is killed."""
 
 
-RunAction = HandIn | Drain | Kill
+RunAction = SubmitMessage | Drain | Kill
 
 
 @dataclass(frozen=True)
@@ -224,7 +224,7 @@
             text = (
                 f"{message.id}, {message.message_class}{key}, for {message.destination}, {left_s:.3f} s left"
             )
-            self._add_event(at, text, HandIn(message))
+            self._add_event(at, text, SubmitMessage(message))
 
     def _draw_message(self, number: int, at: float) -> Message:
         rng = self.rng
--- a/message_sender/emulator/scenario.py
+++ b/message_sender/emulator/scenario.py
@@ -50,9 +50,11 @@
             ValueError: The text names the field.
         """
         if self.aim_s > self.deadline_s:
-            raise ValueError("aim_s: must be no more than deadline_s")
+            raise ValueError(f"aim_s: must be at most deadline_s ({self.deadline_s:g}), not {self.aim_s:g}")
         if self.effect == "keyed" and not self.window_s:
-            raise ValueError("window_s: must be above 0 for a keyed class: how long repeats are dropped")
+            raise ValueError(
+                "window_s: must be above 0 for a keyed class (the time for which repeats are dropped), not 0"
+            )
         return self
 
 
@@ -77,7 +79,7 @@
 
 
 class Clients(Table):
-    """The clients that hand in messages."""
+    """The clients that submit messages."""
 
     rate: Rate = 50.0  # messages a second
     bursts: tuple[Burst, ...] = ()
@@ -198,9 +200,11 @@
             ValueError: The text names the field.
         """
         if self.until <= self.at:
-            raise ValueError("until: must be later than at")
+            raise ValueError(f"until: must be later than at ({self.at:g}), not {self.until:g}")
         if self.every_s and self.every_s <= self.until - self.at:
-            raise ValueError("every_s: must be longer than the trouble itself (until - at)")
+            raise ValueError(
+                f"every_s: must be above {self.until - self.at:g} (until - at), not {self.every_s:g}"
+            )
         return self
 
     def phases(self, end: float) -> list[Phase]:
@@ -292,10 +296,10 @@
     def find_contradictions(self) -> list[str]:
         """Returns the contradictions between tables, each as a path and a text."""
         count = sum(each.count for each in self.destinations)
-        faults = ["destinations: must name at least one"] if not count else []
-        faults += ["classes: must name at least one"] if not self.classes else []
+        faults = ["destinations: must list at least one destination"] if not count else []
+        faults += ["classes: must define at least one class"] if not self.classes else []
         if not any(each.popularity for each in self.destinations):
-            faults.append("destinations: none of them gets messages")
+            faults.append("destinations: at least one must have a popularity above 0, but all have 0")
         for number, trouble in enumerate(self.troubles):
             faults += [
                 f"troubles[{number}].destinations: there is no destination {each}"
@@ -311,7 +315,8 @@
             faults += self.find_incident_faults(number, incident, count)
         for number, burst in enumerate(self.clients.bursts):
             if burst.until <= burst.at:
-                faults.append(f"clients.bursts[{number}].until: must be later than at")
+                path = f"clients.bursts[{number}].until"
+                faults.append(f"{path}: must be later than at ({burst.at:g}), not {burst.until:g}")
             if burst.tenant and burst.tenant not in self.tenants:
                 faults.append(f"clients.bursts[{number}].tenant: there is no tenant {burst.tenant!r}")
         return faults
--- a/message_sender/emulator/search.py
+++ b/message_sender/emulator/search.py
@@ -1,6 +1,6 @@
 """Searches simulated runs, one for each seed, for violations; replays and reduces single runs.
 
-A life is the simulated run of one seed, with its faults and kills.
+The output calls the simulated run of one seed, with its faults and kills, a life.
 """
 
 import json
@@ -13,7 +13,7 @@
 from pathlib import Path
 
 from message_sender.emulator.shrink import Case, format_events, shrink
-from message_sender.emulator.simulated_run import live
+from message_sender.emulator.simulated_run import simulate
 from message_sender.testbed.history_checker import Violation
 
 SEEDS_PER_TASK = 20  # number of seeds that a worker process gets at a time
@@ -41,7 +41,7 @@
     kills: int = 0
     told_again: int = 0
 
-    def broken(self) -> bool:
+    def has_failed(self) -> bool:
         """Returns whether the run violated a rule or failed."""
         return bool(self.breaches or self.error)
 
@@ -52,14 +52,14 @@
     Never raises: an exception of the run is reported in the result.
     """
     try:
-        outcomes = live(seed)
+        outcomes = simulate(seed)
     except Exception as error:
         return Found(seed, error=f"{type(error).__name__}: {error}")
     counts = outcomes.ends, outcomes.calls, outcomes.kills, outcomes.told_again
     return Found(seed, outcomes.breaches, "", *counts)
 
 
-def lives(first: int, count: int, processes: int) -> Iterator[Found]:
+def run_seeds(first: int, count: int, processes: int) -> Iterator[Found]:
     """Yields the results of `count` seeds from `first` on, in the order of the seeds."""
     seeds = range(first, first + count)
     if processes == 1:
@@ -82,10 +82,10 @@
         The exit code: 1 if any run violated a rule or failed, else 0.
     """
     start, broken, sums = time.monotonic(), 0, Counter[str]()
-    for result in lives(first, count, processes):
+    for result in run_seeds(first, count, processes):
         sums.update(result.ends)
         sums.update(calls=result.calls, kills=result.kills, told_again=result.told_again)
-        if result.broken():
+        if result.has_failed():
             broken += 1
             print_result(result, json_lines)
     elapsed_s = time.monotonic() - start
@@ -102,7 +102,7 @@
     if json_lines:
         print(json.dumps(asdict(result)), flush=True)
         return
-    print(f"seed {result.seed}: {result.error or 'a rule broke'}", flush=True)
+    print(f"seed {result.seed}: {result.error or 'rules were violated'}", flush=True)
     for violation in result.breaches:
         print(f"  {violation.at:.3f} s, {violation.rule}: {violation.text}")
 
@@ -116,7 +116,7 @@
     Raises:
         OSError: The file cannot be written.
     """
-    outcomes = case.live()
+    outcomes = case.run()
     file.write_text("".join(line + "\n" for line in outcomes.trace))
     if outcomes.breaches:
         print_result(Found(case.seed, outcomes.breaches), json_lines=False)
@@ -135,12 +135,12 @@
     """
     result = run_seed(seed)
     if not result.breaches:
-        print(f"seed {seed}: {result.error or 'no rule breaks'}", file=sys.stderr)
+        print(f"seed {seed}: {result.error or 'no rule is violated'}", file=sys.stderr)
         return 1
     case = shrink(seed, result.breaches[0].rule)
-    outcomes = case.live()
+    outcomes = case.run()
     case.write(file, outcomes)
-    print(f"seed {seed}, rule {case.rule!r}: {len(outcomes.scheduled)} happenings left, in {file}")
+    print(f"seed {seed}, rule {case.rule!r}: {len(outcomes.scheduled)} events left, in {file}")
     for line in format_events(outcomes.scheduled):
         print(f"  {line}")
     return 1
--- a/message_sender/emulator/shared.py
+++ b/message_sender/emulator/shared.py
@@ -3,7 +3,7 @@
 Each member runs a lease manager (budget/manager.py) on a node of the simulated network
 (emulator/member_network.py), and its clock drifts from the others. Calls arise at each member at a rate of
 its own, and it makes them as soon as it may. A ledger records each call at the receiver, at true time, and
-the sum of all shares after each step of a member. `how` selects what limits a member:
+the sum of all shares after each step of a member. `limiter` selects what limits a member:
 
 - "budget": its leased share.
 - "guess": an even part of the limit, by a configured fleet size that may be wrong.
@@ -80,7 +80,7 @@
         rates: Speed of each member's clock, by number.
         offsets: Offset of each member's clock in us, by number.
         backlog: Calls that wait at each member, by name.
-        enforcers: Limits by which members spend if `how` is "guess", by name.
+        enforcers: Limits by which members spend if `limiter` is "guess", by name.
         ledger: What happened at the receiver.
     """
 
@@ -90,7 +90,7 @@
         members: int,
         seed: int,
         demands: Iterable[float],
-        how: str = "budget",
+        limiter: str = "budget",
         guess: int = 0,
         loss: float = 0.0,
         delay: float = 0.002,
@@ -102,13 +102,13 @@
             members: Number of members.
             seed: Seed of all random draws.
             demands: Calls per second that arise at each member.
-            how: What limits a member; see the module's docstring.
-            guess: Fleet size that members assume if `how` is "guess"; 0: the true one.
+            limiter: What limits a member; see the module's docstring.
+            guess: Fleet size that members assume if `limiter` is "guess"; 0: the true one.
             loss: Share of datagrams that the network loses.
             delay: Highest delay of a datagram in s.
         """
         self.network = MemberNetwork(max(budget.max_members, members), seed, loss, delay)
-        self.budget, self.how, self.guess = budget, how, guess or members
+        self.budget, self.limiter, self.guess = budget, limiter, guess or members
         self.receiver_limit = budget.limit
         self.rng = random.Random(f"shared {seed}")
         self.demands = dict(enumerate(demands))
@@ -164,12 +164,12 @@
 
     def impair_network(self, loss: float, delay: float) -> None:
         """Makes the network lose and duplicate datagrams and delay them by up to `delay` s."""
-        self.network.loss, self.network.double, self.network.delay = loss, 0.2, delay
+        self.network.loss, self.network.duplication, self.network.delay = loss, 0.2, delay
 
     def repair_network(self) -> None:
         """Ends all faults of the network."""
         self.network.split()
-        self.network.loss, self.network.double, self.network.delay = 0.0, 0.0, 0.002
+        self.network.loss, self.network.duplication, self.network.delay = 0.0, 0.0, 0.002
 
     def clock(self, number: int) -> int:
         """Reads a member's clock in us; each reading is higher than the one before."""
@@ -241,10 +241,10 @@
 
     def may_spend(self, number: int, name: str) -> bool:
         """Whether a member may make a call now; if so, the call counts as made."""
-        if self.how == "budget":
+        if self.limiter == "budget":
             return self.managers[name].try_spend([self.budget.name], "")
         now, window = self.network.now, self.ledger.window
-        if self.how == "guess":
+        if self.limiter == "guess":
             return self.enforcers[name].try_spend(
                 "", self.clock(number), max(self.budget.limit // self.guess, 1)
             )
--- a/message_sender/emulator/shared_links.py
+++ b/message_sender/emulator/shared_links.py
@@ -106,7 +106,7 @@
         budgets.bind()
         self.later(self.rng.uniform(0, TICK), self.tick, name, end)
 
-    def gone(self, name: str) -> None:
+    def leave(self, name: str) -> None:
         """Disconnects a sender that was killed."""
         self.running_until[name] = self.time() + DETECTION_DELAY
         self.ends.pop(name, None)
--- a/message_sender/emulator/shrink.py
+++ b/message_sender/emulator/shrink.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from message_sender.emulator.run_plan import ScheduledEvent
-from message_sender.emulator.simulated_run import Outcomes, live
+from message_sender.emulator.simulated_run import Outcomes, simulate
 
 
 @dataclass(frozen=True)
@@ -30,9 +30,9 @@
     rule: str = ""
     without: frozenset[int] = field(default_factory=frozenset)
 
-    def live(self) -> Outcomes:
+    def run(self) -> Outcomes:
         """Runs the simulation of the case."""
-        return live(self.seed, without=self.without)
+        return simulate(self.seed, without=self.without)
 
     def write(self, file: Path, outcomes: Outcomes) -> None:
         """Writes the case as JSON.
@@ -70,7 +70,7 @@
     A run that fails with an exception is a different defect and does not count.
     """
     try:
-        return any(each.rule == rule for each in live(seed, without=without).breaches)
+        return any(each.rule == rule for each in simulate(seed, without=without).breaches)
     except Exception:
         return False
 
@@ -89,7 +89,7 @@
     Raises:
         ValueError: The run of the seed does not violate the rule.
     """
-    outcomes = live(seed)
+    outcomes = simulate(seed)
     if not any(each.rule == rule for each in outcomes.breaches):
         raise ValueError(f"the run of seed {seed} does not violate the rule {rule!r}")
     left = [each.number for each in outcomes.scheduled]
--- a/message_sender/emulator/simulated_run.py
+++ b/message_sender/emulator/simulated_run.py
@@ -33,11 +33,11 @@
     KEY_PAUSE_S,
     WARM_UP_S,
     Drain,
-    HandIn,
     RunAction,
     RunPlan,
     RunSpec,
     ScheduledEvent,
+    SubmitMessage,
     build_settings,
 )
 from message_sender.emulator.trace import encode_trace
@@ -149,7 +149,7 @@
                 return phase.behavior
         return DestinationBehavior.SERVES
 
-    def note_failure(self, endpoint: str) -> None:
+    def record_failure(self, endpoint: str) -> None:
         """Records that the sender saw a call fail, and can therefore know of an outage."""
         self.failures.append((self.plan.destination_of[endpoint], self.time()))
 
@@ -233,7 +233,7 @@
 
     def _apply(self, action: RunAction) -> None:
         match action:
-            case HandIn(message):
+            case SubmitMessage(message):
                 self.engine.take(message, RunCaller(self, message))
             case Drain(endpoint):
                 self.directory.drain(endpoint)
@@ -304,7 +304,7 @@
     """Exception handler of the event loop of a killed process."""
 
 
-def live(seed: int, spec: RunSpec | None = None, without: frozenset[int] = frozenset()) -> Outcomes:
+def simulate(seed: int, spec: RunSpec | None = None, without: frozenset[int] = frozenset()) -> Outcomes:
     """Performs the run that a seed determines.
 
     Args:
@@ -315,13 +315,13 @@
     Raises:
         EmulationError: The engine used a real clock, thread or socket, or unseeded randomness.
     """
-    with quietly() as folder:
+    with isolated_folder() as folder:
         return SimulatedRun(seed, spec or RunSpec(), folder, without).run()
 
 
 @contextlib.contextmanager
-def quietly() -> Iterator[Path]:
-    """Provides a temporary folder for an isolated run that logs nothing."""
+def isolated_folder() -> Iterator[Path]:
+    """Provides a temporary folder, and isolates the run in its block, which logs nothing."""
     disabled_level = logging.root.manager.disable
     logging.disable(logging.CRITICAL)
     # Objects of a killed loop are collected after the run, not in the middle of the next process.
--- a/message_sender/emulator/wire.py
+++ b/message_sender/emulator/wire.py
@@ -81,7 +81,7 @@
         if listed is None:
             return self.topology.one_way_delay_s(self.rng.random())
         zone = listed.endpoint.zone
-        phase = self.topology.receiver_of(listed.endpoint).trouble(now, host, zone)
+        phase = self.topology.receiver_of(listed.endpoint).active_phase(now, host, zone)
         if phase and phase.what is Trouble.SHUT:
             return REFUSED
         if phase and phase.what is Trouble.SILENT:
@@ -131,8 +131,8 @@
         """Ends a call that is over for its sender, even if the endpoint has not noticed yet."""
         self.destinations.abandon_call(message_id, endpoint)
 
-    def note_accepted(self, message: Message, sender: SimulatedSender) -> None:
-        """Notes in the history that a sender has accepted a message."""
+    def message_accepted(self, message: Message, sender: SimulatedSender) -> None:
+        """Records in the history that a sender has accepted a message."""
         deadline_s = (message.deadline_us - EPOCH_US) / SECOND_US - sender.wall_offset_s
         self.history.record(
             seen.MessageAdmitted(
@@ -159,11 +159,11 @@
                 status, response_fields = await client.post(f"/{message_class}", fields, b"body")
         except (TimeoutError, OSError):
             client.close()
-            attempt.lose_patience()
+            attempt.stop_waiting()
             return
         is_accepted = status == ACCEPTED_STATUS
         if not is_accepted and status not in REJECTED_STATUSES:
-            raise AssertionError(f"{attempt.name}: an answer of {status}")
+            raise AssertionError(f"{attempt.name}: unexpected response status {status}")
         if not is_accepted:
             self.history.record(seen.MessageRejected(self.time(), attempt.name))
         retry_after_us = int(float(response_fields.get("retry-after", 0)) * SECOND_US)
--- a/message_sender/emulator/wire_destinations.py
+++ b/message_sender/emulator/wire_destinations.py
@@ -7,7 +7,7 @@
 from message_sender.emulator.fleet_recorder import FleetRecorder
 from message_sender.emulator.fleet_topology import Topology
 from message_sender.emulator.net import HOST
-from message_sender.emulator.receiver import EFFECT_BY_OUTCOME, Fate
+from message_sender.emulator.receiver import EFFECT_BY_OUTCOME, CallResult
 from message_sender.emulator.wire_sender import HTTP_PORT
 from message_sender.policy.model import Outcome
 from message_sender.testbed.history import EffectApplied
@@ -16,13 +16,14 @@
 MALFORMED_RESPONSE = b"\x00\x01 no answer\r\n\r\n"
 
 
-def encode_response(fate: Fate) -> bytes:
-    """Returns the HTTP response for the fate of a call; empty if the call gets no response."""
-    match fate.outcome:
+def encode_response(result: CallResult) -> bytes:
+    """Returns the HTTP response for the result of a call; empty if the call gets no response."""
+    match result.outcome:
         case Outcome.OK:
             return b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
-        case Outcome.FULL if fate.wait:
-            return f"HTTP/1.1 429 No\r\nContent-Length: 0\r\nRetry-After: {fate.wait:.3f}\r\n\r\n".encode()
+        case Outcome.FULL if result.retry_after_s:
+            delay_s = result.retry_after_s
+            return f"HTTP/1.1 429 No\r\nContent-Length: 0\r\nRetry-After: {delay_s:.3f}\r\n\r\n".encode()
         case Outcome.FULL:
             return b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"
         case Outcome.MALFORMED:
@@ -88,21 +89,23 @@
         message, attempt = recorder.count_attempt(message_id)
         receiver = self.topology.receiver_of(listed.endpoint)
         now, zone = recorder.time(), listed.endpoint.zone
-        fate = receiver.call(now, sender, message.luck(attempt), zone)
+        result = receiver.call(now, sender, message.receiver_random(attempt), zone)
         call = recorder.history.record_start(message_id, name, sender)
         self.open_calls[message_id, name] = call
-        if fate.after is None:
+        if result.delay_s is None:
             recorder.effect_applied(message)
-        is_abandoned = await is_closed_within(reader, fate.after)
-        if is_abandoned and fate.after is None:
+        is_abandoned = await is_closed_within(reader, result.delay_s)
+        if is_abandoned and result.delay_s is None:
             self.abandon_call(message_id, name)
             return False
-        is_known = fate.connected and not is_abandoned
-        effect = EFFECT_BY_OUTCOME[fate.outcome] if is_known else EffectApplied.MAYBE
-        recorder.call_finished(fate.ran, message, call, effect, 0.0 if is_abandoned else fate.wait)
-        if is_abandoned or not fate.connected:
+        is_known = result.connected and not is_abandoned
+        effect = EFFECT_BY_OUTCOME[result.outcome] if is_known else EffectApplied.MAYBE
+        recorder.call_finished(
+            result.ran, message, call, effect, 0.0 if is_abandoned else result.retry_after_s
+        )
+        if is_abandoned or not result.connected:
             return False
-        response = encode_response(fate)
+        response = encode_response(result)
         if response:
             writer.write(response)
         return bool(response) and response is not MALFORMED_RESPONSE
--- a/message_sender/emulator/wire_sender.py
+++ b/message_sender/emulator/wire_sender.py
@@ -27,8 +27,8 @@
     def abandon_call(self, message_id: str, endpoint: str) -> None:
         """Ends a call that is over for its sender."""
 
-    def note_accepted(self, message: Message, sender: SimulatedSender) -> None:
-        """Notes in the history that a sender has accepted a message."""
+    def message_accepted(self, message: Message, sender: SimulatedSender) -> None:
+        """Records in the history that a sender has accepted a message."""
 
 
 def run_as_host(host: str, function: Callable[..., Any], *args: Any) -> None:  # noqa: ANN401
@@ -102,13 +102,13 @@
         """Connects the engine to the daemon's server and transport."""
         record_accepted = self.engine.journal.record_accepted
 
-        def record_and_note(message: Message) -> bool:
+        def record_and_report(message: Message) -> bool:
             is_written = record_accepted(message)
             if is_written:
-                self.simulation.note_accepted(message, self)
+                self.simulation.message_accepted(message, self)
             return is_written
 
-        self.engine.journal.record_accepted = record_and_note  # type: ignore[method-assign]
+        self.engine.journal.record_accepted = record_and_report  # type: ignore[method-assign]
         self.engine.hooks.add(CallRecorder(self.simulation.recorder, self.name))
         self.http = WireHttpSender(self)
         self.http.plug(self.directory, ModelCompletionListener(self))
--- a/message_sender/testbed/demo.py
+++ b/message_sender/testbed/demo.py
@@ -27,7 +27,7 @@
 # Durations at pace 1:
 CALM_S = 8.0
 OUTAGE_S = 7.0
-RETURN_S = 12.0
+RECOVERY_S = 12.0
 
 DEADLINE_S = 6.0
 IDEMPOTENCY_WINDOW_S = 5.0
@@ -229,9 +229,9 @@
         await asyncio.sleep(OUTAGE_S * self.pace)
         for endpoint in affected:
             endpoint.is_down = False
-        self.counters.phase = "cold return"
+        self.counters.phase = "recovery"
         self.history.record(Outage(down_at, time.monotonic(), OUTAGE_DESTINATION))
-        await asyncio.sleep(RETURN_S * self.pace)
+        await asyncio.sleep(RECOVERY_S * self.pace)
         self.counters.phase = "settling"
 
     async def run(self, show: ShowCounters) -> list[Violation]:
@@ -261,7 +261,7 @@
         show: ShowCounters,
     ) -> None:
         """Run the clients and the phases, and show the counters until every message is completed."""
-        until = time.monotonic() + (CALM_S + OUTAGE_S + RETURN_S) * self.pace
+        until = time.monotonic() + (CALM_S + OUTAGE_S + RECOVERY_S) * self.pace
         address = sender.server.address()[:2]
         if self.commands:
             tasks = [asyncio.create_task(self.submit_commands(address, until))]
--- a/message_sender/testbed/script.py
+++ b/message_sender/testbed/script.py
@@ -66,8 +66,8 @@
         """Count a call that was received in full, and return the answer to the call."""
         attempt_index = self.call_counts[message]
         self.call_counts[message] += 1
-        if ruled := self.rule(message):
-            return ruled
+        if answer := self.rule(message):
+            return answer
         answers = self.answers.get(message)
         if not answers:
             return self.default
--- a/message_sender/testbed/simulated_disk.py
+++ b/message_sender/testbed/simulated_disk.py
@@ -63,10 +63,10 @@
             if data is None:
                 del survivor[at:]
                 continue
-            fate = rng.random()
-            if fate < ZEROED_SHARE:
+            draw = rng.random()
+            if draw < ZEROED_SHARE:
                 data = bytes(len(data))
-            elif fate < ZEROED_SHARE + TORN_SHARE:
+            elif draw < ZEROED_SHARE + TORN_SHARE:
                 data = tear(data, at, rng)
             survivor += bytes(max(at + len(data) - len(survivor), 0))
             survivor[at : at + len(data)] = data
@@ -87,13 +87,13 @@
 class SimulatedDisk:
     """A folder on a simulated disk that can lose power."""
 
-    def __init__(self, left: dict[str, bytes] | None = None) -> None:
-        """Create a folder that holds the files `left`, by name; all of them are durable."""
+    def __init__(self, files: dict[str, bytes] | None = None) -> None:
+        """Create a folder that holds `files`, by name; all of them are durable."""
         self.contents: dict[int, Content] = {}
         self.names: dict[str, int] = {}  # by name: number of the content; as of the last sync of the folder
         self.now: dict[str, int] = {}  # by name: number of the content; at present
         self.pending: list[dict[str, int | None]] = []  # unsynced changes of names, each atomic
-        for name, data in (left or {}).items():
+        for name, data in (files or {}).items():
             self.names[name] = self.now[name] = number = len(self.contents)
             self.contents[number] = Content(data, bytearray(data))
 
@@ -164,64 +164,64 @@
 class MemoryDisk:
     """A file layer on a simulated disk.
 
-    `takes` returns the simulated duration of a job of `run`, in seconds.
+    `job_duration` returns the simulated duration of a job of `run`, in seconds.
     """
 
-    def __init__(self, platter: SimulatedDisk, before: Callable[[str], None] = no_fault) -> None:
+    def __init__(self, disk: SimulatedDisk, before: Callable[[str], None] = no_fault) -> None:
         """Create a file layer.
 
         Args:
-            platter: The simulated disk.
+            disk: The simulated disk.
             before: Called before each operation with the name of the operation. The function may raise an
                 exception to simulate a fault.
         """
-        self.platter = platter
+        self.disk = disk
         self.before = before
-        self.takes: Callable[[], float] = default_duration
+        self.job_duration: Callable[[], float] = default_duration
         self.files: dict[int, int] = {}  # by descriptor: number of the content
-        self.last = 1000  # latest descriptor; all are above the descriptors of real files
+        self.last_descriptor = 1000  # latest descriptor; all are above the descriptors of real files
 
     def open(self, path: Path, fresh: bool = False) -> int:
         """Open or create a file and return its descriptor; `fresh` truncates the file."""
         self.before("open")
-        self.last += 1
-        self.files[self.last] = self.platter.open(path.name, fresh)
-        return self.last
+        self.last_descriptor += 1
+        self.files[self.last_descriptor] = self.disk.open(path.name, fresh)
+        return self.last_descriptor
 
     def read(self, path: Path) -> bytes:
         """Return the content of a file; empty if the file does not exist."""
-        number = self.platter.now.get(path.name)
-        return b"" if number is None else bytes(self.platter.contents[number].now)
+        number = self.disk.now.get(path.name)
+        return b"" if number is None else bytes(self.disk.contents[number].now)
 
     def write(self, file: int, data: bytes) -> None:
         """Append data to a file."""
         self.before("write")
-        self.platter.contents[self.files[file]].write(data)
+        self.disk.contents[self.files[file]].write(data)
 
     def truncate(self, file: int, size: int) -> None:
         """Truncate a file to `size` bytes."""
         self.before("truncate")
-        self.platter.contents[self.files[file]].truncate(size)
+        self.disk.contents[self.files[file]].truncate(size)
 
     def sync(self, file: int) -> None:
         """Make the content of a file durable."""
         self.before("sync")
-        self.platter.contents[self.files[file]].sync()
+        self.disk.contents[self.files[file]].sync()
 
     def sync_folder(self, path: Path) -> None:
         """Make the file names in a folder durable."""
         self.before("sync of the folder")
-        self.platter.sync_folder()
+        self.disk.sync_folder()
 
     def replace(self, old: Path, new: Path) -> None:
         """Rename a file over another."""
         self.before("rename")
-        self.platter.replace(old.name, new.name)
+        self.disk.replace(old.name, new.name)
 
     def unlink(self, path: Path) -> None:
         """Remove a file, if it exists."""
         self.before("unlink")
-        self.platter.unlink(path.name)
+        self.disk.unlink(path.name)
 
     def close(self, file: int) -> None:
         """Close a descriptor."""
@@ -229,7 +229,7 @@
 
     async def run(self, job: Callable[[], None]) -> None:
         """Run a job after its simulated duration."""
-        await asyncio.sleep(self.takes())
+        await asyncio.sleep(self.job_duration())
         job()
 
     def finish(self) -> None:
@@ -325,28 +325,26 @@
         ops: The file of recorded operations.
         before: The durable files before the first operation, by name.
     """
-    platter = SimulatedDisk(before)
+    disk = SimulatedDisk(before)
     files: dict[tuple[int, int], int] = {}
     for operation, data in read_operations(ops):
         file = files.get((operation["by"], operation.get("file", 0)), -1)
         match operation["do"]:
             case "open":
-                files[operation["by"], operation["file"]] = platter.open(
-                    operation["name"], operation["fresh"]
-                )
+                files[operation["by"], operation["file"]] = disk.open(operation["name"], operation["fresh"])
             case "write":
-                platter.contents[file].write(data)
+                disk.contents[file].write(data)
             case "truncate":
-                platter.contents[file].truncate(operation["to"])
+                disk.contents[file].truncate(operation["to"])
             case "sync":
-                platter.contents[file].sync()
+                disk.contents[file].sync()
             case "sync folder":
-                platter.sync_folder()
+                disk.sync_folder()
             case "replace":
-                platter.replace(operation["old"], operation["new"])
+                disk.replace(operation["old"], operation["new"])
             case "unlink":
-                platter.unlink(operation["name"])
-    return platter
+                disk.unlink(operation["name"])
+    return disk
 
 
 def cut(
@@ -368,11 +366,11 @@
     Returns:
         The files that are durable after the power loss, by name.
     """
-    platter = replay(ops, before)
-    if JOURNAL not in platter.now and (folder / JOURNAL).exists():
-        platter.contents[platter.open(JOURNAL)].write((folder / JOURNAL).read_bytes())
-    survivors = platter.cut(random.Random(seed), keeps)
-    for name in {*platter.now, *platter.names, *survivors}:
+    disk = replay(ops, before)
+    if JOURNAL not in disk.now and (folder / JOURNAL).exists():
+        disk.contents[disk.open(JOURNAL)].write((folder / JOURNAL).read_bytes())
+    survivors = disk.cut(random.Random(seed), keeps)
+    for name in {*disk.now, *disk.names, *survivors}:
         (folder / name).unlink(missing_ok=True)
     for name, data in survivors.items():
         (folder / name).write_bytes(data)
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -25,7 +25,11 @@
     "a member restarts": (WITH_USAGE, Limits(messages=1, lags=0, states=STATES), STATES > ALL_STATES),
     "a clock falls behind": (TWO, Limits(messages=1, restarts=0, lags=1), True),
     "a limit of three": (TWO._replace(limit=3), Limits(messages=1, restarts=0, lags=0), True),
-    "the limit falls": (TWO._replace(limit=2), Limits(messages=1, restarts=0, lags=0, falls=True), True),
+    "the limit falls": (
+        TWO._replace(limit=2),
+        Limits(messages=1, restarts=0, lags=0, limit_may_fall=True),
+        True,
+    ),
     "three members": (TWO._replace(max_members=3, limit=2), Limits(messages=2, lags=1, states=20_000), False),
 }
 
@@ -43,7 +47,7 @@
         for world in result.samples
         for wants in range(terms.max_members)
     ]
-    return result.trace, result.whole, result.states, sum(each != terms.limit for each in ends)
+    return result.trace, result.is_complete, result.states, sum(each != terms.limit for each in ends)
 
 
 @pytest.fixture(scope="module")
@@ -107,7 +111,7 @@
             "message_sender.emulator.explore.effective_terms",
             lambda world, terms: terms,
             TWO._replace(limit=2),
-            Limits(messages=1, restarts=0, lags=0, falls=True),
+            Limits(messages=1, restarts=0, lags=0, limit_may_fall=True),
         ),
         pytest.param(
             "has_previous_promise_expired",
@@ -138,7 +142,7 @@
             defect,
         )
     result = explore(terms, limits)
-    assert result.trace and result.trace[0] == "all have been up for long"
+    assert result.trace and result.trace[0] == "all members have been up for long"
     print("\n".join(result.trace))
 
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -235,7 +235,7 @@
 def test_a_demo_shortened_to_a_tenth_breaks_no_rule(capsys: pytest.CaptureFixture[str]) -> None:
     assert main(["demo", "--pace", "0.1", "--plain"]) == 0
     out = capsys.readouterr().out
-    assert "history check: no violations" in out and "cold return" in out
+    assert "history check: no violations" in out and "phase recovery" in out
     assert main(["demo", "--pace", "9"]) == 2
 
 
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -19,7 +19,13 @@
 from message_sender.core.engine import Engine
 from message_sender.emulator import search, shrink, simulated_run
 from message_sender.emulator.isolation import sealed
-from message_sender.emulator.loop import LIVELOCK, DeadlockError, EmulationError, LivelockError, VirtualLoop
+from message_sender.emulator.loop import (
+    LIVELOCK_ITERATIONS,
+    DeadlockError,
+    EmulationError,
+    LivelockError,
+    VirtualLoop,
+)
 from message_sender.journal.process_journal import Journal
 from message_sender.policy.breaker import Breaker
 from message_sender.policy.endpoints import EndpointRegistry
@@ -30,8 +36,8 @@
 
 
 def test_lives_break_no_rule_and_see_every_kind_of_end() -> None:
-    found = list(search.lives(0, LIVES, 1))
-    assert [each for each in found if each.broken()] == []
+    found = list(search.run_seeds(0, LIVES, 1))
+    assert [each for each in found if each.has_failed()] == []
     ends = {state for each in found for state in each.ends}
     assert ends >= {"delivered", "refused", "failed"} and sum(each.kills for each in found) > LIVES // 4
 
@@ -40,13 +46,14 @@
 def test_a_seed_gives_the_same_bytes_in_any_process(hashes: str, tmp_path: Path) -> None:
     """Also under another seed of the hashes, on which the order of sets would show."""
     code = (
-        "from message_sender.emulator.simulated_run import live; import hashlib; "
-        "print(hashlib.sha256('\\n'.join(x for s in range(20) for x in live(s).trace).encode()).hexdigest())"
+        "from message_sender.emulator.simulated_run import simulate; import hashlib; "
+        "lines = (line for seed in range(20) for line in simulate(seed).trace); "
+        "print(hashlib.sha256('\\n'.join(lines).encode()).hexdigest())"
     )
     environment = os.environ | {"PYTHONHASHSEED": hashes}
     words = [sys.executable, "-c", code]
     out = subprocess.run(words, env=environment, capture_output=True, check=True, text=True, cwd=ROOT).stdout
-    here = [line for seed in range(20) for line in simulated_run.live(seed).trace]
+    here = [line for seed in range(20) for line in simulated_run.simulate(seed).trace]
     assert out.strip() == digest(here)
 
 
@@ -143,7 +150,7 @@
 def test_a_planted_defect_is_found(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
     owner, attribute, wrong, rules = DEFECTS[name]
     monkeypatch.setattr(owner, attribute, wrong)
-    for found in search.lives(0, WITHIN, 1):
+    for found in search.run_seeds(0, WITHIN, 1):
         if {each.rule for each in found.breaches} & rules:
             return
     raise AssertionError(f"not found in {WITHIN} lives")
@@ -190,7 +197,7 @@
         again()
         await loop.create_future()
 
-    with pytest.raises(LivelockError, match=str(LIVELOCK + 1)):
+    with pytest.raises(LivelockError, match=str(LIVELOCK_ITERATIONS + 1)):
         run(spin)
 
 
@@ -246,13 +253,13 @@
     monkeypatch: pytest.MonkeyPatch, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     monkeypatch.setattr(PendingQueue, "pause_key", no_rest)
-    (broken,) = itertools.islice((each for each in search.lives(0, WITHIN, 1) if each.broken()), 1)
+    (broken,) = itertools.islice((each for each in search.run_seeds(0, WITHIN, 1) if each.has_failed()), 1)
     file, trace = tmp_path / "case.json", tmp_path / "trace"
     assert main(["emulate", "shrink", "--seed", str(broken.seed), str(file)]) == 1
     case = shrink.Case.read(file)
-    left = case.live()
+    left = case.run()
     assert case.rule == "order" and {each.rule for each in left.breaches} == {"order"}
-    assert 2 <= len(left.scheduled) < 20 and "happenings left" in capsys.readouterr().out
+    assert 2 <= len(left.scheduled) < 20 and "events left" in capsys.readouterr().out
     for each in left.scheduled:  # none can be spared
         assert not shrink.breaks(case.seed, case.rule, case.without | {each.number})
     assert main(["emulate", "replay", "--case", str(file), str(trace)]) == 1
@@ -260,7 +267,7 @@
     monkeypatch.undo()
     assert main(["emulate", "replay", "--case", str(file), str(trace)]) == 0
     assert main(["emulate", "shrink", "--seed", str(broken.seed), str(file)]) == 1
-    assert "no rule breaks" in capsys.readouterr().err
+    assert "no rule is violated" in capsys.readouterr().err
     for text in ("", "{}", '{"seed": 1, "rule": "order", "without": 3}'):
         file.write_text(text)
         assert main(["emulate", "replay", "--case", str(file), str(trace)]) == 1
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -203,7 +203,10 @@
 @pytest.mark.parametrize(
     ("changes", "text"),
     [
-        ({"destinations": [{"popularity": 0.0}]}, "none of them gets messages"),
+        (
+            {"destinations": [{"popularity": 0.0}]},
+            "at least one must have a popularity above 0, but all have 0",
+        ),
         ({"troubles": [{"at": 1, "until": 2, "what": "shut", "destinations": [4]}]}, "no destination 4"),
         ({"troubles": [{"at": 1, "until": 2, "what": "shut", "seen_by": [1]}]}, "no sender 1"),
         ({"incidents": [{"at": 1, "what": "kill", "sender": 2}]}, "no sender 2"),
@@ -233,7 +236,7 @@
 def test_service_times_have_the_mean_of_their_settings(spread: Spread) -> None:
     service = Service(0.2, spread, 3.0 if spread is Spread.PARETO else 0.7)
     count = 20_000
-    mean = sum(service.seconds((each + 0.5) / count) for each in range(count)) / count
+    mean = sum(service.quantile_s((each + 0.5) / count) for each in range(count)) / count
     assert mean == pytest.approx(0.2, rel=0.02)
 
 
@@ -248,12 +251,12 @@
     now, admitted = 0.0, []
     for step in steps:
         now += step
-        fate = receiver.call(now, "n", MEDIAN_DRAWS)
-        if fate.outcome is Outcome.OK:
+        result = receiver.call(now, "n", MEDIAN_DRAWS)
+        if result.outcome is Outcome.OK:
             admitted.append(now)
         elif not refused_count and not span:
-            assert fate.wait > 0  # just after it there is a token
-            assert Receiver.bucket_wait(receiver, now + fate.wait + 1e-6, limit, rate) == 0
+            assert result.retry_after_s > 0  # just after it there is a token
+            assert Receiver.bucket_wait(receiver, now + result.retry_after_s + 1e-6, limit, rate) == 0
             receiver.tokens += 1
     for first in admitted:
         if span:
@@ -265,9 +268,9 @@
 
 def test_a_receiver_queues_and_rejects_calls_warms_up_and_fails_by_overload() -> None:
     receiver = Receiver(Terms(Service(0.1, Spread.CONSTANT), workers=2, queue=1))
-    fates = [receiver.call(0.0, "n", MEDIAN_DRAWS) for _ in range(4)]
-    assert [each.after for each in fates[:3]] == pytest.approx([0.1, 0.1, 0.2])
-    assert fates[3].outcome is Outcome.FULL and receiver.refused == 1
+    results = [receiver.call(0.0, "n", MEDIAN_DRAWS) for _ in range(4)]
+    assert [each.delay_s for each in results[:3]] == pytest.approx([0.1, 0.1, 0.2])
+    assert results[3].outcome is Outcome.FULL and receiver.refused == 1
     phases = [Phase(1.0, 2.0, Trouble.SHUT), Phase(5.0, 6.0, Trouble.ERRORS, 1.0, frozenset({"a"}), "z")]
     terms = Terms(Service(0.1, Spread.CONSTANT), 2, 9, cold_s=4.0, cold_from=0.25, fallen_s=3.0)
     receiver = Receiver(terms, phases)
@@ -280,10 +283,12 @@
         is Outcome.OK
     )
     overloaded = Receiver(terms, phases)
-    fates = [overloaded.call(2.0 + each / 100, "ab"[each % 2], MEDIAN_DRAWS) for each in range(40)]
-    assert fates[-1].connected is False and len(overloaded.falls) == 1
+    results = [overloaded.call(2.0 + each / 100, "ab"[each % 2], MEDIAN_DRAWS) for each in range(40)]
+    assert results[-1].connected is False and len(overloaded.overload_failures) == 1
     # Twice a quarter of 20 calls a second, for 1.5 s, is 15 calls; it is a little more as it warms up.
-    assert 15 < len(overloaded.falls[0].pushed_by) <= 17 and set(overloaded.falls[0].pushed_by) == {"a", "b"}
+    assert 15 < len(overloaded.overload_failures[0].senders) <= 17 and set(
+        overloaded.overload_failures[0].senders
+    ) == {"a", "b"}
     assert (
         overloaded.call(2.2 + 3.0, "a", MEDIAN_DRAWS).outcome is Outcome.OK and overloaded.warmth(5.2) < 0.3
     )
@@ -316,8 +321,8 @@
     assert rate(20, 40, tenant="loud") == pytest.approx(9 * 12.5, rel=0.1)
     assert rate(60, 80, destination=2) < 3 and rate(60, 80, destination=1) == pytest.approx(12.5, rel=0.2)
     again = list(Arrivals(with_bursts, 7))
-    assert [(each.at, each.key, each.destination, each.luck(2)) for each in messages] == [
-        (each.at, each.key, each.destination, each.luck(2)) for each in again
+    assert [(each.at, each.key, each.destination, each.receiver_random(2)) for each in messages] == [
+        (each.at, each.key, each.destination, each.receiver_random(2)) for each in again
     ]
 
 
@@ -382,7 +387,7 @@
     }
     first, same, other = experiment.compare(scenarios, variants, range(1, 4), 1)
     assert same.against["goodput"] == experiment.Interval(0, 0, 0) and same.measures == first.measures
-    assert other.against["p99_ms"].apart() or other.against["goodput"].apart()
+    assert other.against["p99_ms"].excludes_zero() or other.against["goodput"].excludes_zero()
     table = experiment.table([first, same, other], ["goodput", "nothing"])
     assert table.count("\n") == 4 and "| - |" in table
 
--- a/tests/test_power.py
+++ b/tests/test_power.py
@@ -11,13 +11,13 @@
 
 import pytest
 
-from message_sender.emulator.power import Cuts, live
+from message_sender.emulator.power import Cuts, run_with_power_cuts
 from message_sender.journal.compaction import ReplacementFile
 from message_sender.journal.durable import DurableJournal
 
 #: The amount of unsynced data is largest right before a sync, so cuts there find defects in the order of
 #: operations more often.
-CUTS_BEFORE_SYNC = Cuts(before="sync", apart=8)
+CUTS_BEFORE_SYNC = Cuts(before="sync", max_operations_between=8)
 
 
 class NoFolderSync(DurableJournal):
@@ -59,7 +59,7 @@
 
 def run_scenario(seed: int, cuts: Cuts) -> tuple[int, list[str]]:
     """Runs one scenario; returns the number of power cuts and the rules that were broken."""
-    outcomes = live(seed, cuts)
+    outcomes = run_with_power_cuts(seed, cuts)
     return outcomes.kills, [breach.rule for breach in outcomes.breaches]
 
 
@@ -92,7 +92,7 @@
 @pytest.mark.parametrize(
     ("defect", "rule", "seeds", "min_breaches"),
     [
-        (Cuts(gather=None), "one end", 20, 8),
+        (Cuts(sync_interval_s=None), "one end", 20, 8),
         (replace(CUTS_BEFORE_SYNC, journal=NoFolderSync), "one end", 60, 23),
         (replace(CUTS_BEFORE_SYNC, journal=SentNotAwaited), "no effect twice", 150, 3),
         (replace(CUTS_BEFORE_SYNC, journal=RenamesTooEarly), "one end", 60, 3),
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -4,7 +4,7 @@
 import pytest
 from helpers import SECOND, World, endpoint, sent
 
-from message_sender.emulator.ramp import peaks, returning
+from message_sender.emulator.ramp import peaks, recovery_scenario
 from message_sender.policy.actions import WakeAfter
 from message_sender.policy.events import MessageAccepted, MessageRestored, WakeUp
 from message_sender.policy.model import Outcome
@@ -18,13 +18,13 @@
     [(5, "shut"), (5, "hangs"), *((n, how) for n in (20, 30) for how in HOW)],
 )
 def test_the_load_of_all_senders_stays_below_the_bound(senders: int, how: str) -> None:
-    found, goodput = peaks(returning(senders, how), seed=senders)
+    found, goodput = peaks(recovery_scenario(senders, how), seed=senders)
     assert len(found) == 10 and goodput > 0.6
     assert found[-1] <= 1
 
 
 def test_the_load_of_five_senders_of_which_three_restart_stays_below_the_bound() -> None:
-    found, _ = peaks(returning(5, "restarts"), seed=5)
+    found, _ = peaks(recovery_scenario(5, "restarts"), seed=5)
     assert found[-1] <= 1
 
 
--- a/tests/test_stages.py
+++ b/tests/test_stages.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 
 from message_sender.emulator.member_network import MemberNetwork
-from message_sender.emulator.returning import Destination, Return
+from message_sender.emulator.returning import Destination, RecoveryRun
 from message_sender.recovery import id_inquiry
 from message_sender.recovery.stage_model import DestinationEvidence, Stage, StageAnnouncement
 from message_sender.recovery.stages import (
@@ -109,24 +109,24 @@
 def test_a_returning_destination_gets_one_trial_and_then_its_slow_start_rate(size: int, loss: float) -> None:
     network = MemberNetwork(size, seed=size, loss=loss)
     destinations = [Destination(rate=200.0)]
-    returning = Return(network, destinations, owed=max(600 // size, 3))
+    returning = RecoveryRun(network, destinations, held=max(600 // size, 3))
     for number in range(size):
         network.later(network.rng.uniform(0, 0.3), lambda number=number: returning.start(number))
     network.run(30.0)
-    assert destinations[0].at_once() == 1 and len(destinations[0].trials) == 1
-    assert not any(any(each.owed.values()) for each in returning.members.values()), "all owed messages ran"
+    assert destinations[0].peak_concurrent_trials() == 1 and len(destinations[0].trials) == 1
+    assert not any(any(each.held.values()) for each in returning.members.values()), "all held messages ran"
     # Each member spaces its calls by its own clock, so calls of several members coincide in a short window.
     for window_s, tolerance in ((0.1, 2.0), (1.0, 1.3)):
         for index, first_at in enumerate(destinations[0].calls):
             calls = sum(1 for each in destinations[0].calls[index:] if each < first_at + window_s)
-            assert calls <= tolerance * destinations[0].warm(first_at + window_s) * window_s + 1
+            assert calls <= tolerance * destinations[0].present_rate(first_at + window_s) * window_s + 1
 
 
 @pytest.mark.parametrize("seed", range(10))
 def test_a_trial_of_a_failed_member_is_taken_over_and_its_restart_is_harmless(seed: int) -> None:
     network = MemberNetwork(5, seed, loss=0.1)
-    destinations = [Destination(back=4.0), Destination()]
-    returning = Return(network, destinations, owed=20)
+    destinations = [Destination(recovers_at=4.0), Destination()]
+    returning = RecoveryRun(network, destinations, held=20)
     for number in range(5):
         returning.start(number)
     network.run(1.0)
@@ -138,22 +138,22 @@
     returning.start(int(failed[1:]))
     network.run(60.0)
     assert returning.all_open()
-    assert not any(any(each.owed.values()) for each in returning.members.values())
-    assert all(each.at_once() <= 1 for each in destinations)
+    assert not any(any(each.held.values()) for each in returning.members.values())
+    assert all(each.peak_concurrent_trials() <= 1 for each in destinations)
 
 
 def test_two_partitions_make_at_most_one_trial_each_at_a_time() -> None:
     network = MemberNetwork(6, seed=3)
-    destinations = [Destination(back=10.0)]
-    returning = Return(network, destinations, owed=20)
+    destinations = [Destination(recovers_at=10.0)]
+    returning = RecoveryRun(network, destinations, held=20)
     network.split(["n0", "n1", "n2"], ["n3", "n4", "n5"])
     for number in range(6):
         returning.start(number)
     network.run(15.0)
     network.split()
     network.run(60.0)
-    assert destinations[0].at_once() <= 2 and returning.all_open()
-    assert not any(any(each.owed.values()) for each in returning.members.values())
+    assert destinations[0].peak_concurrent_trials() <= 2 and returning.all_open()
+    assert not any(any(each.held.values()) for each in returning.members.values())
 
 
 @given(st.sets(st.text(min_size=1, max_size=40), max_size=80))
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -177,10 +177,10 @@
         with pytest.raises(BlockingIOError):
             second.connect(THERE)
         await asyncio.sleep(0.5)
-        assert second.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0 and not second.up  # type: ignore[attr-defined]
+        assert second.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0 and not second.is_established  # type: ignore[attr-defined]
         there.accept()
         await asyncio.sleep(1.0)
-        assert second.up and here.up  # type: ignore[attr-defined]
+        assert second.is_established and here.is_established  # type: ignore[attr-defined]
         net.descriptor_limits["world"] = net.count_open("world")
         with pytest.raises(OSError, match="open files"):
             socket.socket()
@@ -290,5 +290,5 @@
     assert main(["emulate", "run", str(file)]) == 1
     monkeypatch.undo()
     assert main(["emulate", "run", str(file)]) == 0
-    with pytest.raises(ValueError, match="does not break"):
-        fuzzing.cut(fuzzing.draw(0), "waits", "ports")
+    with pytest.raises(ValueError, match="does not violate the rule 'waits'"):
+        fuzzing.reduce_scenario(fuzzing.draw(0), "waits", "ports")
