--- a/message_sender/discovery/maintenance.py
+++ b/message_sender/discovery/maintenance.py
@@ -132,7 +132,7 @@
             stored = json.loads(self.path.read_text())
             out, away = stored["out"], stored["away"]
             if not (isinstance(out, list) and all(isinstance(each, str) for each in out)):
-                raise ValueError("out: expected a list of texts")
+                raise ValueError("out: expected a list of strings")
             return out[:MAX_OUT_OF_SERVICE], away is True
         except FileNotFoundError:
             return [], False
--- a/message_sender/discovery/slow_start.py
+++ b/message_sender/discovery/slow_start.py
@@ -1,7 +1,7 @@
 """Slow start: the weight of a new or returned endpoint grows to its full value over a period. Pure.
 
 The weight grows linearly in equal steps, so that a process with cold caches does not get its full share of
-the calls at once (like Envoy's slow start mode with linear growth). An endpoint that is alone at its
+the calls at once (like Envoy's slow start mode with linear growth). The only endpoint of a
 destination has no other endpoints to take the remaining calls: for it the warm-up of the delivery policy
 applies.
 """
--- a/message_sender/http/server_connection.py
+++ b/message_sender/http/server_connection.py
@@ -282,7 +282,7 @@
                 self._respond(ResponseContent(status, text=text, is_last=True))
             self.start_linger()
         except Exception as error:
-            self.fail(error, "refusing")
+            self.fail(error, "rejecting a request")
 
     # End of the connection.
 
