--- a/message_sender/core/engine.py
+++ b/message_sender/core/engine.py
@@ -66,11 +66,11 @@
 class Engine:
     """One sender without its protocols.
 
-    Create it on its loop, set the ports with `plug`, then call `start`, and `close` at the end.
+    Create it on its loop, call `set_ports`, then `start`, and `close` at the end.
 
     Attributes:
-        transport: Performs the calls; set by `plug`.
-        directory: Lists the endpoints; set by `plug`.
+        transport: Performs the calls; set by `set_ports`.
+        directory: Lists the endpoints; set by `set_ports`.
         hooks: The hooks of the sender's optional parts.
         periodic_tasks: Called every `PERIODIC_INTERVAL_S`.
         stopped: Done with the exit code once the engine is to stop.
@@ -128,7 +128,7 @@
 
     # Start and stop.
 
-    def plug(
+    def set_ports(
         self, transport: Transport, directory: Directory, completion_listener: CompletionListener
     ) -> None:
         """Sets the ports. Must be called before `start`."""
--- a/message_sender/core/message_table.py
+++ b/message_sender/core/message_table.py
@@ -77,7 +77,7 @@
         completed: Content hashes of completed messages by id, the oldest first.
         pending_completions: Completions that are not acknowledged yet, by message id.
         counts: Counters of completions by class, for operators.
-        completion_listener: Receives completions that no caller waits for; set by the engine's `plug`.
+        completion_listener: Receives completions that no caller waits for; set by the engine's `set_ports`.
     """
 
     completion_listener: CompletionListener
--- a/message_sender/core/ports.py
+++ b/message_sender/core/ports.py
@@ -119,7 +119,7 @@
     """Performs calls to endpoints by one protocol."""
 
     def call(
-        self, endpoint: str, message: Message, timeout: float, may_go: Callable[[], bool]
+        self, endpoint: str, message: Message, timeout: float, may_send: Callable[[], bool]
     ) -> Coroutine[Any, Any, AttemptResult]:
         """Performs one attempt.
 
@@ -130,7 +130,7 @@
             endpoint: Id of the endpoint.
             message: The message to deliver.
             timeout: The maximum duration in seconds.
-            may_go: Called right before the first byte is sent; if it returns False, the attempt is not sent.
+            may_send: Called right before the first byte is sent; if it returns False, nothing is sent.
 
         Returns:
             A coroutine that returns the result.
@@ -171,10 +171,10 @@
     async def watch(self) -> None:
         """Runs one watch until it ends; the engine then gets a FAILED update and subscribes again."""
 
-    def knows(self, destination: int) -> bool:
+    def is_known(self, destination: int) -> bool:
         """Whether the destination was ever listed, even if it has no endpoint at present."""
 
-    def remember(self, destination: int) -> None:
+    def mark_known(self, destination: int) -> None:
         """Marks a destination as known, since a message for it was restored from the journal."""
 
 
--- a/message_sender/core/restoration.py
+++ b/message_sender/core/restoration.py
@@ -48,7 +48,7 @@
         """
         for entry in list(self.table.journal.entries.values()):
             message_id = entry.message.id
-            self.directory.remember(entry.message.destination)
+            self.directory.mark_known(entry.message.destination)
             if entry.is_delivered():
                 self.table.finish_delivered(message_id)
             elif entry.completion:
--- a/message_sender/discovery/overridden.py
+++ b/message_sender/discovery/overridden.py
@@ -30,11 +30,11 @@
     async def watch(self) -> None:
         """Sends the list and its changes until cancelled."""
 
-    def knows(self, destination: int) -> bool:
+    def is_known(self, destination: int) -> bool:
         """Whether the destination is or was listed."""
         ...
 
-    def remember(self, destination: int) -> None:
+    def mark_known(self, destination: int) -> None:
         """Records a destination that an earlier process knew."""
 
 
@@ -99,13 +99,13 @@
         """Sends the list and its changes until cancelled."""
         await self.source.watch()
 
-    def knows(self, destination: int) -> bool:
+    def is_known(self, destination: int) -> bool:
         """Whether the destination is or was listed."""
-        return self.source.knows(destination)
+        return self.source.is_known(destination)
 
-    def remember(self, destination: int) -> None:
+    def mark_known(self, destination: int) -> None:
         """Records a destination that an earlier process knew."""
-        self.source.remember(destination)
+        self.source.mark_known(destination)
 
     # Updates of the source and outcomes of calls.
 
--- a/message_sender/discovery/static.py
+++ b/message_sender/discovery/static.py
@@ -72,10 +72,10 @@
         self.on_update(EndpointsUpdated(ListingKind.FULL, self.endpoints()))
         await asyncio.get_running_loop().create_future()
 
-    def knows(self, destination: int) -> bool:
+    def is_known(self, destination: int) -> bool:
         """Whether the destination is or was listed."""
         return destination in self.destinations
 
-    def remember(self, destination: int) -> None:
+    def mark_known(self, destination: int) -> None:
         """Records a destination that was listed in an earlier process."""
         self.destinations.add(destination)
--- a/message_sender/emulator/fleet_sender.py
+++ b/message_sender/emulator/fleet_sender.py
@@ -80,7 +80,7 @@
         self.simulation = sender.simulation
 
     async def call(
-        self, endpoint: str, message: Message, timeout: float, may_go: Callable[[], bool]
+        self, endpoint: str, message: Message, timeout: float, may_send: Callable[[], bool]
     ) -> AttemptResult:
         """Makes one call and records its outcome.
 
@@ -88,14 +88,14 @@
             endpoint: Id of the endpoint.
             message: The message.
             timeout: Seconds from now that the call may take.
-            may_go: Called when the connection is up; the call is not sent if it returns False.
+            may_send: Called when the connection is up; the call is not sent if it returns False.
         """
-        result = await self._call(endpoint, message, timeout, may_go)
+        result = await self._call(endpoint, message, timeout, may_send)
         self.simulation.recorder.attempt_finished(self.sender.name, endpoint, result.outcome)
         return result
 
     async def _call(
-        self, endpoint: str, message: Message, timeout: float, may_go: Callable[[], bool]
+        self, endpoint: str, message: Message, timeout: float, may_send: Callable[[], bool]
     ) -> AttemptResult:
         simulation, sender, loop = self.simulation, self.sender, asyncio.get_running_loop()
         deadline = loop.time() + timeout
@@ -114,7 +114,7 @@
         receiver = simulation.topology.receiver_of(listed.endpoint)
         if receiver.trouble(loop.time(), sender.name, zone) is None and loop.time() >= deadline:
             return AttemptResult(Outcome.CONNECT_FAILED)
-        if not may_go():
+        if not may_send():
             return AttemptResult(Outcome.NOT_SENT)
         fate = receiver.call(loop.time(), sender.name, client_message.luck(attempt), zone)
         if not fate.connected:
@@ -251,7 +251,7 @@
 
     def plug(self) -> None:
         """Connects the engine to its transport, endpoint list and completion listener."""
-        self.engine.plug(ModelTransport(self), self.directory, ModelCompletionListener(self))
+        self.engine.set_ports(ModelTransport(self), self.directory, ModelCompletionListener(self))
 
     def terminate(self) -> None:
         """Ends the process as a kill does: its file is closed, and none of its tasks runs any more."""
--- a/message_sender/emulator/run_models.py
+++ b/message_sender/emulator/run_models.py
@@ -102,7 +102,7 @@
         self.run = run
 
     async def call(
-        self, endpoint: str, message: Message, timeout: float, may_go: Callable[[], bool]
+        self, endpoint: str, message: Message, timeout: float, may_send: Callable[[], bool]
     ) -> AttemptResult:
         """Makes one call.
 
@@ -110,7 +110,7 @@
             endpoint: Id of the endpoint.
             message: The message.
             timeout: Seconds from now that the call may take.
-            may_go: Called when the connection is up; the call is not sent if it returns False.
+            may_send: Called when the connection is up; the call is not sent if it returns False.
         """
         run, loop = self.run, asyncio.get_running_loop()
         deadline = loop.time() + timeout
@@ -119,7 +119,7 @@
         if behavior is DestinationBehavior.SHUT or loop.time() >= deadline:
             run.note_failure(endpoint)
             return AttemptResult(Outcome.CONNECT_FAILED)
-        if not may_go():
+        if not may_send():
             return AttemptResult(Outcome.NOT_SENT)
         call = run.history.record_start(message.id, endpoint)
         duration_s, outcome, wait_s = self.draw_fate(behavior)
--- a/message_sender/emulator/simulated_run.py
+++ b/message_sender/emulator/simulated_run.py
@@ -178,7 +178,7 @@
         self.engine = Engine(config, self.read_clock_us, open_journal=self.open_journal)
         self._count_writes()
         self.directory.on_update = self.engine.endpoints_updated
-        self.engine.plug(RunTransport(self), self.directory, RunCompletionListener(self))
+        self.engine.set_ports(RunTransport(self), self.directory, RunCompletionListener(self))
         self.engine.start()
         self.engine.endpoints_updated(EndpointsUpdated(ListingKind.FULL, self.directory.endpoints()))
 
--- a/message_sender/emulator/wire_sender.py
+++ b/message_sender/emulator/wire_sender.py
@@ -47,11 +47,11 @@
         self.transport = transport
 
     async def call(
-        self, endpoint: str, message: Message, timeout: float, may_go: Callable[[], bool]
+        self, endpoint: str, message: Message, timeout: float, may_send: Callable[[], bool]
     ) -> AttemptResult:
         """Makes one call; see `Transport.call`."""
         try:
-            return await self.transport.call(endpoint, message, timeout, may_go)
+            return await self.transport.call(endpoint, message, timeout, may_send)
         finally:
             self.sender.simulation.abandon_call(message.id, endpoint)
 
@@ -111,7 +111,7 @@
         self.engine.journal.record_accepted = record_and_note  # type: ignore[method-assign]
         self.engine.hooks.add(CallRecorder(self.simulation.recorder, self.name))
         self.http = WireHttpSender(self)
-        self.http.plug(self.directory, ModelCompletionListener(self))
+        self.http.set_ports(self.directory, ModelCompletionListener(self))
 
     def terminate(self) -> None:
         """Ends the process as a kill does; its sockets are reset."""
--- a/message_sender/grpc/channel.py
+++ b/message_sender/grpc/channel.py
@@ -304,7 +304,7 @@
             timeout, directory.dials, self.engine.retry_after_received, options, factory
         )
         directory.on_update = self.engine.endpoints_updated
-        self.engine.plug(self.transport, directory, self)
+        self.engine.set_ports(self.transport, directory, self)
         self.waiting_calls: set[Call] = set()
         self.closed = False
         self.engine.stopped.add_done_callback(self._stopped)
@@ -348,7 +348,7 @@
         route = self.router(method, body, metadata)
         extras = encode_extras(method, metadata)
         message = build_message(route, self.classes, body, extras, self.engine.now(), timeout)
-        if not self.directory.knows(message.destination):
+        if not self.directory.is_known(message.destination):
             raise BadRouteError(f"no endpoint of destination {message.destination} was ever listed")
         call = Call(self, message, deserialize)
         self.waiting_calls.add(call)
--- a/message_sender/grpc/transport.py
+++ b/message_sender/grpc/transport.py
@@ -87,7 +87,7 @@
         self.closing_tasks: set[asyncio.Task[None]] = set()
 
     async def call(
-        self, endpoint: str, message: Message, timeout: float, may_go: Callable[[], bool]
+        self, endpoint: str, message: Message, timeout: float, may_send: Callable[[], bool]
     ) -> AttemptResult:
         """Performs one attempt, as `Transport.call` defines it.
 
@@ -105,7 +105,7 @@
             if not is_ready and not await self.wait_until_ready(channel, min(self.connect_timeout, timeout)):
                 self.discard(endpoint, channel)
                 return AttemptResult(Outcome.CONNECT_FAILED)
-            if not may_go():
+            if not may_send():
                 return AttemptResult(Outcome.NOT_SENT)
             return await self.attempt(channel, endpoint, message, max(deadline - loop.time(), 0.001))
         finally:
--- a/message_sender/http/call.py
+++ b/message_sender/http/call.py
@@ -102,7 +102,7 @@
         endpoint: str,
         message: Message,
         deadline: float,
-        may_go: Callable[[], bool],
+        may_send: Callable[[], bool],
     ) -> None:
         """Creates the call; `run` makes it.
 
@@ -111,13 +111,13 @@
             endpoint: Id of the endpoint to call.
             message: The message to send.
             deadline: When the call times out, in seconds on the loop's clock.
-            may_go: Asked immediately before the first byte is written; False cancels the call.
+            may_send: Asked immediately before the first byte is written; False cancels the call.
         """
         self.owner = owner
         self.endpoint = endpoint
         self.message = message
         self.deadline = deadline
-        self.may_go = may_go
+        self.may_send = may_send
         self.loop = asyncio.get_running_loop()
         self.connection: ClientConnection | None = None
         self.is_reused = False
@@ -154,7 +154,7 @@
         connection = await self._connect()
         if connection is None:
             return AttemptResult(Outcome.NOT_SENT)
-        if self.owner.is_closing or not self.may_go():
+        if self.owner.is_closing or not self.may_send():
             self.is_returned = self.owner.return_to_pool(self.endpoint, connection)
             return AttemptResult(Outcome.NOT_SENT)
         self.owner.unsent.discard(task)
--- a/message_sender/http/client.py
+++ b/message_sender/http/client.py
@@ -107,11 +107,11 @@
         self.on_limit_announced: Callable[[str, int, int], None] | None = None
 
     async def call(
-        self, endpoint: str, message: Message, timeout: float, may_go: Callable[[], bool]
+        self, endpoint: str, message: Message, timeout: float, may_send: Callable[[], bool]
     ) -> AttemptResult:
         """Makes a call; see `Transport.call` in the core. `timeout`: seconds."""
         deadline = asyncio.get_running_loop().time() + timeout
-        return await HttpCall(self, endpoint, message, deadline, may_go).run()
+        return await HttpCall(self, endpoint, message, deadline, may_send).run()
 
     def cancel_unsent(self) -> None:
         """Cancels the calls whose first byte has not been written, and lets those in flight finish."""
--- a/message_sender/http/discovery.py
+++ b/message_sender/http/discovery.py
@@ -278,11 +278,11 @@
         listing = ListingKind.FULL if update.is_complete else ListingKind.CHANGES
         self.on_update(EndpointsUpdated(listing, update.endpoints))
 
-    def knows(self, destination: int) -> bool:
+    def is_known(self, destination: int) -> bool:
         """Whether the destination has ever been listed, even if it has no endpoints at present."""
         return destination in self.destinations
 
-    def remember(self, destination: int) -> None:
+    def mark_known(self, destination: int) -> None:
         """Adds a destination for which a message was restored from the journal."""
         self.destinations.add(destination)
 
--- a/message_sender/service/daemon.py
+++ b/message_sender/service/daemon.py
@@ -110,7 +110,7 @@
 class HttpSender(EngineHooks):
     """An engine with an HTTP server and an HTTP transport.
 
-    A subclass provides the dial addresses and plugs in a directory and a completion listener.
+    A subclass provides the dial addresses, and sets a directory and a completion listener (`set_ports`).
 
     Attributes:
         inherited_listener: The listening socket, if another process opened it; else None.
@@ -179,11 +179,11 @@
 
     def knows_destination(self, destination: int) -> bool:
         """Whether any endpoint list so far has named this destination."""
-        return self.engine.directory.knows(destination)
+        return self.engine.directory.is_known(destination)
 
-    def plug(self, directory: Directory, completion_listener: CompletionListener) -> None:
+    def set_ports(self, directory: Directory, completion_listener: CompletionListener) -> None:
         """Connects the engine with its ports; must be called before `start`."""
-        self.engine.plug(self.transport, directory, completion_listener)
+        self.engine.set_ports(self.transport, directory, completion_listener)
 
     async def start(self) -> None:
         """Takes over the journal's messages, then listens and becomes ready for clients."""
@@ -313,7 +313,7 @@
         self.discovery = self._build_discovery(engine, endpoint_list)
         management_sockets = management.MAX_DESCRIPTORS if config.management else 0
         super().__init__(engine, config.listen, config.sockets - management_sockets)
-        self.plug(self.discovery, self.discovery)
+        self.set_ports(self.discovery, self.discovery)
         self.management_server = self._use_management_server(management_server)
         self.process_handover = ProcessHandover(self, ownership) if ownership else None
 
--- a/message_sender/service/standalone.py
+++ b/message_sender/service/standalone.py
@@ -140,7 +140,7 @@
         engine.hooks.add(OverrideHooks(self.overrides))
         self.control_socket = ControlSocket(state, self.commands())
         super().__init__(engine, config.listen, config.sockets)
-        self.plug(self.overrides, completion_listener)
+        self.set_ports(self.overrides, completion_listener)
         self.server.observer = self.transport.observer = traffic_observer
         self.learned_state = self._build_learned_state(state)
         self.membership = self._build_membership(config, state)
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -36,11 +36,11 @@
 
 
 def call(
-    client: HttpTransport, address: Address, timeout: float = 10, body: bytes = b"x", may_go: bool = True
+    client: HttpTransport, address: Address, timeout: float = 10, body: bytes = b"x", may_send: bool = True
 ) -> asyncio.Task[AttemptResult]:
     """Starts a call to the endpoint "r" at `address`."""
     client.dials = lambda: {"r": address}
-    work = client.call("r", sample_message(body=body), timeout, lambda: may_go)
+    work = client.call("r", sample_message(body=body), timeout, lambda: may_send)
     return asyncio.create_task(work)
 
 
@@ -359,9 +359,9 @@
 
 
 @run_async_test
-async def test_may_go_is_checked_immediately_before_the_first_byte_is_written(_: Path) -> None:
+async def test_may_send_is_checked_immediately_before_the_first_byte_is_written(_: Path) -> None:
     async with client_and_receiver() as (client, receiver):
-        answer = await with_timeout(call(client, receiver.address, may_go=False))
+        answer = await with_timeout(call(client, receiver.address, may_send=False))
         assert answer == AttemptResult(Outcome.NOT_SENT) and receiver.requests.empty()
         second = call(client, receiver.address)
         (await receiver.next()).answer(200)
@@ -459,14 +459,14 @@
         self.client = client_with()
 
     async def call_meeting(self, *acts: Callable[[socket.socket], object]) -> AttemptResult:
-        def may_go() -> bool:
+        def may_send() -> bool:
             other = self.listener.accept()[0]
             for act in acts:
                 act(other)
             return True
 
         self.client.dials = lambda: {"r": self.listener.getsockname()}
-        answer: AttemptResult = await with_timeout(self.client.call("r", sample_message(), 10, may_go))
+        answer: AttemptResult = await with_timeout(self.client.call("r", sample_message(), 10, may_send))
         self.listener.close()
         assert not self.client.idle and not self.client.connections
         return answer
--- a/tests/test_late_iterations.py
+++ b/tests/test_late_iterations.py
@@ -254,9 +254,9 @@
         endpoint: str,
         message: Any,  # noqa: ANN401
         timeout: float,
-        may_go: Callable[[], bool],
+        may_send: Callable[[], bool],
     ) -> AttemptResult:
-        if not may_go():
+        if not may_send():
             return AttemptResult(Outcome.NOT_SENT)
         self.sent_ids.append(message.id)
         self.futures[message.id] = asyncio.get_running_loop().create_future()
