--- a/message_sender/core/traffic_observer.py
+++ b/message_sender/core/traffic_observer.py
@@ -15,18 +15,18 @@
 class TrafficObserver(Protocol):
     """Receives the connections and the bytes of each side (`CLIENT_SIDE`, `SERVER_SIDE`)."""
 
-    def opened(self, client: SocketAddress, server: SocketAddress) -> int:
+    def connection_opened(self, client: SocketAddress, server: SocketAddress) -> int:
         """Called when a connection is open; returns its number, counted from 1."""
 
-    def passed(self, connection: int, side: int, data: bytes) -> None:
+    def data_sent(self, connection: int, side: int, data: bytes) -> None:
         """Called with bytes that a side sent."""
 
-    def ended(self, connection: int, side: int, reset: bool) -> None:
-        """Called when a side ended the connection; only the first call for a connection counts.
+    def connection_closed(self, connection: int, side: int, reset: bool) -> None:
+        """Called when a side closed the connection; only the first call for a connection counts.
 
         Args:
             connection: Its number.
-            side: The side that ended the connection.
+            side: The side that closed the connection.
             reset: The connection was reset.
         """
 
@@ -36,7 +36,7 @@
 
     Attributes:
         observer: The observer.
-        number: The connection's number; 0: it is not observed, or has ended.
+        number: The connection's number; 0: it is not observed, or is closed.
     """
 
     __slots__ = ("number", "observer")
@@ -52,15 +52,15 @@
         self.observer = observer
         self.number = 0
         if isinstance(client, tuple) and isinstance(server, tuple):
-            self.number = observer.opened(client[:2], server[:2])
+            self.number = observer.connection_opened(client[:2], server[:2])
 
-    def passed(self, side: int, data: bytes) -> None:
+    def report_data(self, side: int, data: bytes) -> None:
         """Reports bytes that a side sent."""
         if self.number:
-            self.observer.passed(self.number, side, data)
+            self.observer.data_sent(self.number, side, data)
 
-    def ended(self, side: int, reset: bool) -> None:
-        """Reports that a side ended the connection, and stops observing it."""
+    def report_closed(self, side: int, reset: bool) -> None:
+        """Reports that a side closed the connection, and stops observing it."""
         if self.number:
-            self.observer.ended(self.number, side, reset)
+            self.observer.connection_closed(self.number, side, reset)
             self.number = 0
--- a/message_sender/http/client_connection.py
+++ b/message_sender/http/client_connection.py
@@ -146,7 +146,7 @@
                 start = len(data) - self.unsent
                 self.unsent -= self.sock.send(data[start:])
                 if self.observed:
-                    self.observed.passed(CLIENT_SIDE, bytes(data[start : len(data) - self.unsent]))
+                    self.observed.report_data(CLIENT_SIDE, bytes(data[start : len(data) - self.unsent]))
             except (BlockingIOError, InterruptedError):
                 await self.writable()
 
@@ -221,7 +221,7 @@
             # ETIMEDOUT of the network: as TimeoutError it would be taken for this call's own time-out.
             raise ConnectionResetError(str(error)) from None
         if self.observed:
-            self.observed.passed(SERVER_SIDE, data)
+            self.observed.report_data(SERVER_SIDE, data)
         self.feed(data)
         return True
 
@@ -398,6 +398,6 @@
     def close(self) -> None:
         """Closes the connection. Never raises: the descriptor is freed even if the system call fails."""
         if self.observed:
-            self.observed.ended(CLIENT_SIDE, reset=False)
+            self.observed.report_closed(CLIENT_SIDE, reset=False)
         self.stop_reading()
         close(self.sock)
--- a/message_sender/http/observed_transport.py
+++ b/message_sender/http/observed_transport.py
@@ -17,11 +17,11 @@
     def write(self, data: bytes) -> None:
         """Writes data; see `asyncio.WriteTransport.write`."""
         self.transport.write(data)
-        self.observed.passed(SERVER_SIDE, data)
+        self.observed.report_data(SERVER_SIDE, data)
 
     def abort(self) -> None:
         """Closes the transport immediately; see `asyncio.WriteTransport.abort`."""
-        self.observed.ended(SERVER_SIDE, reset=True)
+        self.observed.report_closed(SERVER_SIDE, reset=True)
         self.transport.abort()
 
     def __getattr__(self, name: str) -> Any:  # noqa: ANN401
--- a/message_sender/http/server_connection.py
+++ b/message_sender/http/server_connection.py
@@ -93,7 +93,7 @@
     def connection_lost(self, error: Exception | None) -> None:
         """Callback of the loop: the connection has ended."""
         if self.observed:
-            self.observed.ended(CLIENT_SIDE, reset=error is not None)
+            self.observed.report_closed(CLIENT_SIDE, reset=error is not None)
         self.server.forget(self)
 
     def get_buffer(self, sizehint: int) -> bytearray:
@@ -117,7 +117,7 @@
     def receive(self, data: memoryview) -> None:
         """Processes bytes received from the client."""
         if self.observed:
-            self.observed.passed(CLIENT_SIDE, bytes(data))
+            self.observed.report_data(CLIENT_SIDE, bytes(data))
         if self.server.is_frozen and not self.is_discarding:
             self.stashed += bytes(data)
             return
--- a/message_sender/pcap/traffic_tap.py
+++ b/message_sender/pcap/traffic_tap.py
@@ -65,14 +65,14 @@
         self._is_flush_scheduled = False
         self._connection_count = 0
 
-    def opened(self, client: Address, server: Address) -> int:
+    def connection_opened(self, client: Address, server: Address) -> int:
         """Records a new connection and returns its number."""
         self._connection_count += 1
         addresses = f"{client[0]}:{client[1]} {server[0]}:{server[1]}"
         self._add_record(RecordKind.OPENED, self._connection_count, 0, addresses.encode())
         return self._connection_count
 
-    def passed(self, connection: int, side: int, data: bytes) -> None:
+    def data_sent(self, connection: int, side: int, data: bytes) -> None:
         """Records bytes from the client (side 0) or from the server (side 1)."""
         if self.dropped_bytes and (size := self.dropped_bytes.pop((connection, side), 0)):
             self._add_record(RecordKind.LOST, connection, side, b"%d" % size)
@@ -80,8 +80,8 @@
             dropped_bytes = self.dropped_bytes.get((connection, side), 0)
             self.dropped_bytes[connection, side] = dropped_bytes + len(data)
 
-    def ended(self, connection: int, side: int, reset: bool) -> None:
-        """Records the end of a connection, by the given side."""
+    def connection_closed(self, connection: int, side: int, reset: bool) -> None:
+        """Records that the given side closed the connection."""
         for ended_side in (0, 1):
             self.dropped_bytes.pop((connection, ended_side), None)
         self._add_record(RecordKind.RESET if reset else RecordKind.ENDED, connection, side, b"")
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -189,14 +189,14 @@
     async def test() -> TrafficTap:
         tap = TrafficTap(tmp_path, 10**6)
         monkeypatch.setattr("message_sender.pcap.traffic_tap.os.write", blocked)
-        connection = tap.opened(("127.0.0.1", 1), ("127.0.0.1", 2))
+        connection = tap.connection_opened(("127.0.0.1", 1), ("127.0.0.1", 2))
         for _ in range(3):
-            tap.passed(connection, 0, b"x" * 700)
+            tap.data_sent(connection, 0, b"x" * 700)
             await turn()
         assert (tap.dropped_records, tap.dropped_bytes) == (1, {(connection, 0): 700})
         monkeypatch.undo()
         tap.flush()
-        tap.passed(connection, 0, b"end")
+        tap.data_sent(connection, 0, b"end")
         return tap
 
     def blocked(pipe: int, data: bytes) -> int:
@@ -212,9 +212,9 @@
         tap = TrafficTap(tmp_path, 10**6)
         tap.process.kill()
         tap.process.wait()
-        tap.opened(("127.0.0.1", 1), ("127.0.0.1", 2))
+        tap.connection_opened(("127.0.0.1", 1), ("127.0.0.1", 2))
         tap.flush()
-        tap.passed(1, 0, b"x")
+        tap.data_sent(1, 0, b"x")
         return tap
 
     tap = asyncio.run(test())
