--- a/message_sender/handover/takeover.py
+++ b/message_sender/handover/takeover.py
@@ -47,13 +47,13 @@
     def release(self) -> None:
         """Releases all resources to the successor, which is the owner now."""
 
-    def message_received(self, packet: Packet) -> None:
+    def handle_successor_packet(self, packet: Packet) -> None:
         """Handles a packet of the successor that is not part of the handover itself."""
 
-    def successor_lost(self) -> None:
+    def handle_successor_end(self) -> None:
         """Aborts attempts in flight and ends this process: the successor ended after it took over."""
 
-    def superseded(self) -> None:
+    def handle_ownership_loss(self) -> None:
         """Ends this process, because an unknown process has become the owner."""
 
 
@@ -195,7 +195,7 @@
                 self.close_listener()
                 self.owner.release()
             case _:
-                self.owner.message_received(packet)
+                self.owner.handle_successor_packet(packet)
 
     def _offer_ownership(self, owner: Owner) -> None:
         assert self.successor_link is not None
@@ -214,7 +214,7 @@
         assert self.owner is not None
         if self.ownership.state is OwnershipState.HANDED_OVER:
             # The next process starts from the journal and does not know about attempts in flight here.
-            self.owner.successor_lost()
+            self.owner.handle_successor_end()
         if self.ownership.state is not OwnershipState.OFFERED:
             return
         try:
@@ -225,7 +225,7 @@
             log.warning("handover aborted, serving resumed: reason=successor ended")
             self.owner.resume()
         else:
-            self.owner.superseded()
+            self.owner.handle_ownership_loss()
 
     def close_listener(self) -> None:
         """Closes the listening socket for successors."""
--- a/message_sender/service/process_handover.py
+++ b/message_sender/service/process_handover.py
@@ -64,9 +64,9 @@
         needed = len(attempts.predecessor_calls) + SPARE_DESCRIPTORS
         self.reserved_descriptors = min(needed, transport.connection_limit // 2)
         transport.connection_limit -= self.reserved_descriptors
-        predecessor.attach(self.handle_packet, self.handle_predecessor_end)
+        predecessor.attach(self.handle_predecessor_packet, self.handle_predecessor_end)
 
-    def handle_packet(self, packet: Packet, descriptors: list[int]) -> None:
+    def handle_predecessor_packet(self, packet: Packet, descriptors: list[int]) -> None:
         """Handles a packet from the predecessor; a malformed packet is logged and dropped."""
         try:
             if packet["do"] == CLIENT_PACKET and len(descriptors) == 1:
@@ -181,7 +181,7 @@
         }
         self.ownership.successor_link.send(packet)
 
-    def message_received(self, packet: Packet) -> None:
+    def handle_successor_packet(self, packet: Packet) -> None:
         """Handles a packet from the successor: cancels the call that it names."""
         if packet.get("do") != CANCEL_PACKET:
             return
@@ -189,7 +189,7 @@
         if task := self.sender.engine.attempts.calls.get(attempt):
             task.cancel()
 
-    def successor_lost(self) -> None:
+    def handle_successor_end(self) -> None:
         """Stops this process after the successor has ended.
 
         Calls in flight end with this process, because no later process can know of them.
@@ -197,6 +197,6 @@
         log.warning("successor ended: unfinished_calls=%d", len(self.sender.engine.attempts.calls))
         self.sender.stop(0)
 
-    def superseded(self) -> None:
+    def handle_ownership_loss(self) -> None:
         """Ends this process, because another one owns the state folder without a handover."""
         self.sender.engine.fail("another process has taken over", None)
