--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -191,7 +191,7 @@
     while count < 50_000:
         if count % 500 == 0:
             desk.tick(())
-        desk.free_at("hub")
+        desk.available_at("hub")
         book.enforcer.reserve("m")
         desk.try_spend(["hub"], "m")
         count += 1
--- a/message_sender/budget/enforcer.py
+++ b/message_sender/budget/enforcer.py
@@ -70,7 +70,7 @@
         self.reserved.discard(name)
         self.active.discard(name)
 
-    def free_at(self, now_us: int, share: int) -> int:
+    def available_at(self, now_us: int, share: int) -> int:
         """Returns when one more unit is free if the share stays the same: now, a later time or NEVER_US."""
         excess = self.usage(now_us) - share
         if excess < 0:
--- a/message_sender/budget/manager.py
+++ b/message_sender/budget/manager.py
@@ -154,13 +154,13 @@
 
     # Spending.
 
-    def free_at(self, name: str) -> int:
+    def available_at(self, name: str) -> int:
         """Returns when one more unit is free, in microseconds of the clock.
 
         NEVER_US: not before the share grows or a held unit is released.
         """
         ledger = self.ledgers[name]
-        return ledger.enforcer.free_at(self.clock(), ledger.share())
+        return ledger.enforcer.available_at(self.clock(), ledger.share())
 
     def try_spend(self, names: Iterable[str], spent_by: str) -> bool:
         """Spends one unit of each budget; called immediately before the first byte of a call.
--- a/message_sender/budget/retry_allowance.py
+++ b/message_sender/budget/retry_allowance.py
@@ -54,7 +54,7 @@
                 times.popleft()
         return self.minimum + self.fraction * len(self.first_attempts_us) - len(self.retries_us)
 
-    def free_at(self, now_us: int) -> int:
+    def available_at(self, now_us: int) -> int:
         """Returns when to check again for a retry; NEVER_US: not before there are more first attempts."""
         if now_us < self.blocked_until_us:
             return self.blocked_until_us
--- a/message_sender/core/explain.py
+++ b/message_sender/core/explain.py
@@ -157,6 +157,6 @@
         cause = "it warms up" if breaker.warm_up_gap(now) > breaker.gap else "its gap"
         return f"{cause}: the next call in {(ready_at - now) / US_PER_S:.3f} s"
     limits = dispatcher.registry.shared_limits
-    if limits and limits.free_at(endpoint.listed, now) > now:
+    if limits and limits.available_at(endpoint.listed, now) > now:
         return "its part of a budget that the fleet shares is in use"
     return "" if dispatcher.may_call(breaker) else "it has as many calls out as one destination may"
--- a/message_sender/policy/dispatcher.py
+++ b/message_sender/policy/dispatcher.py
@@ -232,7 +232,7 @@
             if (
                 breaker
                 and self.may_call(breaker)
-                and limits.free_at(endpoint.listed, now, breaker.is_open()) <= now
+                and limits.available_at(endpoint.listed, now, breaker.is_open()) <= now
             ):
                 return True
         return False
@@ -272,7 +272,7 @@
             now = int(self.loop.now)
             if limits and not can_join:
                 is_trial = endpoint.breaker.is_open()
-                if limits.free_at(listed, now, is_trial, message.attempts > 0) > now:
+                if limits.available_at(listed, now, is_trial, message.attempts > 0) > now:
                     continue
             rank = self.endpoint_rank(endpoint, can_join, destination.is_weighted)
             candidates.append((rank, len(candidates), endpoint))
--- a/message_sender/policy/endpoints.py
+++ b/message_sender/policy/endpoints.py
@@ -213,11 +213,12 @@
         if self.shared_limits and destination.endpoints:
             now = int(self.loop.now)
             ready_at = max(
-                ready_at, min(self.shared_limits.free_at(each.listed, now) for each in destination.endpoints)
+                ready_at,
+                min(self.shared_limits.available_at(each.listed, now) for each in destination.endpoints),
             )
         self.reopenings.schedule(destination.number, ready_at if ready_at > self.loop.now else NEVER)
 
-    def limits_raised(self, number: int) -> None:
+    def recheck_destination(self, number: int) -> None:
         """Makes the next iteration check a destination for which this sender's part of a limit has grown."""
         if number in self.destinations:
             self.available[number] = None
--- a/message_sender/policy/limits.py
+++ b/message_sender/policy/limits.py
@@ -12,29 +12,33 @@
     is about to use.
     """
 
-    def free_at(self, listed: Endpoint, now: int, trial: bool = False, again: bool = False) -> float:
+    def available_at(
+        self, endpoint: Endpoint, now: int, is_trial: bool = False, is_retry: bool = False
+    ) -> float:
         """Returns when one more call to an endpoint may be sent.
 
         Args:
-            listed: The endpoint.
+            endpoint: The endpoint.
             now: The time, us.
-            trial: Whether the call is the trial call of an open breaker.
-            again: Whether the call is a retry.
+            is_trial: Whether the call is the trial call of an open breaker.
+            is_retry: Whether the call is a retry.
 
         Returns:
             `now` if the call may be sent at once, a later time, or infinity if this sender's part must grow
             or a call must end first. After a denied call the implementation reports the change through
-            `EndpointRegistry.limits_raised`.
+            `EndpointRegistry.recheck_destination`.
         """
         ...
 
-    def reserve(self, listed: Endpoint, message: str, trial: bool = False, again: bool = False) -> None:
+    def reserve(
+        self, endpoint: Endpoint, message_id: str, is_trial: bool = False, is_retry: bool = False
+    ) -> None:
         """Reserves the part of the limits that a call uses.
 
         Args:
-            listed: The endpoint.
-            message: Id of the message that the call is sent for.
-            trial: As for `free_at`.
-            again: As for `free_at`.
+            endpoint: The endpoint.
+            message_id: Id of the message that the call is sent for.
+            is_trial: As for `available_at`.
+            is_retry: As for `available_at`.
         """
         ...
--- a/message_sender/service/budget_demand.py
+++ b/message_sender/service/budget_demand.py
@@ -29,7 +29,7 @@
 def wake_policy(engine: Engine, destinations: Collection[int]) -> None:
     """Makes the delivery policy reconsider destinations whose limits may have increased."""
     for destination in destinations:
-        engine.dispatcher.registry.limits_raised(destination)
+        engine.dispatcher.registry.recheck_destination(destination)
         engine.post(WakeUp())
 
 
--- a/message_sender/service/call_reservations.py
+++ b/message_sender/service/call_reservations.py
@@ -70,7 +70,9 @@
 
     # The delivery policy's port.
 
-    def free_at(self, endpoint: Endpoint, now: int, is_trial: bool = False, is_retry: bool = False) -> float:
+    def available_at(
+        self, endpoint: Endpoint, now: int, is_trial: bool = False, is_retry: bool = False
+    ) -> float:
         """Returns the earliest time of another call to the endpoint, in microseconds of the policy's clock.
 
         The result is infinity where the call has to wait until a share increases or another call ends.
@@ -79,18 +81,18 @@
         names = budgets.for_call(is_trial, is_retry)
         if self.needs_connection(endpoint.id):
             names += budgets.connections
-        free_times_us = [self.budget_free_at_us(name) for name in names]
-        free_at_us = max(free_times_us, default=0)
+        available_times_us = [self.budget_available_at_us(name) for name in names]
+        available_at_us = max(available_times_us, default=0)
         clock_us = self.clock()
-        if free_at_us <= clock_us:
+        if available_at_us <= clock_us:
             return now
         if any(
             clock_us < time_us < NEVER_US and not self.is_retried_by_policy(name)
-            for name, time_us in zip(names, free_times_us, strict=True)
+            for name, time_us in zip(names, available_times_us, strict=True)
         ):
             earlier_us = self.retry_times_us.get(endpoint.destination, NEVER_US)
-            self.retry_times_us[endpoint.destination] = min(free_at_us, earlier_us)
-        return math.inf if free_at_us >= NEVER_US else now + free_at_us - clock_us
+            self.retry_times_us[endpoint.destination] = min(available_at_us, earlier_us)
+        return math.inf if available_at_us >= NEVER_US else now + available_at_us - clock_us
 
     def reserve(
         self, endpoint: Endpoint, message_id: str, is_trial: bool = False, is_retry: bool = False
@@ -107,10 +109,10 @@
         for name in reservation.names + reservation.connection_names:
             self.registry.counter_of(name).reserve(message_id)
 
-    def budget_free_at_us(self, name: str) -> int:
+    def budget_available_at_us(self, name: str) -> int:
         """Returns the time at which one more unit of the budget is free, in microseconds of `clock`."""
         allowance = self.registry.allowances.get(name)
-        return allowance.free_at(self.clock()) if allowance else self.manager.free_at(name)
+        return allowance.available_at(self.clock()) if allowance else self.manager.available_at(name)
 
     def needs_connection(self, endpoint: str) -> bool:
         """Whether the next call to the endpoint needs a new connection that spends from a budget."""
--- a/message_sender/service/tenant_quota.py
+++ b/message_sender/service/tenant_quota.py
@@ -50,8 +50,12 @@
             if self.manager.try_spend([name], ""):
                 continue
             self.demand.record_tenant_rejection(name, now_us)
-            free_at_us = self.manager.free_at(name)
-            return UNKNOWN_DELAY_US if free_at_us >= NEVER_US else max(free_at_us - now_us, MIN_DELAY_US)
+            available_at_us = self.manager.available_at(name)
+            return (
+                UNKNOWN_DELAY_US
+                if available_at_us >= NEVER_US
+                else max(available_at_us - now_us, MIN_DELAY_US)
+            )
         return 0
 
     def budgets_of(self, tenant: str) -> list[str]:
--- a/tests/test_control_sender.py
+++ b/tests/test_control_sender.py
@@ -143,7 +143,7 @@
 ) -> None:
     listed = Endpoint("e", 3, EndpointState.READY, "plain", "", 8.0)
     destination = SimpleNamespace(pending={}, endpoints=[SimpleNamespace(listed=listed)], breakers=())
-    registry = SimpleNamespace(kinds={"plain": DestinationKind()}, limits_raised=lambda number: None)
+    registry = SimpleNamespace(kinds={"plain": DestinationKind()}, recheck_destination=lambda number: None)
     endpoints = {"e": destination.endpoints[0]}
     dispatcher = SimpleNamespace(endpoints=endpoints, destinations={3: destination}, registry=registry)
     engine: Any = SimpleNamespace(
--- a/tests/test_shared_budgets.py
+++ b/tests/test_shared_budgets.py
@@ -204,7 +204,7 @@
         "warm": FULLY_WARM_PERMILLE,
     }
     manager.handle_datagram("b", LeaseDatagram("hub", **fields | changed_fields))
-    assert manager.free_at("hub") == NEVER_US
+    assert manager.available_at("hub") == NEVER_US
     assert any(reason in each for each in manager.ledgers["hub"].rejections)
 
 
@@ -212,15 +212,19 @@
     enforcer = LimitEnforcer(None)
     enforcer.reserve("a")
     assert enforcer.try_spend("a", 5, 1) and not enforcer.try_spend("b", 5, 1)
-    assert enforcer.free_at(9, 1) == NEVER_US
+    assert enforcer.available_at(9, 1) == NEVER_US
     enforcer.release("a")
-    assert enforcer.usage(9) == 0 and enforcer.free_at(9, 1) == 9
+    assert enforcer.usage(9) == 0 and enforcer.available_at(9, 1) == 9
 
 
 def test_a_rate_has_capacity_once_usage_leaves_the_window() -> None:
     rate = LimitEnforcer(100)
     assert [rate.try_spend("", at, 2) for at in (0, 30, 60, 100)] == [True, True, False, True]
-    assert (rate.free_at(110, 2), rate.free_at(110, 1), rate.free_at(110, 3)) == (130, 200, 110)
+    assert (rate.available_at(110, 2), rate.available_at(110, 1), rate.available_at(110, 3)) == (
+        130,
+        200,
+        110,
+    )
 
 
 @pytest.mark.parametrize(
@@ -241,7 +245,7 @@
     destination = SimpleNamespace(pending={"m": 1}, endpoints=[SimpleNamespace(listed=listed)], breakers=())
     dispatcher = SimpleNamespace(
         endpoints={"e": destination.endpoints[0]}, destinations={3: destination},
-        registry=SimpleNamespace(kinds={"plain": DestinationKind()}, limits_raised=lambda number: None),
+        registry=SimpleNamespace(kinds={"plain": DestinationKind()}, recheck_destination=lambda number: None),
     )  # fmt: skip
     engine: Any = SimpleNamespace(
         dispatcher=dispatcher,
@@ -257,7 +261,7 @@
     for second in range(200):
         time["now"] = second / 10
         budgets.step(time["now"])
-        if budgets.reservations.free_at(listed, 0) <= 0 and not budgets.reservations.calls:
+        if budgets.reservations.available_at(listed, 0) <= 0 and not budgets.reservations.calls:
             budgets.reservations.reserve(listed, "m")
             assert budgets.reservations.reserve_limits("e", "m")
     assert budgets.reservations.calls["m"].names == ["rate/3"]
@@ -267,7 +271,7 @@
         budgets.step(time["now"])
     assert not budgets.manager.ledgers
     engine.hooks.release_limits("m")
-    assert not budgets.reservations.calls and budgets.reservations.free_at(listed, 0) > 0, (
+    assert not budgets.reservations.calls and budgets.reservations.available_at(listed, 0) > 0, (
         "the budget is open again and its capacity is waited for"
     )
 
@@ -291,7 +295,7 @@
         counted = [sum(now - 100 < each for each in times) for times in (first_attempts, retries)]
         is_allowed = counted[1] + 1 <= minimum + 0.4 * counted[0]
         assert allowance.has_capacity(now) is is_allowed
-        assert (allowance.free_at(now) == now) is is_allowed
+        assert (allowance.available_at(now) == now) is is_allowed
         if is_allowed:
             allowance.spend("", now)
             retries.append(now)
@@ -299,7 +303,9 @@
 
 def test_a_new_session_allows_no_retry_for_one_window() -> None:
     allowance = RetryAllowance(1.0, 100, 5, 50)
-    assert allowance.free_at(149) == 150 and not allowance.has_capacity(149) and allowance.has_capacity(150)
+    assert (
+        allowance.available_at(149) == 150 and not allowance.has_capacity(149) and allowance.has_capacity(150)
+    )
 
 
 @pytest.mark.parametrize(
@@ -326,11 +332,15 @@
     def __init__(self, denied: str) -> None:
         self.denied, self.reserved = denied, list[tuple[str, bool, bool]]()
 
-    def free_at(self, listed: Endpoint, now: int, trial: bool = False, again: bool = False) -> float:
-        return NEVER_US if {"trials": trial, "repeats": again}[self.denied] else now
+    def available_at(
+        self, endpoint: Endpoint, now: int, is_trial: bool = False, is_retry: bool = False
+    ) -> float:
+        return NEVER_US if {"trials": is_trial, "repeats": is_retry}[self.denied] else now
 
-    def reserve(self, listed: Endpoint, message: str, trial: bool = False, again: bool = False) -> None:
-        self.reserved.append((message, trial, again))
+    def reserve(
+        self, endpoint: Endpoint, message_id: str, is_trial: bool = False, is_retry: bool = False
+    ) -> None:
+        self.reserved.append((message_id, is_trial, is_retry))
 
 
 def test_the_policy_respects_the_limit_of_trials() -> None:
@@ -339,7 +349,7 @@
     world.open_breaker()
     assert not sent(world.take()) and not sent(world.step(WakeUp(), after=3 * US))
     limits.denied = "repeats"
-    world.dispatcher.registry.limits_raised(1)
+    world.dispatcher.registry.recheck_destination(1)
     assert len(sent(world.step(WakeUp()))) == 1
     assert limits.reserved[-1][1:] == (True, False)
 
@@ -350,7 +360,7 @@
     assert sent(world.take()) == ["m1"] and not sent(world.answer("m1", Outcome.ERROR))
     assert sent(world.take(after=US)) == ["m2"] and not sent(world.answer("m2", Outcome.OK))
     limits.denied = "trials"
-    world.dispatcher.registry.limits_raised(1)
+    world.dispatcher.registry.recheck_destination(1)
     assert sent(world.step(WakeUp(), after=US)) == ["m1"]
     assert limits.reserved == [("m1", False, False), ("m2", False, False), ("m1", False, True)]
 
@@ -381,7 +391,7 @@
 ) -> None:
     listed = Endpoint("e", 3, EndpointState.READY, "plain", "", 8.0)
     destination = SimpleNamespace(pending={}, endpoints=[SimpleNamespace(listed=listed)], breakers=())
-    registry = SimpleNamespace(kinds={"plain": DestinationKind()}, limits_raised=lambda number: None)
+    registry = SimpleNamespace(kinds={"plain": DestinationKind()}, recheck_destination=lambda number: None)
     dispatcher = SimpleNamespace(
         endpoints={"e": destination.endpoints[0]}, destinations={3: destination}, registry=registry
     )
