--- a/message_sender/core/counts.py
+++ b/message_sender/core/counts.py
@@ -21,20 +21,20 @@
 
     Attributes:
         classes: Counts by class, then by counter name.
-        sends: Number of requests that were written completely to endpoints.
+        requests_sent: Number of requests that were written completely to endpoints.
     """
 
     def __init__(self, classes: Iterable[str]) -> None:
         """Starts all counters of the classes at zero."""
         self.classes = {name: dict.fromkeys(COUNTER_NAMES.values(), 0) for name in classes}
-        self.sends = 0
+        self.requests_sent = 0
 
-    def ended(self, message_class: str, state: CompletionState) -> None:
+    def count_completion(self, message_class: str, state: CompletionState) -> None:
         """Counts a completion; withdrawn messages and messages of an unknown class are not counted."""
         counts = self.classes.get(message_class)
         if counts and state in COUNTER_NAMES:
             counts[COUNTER_NAMES[state]] += 1
 
-    def sent(self) -> None:
+    def count_request(self) -> None:
         """Counts a request that was written completely to an endpoint."""
-        self.sends += 1
+        self.requests_sent += 1
--- a/message_sender/core/message_table.py
+++ b/message_sender/core/message_table.py
@@ -146,7 +146,7 @@
 
     def reject(self, message: Message, caller: Caller, reason: RejectReason, retry_after_us: int) -> None:
         """Rejects a message that was not accepted; no attempt of it has started."""
-        self.counts.ended(message.message_class, CompletionState.REFUSED)
+        self.counts.count_completion(message.message_class, CompletionState.REFUSED)
         caller.rejected(Rejected(reason, retry_after_us))
 
     # Completion.
@@ -219,7 +219,7 @@
         """Removes a completed message from the journal; its id stays known for a while."""
         if entry := self.journal.entries.get(message_id):
             self.completed[message_id] = content_hash(entry.message)
-            self.counts.ended(entry.message.message_class, state)
+            self.counts.count_completion(entry.message.message_class, state)
         self.journal.record_end(message_id, state.value)
         if len(self.completed) > COMPLETED_IDS_LIMIT:
             del self.completed[next(iter(self.completed))]
--- a/message_sender/service/daemon.py
+++ b/message_sender/service/daemon.py
@@ -159,11 +159,11 @@
             self.dial_addresses,
             engine.retry_after_received,
         )
-        transport.on_sent = engine.table.counts.sent
+        transport.on_sent = engine.table.counts.count_request
         return transport
 
     def _count_rejected_unread(self, message_class: str) -> None:
-        self.engine.table.counts.ended(message_class, CompletionState.REFUSED)
+        self.engine.table.counts.count_completion(message_class, CompletionState.REFUSED)
 
     def work_finished(self) -> None:
         """Stops the sender if its drain is complete, after messages or calls have ended."""
--- a/message_sender/service/operator_commands.py
+++ b/message_sender/service/operator_commands.py
@@ -84,7 +84,7 @@
         counts = engine.table.counts
         avoided_count = sum(map(self.is_avoided, listed))
         metrics = Metrics(
-            counts.classes, counts.sends, len(engine.journal.entries), len(listed), avoided_count
+            counts.classes, counts.requests_sent, len(engine.journal.entries), len(listed), avoided_count
         )
         return ManagementReply(200, metrics.text())
 
