--- a/message_sender/cli/journal.py
+++ b/message_sender/cli/journal.py
@@ -44,11 +44,11 @@
 
 def print_damage(inspected: InspectedJournal, label: str) -> None:
     """Prints a line for each damaged part of the journal, after `label`."""
-    reading = inspected.reading
-    for gap in (*reading.gaps, *reading.unwritten_gaps):
+    scan_result = inspected.scan_result
+    for gap in (*scan_result.gaps, *scan_result.unwritten_gaps):
         click.echo(f"{label}: {gap.size_bytes} bytes at byte {gap.offset}, which {gap.kind.value}")
-    if reading.tail_bytes:
-        click.echo(f"{label}: {reading.tail_bytes} bytes at the end, which were never durable")
+    if scan_result.tail_bytes:
+        click.echo(f"{label}: {scan_result.tail_bytes} bytes at the end, which were never durable")
 
 
 @journal.command()
@@ -60,13 +60,13 @@
     if not inspected.has_checksums:
         click.echo("old journal format without checksums: the records cannot be verified")
     print_damage(inspected, "damaged")
-    reading = inspected.reading
+    scan_result = inspected.scan_result
     doubtful = sum(entry.is_doubtful for entry in inspected.entries.values())
     click.echo(
-        f"{len(reading.records)} records intact; "
+        f"{len(scan_result.records)} records intact; "
         f"{len(inspected.entries)} messages not completed, {doubtful} doubtful"
     )
-    is_damaged = bool(reading.gaps or reading.unwritten_gaps or reading.tail_bytes)
+    is_damaged = bool(scan_result.gaps or scan_result.unwritten_gaps or scan_result.tail_bytes)
     ctx.exit(0 if inspected.has_checksums and not is_damaged else 1)
 
 
@@ -153,4 +153,4 @@
         f"{to / JOURNAL_FILE}: {len(inspected.entries)} messages not completed, "
         f"{len(inspected.finished)} known to be completed"
     )
-    ctx.exit(1 if inspected.reading.gaps else 0)
+    ctx.exit(1 if inspected.scan_result.gaps else 0)
--- a/message_sender/journal/contents.py
+++ b/message_sender/journal/contents.py
@@ -68,7 +68,7 @@
         lost_ids: Ids of messages whose `taken` record is unreadable, as far as other records name them.
         latest_us: The latest recorded time, wall clock, us.
         previous_run: Information about the previous process.
-        reading: The records and gaps found in the file.
+        scan_result: The records and gaps found in the file.
     """
 
     def clear_contents(self) -> None:
@@ -78,7 +78,7 @@
         self.lost_ids: dict[str, None] = {}
         self.latest_us = 0
         self.previous_run = PreviousRun("", False, 0)
-        self.reading = records.scan_records(b"")
+        self.scan_result = records.scan_records(b"")
 
     # Replay.
 
@@ -94,10 +94,10 @@
 
     def replay_checksummed(self, data: bytes) -> None:
         """Replays a file of the durable journal's format (records.py)."""
-        self.reading = records.scan_records(data)
-        gaps = deque(self.reading.gaps)
-        comparison = DigestComparison(data, self.reading.records if gaps else ())
-        for record in self.reading.records:
+        self.scan_result = records.scan_records(data)
+        gaps = deque(self.scan_result.gaps)
+        comparison = DigestComparison(data, self.scan_result.records if gaps else ())
+        for record in self.scan_result.records:
             while gaps and gaps[0].offset < record.offset:
                 gap = gaps.popleft()
                 self.mark_doubtful(gap, comparison.missing_in(gap))
@@ -119,17 +119,17 @@
         starts = [record for record in self.run_records if "began" in record]
         boot_id = str(starts[-1].get("began", "")) if starts else ""
         was_closed = bool(self.run_records) and "closed" in self.run_records[-1]
-        scan = self.reading
-        return PreviousRun(boot_id, was_closed, self.latest_us, scan.gaps, scan.tail_bytes)
+        scan_result = self.scan_result
+        return PreviousRun(boot_id, was_closed, self.latest_us, scan_result.gaps, scan_result.tail_bytes)
 
     def log_losses(self) -> None:
         """Logs lost bytes and lost messages; `mark_doubtful` logs the gaps that put messages in doubt."""
-        for gap in self.reading.unwritten_gaps:
+        for gap in self.scan_result.unwritten_gaps:
             log.warning("journal bytes were never durable: offset=%d bytes=%d", gap.offset, gap.size_bytes)
-        if self.reading.tail_bytes:
+        if self.scan_result.tail_bytes:
             log.warning(
                 "journal tail was never durable and is dropped: bytes=%d",
-                self.reading.tail_bytes,
+                self.scan_result.tail_bytes,
             )
         if self.lost_ids:
             log.error("messages lost, their records cannot be read: ids=%s", format_ids(list(self.lost_ids)))
--- a/tests/test_journal_damage.py
+++ b/tests/test_journal_damage.py
@@ -277,7 +277,7 @@
     sync_record = records_of(data, "journal")[-1]
     result = replay(tmp_path, overwrite(data, records_of(data, "sent")[0], sync_record))
     assert result.names == set("abcdef") and result.doubtful == set("abcde")
-    assert result.journal.reading.gaps[0].kind is GapKind.UNPROVEN
+    assert result.journal.scan_result.gaps[0].kind is GapKind.UNPROVEN
 
 
 def test_a_lost_verdict_puts_its_message_in_doubt(tmp_path: Path) -> None:
