--- a/message_sender/core/engine.py
+++ b/message_sender/core/engine.py
@@ -28,7 +28,7 @@
     Transport,
 )
 from message_sender.core.restoration import Restoration
-from message_sender.core.socket_errors import describe
+from message_sender.core.socket_errors import describe_defect
 from message_sender.journal.process_journal import Journal
 from message_sender.message import Message
 from message_sender.policy.actions import (
@@ -172,7 +172,7 @@
             operation: What failed.
             error: The exception; None if none was raised.
         """
-        self.defect = self.defect or describe(error, operation)
+        self.defect = self.defect or describe_defect(error, operation)
         self.is_closed = True
         self.stop(1)
 
--- a/message_sender/core/socket_errors.py
+++ b/message_sender/core/socket_errors.py
@@ -87,7 +87,7 @@
     return Cause.DEFECT
 
 
-def describe(error: BaseException | None, operation: str) -> str:
+def describe_defect(error: BaseException | None, operation: str) -> str:
     """Describes a defect in one line.
 
     Args:
@@ -138,7 +138,7 @@
             return
         cause = cause_of(error)
         if cause is Cause.DEFECT:
-            log.error("connection closed: cause=defect %s", describe(error, operation))
+            log.error("connection closed: cause=defect %s", describe_defect(error, operation))
         else:
             log.info("connection closed: cause=%s operation=%s error=%s", cause.value, operation, error)
 
--- a/message_sender/management/server.py
+++ b/message_sender/management/server.py
@@ -24,7 +24,7 @@
 
 import h11
 
-from message_sender.core.socket_errors import Cause, ErrorReports, cause_of, describe
+from message_sender.core.socket_errors import Cause, ErrorReports, cause_of, describe_defect
 from message_sender.management.calls import ManagementCall, ManagementReply, parse_call
 
 MAX_CONNECTIONS = 16
@@ -245,7 +245,7 @@
         try:
             return self.handler(call)
         except Exception as error:  # a defect in the handler must end only this call
-            log.error("management call failed: %s", describe(error, call.operation.value))
+            log.error("management call failed: %s", describe_defect(error, call.operation.value))
             return ManagementReply(HTTPStatus.INTERNAL_SERVER_ERROR, "it failed; the log says why")
 
     def send_reply(self, connection: ManagementConnection, reply: ManagementReply) -> None:
--- a/message_sender/start.py
+++ b/message_sender/start.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from message_sender.configuration.settings import decode_settings
-from message_sender.core.socket_errors import describe
+from message_sender.core.socket_errors import describe_defect
 from message_sender.handover.listening_socket import open_listening_socket
 from message_sender.handover.takeover import OwnershipHandover
 from message_sender.http.codec import Address, address_from
@@ -198,5 +198,5 @@
     except OSError as error:  # the state folder or a listening address cannot be used
         print(f"message-sender: {error}", file=sys.stderr)
     except Exception as error:  # last resort: the platform's log gets one line for a defect
-        print(f"message-sender: a defect: {describe(error, 'start')}", file=sys.stderr)
+        print(f"message-sender: a defect: {describe_defect(error, 'start')}", file=sys.stderr)
     return 1
--- a/tests/test_disconnects.py
+++ b/tests/test_disconnects.py
@@ -37,7 +37,7 @@
     Cause,
     ErrorReports,
     cause_of,
-    describe,
+    describe_defect,
 )
 from message_sender.http.client import HttpTransport as Transport
 from message_sender.http.codec import Address
@@ -497,7 +497,7 @@
     try:
         inner()
     except ValueError as error:
-        line = describe(error, "a turn")
+        line = describe_defect(error, "a turn")
     assert line.startswith("a turn: ValueError: two lines (at test_disconnects.py:") and "inner < " in line
 
 
