--- a/message_sender/core/arrivals.py
+++ b/message_sender/core/arrivals.py
@@ -11,7 +11,12 @@
 from message_sender.message import Message
 from message_sender.policy.actions import Fail, PolicyAction, Reject
 from message_sender.policy.dispatcher import Dispatcher
-from message_sender.policy.events import EndAcknowledged, MessageAccepted, MessageWithdrawn, PolicyEvent
+from message_sender.policy.events import (
+    CompletionAcknowledged,
+    MessageAccepted,
+    MessageWithdrawn,
+    PolicyEvent,
+)
 
 Arrival = tuple[Message, Caller]
 
@@ -67,11 +72,11 @@
             # client would get the answer that its message is accepted, although it would not be delivered
             # and its key's order would not include it. The client may submit the message under a new id.
             log.warning("message rejected: id=%s reason=another message has this id", message.id)
-            self.reject(message, caller, RejectReason.OTHER_ID)
+            self.reject(message, caller, RejectReason.ID_CONFLICT)
         elif self._is_full():
-            self.reject(message, caller, RejectReason.NO_ROOM)
+            self.reject(message, caller, RejectReason.AT_CAPACITY)
         elif delay_us := self.hooks.admission_delay_us(message):
-            self.table.reject(message, caller, RejectReason.NOT_YET, delay_us)
+            self.table.reject(message, caller, RejectReason.ADMISSION_DELAYED, delay_us)
         else:
             self.table.arrivals[message.id] = message, caller
             self.owner.post(self.acceptance_event(message))
@@ -121,7 +126,7 @@
             elif self.table.journal.record_accepted(message):
                 self.table.journal.when_durable(partial(self._confirm, message, caller))
             else:
-                self.reject(message, caller, RejectReason.NO_DISK)
+                self.reject(message, caller, RejectReason.JOURNAL_FAILED)
                 rejected.add(message_id)
                 self.owner.post(MessageWithdrawn(message_id))
         return rejected
@@ -136,4 +141,4 @@
             self.table.reject(message, caller, RejectReason.REFUSED, action.retry_after_us)
         else:
             self.reject(message, caller, RejectReason.REFUSED)
-        self.owner.post(EndAcknowledged(action.message))
+        self.owner.post(CompletionAcknowledged(action.message))
--- a/message_sender/core/message_table.py
+++ b/message_sender/core/message_table.py
@@ -29,7 +29,7 @@
 )
 from message_sender.journal.process_journal import Journal
 from message_sender.message import Message
-from message_sender.policy.events import EndAcknowledged, MessageWithdrawn, PolicyEvent
+from message_sender.policy.events import CompletionAcknowledged, MessageWithdrawn, PolicyEvent
 from message_sender.policy.model import Outcome
 
 COMPLETED_IDS_LIMIT = 4096  # more than are completed within the longest deadline
@@ -139,7 +139,7 @@
             if caller.accepted():
                 self.callers[message.id] = caller
             return
-        self.reject(message, caller, RejectReason.NO_DISK, retry_after_us)
+        self.reject(message, caller, RejectReason.JOURNAL_FAILED, retry_after_us)
         if message.id in self.journal.entries:
             self.journal.record_end(message.id, CompletionState.REFUSED.value)
             self.events.post(MessageWithdrawn(message.id))
@@ -177,7 +177,7 @@
         completion = self.pending_completions.pop(message_id, None)
         if message_id in self.journal.entries:
             self.remove_completed(message_id, completion.state if completion else CompletionState.FAILED)
-        self.events.post(EndAcknowledged(message_id))
+        self.events.post(CompletionAcknowledged(message_id))
         self.hooks.work_finished()
 
     def notify_again(self, message_id: str, state: str, retry_after_us: int) -> None:
--- a/message_sender/core/ports.py
+++ b/message_sender/core/ports.py
@@ -74,10 +74,10 @@
     """Why a message was rejected before it was accepted. No attempt of it has started."""
 
     REFUSED = "refused"  # the policy rejected it
-    NO_ROOM = "no room"  # the settings allow no more accepted messages
-    NOT_YET = "not yet"  # after an outage, messages are admitted in an order, and this one is not due yet
-    NO_DISK = "no disk"  # the journal could not record it
-    OTHER_ID = "other id"  # another message has this id
+    AT_CAPACITY = "no room"  # the settings allow no more accepted messages
+    ADMISSION_DELAYED = "not yet"  # messages are admitted in an order after an outage; this one is not due
+    JOURNAL_FAILED = "no disk"  # the journal could not record it
+    ID_CONFLICT = "other id"  # another message has this id
 
 
 @dataclass(frozen=True, slots=True)
--- a/message_sender/http/server_connection.py
+++ b/message_sender/http/server_connection.py
@@ -393,7 +393,7 @@
 
     def rejected(self, rejection: Rejected) -> None:
         """Answers with the reason and, if stated, the time to wait before a retry."""
-        text = "this id is another message's" if rejection.reason is RejectReason.OTHER_ID else ""
+        text = "this id is another message's" if rejection.reason is RejectReason.ID_CONFLICT else ""
         is_refused = rejection.reason is RejectReason.REFUSED
         self.answer(TOO_MANY_REQUESTS if is_refused else UNAVAILABLE, rejection.retry_after_us, text)
 
--- a/message_sender/policy/dispatcher.py
+++ b/message_sender/policy/dispatcher.py
@@ -19,7 +19,7 @@
 from message_sender.policy.endpoints import EndpointRegistry
 from message_sender.policy.events import (
     AttemptEnded,
-    EndAcknowledged,
+    CompletionAcknowledged,
     EndpointsUpdated,
     InheritedState,
     MessageAccepted,
@@ -126,7 +126,7 @@
                 self.registry.update_endpoints(event)
             case MessageWithdrawn(message) if message in self.messages:
                 self.pending.remove(self.messages[message])
-            case EndAcknowledged(message) if message in self.pending.unacknowledged:
+            case CompletionAcknowledged(message) if message in self.pending.unacknowledged:
                 self.pending.remove(self.pending.unacknowledged.pop(message))
             case Stopping(remaining_us):
                 self.stops_at = self.loop.now + remaining_us
--- a/message_sender/policy/events.py
+++ b/message_sender/policy/events.py
@@ -146,7 +146,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class EndAcknowledged:
+class CompletionAcknowledged:
     """The client acknowledged a rejection or failure; see `Settings.acknowledges_completions`."""
 
     message: str
@@ -171,7 +171,7 @@
     | InheritedState
     | AttemptEnded
     | MessageWithdrawn
-    | EndAcknowledged
+    | CompletionAcknowledged
     | Stopping
     | WakeUp
 )
--- a/message_sender/policy/model.py
+++ b/message_sender/policy/model.py
@@ -144,7 +144,7 @@
         key_pause: Pause of a key after an attempt with an unknown result.
         drain_grace: How long after the announcement of a drain a new call is still tolerated.
         acknowledges_completions: A message that was rejected or failed is finished only when the event
-            `EndAcknowledged` arrives.
+            `CompletionAcknowledged` arrives.
     """
 
     classes: tuple[MessageClass, ...]
--- a/message_sender/testbed/event_stream.py
+++ b/message_sender/testbed/event_stream.py
@@ -21,7 +21,7 @@
 from message_sender.policy.events import (
     AttemptEnded,
     CallInFlight,
-    EndAcknowledged,
+    CompletionAcknowledged,
     EndpointsUpdated,
     InheritedState,
     MessageAccepted,
@@ -49,7 +49,7 @@
 RECORDED_NAMES: dict[type, str] = {
     CallInFlight: "CallOut",
     DestinationKind: "Kind",
-    EndAcknowledged: "EndAnswered",
+    CompletionAcknowledged: "EndAnswered",
     EndpointsUpdated: "EndpointsListed",
     InheritedState: "Inherited",
     ListingKind: "Listing",
@@ -263,7 +263,7 @@
             case CancelAttempt(message, attempt):
                 self.schedule(MS, AttemptEnded(message, attempt, Outcome.CANCELLED))
             case Reject(message) | Fail(message):
-                self.schedule(2 * MS, EndAcknowledged(message))
+                self.schedule(2 * MS, CompletionAcknowledged(message))
             case WakeAfter(delay):
                 self.schedule(delay, WakeUp())
 
--- a/tests/compatibility/samples.py
+++ b/tests/compatibility/samples.py
@@ -474,8 +474,8 @@
     def take(taken: Message, caller: object) -> None:
         rejections = {
             "refused": Rejected(RejectReason.REFUSED, 1_250_000),
-            "no-room": Rejected(RejectReason.NO_ROOM, 0),
-            "other-id": Rejected(RejectReason.OTHER_ID, 500_000),
+            "no-room": Rejected(RejectReason.AT_CAPACITY, 0),
+            "other-id": Rejected(RejectReason.ID_CONFLICT, 500_000),
         }
         if taken.id in rejections:
             caller.rejected(rejections[taken.id])  # type: ignore[attr-defined]
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -7,7 +7,7 @@
 from message_sender.policy.breaker import WARM_UP_LOAD_FACTOR
 from message_sender.policy.endpoints import UNUSED_BREAKER_AGE_US
 from message_sender.policy.events import (
-    EndAcknowledged,
+    CompletionAcknowledged,
     EndpointsUpdated,
     MessageAccepted,
     MessageRestored,
@@ -195,7 +195,7 @@
     world.take("ordered", key="k")
     assert ended(world.step(WakeUp(), after=SECOND)) == [Reject("m1")]
     assert sent(world.step(WakeUp(), after=5 * SECOND)) == []
-    assert sent(world.step(EndAcknowledged("m1"))) == ["m2"]
+    assert sent(world.step(CompletionAcknowledged("m1"))) == ["m2"]
 
 
 def test_no_call_starts_that_may_be_in_flight_when_the_process_ends() -> None:
