--- a/message_sender/budget/manager.py
+++ b/message_sender/budget/manager.py
@@ -308,13 +308,15 @@
         if ledger is None or not check_terms(ledger, sender, datagram):
             return
         number = ledger.member_numbers.setdefault(sender, len(ledger.member_numbers))
-        ledger.reported_terms[sender] = ReportedTerms(datagram.whole, datagram.floor, self.clock())
+        ledger.reported_terms[sender] = ReportedTerms(datagram.limit, datagram.floor, self.clock())
         ledger.member = lease.advance_clock(ledger.member, self.clock())
         kind = LeaseMessageKind(datagram.kind)
-        message = LeaseMessage(kind, number, OWN_NUMBER, datagram.session, datagram.asked, datagram.amount)
+        message = LeaseMessage(
+            kind, number, OWN_NUMBER, datagram.session, datagram.requested_at, datagram.amount
+        )
         match kind:
             case LeaseMessageKind.LEASE_REQUEST:
-                if grant := grant_lease(ledger, sender, message, datagram.warm):
+                if grant := grant_lease(ledger, sender, message, datagram.warm_permille):
                     self.send(ledger, sender, grant)
             case LeaseMessageKind.GRANT:
                 self.apply_grant(ledger, message)
@@ -365,15 +367,15 @@
 
 def check_terms(ledger: Ledger, sender: str, datagram: LeaseDatagram) -> bool:
     """Compares a datagram's figures with this member's; False: the datagram is rejected."""
-    if datagram.form != ledger.budget.timing_checksum:
+    if datagram.timing_checksum != ledger.budget.timing_checksum:
         ledger.record_rejection(f"other times under its name, by {sender}")
         return False
-    if datagram.size > ledger.budget.max_members:
-        ledger.budget = replace(ledger.budget, max_members=datagram.size)
-        ledger.record_change(f"up to {datagram.size} members, says {sender}")
+    if datagram.max_members > ledger.budget.max_members:
+        ledger.budget = replace(ledger.budget, max_members=datagram.max_members)
+        ledger.record_change(f"up to {datagram.max_members} members, says {sender}")
     is_vote_request = datagram.kind == LeaseMessageKind.VOTE_REQUEST
-    if is_vote_request and datagram.size < ledger.budget.max_members:
-        ledger.record_rejection(f"{sender} counts on {datagram.size} members alone")
+    if is_vote_request and datagram.max_members < ledger.budget.max_members:
+        ledger.record_rejection(f"{sender} counts on {datagram.max_members} members alone")
         return False
     return True
 
--- a/message_sender/fleet/wire.py
+++ b/message_sender/fleet/wire.py
@@ -80,18 +80,31 @@
 
 
 class LeaseDatagram(msgspec.Struct, array_like=True, frozen=True, tag=8):
-    """A datagram about a budget's leases; budget/manager.py defines the fields."""
+    """A message of the lease protocol (budget/lease.py), with the sender's terms of the budget.
+
+    Attributes:
+        budget: The budget's name.
+        kind: The value of a `LeaseMessageKind`.
+        session: As in `LeaseMessage`.
+        requested_at: As in `LeaseMessage`.
+        amount: As in `LeaseMessage`.
+        limit: The sender's limit of the budget.
+        floor: The sender's floor of the budget.
+        max_members: The largest number of members that the sender knows of.
+        timing_checksum: The sender's `Budget.timing_checksum`.
+        warm_permille: With a lease request: the part of the limit that can be spent, in thousandths.
+    """
 
     budget: str
     kind: Annotated[int, msgspec.Meta(ge=0, le=4)]
     session: int
-    asked: int
+    requested_at: int
     amount: Count
-    whole: Count
+    limit: Count
     floor: Count
-    size: Count
-    form: Count
-    warm: Annotated[int, msgspec.Meta(ge=0, le=1000)]
+    max_members: Count
+    timing_checksum: Count
+    warm_permille: Annotated[int, msgspec.Meta(ge=0, le=1000)]
 
 
 Body = Hello | Ping | Ack | AnnouncementPart | Query | QueryReply | Leave | LeaseDatagram
--- a/tests/test_shared_budgets.py
+++ b/tests/test_shared_budgets.py
@@ -183,8 +183,8 @@
     ("changed_fields", "reason"),
     [
         ({"amount": 31}, "more than the whole"),
-        ({"form": 1}, "other times"),
-        ({"kind": LeaseMessageKind.VOTE_REQUEST, "size": 2}, "2 members alone"),
+        ({"timing_checksum": 1}, "other times"),
+        ({"kind": LeaseMessageKind.VOTE_REQUEST, "max_members": 2}, "2 members alone"),
     ],
 )
 def test_an_invalid_datagram_is_counted_and_has_no_effect(
@@ -195,13 +195,13 @@
     fields = {
         "kind": LeaseMessageKind.GRANT,
         "session": 7,
-        "asked": time["now"] - 1,
+        "requested_at": time["now"] - 1,
         "amount": 1,
-        "whole": 30,
+        "limit": 30,
         "floor": 0,
-        "size": 3,
-        "form": budget(3).timing_checksum,
-        "warm": FULLY_WARM_PERMILLE,
+        "max_members": 3,
+        "timing_checksum": budget(3).timing_checksum,
+        "warm_permille": FULLY_WARM_PERMILLE,
     }
     manager.handle_datagram("b", LeaseDatagram("hub", **fields | changed_fields))
     assert manager.available_at("hub") == NEVER_US
