--- a/message_sender/core/engine.py
+++ b/message_sender/core/engine.py
@@ -148,7 +148,7 @@
             self.post(event)
         if handed_over:
             self.post(handed_over.inherited)
-            self.table.inherit_completed(handed_over.ended)
+            self.table.inherit_completed(handed_over.completed_ids)
         elif paused_keys := self.journal.paused_keys(self.settings.key_pause):
             until = self.now() + self.settings.key_pause
             self.post(InheritedState(keys=tuple((key, until) for key in sorted(paused_keys))))
@@ -250,9 +250,11 @@
         return HandoverState(
             inherited=export_state(dispatcher.registry, dispatcher.pending),
             calls=calls,
-            ending=dict(self.table.pending_completions),
-            shares={message_id: message.weight_factor for message_id, message in dispatcher.messages.items()},
-            ended=tuple(self.table.completed),
+            pending_completions=dict(self.table.pending_completions),
+            weight_factors={
+                message_id: message.weight_factor for message_id, message in dispatcher.messages.items()
+            },
+            completed_ids=tuple(self.table.completed),
         )
 
     def thaw(self) -> None:
@@ -295,7 +297,7 @@
             self.inbox_since = self.loop.time()
             self.loop.call_soon(self.run_iteration)
 
-    def take(self, message: Message, caller: Caller) -> None:
+    def submit(self, message: Message, caller: Caller) -> None:
         """Submits a message of a client; its caller is answered in this loop iteration or the next."""
         self.arrivals.submit(message, caller)
 
--- a/message_sender/core/engine_config.py
+++ b/message_sender/core/engine_config.py
@@ -38,13 +38,13 @@
     Attributes:
         inherited: State of the delivery policy.
         calls: The calls in flight by message id, each with the number of its attempt.
-        ending: Completions that were notified and are not acknowledged yet, by message id.
-        shares: The remaining factor of the priority weight of each accepted message, by message id.
-        ended: Ids of completed messages.
+        pending_completions: Completions that were notified and are not acknowledged yet, by message id.
+        weight_factors: The remaining factor of the priority weight of each accepted message, by message id.
+        completed_ids: Ids of completed messages.
     """
 
     inherited: InheritedState = field(default_factory=InheritedState)
     calls: dict[str, tuple[int, CallInFlight]] = field(default_factory=dict)
-    ending: dict[str, Completion] = field(default_factory=dict)
-    shares: dict[str, float] = field(default_factory=dict)
-    ended: tuple[str, ...] = ()
+    pending_completions: dict[str, Completion] = field(default_factory=dict)
+    weight_factors: dict[str, float] = field(default_factory=dict)
+    completed_ids: tuple[str, ...] = ()
--- a/message_sender/core/ports.py
+++ b/message_sender/core/ports.py
@@ -1,6 +1,6 @@
 """The ports of the core: the interfaces that a protocol implements to be used with the engine.
 
-A server submits messages with `Engine.take` and passes a `Caller` with each. The engine calls it once when
+A server submits messages with `Engine.submit` and passes a `Caller` with each. The engine calls it once when
 the message is accepted or rejected, and later with the message's one completion. A `Transport` performs
 attempts and reports their results. A `Directory` lists the endpoints. A `CompletionListener` receives the
 completions that no caller waits for.
@@ -184,12 +184,12 @@
     For each completion that is acknowledged, it calls `Engine.completion_acknowledged`.
     """
 
-    def notify(self, message: str, end: Completion) -> bool:
+    def notify(self, message_id: str, completion: Completion) -> bool:
         """Accepts a completion.
 
         Args:
-            message: Id of the message.
-            end: The completion.
+            message_id: Id of the message.
+            completion: The completion.
 
         Returns:
             False: no acknowledgement follows, and the message is removed at once.
--- a/message_sender/core/restoration.py
+++ b/message_sender/core/restoration.py
@@ -64,7 +64,7 @@
         The message may already be completed, or its call may be in flight in that process.
         """
         message_id = entry.message.id
-        completion = handed_over.ending.get(message_id)
+        completion = handed_over.pending_completions.get(message_id)
         number, call = handed_over.calls.get(message_id, (NO_ATTEMPT, None))
         if completion:
             self.table.resubmit_completion(message_id, completion)
@@ -76,7 +76,7 @@
             is_handed_over=True,
             call=call,
             is_completed=completion is not None,
-            weight_factor=handed_over.shares.get(message_id),
+            weight_factor=handed_over.weight_factors.get(message_id),
         )
 
     def restored(self, entry: JournalEntry, in_flight: int = NO_ATTEMPT) -> MessageRestored:
--- a/message_sender/emulator/fleet.py
+++ b/message_sender/emulator/fleet.py
@@ -151,7 +151,7 @@
         if sender.is_alive and sender.incarnation == incarnation and not attempt.has_left:
             # The sender compares the deadline with its own wall clock.
             deadline_us = message.deadline_us + round(sender.wall_offset_s * SECOND_US)
-            sender.engine.take(replace(message, deadline_us=deadline_us), attempt)
+            sender.engine.submit(replace(message, deadline_us=deadline_us), attempt)
 
     def send_endpoint_list(self, sender: SimulatedSender) -> None:
         """Sends a sender the endpoint list as it is now; it arrives after the scenario's delay."""
--- a/message_sender/emulator/simulated_run.py
+++ b/message_sender/emulator/simulated_run.py
@@ -234,7 +234,7 @@
     def _apply(self, action: RunAction) -> None:
         match action:
             case HandIn(message):
-                self.engine.take(message, RunCaller(self, message))
+                self.engine.submit(message, RunCaller(self, message))
             case Drain(endpoint):
                 self.directory.drain(endpoint)
                 self.history.record(seen.EndpointDrained(self.time(), endpoint))
--- a/message_sender/grpc/channel.py
+++ b/message_sender/grpc/channel.py
@@ -356,7 +356,7 @@
         if completion := self.collect(message.id):
             call.completed(completion)  # the message ended before the host was restarted
         else:
-            self.engine.take(message, call)
+            self.engine.submit(message, call)
         return call
 
     def collect(self, name: str) -> Completion | None:
--- a/message_sender/http/discovery.py
+++ b/message_sender/http/discovery.py
@@ -288,18 +288,18 @@
 
     # Notices: the platform is notified of completions, since no client waits for them.
 
-    def notify(self, message: str, end: Completion) -> bool:
+    def notify(self, message_id: str, completion: Completion) -> bool:
         """Queues a notice of a completion, which is posted until it is acknowledged.
 
         Returns:
             Whether a notice is needed; False for a delivery.
         """
-        if end.state not in NOTICE_STATES:
+        if completion.state not in NOTICE_STATES:
             return False
-        notice: dict[str, Any] = {"id": message, "state": NOTICE_STATES[end.state]}
-        if end.retry_after_us:
-            notice["after_ms"] = -(-end.retry_after_us // 1000)
-        self.notices[message] = json.dumps(notice)
+        notice: dict[str, Any] = {"id": message_id, "state": NOTICE_STATES[completion.state]}
+        if completion.retry_after_us:
+            notice["after_ms"] = -(-completion.retry_after_us // 1000)
+        self.notices[message_id] = json.dumps(notice)
         self.has_notices.set()
         return True
 
--- a/message_sender/http/server.py
+++ b/message_sender/http/server.py
@@ -63,7 +63,7 @@
     def __init__(
         self,
         classes: dict[str, MessageClass],
-        take: Submit,
+        submit: Submit,
         now: Callable[[], int],
         connection_limit: int,
         lingering: int = 16,
@@ -75,7 +75,7 @@
 
         Args:
             classes: Message classes by name.
-            take: Called with each submitted message and its connection.
+            submit: Called with each submitted message and its connection.
             now: Returns the time in microseconds since the epoch.
             connection_limit: Maximum number of connections that are served.
             lingering: Maximum number of further connections, which only get a rejection.
@@ -84,7 +84,7 @@
             max_retry_after_us: Maximum Retry-After of rejections in microseconds; 0 to state none.
         """
         self.classes = classes
-        self.submit = take
+        self.submit = submit
         self.now = now
         self.knows_destination = named
         self.knows_message = known
--- a/message_sender/service/daemon.py
+++ b/message_sender/service/daemon.py
@@ -139,7 +139,7 @@
         engine = self.engine
         server = Server(
             {each.name: each for each in engine.settings.classes},
-            engine.take,
+            engine.submit,
             engine.now,
             descriptors.clients,
             descriptors.rejected_clients,
--- a/message_sender/service/handover_state.py
+++ b/message_sender/service/handover_state.py
@@ -75,14 +75,14 @@
     calls = {message_id: [number, asdict(call)] for message_id, (number, call) in state.calls.items()}
     completions = {
         message_id: [completion.state.value, completion.retry_after_us]
-        for message_id, completion in state.ending.items()
+        for message_id, completion in state.pending_completions.items()
     }
     return {
         "inherited": asdict(state.inherited),
         "calls": calls,
         "ending": completions,
-        "shares": state.shares,
-        "ended": state.ended,
+        "shares": state.weight_factors,
+        "ended": state.completed_ids,
     }
 
 
@@ -104,9 +104,9 @@
     return HandoverState(
         inherited=InheritedState(**inherited),
         calls=calls,
-        ending=completions,
-        shares={name: float(share) for name, share in values["shares"].items()},
-        ended=tuple(map(str, values["ended"])),
+        pending_completions=completions,
+        weight_factors={name: float(share) for name, share in values["shares"].items()},
+        completed_ids=tuple(map(str, values["ended"])),
     )
 
 
--- a/tests/compatibility/samples.py
+++ b/tests/compatibility/samples.py
@@ -265,12 +265,12 @@
     return HandoverState(
         inherited=inherited,
         calls={"m1": (1, CallInFlight("hub-1", "z1", 11, True, True)), "m2": (0, CallInFlight("h", "", 12))},
-        ending={
+        pending_completions={
             "m3": Completion(CompletionState.REFUSED, 1_500_000),
             "m4": Completion(CompletionState.FAILED),
         },
-        shares={"m1": 0.5},
-        ended=("m5", "m6"),
+        weight_factors={"m1": 0.5},
+        completed_ids=("m5", "m6"),
     )
 
 
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -272,6 +272,6 @@
     monkeypatch.setattr(PendingQueue, "pause_key", no_rest)
     assert main(["emulate", "search", "--lives", "20"]) == 1
     assert "order: " in capsys.readouterr().out
-    monkeypatch.setattr(Engine, "take", lambda *_: asyncio.get_running_loop().call_soon(1 / 0))
+    monkeypatch.setattr(Engine, "submit", lambda *_: asyncio.get_running_loop().call_soon(1 / 0))
     assert main(["emulate", "search", "--lives", "1"]) == 1
     assert "ZeroDivisionError" in capsys.readouterr().out
--- a/tests/test_late_iterations.py
+++ b/tests/test_late_iterations.py
@@ -65,7 +65,7 @@
             "extras": (),
         }
         fields |= {"message_class": "c", "destination": 3, "tenant": "", "key": "", "idempotency_key": "i"}
-        self.engine.take(type(sample_message())(**fields | changes), caller)
+        self.engine.submit(type(sample_message())(**fields | changes), caller)
         return caller
 
     async def start(self, **changes: Any) -> Request:  # noqa: ANN401
