--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -18,7 +18,7 @@
 
 from message_sender.budget.definition import Budget
 from message_sender.budget.manager import LeaseManager
-from message_sender.emulator.shared import Fleet
+from message_sender.emulator.shared_budget_fleet import Fleet
 
 US = 1_000_000
 SINCE, UNTIL = 12.0, 40.0  # s: when all have begun, and the end
--- a/benchmarks/overrides.py
+++ b/benchmarks/overrides.py
@@ -36,7 +36,7 @@
 from message_sender.service.standalone import CompletionWriter, StandaloneSender
 from message_sender.testbed.history import AttemptStarted, History
 from message_sender.testbed.http import HttpClient, HttpEndpoint
-from message_sender.testbed.running import running
+from message_sender.testbed.in_process_sender import running
 from message_sender.testbed.script import Script
 
 SECOND = 1_000_000
--- a/benchmarks/pcap.py
+++ b/benchmarks/pcap.py
@@ -31,7 +31,7 @@
 from message_sender.service.standalone import CompletionWriter, StandaloneSender
 from message_sender.testbed.history import History
 from message_sender.testbed.http import HttpClient, HttpEndpoint
-from message_sender.testbed.running import running
+from message_sender.testbed.in_process_sender import running
 from message_sender.testbed.script import Script
 
 REQUEST = b"POST /c HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s"
--- a/benchmarks/scale/control_plane.py
+++ b/benchmarks/scale/control_plane.py
@@ -18,7 +18,6 @@
 from functools import partial
 
 from message_sender.control.channel import Channel
-from message_sender.control.choice import ControlNodeAddress
 from message_sender.control.document import Document
 from message_sender.control.fanout import Fanout
 from message_sender.control.messages import (
@@ -37,7 +36,8 @@
     VoteReply,
     VoteRequest,
 )
-from message_sender.control.raft import HardState, Ready, Role
+from message_sender.control.node_choice import ControlNodeAddress
+from message_sender.control.raft_types import HardState, Ready, Role
 from message_sender.control.replica import Replica
 from message_sender.control.store import ConfigurationStore, encode_change
 from message_sender.control.watch import Watch
--- a/message_sender/cli/emulate_scenario.py
+++ b/message_sender/cli/emulate_scenario.py
@@ -11,9 +11,9 @@
 from message_sender.emulator import experiment
 from message_sender.emulator.fleet import Outcomes
 from message_sender.emulator.loop import EmulationError
-from message_sender.emulator.play import play
 from message_sender.emulator.policies import OWN_POLICY, POLICIES
 from message_sender.emulator.scenario import Scenario, changed, load
+from message_sender.emulator.scenario_run import play
 
 FILE_ARGUMENT = click.argument("file", type=EXISTING_FILE_PATH)
 SEED_OPTION = click.option(
--- a/message_sender/control/configuration.py
+++ b/message_sender/control/configuration.py
@@ -9,8 +9,8 @@
 from message_sender.configuration.resources import Address as AddressField
 from message_sender.configuration.resources import find_node_faults
 from message_sender.configuration.tables import Table, number_between, parse, validate_table
-from message_sender.control.choice import ControlNodeAddress
 from message_sender.control.messages import NAME_LENGTH_LIMIT, Address
+from message_sender.control.node_choice import ControlNodeAddress
 
 VOTES_LIMIT = 100
 
--- a/message_sender/control/driver.py
+++ b/message_sender/control/driver.py
@@ -15,7 +15,7 @@
 from message_sender.control.log_file import LogBatch, LogFile
 from message_sender.control.messages import Address
 from message_sender.control.node import ControlNode
-from message_sender.control.raft import Role
+from message_sender.control.raft_types import Role
 from message_sender.fleet.refused_datagrams import RefusedDatagramsLog
 
 TICK_INTERVAL_S = 0.02
--- a/message_sender/control/durable_state.py
+++ b/message_sender/control/durable_state.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, replace
 
 from message_sender.control.log import ReplicatedLog
-from message_sender.control.raft import HardState, Ready
+from message_sender.control.raft_types import HardState, Ready
 
 
 @dataclass(frozen=True, slots=True)
--- a/message_sender/control/fanout.py
+++ b/message_sender/control/fanout.py
@@ -23,7 +23,6 @@
 from dataclasses import dataclass
 
 from message_sender.control.document import encode_snapshot
-from message_sender.control.fetch import SNAPSHOT_WINDOW_CHUNKS
 from message_sender.control.messages import (
     CHUNK_BYTES,
     Delta,
@@ -34,6 +33,7 @@
     WatcherStatus,
     WatchMessage,
 )
+from message_sender.control.snapshot_fetch import SNAPSHOT_WINDOW_CHUNKS
 from message_sender.control.store import RESOURCE_OVERHEAD_BYTES, ConfigurationStore
 
 PUSH_AGE_LIMIT_S = 5.0  # since the last poll
--- a/message_sender/control/log_file.py
+++ b/message_sender/control/log_file.py
@@ -26,7 +26,7 @@
 import msgspec
 
 from message_sender.control.messages import Count, LogEntry
-from message_sender.control.raft import HardState
+from message_sender.control.raft_types import HardState
 from message_sender.journal.disk import Disk
 
 LOG_FILE = "log"
--- a/message_sender/control/node.py
+++ b/message_sender/control/node.py
@@ -33,7 +33,7 @@
     StatusRequest,
     WatcherStatus,
 )
-from message_sender.control.raft import Ready, Role
+from message_sender.control.raft_types import Ready, Role
 from message_sender.control.replica import Replica
 from message_sender.control.requests import Answer, ChangeRequests, Validate
 from message_sender.control.store import ConfigurationStore
--- a/message_sender/control/process.py
+++ b/message_sender/control/process.py
@@ -22,7 +22,7 @@
 from message_sender.control.log_file import LOG_FILE, LogFile
 from message_sender.control.node import ControlNode
 from message_sender.control.operators import OperatorCommands
-from message_sender.control.raft import Role
+from message_sender.control.raft_types import Role
 from message_sender.control.replica import Replica
 from message_sender.control.schema import Validator
 from message_sender.control.store import ConfigurationStore
--- a/message_sender/control/replica.py
+++ b/message_sender/control/replica.py
@@ -46,7 +46,7 @@
     VoteRequest,
 )
 from message_sender.control.quorum import Quorum
-from message_sender.control.raft import (
+from message_sender.control.raft_types import (
     NOTHING_READY,
     HardState,
     NotLeaderError,
--- a/message_sender/control/requests.py
+++ b/message_sender/control/requests.py
@@ -31,7 +31,7 @@
     OperatorMessage,
     Outcome,
 )
-from message_sender.control.raft import Role
+from message_sender.control.raft_types import Role
 from message_sender.control.replica import Replica
 from message_sender.control.store import ChangeFormatError, ConfigurationStore, decode_change, encode_change
 
--- a/message_sender/control/watch.py
+++ b/message_sender/control/watch.py
@@ -4,7 +4,7 @@
 
 - **Versions only rise.** The watch starts with the document stored on this sender's disk; messages that lead
   to an older version are dropped. A node that lags, or is cut off from a majority, is replaced by the next
-  one after the lag timeout (choice.py).
+  one after the lag timeout (node_choice.py).
 - **A delta is applied completely, once, to the version that it was made from**, and only if its digest equals
   the digest of the resulting document. Old and duplicate deltas are dropped; a delta from another version
   than the current one brings the next poll forward.
@@ -23,9 +23,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from message_sender.control.choice import ControlNodeAddress, NodeChoice, order_nodes
 from message_sender.control.document import DeltaMismatchError, Document, SnapshotError
-from message_sender.control.fetch import SnapshotFetch, compute_delta
 from message_sender.control.messages import (
     REASON_LENGTH_LIMIT,
     Delta,
@@ -34,6 +32,8 @@
     VersionNotice,
     WatchMessage,
 )
+from message_sender.control.node_choice import ControlNodeAddress, NodeChoice, order_nodes
+from message_sender.control.snapshot_fetch import SnapshotFetch, compute_delta
 
 FIRST_POLL_DELAY_MAX_S = 0.2  # random from 0, to spread the polls of senders that start together
 POLL_INTERVAL_MIN_S = 0.8
--- a/message_sender/core/message_table.py
+++ b/message_sender/core/message_table.py
@@ -16,7 +16,7 @@
 from functools import partial
 from typing import Protocol
 
-from message_sender.core.counts import CompletionCounts
+from message_sender.core.completion_counts import CompletionCounts
 from message_sender.core.hooks import EngineHooks
 from message_sender.core.ports import (
     AttemptResult,
--- a/message_sender/emulator/experiment.py
+++ b/message_sender/emulator/experiment.py
@@ -21,9 +21,9 @@
 import numpy as np
 
 from message_sender.configuration.tables import ConfigError
-from message_sender.emulator.play import play
 from message_sender.emulator.policies import OWN_POLICY, POLICIES
 from message_sender.emulator.scenario import Scenario, changed
+from message_sender.emulator.scenario_run import play
 
 RESAMPLES = 4000
 CONFIDENCE = 0.95
--- a/message_sender/emulator/fleet.py
+++ b/message_sender/emulator/fleet.py
@@ -36,7 +36,7 @@
 from message_sender.testbed.history_checker import Violation
 
 if TYPE_CHECKING:
-    from message_sender.emulator.shared_links import LinkHub
+    from message_sender.emulator.budget_links import LinkHub
 
 SAMPLE_INTERVAL_S = 1.0
 
@@ -118,7 +118,7 @@
         if not fleet.budget_span_s:
             return None
         # Few scenarios need it, and it imports the daemon's budget service.
-        from message_sender.emulator.shared_links import LinkHub
+        from message_sender.emulator.budget_links import LinkHub
 
         window_us = int(fleet.budget_span_s * SECOND_US)
         return LinkHub(self.time, self.call_later, fleet.senders, window_us, fleet.link_loss, self.seed)
--- a/message_sender/emulator/fleet_sender.py
+++ b/message_sender/emulator/fleet_sender.py
@@ -28,7 +28,7 @@
 from message_sender.testbed.history import EffectApplied, History
 
 if TYPE_CHECKING:
-    from message_sender.emulator.shared_links import LinkHub
+    from message_sender.emulator.budget_links import LinkHub
 
 UNLIMITED_S = 1e9
 SEEDS_PER_FLEET = 64  # distance between the engine seeds of two runs
--- a/message_sender/emulator/fuzzing.py
+++ b/message_sender/emulator/fuzzing.py
@@ -20,8 +20,8 @@
 
 from message_sender.configuration.tables import ConfigError
 from message_sender.emulator import scenario
-from message_sender.emulator.play import play
 from message_sender.emulator.receiver import Trouble
+from message_sender.emulator.scenario_run import play
 from message_sender.testbed.history_checker import Violation
 
 TROUBLES = tuple(each.value for each in Trouble)
--- a/message_sender/emulator/loop.py
+++ b/message_sender/emulator/loop.py
@@ -11,7 +11,7 @@
 from collections.abc import Mapping
 from typing import Any
 
-from message_sender.emulator.net import Net
+from message_sender.emulator.memory_network import Net
 
 NEVER = float("inf")
 LIVELOCK = 100_000  # loop iterations at one instant; far more than any correct program needs
--- a/message_sender/emulator/returning.py
+++ b/message_sender/emulator/mass_restart.py
@@ -8,7 +8,7 @@
 
 from message_sender.emulator.member_network import MemberNetwork
 from message_sender.fleet.members import MemberState
-from message_sender.recovery.datagram import decode_announcement, encode_announcement
+from message_sender.recovery.announcement_codec import decode_announcement, encode_announcement
 from message_sender.recovery.stage_model import CallPermission, Stage
 from message_sender.recovery.stages import Stages, announcement_interval_s
 
--- a/message_sender/emulator/wire.py
+++ b/message_sender/emulator/wire.py
@@ -1,8 +1,8 @@
 """A fleet over sockets in memory: HTTP servers and transports are the daemon's own.
 
-What `fleet.py` models at the engine's ports is the production code here, on the network of `net.py`. Clients
-and destinations speak HTTP/1.1 with the testbed's client and reader. Scenarios, random draws, checks and
-figures are the same as in `fleet.py`.
+What `fleet.py` models at the engine's ports is the production code here, on the network of
+`memory_network.py`. Clients and destinations speak HTTP/1.1 with the testbed's client and reader. Scenarios,
+random draws, checks and figures are the same as in `fleet.py`.
 """
 
 import asyncio
@@ -21,7 +21,7 @@
 from message_sender.emulator.fleet_sender import Decide, SimulatedSender
 from message_sender.emulator.fleet_topology import Address
 from message_sender.emulator.isolation import sealed
-from message_sender.emulator.net import REFUSED, SILENT, Net
+from message_sender.emulator.memory_network import REFUSED, SILENT, Net
 from message_sender.emulator.receiver import Trouble
 from message_sender.emulator.scenario import Incident, Scenario
 from message_sender.emulator.wall_clock import EPOCH_US, SECOND_US
--- a/message_sender/emulator/wire_destinations.py
+++ b/message_sender/emulator/wire_destinations.py
@@ -6,7 +6,7 @@
 from message_sender.discovery.static import StaticEndpoint
 from message_sender.emulator.fleet_recorder import FleetRecorder
 from message_sender.emulator.fleet_topology import Topology
-from message_sender.emulator.net import HOST
+from message_sender.emulator.memory_network import HOST
 from message_sender.emulator.receiver import EFFECT_BY_OUTCOME, Fate
 from message_sender.emulator.wire_sender import HTTP_PORT
 from message_sender.policy.model import Outcome
--- a/message_sender/emulator/wire_sender.py
+++ b/message_sender/emulator/wire_sender.py
@@ -9,7 +9,7 @@
 from message_sender.discovery.static import StaticEndpoint
 from message_sender.emulator.fleet_recorder import FleetRecorder
 from message_sender.emulator.fleet_sender import ModelCompletionListener, SenderEnvironment, SimulatedSender
-from message_sender.emulator.net import HOST, Net
+from message_sender.emulator.memory_network import HOST, Net
 from message_sender.http.client import HttpTransport
 from message_sender.message import Message
 from message_sender.policy.model import Outcome
--- a/message_sender/http/call.py
+++ b/message_sender/http/call.py
@@ -10,7 +10,7 @@
 
 from message_sender.core.ports import AttemptResult
 from message_sender.http.client_connection import ClientConnection
-from message_sender.http.codec import (
+from message_sender.http.common import (
     BODY_LIMIT,
     CONNECTION_ERRORS,
     Address,
--- a/message_sender/http/client.py
+++ b/message_sender/http/client.py
@@ -12,7 +12,7 @@
 from message_sender.http import fast_path
 from message_sender.http.call import BODY_TIMEOUT_S, HttpCall
 from message_sender.http.client_connection import ClientConnection, do_nothing
-from message_sender.http.codec import CONNECTION_ERRORS, Address
+from message_sender.http.common import CONNECTION_ERRORS, Address
 from message_sender.http.response_mapping import answer_from
 from message_sender.http.unread_sockets import UnreadSockets
 from message_sender.message import Message
--- a/message_sender/http/client_connection.py
+++ b/message_sender/http/client_connection.py
@@ -10,7 +10,7 @@
 
 from message_sender.core.traffic_observer import CLIENT_SIDE, SERVER_SIDE, ObservedConnection
 from message_sender.http import fast_path
-from message_sender.http.codec import (
+from message_sender.http.common import (
     BODY_LIMIT,
     CONNECTION_ERRORS,
     HEADER_LIMIT,
--- a/message_sender/http/discovery.py
+++ b/message_sender/http/discovery.py
@@ -12,7 +12,7 @@
 
 from message_sender.core.ports import Completion, CompletionState
 from message_sender.http.client_connection import ClientConnection
-from message_sender.http.codec import CONNECTION_ERRORS, Address, address_from
+from message_sender.http.common import CONNECTION_ERRORS, Address, address_from
 from message_sender.http.json_stream import JsonStream
 from message_sender.policy.events import EndpointsUpdated
 from message_sender.policy.model import Endpoint, EndpointState, ListingKind
--- a/message_sender/http/request_parsing.py
+++ b/message_sender/http/request_parsing.py
@@ -2,7 +2,7 @@
 
 import h11
 
-from message_sender.http.codec import decimal
+from message_sender.http.common import decimal
 from message_sender.http.fast_path import FastRequest
 from message_sender.message import Message
 from message_sender.policy.model import Effect, MessageClass
--- a/message_sender/http/request_reader.py
+++ b/message_sender/http/request_reader.py
@@ -3,7 +3,7 @@
 import h11
 
 from message_sender.http import fast_path
-from message_sender.http.codec import BODY_LIMIT, HEADER_LIMIT, header
+from message_sender.http.common import BODY_LIMIT, HEADER_LIMIT, header
 from message_sender.http.request_parsing import BadRequestError, HttpRequest
 
 CONTENT_TOO_LARGE = 413
--- a/message_sender/http/response_mapping.py
+++ b/message_sender/http/response_mapping.py
@@ -3,7 +3,7 @@
 import re
 
 from message_sender.core.ports import AttemptResult, clamp_retry_after_us
-from message_sender.http.codec import decimal, header
+from message_sender.http.common import decimal, header
 from message_sender.http.fast_path import ResponseHead
 from message_sender.policy.model import Outcome
 
--- a/message_sender/http/server.py
+++ b/message_sender/http/server.py
@@ -11,7 +11,7 @@
 from message_sender.core.socket_errors import Cause, ErrorReports, cause_of
 from message_sender.core.traffic_observer import TrafficObserver
 from message_sender.http import fast_path
-from message_sender.http.codec import BODY_LIMIT, READ_SIZE, Address, close, header
+from message_sender.http.common import BODY_LIMIT, READ_SIZE, Address, close, header
 from message_sender.http.connection_state import ConnectionEvent
 from message_sender.http.connection_table import ConnectionTable
 from message_sender.http.read_queue import ReadQueue
--- a/message_sender/http/server_connection.py
+++ b/message_sender/http/server_connection.py
@@ -13,7 +13,7 @@
     ObservedConnection,
 )
 from message_sender.http import fast_path
-from message_sender.http.codec import header
+from message_sender.http.common import header
 from message_sender.http.connection_owner import ConnectionOwner
 from message_sender.http.connection_state import (
     ConnectionAction,
--- a/message_sender/recovery/coordinator.py
+++ b/message_sender/recovery/coordinator.py
@@ -13,7 +13,7 @@
 from message_sender.fleet.node import FleetNode
 from message_sender.policy.events import InheritedState
 from message_sender.policy.model import FAILURES, Outcome, Settings
-from message_sender.recovery.datagram import decode_announcement, encode_announcement
+from message_sender.recovery.announcement_codec import decode_announcement, encode_announcement
 from message_sender.recovery.engine_port import EnginePort
 from message_sender.recovery.id_inquiry import Inquiry, answer_question
 from message_sender.recovery.pacing import BreakerPacer
--- a/message_sender/service/budget_registry.py
+++ b/message_sender/service/budget_registry.py
@@ -18,7 +18,7 @@
 from message_sender.configuration.resources import SharedBudget
 from message_sender.core.engine import Engine
 from message_sender.policy.model import Endpoint
-from message_sender.service.routes import announced_rates
+from message_sender.service.route_rates import announced_rates
 
 US_PER_S = 1e6
 
--- a/message_sender/service/control_link.py
+++ b/message_sender/service/control_link.py
@@ -15,7 +15,7 @@
 
 from message_sender.configuration.general import ControlPlane, SenderConfig
 from message_sender.control.channel import Channel
-from message_sender.control.choice import ControlNodeAddress
+from message_sender.control.node_choice import ControlNodeAddress
 from message_sender.control.schema import BUDGETS, ENDPOINTS, has_kind
 from message_sender.control.watch import Watch, WatchStatus
 from message_sender.control.watch_link import WatchLink
--- a/message_sender/service/daemon.py
+++ b/message_sender/service/daemon.py
@@ -22,7 +22,7 @@
 from message_sender.handover.drain import EXIT_DELAY_S, GRACE_S, Drain, DrainPhase
 from message_sender.handover.takeover import OwnershipHandover
 from message_sender.http.client import HttpTransport
-from message_sender.http.codec import Address
+from message_sender.http.common import Address
 from message_sender.http.discovery import (
     CALL_TIMEOUT_S,
     LOCAL_CALL_TIMEOUT_S,
--- a/message_sender/service/membership.py
+++ b/message_sender/service/membership.py
@@ -27,7 +27,7 @@
 from message_sender.recovery.stage_model import Stage
 from message_sender.recovery.stages import LONE_INQUIRY_TIMEOUT_S
 from message_sender.recovery.status import recovery_status
-from message_sender.service.routes import announced_rates
+from message_sender.service.route_rates import announced_rates
 
 if TYPE_CHECKING:
     from message_sender.service.budgets import SharedBudgets
--- a/message_sender/service/operator_commands.py
+++ b/message_sender/service/operator_commands.py
@@ -16,7 +16,7 @@
 from message_sender.policy.events import EndpointsUpdated
 
 if TYPE_CHECKING:
-    from message_sender.service.owner import JournalOwner
+    from message_sender.service.journal_owner import JournalOwner
 
 #: The operations that a process still executes after it has handed over.
 READ_ONLY_OPERATIONS = frozenset({Operation.READINESS, Operation.METRICS})
--- a/message_sender/service/process_handover.py
+++ b/message_sender/service/process_handover.py
@@ -22,7 +22,7 @@
 from message_sender.service.handover_state import OwnerState
 
 if TYPE_CHECKING:
-    from message_sender.service.owner import JournalOwner
+    from message_sender.service.journal_owner import JournalOwner
 
 #: A process that has handed over terminates itself after this time if it receives no SIGTERM.
 RELEASED_PROCESS_END_S = 8.0
--- a/message_sender/start.py
+++ b/message_sender/start.py
@@ -14,7 +14,7 @@
 from message_sender.core.socket_errors import describe_defect
 from message_sender.handover.listening_socket import open_listening_socket
 from message_sender.handover.takeover import OwnershipHandover
-from message_sender.http.codec import Address, address_from
+from message_sender.http.common import Address, address_from
 from message_sender.http.discovery import EndpointList
 from message_sender.management.calls import ManagementCall, ManagementReply
 from message_sender.management.server import ManagementServer
--- a/message_sender/testbed/control_cluster.py
+++ b/message_sender/testbed/control_cluster.py
@@ -17,8 +17,8 @@
 from typing import Any, Self
 
 from message_sender.control import process as control_process
-from message_sender.control.choice import ControlNodeAddress
 from message_sender.control.messages import Address
+from message_sender.control.node_choice import ControlNodeAddress
 from message_sender.control_socket import send_request
 from message_sender.testbed.control_watcher import LabWatcher
 from message_sender.testbed.member_factory import STEP_TIMEOUT_S, MemberStartError
--- a/message_sender/testbed/control_watcher.py
+++ b/message_sender/testbed/control_watcher.py
@@ -8,10 +8,10 @@
 
 from message_sender.control import process as control_process
 from message_sender.control.channel import Channel
-from message_sender.control.choice import ControlNodeAddress
 from message_sender.control.configuration import load
 from message_sender.control.document import Document
 from message_sender.control.messages import Delta
+from message_sender.control.node_choice import ControlNodeAddress
 from message_sender.control.watch import Watch
 from message_sender.control.watch_link import WatchLink
 from message_sender.testbed.relay import HOST
--- a/message_sender/testbed/demo.py
+++ b/message_sender/testbed/demo.py
@@ -21,7 +21,7 @@
 from message_sender.testbed.history import History, MessageAdmitted, MessageCompleted, MessageRejected, Outage
 from message_sender.testbed.history_checker import ClassRule, HistoryChecker, Rules, Violation
 from message_sender.testbed.http import Address, HttpClient, HttpEndpoint
-from message_sender.testbed.running import running
+from message_sender.testbed.in_process_sender import running
 from message_sender.testbed.script import EndpointBehavior, Script, ScriptedAnswer
 
 # Durations at pace 1:
--- a/tests/compatibility/samples.py
+++ b/tests/compatibility/samples.py
@@ -26,7 +26,7 @@
 from message_sender.control.document_file import DocumentFile
 from message_sender.control.folder import Identity, StateFolder
 from message_sender.control.log_file import LogFile, make_batch
-from message_sender.control.raft import HardState
+from message_sender.control.raft_types import HardState
 from message_sender.core import explain, inventory
 from message_sender.core.engine_config import HandoverState
 from message_sender.core.ports import Completion, CompletionState
--- a/tests/control_nodes.py
+++ b/tests/control_nodes.py
@@ -9,7 +9,6 @@
 from typing import Any
 
 from message_sender.control.channel import Channel
-from message_sender.control.choice import ControlNodeAddress
 from message_sender.control.configuration import NodeConfiguration
 from message_sender.control.document import Document
 from message_sender.control.driver import NodeDriver
@@ -25,8 +24,9 @@
     Outcome,
     Resource,
 )
+from message_sender.control.node_choice import ControlNodeAddress
 from message_sender.control.process import build_node
-from message_sender.control.raft import Role
+from message_sender.control.raft_types import Role
 from message_sender.control.watch import Watch
 from message_sender.emulator.loop import VirtualLoop
 from message_sender.fleet.seal import Seal
--- a/tests/control_plane_check.py
+++ b/tests/control_plane_check.py
@@ -23,7 +23,6 @@
 )
 from watch_helpers import BAD, RecordingApplier, copy_of
 
-from message_sender.control.choice import ControlNodeAddress
 from message_sender.control.fanout import Fanout
 from message_sender.control.messages import (
     Change,
@@ -37,6 +36,7 @@
     SnapshotRequest,
     WatchMessage,
 )
+from message_sender.control.node_choice import ControlNodeAddress
 from message_sender.control.store import ConfigurationStore, encode_change
 from message_sender.control.watch import Watch
 
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -10,7 +10,7 @@
 from helpers import ENV
 from socket_faults import turn
 
-from message_sender.http.codec import Address
+from message_sender.http.common import Address
 from message_sender.http.server import Server
 from message_sender.message import Message
 from message_sender.service.daemon import PlatformSender
--- a/tests/raft_cluster.py
+++ b/tests/raft_cluster.py
@@ -9,7 +9,7 @@
     LogEntry,
     VoteReply,
 )
-from message_sender.control.raft import HardState, Ready, Role
+from message_sender.control.raft_types import HardState, Ready, Role
 from message_sender.control.replica import (
     ELECTION_TIMEOUT_MAX_S,
     Replica,
--- a/tests/raft_model.py
+++ b/tests/raft_model.py
@@ -42,7 +42,7 @@
     VoteReply,
     VoteRequest,
 )
-from message_sender.control.raft import ReplicaInvariantError, Role
+from message_sender.control.raft_types import ReplicaInvariantError, Role
 from message_sender.control.replica import Replica
 
 
--- a/tests/raft_simulation.py
+++ b/tests/raft_simulation.py
@@ -15,7 +15,7 @@
 from raft_state import Disk, ViolationError, is_log_matching
 
 from message_sender.control.messages import LogEntry, RaftMessage, VoteReply, VoteRequest
-from message_sender.control.raft import HardState, NotLeaderError, Ready, ReplicaInvariantError, Role
+from message_sender.control.raft_types import HardState, NotLeaderError, Ready, ReplicaInvariantError, Role
 from message_sender.control.replica import Replica
 
 VOTES = {"a": 2, "b": 1, "c": 1, "d": 1}
--- a/tests/raft_state.py
+++ b/tests/raft_state.py
@@ -15,7 +15,7 @@
     VoteRequest,
 )
 from message_sender.control.progress import Progress
-from message_sender.control.raft import HardState, Ready, Role
+from message_sender.control.raft_types import HardState, Ready, Role
 from message_sender.control.replica import Replica
 
 NOW = 0.0  # time does not pass in an exploration
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -12,7 +12,7 @@
 
 from message_sender.budget import lease
 from message_sender.budget.lease import LeaseMessage, LeaseMessageKind, Member, Terms
-from message_sender.emulator.explore import Limits, amount_after_faults, explore
+from message_sender.emulator.lease_exploration import Limits, amount_after_faults, explore
 
 TWO = Terms(limit=1, max_members=2, lease_duration=1, grantor_term=2, margin=1)
 STATES = int(os.environ.get("BUDGET_STATES", "40000"))  # BUDGET_STATES above ALL_STATES visits all states
@@ -92,7 +92,7 @@
             Limits(messages=1, restarts=0, lags=1),
         ),
         (
-            "message_sender.emulator.explore.in_use",
+            "message_sender.emulator.lease_exploration.in_use",
             lambda world, number, terms: False,
             WITH_USAGE._replace(limit=2),
             Limits(messages=1, restarts=0, lags=0),
@@ -104,7 +104,7 @@
             Limits(messages=1, restarts=0),
         ),
         (
-            "message_sender.emulator.explore.effective_terms",
+            "message_sender.emulator.lease_exploration.effective_terms",
             lambda world, terms: terms,
             TWO._replace(limit=2),
             Limits(messages=1, restarts=0, lags=0, falls=True),
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -18,7 +18,7 @@
 from message_sender.http import client_connection as http
 from message_sender.http.client import HttpTransport
 from message_sender.http.client_connection import ClientConnection
-from message_sender.http.codec import Address
+from message_sender.http.common import Address
 from message_sender.http.response_mapping import answer_from
 from message_sender.policy.model import NEVER_RAN, Outcome
 
--- a/tests/test_control_fanout.py
+++ b/tests/test_control_fanout.py
@@ -13,7 +13,6 @@
     ByteBudget,
     Fanout,
 )
-from message_sender.control.fetch import SNAPSHOT_WINDOW_CHUNKS
 from message_sender.control.messages import (
     CHUNK_BYTES,
     Delta,
@@ -23,6 +22,7 @@
     VersionNotice,
     WatchMessage,
 )
+from message_sender.control.snapshot_fetch import SNAPSHOT_WINDOW_CHUNKS
 
 
 class Bench:
--- a/tests/test_control_link.py
+++ b/tests/test_control_link.py
@@ -26,7 +26,7 @@
 from message_sender.service.standalone import CompletionWriter, StandaloneSender
 from message_sender.testbed.history import History
 from message_sender.testbed.http import HttpClient, HttpEndpoint
-from message_sender.testbed.running import running
+from message_sender.testbed.in_process_sender import running
 from message_sender.testbed.script import Script
 
 TIMEOUT_S = 10.0  # only a failing test waits this long
--- a/tests/test_control_log_file.py
+++ b/tests/test_control_log_file.py
@@ -15,7 +15,7 @@
     read_log,
 )
 from message_sender.control.messages import LogEntry
-from message_sender.control.raft import HardState
+from message_sender.control.raft_types import HardState
 from message_sender.testbed.simulated_disk import MemoryDisk, SimulatedDisk
 
 FOLDER = Path("state")
--- a/tests/test_control_node.py
+++ b/tests/test_control_node.py
@@ -21,7 +21,7 @@
     Outcome,
     TimeoutNow,
 )
-from message_sender.control.raft import Role
+from message_sender.control.raft_types import Role
 from message_sender.control.replica import ELECTION_TIMEOUT_MIN_S
 
 
--- a/tests/test_control_node_disk.py
+++ b/tests/test_control_node_disk.py
@@ -26,7 +26,7 @@
     Outcome,
 )
 from message_sender.control.node import ControlNode
-from message_sender.control.raft import HardState, Role
+from message_sender.control.raft_types import HardState, Role
 from message_sender.control.replica import Replica
 from message_sender.control.store import ConfigurationStore
 from message_sender.fleet.seal import Seal
--- a/tests/test_control_raft_log.py
+++ b/tests/test_control_raft_log.py
@@ -14,7 +14,7 @@
     VoteRequest,
 )
 from message_sender.control.progress import IN_FLIGHT_REQUESTS_LIMIT
-from message_sender.control.raft import HardState, NotLeaderError, Ready, ReplicaInvariantError, Role
+from message_sender.control.raft_types import HardState, NotLeaderError, Ready, ReplicaInvariantError, Role
 from message_sender.control.replica import (
     ELECTION_TIMEOUT_MAX_S,
     HEARTBEAT_INTERVAL_S,
--- a/tests/test_control_raft_rules.py
+++ b/tests/test_control_raft_rules.py
@@ -13,7 +13,7 @@
     VoteRequest,
 )
 from message_sender.control.quorum import Quorum
-from message_sender.control.raft import HardState, NotLeaderError, Role
+from message_sender.control.raft_types import HardState, NotLeaderError, Role
 from message_sender.control.replica import (
     ELECTION_TIMEOUT_MAX_S,
     ELECTION_TIMEOUT_MIN_S,
--- a/tests/test_control_replica.py
+++ b/tests/test_control_replica.py
@@ -16,7 +16,7 @@
 from message_sender.control.messages import LogEntry, VoteRequest
 from message_sender.control.progress import Progress
 from message_sender.control.quorum import Quorum
-from message_sender.control.raft import HardState
+from message_sender.control.raft_types import HardState
 from message_sender.control.replica import Replica
 
 A, B = LogEntry(1, 1, b"a"), LogEntry(1, 2, b"b")
--- a/tests/test_control_requests.py
+++ b/tests/test_control_requests.py
@@ -19,7 +19,7 @@
     Outcome,
     Resource,
 )
-from message_sender.control.raft import Role
+from message_sender.control.raft_types import Role
 from message_sender.control.replica import Replica
 from message_sender.control.requests import ChangeRequests
 from message_sender.control.store import ConfigurationStore
--- a/tests/test_control_sender.py
+++ b/tests/test_control_sender.py
@@ -22,12 +22,12 @@
 from message_sender.control.messages import Delta, Resource
 from message_sender.control_socket import send_request
 from message_sender.core.hooks import HookChain
-from message_sender.emulator.shared_links import LinkHub
+from message_sender.emulator.budget_links import LinkHub
 from message_sender.journal.disk import SystemDisk
 from message_sender.policy.model import DestinationKind, Endpoint, EndpointState
 from message_sender.service.control_configuration import IN_FORCE_FILE
 from message_sender.service.standalone import CompletionWriter, StandaloneSender, reload_configuration
-from message_sender.testbed.running import running
+from message_sender.testbed.in_process_sender import running
 
 ROOT = Path(__file__).parent.parent
 US = 1_000_000
@@ -44,7 +44,7 @@
 from pathlib import Path
 from message_sender.configuration.general import load
 from message_sender.service.standalone import CompletionWriter, StandaloneSender, reload_configuration
-from message_sender.testbed.running import running
+from message_sender.testbed.in_process_sender import running
 
 async def main(file, state):
     sender = StandaloneSender(load(file), state, CompletionWriter(io.StringIO()))
--- a/tests/test_control_stateful.py
+++ b/tests/test_control_stateful.py
@@ -13,7 +13,7 @@
 )
 from watch_helpers import BAD, RecordingApplier, copy_of
 
-from message_sender.control import fetch
+from message_sender.control import snapshot_fetch
 from message_sender.control.document import DeltaMismatchError, Document, Snapshot, SnapshotError
 from message_sender.control.fanout import Fanout
 from message_sender.control.messages import (
@@ -79,13 +79,13 @@
         self._start_fetch(notice.version, notice.digest, now)
 
 
-def install_anything(self: Watch, fetched: fetch.SnapshotFetch, now: float) -> None:
+def install_anything(self: Watch, fetched: snapshot_fetch.SnapshotFetch, now: float) -> None:
     try:
         document = fetched.document()
     except SnapshotError:
         return
     if not self._is_refused(document.version):
-        self._apply(fetch.compute_delta(self.document, document), now)
+        self._apply(snapshot_fetch.compute_delta(self.document, document), now)
 
 
 def apply_resource_by_resource(self: RecordingApplier, document: Document, delta: Delta) -> None:
@@ -173,7 +173,7 @@
     ),
     "a delta's digest is not checked": Defect(((Document, "check", check_only_base),), "another content"),
     "a snapshot's digest is not checked": Defect(
-        ((fetch, "decode_snapshot", decode_without_digest), (Document, "check", check_only_base)),
+        ((snapshot_fetch, "decode_snapshot", decode_without_digest), (Document, "check", check_only_base)),
         "another content",
     ),
     "half a change is in force": Defect(
--- a/tests/test_control_watch.py
+++ b/tests/test_control_watch.py
@@ -6,7 +6,6 @@
 from watch_harness import NODES, Bench, delta_between, documents, notice_of, polls
 from watch_helpers import BAD, ChangedStore, copy_of
 
-from message_sender.control.choice import order_nodes
 from message_sender.control.document import Document
 from message_sender.control.messages import (
     REASON_LENGTH_LIMIT,
@@ -15,6 +14,7 @@
     Resource,
     SnapshotRequest,
 )
+from message_sender.control.node_choice import order_nodes
 
 # Polls and nodes.
 
--- a/tests/test_control_watch_snapshots.py
+++ b/tests/test_control_watch_snapshots.py
@@ -5,12 +5,12 @@
 from watch_helpers import ChangedStore
 
 from message_sender.control.document import Document, SnapshotError, encode_snapshot
-from message_sender.control.fetch import SNAPSHOT_BYTES_LIMIT, SNAPSHOT_WINDOW_CHUNKS, SnapshotFetch
 from message_sender.control.messages import (
     CHUNK_BYTES,
     SnapshotChunk,
     SnapshotRequest,
 )
+from message_sender.control.snapshot_fetch import SNAPSHOT_BYTES_LIMIT, SNAPSHOT_WINDOW_CHUNKS, SnapshotFetch
 
 # Snapshots.
 
--- a/tests/test_disconnects.py
+++ b/tests/test_disconnects.py
@@ -40,7 +40,7 @@
     describe_defect,
 )
 from message_sender.http.client import HttpTransport as Transport
-from message_sender.http.codec import Address
+from message_sender.http.common import Address
 from message_sender.http.server_connection import ServerConnection
 from message_sender.policy.events import WakeUp
 from message_sender.policy.model import NEVER_RAN, Outcome
--- a/tests/test_endpoint_files.py
+++ b/tests/test_endpoint_files.py
@@ -18,7 +18,7 @@
 from message_sender.policy.events import EndpointsUpdated
 from message_sender.policy.model import ListingKind
 from message_sender.service.standalone import CompletionWriter, StandaloneSender
-from message_sender.testbed.running import running
+from message_sender.testbed.in_process_sender import running
 
 SECOND = 1_000_000
 
--- a/tests/test_fast_path.py
+++ b/tests/test_fast_path.py
@@ -10,7 +10,7 @@
 from test_backlog import UNUSUAL
 
 from message_sender.http import fast_path
-from message_sender.http.codec import BODY_LIMIT
+from message_sender.http.common import BODY_LIMIT
 
 PLAIN = message("m1", b"body of it")
 ANSWER = b"HTTP/1.1 429 Too many\r\nContent-Length: 3\r\nRetry-After: 0.25\r\nX-Backend-Load: x0=1\r\n\r\nabc"
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -19,7 +19,6 @@
 from message_sender.emulator.arrivals import Arrivals
 from message_sender.emulator.experiment import Job, RunResult
 from message_sender.emulator.fleet_recorder import FleetRecorder
-from message_sender.emulator.play import play
 from message_sender.emulator.policies import OWN_POLICY, POLICIES
 from message_sender.emulator.receiver import (
     Limit,
@@ -31,6 +30,7 @@
     Terms,
     Trouble,
 )
+from message_sender.emulator.scenario_run import play
 from message_sender.journal.process_journal import Journal
 from message_sender.policy.breaker import Breaker
 from message_sender.policy.endpoints import INACTIVE_DESTINATION_AGE_US
@@ -76,9 +76,9 @@
 
 def test_a_seed_gives_the_same_trace_with_any_hash_seed_of_python() -> None:
     code = (
-        "from message_sender.emulator import play, scenario; import hashlib, pathlib; "
+        "from message_sender.emulator import scenario, scenario_run as run; import hashlib, pathlib; "
         "loaded = scenario.load(pathlib.Path('scenarios/restart-in-outage.toml')); "
-        "print(hashlib.sha256('\\n'.join(play.play(loaded, 3, traced=True).trace).encode()).hexdigest())"
+        "print(hashlib.sha256('\\n'.join(run.play(loaded, 3, traced=True).trace).encode()).hexdigest())"
     )
     digests = {
         subprocess.run(
--- a/tests/test_import_rules.py
+++ b/tests/test_import_rules.py
@@ -135,7 +135,7 @@
         "service",
         "testbed",
     },
-    "pcap": {"http"},  # a codec's patterns
+    "pcap": {"http"},  # patterns of its fast path
     "cli": {
         "configuration.general",
         "configuration.tables",
--- a/tests/test_list_freshness.py
+++ b/tests/test_list_freshness.py
@@ -15,7 +15,7 @@
 from peers import config_json, host
 
 from message_sender.emulator.loop import VirtualLoop
-from message_sender.emulator.net import HOST, REFUSED, SILENT, Net
+from message_sender.emulator.memory_network import HOST, REFUSED, SILENT, Net
 from message_sender.policy.list_polling import ListPolling
 from message_sender.service import daemon
 from message_sender.service.daemon import DaemonConfig, PlatformSender
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -29,7 +29,7 @@
 from socket_faults import turn
 
 from message_sender.handover.drain import GRACE_S
-from message_sender.http.codec import Address
+from message_sender.http.common import Address
 from message_sender.management.calls import ManagementCall, ManagementReply, Operation, parse_call
 from message_sender.management.server import (
     LINGER_S,
--- a/tests/test_overrides.py
+++ b/tests/test_overrides.py
@@ -45,7 +45,7 @@
 from message_sender.testbed.history import AttemptStarted, EndpointDrained, History
 from message_sender.testbed.history_checker import ClassRule, HistoryChecker, Rules
 from message_sender.testbed.http import HttpClient, HttpEndpoint
-from message_sender.testbed.running import running
+from message_sender.testbed.in_process_sender import running
 from message_sender.testbed.script import EndpointBehavior, Script, ScriptedAnswer
 
 T0 = 1_790_000_000 * SECOND
--- a/tests/test_power.py
+++ b/tests/test_power.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from message_sender.emulator.power import Cuts, live
+from message_sender.emulator.power_cuts import Cuts, live
 from message_sender.journal.compaction import ReplacementFile
 from message_sender.journal.durable import DurableJournal
 
--- a/tests/test_race_conditions.py
+++ b/tests/test_race_conditions.py
@@ -32,7 +32,7 @@
 
 from message_sender.handover.drain import GRACE_S
 from message_sender.http.client_connection import ClientConnection
-from message_sender.http.codec import Address
+from message_sender.http.common import Address
 from message_sender.policy.events import EndpointsUpdated, WakeUp
 from message_sender.policy.model import Endpoint, EndpointState, ListingKind
 
--- a/tests/test_shared_budgets.py
+++ b/tests/test_shared_budgets.py
@@ -27,8 +27,8 @@
 from message_sender.cli.budget_chart import BudgetSeries
 from message_sender.configuration.resources import SharedBudget
 from message_sender.core.hooks import HookChain
-from message_sender.emulator.shared import Fleet
-from message_sender.emulator.shared_links import LinkHub
+from message_sender.emulator.budget_links import LinkHub
+from message_sender.emulator.shared_budget_fleet import Fleet
 from message_sender.fleet.wire import LeaseDatagram
 from message_sender.http.client import HttpTransport
 from message_sender.http.response_mapping import announced_limit
--- a/tests/test_stages.py
+++ b/tests/test_stages.py
@@ -4,8 +4,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from message_sender.emulator.mass_restart import Destination, Return
 from message_sender.emulator.member_network import MemberNetwork
-from message_sender.emulator.returning import Destination, Return
 from message_sender.recovery import id_inquiry
 from message_sender.recovery.stage_model import DestinationEvidence, Stage, StageAnnouncement
 from message_sender.recovery.stages import (
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -19,8 +19,8 @@
 from message_sender.emulator import fuzzing, scenario
 from message_sender.emulator.fleet import Outcomes
 from message_sender.emulator.loop import DeadlockError, VirtualLoop
-from message_sender.emulator.net import BUFFER_BYTES, HOST, REFUSED, SILENT, Net
-from message_sender.emulator.play import play
+from message_sender.emulator.memory_network import BUFFER_BYTES, HOST, REFUSED, SILENT, Net
+from message_sender.emulator.scenario_run import play
 from message_sender.policy.pending import PendingQueue
 
 ROOT = Path(__file__).parent.parent
@@ -248,10 +248,10 @@
     played: dict[str, tuple[Outcomes, Outcomes]],
 ) -> None:
     code = (
-        "from message_sender.emulator import play, scenario; import pathlib; "
+        "from message_sender.emulator import scenario, scenario_run; import pathlib; "
         "told = scenario.load(pathlib.Path('scenarios/gray-failure.toml')); "
         "told = scenario.changed(told, {'seconds': 10.0, 'clients.rate': 40.0}); "
-        "print('\\n'.join(play.play(told, traced=True, level='bytes').trace))"
+        "print('\\n'.join(scenario_run.play(told, traced=True, level='bytes').trace))"
     )
     out = subprocess.run(
         [sys.executable, "-c", code],
--- a/tests/watch_harness.py
+++ b/tests/watch_harness.py
@@ -4,9 +4,7 @@
 
 from watch_helpers import ChangedStore, RecordingApplier, copy_of
 
-from message_sender.control.choice import ControlNodeAddress
 from message_sender.control.document import Document, encode_snapshot
-from message_sender.control.fetch import SNAPSHOT_WINDOW_CHUNKS
 from message_sender.control.messages import (
     CHUNK_BYTES,
     Delta,
@@ -17,6 +15,8 @@
     VersionNotice,
     WatchMessage,
 )
+from message_sender.control.node_choice import ControlNodeAddress
+from message_sender.control.snapshot_fetch import SNAPSHOT_WINDOW_CHUNKS
 from message_sender.control.watch import Watch
 
 NODES = tuple(
