--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -21,7 +21,7 @@
 
 from message_sender.budget.definition import Budget
 from message_sender.budget.manager import LeaseManager
-from message_sender.emulator.shared import Fleet
+from message_sender.emulator.shared_budget_fleet import Fleet
 
 US = 1_000_000
 MEASURED_FROM, MEASURED_UNTIL = 12.0, 40.0  # s; all members have started by the first, the second is the end
@@ -254,7 +254,7 @@
     while count < 50_000:
         if count % 500 == 0:
             manager.tick(())
-        manager.free_at("hub")
+        manager.available_at("hub")
         ledger.enforcer.reserve("m")
         manager.try_spend(["hub"], "m")
         count += 1
--- a/message_sender/core/engine.py
+++ b/message_sender/core/engine.py
@@ -28,7 +28,7 @@
     Transport,
 )
 from message_sender.core.restoration import Restoration
-from message_sender.core.socket_errors import describe
+from message_sender.core.socket_errors import describe_defect
 from message_sender.journal.process_journal import Journal
 from message_sender.message import Message
 from message_sender.policy.actions import (
@@ -66,11 +66,11 @@
 class Engine:
     """One sender without its protocols.
 
-    Create it on its loop, set the ports with `plug`, then call `start`, and `close` at the end.
+    Create it on its loop, call `set_ports`, then `start`, and `close` at the end.
 
     Attributes:
-        transport: Performs the calls; set by `plug`.
-        directory: Lists the endpoints; set by `plug`.
+        transport: Performs the calls; set by `set_ports`.
+        directory: Lists the endpoints; set by `set_ports`.
         hooks: The hooks of the sender's optional parts.
         periodic_tasks: Called every `PERIODIC_INTERVAL_S`.
         stopped: Done with the exit code once the engine is to stop.
@@ -128,7 +128,7 @@
 
     # Start and stop.
 
-    def plug(
+    def set_ports(
         self, transport: Transport, directory: Directory, completion_listener: CompletionListener
     ) -> None:
         """Sets the ports. Must be called before `start`."""
@@ -148,7 +148,7 @@
             self.post(event)
         if handed_over:
             self.post(handed_over.inherited)
-            self.table.inherit_completed(handed_over.ended)
+            self.table.inherit_completed(handed_over.completed_ids)
         elif paused_keys := self.journal.paused_keys(self.settings.key_pause):
             until = self.now() + self.settings.key_pause
             self.post(InheritedState(keys=tuple((key, until) for key in sorted(paused_keys))))
@@ -172,7 +172,7 @@
             operation: What failed.
             error: The exception; None if none was raised.
         """
-        self.defect = self.defect or describe(error, operation)
+        self.defect = self.defect or describe_defect(error, operation)
         self.is_closed = True
         self.stop(1)
 
@@ -250,9 +250,11 @@
         return HandoverState(
             inherited=export_state(dispatcher.registry, dispatcher.pending),
             calls=calls,
-            ending=dict(self.table.pending_completions),
-            shares={message_id: message.weight_factor for message_id, message in dispatcher.messages.items()},
-            ended=tuple(self.table.completed),
+            pending_completions=dict(self.table.pending_completions),
+            weight_factors={
+                message_id: message.weight_factor for message_id, message in dispatcher.messages.items()
+            },
+            completed_ids=tuple(self.table.completed),
         )
 
     def thaw(self) -> None:
@@ -295,7 +297,7 @@
             self.inbox_since = self.loop.time()
             self.loop.call_soon(self.run_iteration)
 
-    def take(self, message: Message, caller: Caller) -> None:
+    def submit(self, message: Message, caller: Caller) -> None:
         """Submits a message of a client; its caller is answered in this loop iteration or the next."""
         self.arrivals.submit(message, caller)
 
--- a/message_sender/core/message_table.py
+++ b/message_sender/core/message_table.py
@@ -16,7 +16,7 @@
 from functools import partial
 from typing import Protocol
 
-from message_sender.core.counts import CompletionCounts
+from message_sender.core.completion_counts import CompletionCounts
 from message_sender.core.hooks import EngineHooks
 from message_sender.core.ports import (
     AttemptResult,
@@ -29,7 +29,7 @@
 )
 from message_sender.journal.process_journal import Journal
 from message_sender.message import Message
-from message_sender.policy.events import EndAcknowledged, MessageWithdrawn, PolicyEvent
+from message_sender.policy.events import CompletionAcknowledged, MessageWithdrawn, PolicyEvent
 from message_sender.policy.model import Outcome
 
 COMPLETED_IDS_LIMIT = 4096  # more than are completed within the longest deadline
@@ -77,7 +77,7 @@
         completed: Content hashes of completed messages by id, the oldest first.
         pending_completions: Completions that are not acknowledged yet, by message id.
         counts: Counters of completions by class, for operators.
-        completion_listener: Receives completions that no caller waits for; set by the engine's `plug`.
+        completion_listener: Receives completions that no caller waits for; set by the engine's `set_ports`.
     """
 
     completion_listener: CompletionListener
@@ -139,14 +139,14 @@
             if caller.accepted():
                 self.callers[message.id] = caller
             return
-        self.reject(message, caller, RejectReason.NO_DISK, retry_after_us)
+        self.reject(message, caller, RejectReason.JOURNAL_FAILED, retry_after_us)
         if message.id in self.journal.entries:
             self.journal.record_end(message.id, CompletionState.REFUSED.value)
             self.events.post(MessageWithdrawn(message.id))
 
     def reject(self, message: Message, caller: Caller, reason: RejectReason, retry_after_us: int) -> None:
         """Rejects a message that was not accepted; no attempt of it has started."""
-        self.counts.ended(message.message_class, CompletionState.REFUSED)
+        self.counts.count_completion(message.message_class, CompletionState.REFUSED)
         caller.rejected(Rejected(reason, retry_after_us))
 
     # Completion.
@@ -177,7 +177,7 @@
         completion = self.pending_completions.pop(message_id, None)
         if message_id in self.journal.entries:
             self.remove_completed(message_id, completion.state if completion else CompletionState.FAILED)
-        self.events.post(EndAcknowledged(message_id))
+        self.events.post(CompletionAcknowledged(message_id))
         self.hooks.work_finished()
 
     def notify_again(self, message_id: str, state: str, retry_after_us: int) -> None:
@@ -219,7 +219,7 @@
         """Removes a completed message from the journal; its id stays known for a while."""
         if entry := self.journal.entries.get(message_id):
             self.completed[message_id] = content_hash(entry.message)
-            self.counts.ended(entry.message.message_class, state)
+            self.counts.count_completion(entry.message.message_class, state)
         self.journal.record_end(message_id, state.value)
         if len(self.completed) > COMPLETED_IDS_LIMIT:
             del self.completed[next(iter(self.completed))]
--- a/message_sender/core/ports.py
+++ b/message_sender/core/ports.py
@@ -1,6 +1,6 @@
 """The ports of the core: the interfaces that a protocol implements to be used with the engine.
 
-A server submits messages with `Engine.take` and passes a `Caller` with each. The engine calls it once when
+A server submits messages with `Engine.submit` and passes a `Caller` with each. The engine calls it once when
 the message is accepted or rejected, and later with the message's one completion. A `Transport` performs
 attempts and reports their results. A `Directory` lists the endpoints. A `CompletionListener` receives the
 completions that no caller waits for.
@@ -74,10 +74,10 @@
     """Why a message was rejected before it was accepted. No attempt of it has started."""
 
     REFUSED = "refused"  # the policy rejected it
-    NO_ROOM = "no room"  # the settings allow no more accepted messages
-    NOT_YET = "not yet"  # after an outage, messages are admitted in an order, and this one is not due yet
-    NO_DISK = "no disk"  # the journal could not record it
-    OTHER_ID = "other id"  # another message has this id
+    AT_CAPACITY = "no room"  # the settings allow no more accepted messages
+    ADMISSION_DELAYED = "not yet"  # messages are admitted in an order after an outage; this one is not due
+    JOURNAL_FAILED = "no disk"  # the journal could not record it
+    ID_CONFLICT = "other id"  # another message has this id
 
 
 @dataclass(frozen=True, slots=True)
@@ -119,7 +119,7 @@
     """Performs calls to endpoints by one protocol."""
 
     def call(
-        self, endpoint: str, message: Message, timeout: float, may_go: Callable[[], bool]
+        self, endpoint: str, message: Message, timeout: float, may_send: Callable[[], bool]
     ) -> Coroutine[Any, Any, AttemptResult]:
         """Performs one attempt.
 
@@ -130,7 +130,7 @@
             endpoint: Id of the endpoint.
             message: The message to deliver.
             timeout: The maximum duration in seconds.
-            may_go: Called right before the first byte is sent; if it returns False, the attempt is not sent.
+            may_send: Called right before the first byte is sent; if it returns False, nothing is sent.
 
         Returns:
             A coroutine that returns the result.
@@ -171,10 +171,10 @@
     async def watch(self) -> None:
         """Runs one watch until it ends; the engine then gets a FAILED update and subscribes again."""
 
-    def knows(self, destination: int) -> bool:
+    def is_known(self, destination: int) -> bool:
         """Whether the destination was ever listed, even if it has no endpoint at present."""
 
-    def remember(self, destination: int) -> None:
+    def mark_known(self, destination: int) -> None:
         """Marks a destination as known, since a message for it was restored from the journal."""
 
 
@@ -184,12 +184,12 @@
     For each completion that is acknowledged, it calls `Engine.completion_acknowledged`.
     """
 
-    def notify(self, message: str, end: Completion) -> bool:
+    def notify(self, message_id: str, completion: Completion) -> bool:
         """Accepts a completion.
 
         Args:
-            message: Id of the message.
-            end: The completion.
+            message_id: Id of the message.
+            completion: The completion.
 
         Returns:
             False: no acknowledgement follows, and the message is removed at once.
--- a/message_sender/emulator/fleet.py
+++ b/message_sender/emulator/fleet.py
@@ -36,7 +36,7 @@
 from message_sender.testbed.history_checker import Violation
 
 if TYPE_CHECKING:
-    from message_sender.emulator.shared_links import LinkHub
+    from message_sender.emulator.budget_links import LinkHub
 
 SAMPLE_INTERVAL_S = 1.0
 
@@ -118,7 +118,7 @@
         if not fleet.budget_span_s:
             return None
         # Few scenarios need it, and it imports the daemon's budget service.
-        from message_sender.emulator.shared_links import LinkHub
+        from message_sender.emulator.budget_links import LinkHub
 
         window_us = int(fleet.budget_span_s * SECOND_US)
         return LinkHub(self.time, self.call_later, fleet.senders, window_us, fleet.link_loss, self.seed)
@@ -151,7 +151,7 @@
         if sender.is_alive and sender.incarnation == incarnation and not attempt.has_left:
             # The sender compares the deadline with its own wall clock.
             deadline_us = message.deadline_us + round(sender.wall_offset_s * SECOND_US)
-            sender.engine.take(replace(message, deadline_us=deadline_us), attempt)
+            sender.engine.submit(replace(message, deadline_us=deadline_us), attempt)
 
     def send_endpoint_list(self, sender: SimulatedSender) -> None:
         """Sends a sender the endpoint list as it is now; it arrives after the scenario's delay."""
--- a/message_sender/emulator/simulated_run.py
+++ b/message_sender/emulator/simulated_run.py
@@ -178,7 +178,7 @@
         self.engine = Engine(config, self.read_clock_us, open_journal=self.open_journal)
         self._count_writes()
         self.directory.on_update = self.engine.endpoints_updated
-        self.engine.plug(RunTransport(self), self.directory, RunCompletionListener(self))
+        self.engine.set_ports(RunTransport(self), self.directory, RunCompletionListener(self))
         self.engine.start()
         self.engine.endpoints_updated(EndpointsUpdated(ListingKind.FULL, self.directory.endpoints()))
 
@@ -234,7 +234,7 @@
     def _apply(self, action: RunAction) -> None:
         match action:
             case SubmitMessage(message):
-                self.engine.take(message, RunCaller(self, message))
+                self.engine.submit(message, RunCaller(self, message))
             case Drain(endpoint):
                 self.directory.drain(endpoint)
                 self.history.record(seen.EndpointDrained(self.time(), endpoint))
--- a/message_sender/http/client.py
+++ b/message_sender/http/client.py
@@ -12,7 +12,7 @@
 from message_sender.http import fast_path
 from message_sender.http.call import BODY_TIMEOUT_S, HttpCall
 from message_sender.http.client_connection import ClientConnection, do_nothing
-from message_sender.http.codec import CONNECTION_ERRORS, Address
+from message_sender.http.common import CONNECTION_ERRORS, Address
 from message_sender.http.response_mapping import answer_from
 from message_sender.http.unread_sockets import UnreadSockets
 from message_sender.message import Message
@@ -107,11 +107,11 @@
         self.on_limit_announced: Callable[[str, int, int], None] | None = None
 
     async def call(
-        self, endpoint: str, message: Message, timeout: float, may_go: Callable[[], bool]
+        self, endpoint: str, message: Message, timeout: float, may_send: Callable[[], bool]
     ) -> AttemptResult:
         """Makes a call; see `Transport.call` in the core. `timeout`: seconds."""
         deadline = asyncio.get_running_loop().time() + timeout
-        return await HttpCall(self, endpoint, message, deadline, may_go).run()
+        return await HttpCall(self, endpoint, message, deadline, may_send).run()
 
     def cancel_unsent(self) -> None:
         """Cancels the calls whose first byte has not been written, and lets those in flight finish."""
--- a/message_sender/http/discovery.py
+++ b/message_sender/http/discovery.py
@@ -12,7 +12,7 @@
 
 from message_sender.core.ports import Completion, CompletionState
 from message_sender.http.client_connection import ClientConnection
-from message_sender.http.codec import CONNECTION_ERRORS, Address, address_from
+from message_sender.http.common import CONNECTION_ERRORS, Address, address_from
 from message_sender.http.json_stream import JsonStream
 from message_sender.policy.events import EndpointsUpdated
 from message_sender.policy.model import Endpoint, EndpointState, ListingKind
@@ -278,28 +278,28 @@
         listing = ListingKind.FULL if update.is_complete else ListingKind.CHANGES
         self.on_update(EndpointsUpdated(listing, update.endpoints))
 
-    def knows(self, destination: int) -> bool:
+    def is_known(self, destination: int) -> bool:
         """Whether the destination has ever been listed, even if it has no endpoints at present."""
         return destination in self.destinations
 
-    def remember(self, destination: int) -> None:
+    def mark_known(self, destination: int) -> None:
         """Adds a destination for which a message was restored from the journal."""
         self.destinations.add(destination)
 
     # Notices: the platform is notified of completions, since no client waits for them.
 
-    def notify(self, message: str, end: Completion) -> bool:
+    def notify(self, message_id: str, completion: Completion) -> bool:
         """Queues a notice of a completion, which is posted until it is acknowledged.
 
         Returns:
             Whether a notice is needed; False for a delivery.
         """
-        if end.state not in NOTICE_STATES:
+        if completion.state not in NOTICE_STATES:
             return False
-        notice: dict[str, Any] = {"id": message, "state": NOTICE_STATES[end.state]}
-        if end.retry_after_us:
-            notice["after_ms"] = -(-end.retry_after_us // 1000)
-        self.notices[message] = json.dumps(notice)
+        notice: dict[str, Any] = {"id": message_id, "state": NOTICE_STATES[completion.state]}
+        if completion.retry_after_us:
+            notice["after_ms"] = -(-completion.retry_after_us // 1000)
+        self.notices[message_id] = json.dumps(notice)
         self.has_notices.set()
         return True
 
--- a/message_sender/http/server_connection.py
+++ b/message_sender/http/server_connection.py
@@ -13,7 +13,7 @@
     ObservedConnection,
 )
 from message_sender.http import fast_path
-from message_sender.http.codec import header
+from message_sender.http.common import header
 from message_sender.http.connection_owner import ConnectionOwner
 from message_sender.http.connection_state import (
     ConnectionAction,
@@ -93,7 +93,7 @@
     def connection_lost(self, error: Exception | None) -> None:
         """Callback of the loop: the connection has ended."""
         if self.observed:
-            self.observed.ended(CLIENT_SIDE, reset=error is not None)
+            self.observed.report_closed(CLIENT_SIDE, reset=error is not None)
         self.server.forget(self)
 
     def get_buffer(self, sizehint: int) -> bytearray:
@@ -117,7 +117,7 @@
     def receive(self, data: memoryview) -> None:
         """Processes bytes received from the client."""
         if self.observed:
-            self.observed.passed(CLIENT_SIDE, bytes(data))
+            self.observed.report_data(CLIENT_SIDE, bytes(data))
         if self.server.is_frozen and not self.is_discarding:
             self.stashed += bytes(data)
             return
@@ -393,7 +393,7 @@
 
     def rejected(self, rejection: Rejected) -> None:
         """Answers with the reason and, if stated, the time to wait before a retry."""
-        text = "this id is another message's" if rejection.reason is RejectReason.OTHER_ID else ""
+        text = "this id is another message's" if rejection.reason is RejectReason.ID_CONFLICT else ""
         is_refused = rejection.reason is RejectReason.REFUSED
         self.answer(TOO_MANY_REQUESTS if is_refused else UNAVAILABLE, rejection.retry_after_us, text)
 
--- a/message_sender/policy/dispatcher.py
+++ b/message_sender/policy/dispatcher.py
@@ -19,7 +19,7 @@
 from message_sender.policy.endpoints import EndpointRegistry
 from message_sender.policy.events import (
     AttemptEnded,
-    EndAcknowledged,
+    CompletionAcknowledged,
     EndpointsUpdated,
     InheritedState,
     MessageAccepted,
@@ -126,7 +126,7 @@
                 self.registry.update_endpoints(event)
             case MessageWithdrawn(message) if message in self.messages:
                 self.pending.remove(self.messages[message])
-            case EndAcknowledged(message) if message in self.pending.unacknowledged:
+            case CompletionAcknowledged(message) if message in self.pending.unacknowledged:
                 self.pending.remove(self.pending.unacknowledged.pop(message))
             case Stopping(remaining_us):
                 self.stops_at = self.loop.now + remaining_us
@@ -232,7 +232,7 @@
             if (
                 breaker
                 and self.may_call(breaker)
-                and limits.free_at(endpoint.listed, now, breaker.is_open()) <= now
+                and limits.available_at(endpoint.listed, now, breaker.is_open()) <= now
             ):
                 return True
         return False
@@ -272,7 +272,7 @@
             now = int(self.loop.now)
             if limits and not can_join:
                 is_trial = endpoint.breaker.is_open()
-                if limits.free_at(listed, now, is_trial, message.attempts > 0) > now:
+                if limits.available_at(listed, now, is_trial, message.attempts > 0) > now:
                     continue
             rank = self.endpoint_rank(endpoint, can_join, destination.is_weighted)
             candidates.append((rank, len(candidates), endpoint))
--- a/tests/compatibility/samples.py
+++ b/tests/compatibility/samples.py
@@ -27,7 +27,7 @@
 from message_sender.control.document_file import DocumentFile
 from message_sender.control.folder import Identity, StateFolder
 from message_sender.control.log_file import LogFile, make_batch
-from message_sender.control.raft import HardState
+from message_sender.control.raft_types import HardState
 from message_sender.core import explain, inventory
 from message_sender.core.engine_config import HandoverState
 from message_sender.core.ports import Completion, CompletionState
@@ -269,12 +269,12 @@
     return HandoverState(
         inherited=inherited,
         calls={"m1": (1, CallInFlight("hub-1", "z1", 11, True, True)), "m2": (0, CallInFlight("h", "", 12))},
-        ending={
+        pending_completions={
             "m3": Completion(CompletionState.REFUSED, 1_500_000),
             "m4": Completion(CompletionState.FAILED),
         },
-        shares={"m1": 0.5},
-        ended=("m5", "m6"),
+        weight_factors={"m1": 0.5},
+        completed_ids=("m5", "m6"),
     )
 
 
@@ -479,8 +479,8 @@
     def submit(message: Message, caller: object) -> None:
         rejections = {
             "refused": Rejected(RejectReason.REFUSED, 1_250_000),
-            "no-room": Rejected(RejectReason.NO_ROOM, 0),
-            "other-id": Rejected(RejectReason.OTHER_ID, 500_000),
+            "no-room": Rejected(RejectReason.AT_CAPACITY, 0),
+            "other-id": Rejected(RejectReason.ID_CONFLICT, 500_000),
         }
         if message.id in rejections:
             caller.rejected(rejections[message.id])  # type: ignore[attr-defined]
--- a/tests/test_import_rules.py
+++ b/tests/test_import_rules.py
@@ -140,7 +140,7 @@
         "service",
         "testbed",
     },
-    "pcap": {"http"},  # the patterns of its codec
+    "pcap": {"http"},  # patterns of its fast path
     "cli": {
         "configuration.general",
         "configuration.tables",
--- a/tests/test_power.py
+++ b/tests/test_power.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from message_sender.emulator.power import Cuts, run_with_power_cuts
+from message_sender.emulator.power_cuts import Cuts, run_with_power_cuts
 from message_sender.journal.compaction import ReplacementFile
 from message_sender.journal.durable import DurableJournal
 
