--- a/tests/peers.py
+++ b/tests/peers.py
@@ -8,7 +8,7 @@
 from typing import Any, Self
 
 from helpers import ENV
-from socket_faults import turn
+from socket_faults import next_iteration
 
 from message_sender.http.codec import Address
 from message_sender.http.server import Server
@@ -16,7 +16,7 @@
 from message_sender.service.daemon import PlatformSender
 from message_sender.start import decode_config
 
-TIMEOUT_S = 4.0  # seconds; only a failing test waits this long
+TIMEOUT_S = 4.0  # only a failing test waits this long
 READY = b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"
 CLASS = ENV["services"][0]
 KEYED = CLASS | {
@@ -37,9 +37,9 @@
     return run
 
 
-async def with_timeout(what: Awaitable[Any]) -> Any:  # noqa: ANN401
-    """Awaits `what` for at most TIMEOUT_S seconds."""
-    return await asyncio.wait_for(what, TIMEOUT_S)
+async def with_timeout(awaitable: Awaitable[Any]) -> Any:  # noqa: ANN401
+    """Awaits `awaitable` for at most TIMEOUT_S seconds."""
+    return await asyncio.wait_for(awaitable, TIMEOUT_S)
 
 
 class Request:
@@ -71,9 +71,8 @@
     def __init__(self) -> None:
         self.requests: asyncio.Queue[Request] = asyncio.Queue()
         self.accepted = 0
-        self.ends: asyncio.Queue[None] = (
-            asyncio.Queue()
-        )  # one item for each connection that the sender closed
+        # One item for each connection that the sender closed.
+        self.ends: asyncio.Queue[None] = asyncio.Queue()
 
     async def __aenter__(self) -> Self:
         self.server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
@@ -104,11 +103,11 @@
                 head = await reader.readuntil(b"\r\n\r\n")
                 request = Request(head, b"", writer)
                 request.body = await reader.readexactly(int(request.headers.get("content-length", 0)))
-                self.came(request)
+                self.request_received(request)
         except (asyncio.IncompleteReadError, ConnectionError):
             self.ends.put_nowait(None)
 
-    def came(self, request: Request) -> None:
+    def request_received(self, request: Request) -> None:
         """Queues a received request."""
         self.requests.put_nowait(request)
 
@@ -125,7 +124,7 @@
         self.watches: asyncio.Queue[Request] = asyncio.Queue()
         self.watched: list[Request] = []  # all watch requests ever received
 
-    def came(self, request: Request) -> None:
+    def request_received(self, request: Request) -> None:
         if "watch" not in request.target:
             self.requests.put_nowait(request)
             return
@@ -134,14 +133,17 @@
         self.watched.append(request)
 
 
-async def answer_notices(platform: Platform, heard: Callable[[str, str], None]) -> None:
-    """Answers all requests except watches until cancelled; calls `heard` with id and state of each notice."""
+async def answer_notices(platform: Platform, record_notice: Callable[[str, str], None]) -> None:
+    """Answers all requests except watches until cancelled.
+
+    Calls `record_notice` with the id and the state of each completion notice.
+    """
     while True:
         request = await platform.requests.get()
         for line in request.body.decode().split("\n"):
             if request.target == "/v1/notices" and line.strip():
                 notice = json.loads(line)
-                heard(notice["id"], notice["state"])
+                record_notice(notice["id"], notice["state"])
         request.answer(204)
 
 
@@ -182,19 +184,19 @@
 class Running:
     """A sender that runs in this process."""
 
-    def __init__(self, told: dict[str, Any], state: Path) -> None:
-        self.sender = PlatformSender(decode_config(told, state))
+    def __init__(self, config: dict[str, Any], state: Path) -> None:
+        self.sender = PlatformSender(decode_config(config, state))
 
     async def __aenter__(self) -> Self:
         await self.sender.start()
         self.task = asyncio.create_task(self.sender.run())
         self.address = self.sender.server.address()
-        self.ended = False  # set by a test once the sender has ended by itself
+        self.has_ended = False  # set by a test once the sender has ended by itself
         return self
 
     async def __aexit__(self, *_: object) -> None:
         self.sender.stop(0)
-        assert await with_timeout(self.task) == (1 if self.ended else 0)
+        assert await with_timeout(self.task) == (1 if self.has_ended else 0)
 
     async def submit(self, name: str, body: bytes = b"x", **headers: str) -> "Reply":
         """Submits a message and returns the reply."""
@@ -212,9 +214,11 @@
         await super().__aenter__()
         self.receiver = await self.enter_async_context(Peer())
         self.platform = await self.enter_async_context(Platform())
-        empty = host("127.0.0.1:9", "d", block=9, health="draining")  # destination 9 has no endpoint now
-        self.told = config_json(self.platform, host(self.receiver.dial), empty, mode=self.mode, **self.kind)
-        self.running = await self.enter_async_context(Running(self.told, self.state))
+        empty = host(
+            "127.0.0.1:9", "d", block=9, health="draining"
+        )  # destination 9 is known but has no endpoint
+        self.config = config_json(self.platform, host(self.receiver.dial), empty, mode=self.mode, **self.kind)
+        self.running = await self.enter_async_context(Running(self.config, self.state))
         self.sender, self.submit = self.running.sender, self.running.submit
         return self
 
@@ -282,10 +286,10 @@
         held.reader, held.writer = await asyncio.open_connection(*server.address())
         held.writer.write(data)
         while server.accepted == seen:
-            await turn()
+            await next_iteration()
         return held
 
-    async def ended(self) -> bytes:
+    async def read_to_end(self) -> bytes:
         """Returns the data received until the server closes the connection; empty after a reset."""
         try:
             return await with_timeout(self.reader.read())
--- a/tests/sender_processes.py
+++ b/tests/sender_processes.py
@@ -98,11 +98,11 @@
             await process.wait_for_log("ready on")
         return process
 
-    async def connect(self) -> "Client":
-        return Client(*await asyncio.open_connection(*self.address))
+    async def connect(self) -> "ClientConnection":
+        return ClientConnection(*await asyncio.open_connection(*self.address))
 
 
-class Client:
+class ClientConnection:
     """A persistent client connection."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/tests/socket_faults.py
+++ b/tests/socket_faults.py
@@ -153,17 +153,17 @@
             loop.close()
 
 
-async def turn() -> None:
+async def next_iteration() -> None:
     """Lets the loop run one iteration, in which it polls its sockets again."""
     passed = asyncio.get_running_loop().create_future()
     asyncio.get_running_loop().call_soon(lambda: passed.done() or passed.set_result(None))
     await passed
 
 
-async def until(condition: Callable[[], bool], turns: int = 200_000) -> None:
-    """Runs loop iterations until the condition holds; `turns` bounds them, so that a failing test ends."""
-    for _ in range(turns):
+async def until(condition: Callable[[], bool], max_iterations: int = 200_000) -> None:
+    """Runs loop iterations until the condition holds; fails after `max_iterations`."""
+    for _ in range(max_iterations):
         if condition():
             return
-        await turn()
+        await next_iteration()
     raise AssertionError("the condition did not hold within the bounded number of loop iterations")
--- a/tests/test_backlog.py
+++ b/tests/test_backlog.py
@@ -91,8 +91,8 @@
 }
 
 
-async def crowded(world: World) -> None:
-    """Puts the server into shedding: it rejects requests that it has not begun to read."""
+async def start_shedding(world: World) -> None:
+    """Makes the server shed load: it rejects requests that it has not begun to read."""
     server = world.sender.server
     server.backlog.request_arrived(server.loop.time() - 2 * MAX_QUEUE_DELAY_S)
 
@@ -103,7 +103,7 @@
         server = world.sender.server
         client = await HeldConnection.open(server, message("before"))
         assert (await read_reply(client.reader)).status == 202
-        await crowded(world)
+        await start_shedding(world)
         for _ in range(3):
             client.writer.write(message("again"))
             reply = await read_reply(client.reader)
@@ -121,7 +121,7 @@
     """A rejection tells the client that it may submit the message elsewhere: a second delivery."""
     async with World(state) as world:
         assert (await world.submit("m")).status == 202
-        await crowded(world)
+        await start_shedding(world)
         assert (await world.submit("m")).status == 202
         assert (await world.submit("n")).status == 503
         (await world.receiver.next()).answer(200)
@@ -138,7 +138,7 @@
         async def test(state: Path, busy: bool = busy) -> None:
             async with World(state) as world:
                 if busy:
-                    await crowded(world)
+                    await start_shedding(world)
                 client = await HeldConnection.open(world.sender.server, UNUSUAL[name])
                 replies.append(await asyncio.wait_for(client.reader.read(12), 5))
                 client.writer.close()
@@ -151,7 +151,7 @@
 @run_async_test
 async def test_a_readiness_check_is_answered_under_overload(state: Path) -> None:
     async with World(state) as world:
-        await crowded(world)
+        await start_shedding(world)
         client = await HeldConnection.open(
             world.sender.server, b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"
         )
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -10,7 +10,7 @@
 import h11
 import pytest
 from peers import Peer, run_async_test, sample_message, with_timeout
-from socket_faults import turn
+from socket_faults import next_iteration
 
 from message_sender.core.ports import AttemptResult
 from message_sender.http import call as call_module
@@ -94,7 +94,7 @@
 def test_a_connection_that_is_never_established_counts_as_connect_failed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def never(address: Address) -> ClientConnection:
+    async def never_open(address: Address) -> ClientConnection:
         await asyncio.Event().wait()
         raise AssertionError
 
@@ -103,7 +103,7 @@
             answer = await with_timeout(call(client, ("127.0.0.1", 1), timeout=timeout))
             assert answer.outcome is Outcome.CONNECT_FAILED
 
-    monkeypatch.setattr(module.ClientConnection, "open", never)
+    monkeypatch.setattr(module.ClientConnection, "open", never_open)
     run_async_test(test)(Path())
 
 
@@ -126,14 +126,14 @@
             other.close()
             assert (await with_timeout(pending_call)).outcome is Outcome.CONNECT_FAILED
 
-    opened = ClientConnection.open
+    open_connection = ClientConnection.open
 
-    async def small(address: Address) -> ClientConnection:
-        connection = await opened(address)
+    async def open_with_small_buffer(address: Address) -> ClientConnection:
+        connection = await open_connection(address)
         connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         return connection
 
-    monkeypatch.setattr(module.ClientConnection, "open", small)
+    monkeypatch.setattr(module.ClientConnection, "open", open_with_small_buffer)
     run_async_test(test)(Path())
 
 
@@ -206,15 +206,17 @@
     run_async_test(test)(Path())
 
 
-@pytest.mark.parametrize("behind", [head("200 OK", "Content-Length: 0"), "noise"])
-def test_bytes_behind_a_response_are_not_the_next_calls_response(behind: str) -> None:
-    """Guards against a duplicate response that ends the next call while that is still in flight. It caused
-    duplicates, broken order and lost messages at once."""
+@pytest.mark.parametrize("trailing_bytes", [head("200 OK", "Content-Length: 0"), "noise"])
+def test_bytes_after_a_response_are_not_the_response_to_the_next_call(trailing_bytes: str) -> None:
+    """Guards against a duplicate response that ends the next call, which is still in flight.
+
+    It caused duplicates, broken order and lost messages.
+    """
 
     async def test(_: Path) -> None:
         async with client_and_receiver() as (client, receiver):
             pending_call = call(client, receiver.address)
-            (await receiver.next()).write(head("200 OK", "Content-Length: 2") + "ok" + behind)
+            (await receiver.next()).write(head("200 OK", "Content-Length: 2") + "ok" + trailing_bytes)
             assert await with_timeout(pending_call) == DELIVERED
             next_call = call(client, receiver.address)
             (await receiver.next()).answer(503)
@@ -340,7 +342,7 @@
         first, second = [await receiver.next() for _n in range(2)]
         first.answer(200)
         while not client.pool:
-            await turn()
+            await next_iteration()
         for each in both:
             each.cancel()
         for _n in range(2):
@@ -371,18 +373,18 @@
 @run_async_test
 async def test_a_connection_is_reused_until_it_is_closed_or_too_old(_: Path) -> None:
     async with client_and_receiver() as (client, receiver):
-        for accepted, spoil in ((1, ""), (1, "ended"), (2, "old"), (3, "close")):
+        for accepted, ending in ((1, ""), (1, "ended"), (2, "old"), (3, "close")):
             pending_call = call(client, receiver.address)
             request = await receiver.next()
             assert receiver.accepted == accepted
-            request.answer(200, *(["Connection: close"] if spoil == "close" else []))
+            request.answer(200, *(["Connection: close"] if ending == "close" else []))
             assert (await with_timeout(pending_call)).outcome is Outcome.OK
             kept = client.pool.get("r", [])
-            assert len(kept) == (spoil != "close")
-            if spoil == "ended":
+            assert len(kept) == (ending != "close")
+            if ending == "ended":
                 request.writer.close()
                 await with_timeout(receiver.ends.get())
-            if spoil == "old":
+            if ending == "old":
                 kept[0].idle_since -= 8.5  # the receiver may close it after 10
                 client.close_expired()
                 assert not client.pool
@@ -427,9 +429,9 @@
             assert not client.idle
             for part in rest:
                 request.write(part)
-                await turn()
+                await next_iteration()
             while client.body_tasks:
-                await turn()
+                await next_iteration()
             assert receiver.accepted == 1 and list(client.idle.values()) == ["r"]
 
 
@@ -451,18 +453,20 @@
 
 
 class EarlyReceiver:
-    """A receiver on raw sockets that acts after a call's connection is open and before its first byte is
-    written. Its actions have taken effect in the operating system when its calls return."""
+    """A receiver on raw sockets that acts between the connect and the first byte of a call.
+
+    Its calls return when the operating system has done them.
+    """
 
     def __init__(self) -> None:
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.client = client_with()
 
-    async def call_meeting(self, *acts: Callable[[socket.socket], object]) -> AttemptResult:
+    async def call_after_actions(self, *actions: Callable[[socket.socket], object]) -> AttemptResult:
         def may_go() -> bool:
             other = self.listener.accept()[0]
-            for act in acts:
-                act(other)
+            for action in actions:
+                action(other)
             return True
 
         self.client.dials = lambda: {"r": self.listener.getsockname()}
@@ -472,12 +476,12 @@
         return answer
 
 
-def resets(sock: socket.socket) -> None:
+def reset_connection(sock: socket.socket) -> None:
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     sock.close()
 
 
-def says(text: str) -> Callable[[socket.socket], object]:
+def send_text(text: str) -> Callable[[socket.socket], object]:
     return lambda sock: sock.sendall(text.encode())
 
 
@@ -501,7 +505,7 @@
     async def test(_: Path) -> None:
         receiver, waits = EarlyReceiver(), []
         receiver.client.retry_after_received = lambda endpoint, wait: waits.append((endpoint, wait))
-        assert await receiver.call_meeting(says(text), resets) == answer
+        assert await receiver.call_after_actions(send_text(text), reset_connection) == answer
         assert waits == ([("r", answer.retry_after_us)] if answer.retry_after_us else [])
 
     run_async_test(test)(Path())
@@ -513,8 +517,8 @@
 
     async def test(_: Path) -> None:
         accepted: list[socket.socket] = []
-        answer = await EarlyReceiver().call_meeting(
-            accepted.append, says(text), lambda sock: sock.shutdown(socket.SHUT_WR)
+        answer = await EarlyReceiver().call_after_actions(
+            accepted.append, send_text(text), lambda sock: sock.shutdown(socket.SHUT_WR)
         )
         assert answer.outcome not in NEVER_RAN
         accepted[0].close()
@@ -532,7 +536,7 @@
         (kept,) = client.idle
         request.write("HTTP/1.1 5")
         while not kept.has_ended():
-            await turn()
+            await next_iteration()
         second = call(client, receiver.address)
         (await receiver.next()).answer(200)
         assert (await with_timeout(second)).outcome is Outcome.OK and receiver.accepted == 2
--- a/tests/test_disconnects.py
+++ b/tests/test_disconnects.py
@@ -1,4 +1,4 @@
-"""Clients and receivers that disconnect at the worst moment, while the sender's loop runs late.
+"""Clients and receivers that disconnect while the sender's loop runs late.
 
 Every action of a peer here has taken effect in the operating system when its call returns; the sender's loop
 sees it at its next poll. A late iteration is a jump of the loop's clock between two polls, so that no test
@@ -29,7 +29,7 @@
     send_watch_line,
     with_timeout,
 )
-from socket_faults import turn, until
+from socket_faults import next_iteration, until
 
 from message_sender.core.socket_errors import (
     REPORT_INTERVAL_S,
@@ -49,8 +49,8 @@
 LATE = (0.05, 0.4, 2.1, 3.0)  # seconds that a loop iteration takes
 
 
-class Client:
-    """A client whose actions have taken effect when their calls return, whether or not the loop saw them."""
+class BlockingClient:
+    """A client whose calls return when the operating system has done them; the loop sees them later."""
 
     def __init__(self, address: Address, data: bytes = b"", sock: socket.socket | None = None) -> None:
         self.sock = sock or socket.socket()
@@ -61,7 +61,7 @@
     def nothing(self) -> None:
         pass
 
-    def finish(self) -> None:
+    def close(self) -> None:
         self.sock.close()
 
     def half_close(self) -> None:
@@ -75,96 +75,97 @@
         self.sock.sendall(message("p1") + message("p2") + b"noise")
 
 
-class Late:
-    """A sender whose loop can run late: `passed` seconds are added to the clocks."""
+class LateSender:
+    """A sender whose loop can run late: `clock_offset` seconds are added to its clocks."""
 
     def __init__(self, world: World) -> None:
         self.world, self.sender, self.server = world, world.sender, world.sender.server
-        self.passed, self.loop = 0.0, asyncio.get_running_loop()
+        self.clock_offset, self.loop = 0.0, asyncio.get_running_loop()
         self.accepted: list[socket.socket] = []
         add_accepted = self.server.add_accepted
         self.server.add_accepted = lambda sock: (self.accepted.append(sock), add_accepted(sock))  # type: ignore
         time, now = self.loop.time, self.sender.engine.now
-        self.loop.time = lambda: time() + self.passed  # type: ignore[method-assign]
-        self.sender.engine.now = self.server.now = lambda: now() + int(self.passed * 1e6)
+        self.loop.time = lambda: time() + self.clock_offset  # type: ignore[method-assign]
+        self.sender.engine.now = self.server.now = lambda: now() + int(self.clock_offset * 1e6)
 
-    async def comes_to(self, stage: str) -> Client:
-        """Returns a client whose connection has reached exactly this stage."""
-        client = Client(self.world.running.address)
+    async def client_in_stage(self, stage: str) -> BlockingClient:
+        """Returns a client whose connection is in this stage and no further."""
+        client = BlockingClient(self.world.running.address)
         if stage == "in the backlog":
             return client
         await until(lambda: len(self.server.connections) == 2)
-        own = self.own()
-        await until(lambda: own.transport is not None)
-        await turn()
-        await getattr(self, stage.replace(" ", "_"))(client, own)
+        connection = self.connection()
+        await until(lambda: connection.transport is not None)
+        await next_iteration()
+        await getattr(self, stage.replace(" ", "_"))(client, connection)
         return client
 
-    def own(self) -> ServerConnection:
-        (own,) = [each for each in self.server.connections if not each.has_submitted]
-        return own
+    def connection(self) -> ServerConnection:
+        """The only connection without a submitted message."""
+        (connection,) = [each for each in self.server.connections if not each.has_submitted]
+        return connection
 
-    async def silent(self, client: Client, own: ServerConnection) -> None:
-        assert own in self.server.table.silent
+    async def silent(self, client: BlockingClient, connection: ServerConnection) -> None:
+        assert connection in self.server.table.silent
 
-    async def half_a_head(self, client: Client, own: ServerConnection) -> None:
+    async def partial_head(self, client: BlockingClient, connection: ServerConnection) -> None:
         client.sock.sendall(message("m")[:30])
-        await until(lambda: own.began is not None)
+        await until(lambda: connection.began is not None)
 
-    async def half_a_body(self, client: Client, own: ServerConnection) -> None:
+    async def partial_body(self, client: BlockingClient, connection: ServerConnection) -> None:
         client.sock.sendall(message("m", b"x" * 1000)[:-500])
-        await until(lambda: own.reader.request is not None)
+        await until(lambda: connection.reader.request is not None)
 
-    async def queued(self, client: Client, own: ServerConnection) -> None:
+    async def queued(self, client: BlockingClient, connection: ServerConnection) -> None:
         self.server.read_queue.run = lambda: None  # type: ignore[method-assign]
         client.sock.sendall(message("m"))
-        await until(lambda: own.is_queued)
+        await until(lambda: connection.is_queued)
 
-    async def taken(self, client: Client, own: ServerConnection) -> None:
+    async def submitted(self, client: BlockingClient, connection: ServerConnection) -> None:
         self.sender.engine.run_iteration = lambda: None  # type: ignore[method-assign]
         client.sock.sendall(message("m"))
         await until(lambda: "m" in self.sender.engine.table.arrivals)
 
-    async def paused(self, client: Client, own: ServerConnection) -> None:
-        await self.taken(client, own)
+    async def paused(self, client: BlockingClient, connection: ServerConnection) -> None:
+        await self.submitted(client, connection)
         client.sock.sendall(message("n") * 3)
-        await until(lambda: not own.transport.is_reading())
+        await until(lambda: not connection.transport.is_reading())
 
-    async def answered(self, client: Client, own: ServerConnection) -> None:
+    async def answered(self, client: BlockingClient, connection: ServerConnection) -> None:
         client.sock.sendall(message("m"))
-        await until(lambda: own in self.server.table.idle)
+        await until(lambda: connection in self.server.table.idle)
 
-    async def leaving(self, client: Client, own: ServerConnection) -> None:
+    async def closing(self, client: BlockingClient, connection: ServerConnection) -> None:
         client.sock.sendall(b"noise\r\n\r\n")
-        await until(lambda: own in self.server.table.closing)
+        await until(lambda: connection in self.server.table.closing)
 
-    async def leaving_and_paused(self, client: Client, own: ServerConnection) -> None:
-        await self.leaving(client, own)
+    async def closing_and_paused(self, client: BlockingClient, connection: ServerConnection) -> None:
+        await self.closing(client, connection)
         client.sock.setblocking(False)
 
-        def flooded() -> bool:
+        def is_reading_paused() -> bool:
             with suppress(BlockingIOError):
                 client.sock.send(b"x" * 65536)
-            return not own.transport.is_reading()
+            return not connection.transport.is_reading()
 
-        await until(flooded)
+        await until(is_reading_paused)
         client.sock.setblocking(True)
 
-    def one_late_turn(self, seconds: float, sweep_first: bool) -> None:
-        """Runs what a late loop runs before it polls its sockets again, with the sweep first or last."""
-        self.passed += seconds
+    def run_late_iteration(self, seconds: float, sweep_first: bool) -> None:
+        """Runs what an iteration runs before the next poll, `seconds` late, with the sweep first or last."""
+        self.clock_offset += seconds
         engine = self.sender.engine
         read, iterate = type(self.server.read_queue).run, type(engine).run_iteration
         steps: list[Callable[[], object]] = [lambda: read(self.server.read_queue), lambda: iterate(engine)]
         for each in (self.server.expire, *steps) if sweep_first else (*steps, self.server.expire):
             each()
         if self.server.table.closing or self.server.table.probing:
-            self.server.close_unused()  # otherwise it would close the bystander, which is between requests
+            self.server.close_unused()  # otherwise it would close the idle connection of the other client
         self.server.read_queue.run = lambda: read(self.server.read_queue)  # type: ignore[method-assign]
         self.sender.engine.run_iteration = lambda: iterate(engine)  # type: ignore[method-assign]
 
-    async def serve_all(self, *, most: int = 1) -> None:
-        """Answers calls until none is pending; checks that no message is delivered more than `most` times."""
+    async def answer_all_calls(self, *, max_deliveries: int = 1) -> None:
+        """Answers calls until none is pending, and checks that no message is delivered too often."""
         seen: dict[str, int] = {}
         requests = self.world.receiver.requests
         while self.sender.engine.journal.entries or self.sender.engine.attempts.calls:
@@ -172,27 +173,30 @@
                 request = requests.get_nowait()
                 seen[request.id] = seen.get(request.id, 0) + 1
                 request.answer(200)
-            await turn()
-        assert max(seen.values(), default=0) <= most, seen
+            await next_iteration()
+        assert max(seen.values(), default=0) <= max_deliveries, seen
 
 
-STAGES = [
+CONNECTION_STAGES = [
     "in the backlog",
     "silent",
-    "half a head",
-    "half a body",
+    "partial head",
+    "partial body",
     "queued",
-    "taken",
+    "submitted",
     "paused",
     "answered",
-    "leaving",
-    "leaving and paused",
+    "closing",
+    "closing and paused",
+]
+CLIENT_ACTIONS = ["nothing", "close", "half_close", "reset"]
+MATRIX = [
+    *itertools.product(CONNECTION_STAGES, CLIENT_ACTIONS, LATE),
+    *itertools.product(CONNECTION_STAGES[1:8], ["pipeline"], LATE),
 ]
-ACTS = ["nothing", "finish", "half_close", "reset"]
-MATRIX = [*itertools.product(STAGES, ACTS, LATE), *itertools.product(STAGES[1:8], ["pipeline"], LATE)]
 
 
-@pytest.mark.parametrize("sweep_first", [True, False], ids=["sweep", "turn"])
+@pytest.mark.parametrize("sweep_first", [True, False], ids=["sweep first", "sweep last"])
 @pytest.mark.parametrize(("stage", "act", "late"), MATRIX)
 def test_a_client_action_while_the_loop_is_late_harms_no_other_client(
     stage: str, act: str, late: float, sweep_first: bool
@@ -202,29 +206,29 @@
     async def test(state: Path) -> None:
         async with World(state) as world:
             world.sender.engine.dispatcher.stops_at = float("inf")
-            late_one = Late(world)
+            late_sender = LateSender(world)
             bystander = await HeldConnection.open(world.sender.server, message("b"))
             assert (await read_reply(bystander.reader)).status == 202
             (await world.receiver.next()).answer(200)
-            client = await late_one.comes_to(stage)
+            client = await late_sender.client_in_stage(stage)
             getattr(client, act)()
-            late_one.one_late_turn(late, sweep_first)
-            await late_one.serve_all()
+            late_sender.run_late_iteration(late, sweep_first)
+            await late_sender.answer_all_calls()
             if late > 2:  # its connection has exceeded the idle time-out
                 bystander.writer.close()
                 bystander = await HeldConnection.open(world.sender.server)
             bystander.writer.write(message("after"))
             assert (await read_reply(bystander.reader)).status == 202
-            await late_one.serve_all()
+            await late_sender.answer_all_calls()
             assert not world.sender.engine.defect and not world.sender.engine.stopped.done()
             client.sock.close()
             bystander.writer.close()
             while world.sender.server.connections:
-                late_one.passed += 1.0
+                late_sender.clock_offset += 1.0
                 world.sender.server.expire()
-                await turn()
-            await until(lambda: all(each.fileno() < 0 for each in late_one.accepted))
-            assert len(late_one.accepted) >= 2
+                await next_iteration()
+            await until(lambda: all(each.fileno() < 0 for each in late_sender.accepted))
+            assert len(late_sender.accepted) >= 2
 
     with_folder(test)
 
@@ -240,9 +244,9 @@
     closed, its reset arrives at once, and shutdown raises ENOTCONN in the sweep, whose task ended the
     process."""
     async with World(state) as world:
-        half = Client(world.running.address, message("m")[:30])
+        partial = BlockingClient(world.running.address, message("m")[:30])
         await until(lambda: any(each.began for each in world.sender.server.connections))
-        half.finish()  # the loop reads nothing between this call and the sweep
+        partial.close()  # the loop reads nothing between this call and the sweep
         for each in list(world.sender.server.connections):
             each.since -= 60.0
         world.sender.server.expire()
@@ -255,15 +259,15 @@
     """Guards against the same error within an iteration: it was only logged, and the messages after it were
     neither answered nor sent."""
     async with World(state) as world:
-        late = Late(world)
+        late = LateSender(world)
         late.sender.engine.run_iteration = lambda: None  # type: ignore[method-assign]
-        first = Client(world.running.address, message("m", Connection="close"))
+        first = BlockingClient(world.running.address, message("m", Connection="close"))
         await until(lambda: "m" in world.sender.engine.table.arrivals)
         second = await HeldConnection.open(world.sender.server, message("n"))
         await until(lambda: "n" in world.sender.engine.table.arrivals)
-        gone, _ = world.sender.engine.table.arrivals["m"][1], first.finish()
-        gone.is_gone = lambda: False  # type: ignore[method-assign]  # it closes between check and response
-        late.one_late_turn(0.0, sweep_first=False)
+        closed, _ = world.sender.engine.table.arrivals["m"][1], first.close()
+        closed.is_gone = lambda: False  # type: ignore[method-assign]  # it closes between check and response
+        late.run_late_iteration(0.0, sweep_first=False)
         assert (await read_reply(second.reader)).status == 202
         assert {(await world.receiver.next()).id, (await world.receiver.next()).id} == {"m", "n"}
         second.writer.close()
@@ -273,16 +277,16 @@
 async def test_a_connection_with_an_unwritten_response_is_not_closed_for_capacity(state: Path) -> None:
     """Closing it in the iteration of its response would lose the response to a message just accepted."""
     async with World(state) as world:
-        client = Client(world.running.address, message("m"))
+        client = BlockingClient(world.running.address, message("m"))
         await until(lambda: bool(world.sender.server.table.idle))
-        (own,) = world.sender.server.table.idle
-        own.transport.get_write_buffer_size = lambda: 1  # type: ignore[method-assign]
+        (connection,) = world.sender.server.table.idle
+        connection.transport.get_write_buffer_size = lambda: 1  # type: ignore[method-assign]
         world.sender.server.close_unused()
-        assert own in world.sender.server.connections
-        del own.transport.get_write_buffer_size  # type: ignore[attr-defined]
+        assert connection in world.sender.server.connections
+        del connection.transport.get_write_buffer_size  # type: ignore[attr-defined]
         world.sender.server.close_unused()
-        assert own not in world.sender.server.connections
-        client.finish()
+        assert connection not in world.sender.server.connections
+        client.close()
 
 
 @run_async_test
@@ -291,17 +295,17 @@
 ) -> None:
     async with World(state) as world:
         server = world.sender.server
-        crowd = [Client(world.running.address, READY) for _ in range(8)]
+        probes = [BlockingClient(world.running.address, READY) for _ in range(8)]
         await until(lambda: len(server.table.probing) == 8)
         old = list(server.table.probing)
-        numbers = {each.sock.fileno() for each in old}
+        descriptors = {each.sock.fileno() for each in old}
         sockets = [socket.socket() for _ in old]  # created first, so that they use none of those numbers
         for each in old:
             each.close()
         await until(lambda: all(each.sock.fileno() < 0 for each in old))
-        fresh = [Client(world.running.address, sock=each) for each in sockets]
+        fresh = [BlockingClient(world.running.address, sock=each) for each in sockets]
         await until(lambda: len(server.connections) == 8)
-        assert numbers & {each.sock.fileno() for each in server.connections}
+        assert descriptors & {each.sock.fileno() for each in server.connections}
         for each in old:  # late calls on the old connections
             assert each.is_gone() and each.is_busy() in (True, False)
             each.expire()
@@ -310,8 +314,8 @@
         for each in fresh:
             each.sock.sendall(message(f"m{id(each)}"))
         await until(lambda: len(server.table.idle) == 8)
-        for each in (*crowd, *fresh):
-            each.finish()
+        for each in (*probes, *fresh):
+            each.close()
 
 
 @run_async_test
@@ -319,35 +323,37 @@
     """Forty clients send a byte per iteration while others connect, reset and reconnect; iterations take 0 to
     3 s."""
     async with World(state) as world:
-        late = Late(world)
+        late = LateSender(world)
         await with_timeout(world.platform.watches.get())
-        dripping = [(Client(world.running.address), message(f"d{each}")) for each in range(40)]
-        acts = itertools.cycle(ACTS)
+        slow_clients = [(BlockingClient(world.running.address), message(f"d{each}")) for each in range(40)]
+        acts = itertools.cycle(CLIENT_ACTIONS)
         for step in range(60):
-            for client, data in dripping:
+            for client, data in slow_clients:
                 with suppress(OSError):
                     client.sock.send(data[step : step + 1])
-            storm = [Client(world.running.address, message(f"s{step}-{n}")[: 40 * n]) for n in range(4)]
+            storm = [
+                BlockingClient(world.running.address, message(f"s{step}-{n}")[: 40 * n]) for n in range(4)
+            ]
             for client in storm:
                 getattr(client, next(acts))()
-            await turn()
-            late.one_late_turn((0.0, 0.05, 0.4, 3.0)[step % 4] if step % 10 == 9 else 0.0, step % 2 == 0)
-        await late.serve_all()
+            await next_iteration()
+            late.run_late_iteration((0.0, 0.05, 0.4, 3.0)[step % 4] if step % 10 == 9 else 0.0, step % 2 == 0)
+        await late.answer_all_calls()
         assert not world.sender.engine.defect
-        late.passed += 4.0
+        late.clock_offset += 4.0
         world.sender.server.expire()
         assert (await world.submit("after")).status == 202
 
 
 # Receivers.
 
-RECEIVER_ACTS = {
-    "answers": b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
-    "errs": b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n",
-    "turns away": b"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n",
-    "turns away in part": b"HTTP/1.1 503 Full\r\nContent-Length: 9\r\n\r\n",
-    "noise": b"noise\r\n\r\n",
-    "finishes": b"",
+RECEIVER_ACTIONS = {
+    "responds 200": b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
+    "responds 500": b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n",
+    "responds 503": b"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n",
+    "responds 503 in part": b"HTTP/1.1 503 Full\r\nContent-Length: 9\r\n\r\n",
+    "sends noise": b"noise\r\n\r\n",
+    "closes": b"",
     "resets": b"",
 }
 
@@ -363,7 +369,7 @@
         self.address: Address = self.listener.getsockname()
         self.received = b""
 
-    def accepts(self) -> bool:
+    def accept_call(self) -> bool:
         try:
             self.sock = self.listener.accept()[0]
         except BlockingIOError:
@@ -371,7 +377,7 @@
         self.sock.setblocking(False)
         return True
 
-    def read(self) -> bool:
+    def read_request(self) -> bool:
         """Reads available bytes; returns whether a complete request has been received."""
         with suppress(BlockingIOError):
             while data := self.sock.recv(1 << 20):
@@ -381,7 +387,7 @@
         return bool(separator) and len(body) >= int(length or 0)
 
     def act(self, name: str) -> None:
-        if data := RECEIVER_ACTS[name]:
+        if data := RECEIVER_ACTIONS[name]:
             self.sock.sendall(data)
             return
         if name == "resets":
@@ -390,30 +396,30 @@
 
 
 @pytest.mark.parametrize("late", [0.0, *LATE])
-@pytest.mark.parametrize("act", RECEIVER_ACTS)
+@pytest.mark.parametrize("act", RECEIVER_ACTIONS)
 def test_a_receiver_action_while_the_loop_is_late_yields_a_safe_outcome(act: str, late: float) -> None:
     """Once the last byte was received, only a complete response can prove that the request did not run."""
 
     async def test(_: Path) -> None:
-        receiver, passed = RawReceiver(), 0.0
+        receiver, clock_offset = RawReceiver(), 0.0
         loop = asyncio.get_running_loop()
         time = loop.time
-        loop.time = lambda: time() + passed  # type: ignore[method-assign]
+        loop.time = lambda: time() + clock_offset  # type: ignore[method-assign]
         transport = Transport(10, 10, 4, lambda: {"r": receiver.address})
         pending_call = asyncio.create_task(transport.call("r", sample_message(), 2.0, lambda: True))
-        await until(receiver.accepts)
-        await until(receiver.read)
+        await until(receiver.accept_call)
+        await until(receiver.read_request)
         receiver.act(act)
-        passed = late
+        clock_offset = late
         outcome = (await with_timeout(pending_call)).outcome
         allowed = {
-            "answers": {Outcome.OK},
-            "errs": {Outcome.ERROR},
-            "turns away": {Outcome.FULL},
-            "noise": {Outcome.MALFORMED},
+            "responds 200": {Outcome.OK},
+            "responds 500": {Outcome.ERROR},
+            "responds 503": {Outcome.FULL},
+            "sends noise": {Outcome.MALFORMED},
         }.get(act, {Outcome.RESET, Outcome.MALFORMED, Outcome.TIMEOUT})
         assert outcome in allowed | ({Outcome.TIMEOUT} if late >= 2.0 else set())
-        assert act == "turns away" or outcome not in NEVER_RAN
+        assert act == "responds 503" or outcome not in NEVER_RAN
         transport.close()
         receiver.listener.close()
 
@@ -424,34 +430,35 @@
 async def test_a_call_whose_last_bytes_are_written_at_its_deadline_has_a_reliable_outcome(_: Path) -> None:
     """Guards against the loop's own sock_sendall: it wrote the last bytes in the iteration of the time-out
     and raised only a cancellation, which counted as never run."""
-    receiver, passed = RawReceiver(buffer=4096), 0.0
+    receiver, clock_offset = RawReceiver(buffer=4096), 0.0
     loop = asyncio.get_running_loop()
     time = loop.time
-    loop.time = lambda: time() + passed  # type: ignore[method-assign]
+    loop.time = lambda: time() + clock_offset  # type: ignore[method-assign]
     transport = Transport(10, 10, 4, lambda: {"r": receiver.address})
     connect = transport.connect
 
-    async def narrow(address: Address) -> object:
+    async def connect_with_small_buffer(address: Address) -> object:
         connection = await connect(address)
         connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         return connection
 
-    transport.connect = narrow  # type: ignore[assignment]
+    transport.connect = connect_with_small_buffer  # type: ignore[assignment]
     pending_call = asyncio.create_task(
         transport.call("r", sample_message(body=b"x" * 65_000), 2.0, lambda: True)
     )
-    await until(receiver.accepts)
+    await until(receiver.accept_call)
 
-    def stuck() -> bool:
+    def has_unsent_bytes() -> bool:
         return any(each.unsent for each in transport.connections)
 
-    await until(stuck)
-    while not receiver.read() and stuck():  # frees buffer space, so that the loop can write the rest
+    await until(has_unsent_bytes)
+    # Reading frees buffer space, so that the loop can write the rest.
+    while not receiver.read_request() and has_unsent_bytes():
         if len(receiver.received) > 50_000:
-            passed = 3.0  # the call times out in that iteration
-        await turn()
+            clock_offset = 3.0  # the call times out in that iteration
+        await next_iteration()
     outcome = (await with_timeout(pending_call)).outcome
-    assert (outcome not in NEVER_RAN) == receiver.read()
+    assert (outcome not in NEVER_RAN) == receiver.read_request()
     transport.close()
     receiver.listener.close()
 
@@ -497,8 +504,10 @@
     try:
         inner()
     except ValueError as error:
-        line = describe(error, "a turn")
-    assert line.startswith("a turn: ValueError: two lines (at test_disconnects.py:") and "inner < " in line
+        line = describe(error, "an iteration")
+    assert (
+        line.startswith("an iteration: ValueError: two lines (at test_disconnects.py:") and "inner < " in line
+    )
 
 
 @run_async_test
@@ -522,26 +531,26 @@
         assert order[1].startswith("n0: ended by a defect: ") and "ZeroDivisionError" in order[1]
         assert "\n" not in order[1]
         reply.cancel()
-        world.running.ended = True
+        world.running.has_ended = True
 
 
 @run_async_test
 async def test_an_os_error_of_an_iteration_is_a_defect_and_one_of_a_transport_is_not(state: Path) -> None:
     async with World(state) as world:
-        client = Client(world.running.address, READY)
+        client = BlockingClient(world.running.address, READY)
         await until(lambda: bool(world.sender.server.table.probing))
-        (own,) = world.sender.server.table.probing
+        (connection,) = world.sender.server.table.probing
         broken = ConnectionResetError(errno.ECONNRESET, "reset")
-        handle = asyncio.Handle(own.transport.abort, (), asyncio.get_running_loop())
+        handle = asyncio.Handle(connection.transport.abort, (), asyncio.get_running_loop())
         world.sender.handle_loop_exception(
             {"message": "a callback raised", "exception": broken, "handle": handle}
         )
-        assert not world.sender.engine.defect and own.transport.is_closing()
+        assert not world.sender.engine.defect and connection.transport.is_closing()
         world.sender.handle_loop_exception({"message": "a callback raised", "exception": broken})
         assert "ConnectionResetError" in world.sender.engine.defect
-        client.finish()
+        client.close()
         assert await with_timeout(asyncio.shield(world.running.task)) == 1
-        world.running.ended = True
+        world.running.has_ended = True
 
 
 @run_async_test
@@ -551,10 +560,10 @@
         for wrong in ({"class": ["k"]}, {"site": {}}, {"host": 7}):
             send_watch_line(watch, 50, host(world.receiver.dial) | wrong, whole=True)
             tries = len(world.platform.watched)
-            late = Late(world)
+            late = LateSender(world)
             while len(world.platform.watched) == tries:
-                late.passed += 0.25
+                late.clock_offset += 0.25
                 world.sender.engine.post(WakeUp())
-                await turn()
+                await next_iteration()
             watch = world.platform.watched[-1]
         assert not world.sender.engine.defect and list(world.sender.engine.dispatcher.endpoints) == ["r"]
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -178,9 +178,8 @@
         assert (update.listing, [each.id for each in update.endpoints]) == (ListingKind.FULL, ["new"])
         assert (await with_timeout(new.watches.get())).target.endswith("after=7")
         send_watch_line(watch, 100, host(OLD))
-        await with_timeout(
-            old.ends.get()
-        )  # the old watch ends without a FAILED update, and its last line is ignored
+        # The old watch ends without a FAILED update, and its last line is ignored.
+        await with_timeout(old.ends.get())
         assert updates.empty() and discovery.version == 7 and list(discovery.dials) == ["new"]
         moved.cancel()
 
--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -14,7 +14,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from peers import sample_message
-from socket_faults import turn as loop_turn
+from socket_faults import next_iteration
 
 from message_sender.cli.journal import journal as command
 from message_sender.journal import records
@@ -254,7 +254,7 @@
         disk.may_finish.clear()
         journal.compact()
         while disk.journal:
-            await loop_turn()
+            await next_iteration()
         journal.close()
 
     asyncio.run(play())
@@ -425,10 +425,10 @@
             apply_step(journal, model, kind, f"m{number}")
             if kind == "next":
                 journal.next()
-                await loop_turn()
+                await next_iteration()
         while not journal.replacement.is_complete:
             journal.next()
-            await loop_turn()
+            await next_iteration()
         apply_step(journal, model, "taken", "last")
         assert await wait_until_durable(journal) and journal.replacement is None
         journal.release()
--- a/tests/test_late_iterations.py
+++ b/tests/test_late_iterations.py
@@ -14,8 +14,8 @@
 
 import pytest
 from peers import Request, Running, World, config_json, host, run_async_test, sample_message, send_watch_line
-from socket_faults import turn, until
-from test_disconnects import Late
+from socket_faults import next_iteration, until
+from test_disconnects import LateSender
 
 from message_sender.core.event_loop_lag import FIRST_BUCKET_S, REPORT_INTERVAL_S, REPORTED_LAG_S, EventLoopLag
 from message_sender.core.ports import AttemptResult, Completion, Rejected
@@ -50,7 +50,7 @@
     """A sender with one call in flight at its receiver, and a second, idle connection to the receiver."""
 
     def __init__(self, world: World) -> None:
-        self.world, self.engine, self.late = world, world.sender.engine, Late(world)
+        self.world, self.engine, self.late_sender = world, world.sender.engine, LateSender(world)
         self.engine.dispatcher.stops_at = float("inf")
         self.caller = WaitingCaller()
 
@@ -98,7 +98,7 @@
 
     async def run_iterations(self, count: int = 30) -> None:
         for _ in range(count):
-            await turn()
+            await next_iteration()
 
 
 def run_scenario(
@@ -143,7 +143,7 @@
     scenario.engine.retry_after_received("r", 100_000)
     scenario.submit("n")
     scenario.engine.run_iteration()
-    scenario.late.passed += 0.3
+    scenario.late_sender.clock_offset += 0.3
     request.answer(429, RETRY_AFTER)
     scenario.engine.post(WakeUp())
     scenario.engine.run_iteration()
@@ -155,7 +155,7 @@
 async def test_unread_retry_after_of_a_call_past_its_deadline_is_observed(scenario: Scenario) -> None:
     request = await scenario.start(left=1_000_000)
     request.answer(429, RETRY_AFTER)
-    scenario.late.passed += 1.2  # one loop iteration finds both the answer and the deadline
+    scenario.late_sender.clock_offset += 1.2  # one loop iteration finds both the answer and the deadline
     await until(lambda: not scenario.engine.attempts.calls)
     scenario.submit("n")
     scenario.engine.run_iteration()
@@ -163,19 +163,25 @@
     assert scenario.new_calls() == [] and len(scenario.caller.completions) == 1
 
 
-@pytest.mark.parametrize("before", [True, False], ids=["before the turn", "before the byte"])
-@pytest.mark.parametrize("whole", [True, False])
-def test_unread_drain_holds_back_a_new_message(before: bool, whole: bool, tmp_path: Path) -> None:
+@pytest.mark.parametrize(
+    "is_before_iteration", [True, False], ids=["before the iteration", "before the first byte"]
+)
+@pytest.mark.parametrize("is_full_list", [True, False])
+def test_unread_drain_holds_back_a_new_message(
+    is_before_iteration: bool, is_full_list: bool, tmp_path: Path
+) -> None:
     @run_scenario()
     async def test(scenario: Scenario) -> None:
         await scenario.start()
         scenario.submit("n")
-        hosts = () if whole else (host(scenario.world.receiver.dial, health="draining"),)
-        if before:
-            send_watch_line(scenario.watch, 42, *hosts, whole=whole)
+        hosts = () if is_full_list else (host(scenario.world.receiver.dial, health="draining"),)
+        if is_before_iteration:
+            send_watch_line(scenario.watch, 42, *hosts, whole=is_full_list)
             scenario.engine.run_iteration()
         else:
-            scenario.before_first_byte(lambda: send_watch_line(scenario.watch, 42, *hosts, whole=whole))
+            scenario.before_first_byte(
+                lambda: send_watch_line(scenario.watch, 42, *hosts, whole=is_full_list)
+            )
         await scenario.run_iterations()
         assert scenario.new_calls() == [] and "n" in scenario.engine.dispatcher.messages
 
@@ -236,7 +242,7 @@
     for writer in scenario.world.receiver.writers:
         if writer.transport.get_extra_info("peername") == idle.sock.getsockname():
             writer.transport.abort()
-    await turn()
+    await next_iteration()
     scenario.engine.attempts.poll_unread()
     assert not scenario.world.sender.transport.idle and idle.sock.fileno() < 0
 
@@ -289,7 +295,7 @@
         scenario.submit("m")
         await until(lambda: transport.sent_ids == ["m"])
         scenario.submit("n")
-        scenario.late.passed += 0.2 if late else 0.0
+        scenario.late_sender.clock_offset += 0.2 if late else 0.0
         transport.deliver_later("m", AttemptResult(Outcome.FULL, retry_after_us=5_000_000))
         scenario.engine.run_iteration()
         await until(
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -26,7 +26,7 @@
     send_watch_line,
     with_timeout,
 )
-from socket_faults import turn
+from socket_faults import next_iteration
 
 from message_sender.handover.drain import GRACE_S
 from message_sender.http.codec import Address
@@ -47,7 +47,7 @@
     world = World(state, **kind)
     async with Peer() as receiver, Platform() as platform:
         config = config_json(platform, host(receiver.dial), **kind) | {"management": "127.0.0.1:0"}
-        world.receiver, world.platform, world.told = receiver, platform, config
+        world.receiver, world.platform, world.config = receiver, platform, config
         async with Running(config, state) as running:
             world.running, world.sender, world.submit = running, running.sender, running.submit
             yield world, running.sender.management_server.address()
@@ -135,7 +135,7 @@
         (await world.receiver.next()).answer(410)
         await world.receiver.next()
         while len(world.sender.engine.journal.entries) > 1:
-            await turn()
+            await next_iteration()
         metrics = parse_metrics(await call(address, "GET", "/stats"))
         assert metrics["transactions.c.answered"] == 1 and metrics["transactions.c.errored"] == 0
         assert metrics["sends"] == 3 and metrics["current"] == 1
@@ -154,7 +154,7 @@
         assert parse_metrics(await call(address, "GET", "/stats"))["current"] == 1
         notice.answer(204)
         while world.sender.engine.journal.entries:
-            await turn()
+            await next_iteration()
         state = json.loads(notice.body)["state"]
         kind = {"returned": "deferred", "failed": "errored"}[state]
         metrics = parse_metrics(await call(address, "GET", "/stats"))
@@ -173,9 +173,9 @@
         send_watch_line(watch, 42, host(world.receiver.dial, health="gone"))
         send_watch_line(watch, 43, host(world.receiver.dial))
         while world.sender.discovery.version != 43:
-            await turn()
+            await next_iteration()
         assert (await world.submit("m1")).status == 202
-        await turn()
+        await next_iteration()
         assert not world.sender.engine.attempts.calls
         assert (await call(address, "POST", "/receivers/r/ready")).status == 200
         assert (await world.receiver.next()).id == "m1"
@@ -190,12 +190,12 @@
         assert (await call(address, "POST", "/receivers/r/maint")).status == 200
         world.sender.stop(0)
         await world.running.task
-        async with Running(world.told, tmp_path) as restarted:
+        async with Running(world.config, tmp_path) as restarted:
             await restarted.submit("m1")
-            await turn()
+            await next_iteration()
             assert not restarted.sender.engine.attempts.calls
         (tmp_path / "orders.json").write_text('{"out": ["r"')
-        async with Running(world.told, tmp_path):
+        async with Running(world.config, tmp_path):
             assert (await world.receiver.next()).id == "m1"
 
 
@@ -226,7 +226,7 @@
         for each in list(server.connections):
             each.since -= LINGER_S
         world.sender.end_drain_grace()
-        assert await kept.ended() == await silent.ended() == b""
+        assert await kept.read_to_end() == await silent.read_to_end() == b""
         assert (await ask(world.running.address, READY)).status == 503
         assert (await call(address, "GET", "/healthcheck")).status == 200
         assert (await call(address, "POST", "/healthcheck/ok")).status == 200
@@ -242,7 +242,7 @@
         assert (await call(address, "POST", "/healthcheck/fail")).status == 200
         world.sender.stop(0)
         await world.running.task
-        async with Running(world.told, tmp_path) as restarted:
+        async with Running(world.config, tmp_path) as restarted:
             assert (await ask(restarted.address, READY)).status == 503
             new_address = restarted.sender.management_server.address()
             assert (await call(new_address, "POST", "/healthcheck/ok")).status == 200
@@ -295,7 +295,7 @@
     for byte in b"GET /stats HTTP/1.1\r\nHost: x\r\n\r\n":
         assert not calls
         writer.write(bytes([byte]))
-        await turn()
+        await next_iteration()
     assert (await read_reply(reader)).status == 500
     assert await with_timeout(reader.read()) == b"" and calls == [ManagementCall(Operation.METRICS)]
     writer.close()
--- a/tests/test_race_conditions.py
+++ b/tests/test_race_conditions.py
@@ -27,8 +27,8 @@
     send_watch_line,
     with_timeout,
 )
-from socket_faults import turn, until
-from test_connection_states import Client
+from socket_faults import next_iteration, until
+from test_connection_states import BlockingClient
 
 from message_sender.handover.drain import GRACE_S
 from message_sender.http.client_connection import ClientConnection
@@ -37,25 +37,25 @@
 from message_sender.policy.model import Endpoint, EndpointState, ListingKind
 
 NAME = "m1"
-HEAD, _, BODY = message(NAME, b"x" * 40).partition(b"\r\n\r\n")
-WHOLE = HEAD + b"\r\n\r\n" + BODY
+REQUEST_HEAD, _, REQUEST_BODY = message(NAME, b"x" * 40).partition(b"\r\n\r\n")
+REQUEST = REQUEST_HEAD + b"\r\n\r\n" + REQUEST_BODY
 STATUS = b"HTTP/1.1 "
 
 
-class Crossing:
+class RaceScenario:
     """A sender, a client with one message, and a record of what happened to the message.
 
     Attributes:
-        left: The client has closed its connection, or its sending side.
-        killed: The process was killed.
-        stopping: The process received SIGTERM.
+        client_left: The client has closed its connection, or its sending side.
+        was_killed: The process was killed.
+        is_stopping: The process received SIGTERM.
         notices: Id and state of each notice to the platform.
         calls: The requests for the message that arrived completely at the receiver.
         served_count: Number of answers of the receiver.
         request: The unanswered request at the receiver.
         calls_at_drain: Number of calls when the endpoint was listed as draining; None: it is not draining.
-        go_on: Set when a held connection attempt may continue.
-        dialled: Set when the sender starts to connect to the receiver.
+        may_connect: Set when a held connection attempt may continue.
+        connect_started: Set when the sender starts to connect to the receiver.
         lost_answer: The receiver may have served the message although its answer is lost.
         step: Name of the step.
     """
@@ -63,21 +63,21 @@
     def __init__(self, world: World) -> None:
         self.world, self.sender, self.engine = world, world.sender, world.sender.engine
         self.running: Running = world.running
-        self.client = Client(self.sender.server.address())
-        self.left = self.killed = self.stopping = False
+        self.client = BlockingClient(self.sender.server.address())
+        self.client_left = self.was_killed = self.is_stopping = False
         self.notices: list[tuple[str, str]] = []
         self.calls: list[Request] = []
         self.served_count = 0
         self.request: Request | None = None
         self.calls_at_drain: int | None = None
-        self.go_on = asyncio.Event()
-        self.dialled = asyncio.Event()
+        self.may_connect = asyncio.Event()
+        self.connect_started = asyncio.Event()
         self.platform = asyncio.create_task(
             answer_notices(world.platform, lambda name, state: self.notices.append((name, state)))
         )
 
     async def submit(self) -> None:
-        self.client.send(WHOLE)
+        self.client.send(REQUEST)
         await until(lambda: self.received().startswith(STATUS))
 
     def received(self) -> bytes:
@@ -104,27 +104,27 @@
         await until(lambda: any(each.transport for each in self.sender.server.connections))
 
     async def part_of_a_head(self) -> None:
-        self.client.send(HEAD[:50])
+        self.client.send(REQUEST_HEAD[:50])
         await until(lambda: any(each.began for each in self.sender.server.connections))
 
     async def part_of_a_body(self) -> None:
-        self.client.send(WHOLE[:-5])
+        self.client.send(REQUEST[:-5])
         await until(lambda: any(each.reader.request for each in self.sender.server.connections))
 
     async def unread(self) -> None:
         """The client's request is in the system's buffers."""
         await self.connected()
-        self.client.send(WHOLE)
+        self.client.send(REQUEST)
 
-    async def held(self) -> None:
+    async def pending(self) -> None:
         """The message is accepted and waits, since its destination has no endpoint."""
-        self.client.send(WHOLE.replace(b"dest=3", b"dest=9"))
+        self.client.send(REQUEST.replace(b"dest=3", b"dest=9"))
         await until(lambda: self.received().startswith(STATUS))
 
-    async def dialling(self) -> None:
+    async def connecting(self) -> None:
         """The sender connects to the receiver."""
         await self.submit()
-        await with_timeout(self.dialled.wait())
+        await with_timeout(self.connect_started.wait())
 
     async def written(self) -> None:
         """The request has arrived at the receiver."""
@@ -143,7 +143,7 @@
         await self.written()
         self.answer()
 
-    async def resting(self) -> None:
+    async def idle(self) -> None:
         """The message is completed, and the connections are idle."""
         await self.written()
         self.answer()
@@ -162,7 +162,7 @@
 
     def sigterm(self) -> None:
         self.sender.terminate()
-        self.stopping = True
+        self.is_stopping = True
 
     def second_sigterm(self) -> None:
         self.sigterm()
@@ -176,7 +176,7 @@
 
     def sigkill(self) -> None:
         """Ends all work of the process; its descriptors are closed, and those with unread data are reset."""
-        self.killed = True
+        self.was_killed = True
         self.engine.close()
         self.engine.stop(0)
         for each in list(self.sender.server.connections):
@@ -210,15 +210,15 @@
         self.sender.server.expire()
 
     def clients_close(self) -> None:
-        self.left = True
+        self.client_left = True
         self.client.sock.close()
 
     def clients_half_close(self) -> None:
-        self.left = True
+        self.client_left = True
         self.client.sock.shutdown(socket.SHUT_WR)
 
     def clients_reset(self) -> None:
-        self.left = True
+        self.client_left = True
         self.client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.client.sock.close()
 
@@ -242,36 +242,36 @@
     def disk_full(self) -> None:
         self.engine.journal.limit_bytes = 0
 
-    # What follows the event, and what must hold.
+    # The end of a scenario, and its checks.
 
-    async def settle(self) -> None:
+    async def finish(self) -> None:
         serving = asyncio.create_task(self.serve())
-        self.go_on.set()
+        self.may_connect.set()
         for _ in range(30):
-            await turn()
+            await next_iteration()
         self.answer()
         with contextlib.suppress(OSError):
-            if self.client.sock.fileno() >= 0 and not self.left and not self.received():
+            if self.client.sock.fileno() >= 0 and not self.client_left and not self.received():
                 self.send_rest_of_request()
-        if self.stopping or self.killed:
+        if self.is_stopping or self.was_killed:
             await self.end()
         else:
             self.engine.journal.limit_bytes = 3_000_000
             await self.restore_endpoints()
-        await self.wait_until_completed(self.engine if not (self.stopping or self.killed) else None)
+        await self.wait_until_completed(self.engine if not (self.is_stopping or self.was_killed) else None)
         serving.cancel()
 
     def send_rest_of_request(self) -> None:
         """Sends the rest of the request that the step has sent in part."""
-        sent_bytes = {"connected": 0, "part_of_a_head": 50, "part_of_a_body": len(WHOLE) - 5}
+        sent_bytes = {"connected": 0, "part_of_a_head": 50, "part_of_a_body": len(REQUEST) - 5}
         if self.step in sent_bytes:
-            self.client.send(WHOLE[sent_bytes[self.step] :])
+            self.client.send(REQUEST[sent_bytes[self.step] :])
 
     async def restore_endpoints(self) -> None:
         """Lists the endpoints as ready again, after a drain or a lost watch."""
         self.sender.maintenance.out_of_service = frozenset()
         for _ in range(40):
-            await turn()
+            await next_iteration()
         if self.calls_at_drain is not None:
             assert len(self.calls) == self.calls_at_drain  # no new call was sent to the draining endpoint
             self.calls_at_drain = None
@@ -282,11 +282,11 @@
 
     async def end(self) -> None:
         """Ends the process, and starts another on its state folder."""
-        if not self.killed:
+        if not self.was_killed:
             self.sender.stop(0)
         await with_timeout(self.running.task)
         assert self.engine.defect == ""
-        config = self.world.told | {"known": {"seq": 50, "whole": True, "hosts": self.hosts()}}
+        config = self.world.config | {"known": {"seq": 50, "whole": True, "hosts": self.hosts()}}
         async with Running(config, self.world.state) as restarted:
             await self.wait_until_completed(restarted.sender.engine)
 
@@ -310,10 +310,10 @@
 
     def check(self, is_unsafe: bool) -> None:
         assert self.engine.defect == ""
-        text = b"" if self.left else self.read_answer()
+        text = b"" if self.client_left else self.read_answer()
         is_accepted = text.startswith(b"HTTP/1.1 202")
         states = {state for name, state in self.notices if name == NAME}
-        if not (self.left or self.killed) and self.step != "connected":
+        if not (self.client_left or self.was_killed) and self.step != "connected":
             assert text.startswith(STATUS), "the client received no answer"
         if is_accepted:
             assert self.served_count or states, "an accepted message has no completion"
@@ -340,41 +340,41 @@
 STEPS = {
     each.__name__: each
     for each in (
-        Crossing.connected,
-        Crossing.part_of_a_head,
-        Crossing.part_of_a_body,
-        Crossing.unread,
-        Crossing.held,
-        Crossing.dialling,
-        Crossing.written,
-        Crossing.part_of_an_answer,
-        Crossing.answer_unread,
-        Crossing.resting,
+        RaceScenario.connected,
+        RaceScenario.part_of_a_head,
+        RaceScenario.part_of_a_body,
+        RaceScenario.unread,
+        RaceScenario.pending,
+        RaceScenario.connecting,
+        RaceScenario.written,
+        RaceScenario.part_of_an_answer,
+        RaceScenario.answer_unread,
+        RaceScenario.idle,
     )
 }
-EVENTS: dict[str, Callable[[Crossing], None]] = {
+EVENTS: dict[str, Callable[[RaceScenario], None]] = {
     each.__name__: each
     for each in (
-        Crossing.sigterm,
-        Crossing.second_sigterm,
-        Crossing.grace_over,
-        Crossing.sigkill,
-        Crossing.hangup,
-        Crossing.list_drains,
-        Crossing.list_lost,
-        Crossing.operators_drain,
-        Crossing.idle_limit,
-        Crossing.clients_close,
-        Crossing.clients_half_close,
-        Crossing.clients_reset,
-        Crossing.receivers_close,
-        Crossing.receivers_reset,
-        Crossing.receivers_half_line,
-        Crossing.deadline,
-        Crossing.disk_full,
+        RaceScenario.sigterm,
+        RaceScenario.second_sigterm,
+        RaceScenario.grace_over,
+        RaceScenario.sigkill,
+        RaceScenario.hangup,
+        RaceScenario.list_drains,
+        RaceScenario.list_lost,
+        RaceScenario.operators_drain,
+        RaceScenario.idle_limit,
+        RaceScenario.clients_close,
+        RaceScenario.clients_half_close,
+        RaceScenario.clients_reset,
+        RaceScenario.receivers_close,
+        RaceScenario.receivers_reset,
+        RaceScenario.receivers_half_line,
+        RaceScenario.deadline,
+        RaceScenario.disk_full,
     )
 }
-STEPS_WITH_CALL = ("written", "part_of_an_answer", "answer_unread", "resting")
+STEPS_WITH_CALL = ("written", "part_of_an_answer", "answer_unread", "idle")
 PAIRS = [
     (step, event)
     for step in STEPS
@@ -384,37 +384,37 @@
 ]
 
 
-@pytest.mark.parametrize("effect", ["once", "repeatable"])
+@pytest.mark.parametrize("semantics", ["once", "repeatable"])
 @pytest.mark.parametrize(("step", "event"), PAIRS)
 def test_event_at_each_step_of_a_message(
-    step: str, event: str, effect: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+    step: str, event: str, semantics: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     open_connection: Callable[[Address], Awaitable[ClientConnection]] = ClientConnection.open
-    crossings: list[Crossing] = []
+    scenarios: list[RaceScenario] = []
 
     async def delayed_open(address: Address) -> ClientConnection:
-        if crossings and address == crossings[0].world.receiver.address and step == "dialling":
-            crossings[0].dialled.set()
-            await crossings[0].go_on.wait()
+        if scenarios and address == scenarios[0].world.receiver.address and step == "connecting":
+            scenarios[0].connect_started.set()
+            await scenarios[0].may_connect.wait()
         return await open_connection(address)
 
     monkeypatch.setattr(ClientConnection, "open", delayed_open)
 
     async def test(state: Path) -> None:
-        async with World(state, semantics=effect) as world:
+        async with World(state, semantics=semantics) as world:
             send_watch_line(await with_timeout(world.platform.watches.get()), 42, host(world.receiver.dial))
-            crossing = Crossing(world)
-            crossings.append(crossing)
-            crossing.step = step
-            await STEPS[step](crossing)
-            EVENTS[event](crossing)
-            crossing.lost_answer = event.startswith("receivers") or event in ("sigkill", "deadline")
-            await crossing.settle()
-            crossing.check(effect == "once")
-            crossing.platform.cancel()
-            if not crossing.left:
-                crossing.client.sock.close()
-            if crossing.killed or crossing.stopping:
+            scenario = RaceScenario(world)
+            scenarios.append(scenario)
+            scenario.step = step
+            await STEPS[step](scenario)
+            EVENTS[event](scenario)
+            scenario.lost_answer = event.startswith("receivers") or event in ("sigkill", "deadline")
+            await scenario.finish()
+            scenario.check(semantics == "once")
+            scenario.platform.cancel()
+            if not scenario.client_left:
+                scenario.client.sock.close()
+            if scenario.was_killed or scenario.is_stopping:
                 world.running.task = asyncio.create_task(asyncio.sleep(0, 0))
 
     run_async_test(test)(tmp_path)
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -11,7 +11,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from peers import World, message, read_reply, run_async_test, with_timeout
-from socket_faults import turn, until
+from socket_faults import next_iteration, until
 
 from message_sender.cli import main
 from message_sender.cli.recorded_commands import read_recorded_commands
@@ -192,7 +192,7 @@
         connection = tap.opened(("127.0.0.1", 1), ("127.0.0.1", 2))
         for _ in range(3):
             tap.passed(connection, 0, b"x" * 700)
-            await turn()
+            await next_iteration()
         assert (tap.dropped_records, tap.dropped_bytes) == (1, {(connection, 0): 700})
         monkeypatch.undo()
         tap.flush()
--- a/tests/test_sender.py
+++ b/tests/test_sender.py
@@ -19,7 +19,7 @@
     send_watch_line,
     with_timeout,
 )
-from socket_faults import turn as loop_turn
+from socket_faults import next_iteration
 
 from message_sender.core.restoration import Restoration
 from message_sender.handover.drain import GRACE_S
@@ -55,7 +55,7 @@
         assert (await world.submit("m1")).status == 202  # a repeated submission is not a second message
         request.answer(200)
         while world.sender.engine.journal.entries:
-            await loop_turn()
+            await next_iteration()
         assert journalled_ids(state) == [] and world.receiver.requests.empty()
 
 
@@ -65,8 +65,8 @@
     async with World(state) as world:
         journal, client = world.sender.engine.journal, world.sender.transport
         record_accepted, record_attempt, call = journal.record_accepted, journal.record_attempt, client.call
-        journal.record_accepted = lambda message: steps.append("taken") or record_accepted(message)
-        journal.record_attempt = lambda *args: steps.append("sent") or record_attempt(*args)
+        journal.record_accepted = lambda message: steps.append("message record") or record_accepted(message)
+        journal.record_attempt = lambda *args: steps.append("attempt record") or record_attempt(*args)
         client.call = lambda *args: steps.append("call") or call(*args)
         answer = server_module.ServerConnection.answer
         try:
@@ -77,7 +77,7 @@
             await world.receiver.next()
         finally:
             server_module.ServerConnection.answer = answer
-    assert steps == ["taken", "answer", "sent", "call"]
+    assert steps == ["message record", "answer", "attempt record", "call"]
 
 
 @run_async_test
@@ -117,7 +117,7 @@
         _, writer = await asyncio.open_connection(*world.running.address)
         writer.write(message("m1"))
         while not world.sender.engine.table.arrivals:
-            await loop_turn()
+            await next_iteration()
         connection = world.sender.engine.table.arrivals["m1"][1]
         connection.transport.pause_reading()
         writer.close()
@@ -140,7 +140,7 @@
         assert journalled_ids(state) == ["m1"]
         notice.answer(204)
         while world.sender.engine.journal.entries:
-            await loop_turn()
+            await next_iteration()
         assert journalled_ids(state) == []
 
 
@@ -164,7 +164,7 @@
         await world.submit("m1")
         (await world.receiver.next()).answer(429, "Retry-After: 3600")
         while world.sender.engine.attempts.calls:
-            await loop_turn()
+            await next_iteration()
         await world.submit("m2", **SHORT_DEADLINE)
         # m2 reaches its deadline without a call, and m1 still waits.
         assert json.loads((await world.platform.next()).body)["id"] == "m2"
@@ -182,7 +182,7 @@
             (await world.receiver.next()).answer(200)
             send_watch_line(watch, 42, host(world.receiver.dial, health="draining"))
             while world.sender.engine.dispatcher.endpoints:
-                await loop_turn()
+                await next_iteration()
             await world.submit("m2", **SHORT_DEADLINE)
             assert json.loads((await world.platform.next()).body)["id"] == "m2"
             assert world.receiver.requests.empty()
@@ -206,7 +206,7 @@
         await with_timeout(connecting.wait())
         send_watch_line(watch, 42, host(world.receiver.dial, health="gone"))
         while world.sender.engine.dispatcher.endpoints:
-            await loop_turn()
+            await next_iteration()
         may_connect.set()
         assert json.loads((await world.platform.next()).body)["id"] == "m1"
         assert world.receiver.requests.empty()
@@ -217,7 +217,7 @@
     async with World(state) as world:
         watch = await with_timeout(world.platform.watches.get())
         send_watch_line(watch, 57, host(world.receiver.dial))
-        await loop_turn()
+        await next_iteration()
         watch.writer.close()
         assert (await with_timeout(world.platform.watches.get())).target.endswith("after=57")
 
@@ -230,7 +230,7 @@
         first = await world.receiver.next()
         world.sender.stop(0)
         await world.running.task
-        async with Running(world.told, state) as restarted:
+        async with Running(world.config, state) as restarted:
             assert list(restarted.sender.engine.dispatcher.messages) == ["m1", "m2"]
             restored = restarted.sender.engine.dispatcher.messages["m1"]
             assert (
@@ -254,7 +254,7 @@
         await world.receiver.next()
         world.sender.stop(0)
         await world.running.task
-        async with Running(world.told, state):
+        async with Running(world.config, state):
             notice = await world.platform.next()
             assert json.loads(notice.body) == {"id": "m1", "state": "failed"}
             notice.answer(204)
@@ -271,7 +271,7 @@
         records = [json.loads(each) for each in file.read_text().splitlines()]
         records[0]["taken"]["until"] -= 3600 * 10**6
         file.write_text("".join(json.dumps(each) + "\n" for each in records))
-        async with Running(world.told, state):
+        async with Running(world.config, state):
             notice = await world.platform.next()
             assert json.loads(notice.body)["id"] == "m1"
             notice.answer(204)
@@ -337,7 +337,7 @@
                 journal.record_outcome("m1", number, outcome)
             world.sender.stop(0)
             await world.running.task
-            restarted = PlatformSender(decode_config(world.told, state)).engine
+            restarted = PlatformSender(decode_config(world.config, state)).engine
             restoration = Restoration(
                 restarted.table, restarted.attempts, restarted.arrivals, restarted.directory, restarted.now
             )
@@ -360,7 +360,7 @@
         journal.record_outcome("m1", 0, Outcome.OK)
         world.sender.stop(0)
         await world.running.task
-        async with Running(world.told, state) as restarted:
+        async with Running(world.config, state) as restarted:
             assert not restarted.sender.engine.journal.entries
             assert (await restarted.submit("m2")).status == 202
             assert (await world.receiver.next()).id == "m2"
@@ -374,7 +374,7 @@
         await world.submit("m1")
         (await world.receiver.next()).answer(200)
         while world.sender.engine.journal.entries:
-            await loop_turn()
+            await next_iteration()
         assert (await world.submit("m1")).status == 202
         await world.submit("m2")
         assert (await world.receiver.next()).id == "m2" and world.receiver.requests.empty()
@@ -406,9 +406,8 @@
         sockets, 64
     )
     assert share.calls >= 16 and (sockets < 256 or share.clients > sockets / 3)
-    assert (
-        DescriptorBudget.OWN_DESCRIPTORS >= 15 + MAX_ACCEPTS_PER_ITERATION
-    )  # the descriptors that are not divided, as counted in its comment
+    # The descriptors that are not divided, as counted in the comment of the constant.
+    assert DescriptorBudget.OWN_DESCRIPTORS >= 15 + MAX_ACCEPTS_PER_ITERATION
 
 
 @pytest.mark.parametrize("is_completed", [False, True])
@@ -426,7 +425,7 @@
             if is_completed:
                 request.answer(200)
                 while world.sender.engine.journal.entries:
-                    await loop_turn()
+                    await next_iteration()
             reply = await world.submit("m1", X_Session_Key="k")
             assert reply.status == 503 and float(reply.headers["retry-after"]) > 0
             assert (await world.submit("m1", X_Session_Key="other")).status == 202
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -8,7 +8,7 @@
 
 import pytest
 from peers import READY, HeldConnection, Reply, ask, message, read_reply, run_async_test, with_timeout
-from socket_faults import turn
+from socket_faults import next_iteration
 
 from message_sender.http.connection_state import IDLE_TIMEOUT_S, LINGER_TIMEOUT_S, READ_TIMEOUT_S
 from message_sender.http.request_parsing import TRANSIT_ALLOWANCE_US
@@ -23,30 +23,30 @@
 
 @asynccontextmanager
 async def serving(connection_limit: int = 10) -> AsyncIterator[tuple[Server, list[Message]]]:
-    taken: list[Message] = []
+    accepted: list[Message] = []
 
-    def take(message: Message, connection: ServerConnection) -> None:
-        taken.append(message)
+    def accept(message: Message, connection: ServerConnection) -> None:
+        accepted.append(message)
         connection.answer(202)
 
-    server = Server({"c": KEYED}, take, lambda: NOW, connection_limit)
+    server = Server({"c": KEYED}, accept, lambda: NOW, connection_limit)
     server.listen("127.0.0.1", 0)
     server.is_ready = True
-    yield server, taken
+    yield server, accepted
     server.close()
 
 
-async def raw(server: Server, data: bytes) -> Reply:
+async def send_raw(server: Server, data: bytes) -> Reply:
     return await ask(server.address(), data)
 
 
 @run_async_test
 async def test_a_request_is_parsed_into_a_message_with_all_its_fields(_: Path) -> None:
-    async with serving() as (server, taken):
+    async with serving() as (server, accepted):
         body = bytes(range(256)) * 256
         data = message("é1", body, X_Account="acme", X_Session_Key="k", X_Repeat="1", X_Time_Left="0.480")
-        assert (await raw(server, data)).status == 202
-        assert taken == [
+        assert (await send_raw(server, data)).status == 202
+        assert accepted == [
             Message("é1", "c", 3, NOW + 480_000 - TRANSIT_ALLOWANCE_US, "acme", "k", "key of é1", True, body)
         ]
 
@@ -86,10 +86,10 @@
     async def test(_: Path) -> None:
         errors: list[object] = []
         asyncio.get_running_loop().set_exception_handler(lambda _, context: errors.append(context))
-        async with serving() as (server, taken):
-            assert (await raw(server, data)).status == status
-            assert (await raw(server, message("fine"))).status == 202
-            assert [each.id for each in taken] == ["fine"]
+        async with serving() as (server, accepted):
+            assert (await send_raw(server, data)).status == status
+            assert (await send_raw(server, message("fine"))).status == 202
+            assert [each.id for each in accepted] == ["fine"]
         assert errors == []
 
     run_async_test(test)(Path())
@@ -97,53 +97,53 @@
 
 @run_async_test
 async def test_a_long_chunked_body_is_cut_off(_: Path) -> None:
-    async with serving() as (server, taken):
+    async with serving() as (server, accepted):
         head = message("m").replace(b"Content-Length: 1", b"Transfer-Encoding: chunked")
         head = head.partition(b"\r\n\r\n")[0]
         chunk = b"8000\r\n" + b"x" * 0x8000 + b"\r\n"
-        assert (await raw(server, head + b"\r\n\r\n" + chunk * 3)).status == 413 and taken == []
+        assert (await send_raw(server, head + b"\r\n\r\n" + chunk * 3)).status == 413 and accepted == []
 
 
 @run_async_test
 async def test_requests_follow_each_other_on_one_connection_even_pipelined(_: Path) -> None:
-    async with serving() as (server, taken):
+    async with serving() as (server, accepted):
         reader, writer = await asyncio.open_connection(*server.address())
         writer.write(message("a") + message("b"))
         assert [(await read_reply(reader)).status for _ in "ab"] == [202, 202]
         writer.write(message("c"))
         assert (await read_reply(reader)).status == 202
-        assert [each.id for each in taken] == ["a", "b", "c"]
+        assert [each.id for each in accepted] == ["a", "b", "c"]
         writer.close()
 
 
 @run_async_test
 async def test_time_left_counts_from_the_first_byte(_: Path) -> None:
-    async with serving() as (server, taken):
+    async with serving() as (server, accepted):
         reader, writer = await asyncio.open_connection(*server.address())
         data = message("m", X_Time_Left="1")
         writer.write(data[:40])
         while not any(each.began for each in server.connections):
-            await turn()
+            await next_iteration()
         server.now = lambda: NOW + 700_000
         writer.write(data[40:])
         assert (await read_reply(reader)).status == 202
-        assert taken[0].deadline_us == NOW + 1_000_000 - TRANSIT_ALLOWANCE_US
+        assert accepted[0].deadline_us == NOW + 1_000_000 - TRANSIT_ALLOWANCE_US
         writer.close()
 
 
 @run_async_test
 async def test_silent_and_idle_connections_are_closed_for_clients_with_requests(_: Path) -> None:
     """Guards normal clients against others that open hundreds of connections and send nothing."""
-    async with serving(connection_limit=3) as (server, taken):
+    async with serving(connection_limit=3) as (server, accepted):
         normal = await HeldConnection.open(server, message("a"))
         assert (await read_reply(normal.reader)).status == 202
         silent = [await HeldConnection.open(server) for _ in range(2)]
-        assert (await raw(server, message("b"))).status == 202
-        assert await silent[0].ended() == b""
+        assert (await send_raw(server, message("b"))).status == 202
+        assert await silent[0].read_to_end() == b""
         late = [await HeldConnection.open(server) for _ in range(20)]
         normal.writer.write(message("c"))
         assert (await read_reply(normal.reader)).status == 202
-        assert [each.id for each in taken] == ["a", "b", "c"]
+        assert [each.id for each in accepted] == ["a", "b", "c"]
         assert len(server.connections) <= 3 + server.lingering
         for each in (normal, *silent, *late):
             each.writer.close()
@@ -157,14 +157,14 @@
         normal = await HeldConnection.open(server, message("a"))
         assert (await read_reply(normal.reader)).status == 202
         fresh = await HeldConnection.open(server)
-        crowd = [await HeldConnection.open(server, READY) for _ in range(8)]
-        for each in crowd[-2:]:
+        probes = [await HeldConnection.open(server, READY) for _ in range(8)]
+        for each in probes[-2:]:
             assert (await read_reply(each.reader)).status == 200
         for held, name in ((fresh, "b"), (normal, "c")):
             held.writer.write(message(name))
             assert (await read_reply(held.reader)).status == 202
         assert len(server.connections) <= 4 + server.lingering
-        for each in (normal, fresh, *crowd):
+        for each in (normal, fresh, *probes):
             each.writer.close()
 
 
@@ -172,7 +172,7 @@
 async def test_a_new_connection_is_not_closed_in_favour_of_idle_ones(_: Path) -> None:
     """Guards against a past incident: with the limit reached by idle connections, each new one was closed
     before its request arrived, and its client kept reconnecting."""
-    async with serving(connection_limit=4) as (server, taken):
+    async with serving(connection_limit=4) as (server, accepted):
         kept = [await HeldConnection.open(server, message(name)) for name in "abcd"]
         for each in kept:
             assert (await read_reply(each.reader)).status == 202
@@ -181,7 +181,7 @@
         assert (await read_reply(late.reader)).status == 202
         fresh.writer.write(message("f"))
         assert (await read_reply(fresh.reader)).status == 202
-        assert [each.id for each in taken] == list("abcdef") and await kept[0].ended() == b""
+        assert [each.id for each in accepted] == list("abcdef") and await kept[0].read_to_end() == b""
         for each in (fresh, late, *kept):
             each.writer.close()
 
@@ -189,13 +189,13 @@
 @run_async_test
 async def test_with_every_connection_in_use_a_further_one_is_rejected(_: Path) -> None:
     async with serving(connection_limit=1) as (server, _taken):
-        half = await HeldConnection.open(server, message("a")[:30])
+        partial = await HeldConnection.open(server, message("a")[:30])
         while server.table.silent or not server.connections:
-            await turn()
-        assert (await raw(server, b"")).status == 503
+            await next_iteration()
+        assert (await send_raw(server, b"")).status == 503
         server.lingering = -1
-        assert await (await HeldConnection.open(server, b"x")).ended() == b""
-        half.writer.close()
+        assert await (await HeldConnection.open(server, b"x")).read_to_end() == b""
+        partial.writer.close()
 
 
 @run_async_test
@@ -204,65 +204,65 @@
         idle = await HeldConnection.open(server, message("a"))
         assert (await read_reply(idle.reader)).status == 202
         assert server.listener is not None
-        listener, tries = server.listener, iter([OSError(errno.EMFILE, "none left")])
+        listener, errors = server.listener, iter([OSError(errno.EMFILE, "none left")])
 
-        class Short:
+        class ListenerWithoutDescriptors:
             def __getattr__(self, name: str) -> object:
                 return getattr(listener, name)
 
             def accept(self) -> object:
-                for error in tries:
+                for error in errors:
                     raise error
                 return listener.accept()
 
         server.loop.remove_reader(listener)
-        server.listener = Short()  # type: ignore[assignment]
+        server.listener = ListenerWithoutDescriptors()  # type: ignore[assignment]
         server.loop.add_reader(listener, server.accept)
-        assert (await raw(server, message("b"))).status == 202
-        assert await idle.ended() == b""  # the unused connection was closed to free a descriptor
+        assert (await send_raw(server, message("b"))).status == 202
+        assert await idle.read_to_end() == b""  # the unused connection was closed to free a descriptor
 
 
 @run_async_test
 async def test_connections_with_unfinished_requests_or_without_requests_are_closed(_: Path) -> None:
     """The time limit of a request that arrives in small pieces counts from connecting, not each piece."""
     async with serving() as (server, _taken):
-        half = await HeldConnection.open(server, message("m")[:30])
+        partial = await HeldConnection.open(server, message("m")[:30])
         silent = await HeldConnection.open(server)
         idle = await HeldConnection.open(server, message("i"))
         assert (await read_reply(idle.reader)).status == 202
         while len(server.table.silent) != 1 or len(server.connections) != 3:
-            await turn()
+            await next_iteration()
         server.expire()
         assert len(server.connections) == 3
         for connection in server.connections:
             connection.since -= READ_TIMEOUT_S + 0.1
-        (dripping,) = [each for each in server.connections if each.began]
-        half.writer.write(message("m")[30:40])
-        while len(dripping.reader.codec.trailing_data[0]) < 40:
-            await turn()
+        (partial_request,) = [each for each in server.connections if each.began]
+        partial.writer.write(message("m")[30:40])
+        while len(partial_request.reader.codec.trailing_data[0]) < 40:
+            await next_iteration()
         server.expire()
-        assert (await read_reply(half.reader)).status == 408
-        assert await silent.ended() == b""
+        assert (await read_reply(partial.reader)).status == 408
+        assert await silent.read_to_end() == b""
         for connection in server.connections:
             connection.since -= IDLE_TIMEOUT_S
         server.expire()
-        assert await idle.ended() == b"" and await half.ended() == b""
-        for each in (half, silent, idle):
+        assert await idle.read_to_end() == b"" and await partial.read_to_end() == b""
+        for each in (partial, silent, idle):
             each.writer.close()
 
 
 @run_async_test
 async def test_bytes_after_a_rejected_head_are_dropped_and_the_client_can_read_the_response(_: Path) -> None:
-    async with serving() as (server, taken):
+    async with serving() as (server, accepted):
         held = await HeldConnection.open(server, message("m", b"x" * 65537) + b"x" * 8_000_000)
         assert (await read_reply(held.reader)).status == 413
         (connection,) = server.connections
         while connection.transport.is_reading():
-            await turn()
-        assert connection.dropped < 2 * DRAINED_BYTES_LIMIT and taken == []
+            await next_iteration()
+        assert connection.dropped < 2 * DRAINED_BYTES_LIMIT and accepted == []
         connection.since -= LINGER_TIMEOUT_S + 0.1
         server.expire()
-        await held.ended()
+        await held.read_to_end()
         assert not server.connections
         held.writer.close()
 
@@ -272,11 +272,11 @@
     hidden = message("hidden")
     head = message("m", hidden).replace(b"Host", b"Transfer-Encoding: chunked\r\nHost")
     chunked = head.partition(b"\r\n\r\n")[0] + b"\r\n\r\n0\r\n\r\n" + hidden
-    async with serving() as (server, taken):
+    async with serving() as (server, accepted):
         for data in (head, chunked):
             held = await HeldConnection.open(server, data)
             assert (await read_reply(held.reader)).status == 400
-            assert await held.ended() == b"" and taken == []
+            assert await held.read_to_end() == b"" and accepted == []
             held.writer.close()
 
 
@@ -286,11 +286,11 @@
         server.submit = lambda *_: None  # the answer is still pending
         held = await HeldConnection.open(server, message("m"))
         while not any(each.is_answering for each in server.connections):
-            await turn()
+            await next_iteration()
         (connection,) = server.connections
         held.writer.write(message("n", b"x" * 60_000) * 200)
         while connection.transport.is_reading():
-            await turn()
+            await next_iteration()
         assert len(connection.reader.codec.trailing_data[0]) <= 1024 * 1024
         server.submit = lambda _, connection: connection.answer(202)
         connection.answer(202)
@@ -302,18 +302,18 @@
 @run_async_test
 async def test_a_flood_is_read_for_a_limited_time_per_iteration_and_proven_clients_first(_: Path) -> None:
     """Guards against a loop so busy with bad requests that it ignored a receiver's Retry-After."""
-    async with serving(connection_limit=40) as (server, taken):
+    async with serving(connection_limit=40) as (server, accepted):
         normal = await HeldConnection.open(server, message("a"))
         assert (await read_reply(normal.reader)).status == 202
         read_available, server.read_queue.run = server.read_queue.run, lambda: None  # type: ignore[method-assign]
         flood = [await HeldConnection.open(server, message(f"m{each}")) for each in range(10)]
         normal.writer.write(message("b"))
         while len(server.read_queue) < 11:
-            await turn()
+            await next_iteration()
         server.read_queue.run, clock = read_available, server.loop.time  # type: ignore[method-assign]
-        server.loop.time = lambda: clock() + len(taken)  # type: ignore[method-assign]  # each takes a second
+        server.loop.time = lambda: clock() + len(accepted)  # type: ignore[method-assign]  # each takes a second
         read_available()
-        assert [each.id for each in taken] == ["a", "b"]
+        assert [each.id for each in accepted] == ["a", "b"]
         server.loop.time = clock  # type: ignore[method-assign]
         for each in flood:
             assert (await read_reply(each.reader)).status == 202
@@ -323,33 +323,33 @@
 
 @run_async_test
 async def test_a_message_for_a_destination_that_was_never_listed_is_rejected(_: Path) -> None:
-    async with serving() as (server, taken):
+    async with serving() as (server, accepted):
         server.knows_destination = lambda destination: destination == 3
-        assert (await raw(server, message("m", X_Route_To="dest=4"))).status == 404
-        assert (await raw(server, message("m"))).status == 202
-        assert [each.destination for each in taken] == [3]
+        assert (await send_raw(server, message("m", X_Route_To="dest=4"))).status == 404
+        assert (await send_raw(server, message("m"))).status == 202
+        assert [each.destination for each in accepted] == [3]
 
 
 @run_async_test
 async def test_an_unexpected_exception_ends_only_its_own_connection(_: Path) -> None:
     async with serving() as (server, _taken):
-        take, server.submit = server.submit, None  # type: ignore[assignment]
-        assert await (await HeldConnection.open(server, message("m"))).ended() == b""
-        server.submit = take
-        assert (await raw(server, message("m"))).status == 202
+        submit, server.submit = server.submit, None  # type: ignore[assignment]
+        assert await (await HeldConnection.open(server, message("m"))).read_to_end() == b""
+        server.submit = submit
+        assert (await send_raw(server, message("m"))).status == 202
 
 
 @run_async_test
 async def test_a_stopping_server_answers_and_closes(_: Path) -> None:
-    async with serving() as (server, taken):
-        assert (await raw(server, READY)).status == 200
+    async with serving() as (server, accepted):
+        assert (await send_raw(server, READY)).status == 200
         reader, writer = await asyncio.open_connection(*server.address())
         writer.write(message("a"))
         assert "connection" not in (await read_reply(reader)).headers
         server.start_drain()
-        assert (await raw(server, READY)).status == 503
+        assert (await send_raw(server, READY)).status == 503
         writer.write(message("b"))
         reply = await read_reply(reader)
         assert reply.status == 202 and reply.headers["connection"] == "close"
-        assert await with_timeout(reader.read()) == b"" and len(taken) == 2
+        assert await with_timeout(reader.read()) == b"" and len(accepted) == 2
         writer.close()
--- a/tests/test_socket_faults.py
+++ b/tests/test_socket_faults.py
@@ -14,7 +14,7 @@
 
 import pytest
 from peers import TIMEOUT_S, HeldConnection, World, message, read_reply, with_timeout
-from socket_faults import Faults, faulty, turn, until
+from socket_faults import Faults, faulty, next_iteration, until
 
 from message_sender.core.ports import AttemptResult
 from message_sender.http import client, discovery, server
@@ -47,7 +47,7 @@
 }
 
 
-def pairs(stages: dict[str, tuple[str, ...]]) -> list[tuple[str, str, int]]:
+def cases(stages: dict[str, tuple[str, ...]]) -> list[tuple[str, str, int]]:
     """Each stage with each call that occurs in it and each error of that call."""
     calls_by_stage = [(stage, call) for stage, calls in stages.items() for call in calls]
     return [(stage, call, error) for stage, call in calls_by_stage for error in ERRORS[call]]
@@ -59,7 +59,7 @@
 
 
 class Stage:
-    """A sender with its peers, and a bystander: a client whose connection no fault may affect.
+    """A sender with its peers, and a bystander: another client, which no fault may affect.
 
     Attributes:
         case: The stage, the call that fails and its error number.
@@ -119,7 +119,7 @@
 
     async def check(self) -> None:
         """Checks what must hold after each fault."""
-        assert self.faults.fault_count == 1, "the scenario did not reach this call: the case shows nothing"
+        assert self.faults.fault_count == 1, "the scenario did not reach this call: the case tests nothing"
         assert not self.sender.engine.defect and not self.sender.engine.stopped.done()
         assert await self.deliver(self.bystander, "after") == 1
         second_client = await HeldConnection.open(self.sender.server)
@@ -134,7 +134,7 @@
             self.sender.server.expire()
             for each in list(connections):
                 each.since -= TIMEOUT_S
-            await turn()
+            await next_iteration()
         await until(lambda: self.faults.open("client") == 0)
         await until(lambda: self.faults.open("receiver") == len(self.sender.transport.connections))
         assert self.faults.open("platform") <= 2
@@ -177,12 +177,12 @@
 CLIENT = {
     "connecting": ("setblocking", "getsockname", "getpeername", "register"),
     "silent": ("recv_into", "close"),
-    "half": ("recv_into", "send", "shutdown", "close"),
-    "whole": ("poll", "send", "close"),
+    "partial": ("recv_into", "send", "shutdown", "close"),
+    "complete": ("poll", "send", "close"),
     "closing": ("poll", "send", "shutdown", "close"),
     "answered": ("recv_into", "close"),
-    "bad": ("send", "shutdown", "close"),
-    "leaving": ("recv_into", "close"),
+    "rejected": ("send", "shutdown", "close"),
+    "discarding": ("recv_into", "close"),
 }
 
 
@@ -197,19 +197,19 @@
         await until(lambda: len(sender.server.connections) == 2)
         (connection,) = [each for each in sender.server.connections if not each.has_submitted]
         await until(lambda: connection.transport is not None and connection.transport.is_reading())
-        await turn()  # the loop now reads from the connection
+        await next_iteration()  # the loop now reads from the connection
         stage.arm_at("silent", "client")
-        if faulty_stage == "half":
+        if faulty_stage == "partial":
             client_connection.writer.write(message("m")[:30])
             await until(lambda: connection.began is not None)
-            stage.arm_at("half", "client")
+            stage.arm_at("partial", "client")
             if stage.case[1] in ("send", "shutdown"):
                 connection.since -= TIMEOUT_S
                 sender.server.expire()
             else:
                 client_connection.writer.write(message("m")[30:40])
-        elif faulty_stage in ("whole", "closing"):
-            stage.arm_at("whole", "client")
+        elif faulty_stage in ("complete", "closing"):
+            stage.arm_at("complete", "client")
             stage.arm_at("closing", "client")
             close = {"Connection": "close"} if faulty_stage == "closing" else {}
             client_connection.writer.write(message("m", **close))
@@ -219,11 +219,11 @@
             assert (await read_reply(client_connection.reader)).status == 202
             stage.arm_at("answered", "client")
             client_connection.writer.write(message("n")[:20])
-        elif faulty_stage in ("bad", "leaving"):
-            stage.arm_at("bad", "client")
+        elif faulty_stage in ("rejected", "discarding"):
+            stage.arm_at("rejected", "client")
             client_connection.writer.write(b"noise\r\n\r\n")
             await until(lambda: connection.is_discarding)
-            stage.arm_at("leaving", "client")
+            stage.arm_at("discarding", "client")
             client_connection.writer.write(b"more noise")
         elif faulty_stage == "silent" and stage.case[1] == "recv_into":
             client_connection.writer.write(b"P")
@@ -237,7 +237,7 @@
     await stage.settle()
 
 
-@pytest.mark.parametrize("case", pairs(CLIENT), ids=case_id)
+@pytest.mark.parametrize("case", cases(CLIENT), ids=case_id)
 def test_fault_on_a_client_connection(case: tuple[str, str, int], monkeypatch: pytest.MonkeyPatch) -> None:
     run(case, client_scenario, monkeypatch)
 
@@ -255,7 +255,7 @@
         stage.bystander = await HeldConnection.open(stage.sender.server)  # type: ignore[attr-defined]
 
 
-@pytest.mark.parametrize("case", pairs({"accepting": ("accept",)}), ids=case_id)
+@pytest.mark.parametrize("case", cases({"accepting": ("accept",)}), ids=case_id)
 def test_fault_on_the_listener(case: tuple[str, str, int], monkeypatch: pytest.MonkeyPatch) -> None:
     run(case, listener_scenario, monkeypatch)
 
@@ -264,7 +264,7 @@
     "opening": ("socket", "setblocking", "setsockopt", "connect", "register", "so_error"),
     "sending": ("send",),
     "waiting": ("recv", "register"),
-    "kept": ("send", "recv"),
+    "pooled": ("send", "recv"),
     "ending": ("close",),
 }
 
@@ -276,10 +276,10 @@
         sender.transport.close_idle("r")
     stage.arm_at("opening", "receiver")
     stage.arm_at("sending", "receiver")
-    if (stage_name, call) == ("kept", "recv"):  # an idle connection is checked before it is used
-        stage.arm_at("kept", "receiver")
-    if (stage_name, call) == ("kept", "send"):
-        stage.arm_at("kept", "receiver")
+    if (stage_name, call) == ("pooled", "recv"):  # an idle connection is checked before it is used
+        stage.arm_at("pooled", "receiver")
+    if (stage_name, call) == ("pooled", "send"):
+        stage.arm_at("pooled", "receiver")
     if (stage_name, call) == ("waiting", "register"):  # the loop registers the connection once it is open
         add = sender.transport.unread.add
 
@@ -323,18 +323,18 @@
         assert outcomes[0] in (Outcome.RESET, Outcome.MALFORMED)
 
 
-@pytest.mark.parametrize("case", pairs(RECEIVER), ids=case_id)
+@pytest.mark.parametrize("case", cases(RECEIVER), ids=case_id)
 def test_fault_on_a_receiver_connection(case: tuple[str, str, int], monkeypatch: pytest.MonkeyPatch) -> None:
     run(case, receiver_scenario, monkeypatch)
 
 
 PLATFORM = {
     "watch opening": ("socket", "setblocking", "setsockopt", "connect", "register", "so_error"),
-    "watch asking": ("send",),
-    "watch hearing": ("recv", "close"),
+    "watch requesting": ("send",),
+    "watch reading": ("recv", "close"),
     "notice opening": ("socket", "setblocking", "setsockopt", "connect", "register", "so_error"),
-    "notice telling": ("send",),
-    "notice hearing": ("recv", "close"),
+    "notice sending": ("send",),
+    "notice reading": ("recv", "close"),
 }
 
 
@@ -343,9 +343,9 @@
     discovery, stage_name = stage.world.platform, stage.case[0]
     if stage_name.startswith("watch"):
         watch = discovery.watched[-1]
-        for each in ("watch opening", "watch asking"):
+        for each in ("watch opening", "watch requesting"):
             stage.arm_at(each, "platform")
-        if stage_name == "watch hearing":
+        if stage_name == "watch reading":
             stage.arm_at(stage_name, "platform")
             watch.write("1\r\n\n\r\n")
             if stage.case[1] == "close":
@@ -355,25 +355,25 @@
         watch_count = len(discovery.watched)
         while len(discovery.watched) == watch_count:  # the sender subscribes again and receives a list
             await stage.skip(0.25)
-            await turn()
+            await next_iteration()
         return
     stage.bystander.writer.write(message("late", X_Time_Left="0.1", X_Route_To="dest=9"))  # type: ignore[attr-defined]
     assert (await read_reply(stage.bystander.reader)).status == 202  # type: ignore[attr-defined]
-    for each in ("notice opening", "notice telling"):
+    for each in ("notice opening", "notice sending"):
         stage.arm_at(each, "platform")
     await stage.skip(0.2)
     while "late" in stage.sender.engine.journal.entries:
         if not discovery.requests.empty():
             request = discovery.requests.get_nowait()
             if stage.faults.fault_count == 0:
-                stage.arm_at("notice hearing", "platform")
+                stage.arm_at("notice reading", "platform")
             if stage.case[1] == "close" and stage.faults.fault_count == 0:
                 request.abort()
             else:
                 request.answer(204)
-        await turn()
+        await next_iteration()
 
 
-@pytest.mark.parametrize("case", pairs(PLATFORM), ids=case_id)
+@pytest.mark.parametrize("case", cases(PLATFORM), ids=case_id)
 def test_fault_on_a_platform_connection(case: tuple[str, str, int], monkeypatch: pytest.MonkeyPatch) -> None:
     run(case, platform_scenario, monkeypatch)
