--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -1,4 +1,4 @@
-"""Lives in simulated time: the same to the byte, sealed off from the real world, and a search that finds."""
+"""Simulated runs of a sender: reproducible to the byte, isolated from the system, searched for defects."""
 
 import asyncio
 import dataclasses
@@ -26,28 +26,30 @@
 from message_sender.policy.pending import PendingQueue
 from message_sender.policy.state_transfer import StateImporter
 
-LIVES = 60
+RUNS = 60
 
 
-def test_lives_break_no_rule_and_see_every_kind_of_end() -> None:
-    found = list(search.lives(0, LIVES, 1))
-    assert [each for each in found if each.broken()] == []
-    ends = {state for each in found for state in each.ends}
-    assert ends >= {"delivered", "refused", "failed"} and sum(each.kills for each in found) > LIVES // 4
+def test_runs_violate_no_rule_and_messages_end_in_every_state() -> None:
+    results = list(search.lives(0, RUNS, 1))
+    assert [each for each in results if each.broken()] == []
+    ends = {state for each in results for state in each.ends}
+    assert ends >= {"delivered", "refused", "failed"} and sum(each.kills for each in results) > RUNS // 4
 
 
-@pytest.mark.parametrize("hashes", ["1", "2"])
-def test_a_seed_gives_the_same_bytes_in_any_process(hashes: str, tmp_path: Path) -> None:
-    """Also under another seed of the hashes, on which the order of sets would show."""
+@pytest.mark.parametrize("hash_seed", ["1", "2"])
+def test_a_seed_gives_the_same_trace_in_any_process(hash_seed: str, tmp_path: Path) -> None:
+    """Another hash seed would show a dependency on the order of sets."""
     code = (
         "from message_sender.emulator.simulated_run import live; import hashlib; "
         "print(hashlib.sha256('\\n'.join(x for s in range(20) for x in live(s).trace).encode()).hexdigest())"
     )
-    environment = os.environ | {"PYTHONHASHSEED": hashes}
-    words = [sys.executable, "-c", code]
-    out = subprocess.run(words, env=environment, capture_output=True, check=True, text=True, cwd=ROOT).stdout
-    here = [line for seed in range(20) for line in simulated_run.live(seed).trace]
-    assert out.strip() == digest(here)
+    environment = os.environ | {"PYTHONHASHSEED": hash_seed}
+    command = [sys.executable, "-c", code]
+    out = subprocess.run(
+        command, env=environment, capture_output=True, check=True, text=True, cwd=ROOT
+    ).stdout
+    expected = [line for seed in range(20) for line in simulated_run.live(seed).trace]
+    assert out.strip() == digest(expected)
 
 
 ROOT = Path(__file__).parent.parent
@@ -59,97 +61,117 @@
     return hashlib.sha256("\n".join(lines).encode()).hexdigest()
 
 
-# Planted defects: each is one that a guard in the code is there for.
+# Planted defects: each disables a check of the code.
 
 
-def forget_the_risk(self: PendingQueue, now: float, message: Any, sent: Any) -> bool:  # noqa: ANN401
+def allow_repeat(self: PendingQueue, now: float, message: Any, sent: Any) -> bool:  # noqa: ANN401
     return True
 
 
-def refuse_anything(self: PendingQueue, message: Any) -> bool:  # noqa: ANN401
+def allow_rejection(self: PendingQueue, message: Any) -> bool:  # noqa: ANN401
     return True
 
 
-def no_rest(self: PendingQueue, key: str) -> None:
+def skip_key_pause(self: PendingQueue, key: str) -> None:
     pass
 
 
-def any_turn(self: PendingQueue, message: Any) -> bool:  # noqa: ANN401
+def allow_any_order(self: PendingQueue, message: Any) -> bool:  # noqa: ANN401
     return True
 
 
-def go_anyway(self: Attempts, endpoint: str, name: str) -> bool:
+def allow_send(self: Attempts, endpoint: str, name: str) -> bool:
     return True
 
 
-def keep_the_endpoint(self: EndpointRegistry, endpoint: Any) -> None:  # noqa: ANN401
+def ignore_removal(self: EndpointRegistry, endpoint: Any) -> None:  # noqa: ANN401
     pass
 
 
-def no_record_of_the_attempt(self: Journal, name: str, number: int, attempt: Any) -> bool:  # noqa: ANN401
+def skip_attempt_record(self: Journal, name: str, number: int, attempt: Any) -> bool:  # noqa: ANN401
     return True
 
 
-def no_record_of_the_message(self: Journal, message: Any) -> bool:  # noqa: ANN401
+def skip_message_record(self: Journal, message: Any) -> bool:  # noqa: ANN401
     from message_sender.journal.entries import JournalEntry
 
     self.entries[message.id] = JournalEntry(message)
     return True
 
 
-def wait_binds_with_the_fate(self: Engine, endpoint: str, wait: int) -> None:
+def ignore_early_retry_after(self: Engine, endpoint: str, wait: int) -> None:
     pass
 
 
-def no_gap(self: Breaker, now: int) -> float:
+def skip_slow_start(self: Breaker, now: int) -> float:
     return 0.0
 
 
-restored = StateImporter.restore_message
+original_restore_message = StateImporter.restore_message
 
 
-def restore_alone(self: StateImporter, kept: Any) -> None:  # noqa: ANN401
-    restored(self, dataclasses.replace(kept, outcomes=()))
+def restore_without_outcomes(self: StateImporter, message: Any) -> None:  # noqa: ANN401
+    original_restore_message(self, dataclasses.replace(message, outcomes=()))
 
 
-def nothing_is_due(self: PendingQueue) -> None:
+def skip_expiry(self: PendingQueue) -> None:
     pass
 
 
 DEFECTS: dict[str, tuple[Any, str, Callable[..., Any], set[str]]] = {
-    "what may have run is sent again": (PendingQueue, "may_repeat_at", forget_the_risk, {"no effect twice"}),
-    "what may have run is refused": (PendingQueue, "may_reject", refuse_anything, {"no effect twice"}),
-    "a key does not rest": (PendingQueue, "pause_key", no_rest, {"order"}),
-    "a key's messages go at once": (PendingQueue, "is_next_of_key", any_turn, {"order"}),
-    "waits and drains do not bind while connecting": (Attempts, "may_send", go_anyway, {"waits"}),
-    "an endpoint that drains stays": (EndpointRegistry, "remove_endpoint", keep_the_endpoint, {"drains"}),
-    "an attempt is not on record": (
+    "messages that may have run are sent again": (
+        PendingQueue,
+        "may_repeat_at",
+        allow_repeat,
+        {"no effect twice"},
+    ),
+    "messages that may have run are rejected": (
+        PendingQueue,
+        "may_reject",
+        allow_rejection,
+        {"no effect twice"},
+    ),
+    "keys are not paused": (PendingQueue, "pause_key", skip_key_pause, {"order"}),
+    "messages of a key are sent concurrently": (PendingQueue, "is_next_of_key", allow_any_order, {"order"}),
+    "waits and drains are ignored while a call connects": (Attempts, "may_send", allow_send, {"waits"}),
+    "draining endpoints are not removed": (EndpointRegistry, "remove_endpoint", ignore_removal, {"drains"}),
+    "attempts are not recorded": (
         Journal,
         "record_attempt",
-        no_record_of_the_attempt,
+        skip_attempt_record,
         {"no effect twice", "order"},
     ),
-    "a message is not on record": (Journal, "record_accepted", no_record_of_the_message, {"one end"}),
-    "a wait binds only with the fate": (Engine, "retry_after_received", wait_binds_with_the_fate, {"waits"}),
-    "one that is back is taken for warm": (Breaker, "warm_up_gap", no_gap, {"cold"}),
-    "refusals are forgotten with the process": (StateImporter, "restore_message", restore_alone, {"cold"}),
-    "nothing ends when its time is up": (PendingQueue, "expire_due", nothing_is_due, {"one end"}),
+    "messages are not recorded": (Journal, "record_accepted", skip_message_record, {"one end"}),
+    "a Retry-After applies only at the end of its attempt": (
+        Engine,
+        "retry_after_received",
+        ignore_early_retry_after,
+        {"waits"},
+    ),
+    "a recovered destination gets full load at once": (Breaker, "warm_up_gap", skip_slow_start, {"cold"}),
+    "outcomes are not restored after a restart": (
+        StateImporter,
+        "restore_message",
+        restore_without_outcomes,
+        {"cold"},
+    ),
+    "messages do not expire at their deadline": (PendingQueue, "expire_due", skip_expiry, {"one end"}),
 }
-#: Lives within which each is found.
-WITHIN = 150
+#: Number of runs in which each planted defect must be found.
+MAX_RUNS = 150
 
 
 @pytest.mark.parametrize("name", DEFECTS)
 def test_a_planted_defect_is_found(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    owner, attribute, wrong, rules = DEFECTS[name]
-    monkeypatch.setattr(owner, attribute, wrong)
-    for found in search.lives(0, WITHIN, 1):
-        if {each.rule for each in found.breaches} & rules:
+    owner, attribute, defect, rules = DEFECTS[name]
+    monkeypatch.setattr(owner, attribute, defect)
+    for result in search.lives(0, MAX_RUNS, 1):
+        if {each.rule for each in result.breaches} & rules:
             return
-    raise AssertionError(f"not found in {WITHIN} lives")
+    raise AssertionError(f"not found in {MAX_RUNS} runs")
 
 
-# The loop and the seal.
+# The loop and the isolation.
 
 
 def run(work: Callable[[VirtualLoop], Any]) -> Any:  # noqa: ANN401
@@ -160,8 +182,8 @@
         loop.close()
 
 
-def test_time_jumps_to_the_next_timer_and_timers_of_one_instant_run_in_one_order() -> None:
-    """The standard loop's own order, which is not that in which they were set, but always the same."""
+def test_time_jumps_to_the_next_timer_and_simultaneous_timers_have_a_fixed_order() -> None:
+    """The order is the standard loop's own: not that of creation, but always the same."""
 
     async def work(loop: VirtualLoop) -> list[Any]:
         seen: list[Any] = []
@@ -176,7 +198,7 @@
     assert first == run(work) and set(first) == {0, 1, 2, 3, 4, 5.0 + 30 * 86_400.0}
 
 
-def test_a_task_cancelled_at_any_await_ends_and_a_deadlock_and_a_livelock_are_named() -> None:
+def test_deadlocks_and_livelocks_are_reported() -> None:
     async def forever(loop: VirtualLoop) -> None:
         await loop.create_future()
 
@@ -194,45 +216,45 @@
         run(spin)
 
 
-def test_the_real_world_is_out_of_reach() -> None:
-    async def thread(loop: VirtualLoop) -> None:
+def test_sockets_and_threads_of_the_loop_are_blocked() -> None:
+    async def run_in_executor(loop: VirtualLoop) -> None:
         await loop.run_in_executor(None, lambda: None)
 
     async def connect(loop: VirtualLoop) -> None:
         await asyncio.open_connection("127.0.0.1", 9)
 
-    for work in (connect, thread):
+    for work in (connect, run_in_executor):
         with pytest.raises(EmulationError):
             run(work)
 
 
 @pytest.mark.parametrize(
-    "reach",
+    "expression",
     [
         *("time.time()", "time.monotonic_ns()", "random.random()", "os.urandom(1)", "uuid.uuid4()"),
         *("threading.Thread().start()", "socket.socket().connect(('127.0.0.1', 9))"),
     ],
 )
-def test_what_the_package_reaches_for_fails_with_its_line(reach: str) -> None:
-    code = compile(f"import os, random, socket, threading, time, uuid\n\n{reach}", "inner", "exec")
+def test_real_time_randomness_and_threads_fail_with_the_line_of_the_package(expression: str) -> None:
+    code = compile(f"import os, random, socket, threading, time, uuid\n\n{expression}", "inner", "exec")
     with sealed(), pytest.raises(EmulationError, match=r"message_sender.core.inner, line 3"):
         exec(code, {"__name__": "message_sender.core.inner"})
     exec(compile("import time\ntime.time()", "outer", "exec"), {"__name__": "message_sender.core.inner"})
     thread = threading.Thread(target=lambda: None)
     with sealed():
-        thread.start()  # who is not of the package goes through
+        thread.start()  # code outside the package is not restricted
     thread.join()
 
 
-# The command.
+# The command line.
 
 
-def test_the_command_counts_lives_and_writes_a_trace(
+def test_the_commands_count_runs_and_write_a_trace(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     assert main(["emulate", "search", "--lives", "6", "--processes", "2", "--json"]) == 0
-    sums = json.loads(capsys.readouterr().out)
-    assert sums["lives"] == 6 and sums["broken"] == 0 and sums["delivered"] > 100
+    totals = json.loads(capsys.readouterr().out)
+    assert totals["lives"] == 6 and totals["broken"] == 0 and totals["delivered"] > 100
     files = [tmp_path / "one", tmp_path / "two"]
     for file in files:
         assert main(["emulate", "replay", "--seed", "3", str(file)]) == 0
@@ -242,21 +264,21 @@
     assert main(["emulate", "replay", str(files[0])]) == 2
 
 
-def test_a_defect_is_cut_to_a_few_happenings_that_break_the_same_rule_again(
+def test_a_run_with_a_defect_is_reduced_to_a_few_events_that_violate_the_same_rule(
     monkeypatch: pytest.MonkeyPatch, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    monkeypatch.setattr(PendingQueue, "pause_key", no_rest)
-    (broken,) = itertools.islice((each for each in search.lives(0, WITHIN, 1) if each.broken()), 1)
+    monkeypatch.setattr(PendingQueue, "pause_key", skip_key_pause)
+    (broken,) = itertools.islice((each for each in search.lives(0, MAX_RUNS, 1) if each.broken()), 1)
     file, trace = tmp_path / "case.json", tmp_path / "trace"
     assert main(["emulate", "shrink", "--seed", str(broken.seed), str(file)]) == 1
     case = shrink.Case.read(file)
-    left = case.live()
-    assert case.rule == "order" and {each.rule for each in left.breaches} == {"order"}
-    assert 2 <= len(left.scheduled) < 20 and "happenings left" in capsys.readouterr().out
-    for each in left.scheduled:  # none can be spared
+    reduced_run = case.live()
+    assert case.rule == "order" and {each.rule for each in reduced_run.breaches} == {"order"}
+    assert 2 <= len(reduced_run.scheduled) < 20 and "happenings left" in capsys.readouterr().out
+    for each in reduced_run.scheduled:  # each one is needed
         assert not shrink.breaks(case.seed, case.rule, case.without | {each.number})
     assert main(["emulate", "replay", "--case", str(file), str(trace)]) == 1
-    assert trace.read_text().splitlines() == left.trace
+    assert trace.read_text().splitlines() == reduced_run.trace
     monkeypatch.undo()
     assert main(["emulate", "replay", "--case", str(file), str(trace)]) == 0
     assert main(["emulate", "shrink", "--seed", str(broken.seed), str(file)]) == 1
@@ -266,10 +288,10 @@
         assert main(["emulate", "replay", "--case", str(file), str(trace)]) == 1
 
 
-def test_a_broken_life_and_one_that_fails_are_told_and_counted(
+def test_runs_that_violate_a_rule_or_fail_are_reported(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    monkeypatch.setattr(PendingQueue, "pause_key", no_rest)
+    monkeypatch.setattr(PendingQueue, "pause_key", skip_key_pause)
     assert main(["emulate", "search", "--lives", "20"]) == 1
     assert "order: " in capsys.readouterr().out
     monkeypatch.setattr(Engine, "take", lambda *_: asyncio.get_running_loop().call_soon(1 / 0))
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -347,15 +347,15 @@
 def test_a_sweep_continues_with_the_missing_runs_also_after_a_torn_line(tmp_path: Path) -> None:
     file, repeated = tmp_path / "runs", []
     jobs = [Job(small(seconds=2.0), seed) for seed in (1, 2, 3)]
-    whole = [each.line() for each in experiment.sweep(jobs, 1, file)]
+    all_lines = [each.line() for each in experiment.sweep(jobs, 1, file)]
     text = file.read_text()
-    assert text.splitlines() == whole
-    file.write_text(text[: -len(whole[-1]) // 2])
+    assert text.splitlines() == all_lines
+    file.write_text(text[: -len(all_lines[-1]) // 2])
     real = experiment.run
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(experiment, "run", lambda job: repeated.append(job.seed) or real(job))
-        assert [each.line() for each in experiment.sweep(jobs, 1, file)] == whole
-    assert repeated == [3] and [each.line() for each in experiment.sweep(jobs, 1, file)] == whole
+        assert [each.line() for each in experiment.sweep(jobs, 1, file)] == all_lines
+    assert repeated == [3] and [each.line() for each in experiment.sweep(jobs, 1, file)] == all_lines
 
 
 def test_failed_runs_and_killed_worker_processes_are_reported_as_errors(
@@ -456,9 +456,8 @@
         receiver = Receiver(Terms(workers=50, limit=limit))
         first = [receiver.call(0.1, "n0", draws).outcome for _ in range(25)]
         second = [receiver.call(1.1, "n0", draws).outcome for _ in range(10)]
-        skipped = [
-            receiver.call(3.1, "n0", draws).outcome for _ in range(10)
-        ]  # after a window without rejections
+        # After a window without rejections.
+        skipped = [receiver.call(3.1, "n0", draws).outcome for _ in range(10)]
         counts = [each.count(Outcome.OK) for each in (first, second, skipped)]
         assert counts == [10, served, 10]
 
