--- a/tests/compatibility/outward_names.py
+++ b/tests/compatibility/outward_names.py
@@ -172,7 +172,7 @@
 
     def files(folder: Path) -> Iterator[tuple[str, bytes]]:
         world = World(endpoint("a"))
-        world.take()
+        world.accept()
         control_link.write_epoch(folder, 3)
         yield control_link.EPOCH_FILE, (folder / control_link.EPOCH_FILE).read_bytes()
         path = inventory.write(world.dispatcher, world.now, folder)
--- a/tests/compatibility/samples.py
+++ b/tests/compatibility/samples.py
@@ -514,8 +514,8 @@
 def people_json() -> Sample:
     """Objects that the control socket and the state folder tell: destinations, endpoints, a message's way."""
     world = World(endpoint("a"), endpoint("b", destination=2))
-    world.take()
-    world.answer("m1", Outcome.FULL, wait=500_000)
+    world.accept()
+    world.end_attempt("m1", Outcome.FULL, wait=500_000)
     dispatcher, now = world.dispatcher, world.now
     destinations = [asdict(each) for each in inventory.inventory(dispatcher, now)]
     told = {
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -66,7 +66,7 @@
                 self.attempts[action.message] = self.attempts.get(action.message, -1) + 1
         return actions
 
-    def take(self, kind: str = "safe", after: int = 0, **changes: object) -> list[PolicyAction]:
+    def accept(self, kind: str = "safe", after: int = 0, **changes: object) -> list[PolicyAction]:
         """Accepts a new message of the class `kind` after `after` microseconds and returns the actions."""
         self.count += 1
         values: dict[str, object] = {
@@ -76,7 +76,7 @@
         }
         return self.step(MessageAccepted(message_class=kind, **(values | changes)), after=after)  # type: ignore[arg-type]
 
-    def answer(
+    def end_attempt(
         self, message: str, outcome: Outcome, after: int = 10 * MS, wait: int = 0
     ) -> list[PolicyAction]:
         """Ends the latest attempt of a message after `after` microseconds and returns the actions."""
@@ -86,18 +86,18 @@
     def open_breaker(self) -> None:
         """Fail unsafe messages until the breaker of destination 1 opens; no message stays held."""
         for _ in range(5):
-            if not sent(self.take("once")):
+            if not sent_messages(self.accept("once")):
                 return
-            self.answer(f"m{self.count}", Outcome.RESET)
+            self.end_attempt(f"m{self.count}", Outcome.RESET)
         raise AssertionError("the breaker did not open")
 
 
-def sent(actions: list[PolicyAction]) -> list[str]:
+def sent_messages(actions: list[PolicyAction]) -> list[str]:
     """Returns the messages that are sent by these actions."""
     return [each.message for each in actions if isinstance(each, Send)]
 
 
-def ended(actions: list[PolicyAction]) -> list[PolicyAction]:
+def rejected_or_failed(actions: list[PolicyAction]) -> list[PolicyAction]:
     """Returns the actions that reject or fail a message."""
     return [each for each in actions if isinstance(each, Reject | Fail)]
 
--- a/tests/test_breaker.py
+++ b/tests/test_breaker.py
@@ -3,7 +3,7 @@
 import math
 
 import pytest
-from helpers import MS, SECOND, World, ended, endpoint, sent
+from helpers import MS, SECOND, World, endpoint, rejected_or_failed, sent_messages
 
 from message_sender.policy.actions import CancelAttempt, PolicyAction, Subscribe
 from message_sender.policy.breaker import FAILURE_THRESHOLD, RESET_TIMEOUT_US
@@ -14,80 +14,80 @@
 def test_the_breaker_opens_at_the_threshold_and_keeps_messages_pending() -> None:
     world = World()
     for number in range(FAILURE_THRESHOLD):
-        assert sent(world.take("once")) == [f"m{number + 1}"]
-        world.answer(f"m{number + 1}", Outcome.RESET)
-    actions = world.take()
-    assert sent(actions) == [] and ended(actions) == []
+        assert sent_messages(world.accept("once")) == [f"m{number + 1}"]
+        world.end_attempt(f"m{number + 1}", Outcome.RESET)
+    actions = world.accept()
+    assert sent_messages(actions) == [] and rejected_or_failed(actions) == []
 
 
 def test_a_successful_call_resets_the_failure_count() -> None:
     world = World()
     for _ in range(FAILURE_THRESHOLD - 1):
-        world.take("once")
-        world.answer(f"m{world.count}", Outcome.RESET)
+        world.accept("once")
+        world.end_attempt(f"m{world.count}", Outcome.RESET)
     (breaker,) = world.dispatcher.registry.all_breakers()
     assert breaker.failures == FAILURE_THRESHOLD - 1
-    world.take()
-    world.answer(f"m{world.count}", Outcome.OK)
+    world.accept()
+    world.end_attempt(f"m{world.count}", Outcome.OK)
     assert breaker.failures == 0
 
 
 def test_one_trial_is_sent_at_a_time_and_its_success_closes_the_breaker() -> None:
     world = World()
     world.open_breaker()
-    world.take()
-    world.take()
-    (trial,) = sent(world.step(WakeUp(), after=RESET_TIMEOUT_US))
-    assert sent(world.take(after=100 * MS)) == []
-    actions = world.answer(trial, Outcome.OK)
-    later = sent(world.step(WakeUp(), after=4 * SECOND))
-    assert len(sent(actions)) + len(later) >= 1
+    world.accept()
+    world.accept()
+    (trial,) = sent_messages(world.step(WakeUp(), after=RESET_TIMEOUT_US))
+    assert sent_messages(world.accept(after=100 * MS)) == []
+    actions = world.end_attempt(trial, Outcome.OK)
+    later = sent_messages(world.step(WakeUp(), after=4 * SECOND))
+    assert len(sent_messages(actions)) + len(later) >= 1
 
 
 def test_a_failed_trial_restarts_the_reset_timeout() -> None:
     world = World()
     world.open_breaker()
-    world.take()
-    (trial,) = sent(world.step(WakeUp(), after=RESET_TIMEOUT_US))
-    assert sent(world.answer(trial, Outcome.CONNECT_FAILED)) == []
-    assert sent(world.step(WakeUp(), after=RESET_TIMEOUT_US - 10 * MS)) == []
-    assert len(sent(world.step(WakeUp(), after=10 * MS))) == 1
+    world.accept()
+    (trial,) = sent_messages(world.step(WakeUp(), after=RESET_TIMEOUT_US))
+    assert sent_messages(world.end_attempt(trial, Outcome.CONNECT_FAILED)) == []
+    assert sent_messages(world.step(WakeUp(), after=RESET_TIMEOUT_US - 10 * MS)) == []
+    assert len(sent_messages(world.step(WakeUp(), after=10 * MS))) == 1
 
 
 def test_the_gap_grows_with_refusals_and_shrinks_with_successful_calls() -> None:
     world = World()
-    world.take()
-    world.answer("m1", Outcome.FULL)
+    world.accept()
+    world.end_attempt("m1", Outcome.FULL)
     (breaker,) = world.dispatcher.registry.all_breakers()
     first = breaker.gap
     world.step(WakeUp(), after=SECOND)
-    world.answer("m1", Outcome.FULL)
+    world.end_attempt("m1", Outcome.FULL)
     assert breaker.gap == 2 * first > 0
     world.step(WakeUp(), after=4 * SECOND)
-    world.answer("m1", Outcome.OK)
+    world.end_attempt("m1", Outcome.OK)
     assert breaker.gap < 2 * first
 
 
 def test_refusals_do_not_count_as_failures() -> None:
     world = World()
-    world.take()
+    world.accept()
     for _ in range(FAILURE_THRESHOLD):
-        world.answer("m1", Outcome.FULL)
-        assert sent(world.step(WakeUp(), after=9 * SECOND // 2)) == ["m1"]
+        world.end_attempt("m1", Outcome.FULL)
+        assert sent_messages(world.step(WakeUp(), after=9 * SECOND // 2)) == ["m1"]
 
 
 def test_overdue_calls_open_the_breaker_before_any_call_times_out() -> None:
     world = World()
     for _ in range(FAILURE_THRESHOLD):
-        world.take("once")
+        world.accept("once")
     world.step(WakeUp(), after=3 * SECOND)
-    assert sent(world.take()) == []
+    assert sent_messages(world.accept()) == []
 
 
 def test_messages_sent_in_one_iteration_share_a_call_where_batches_are_accepted() -> None:
     world = World(endpoint("a", kind="apart"), slots=1)
     events = [MessageAccepted(f"x{each}", "safe", 1, 20 * SECOND) for each in range(7)]
-    assert len(sent(world.step(*events))) == 5
+    assert len(sent_messages(world.step(*events))) == 5
 
 
 @pytest.mark.parametrize("polls", [1, 5])
@@ -110,10 +110,10 @@
         world = World(endpoint("a"), endpoint("b"), must_poll=True)
         batches = [world.step(EndpointsUpdated(ListingKind.FAILED))]
         for number in range(30):
-            actions = world.take(("safe", "once", "keyed")[number % 3], after=50 * MS)
+            actions = world.accept(("safe", "once", "keyed")[number % 3], after=50 * MS)
             batches.append(actions)
-            for name in sent(actions):
-                batches.append(world.answer(name, (Outcome.OK, Outcome.FULL, Outcome.ERROR)[number % 3]))
+            for name in sent_messages(actions):
+                batches.append(world.end_attempt(name, (Outcome.OK, Outcome.FULL, Outcome.ERROR)[number % 3]))
         return batches
 
     assert run() == run()
@@ -122,8 +122,8 @@
 def test_errors_weigh_less_than_other_failures() -> None:
     world = World()
     for _ in range(FAILURE_THRESHOLD):
-        world.take("once")
-        world.answer(f"m{world.count}", Outcome.ERROR)
+        world.accept("once")
+        world.end_attempt(f"m{world.count}", Outcome.ERROR)
     (breaker,) = world.dispatcher.registry.all_breakers()
     assert 0 < breaker.failures < FAILURE_THRESHOLD
 
@@ -131,7 +131,7 @@
 def test_overdue_calls_do_not_occupy_every_slot() -> None:
     world = World(endpoint("a"), endpoint("b", destination=2), slots=4)
     for destination in (1, 1, 2, 2):
-        world.take("once", destination=destination)
+        world.accept("once", destination=destination)
     actions = world.step(WakeUp(), after=3 * SECOND) + world.step(WakeUp(), after=3 * SECOND)
     assert [each for each in actions if isinstance(each, CancelAttempt)] != []
 
@@ -139,10 +139,10 @@
 def test_the_gap_may_grow_further_where_more_senders_share_a_limit() -> None:
     def gap_after_refusals(fleet: int) -> float:
         world = World(fleet_size=fleet, max_attempts=99)
-        world.take(time_left_us=20 * SECOND)
+        world.accept(time_left_us=20 * SECOND)
         (breaker,) = world.dispatcher.registry.all_breakers()
         for _ in range(30):
-            world.answer("m1", Outcome.FULL, after=MS)
+            world.end_attempt("m1", Outcome.FULL, after=MS)
             world.step(WakeUp(), after=round(breaker.gap))
             if "m1" not in world.dispatcher.messages:
                 break
@@ -156,10 +156,10 @@
     accepted = [MessageAccepted(f"m{each}", "safe", 1, 20 * SECOND) for each in range(FAILURE_THRESHOLD)]
     failed = (("a", Outcome.CONNECT_FAILED),)
     actions = world.step(*[MessageRestored(each, 1, None, "", failed) for each in accepted])
-    assert sent(actions) == ["m0"]
+    assert sent_messages(actions) == ["m0"]
     world.attempts["m0"] = 1
-    assert sent(world.answer("m0", Outcome.OK)) == []
-    assert sent(world.step(WakeUp(), after=5 * SECOND)) == ["m1"]
+    assert sent_messages(world.end_attempt("m0", Outcome.OK)) == []
+    assert sent_messages(world.step(WakeUp(), after=5 * SECOND)) == ["m1"]
 
 
 def test_an_isolated_failure_before_a_restart_delays_nothing() -> None:
@@ -169,7 +169,7 @@
         MessageRestored(accepted[0], 1, 0, "z1", (("a", Outcome.ERROR),)),
         MessageRestored(accepted[1], 0, None, ""),
     )
-    assert sent(actions) == ["m0", "m1"]
+    assert sent_messages(actions) == ["m0", "m1"]
 
 
 def test_a_call_overtaken_by_successful_ones_is_cancelled_and_retried_within_its_window() -> None:
@@ -177,22 +177,22 @@
     the deadline.
     """
     world = World()
-    world.take("zoned")
-    assert sent(world.take("zoned", after=100 * MS)) == ["m2"]
-    world.answer("m2", Outcome.OK)
+    world.accept("zoned")
+    assert sent_messages(world.accept("zoned", after=100 * MS)) == ["m2"]
+    world.end_attempt("m2", Outcome.OK)
     (breaker,) = world.dispatcher.registry.all_breakers()
     actions = world.step(WakeUp(), after=int(breaker.overdue_after()))
     assert [each for each in actions if isinstance(each, CancelAttempt)] == [CancelAttempt("m1", 0)]
-    assert sent(world.answer("m1", Outcome.CANCELLED)) == ["m1"]
+    assert sent_messages(world.end_attempt("m1", Outcome.CANCELLED)) == ["m1"]
 
 
 def test_an_overdue_call_is_not_cancelled_without_later_successes_or_if_it_may_not_be_retried() -> None:
     for kind, has_success in (("zoned", False), ("once", True)):
         world = World()
-        world.take(kind)
-        world.take("zoned", after=100 * MS)
+        world.accept(kind)
+        world.accept("zoned", after=100 * MS)
         if has_success:
-            world.answer("m2", Outcome.OK)
+            world.end_attempt("m2", Outcome.OK)
         actions = world.step(WakeUp(), after=2 * SECOND)
         assert not [each for each in actions if isinstance(each, CancelAttempt)]
 
@@ -205,11 +205,11 @@
     world = World(endpoint("a", scale=50.0), fleet_size=2, announces_rates=True)
     (breaker,) = world.dispatcher.registry.activate(1).breakers
     gaps = []
-    world.take()
+    world.accept()
     for _ in range(5):
-        world.answer("m1", Outcome.FULL)
+        world.end_attempt("m1", Outcome.FULL)
         gaps.append(breaker.gap)
-        assert sent(world.step(WakeUp(), after=SECOND)) == ["m1"]
+        assert sent_messages(world.step(WakeUp(), after=SECOND)) == ["m1"]
     gap = 2 * SECOND / 50  # two senders share 50 calls a second; refusals for up to 2 s may be a rate limit
     assert gaps == [1.2 * gap, 1.2 * gap, 2.4 * gap, 4 * gap, 4 * gap]
 
@@ -220,8 +220,8 @@
 
     def shrink(gap: float) -> float:
         breaker.gap = gap
-        world.take(after=9 * SECOND)
-        world.answer(f"m{world.count}", Outcome.OK)
+        world.accept(after=9 * SECOND)
+        world.end_attempt(f"m{world.count}", Outcome.OK)
         return breaker.gap / gap
 
     assert 0.95 < shrink(breaker.base_gap) < 1
@@ -240,9 +240,9 @@
     """
     world = World(endpoint("a", scale=50.0), announces_rates=True, max_attempts=99)
     (breaker,) = world.dispatcher.registry.activate(1).breakers
-    world.take()
+    world.accept()
     for _ in range(FAILURE_THRESHOLD + 1):
-        world.answer("m1", Outcome.FULL, wait=wait * MS)
+        world.end_attempt("m1", Outcome.FULL, wait=wait * MS)
         world.step(WakeUp(), after=max(pause, wait) * MS)
     assert (breaker.warm_up_gap(world.now) > 0) is is_outage
 
@@ -251,8 +251,8 @@
     world = World()
     (breaker,) = world.dispatcher.registry.activate(1).breakers
     for _ in range(FAILURE_THRESHOLD + 1):
-        world.take("once")
-        world.answer(f"m{world.count}", Outcome.STALE)
+        world.accept("once")
+        world.end_attempt(f"m{world.count}", Outcome.STALE)
     assert breaker.failures == 0 and breaker.failure_rate == 0
 
 
@@ -260,18 +260,18 @@
     """Messages that are sent with little time left time out long before their calls are overdue."""
     world = World()
     for _ in range(2 * FAILURE_THRESHOLD):
-        assert sent(world.take("safe", time_left_us=50 * MS))
-        world.answer(f"m{world.count}", Outcome.TIMEOUT, after=40 * MS)
+        assert sent_messages(world.accept("safe", time_left_us=50 * MS))
+        world.end_attempt(f"m{world.count}", Outcome.TIMEOUT, after=40 * MS)
     breaker = world.dispatcher.registry.all_breakers()[0]
     assert not breaker.failures and not breaker.failure_rate and not breaker.warm_up_gap(world.now)
-    assert sent(world.take("safe"))
+    assert sent_messages(world.accept("safe"))
 
 
 def test_a_trial_that_times_out_restarts_the_reset_timeout() -> None:
     world = World()
     world.open_breaker()
-    trial = sent(world.step(WakeUp(), after=RESET_TIMEOUT_US))
+    trial = sent_messages(world.step(WakeUp(), after=RESET_TIMEOUT_US))
     assert len(trial) == 1
-    world.answer(trial[0], Outcome.TIMEOUT, after=40 * MS)
-    assert not sent(world.take("safe"))
-    assert sent(world.step(WakeUp(), after=RESET_TIMEOUT_US))
+    world.end_attempt(trial[0], Outcome.TIMEOUT, after=40 * MS)
+    assert not sent_messages(world.accept("safe"))
+    assert sent_messages(world.step(WakeUp(), after=RESET_TIMEOUT_US))
--- a/tests/test_endpoint_updates.py
+++ b/tests/test_endpoint_updates.py
@@ -101,7 +101,7 @@
 def test_a_retry_after_from_a_draining_endpoint_delays_its_destination_at_once() -> None:
     """The rest of the response may take half a second, and only then is the result of the attempt known."""
     world = World(endpoint("a"), endpoint("b"))
-    world.take()
+    world.accept()
     (first,) = [each for each in world.dispatcher.endpoints.values() if each.in_flight]
     name = first.listed.id
     draining = endpoint(name, state=EndpointState.DRAINING)
@@ -110,4 +110,4 @@
     assert world.dispatcher.may_start_call(other, world.now)
     world.dispatcher.retry_after_received(name, world.now + 500_000)
     assert not world.dispatcher.may_start_call(other, world.now)
-    assert not [each for each in world.take(after=1000) if isinstance(each, Send)]
+    assert not [each for each in world.accept(after=1000) if isinstance(each, Send)]
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 import pytest
-from helpers import MS, SECOND, World, ended, endpoint, sent
+from helpers import MS, SECOND, World, endpoint, rejected_or_failed, sent_messages
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from peers import READY, Peer, config_json, host, message, run_async_test, with_timeout
@@ -36,7 +36,7 @@
 from message_sender.policy.state_transfer import export_state
 from message_sender.service.handover_state import decode_engine_state, decode_state, encode_engine_state
 
-ORDER = {"semantics": "by_key", "dedup_window": 5_000_000, "key_scope": "zone", "serial_by_key": True}
+ORDERED_CLASS = {"semantics": "by_key", "dedup_window": 5_000_000, "key_scope": "zone", "serial_by_key": True}
 
 # Rules of ownership.
 
@@ -142,13 +142,13 @@
     for step, detail, after in steps:
         in_flight = sorted(message_id for message_id, _ in world.dispatcher.calls)
         if step == "take":
-            actions = world.take(str(detail), key="k" if detail == "ordered" else "", after=after * MS)
+            actions = world.accept(str(detail), key="k" if detail == "ordered" else "", after=after * MS)
         elif in_flight:
             wait = 700 * MS if detail is Outcome.FULL else 0
-            actions = world.answer(in_flight[0], detail, after=after * MS, wait=wait)  # type: ignore[arg-type]
+            actions = world.end_attempt(in_flight[0], detail, after=after * MS, wait=wait)  # type: ignore[arg-type]
         else:
             actions = world.step(WakeUp(), after=after * MS)
-        decisions.append((sent(actions), ended(actions)))
+        decisions.append((sent_messages(actions), rejected_or_failed(actions)))
     return decisions
 
 
@@ -161,7 +161,7 @@
     world.step(WakeUp(), after=1)
     successor = hand_over_world(world)
     successor.count = world.count
-    assert sent(successor.first) == []  # type: ignore[attr-defined]
+    assert sent_messages(successor.first) == []  # type: ignore[attr-defined]
     assert run_steps(successor, after) == run_steps(world, after)
 
 
@@ -183,14 +183,14 @@
 def test_a_trial_in_flight_stays_the_only_call_after_a_handover() -> None:
     world = World()
     world.open_breaker()
-    world.take("safe")
+    world.accept("safe")
     actions = world.step(WakeUp(), after=2 * SECOND)
-    assert len(sent(actions)) == 1
+    assert len(sent_messages(actions)) == 1
     successor = hand_over_world(world)
     successor.count = world.count
-    assert sent(successor.take("safe", after=SECOND)) == []
-    assert sent(successor.answer(sent(actions)[0], Outcome.OK)) == []
-    assert len(sent(successor.step(WakeUp(), after=SECOND))) == 1
+    assert sent_messages(successor.accept("safe", after=SECOND)) == []
+    assert sent_messages(successor.end_attempt(sent_messages(actions)[0], Outcome.OK)) == []
+    assert len(sent_messages(successor.step(WakeUp(), after=SECOND))) == 1
 
 
 def test_engine_state_is_unchanged_by_encoding_and_decoding() -> None:
@@ -267,7 +267,7 @@
 
 @run_async_test
 async def test_a_call_in_flight_completes_in_the_old_process_and_is_not_repeated(tmp_path: Path) -> None:
-    async with service(tmp_path, **ORDER) as (platform, receiver, _):
+    async with service(tmp_path, **ORDERED_CLASS) as (platform, receiver, _):
         old = await platform.start()
         client = await platform.connect()
         for name in ("m1", "m2"):
--- a/tests/test_inventory.py
+++ b/tests/test_inventory.py
@@ -23,18 +23,18 @@
     asleep, 5 was never used, and 6 has a message but no endpoint.
     """
     world = World(*(endpoint(f"e{each}", each) for each in range(1, 6)))
-    world.take(destination=4)
-    world.answer("m1", Outcome.OK)
+    world.accept(destination=4)
+    world.end_attempt("m1", Outcome.OK)
     for _ in range(3):
         world.step(WakeUp(), after=INACTIVE_DESTINATION_AGE_US + UNUSED_BREAKER_AGE_US)
     for _ in range(3):
-        world.take("once", destination=1)
-        world.answer(f"m{world.count}", Outcome.RESET)
-    world.take(destination=1)
-    world.take(destination=2)
-    world.answer(f"m{world.count}", Outcome.FULL, wait=5 * SECOND)
-    world.take(destination=3)
-    world.take(destination=6)
+        world.accept("once", destination=1)
+        world.end_attempt(f"m{world.count}", Outcome.RESET)
+    world.accept(destination=1)
+    world.accept(destination=2)
+    world.end_attempt(f"m{world.count}", Outcome.FULL, wait=5 * SECOND)
+    world.accept(destination=3)
+    world.accept(destination=6)
     world.step(WakeUp(), after=MS)
     return world
 
--- a/tests/test_iteration_cost.py
+++ b/tests/test_iteration_cost.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 import pytest
-from helpers import MS, SECOND, World, endpoint, sent
+from helpers import MS, SECOND, World, endpoint, sent_messages
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -114,12 +114,14 @@
 
 SMALL = StreamShape(seconds=7.0, list_change_rate=1.0)
 SHAPES = {
-    "usual": SMALL,
+    "defaults": SMALL,
     "few slots": dataclasses.replace(SMALL, settings={"slots": 3}),
-    "no keys, all in trouble": dataclasses.replace(SMALL, keys=0, fault_share=0.9, behavior_seconds=1.5),
+    "no keys, most destinations faulty": dataclasses.replace(
+        SMALL, keys=0, fault_share=0.9, behavior_seconds=1.5
+    ),
     "one key": dataclasses.replace(SMALL, keys=1, rate=20.0),
-    "a crowd": dataclasses.replace(SMALL, settings={"fleet_size": 40, "announces_rates": False}),
-    "even worth": dataclasses.replace(
+    "a large fleet": dataclasses.replace(SMALL, settings={"fleet_size": 40, "announces_rates": False}),
+    "late messages keep their weight": dataclasses.replace(
         SMALL, settings={"halves_late_weight": False, "max_open": 40}, rate=90.0
     ),
 }
@@ -237,8 +239,8 @@
     return (policy.loop.examined_items - before) / event_count
 
 
-ROOMY = {"max_open": 10**6, "slots": 64, "announces_rates": False, "fleet_size": 1}
-CALM = StreamShape(fault_share=0, list_change_rate=0, keys=0, rate=100.0, seconds=4.0, settings=ROOMY)
+LARGE_LIMITS = {"max_open": 10**6, "slots": 64, "announces_rates": False, "fleet_size": 1}
+CALM = StreamShape(fault_share=0, list_change_rate=0, keys=0, rate=100.0, seconds=4.0, settings=LARGE_LIMITS)
 
 
 @pytest.mark.parametrize("count", [10, 100, 10_000])
@@ -255,8 +257,8 @@
 def test_a_key_used_once_leaves_no_state() -> None:
     world = World(slots=1000, max_open=10**6)
     for each in range(10_000):
-        world.take("ordered", key=f"k{each}", after=MS)
-        world.answer(f"m{each + 1}", Outcome.OK, after=MS)
+        world.accept("ordered", key=f"k{each}", after=MS)
+        world.end_attempt(f"m{each + 1}", Outcome.OK, after=MS)
     assert (
         not world.dispatcher.keys
         and not world.dispatcher.pending.to_examine
@@ -267,18 +269,18 @@
 def test_the_cost_of_a_key_does_not_depend_on_its_waiting_messages() -> None:
     world = World(max_open=10**6)
     for _ in range(3000):
-        world.take("ordered", key="k")
+        world.accept("ordered", key="k")
     before = world.dispatcher.loop.examined_items
     for each in range(100):
-        assert sent(world.answer(f"m{each + 1}", Outcome.OK)) == [f"m{each + 2}"]
+        assert sent_messages(world.end_attempt(f"m{each + 1}", Outcome.OK)) == [f"m{each + 2}"]
     assert world.dispatcher.loop.examined_items - before <= 100 * 8
 
 
 def test_unknown_tenants_leave_no_state() -> None:
     world = World(tenants=(("known", 5.0),), over_quota_weight=0.5)
     for each in range(2000):
-        world.take(tenant=f"made up {each}", after=MS)
-        world.answer(f"m{each + 1}", Outcome.OK, after=MS)
+        world.accept(tenant=f"made up {each}", after=MS)
+        world.end_attempt(f"m{each + 1}", Outcome.OK, after=MS)
     assert list(world.dispatcher.pending.credit) == ["known"]
 
 
@@ -286,13 +288,13 @@
     count = dispatcher.MAX_EXAMINED * 2 + 40
     world = World(*(endpoint(f"e{each}", each) for each in range(count)), slots=1, max_open=10**6)
     for each in range(count):
-        world.take(destination=each)
+        world.accept(destination=each)
     served = []
     for _ in range(count):
         (message,) = [name for name, _ in world.dispatcher.calls]
         served.append(message)
         before = world.dispatcher.loop.examined_items
-        world.answer(message, Outcome.OK, after=MS)
+        world.end_attempt(message, Outcome.OK, after=MS)
         assert world.dispatcher.loop.examined_items - before <= 2 * dispatcher.MAX_EXAMINED + 10
     assert sorted(served) == sorted(f"m{each + 1}" for each in range(count))
 
@@ -304,8 +306,8 @@
     tracemalloc.start()
     try:
         before = tracemalloc.get_traced_memory()[0]
-        kept = make()
-        return tracemalloc.get_traced_memory()[0] - before if kept else 0
+        result = make()
+        return tracemalloc.get_traced_memory()[0] - before if result else 0
     finally:
         tracemalloc.stop()
 
@@ -324,8 +326,8 @@
 
     def use_all() -> World:
         for each in range(DESTINATIONS):
-            world.take(destination=each, after=MS)
-            world.answer(f"m{each + 1}", Outcome.OK, after=MS)
+            world.accept(destination=each, after=MS)
+            world.end_attempt(f"m{each + 1}", Outcome.OK, after=MS)
         return world
 
     active = bytes_allocated_by(use_all)
@@ -345,8 +347,8 @@
     """Returns a world with a destination that was used, and then unused for `silence` microseconds."""
     world = World(**changes)
     for _ in range(3):
-        if sent(world.take("once", after=SECOND)):
-            world.answer(f"m{world.count}", outcome)
+        if sent_messages(world.accept("once", after=SECOND)):
+            world.end_attempt(f"m{world.count}", outcome)
     while silence > 0:
         step = min(silence, INACTIVE_DESTINATION_AGE_US // 2)
         world.step(WakeUp(), after=step)
@@ -361,9 +363,9 @@
 ) -> None:
     world = world_after_silence(days * 24 * 3600 * SECOND, outcome)
     assert not world.dispatcher.messages and not world.dispatcher.registry.all_breakers()
-    assert len(sent(world.take())) == 1  # no outdated count of failures delays it
+    assert len(sent_messages(world.accept())) == 1  # no outdated count of failures delays it
     for _ in range(30):
-        world.take()
+        world.accept()
     (breaker,) = world.dispatcher.registry.all_breakers()
     assert breaker.warm_up_since == world.now and breaker.failures == 0
     sent_at = []
@@ -371,7 +373,7 @@
         calls = list(world.dispatcher.calls)
         sent_at += [world.now] * len(calls)
         for name, _number in calls:
-            world.answer(name, Outcome.OK, after=0)
+            world.end_attempt(name, Outcome.OK, after=0)
         world.step(WakeUp(), after=10 * MS)
     in_first_second = [each for each in sent_at if each - sent_at[0] <= SECOND]
     # One call, then more at the pace of a cold destination.
@@ -381,34 +383,34 @@
 def test_a_destination_used_again_soon_keeps_its_statistics() -> None:
     world = world_after_silence(INACTIVE_DESTINATION_AGE_US // 2, Outcome.RESET)
     (breaker,) = world.dispatcher.registry.all_breakers()
-    assert breaker.is_open() and len(sent(world.take())) == 1 and breaker.trial is not None
+    assert breaker.is_open() and len(sent_messages(world.accept())) == 1 and breaker.trial is not None
 
 
 def test_a_destination_that_was_never_used_is_not_warmed_up() -> None:
     world = World()
     world.step(WakeUp(), after=30 * 24 * 3600 * SECOND)
-    assert len(sent(world.take())) == 1 and len(sent(world.take())) == 1
+    assert len(sent_messages(world.accept())) == 1 and len(sent_messages(world.accept())) == 1
 
 
 def test_a_destination_listed_again_keeps_its_pending_messages_and_calls() -> None:
     world = World(slots=1)
-    world.take(), world.take()
+    world.accept(), world.accept()
     gone = endpoint("a", state=EndpointState.GONE)
     world.step(EndpointsUpdated(ListingKind.CHANGES, (gone,)), after=MS)
     world.step(WakeUp(), after=2 * SECOND)
     world.step(EndpointsUpdated(ListingKind.CHANGES, (endpoint("a"),)), after=MS)
-    assert sent(world.answer("m1", Outcome.OK)) == ["m2"]
-    world.answer("m2", Outcome.OK)
+    assert sent_messages(world.end_attempt("m1", Outcome.OK)) == ["m2"]
+    world.end_attempt("m2", Outcome.OK)
     assert world.dispatcher.destinations[1].breakers_by_route[""].in_flight == 0  # type: ignore[index]
 
 
 def test_endpoints_that_swap_destinations_leave_their_messages_behind() -> None:
     world = World(endpoint("a", 1), endpoint("b", 2))
-    world.take(destination=1, message="x"), world.take(destination=2, message="y")
+    world.accept(destination=1, message="x"), world.accept(destination=2, message="y")
     swapped = (endpoint("a", 2), endpoint("b", 1))
     world.step(EndpointsUpdated(ListingKind.CHANGES, swapped), after=MS)
     for name, other in (("x", "b"), ("y", "a")):
-        actions = world.answer(name, Outcome.CONNECT_FAILED)
+        actions = world.end_attempt(name, Outcome.CONNECT_FAILED)
         assert [x.endpoint for x in actions if isinstance(x, Send) and x.message == name] == [other]
     assert {each.destination for each in world.dispatcher.registry.all_breakers()} == {1, 2}
 
@@ -420,11 +422,11 @@
     rng.shuffle(numbers)
     before, in_flight = world.dispatcher.loop.examined_items, []
     for number in numbers:
-        in_flight += sent(world.take(destination=number, after=6 * MS))
+        in_flight += sent_messages(world.accept(destination=number, after=6 * MS))
         if len(in_flight) > 8:
-            world.answer(in_flight.pop(0), Outcome.OK, after=0)
+            world.end_attempt(in_flight.pop(0), Outcome.OK, after=0)
     for name in in_flight:
-        world.answer(name, Outcome.OK)
+        world.end_attempt(name, Outcome.OK)
     assert not world.dispatcher.messages and (world.dispatcher.loop.examined_items - before) / count < 10
 
 
@@ -432,10 +434,13 @@
     listed = EndpointsUpdated(ListingKind.FULL, tuple(endpoint(f"e{each}", each) for each in range(10_000)))
     world = World()
     world.step(listed)
-    world.take(destination=7)
+    world.accept(destination=7)
     for _ in range(20):
         assert without_wake_ups(world.step(listed, after=SECOND // 10)) == []
-    assert sent(world.take(destination=7)) == ["m2"] and len(world.dispatcher.registry.all_breakers()) == 1
+    assert (
+        sent_messages(world.accept(destination=7)) == ["m2"]
+        and len(world.dispatcher.registry.all_breakers()) == 1
+    )
 
 
 def test_a_credit_of_one_message_up_to_rounding_is_enough() -> None:
@@ -445,10 +450,10 @@
     factors = []
     for steps in range(1, 60):
         world = World(tenants=(("t", 1.0),), over_quota_weight=0.1, slots=1)
-        world.take(tenant="t")
+        world.accept(tenant="t")
         # Messages over the quota, which leave the accumulated credit unchanged.
         for each in range(1, steps):
-            world.take(tenant="t", message=f"x{each}", after=SECOND * each // steps - world.now)
-        world.take(tenant="t", message="last", after=SECOND - world.now)
+            world.accept(tenant="t", message=f"x{each}", after=SECOND * each // steps - world.now)
+        world.accept(tenant="t", message="last", after=SECOND - world.now)
         factors.append(world.dispatcher.messages["last"].weight_factor)
     assert set(factors) == {1.0}
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -3,7 +3,7 @@
 import random
 
 import pytest
-from helpers import ENV, MS, SECOND, World, ended, endpoint, sent, settings
+from helpers import ENV, MS, SECOND, World, endpoint, rejected_or_failed, sent_messages, settings
 
 from message_sender import Dispatcher
 from message_sender.configuration.settings import decode_settings
@@ -24,21 +24,21 @@
 def test_in_a_large_fleet_a_failed_trial_extends_the_timeout_to_the_gap_of_a_cold_destination() -> None:
     world = World(fleet_size=LARGE_FLEET_SIZE)
     for _ in range(FAILURE_THRESHOLD):
-        world.take("once", after=100 * SECOND)
-        world.answer(f"m{world.count}", Outcome.RESET)
-    world.take()
-    (trial,) = sent(world.step(WakeUp(), after=RESET_TIMEOUT_US))
-    world.answer(trial, Outcome.CONNECT_FAILED)
+        world.accept("once", after=100 * SECOND)
+        world.end_attempt(f"m{world.count}", Outcome.RESET)
+    world.accept()
+    (trial,) = sent_messages(world.step(WakeUp(), after=RESET_TIMEOUT_US))
+    world.end_attempt(trial, Outcome.CONNECT_FAILED)
     for _ in range(4):
-        assert sent(world.step(WakeUp(), after=RESET_TIMEOUT_US)) == []
+        assert sent_messages(world.step(WakeUp(), after=RESET_TIMEOUT_US)) == []
 
 
 def test_two_failures_start_the_warm_up_in_a_large_fleet_only() -> None:
     for fleet, is_warming_up in ((2, False), (LARGE_FLEET_SIZE, True)):
         world = World(fleet_size=fleet)
         for _ in range(2):
-            world.take("once")
-            world.answer(f"m{world.count}", Outcome.RESET)
+            world.accept("once")
+            world.end_attempt(f"m{world.count}", Outcome.RESET)
         (breaker,) = world.dispatcher.registry.all_breakers()
         assert (breaker.warm_up_gap(world.now) > 0) == is_warming_up
 
@@ -47,8 +47,8 @@
     gaps = []
     for fleet in (2, LARGE_FLEET_SIZE):
         world = World(fleet_size=fleet)
-        world.take()
-        world.answer("m1", Outcome.FULL)
+        world.accept()
+        world.end_attempt("m1", Outcome.FULL)
         gaps += [breaker.gap for breaker in world.dispatcher.registry.all_breakers()]
     assert gaps[1] > 10 * gaps[0]
 
@@ -58,8 +58,8 @@
     for fleet in (1, LARGE_FLEET_SIZE, LARGE_FLEET_SIZE):
         world = World(fleet_size=fleet)
         world.dispatcher.loop.random.seed(len(ends))
-        world.take()
-        world.answer("m1", Outcome.FULL, wait=SECOND)
+        world.accept()
+        world.end_attempt("m1", Outcome.FULL, wait=SECOND)
         (breaker,) = world.dispatcher.registry.all_breakers()
         ends.append(breaker.wait_until)
         assert breaker.wait_until >= 10 * MS + SECOND
@@ -70,8 +70,8 @@
     gaps = []
     for scale in (1.0, 40.0):
         world = World(endpoint("a", scale=scale), fleet_size=LARGE_FLEET_SIZE, announces_rates=True)
-        world.take()
-        world.answer("m1", Outcome.FULL)
+        world.accept()
+        world.end_attempt("m1", Outcome.FULL)
         gaps += [breaker.gap for breaker in world.dispatcher.registry.all_breakers()]
     assert gaps[0] > gaps[1] > 0
 
@@ -85,10 +85,10 @@
         (LARGE_FLEET_SIZE, "a", 5 * SECOND, False),
     ):
         world = World(endpoint("a"), endpoint("b", destination=2), fleet_size=fleet)
-        world.take(destination=1 if refused == "a" else 2)
-        world.answer("m1", Outcome.CONNECT_FAILED)  # and is sent again
-        name = "m1" if refused == "a" else sent(world.take())[0]
-        assert (CloseIdle("a") in world.answer(name, Outcome.OK, after=after)) == closes
+        world.accept(destination=1 if refused == "a" else 2)
+        world.end_attempt("m1", Outcome.CONNECT_FAILED)  # and is sent again
+        name = "m1" if refused == "a" else sent_messages(world.accept())[0]
+        assert (CloseIdle("a") in world.end_attempt(name, Outcome.OK, after=after)) == closes
 
 
 @pytest.mark.parametrize("fleet", [5, 40, 200])
@@ -126,18 +126,18 @@
         accepted = MessageAccepted("m1", "safe", 1, 20 * SECOND)
         actions = policy.handle(0, [cached, accepted])
         assert (Subscribe() in actions) == (fleet == 2)
-        assert sent(actions) == ["m1"]
+        assert sent_messages(actions) == ["m1"]
 
 
 def test_in_a_large_fleet_a_refused_connection_delays_nothing_while_another_endpoint_may_serve() -> None:
     """One of two endpoints is gone and the list is outdated; if both refuse, failures count as usual."""
     for fleet, gone, counted in ((4, "a", 1), (40, "a", 0), (40, "ab", 2)):
         world = World(endpoint("a"), endpoint("b"), fleet_size=fleet)
-        max_failures, calls = 0.0, [each for each in world.take(after=SECOND) if isinstance(each, Send)]
+        max_failures, calls = 0.0, [each for each in world.accept(after=SECOND) if isinstance(each, Send)]
         for _ in range(8):
             if not calls or calls[0].endpoint not in gone:
                 break
-            actions = world.answer(calls[0].message, Outcome.CONNECT_FAILED)
+            actions = world.end_attempt(calls[0].message, Outcome.CONNECT_FAILED)
             calls = [each for each in actions if isinstance(each, Send)]
             (breaker,) = world.dispatcher.registry.all_breakers()
             max_failures = max(max_failures, breaker.failures)
@@ -151,16 +151,16 @@
         world = World(*routes, fleet_size=fleet, announces_rates=True, zone_fees=(("x", 0.05), ("y", 0.0)))
         used = []
         for _ in range(60):
-            used += [each.endpoint for each in world.take(after=50 * MS) if isinstance(each, Send)]
-            world.answer(f"m{world.count}", Outcome.OK)
+            used += [each.endpoint for each in world.accept(after=50 * MS) if isinstance(each, Send)]
+            world.end_attempt(f"m{world.count}", Outcome.OK)
         assert (35 <= used.count("x") <= 45) == is_by_rate and (used.count("y") == 60) != is_by_rate
 
 
 def test_the_mean_latency_is_learned_from_the_first_calls() -> None:
     world = World()
     for _ in range(3):
-        world.take()
-        world.answer(f"m{world.count}", Outcome.OK, after=50 * MS)
+        world.accept()
+        world.end_attempt(f"m{world.count}", Outcome.OK, after=50 * MS)
     (breaker,) = world.dispatcher.registry.all_breakers()
     assert breaker.mean_latency < 200 * MS
 
@@ -168,11 +168,11 @@
 def test_a_queue_full_of_messages_that_cannot_be_sent_does_not_reject_new_ones() -> None:
     world = World(endpoint("b", destination=2), max_open=5)
     for _ in range(4):
-        world.take()
-    actions = world.take(destination=2)
-    assert sent(actions) == ["m5"]
-    assert [each.message for each in ended(actions)] == ["m1"]
-    assert [each.message for each in ended(world.take())] == ["m2"]
+        world.accept()
+    actions = world.accept(destination=2)
+    assert sent_messages(actions) == ["m5"]
+    assert [each.message for each in rejected_or_failed(actions)] == ["m1"]
+    assert [each.message for each in rejected_or_failed(world.accept())] == ["m2"]
 
 
 @pytest.mark.parametrize(
@@ -190,19 +190,19 @@
     """Two long calls occupy all slots, so the new message would have to wait as well."""
     world = World(max_open=7, slots=2, max_attempts=1, fleet_size=fleet)
     for _ in range(6):
-        world.take("once")
-    (first,) = ended(world.take("once", after=passed))
+        world.accept("once")
+    (first,) = rejected_or_failed(world.accept("once", after=passed))
     assert first.message == shed
 
 
 def test_a_message_that_cannot_be_sent_before_its_deadline_is_shed_at_once() -> None:
     world = World(endpoint("a"), endpoint("b", destination=2), max_open=5, fleet_size=LARGE_FLEET_SIZE)
-    assert sent(world.take())
-    world.answer("m1", Outcome.FULL, wait=40 * SECOND)
+    assert sent_messages(world.accept())
+    world.end_attempt("m1", Outcome.FULL, wait=40 * SECOND)
     for _ in range(3):
-        world.take()
-    actions = world.take(destination=2, after=SECOND)
-    assert sent(actions) == ["m5"] and len(ended(actions)) == 1
+        world.accept()
+    actions = world.accept(destination=2, after=SECOND)
+    assert sent_messages(actions) == ["m5"] and len(rejected_or_failed(actions)) == 1
 
 
 @pytest.mark.parametrize("size", [0, -3, None, "forty", 2.5, float("nan"), float("inf"), True, 1e308])
@@ -217,11 +217,11 @@
         listed = endpoint("a", scale=fleet / 4)  # the mean part of a member: one call in 4 s
         world = World(listed, fleet_size=fleet, announces_rates=True)
         for _ in range(60):
-            assert sent(world.take(after=800 * MS))
-            world.answer(f"m{world.count}", Outcome.OK, after=0)
+            assert sent_messages(world.accept(after=800 * MS))
+            world.end_attempt(f"m{world.count}", Outcome.OK, after=0)
         (breaker,) = world.dispatcher.registry.all_breakers()
-        assert sent(world.take(after=800 * MS))
-        world.answer(f"m{world.count}", Outcome.FULL)
+        assert sent_messages(world.accept(after=800 * MS))
+        world.end_attempt(f"m{world.count}", Outcome.FULL)
         assert (700 * MS < breaker.gap < 900 * MS) == is_usual_rate
         assert is_usual_rate or breaker.gap == breaker.base_gap
 
@@ -238,11 +238,11 @@
     """
     changes = {"fleet_size": fleet, "max_open": 5, "tenants": (("t", 1.0),), "over_quota_weight": 0.1}
     world = World(endpoint("a"), endpoint("b", destination=2), **changes)
-    assert sent(world.take())
-    world.answer("m1", Outcome.FULL, wait=10 * SECOND)
+    assert sent_messages(world.accept())
+    world.end_attempt("m1", Outcome.FULL, wait=10 * SECOND)
     for _ in range(3):
-        world.take()
-    actions = world.take(destination=2, tenant=tenant)
-    assert sent(actions) == (["m5"] if is_sent else [])
+        world.accept()
+    actions = world.accept(destination=2, tenant=tenant)
+    assert sent_messages(actions) == (["m5"] if is_sent else [])
     if not is_sent:
-        assert [each.message for each in ended(actions)] == ["m5"]
+        assert [each.message for each in rejected_or_failed(actions)] == ["m5"]
--- a/tests/test_overrides.py
+++ b/tests/test_overrides.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 import pytest
-from helpers import MS, SECOND, World, endpoint, sent
+from helpers import MS, SECOND, World, endpoint, sent_messages
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from peers import run_async_test, with_timeout
@@ -393,9 +393,9 @@
     world = World(*(endpoint(name, weight=weight) for name, weight in zip("abc", weights, strict=True)))
     count, calls = Counter[str](), 10_000
     for _ in range(calls):
-        (action,) = [each for each in world.take(after=MS) if isinstance(each, Send)]
+        (action,) = [each for each in world.accept(after=MS) if isinstance(each, Send)]
         count[action.endpoint] += 1
-        world.answer(action.message, Outcome.OK, after=MS)
+        world.end_attempt(action.message, Outcome.OK, after=MS)
     for name, weight in zip("abc", weights, strict=True):
         assert abs(count[name] / calls - weight / sum(weights)) < 0.02
 
@@ -419,23 +419,23 @@
     expected: list[str],
 ) -> None:
     world = World(*(endpoint(name, zone=zone) for name, zone in ZONES.items()))
-    first = world.take(kind, pinned_endpoint="a" if change == "ran in x" else pinned)
+    first = world.accept(kind, pinned_endpoint="a" if change == "ran in x" else pinned)
     first_endpoints = [each.endpoint for each in first if isinstance(each, Send)]
     if change == "ran in x":
         world.dispatcher.messages["m1"].pinned_endpoint = "b"
     elif isinstance(change, Endpoint):
         world.step(EndpointsUpdated(ListingKind.CHANGES, (change,)))
-    retries = world.answer("m1", Outcome.RESET, after=50 * MS) + world.step(WakeUp(), after=SECOND)
+    retries = world.end_attempt("m1", Outcome.RESET, after=50 * MS) + world.step(WakeUp(), after=SECOND)
     assert first_endpoints + [each.endpoint for each in retries if isinstance(each, Send)] == expected
 
 
 def test_waiting_pinned_message_does_not_delay_others() -> None:
     world = World(*(endpoint(name, kind="apart") for name in "ab"))
-    world.take("safe", pinned_endpoint="b")
-    world.answer("m1", Outcome.FULL, wait=5 * SECOND)
-    assert sent(world.take(pinned_endpoint="b", after=MS)) == []
-    assert sent(world.take(after=MS)) == ["m3"]
-    assert sorted(sent(world.step(WakeUp(), after=5 * SECOND) + world.step(WakeUp(), after=SECOND)))
+    world.accept("safe", pinned_endpoint="b")
+    world.end_attempt("m1", Outcome.FULL, wait=5 * SECOND)
+    assert sent_messages(world.accept(pinned_endpoint="b", after=MS)) == []
+    assert sent_messages(world.accept(after=MS)) == ["m3"]
+    assert sorted(sent_messages(world.step(WakeUp(), after=5 * SECOND) + world.step(WakeUp(), after=SECOND)))
 
 
 @pytest.mark.parametrize("others", [0, 1])
@@ -446,12 +446,12 @@
     listed = (endpoint("a"), *(endpoint(f"b{number}") for number in range(others)))
     world = World(*listed)
     if not asleep:
-        world.take()
-        world.answer("m1", Outcome.OK)
+        world.accept()
+        world.end_attempt("m1", Outcome.OK)
     returned = EndpointsUpdated(ListingKind.CHANGES, (endpoint("a"),), ("a",))
     world.step(EndpointsUpdated(ListingKind.CHANGES, (endpoint("a", state=DRAINING),)), after=SECOND)
     world.step(returned, after=SECOND)
-    world.take(after=MS)
+    world.accept(after=MS)
     (breaker,) = world.dispatcher.registry.all_breakers()
     assert (breaker.warm_up_gap(world.now) > 0) is (others == 0)
 
@@ -695,8 +695,8 @@
 
 @run_async_test
 async def test_override_commands(state: Path) -> None:
-    def run(*words: str) -> int:
-        return main([*words, "--state", str(state)])
+    def run(*arguments: str) -> int:
+        return main([*arguments, "--state", str(state)])
 
     async with service(state) as world:
         call: Callable[..., Any] = asyncio.to_thread
--- a/tests/test_policy_errors.py
+++ b/tests/test_policy_errors.py
@@ -38,10 +38,10 @@
 def test_an_unknown_class_a_reused_id_and_a_clock_that_goes_back_raise_errors() -> None:
     world = World()
     with pytest.raises(ValueError, match="unknown class"):
-        world.take("nothing")
-    world.take(message="twice")
+        world.accept("nothing")
+    world.accept(message="twice")
     with pytest.raises(ValueError, match="taken before"):
-        world.take(message="twice")
+        world.accept(message="twice")
     with pytest.raises(ValueError, match="clock"):
         world.step(WakeUp(), after=-SECOND)
 
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -1,35 +1,37 @@
-"""A returning destination is not overloaded by the sum of all senders: fleets in virtual time, and what each
-member does for it."""
+"""All senders of a fleet together do not overload a returning destination.
+
+Fleets are simulated in virtual time; the other tests check the slow start of a single sender.
+"""
 
 import pytest
-from helpers import SECOND, World, endpoint, sent
+from helpers import SECOND, World, endpoint, sent_messages
 
 from message_sender.emulator.ramp import peaks, returning
 from message_sender.policy.actions import WakeAfter
 from message_sender.policy.events import MessageAccepted, MessageRestored, WakeUp
 from message_sender.policy.model import Outcome
 
-CROWD = 200
-HOW = ("shut", "silent", "hangs", "restarts")
+LARGE_FLEET = 200
+OUTAGES = ("shut", "silent", "hangs", "restarts")
 
 
 @pytest.mark.parametrize(
-    ("senders", "how"),
-    [(5, "shut"), (5, "hangs"), *((n, how) for n in (20, 30) for how in HOW)],
+    ("senders", "outage"),
+    [(5, "shut"), (5, "hangs"), *((n, outage) for n in (20, 30) for outage in OUTAGES)],
 )
-def test_the_load_of_all_senders_stays_below_the_bound(senders: int, how: str) -> None:
-    found, goodput = peaks(returning(senders, how), seed=senders)
-    assert len(found) == 10 and goodput > 0.6
-    assert found[-1] <= 1
+def test_the_load_of_all_senders_stays_below_the_bound(senders: int, outage: str) -> None:
+    peak_loads, goodput = peaks(returning(senders, outage), seed=senders)
+    assert len(peak_loads) == 10 and goodput > 0.6
+    assert peak_loads[-1] <= 1
 
 
 def test_the_load_of_five_senders_of_which_three_restart_stays_below_the_bound() -> None:
-    found, _ = peaks(returning(5, "restarts"), seed=5)
-    assert found[-1] <= 1
+    peak_loads, _ = peaks(returning(5, "restarts"), seed=5)
+    assert peak_loads[-1] <= 1
 
 
 @pytest.mark.parametrize(
-    ("outcome", "cold"),
+    ("outcome", "starts_warm_up"),
     [
         (Outcome.TIMEOUT, True),
         (Outcome.RESET, False),
@@ -37,86 +39,89 @@
         (Outcome.ERROR, False),
     ],
 )
-def test_one_failure_that_is_not_isolated_starts_the_warm_up_of_a_large_fleet(
-    outcome: Outcome, cold: bool
+def test_one_failure_that_is_not_isolated_starts_the_warm_up_in_a_large_fleet(
+    outcome: Outcome, starts_warm_up: bool
 ) -> None:
-    for fleet in (4, CROWD):
+    for fleet in (4, LARGE_FLEET):
         world = World(fleet_size=fleet)
-        world.take("once")
-        world.answer("m1", outcome)
+        world.accept("once")
+        world.end_attempt("m1", outcome)
         (breaker,) = world.dispatcher.registry.all_breakers()
-        assert (breaker.warm_up_gap(world.now) > 0) == (cold and fleet == CROWD)
+        assert (breaker.warm_up_gap(world.now) > 0) == (starts_warm_up and fleet == LARGE_FLEET)
 
 
-@pytest.mark.parametrize("fleet", [4, 5, CROWD])
+@pytest.mark.parametrize("fleet", [4, 5, LARGE_FLEET])
 @pytest.mark.parametrize(
-    ("outcome", "cold"),
+    ("outcome", "starts_warm_up"),
     [(Outcome.CONNECT_FAILED, True), (Outcome.RESET, True), (Outcome.TIMEOUT, True), (Outcome.ERROR, False)],
 )
 def test_one_restored_failure_starts_the_warm_up_of_a_large_fleet(
-    outcome: Outcome, cold: bool, fleet: int
+    outcome: Outcome, starts_warm_up: bool, fleet: int
 ) -> None:
-    """All that is held for the destination then goes one by one, not as many at once as there are slots."""
+    """The messages pending for the destination are then sent one at a time, not one for each free slot."""
     world = World(fleet_size=fleet, announces_rates=True)
-    kept = [MessageAccepted(f"k{each}", "safe", 1, 20 * SECOND) for each in range(9)]
-    found = [MessageRestored(each, 0, None, "") for each in kept]
-    found[0] = MessageRestored(kept[0], 1, None, "", (("a", outcome),))
-    world.step(*found)
+    accepted = [MessageAccepted(f"k{each}", "safe", 1, 20 * SECOND) for each in range(9)]
+    restored = [MessageRestored(each, 0, None, "") for each in accepted]
+    restored[0] = MessageRestored(accepted[0], 1, None, "", (("a", outcome),))
+    world.step(*restored)
     (breaker,) = world.dispatcher.registry.all_breakers()
-    assert (breaker.warm_up_gap(world.now) > 0) == (cold and fleet > 4)
+    assert (breaker.warm_up_gap(world.now) > 0) == (starts_warm_up and fleet > 4)
     actions, first = world.step(WakeUp(), after=SECOND), breaker.last_sent
-    if cold and fleet > 4:
-        assert len(sent(actions)) <= 1 and breaker.ready_at(world.now) > first
+    if starts_warm_up and fleet > 4:
+        assert len(sent_messages(actions)) <= 1 and breaker.ready_at(world.now) > first
 
 
 def test_an_overdue_call_starts_the_warm_up_of_a_large_fleet() -> None:
-    world = World(fleet_size=CROWD)
-    world.take("once")
+    world = World(fleet_size=LARGE_FLEET)
+    world.accept("once")
     world.step(WakeUp(), after=3 * SECOND)
     (breaker,) = world.dispatcher.registry.all_breakers()
     assert breaker.warm_up_gap(world.now) > 0
 
 
-def test_the_warm_up_of_a_large_fleet_counts_from_between_the_failure_and_the_next_success() -> None:
-    for fleet, moved in ((4, False), (CROWD, True)):
+def test_the_warm_up_of_a_large_fleet_starts_midway_between_the_failure_and_the_next_success() -> None:
+    for fleet, is_shifted in ((4, False), (LARGE_FLEET, True)):
         world = World(endpoint("a", scale=50.0), fleet_size=fleet, announces_rates=True)
-        for _ in range(2 if fleet == CROWD else 3):
-            world.take("safe", after=30 * SECOND)
-            world.answer(f"m{world.count}", Outcome.RESET)
+        for _ in range(2 if fleet == LARGE_FLEET else 3):
+            world.accept("safe", after=30 * SECOND)
+            world.end_attempt(f"m{world.count}", Outcome.RESET)
         (breaker,) = world.dispatcher.registry.all_breakers()
-        failed, trials = breaker.warm_up_since, sent(world.step(WakeUp(), after=15 * SECOND))
-        assert failed > 0 and trials
-        begun = world.now
-        world.answer(trials[0], Outcome.OK)
-        assert breaker.warm_up_since == ((failed + begun) / 2 if moved else failed)
+        failed_at, trial_messages = (
+            breaker.warm_up_since,
+            sent_messages(world.step(WakeUp(), after=15 * SECOND)),
+        )
+        assert failed_at > 0 and trial_messages
+        trial_sent_at = world.now
+        world.end_attempt(trial_messages[0], Outcome.OK)
+        assert breaker.warm_up_since == ((failed_at + trial_sent_at) / 2 if is_shifted else failed_at)
 
 
 def test_members_of_a_large_fleet_do_not_return_together_after_an_outage() -> None:
-    def back(seed: int, fleet: int) -> float:
+    def next_call_at(seed: int, fleet: int) -> float:
         world = World(endpoint("a", scale=fleet / 4), fleet_size=fleet, announces_rates=True)
         world.dispatcher.loop.random.seed(seed)
-        world.take("once")
-        world.answer("m1", Outcome.TIMEOUT)
+        world.accept("once")
+        world.end_attempt("m1", Outcome.TIMEOUT)
         (breaker,) = world.dispatcher.registry.all_breakers()
         return breaker.ready_at(world.now)
 
-    assert len({back(seed, CROWD) for seed in range(20)}) == 20
-    assert len({back(seed, 4) for seed in range(20)}) == 1
+    assert len({next_call_at(seed, LARGE_FLEET) for seed in range(20)}) == 20
+    assert len({next_call_at(seed, 4) for seed in range(20)}) == 1
 
 
-@pytest.mark.parametrize("fleet", [4, CROWD])
+@pytest.mark.parametrize("fleet", [4, LARGE_FLEET])
 def test_a_large_fleet_does_not_send_all_restored_messages_together(fleet: int) -> None:
-    """Each sender has one message; the mean one's time between calls is 4 s."""
-    at: list[int] = []
+    """Each sender has one message; the mean time between the calls of a sender is 4 s."""
+    sent_at: list[int] = []
     for seed in range(40):
         world = World(endpoint("a", scale=fleet / 4), fleet_size=fleet, announces_rates=True)
         world.dispatcher.loop.random.seed(seed)
-        kept = MessageAccepted("k", "safe", 1, 20 * SECOND)
-        actions = world.step(MessageRestored(kept, 0, None, ""))
-        while not sent(actions):
+        accepted = MessageAccepted("k", "safe", 1, 20 * SECOND)
+        actions = world.step(MessageRestored(accepted, 0, None, ""))
+        while not sent_messages(actions):
             (wake,) = [each for each in actions if isinstance(each, WakeAfter)] or [WakeAfter(1000)]
             actions = world.step(WakeUp(), after=wake.delay_us)
-        at.append(world.now)
-    assert max(at) <= 4.1 * SECOND
-    most = max(sum(each <= x < each + SECOND for x in at) for each in at)
-    assert most == 40 if fleet == 4 else most <= 18
+        sent_at.append(world.now)
+    assert max(sent_at) <= 4.1 * SECOND
+    max_per_second = max(sum(each <= x < each + SECOND for x in sent_at) for each in sent_at)
+    assert max_per_second == 40 if fleet == 4 else max_per_second <= 18
--- a/tests/test_restored_messages.py
+++ b/tests/test_restored_messages.py
@@ -1,7 +1,7 @@
 """The operators' terms on restarts: restored messages are attempted, and repeats keep to a window of 1 s."""
 
 import pytest
-from helpers import MS, SECOND, World, ended, endpoint, sent
+from helpers import MS, SECOND, World, endpoint, rejected_or_failed, sent_messages
 
 from message_sender.policy.events import MessageAccepted, MessageRestored
 from message_sender.policy.model import Effect, MessageClass
@@ -15,11 +15,11 @@
     """The queue is full at the start and a dozen new messages arrive; destination 3 is no longer listed."""
     world = World(endpoint("a"), endpoint("b", destination=2), max_open=6, slots=1, fleet_size=fleet)
     accepted = [MessageAccepted(f"k{each}", "safe", destination, 20 * SECOND) for each in range(6)]
-    completed = ended(world.step(*[MessageRestored(each, 0, None, "") for each in accepted]))
+    completed = rejected_or_failed(world.step(*[MessageRestored(each, 0, None, "") for each in accepted]))
     for _ in range(13):
-        completed += ended(world.take(destination=2, after=SECOND))
+        completed += rejected_or_failed(world.accept(destination=2, after=SECOND))
     assert not [each for each in completed if each.message.startswith("k")]
-    late = ended(world.take(destination=2, after=2 * SECOND))
+    late = rejected_or_failed(world.accept(destination=2, after=2 * SECOND))
     assert [each for each in late if each.message.startswith("k")]
 
 
@@ -42,7 +42,8 @@
     accepted = MessageAccepted("k", "short", 1, 10 * SECOND)
     actions = world.step(MessageRestored(accepted, 1, since, "z1"))
     if checked == "at once":
-        assert (sent(actions) == ["k"]) == is_sent and bool(ended(actions)) != is_sent
+        assert (sent_messages(actions) == ["k"]) == is_sent and bool(rejected_or_failed(actions)) != is_sent
         return
-    assert sent(actions) == ["k"]  # connecting takes time, so the clock is read again before the first byte
+    # Connecting takes time, so the clock is read again before the first byte.
+    assert sent_messages(actions) == ["k"]
     assert world.dispatcher.may_start_call("a", world.now + age, "k") == is_sent
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,7 +1,7 @@
 """The six delivery rules: a test here fails if the code that enforces a rule is removed."""
 
 import pytest
-from helpers import MS, SECOND, World, ended, endpoint, sent
+from helpers import MS, SECOND, World, endpoint, rejected_or_failed, sent_messages
 
 from message_sender.policy.actions import Fail, Reject, Send
 from message_sender.policy.breaker import WARM_UP_LOAD_FACTOR
@@ -20,134 +20,134 @@
 
 def test_a_pending_message_is_completed_before_its_deadline() -> None:
     world = World(endpoint("other", destination=2))
-    assert sent(world.take(time_left_us=SECOND)) == []
-    assert ended(world.step(WakeUp(), after=SECOND - 5 * MS)) == [Reject("m1")]
+    assert sent_messages(world.accept(time_left_us=SECOND)) == []
+    assert rejected_or_failed(world.step(WakeUp(), after=SECOND - 5 * MS)) == [Reject("m1")]
 
 
 def test_a_message_refused_just_before_its_deadline_is_completed() -> None:
     world = World()
-    world.take(time_left_us=SECOND)
+    world.accept(time_left_us=SECOND)
     world.step(WakeUp(), after=SECOND - 4 * MS)
-    assert ended(world.answer("m1", Outcome.FULL, after=0)) == [Reject("m1")]
+    assert rejected_or_failed(world.end_attempt("m1", Outcome.FULL, after=0)) == [Reject("m1")]
 
 
 def test_a_timeout_at_the_deadline_completes_the_message_at_once() -> None:
     world = World()
-    world.take(time_left_us=SECOND)
-    assert len(ended(world.answer("m1", Outcome.TIMEOUT, after=SECOND))) == 1
+    world.accept(time_left_us=SECOND)
+    assert len(rejected_or_failed(world.end_attempt("m1", Outcome.TIMEOUT, after=SECOND))) == 1
 
 
 @pytest.mark.parametrize("outcome", [Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED])
 def test_an_unsafe_message_that_may_have_run_fails(outcome: Outcome) -> None:
     world = World()
-    world.take("once")
-    actions = world.answer("m1", outcome)
-    assert ended(actions) == [Fail("m1")] and sent(actions) == []
+    world.accept("once")
+    actions = world.end_attempt("m1", outcome)
+    assert rejected_or_failed(actions) == [Fail("m1")] and sent_messages(actions) == []
 
 
 @pytest.mark.parametrize("outcome", [Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT])
 def test_an_unsafe_message_that_never_ran_is_sent_again(outcome: Outcome) -> None:
     world = World()
-    world.take("once")
-    actions = world.answer("m1", outcome)
-    assert sent(actions + world.step(WakeUp(), after=3 * SECOND)) == ["m1"]
+    world.accept("once")
+    actions = world.end_attempt("m1", outcome)
+    assert sent_messages(actions + world.step(WakeUp(), after=3 * SECOND)) == ["m1"]
 
 
 def test_a_keyed_message_is_repeated_only_within_its_window() -> None:
     world = World()
-    world.take("keyed")
-    actions = world.answer("m1", Outcome.ERROR, after=5 * SECOND)
-    assert ended(actions) == [Reject("m1")] and sent(actions) == []
-    world.take("keyed")
-    assert sent(world.answer("m2", Outcome.ERROR)) == ["m2"]
+    world.accept("keyed")
+    actions = world.end_attempt("m1", Outcome.ERROR, after=5 * SECOND)
+    assert rejected_or_failed(actions) == [Reject("m1")] and sent_messages(actions) == []
+    world.accept("keyed")
+    assert sent_messages(world.end_attempt("m2", Outcome.ERROR)) == ["m2"]
 
 
 def test_a_zonal_message_is_repeated_only_in_the_zone_that_drops_repeats() -> None:
     world = World(endpoint("a"), endpoint("b", zone="z2"))
-    world.take("zoned")
-    again = [each for each in world.answer("m1", Outcome.ERROR) if isinstance(each, Send)]
+    world.accept("zoned")
+    again = [each for each in world.end_attempt("m1", Outcome.ERROR) if isinstance(each, Send)]
     assert [each.endpoint for each in again] == ["a"]
 
 
 def test_a_zonal_message_past_its_window_fails_and_is_not_rejected() -> None:
     world = World()
-    world.take("zoned")
-    assert ended(world.answer("m1", Outcome.ERROR, after=5 * SECOND)) == [Fail("m1")]
+    world.accept("zoned")
+    assert rejected_or_failed(world.end_attempt("m1", Outcome.ERROR, after=5 * SECOND)) == [Fail("m1")]
 
 
 @pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.GONE])
 def test_no_call_is_sent_to_a_draining_or_removed_endpoint(state: EndpointState) -> None:
     world = World()
     world.step(EndpointsUpdated(ListingKind.CHANGES, (endpoint("a", state=state),)))
-    assert sent(world.take()) == []
+    assert sent_messages(world.accept()) == []
 
 
 def test_a_full_list_replaces_the_previous_list() -> None:
     world = World()
     world.step(EndpointsUpdated(ListingKind.FULL, (endpoint("b"),)))
-    (action,) = [each for each in world.take() if isinstance(each, Send)]
+    (action,) = [each for each in world.accept() if isinstance(each, Send)]
     assert action.endpoint == "b"
 
 
 def test_a_retry_after_delays_every_message_of_the_destination() -> None:
     world = World()
-    world.take()
-    world.answer("m1", Outcome.FULL, wait=4 * SECOND)
-    assert sent(world.take("once", after=4 * SECOND - 10 * MS)) == []
-    assert sent(world.step(WakeUp(), after=10 * MS)) != []
+    world.accept()
+    world.end_attempt("m1", Outcome.FULL, wait=4 * SECOND)
+    assert sent_messages(world.accept("once", after=4 * SECOND - 10 * MS)) == []
+    assert sent_messages(world.step(WakeUp(), after=10 * MS)) != []
 
 
 def test_a_retry_after_delays_only_one_route_where_routes_are_separate() -> None:
     world = World(endpoint("a", kind="apart"), endpoint("b", kind="apart"))
-    (first,) = [each for each in world.take() if isinstance(each, Send)]
-    (again,) = [each for each in world.answer("m1", Outcome.FULL, wait=SECOND) if isinstance(each, Send)]
+    (first,) = [each for each in world.accept() if isinstance(each, Send)]
+    (again,) = [each for each in world.end_attempt("m1", Outcome.FULL, wait=SECOND) if isinstance(each, Send)]
     assert {first.endpoint, again.endpoint} == {"a", "b"}
 
 
 def test_messages_of_a_key_are_sent_one_at_a_time_in_order() -> None:
     world = World()
-    assert sent(world.take("ordered", key="k")) == ["m1"]
-    assert sent(world.take("ordered", key="k")) == []
-    assert sent(world.take("ordered", key="other")) == ["m3"]
-    assert sent(world.answer("m1", Outcome.OK)) == ["m2"]
+    assert sent_messages(world.accept("ordered", key="k")) == ["m1"]
+    assert sent_messages(world.accept("ordered", key="k")) == []
+    assert sent_messages(world.accept("ordered", key="other")) == ["m3"]
+    assert sent_messages(world.end_attempt("m1", Outcome.OK)) == ["m2"]
 
 
 def test_a_key_pauses_after_an_attempt_with_an_unknown_result() -> None:
     world = World()
-    world.take("ordered", key="k", time_left_us=SECOND)
-    world.take("ordered", key="k")
-    assert sent(world.answer("m1", Outcome.TIMEOUT, after=SECOND)) == []
-    assert sent(world.step(WakeUp(), after=299 * MS)) == []
-    assert sent(world.step(WakeUp(), after=2 * MS)) == ["m2"]
+    world.accept("ordered", key="k", time_left_us=SECOND)
+    world.accept("ordered", key="k")
+    assert sent_messages(world.end_attempt("m1", Outcome.TIMEOUT, after=SECOND)) == []
+    assert sent_messages(world.step(WakeUp(), after=299 * MS)) == []
+    assert sent_messages(world.step(WakeUp(), after=2 * MS)) == ["m2"]
 
 
 def test_a_key_waits_for_the_result_of_a_withdrawn_message() -> None:
     world = World()
-    world.take("ordered", key="k")
+    world.accept("ordered", key="k")
     world.step(MessageWithdrawn("m1"))
-    assert sent(world.take("ordered", key="k")) == []
-    assert sent(world.answer("m1", Outcome.OK)) == ["m2"]
+    assert sent_messages(world.accept("ordered", key="k")) == []
+    assert sent_messages(world.end_attempt("m1", Outcome.OK)) == ["m2"]
 
 
 def test_a_returning_destination_gets_a_part_of_its_usual_rate() -> None:
     world = World()
     for _ in range(40):
-        world.take(after=90 * MS)
-        world.answer(f"m{world.count}", Outcome.OK)
+        world.accept(after=90 * MS)
+        world.end_attempt(f"m{world.count}", Outcome.OK)
     world.open_breaker()
     calls = 0
     for _ in range(20):
-        actions = world.take(after=100 * MS)
-        while messages := sent(actions):
+        actions = world.accept(after=100 * MS)
+        while messages := sent_messages(actions):
             calls += len(messages)
-            actions = [act for name in messages for act in world.answer(name, Outcome.OK)]
+            actions = [act for name in messages for act in world.end_attempt(name, Outcome.OK)]
     assert 1 <= calls
     before = calls
     for _ in range(20):
-        actions = world.take(after=100 * MS)
-        while messages := sent(actions):
+        actions = world.accept(after=100 * MS)
+        while messages := sent_messages(actions):
             calls += len(messages)
-            actions = [act for name in messages for act in world.answer(name, Outcome.OK)]
+            actions = [act for name in messages for act in world.end_attempt(name, Outcome.OK)]
     assert calls - before <= 10, "about twenty calls at the usual rate; a cold destination gets a part"
 
 
@@ -171,46 +171,46 @@
 def test_a_restored_unsafe_message_fails_if_it_may_have_run_and_is_sent_otherwise() -> None:
     world = World()
     actions = world.step(restored("m1", message_class="once"), restored("m2", 1, None, message_class="once"))
-    assert ended(actions) == [Fail("m1")] and sent(actions) == ["m2"]
+    assert rejected_or_failed(actions) == [Fail("m1")] and sent_messages(actions) == ["m2"]
 
 
 def test_attempts_before_a_restart_count_towards_the_limit() -> None:
     world = World()
     world.step(restored("m1", 5, None))
     world.attempts["m1"] = 5
-    assert len(ended(world.answer("m1", Outcome.FULL))) == 1
+    assert len(rejected_or_failed(world.end_attempt("m1", Outcome.FULL))) == 1
 
 
 def test_a_key_pauses_after_a_restart() -> None:
     world = World()
     world.step(restored("m1", 6, message_class="ordered", key="k"))
-    assert sent(world.take("ordered", key="k")) == []
-    assert sent(world.step(WakeUp(), after=299 * MS)) == []
-    assert sent(world.step(WakeUp(), after=2 * MS)) == ["m1"]
+    assert sent_messages(world.accept("ordered", key="k")) == []
+    assert sent_messages(world.step(WakeUp(), after=299 * MS)) == []
+    assert sent_messages(world.step(WakeUp(), after=2 * MS)) == ["m1"]
 
 
 def test_a_key_waits_for_the_acknowledged_completion_where_completions_are_acknowledged() -> None:
     world = World(acknowledges_completions=True)
-    world.take("ordered", key="k", destination=9, time_left_us=SECOND)
-    world.take("ordered", key="k")
-    assert ended(world.step(WakeUp(), after=SECOND)) == [Reject("m1")]
-    assert sent(world.step(WakeUp(), after=5 * SECOND)) == []
-    assert sent(world.step(EndAcknowledged("m1"))) == ["m2"]
+    world.accept("ordered", key="k", destination=9, time_left_us=SECOND)
+    world.accept("ordered", key="k")
+    assert rejected_or_failed(world.step(WakeUp(), after=SECOND)) == [Reject("m1")]
+    assert sent_messages(world.step(WakeUp(), after=5 * SECOND)) == []
+    assert sent_messages(world.step(EndAcknowledged("m1"))) == ["m2"]
 
 
 def test_no_call_starts_that_may_be_in_flight_when_the_process_ends() -> None:
     world = World()
-    assert sent(world.step(Stopping(3 * SECOND))) == []
-    assert sent(world.take()) == ["m1"]
-    assert sent(world.take(after=2800 * MS)) == []
+    assert sent_messages(world.step(Stopping(3 * SECOND))) == []
+    assert sent_messages(world.accept()) == ["m1"]
+    assert sent_messages(world.accept(after=2800 * MS)) == []
 
 
 def test_a_retry_after_or_drain_stops_a_call_that_is_still_connecting() -> None:
     world = World(endpoint("a"), endpoint("b", destination=2))
-    world.take()
-    world.take()
+    world.accept()
+    world.accept()
     assert world.dispatcher.may_start_call("a", world.now)
-    world.answer("m1", Outcome.FULL, wait=SECOND)
+    world.end_attempt("m1", Outcome.FULL, wait=SECOND)
     assert not world.dispatcher.may_start_call("a", world.now + SECOND - 1)
     assert world.dispatcher.may_start_call("a", world.now + SECOND)
     world.step(EndpointsUpdated(ListingKind.CHANGES, (endpoint("b", state=EndpointState.GONE),)))
@@ -220,12 +220,12 @@
 def test_unused_state_expires_but_a_long_retry_after_is_kept() -> None:
     """Guards the memory of a long-lived process that sees ever new endpoints, keys and tenants."""
     world = World(endpoint("a"), endpoint("b", destination=2))
-    world.take("ordered", key="k", time_left_us=SECOND)
-    world.answer("m1", Outcome.TIMEOUT, after=SECOND)
+    world.accept("ordered", key="k", time_left_us=SECOND)
+    world.end_attempt("m1", Outcome.TIMEOUT, after=SECOND)
     assert list(world.dispatcher.keys) == ["k"]
-    world.take(destination=2, time_left_us=SECOND, tenant="made up")
-    world.answer("m2", Outcome.FULL, wait=7200 * SECOND)
-    world.take(destination=77, time_left_us=SECOND)
+    world.accept(destination=2, time_left_us=SECOND, tenant="made up")
+    world.end_attempt("m2", Outcome.FULL, wait=7200 * SECOND)
+    world.accept(destination=77, time_left_us=SECOND)
     world.step(WakeUp(), after=SECOND)
     assert world.dispatcher.keys == {} and world.dispatcher.pending.credit == {}
     gone = [endpoint("a", state=EndpointState.GONE), endpoint("b", state=EndpointState.GONE)]
@@ -238,21 +238,21 @@
 
 def test_the_end_of_a_key_pause_wakes_the_policy_up() -> None:
     world = World()
-    world.take("ordered", key="k")
-    world.take("ordered", key="k")
-    assert sent(world.answer("m1", Outcome.TIMEOUT)) == ["m1"]
-    assert sent(world.answer("m1", Outcome.OK)) == []
-    assert sent(world.step(WakeUp(), after=int(world.dispatcher.wake_at) - world.now)) == ["m2"]
+    world.accept("ordered", key="k")
+    world.accept("ordered", key="k")
+    assert sent_messages(world.end_attempt("m1", Outcome.TIMEOUT)) == ["m1"]
+    assert sent_messages(world.end_attempt("m1", Outcome.OK)) == []
+    assert sent_messages(world.step(WakeUp(), after=int(world.dispatcher.wake_at) - world.now)) == ["m2"]
 
 
 def test_a_pending_message_is_completed_when_its_window_ends() -> None:
     world = World(slots=1)
-    world.take("keyed")
-    world.answer("m1", Outcome.ERROR, wait=60 * SECOND)
+    world.accept("keyed")
+    world.end_attempt("m1", Outcome.ERROR, wait=60 * SECOND)
     for _ in range(10):
-        if ended(actions := world.step(WakeUp(), after=SECOND)):
+        if rejected_or_failed(actions := world.step(WakeUp(), after=SECOND)):
             break
-    assert [each.message for each in ended(actions)] == ["m1"]
+    assert [each.message for each in rejected_or_failed(actions)] == ["m1"]
     assert 4 * SECOND <= world.now <= 6 * SECOND
 
 
@@ -273,8 +273,8 @@
 def test_a_retry_after_stops_calls_about_to_start_before_its_event_is_handled() -> None:
     world = World()
     world.dispatcher.retry_after_received("a", world.now + SECOND)
-    assert not world.dispatcher.may_start_call("a", world.now) and sent(world.take()) == []
-    assert sent(world.step(WakeUp(), after=SECOND)) == ["m1"]
+    assert not world.dispatcher.may_start_call("a", world.now) and sent_messages(world.accept()) == []
+    assert sent_messages(world.step(WakeUp(), after=SECOND)) == ["m1"]
 
 
 def test_refusals_of_restored_messages_warm_a_destination_up_after_a_restart() -> None:
@@ -295,8 +295,8 @@
     no longer when its connection was established 0.3 s later.
     """
     world = World()
-    world.take("keyed")
-    world.answer("m1", Outcome.ERROR)
+    world.accept("keyed")
+    world.end_attempt("m1", Outcome.ERROR)
     message = world.dispatcher.messages["m1"]
     assert message.is_in_flight and message.uncertain_since is not None
     window_end = int(world.dispatcher.pending.repeat_until(message, message.uncertain_since))
--- a/tests/test_shared_budgets.py
+++ b/tests/test_shared_budgets.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 import pytest
-from helpers import World, sent
+from helpers import World, sent_messages
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -46,8 +46,8 @@
 def run_with_faults(seed: int) -> Fleet:
     """Runs three to six members with random faults in the first 12 s, and without faults until 26.2 s."""
     size = 3 + seed % 4
-    works = [60 / (1 + (each + seed) % size) for each in range(size)]
-    fleet = Fleet(budget(size, floor=seed % 3), size, seed, works)
+    demands = [60 / (1 + (each + seed) % size) for each in range(size)]
+    fleet = Fleet(budget(size, floor=seed % 3), size, seed, demands)
     fleet.schedule_faults(12.0)
     fleet.network.run(26.2)
     return fleet
@@ -337,21 +337,25 @@
     world = World()
     world.dispatcher.registry.shared_limits = limits = DenyingLimits("trials")
     world.open_breaker()
-    assert not sent(world.take()) and not sent(world.step(WakeUp(), after=3 * US))
+    assert not sent_messages(world.accept()) and not sent_messages(world.step(WakeUp(), after=3 * US))
     limits.denied = "repeats"
     world.dispatcher.registry.limits_raised(1)
-    assert len(sent(world.step(WakeUp()))) == 1
+    assert len(sent_messages(world.step(WakeUp()))) == 1
     assert limits.reserved[-1][1:] == (True, False)
 
 
 def test_a_retry_without_capacity_does_not_block_first_attempts() -> None:
     world = World()
     world.dispatcher.registry.shared_limits = limits = DenyingLimits("repeats")
-    assert sent(world.take()) == ["m1"] and not sent(world.answer("m1", Outcome.ERROR))
-    assert sent(world.take(after=US)) == ["m2"] and not sent(world.answer("m2", Outcome.OK))
+    assert sent_messages(world.accept()) == ["m1"] and not sent_messages(
+        world.end_attempt("m1", Outcome.ERROR)
+    )
+    assert sent_messages(world.accept(after=US)) == ["m2"] and not sent_messages(
+        world.end_attempt("m2", Outcome.OK)
+    )
     limits.denied = "trials"
     world.dispatcher.registry.limits_raised(1)
-    assert sent(world.step(WakeUp(), after=US)) == ["m1"]
+    assert sent_messages(world.step(WakeUp(), after=US)) == ["m1"]
     assert limits.reserved == [("m1", False, False), ("m2", False, False), ("m1", False, True)]
 
 
