--- a/tests/control_nodes.py
+++ b/tests/control_nodes.py
@@ -121,7 +121,7 @@
 
     name: str
     folder: Path
-    platter: SimulatedDisk = field(default_factory=SimulatedDisk)
+    simulated_disk: SimulatedDisk = field(default_factory=SimulatedDisk)
     driver: NodeDriver | None = None
     is_full: bool = False
     crash_after: str = ""  # the disk operation after which the process is killed; empty for none
@@ -145,7 +145,7 @@
 
     def initialise(self, machine: Machine) -> None:
         folder = StateFolder(machine.folder)
-        folder.initialise(Identity("test", machine.name, "now"), MemoryDisk(machine.platter))
+        folder.initialise(Identity("test", machine.name, "now"), MemoryDisk(machine.simulated_disk))
 
     def configuration(self, machine: Machine) -> NodeConfiguration:
         return NodeConfiguration(
@@ -174,8 +174,8 @@
             machine.driver.start()
 
     def disk(self, machine: Machine) -> MemoryDisk:
-        def before(what: str) -> None:
-            if machine.is_full and what in ("write", "sync"):
+        def before(operation: str) -> None:
+            if machine.is_full and operation in ("write", "sync"):
                 raise OSError(28, "No space left on device")
 
         class Disk(MemoryDisk):
@@ -185,7 +185,7 @@
                     machine.crash_after = ""
                     self.kill(machine.name)
 
-        return Disk(machine.platter, before)
+        return Disk(machine.simulated_disk, before)
 
     def kill(self, *names: str) -> None:
         for name in names:
@@ -197,7 +197,7 @@
     def cut_power(self, name: str, keeps: float = 0.0) -> None:
         self.kill(name)
         machine = self.machines[name]
-        machine.platter = SimulatedDisk(machine.platter.cut(self.rng, keeps))
+        machine.simulated_disk = SimulatedDisk(machine.simulated_disk.cut(self.rng, keeps))
 
     def driver(self, name: str) -> NodeDriver:
         driver = self.machines[name].driver
--- a/tests/raft_model.py
+++ b/tests/raft_model.py
@@ -71,20 +71,20 @@
 
     def local_number(self, local: Local, node: int) -> int:
         settle(local.replica)
-        where = (node, key(local.replica), local.disk, local.is_dirty)
-        number = self.local_numbers.get(where)
+        identity = (node, key(local.replica), local.disk, local.is_dirty)
+        number = self.local_numbers.get(identity)
         if number is None:
-            number = self.local_numbers[where] = len(self.locals)
+            number = self.local_numbers[identity] = len(self.locals)
             self.locals.append(local)
         return number
 
     def message_number(self, sender: int, receiver: int, message: RaftMessage) -> int:
-        where = (sender, receiver, message)
-        number = self.message_numbers.get(where)
+        identity = (sender, receiver, message)
+        number = self.message_numbers.get(identity)
         if number is not None:
             return number
-        number = self.message_numbers[where] = len(self.messages)
-        self.messages.append(where)
+        number = self.message_numbers[identity] = len(self.messages)
+        self.messages.append(identity)
         self.inbox[receiver] |= 1 << number
         return number
 
@@ -300,19 +300,19 @@
         return after
 
     def is_matching(self, one: int, other: int) -> bool:
-        where = (one, other) if one < other else (other, one)
-        known = self.matchings.get(where)
+        identity = (one, other) if one < other else (other, one)
+        known = self.matchings.get(identity)
         if known is None:
             first = self.locals[one].replica._log._entries
             second = self.locals[other].replica._log._entries
-            known = self.matchings[where] = is_log_matching(first, second)
+            known = self.matchings[identity] = is_log_matching(first, second)
         return known
 
     def confirmation(self, confirmed: int, number: int) -> int | str:
-        where = (confirmed, number)
-        known = self.confirmations.get(where)
+        identity = (confirmed, number)
+        known = self.confirmations.get(identity)
         if known is None:
-            known = self.confirmations[where] = self._confirmation(confirmed, number)
+            known = self.confirmations[identity] = self._confirmation(confirmed, number)
         return known
 
     def _confirmation(self, confirmed: int, number: int) -> int | str:
@@ -338,11 +338,11 @@
 
     def is_held(self, confirmed: int, number: int) -> bool:
         """Returns whether a node's disk has the complete confirmed log."""
-        where = (confirmed, number)
-        known = self.holdings.get(where)
+        identity = (confirmed, number)
+        known = self.holdings.get(identity)
         if known is None:
             expected = tuple(entry for entry, _ in self.confirmed[confirmed])
-            known = self.holdings[where] = self.locals[number].disk.entries[: len(expected)] == expected
+            known = self.holdings[identity] = self.locals[number].disk.entries[: len(expected)] == expected
         return known
 
     # The search.
--- a/tests/raft_simulation.py
+++ b/tests/raft_simulation.py
@@ -58,7 +58,7 @@
     healed_s: float = 0.0  # from the healing to the commit of a proposal on all nodes
 
 
-class Ledger:
+class InvariantChecker:
     """Observes all nodes, and records votes, leaders and confirmed entries, which must never change."""
 
     def __init__(self, votes: Mapping[str, int]) -> None:
@@ -139,7 +139,7 @@
         self.now = 0.0
         self.events: list[tuple[float, int, Callable[[], None]]] = []
         self.numbers = count()
-        self.ledger = Ledger(votes)
+        self.checker = InvariantChecker(votes)
         self.outcome = Outcome()
         self.loss = self.rng.choice((0.0, 0.05, 0.2))
         self.is_partitioned = False
@@ -183,9 +183,11 @@
         if machine.writing is not None:
             part = self.rng.randrange(4)
             ready = machine.writing
-            kept = ready.entries[: self.rng.randint(0, len(ready.entries))]
+            durable_entries = ready.entries[: self.rng.randint(0, len(ready.entries))]
             if part & 1:
-                machine.disk = machine.disk.written(replace_entries(ready, kept), has_hard_state=part == 3)
+                machine.disk = machine.disk.written(
+                    replace_entries(ready, durable_entries), has_hard_state=part == 3
+                )
         machine.replica = None
         machine.start_number += 1
 
@@ -207,7 +209,7 @@
         if replica.commit_index < before:
             raise ViolationError("the commit index went back")
         self.outcome.elections += replica.term > term and replica.role is Role.CANDIDATE
-        self.ledger.check(machine, list(self.machines.values()))
+        self.checker.check(machine, list(self.machines.values()))
         self.write(machine)
 
     def write(self, machine: Machine) -> None:
@@ -242,7 +244,7 @@
         return is_same_region or not self.is_partitioned
 
     def send(self, sender: str, receiver: str, message: RaftMessage) -> None:
-        self.ledger.sent(sender, receiver, message)
+        self.checker.sent(sender, receiver, message)
         if self.is_faulty and self.rng.random() < self.loss:
             self.outcome.lost += 1
             return
@@ -302,7 +304,7 @@
         self.schedule(1.0, self.propose)
         self.run_until(FAULTY_S)
         self.heal()
-        self.outcome.confirmed = len(self.ledger.confirmed)
+        self.outcome.confirmed = len(self.checker.confirmed)
         return self.outcome
 
     def heal(self) -> None:
--- a/tests/test_control_channel.py
+++ b/tests/test_control_channel.py
@@ -18,7 +18,7 @@
 WATCHER: Address = ("10.0.9.9", 9000)
 
 
-def make(
+def make_channel(
     name: str,
     epoch: int = 1,
     session: int = 0,
@@ -54,14 +54,14 @@
     return accepted
 
 
-def large(size: int) -> Append:
+def large_body(size: int) -> Append:
     data = random.Random(size).randbytes(size)
     return Append(1, 0, 0, 0, 1, (LogEntry(1, 1, data),))
 
 
-def pair() -> tuple[Channel, Channel]:
+def connected_pair() -> tuple[Channel, Channel]:
     """Returns two channels that know each other's session."""
-    one, two = make("c0"), make("c1")
+    one, two = make_channel("c0"), make_channel("c1")
     one.send("c1", StatusRequest(1), 0.0)
     two.send("c0", StatusRequest(1), 0.0)
     exchange({"c0": one, "c1": two})
@@ -70,7 +70,7 @@
 
 
 def test_bodies_to_a_peer_with_an_unknown_session_are_queued_until_it_answers() -> None:
-    one, two = make("c0"), make("c1")
+    one, two = make_channel("c0"), make_channel("c1")
     for number in range(6):
         one.send("c1", StatusRequest(number), 0.0)
     accepted = exchange({"c0": one, "c1": two})
@@ -81,14 +81,14 @@
 
 
 def test_hellos_to_a_silent_peer_are_rate_limited() -> None:
-    one = make("c0")
+    one = make_channel("c0")
     for step in range(100):
         one.send("c1", StatusRequest(step), step / 100)
     assert len(one.take_datagrams()) == 4
 
 
 def test_a_replayed_datagram_is_only_counted() -> None:
-    one, two = pair()
+    one, two = connected_pair()
     one.send("c1", StatusRequest(7), 0.0)
     ((_, datagram),) = one.take_datagrams()
     assert two.receive(datagram, ADDRESSES["c0"], 0.0) == [("c0", StatusRequest(7))]
@@ -99,10 +99,10 @@
 
 
 def test_replays_to_a_later_start_cause_a_bounded_number_of_hellos() -> None:
-    one, _ = pair()
+    one, _ = connected_pair()
     one.send("c1", StatusRequest(7), 0.0)
     ((_, datagram),) = one.take_datagrams()
-    restarted = make("c1", 2)
+    restarted = make_channel("c1", 2)
     for _ in range(2_000):
         assert restarted.receive(datagram, ADDRESSES["c0"], 0.5) == []
     assert restarted.refused == {RefusalReason.OTHER_SESSION: 2_000}
@@ -112,8 +112,8 @@
 
 
 def test_foreign_forged_and_damaged_datagrams_are_counted_by_reason() -> None:
-    one, two = pair()
-    foreign = make("c0", key=bytes(32))
+    one, two = connected_pair()
+    foreign = make_channel("c0", key=bytes(32))
     foreign.send("c1", StatusRequest(1), 0.0)
     ((_, datagram),) = foreign.take_datagrams()
     two.receive(datagram, ADDRESSES["c0"], 0.0)
@@ -133,7 +133,7 @@
 
 
 def test_the_key_can_be_changed_without_interrupting_the_channel() -> None:
-    one, two = pair()
+    one, two = connected_pair()
     one.seal.set_keys([bytes(32), KEY])
     one.send("c1", StatusRequest(2), 0.0)
     ((_, datagram),) = one.take_datagrams()
@@ -143,62 +143,62 @@
 
 
 def test_reordered_and_duplicated_fragments_are_reassembled_once() -> None:
-    one, two = pair()
-    body = large(20_000)
+    one, two = connected_pair()
+    body = large_body(20_000)
     one.send("c1", body, 0.0)
     datagrams = [datagram for _, datagram in one.take_datagrams()]
     assert len(datagrams) > 15 and max(map(len, datagrams)) <= DATAGRAM_BYTES_LIMIT
     datagrams = datagrams * 2
     random.Random(4).shuffle(datagrams)
-    accepted = [pair for datagram in datagrams for pair in two.receive(datagram, ADDRESSES["c0"], 0.0)]
+    accepted = [each for datagram in datagrams for each in two.receive(datagram, ADDRESSES["c0"], 0.0)]
     assert accepted == [("c0", body)]
     assert two.partial_bytes == 0
     assert two.refused == {RefusalReason.REPLAY: len(datagrams) // 2}
 
 
 def test_the_fragments_of_an_incomplete_message_expire() -> None:
-    one, two = pair()
-    one.send("c1", large(20_000), 0.0)
+    one, two = connected_pair()
+    one.send("c1", large_body(20_000), 0.0)
     for _, datagram in one.take_datagrams()[1:]:
         assert two.receive(datagram, ADDRESSES["c0"], 0.0) == []
     assert two.partial_bytes > 15_000
-    one.send("c1", large(3_000), 10.0)
+    one.send("c1", large_body(3_000), 10.0)
     for _, datagram in one.take_datagrams()[1:]:
         assert two.receive(datagram, ADDRESSES["c0"], 10.0) == []
     assert two.partial_bytes < 3_000
 
 
 def test_the_memory_of_incomplete_messages_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    one, two = pair()
+    one, two = connected_pair()
     for _ in range(channel_module.PARTIAL_MESSAGES_LIMIT + 5):
-        one.send("c1", large(10_000), 0.0)
+        one.send("c1", large_body(10_000), 0.0)
         for _, datagram in one.take_datagrams()[1:]:
             two.receive(datagram, ADDRESSES["c0"], 0.0)
     assert two.partial_bytes <= channel_module.PARTIAL_MESSAGES_LIMIT * 10_100
     monkeypatch.setattr(channel_module, "PARTIAL_BYTES_LIMIT", 30_000)
-    one.send("c1", large(20_000), 0.0)
+    one.send("c1", large_body(20_000), 0.0)
     for _, datagram in one.take_datagrams()[1:]:
         two.receive(datagram, ADDRESSES["c0"], 0.0)
     assert two.partial_bytes <= 30_000
     with pytest.raises(BodyTooLargeError):
-        one.send("c1", large(channel_module.MESSAGE_BYTES_LIMIT), 0.0)
+        one.send("c1", large_body(channel_module.MESSAGE_BYTES_LIMIT), 0.0)
 
 
 def test_the_largest_body_arrives_under_the_longest_name() -> None:
     name = "n" * 64
     addresses = {name: ("10.0.0.1", 1), "c1": ADDRESSES["c1"]}
-    one = make(name, epoch=2**62, session=2**62, addresses=addresses)
-    two = make("c1", session=2**62, addresses=addresses)
-    body = large(channel_module.MESSAGE_BYTES_LIMIT - 100)
+    one = make_channel(name, epoch=2**62, session=2**62, addresses=addresses)
+    two = make_channel("c1", session=2**62, addresses=addresses)
+    body = large_body(channel_module.MESSAGE_BYTES_LIMIT - 100)
     one.send("c1", body, 0.0)
     assert exchange({name: one, "c1": two}, sources=addresses) == [("c1", name, body)]
 
 
 def test_a_restart_begins_a_new_session_and_ends_the_old_one() -> None:
-    one, two = pair()
+    one, two = connected_pair()
     one.send("c1", StatusRequest(8), 0.0)
     ((_, old),) = one.take_datagrams()
-    restarted = make("c0", 2)
+    restarted = make_channel("c0", 2)
     restarted.send("c1", StatusRequest(9), 0.0)
     assert exchange({"c0": restarted, "c1": two}) == [("c1", "c0", StatusRequest(9))]
     assert two.receive(old, ADDRESSES["c0"], 0.0) == []
@@ -220,15 +220,15 @@
     `c1` knows start 5 of `c0`, also if `c1` was restarted in between.
     """
     stored: dict[str, KnownStart] = {}
-    latest, two = make("c0", 5, 55), make("c1", 3)
+    latest, two = make_channel("c0", 5, 55), make_channel("c1", 3)
     two.on_start_known = stored.__setitem__
     latest.send("c1", StatusRequest(1), 0.0)
     exchange({"c0": latest, "c1": two})
     assert stored == {"c0": KnownStart(5, 55)}
     if is_restarted:
-        two = make("c1", 4, known=stored)
+        two = make_channel("c1", 4, known=stored)
     reported_epochs: list[int] = []
-    returned = make("c0", epoch, 55 if own_session else 77)
+    returned = make_channel("c0", epoch, 55 if own_session else 77)
     returned.on_behind = reported_epochs.append
     for now in (1.0, 2.0):
         returned.send("c1", StatusRequest(2), now)
@@ -242,8 +242,8 @@
 
 def test_no_body_of_an_old_start_is_accepted_before_the_node_knows_that_its_disk_is_old() -> None:
     """Otherwise its vote could be counted before it knows that its disk lost an earlier vote."""
-    two = make("c1", known={"c0": KnownStart(5, 55)})
-    returned = make("c0", 2, 77)
+    two = make_channel("c1", known={"c0": KnownStart(5, 55)})
+    returned = make_channel("c0", 2, 77)
     order: list[str] = []
     returned.on_behind = lambda epoch: order.append("behind")
     returned.send("c1", StatusRequest(2), 0.0)
@@ -256,7 +256,7 @@
 
 
 def test_a_sender_is_answered_at_the_source_address_of_its_last_datagram() -> None:
-    node, watcher = make("c0"), make("watcher")
+    node, watcher = make_channel("c0"), make_channel("watcher")
     sources = {**ADDRESSES, "watcher": WATCHER}
     watcher.send("c0", Poll(0, 0), 0.0)
     exchange({"c0": node, "watcher": watcher}, sources=sources)
@@ -269,12 +269,12 @@
     moved: Address = ("10.0.9.9", 9001)
     exchange({"c0": node, "watcher": watcher}, sources={**sources, "watcher": moved})
     assert node.address_of("watcher") == moved
-    node.send("nobody", StatusRequest(1), 0.0)
+    node.send("unknown", StatusRequest(1), 0.0)
     assert node.take_datagrams() == []
 
 
 def test_a_datagram_under_the_receivers_own_name_is_counted() -> None:
-    one, two = make("c0"), make("c0", 2)
+    one, two = make_channel("c0"), make_channel("c0", 2)
     two.addresses = {"c0": ADDRESSES["c1"]}
     two.send("c0", Hello(), 0.0)
     ((_, datagram),) = two.take_datagrams()
@@ -284,9 +284,9 @@
 
 def test_the_number_of_peers_that_are_not_configured_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(channel_module, "PEERS_LIMIT", 5)
-    node = make("c0")
+    node = make_channel("c0")
     for number in range(20):
-        watcher = make(f"w{number}")
+        watcher = make_channel(f"w{number}")
         watcher.send("c0", Poll(0, 0), float(number))
         sources = {**ADDRESSES, watcher.name: ("10.0.9.9", 9000 + number)}
         exchange({"c0": node, watcher.name: watcher}, float(number), sources=sources)
@@ -299,7 +299,7 @@
 def test_over_a_faulty_network_each_body_is_accepted_at_most_once(seed: int) -> None:
     """Loss, duplication, reordering and restarts; enough of the repeated requests still arrive."""
     rng = random.Random(seed)
-    channels = {"c0": make("c0"), "c1": make("c1")}
+    channels = {"c0": make_channel("c0"), "c1": make_channel("c1")}
     accepted: list[int] = []
     in_flight: list[tuple[str, str, bytes]] = []
     numbers = itertools.count()
@@ -308,7 +308,7 @@
         now = step / 20
         if rng.random() < 0.02:
             epoch += 1
-            channels["c1"] = make("c1", epoch)
+            channels["c1"] = make_channel("c1", epoch)
         channels["c0"].send("c1", StatusRequest(next(numbers)), now)
         for name, channel in channels.items():
             in_flight += [(name, NAMES[address], datagram) for address, datagram in channel.take_datagrams()]
@@ -324,7 +324,7 @@
 
 
 def test_a_flood_from_unknown_senders_does_not_block_a_control_node() -> None:
-    node, unknown_sender, other = make("c0"), make("s1"), make("c1")
+    node, unknown_sender, other = make_channel("c0"), make_channel("s1"), make_channel("c1")
     for number in range(2 * channel_module.HELLO_ANSWERS_PER_SECOND):
         unknown_sender.send("c0", StatusRequest(number), float(number))
         for _, datagram in unknown_sender.take_datagrams():
@@ -336,7 +336,7 @@
 
 
 def test_hellos_to_a_flood_under_the_name_of_a_control_node_are_rate_limited() -> None:
-    node, other = make("c0"), make("c1")
+    node, other = make_channel("c0"), make_channel("c1")
     for number in range(2 * channel_module.PEER_HELLO_ANSWERS_PER_SECOND):
         other.send("c0", StatusRequest(number), float(number))
         for _, datagram in other.take_datagrams():
--- a/tests/test_control_command_line.py
+++ b/tests/test_control_command_line.py
@@ -34,10 +34,10 @@
         self.lines: list[str] = []
 
     @classmethod
-    async def start(cls, *words: str) -> "Process":
+    async def start(cls, *arguments: str) -> "Process":
         pipe = asyncio.subprocess.PIPE
-        words = (sys.executable, "-m", "message_sender", *words)
-        return cls(await asyncio.create_subprocess_exec(*words, stderr=pipe, stdout=pipe))
+        arguments = (sys.executable, "-m", "message_sender", *arguments)
+        return cls(await asyncio.create_subprocess_exec(*arguments, stderr=pipe, stdout=pipe))
 
     async def wait_for_log(self, pattern: str) -> re.Match[str]:
         """Waits for the next log line that matches `pattern`, and returns the match."""
@@ -91,13 +91,13 @@
     def sender_file(self) -> str:
         return self.write("sender.toml", SENDER + control_section(self.ports))
 
-    async def run(self, *words: str) -> tuple[int, str]:
+    async def run(self, *arguments: str) -> tuple[int, str]:
         """Runs `message-sender control ...`; returns its exit code and its output."""
 
         def run() -> tuple[int, str]:
             out = io.StringIO()
             with contextlib.redirect_stdout(out), contextlib.redirect_stderr(out):
-                code = main(["control", *words])
+                code = main(["control", *arguments])
             return code, out.getvalue()
 
         return await asyncio.to_thread(run)
@@ -114,8 +114,8 @@
             node = await Process.start("control", "serve", "--config", plane.node_file(name))
             processes.append(node)
             plane.nodes[name] = node
-        words = ("serve", "--config", plane.sender_file(), "--state", plane.state("n1"))
-        sender = await Process.start(*words)
+        arguments = ("serve", "--config", plane.sender_file(), "--state", plane.state("n1"))
+        sender = await Process.start(*arguments)
         processes.append(sender)
         await asyncio.gather(*(node.wait_for_log("ready on") for node in plane.nodes.values()))
         yield plane, sender
@@ -168,8 +168,8 @@
         await sender.wait_for_log("version applied: version=3 ")
         code, out = await plane.run("get", plane.state(remaining), "--json")
         assert code == 0 and list(json.loads(out)["resources"]) == ["endpoints/hub"]
-        words = ("status", plane.state(remaining), "--wait", "3", "--timeout", "10", "--reachable")
-        code, out = await plane.run(*words)
+        arguments = ("status", plane.state(remaining), "--wait", "3", "--timeout", "10", "--reachable")
+        code, out = await plane.run(*arguments)
         assert code == 0 and "at 1 senders" in out, out
         assert await sender.end() == 0
 
--- a/tests/test_control_configuration.py
+++ b/tests/test_control_configuration.py
@@ -27,7 +27,7 @@
     return {"destination": 1, "dial": f"127.0.0.1:{port}"}
 
 
-class Running:
+class RunningSenderStub:
     """A stub of a running sender: records the endpoints and budgets that were configured last."""
 
     def __init__(self, config: SenderConfig) -> None:
@@ -67,7 +67,7 @@
 
     def start(self) -> None:
         self.configuration = SenderConfiguration(read(self.own), self.state, self.disk)
-        self.running = Running(self.configuration.effective_config())
+        self.running = RunningSenderStub(self.configuration.effective_config())
         has_fleet = self.configuration.own_config.fleet is not None
         self.configuration.bind(self.running, self.running if has_fleet else None)
 
@@ -137,7 +137,7 @@
             steps.append("sync folder")
             super().sync_folder(path)
 
-    class RecordingSender(Running):
+    class RecordingSender(RunningSenderStub):
         def configure(self, *arguments: Any) -> None:  # noqa: ANN401
             steps.append("configure")
 
--- a/tests/test_control_fleet.py
+++ b/tests/test_control_fleet.py
@@ -289,7 +289,7 @@
     await fleet.change()
     await fleet.check_active_in_time("without them")
     await fleet.start(leader, "s1")
-    await fleet.check_active_in_time("they are back")
+    await fleet.check_active_in_time("they were restarted")
     await fleet.request_again(fleet.version - 1, leader)
 
 
@@ -303,7 +303,7 @@
     await fleet.check_active_in_time("the paused leader and sender resumed")
     await fleet.request_again(fleet.version, leader)
     await fleet.change(leader)
-    await fleet.check_active_in_time("a change by the one that was paused")
+    await fleet.check_active_in_time("a change at the node that was paused")
 
 
 async def partition_regions(fleet: Fleet) -> None:
@@ -318,7 +318,7 @@
     await fleet.check_version_after_start(before + 1, ["s3"])
     await fleet.check_version_after_start(before, ["s4"])
     fleet.heal()
-    await fleet.check_active_in_time("the cut healed")
+    await fleet.check_active_in_time("the partition healed")
     await fleet.request_again(fleet.version, "c3")
 
 
@@ -333,7 +333,7 @@
     await asyncio.gather(fleet.change(leader), fleet.cluster.kill(leader, "s4"))
     await fleet.check_active_in_time("a tenth is lost, the leader and a sender were killed")
     await fleet.start(leader, "s4")
-    await fleet.check_active_in_time("a tenth is lost, they are back")
+    await fleet.check_active_in_time("a tenth is lost, they were restarted")
     fleet.heal()
 
 
--- a/tests/test_control_link.py
+++ b/tests/test_control_link.py
@@ -32,7 +32,7 @@
 TIMEOUT_S = 10.0  # only a failing test waits this long
 
 
-class Node(asyncio.DatagramProtocol):
+class UnreplicatedNode(asyncio.DatagramProtocol):
     """A control node without replication, which confirms changes on its own."""
 
     def __init__(self, key: bytes = KEY, history_limit: int = 2000) -> None:
@@ -96,7 +96,7 @@
 
 
 @asynccontextmanager
-async def serving(node: Node, port: int = 0) -> AsyncIterator[Node]:
+async def serving(node: UnreplicatedNode, port: int = 0) -> AsyncIterator[UnreplicatedNode]:
     await node.loop.create_datagram_endpoint(lambda: node, local_addr=("127.0.0.1", port))
     try:
         yield node
@@ -131,7 +131,7 @@
 @run_async_test
 async def test_a_new_endpoint_becomes_active_and_receives_a_message(state: Path) -> None:
     completions, history = Completions(), History()
-    async with serving(Node()) as node, HttpEndpoint("hub", Script(), history) as receiver:
+    async with serving(UnreplicatedNode()) as node, HttpEndpoint("hub", Script(), history) as receiver:
         sender = sender_at(state, node.port, completions=completions)
         async with running(sender):
             await node.wait_for_version(0)
@@ -148,7 +148,7 @@
 
 @run_async_test
 async def test_a_refused_version_is_reported_with_its_reason_and_replaced_by_the_next(state: Path) -> None:
-    async with serving(Node()) as node:
+    async with serving(UnreplicatedNode()) as node:
         sender = sender_at(state, node.port)
         async with running(sender):
             await node.wait_for_version(node.change(hub(1)))
@@ -165,7 +165,7 @@
 @run_async_test
 async def test_a_change_that_needs_a_restart_is_active_after_it(state: Path) -> None:
     budget: dict[str, object] = {"of": "in_flight", "destination": 1, "whole": 8}
-    async with serving(Node()) as node:
+    async with serving(UnreplicatedNode()) as node:
         async with running(sender_at(state, node.port, FLEET)):
             await node.wait_for_version(node.change({"budgets/out": budget}))
             reason = await node.wait_for_refusal(node.change({"budgets/out": budget | {"floor": 2}}))
@@ -181,7 +181,7 @@
 async def test_without_nodes_the_last_version_survives_a_restart_and_the_newest_follows_later(
     state: Path,
 ) -> None:
-    async with serving(Node()) as node:
+    async with serving(UnreplicatedNode()) as node:
         port = node.port
         async with running(sender_at(state, port)):
             await node.wait_for_version(node.change(hub(1)))
@@ -199,7 +199,7 @@
     full = OSError(28, "No space left on device")
     with patch.object(control_link, "LINK_RETRY_S", 0.01), patch.object(control_link, "write_epoch") as write:
         write.side_effect = [full, full, None]
-        async with serving(Node()) as node:
+        async with serving(UnreplicatedNode()) as node:
             sender = sender_at(state, node.port)
             async with running(sender):
                 assert "No space" in sender.commands()["control"]({})["fault"]
@@ -212,7 +212,7 @@
 
 @run_async_test
 async def test_a_damaged_document_is_fetched_as_a_snapshot(state: Path) -> None:
-    async with serving(Node(history_limit=1)) as node:
+    async with serving(UnreplicatedNode(history_limit=1)) as node:
         async with running(sender_at(state, node.port)):
             await node.wait_for_version(node.change(hub(1)))
             await node.wait_for_version(node.change({"endpoints/b": {"destination": 1, "dial": "h:1"}}))
@@ -229,7 +229,7 @@
 
 @run_async_test
 async def test_datagrams_sealed_with_another_key_are_only_counted(state: Path) -> None:
-    async with serving(Node(key=bytes(31) + b"x")) as node:
+    async with serving(UnreplicatedNode(key=bytes(31) + b"x")) as node:
         sender = sender_at(state, node.port)
         async with running(sender):
             assert sender.control_plane and sender.control_plane.link
@@ -251,7 +251,7 @@
         written.append(epoch)
         loop.call_soon_threadsafe(has_written.set)
 
-    async with serving(Node()) as node:
+    async with serving(UnreplicatedNode()) as node:
         sender = sender_at(state, node.port)
         async with running(sender):
             await node.wait_for_version(0)
--- a/tests/test_control_log_file.py
+++ b/tests/test_control_log_file.py
@@ -115,11 +115,11 @@
     stored = 0
     countdown = rng.randrange(4, 16)
 
-    def lose_power(what: str) -> None:
+    def lose_power(operation: str) -> None:
         nonlocal countdown
         countdown -= 1
         if countdown < 0:
-            raise EOFError(what)
+            raise EOFError(operation)
 
     log = LogFile(FOLDER, MemoryDisk(disk))
     log.create()
@@ -142,8 +142,8 @@
     disk = SimulatedDisk({LOG_FILE: COMPLETE_LOG})
     is_full = False
 
-    def refuse(what: str) -> None:
-        if is_full and what == operation:
+    def refuse(attempted: str) -> None:
+        if is_full and attempted == operation:
             raise OSError(28, "No space left on device")
 
     log = LogFile(FOLDER, MemoryDisk(disk, refuse))
--- a/tests/test_control_node.py
+++ b/tests/test_control_node.py
@@ -219,13 +219,13 @@
         result: tuple[float, float, list[int]] = run_scenario(folder, scenario)
         return result
 
-    straight = run(tmp_path / "straight", {})
+    correct = run(tmp_path / "correct", {})
     jumps = iter(range(1_000_000))
     monkeypatch.setattr(time, "time", lambda: (next(jumps) % 3 - 1) * YEAR_S + 2e9)
-    crooked = run(tmp_path / "crooked", {"c1": YEAR_S, "c2": 0.0, "c3": 64.0, "c4": 2 * YEAR_S})
-    assert straight[2] == crooked[2] == [1, 2, 3]
-    assert crooked[0] == pytest.approx(straight[0], abs=0.05)
-    assert crooked[1] == pytest.approx(straight[1], abs=0.5)
+    skewed = run(tmp_path / "skewed", {"c1": YEAR_S, "c2": 0.0, "c3": 64.0, "c4": 2 * YEAR_S})
+    assert correct[2] == skewed[2] == [1, 2, 3]
+    assert skewed[0] == pytest.approx(correct[0], abs=0.05)
+    assert skewed[1] == pytest.approx(correct[1], abs=0.5)
 
 
 def test_a_status_contains_as_many_watchers_as_fit(tmp_path: Path) -> None:
--- a/tests/test_control_node_disk.py
+++ b/tests/test_control_node_disk.py
@@ -45,7 +45,7 @@
         machine = cluster.machines[lost]
         cluster.kill(lost)
         shutil.rmtree(machine.folder)
-        machine.platter = SimulatedDisk()
+        machine.simulated_disk = SimulatedDisk()
         if is_initialised:
             cluster.initialise(machine)
         cluster.start(lost)
@@ -79,9 +79,9 @@
         await cluster.make_change("c1")
         await cluster.wait_until_everywhere()
         cluster.kill("c2")
-        copy, platter = (
+        copy, simulated_disk = (
             tmp_path / "copy",
-            SimulatedDisk(cluster.machines["c2"].platter.cut(random.Random(0), 1.0)),
+            SimulatedDisk(cluster.machines["c2"].simulated_disk.cut(random.Random(0), 1.0)),
         )
         shutil.copytree(cluster.machines["c2"].folder, copy)
         cluster.start("c2")
@@ -91,7 +91,7 @@
         cluster.kill(*VOTES)
         shutil.rmtree(cluster.machines["c2"].folder)
         shutil.copytree(copy, cluster.machines["c2"].folder)
-        cluster.machines["c2"].platter = platter
+        cluster.machines["c2"].simulated_disk = simulated_disk
         cluster.start()
         await cluster.wait_until(lambda: cluster.driver("c2").node.replica.role is Role.LEARNER)
         await cluster.wait_for_leader()
@@ -113,10 +113,10 @@
             await cluster.make_change("c1")
         await cluster.wait_until_everywhere()
         cluster.kill("c3")
-        content = cluster.machines["c3"].platter.cut(random.Random(0), 1.0)
+        content = cluster.machines["c3"].simulated_disk.cut(random.Random(0), 1.0)
         damaged = bytearray(content["log"])
         damaged[len(damaged) // 2] ^= 16
-        cluster.machines["c3"].platter = SimulatedDisk({**content, "log": bytes(damaged)})
+        cluster.machines["c3"].simulated_disk = SimulatedDisk({**content, "log": bytes(damaged)})
         for _ in range(2):
             cluster.start("c3")
             fault = cluster.driver("c3").node.fault()
@@ -124,7 +124,7 @@
             await cluster.make_change("c1")
             await cluster.wait_until_everywhere()
             cluster.kill("c3")
-        content = cluster.machines["c3"].platter.cut(random.Random(0), 1.0)
+        content = cluster.machines["c3"].simulated_disk.cut(random.Random(0), 1.0)
         assert content["log.damaged"] == bytes(damaged)
         cluster.start("c3")
 
@@ -209,9 +209,9 @@
         cluster.initialise(cluster.machines["c1"])
 
 
-@pytest.mark.parametrize("what", ["identity", "epoch", "starts", "learner"])
+@pytest.mark.parametrize("file_kind", ["identity", "epoch", "starts", "learner"])
 def test_each_file_of_the_state_folder_is_durable_under_its_name_once_it_is_written(
-    what: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+    file_kind: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     done: list[str] = []
     replace, sync = os.replace, os.fsync
@@ -234,7 +234,7 @@
     }
     monkeypatch.setattr(os, "replace", recorded_replace)
     monkeypatch.setattr(os, "fsync", recorded_sync)
-    writes[what]()
+    writes[file_kind]()
     assert done == ["content", "name", "folder"]
 
 
--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -98,7 +98,7 @@
         await operator.change(other)
         await operator.check_active_everywhere("the leader was killed")
         await cluster.start(leader)
-        await operator.check_active_everywhere("it came back")
+        await operator.check_active_everywhere("it was restarted")
         paused = await cluster.wait_for_leader()
         cluster.signal(paused, signal.SIGSTOP)
         awake = tuple(name for name in cluster.members if name != paused)
@@ -106,7 +106,7 @@
         watchers = [each for each in cluster.watchers if each.watch.node != paused]
         await cluster.wait_for_version(operator.version, awake, watchers, ACTIVE_WITHIN_S)
         cluster.signal(paused, signal.SIGCONT)
-        await operator.check_active_everywhere("the paused leader went on")
+        await operator.check_active_everywhere("the paused leader resumed")
         await cluster.kill(*cluster.members)
         await cluster.start()
         await operator.change("c4")
@@ -136,7 +136,7 @@
         refused_request = cluster.request("c3", {**request, "put": {"endpoints/south": endpoint(99)}})
         result, _ = await asyncio.gather(refused_request, operator.change("c2"))
         assert result["outcome"] == "unavailable"
-        await operator.check_active_everywhere("cut, the heavy side", NORTH, "north")
+        await operator.check_active_everywhere("partitioned, the side with the majority", NORTH, "north")
         status = await cluster.request("c4", {"do": "status"})
         by_name = {each["name"]: each for each in status["nodes"]}
         assert by_name["c1"] == {"name": "c1", "is_reachable": False}
@@ -144,7 +144,7 @@
         south = [each for each in cluster.watchers if each.region == "south"]
         assert {each.watch.document.version for each in south} == {base}
         relay.heal()
-        await operator.check_active_everywhere("the cut healed")
+        await operator.check_active_everywhere("the partition healed")
         result = await cluster.request("c3", {**request, "put": {"endpoints/south": endpoint(99)}})
         assert result["outcome"] == "conflict" and result["version"] == operator.version
         await operator.check()
--- a/tests/test_control_raft_rules.py
+++ b/tests/test_control_raft_rules.py
@@ -254,7 +254,7 @@
     replica = follower()
     now = elected(replica, 0.0)
     flush(replica)
-    replica.become_learner("others know a later life of this name")
+    replica.become_learner("peers know a later start of this node")
     assert (replica.role, replica.leader, replica.is_voter) == (Role.LEARNER, "", False)
     acknowledge(replica, "b", 1, now)
     assert replica.commit_index == 0 and not replica.authority_age(now)
--- a/tests/test_control_sender.py
+++ b/tests/test_control_sender.py
@@ -61,8 +61,8 @@
     file = write_sender(tmp_path, SENDER)
     state = tmp_path / "state"
     state.mkdir()
-    words = [sys.executable, "-c", SENDER_PROGRAM, str(file), str(state)]
-    out = subprocess.run(words, cwd=ROOT, capture_output=True, check=True, text=True)
+    command = [sys.executable, "-c", SENDER_PROGRAM, str(file), str(state)]
+    out = subprocess.run(command, cwd=ROOT, capture_output=True, check=True, text=True)
     assert out.stdout.strip() == "['message_sender.control_socket']"
     assert not [each.name for each in state.iterdir() if each.name.startswith("control.")]
 
--- a/tests/test_control_stateful.py
+++ b/tests/test_control_stateful.py
@@ -194,7 +194,7 @@
     "compare-and-set is not done": Defect(
         ((ConfigurationStore, "_apply_change", apply_without_comparing),), "another answer than before"
     ),
-    "a push that was lost is never made good": Defect(
+    "a lost push is never repaired": Defect(
         ((Fanout, "_answer", lambda self, sender, session, poll, now: self._notify(sender)),),
         "it never gets the newest version",
     ),
--- a/tests/test_control_watch_snapshots.py
+++ b/tests/test_control_watch_snapshots.py
@@ -1,7 +1,7 @@
 """A sender's watch: fetches of snapshots in chunks."""
 
 import pytest
-from watch_harness import Bench, notice_of
+from watch_harness import WatchHarness, notice_of
 from watch_helpers import ChangedStore
 
 from message_sender.control.document import Document, SnapshotError, encode_snapshot
@@ -24,11 +24,11 @@
 
 def test_a_snapshot_is_fetched_in_windows_and_applied() -> None:
     store = large(2)
-    bench = Bench()
-    bench.receive(notice_of(store.document, needs_snapshot=True))
-    bench.fetch_from(store.document)
-    assert bench.applier.active_resources == store.document.resources
-    requests = [message for *_, message in bench.sent if isinstance(message, SnapshotRequest)]
+    harness = WatchHarness()
+    harness.receive(notice_of(store.document, needs_snapshot=True))
+    harness.fetch_from(store.document)
+    assert harness.applier.active_resources == store.document.resources
+    requests = [message for *_, message in harness.sent if isinstance(message, SnapshotRequest)]
     total = len(encode_snapshot(store.document))
     assert [each.offset for each in requests] == list(range(0, total, SNAPSHOT_WINDOW_CHUNKS * CHUNK_BYTES))
 
@@ -71,60 +71,60 @@
     store = large()
     data = bytearray(encode_snapshot(store.document))
     data[20_000] ^= 1
-    bench = Bench()
+    harness = WatchHarness()
     notice = notice_of(store.document, needs_snapshot=True)
-    bench.receive(notice)
+    harness.receive(notice)
     for _ in range(2):
         for at in range(0, len(data), 1000):
-            bench.receive(SnapshotChunk(1, at, len(data), bytes(data[at : at + 1000])))
-    assert bench.watch.counts.damaged_snapshots == 1 and bench.watch.document.version == 0
-    assert bench.applier.attempts == []
-    assert bench.receive(notice) == []
-    bench.run(11, notice_of(Document()))
-    assert bench.receive(notice) == [(bench.watch.node, SnapshotRequest(1, 0))]
+            harness.receive(SnapshotChunk(1, at, len(data), bytes(data[at : at + 1000])))
+    assert harness.watch.counts.damaged_snapshots == 1 and harness.watch.document.version == 0
+    assert harness.applier.attempts == []
+    assert harness.receive(notice) == []
+    harness.run(11, notice_of(Document()))
+    assert harness.receive(notice) == [(harness.watch.node, SnapshotRequest(1, 0))]
 
 
 def test_a_fetch_restarts_if_the_node_has_another_version() -> None:
     old, new = large(1).document, large(2).document
-    bench = Bench()
-    bench.receive(notice_of(old, needs_snapshot=True))
+    harness = WatchHarness()
+    harness.receive(notice_of(old, needs_snapshot=True))
     data = encode_snapshot(old)
-    bench.receive(SnapshotChunk(1, 0, len(data), data[:1000]))
-    bench.fetch_from(new)
-    assert bench.watch.document.version in (0, 2)
-    bench.run(0.5)
-    bench.fetch_from(new)
-    assert bench.applier.steps == [(0, 2)] and bench.applier.active_resources == new.resources
+    harness.receive(SnapshotChunk(1, 0, len(data), data[:1000]))
+    harness.fetch_from(new)
+    assert harness.watch.document.version in (0, 2)
+    harness.run(0.5)
+    harness.fetch_from(new)
+    assert harness.applier.steps == [(0, 2)] and harness.applier.active_resources == new.resources
 
 
 def test_a_fetch_continues_at_the_next_node_and_ends_if_no_node_answers() -> None:
     store = large()
-    bench = Bench()
-    bench.receive(notice_of(store.document, needs_snapshot=True))
+    harness = WatchHarness()
+    harness.receive(notice_of(store.document, needs_snapshot=True))
     data = encode_snapshot(store.document)
     for at in range(0, 16_000, 1000):
-        bench.receive(SnapshotChunk(1, at, len(data), data[at : at + 1000]))
-    first = bench.watch.node
-    sent = bench.run(3)
+        harness.receive(SnapshotChunk(1, at, len(data), data[at : at + 1000]))
+    first = harness.watch.node
+    sent = harness.run(3)
     assert any(
         node != first and message == SnapshotRequest(1, 16_000)
         for _, node, message in sent
         if isinstance(message, SnapshotRequest)
     )
-    requests = [at for at, _, message in bench.run(30) if isinstance(message, SnapshotRequest)]
+    requests = [at for at, _, message in harness.run(30) if isinstance(message, SnapshotRequest)]
     assert len(requests) <= 12
 
 
 def test_an_answer_to_a_poll_from_before_a_snapshot_does_not_start_another_fetch() -> None:
     old, new = large(1).document, large(2).document
-    bench = Bench()
-    bench.run(1, notice_of(old, needs_snapshot=True))
-    bench.fetch_from(old)
-    assert bench.watch.document.version == 1
+    harness = WatchHarness()
+    harness.run(1, notice_of(old, needs_snapshot=True))
+    harness.fetch_from(old)
+    assert harness.watch.document.version == 1
     late = notice_of(new, needs_snapshot=True)
-    assert bench.receive(late) == []
-    bench.run(0.5)
-    assert bench.receive(late) == [(bench.watch.node, SnapshotRequest(2, 0))]
+    assert harness.receive(late) == []
+    harness.run(0.5)
+    assert harness.receive(late) == [(harness.watch.node, SnapshotRequest(2, 0))]
 
 
 def test_a_snapshot_of_another_version_than_its_chunks_is_damaged() -> None:
--- a/tests/watch_harness.py
+++ b/tests/watch_harness.py
@@ -25,7 +25,7 @@
 )
 
 
-class Bench:
+class WatchHarness:
     """A watch with a clock, messages and an applier that the test controls."""
 
     def __init__(self, document: Document | None = None, seed: int = 47) -> None:
