--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -263,10 +263,8 @@
             journal.write_bytes(data)
             hub.is_down = False
             await cluster.start()
-            for name in (
-                "n0",
-                "n1",
-            ):  # their messages are lost with their disks, so no completion is expected
+            # The messages of n0 and n1 are lost with their disks, so no completion is expected.
+            for name in ("n0", "n1"):
                 cluster.accepted_by = {
                     message_id: member for message_id, member in cluster.accepted_by.items() if member != name
                 }
--- a/tests/test_endpoint_files.py
+++ b/tests/test_endpoint_files.py
@@ -64,7 +64,7 @@
     assert merge_lists([{"a": 1}, {"a": 2, "b": 2}, {"b": 3, "c": 3}]) == {"a": 1, "b": 2, "c": 3}
 
 
-class Files:
+class EndpointFiles:
     """Two endpoint files, a clock, and the recorded updates."""
 
     def __init__(self, folder: Path) -> None:
@@ -86,7 +86,7 @@
 def test_files_are_merged_and_the_last_valid_list_is_saved(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
-    files = Files(tmp_path)
+    files = EndpointFiles(tmp_path)
     files.write(0, "a", port=1)
     files.write(1, "a", "b", port=2)
     directory = files.directory()
@@ -117,7 +117,7 @@
         "directory": {"files": ["one.toml"], "patience_s": 60},
         "endpoints": [{"id": "a", "destination": 1, "dial": "127.0.0.1:1"}],
     }
-    files = Files(state)
+    files = EndpointFiles(state)
     files.write(0, *"abcde")
     for number in (0, 1):
         sender = StandaloneSender(read(config_values, state), state, CompletionWriter(io.StringIO()))
@@ -136,7 +136,7 @@
 def test_endpoints_of_an_emptied_file_are_retained_until_expiry_or_confirmation(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
-    files = Files(tmp_path)
+    files = EndpointFiles(tmp_path)
     files.write(0, "a", "b", "c", "d")
     files.write(1)
     directory = files.directory(retention_us=60 * SECOND)
--- a/tests/test_history_checker.py
+++ b/tests/test_history_checker.py
@@ -42,13 +42,13 @@
     number: int,
     name: str,
     began: float,
-    over: float,
+    ended: float,
     ran: EffectApplied = EffectApplied.YES,
     to: str = "a",
     wait: float = 0.0,
 ) -> list[HistoryEvent]:
     """Return the start and the end of a call; `wait` is the Retry-After of the answer in seconds."""
-    return [AttemptStarted(began, name, to, number), AttemptFinished(over, number, ran, wait)]
+    return [AttemptStarted(began, name, to, number), AttemptFinished(ended, number, ran, wait)]
 
 
 def delivered(name: str, at: float) -> MessageCompleted:
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -51,7 +51,7 @@
 
 
 @pytest.mark.parametrize(
-    "text", [b"[]\n", b"{}\n", b'{"sent":"nobody","at":1,"endpoint":"r","zone":"z","number":0}\n']
+    "text", [b"[]\n", b"{}\n", b'{"sent":"unknown","at":1,"endpoint":"r","zone":"z","number":0}\n']
 )
 def test_an_unreadable_record_does_not_affect_the_others(tmp_path: Path, text: bytes) -> None:
     first = Journal(tmp_path, LIMIT)
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -217,7 +217,7 @@
     }  # fmt: skip
     monkeypatch.setattr(command, "request_value", lambda folder, request: status)
     text = CliRunner().invoke(command.fleet, ["status", str(tmp_path)]).output
-    for words in (
+    for expected in (
         "3 not completed",
         "suspect",
         "destination 1: unknown",
@@ -225,6 +225,6 @@
         "m is known to b (out)",
         "old or empty",
     ):
-        assert words in text
+        assert expected in text
     shown = CliRunner().invoke(command.fleet, ["watch", str(tmp_path), "--json", "--times", "1"])
     assert json.loads(shown.output) == {str(tmp_path): status}
--- a/tests/test_linter.py
+++ b/tests/test_linter.py
@@ -1,12 +1,12 @@
-"""The list of packages that the linter's newer rules don't hold for yet only shrinks."""
+"""The list of packages that are exempt from the newer linter rules may only shrink."""
 
 import tomllib
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
 RULES = ["D", "C90", "SIM", "RET"]
-#: As the list began. An entry may go, none may come.
-NOT_DONE_AT_FIRST = {
+#: The initial exemptions; entries may be removed, but not added.
+INITIAL_EXEMPTIONS = {
     "message_sender/__main__.py",
     "message_sender/adapter.py",
     "message_sender/admission/**",
@@ -37,22 +37,22 @@
 
 def lint_settings() -> dict[str, object]:
     with (ROOT / "pyproject.toml").open("rb") as file:
-        found: dict[str, object] = tomllib.load(file)["tool"]["ruff"]["lint"]
-    return found
+        lint: dict[str, object] = tomllib.load(file)["tool"]["ruff"]["lint"]
+    return lint
 
 
-def not_done() -> dict[str, list[str]]:
+def exemptions() -> dict[str, list[str]]:
     ignores = lint_settings()["per-file-ignores"]
     assert isinstance(ignores, dict)
     return {path: rules for path, rules in ignores.items() if path.startswith("message_sender/")}
 
 
-def test_the_list_of_packages_that_are_not_done_only_shrinks() -> None:
-    assert not_done().keys() <= NOT_DONE_AT_FIRST
+def test_no_package_was_added_to_the_exemptions() -> None:
+    assert exemptions().keys() <= INITIAL_EXEMPTIONS
 
 
-def test_each_entry_names_files_and_leaves_out_the_newer_rules_alone() -> None:
-    for path, rules in not_done().items():
+def test_each_exemption_matches_files_and_covers_only_the_newer_rules() -> None:
+    for path, rules in exemptions().items():
         assert list(ROOT.glob(path)), path
         assert set(rules) <= set(RULES), path
 
--- a/tests/test_list_freshness.py
+++ b/tests/test_list_freshness.py
@@ -1,6 +1,8 @@
-"""The operators' requirement on endpoint lists: a change that discovery has had for 6 s, while it was
-reachable, is known to the sender, whichever calls failed, were rejected or timed out before. The tests run
-complete senders in virtual time with in-memory sockets."""
+"""The operators' requirement on endpoint lists, tested with complete senders in virtual time.
+
+A sender knows a change of the list at the latest 6 s after discovery has it and is reachable, whichever calls
+failed, were rejected or timed out before. The sockets are in memory.
+"""
 
 import asyncio
 import json
@@ -22,17 +24,17 @@
 from message_sender.start import decode_config
 
 KNOWN_WITHIN_S = 6.0
-PUSHED_WITHIN_S = 0.5  # where lists are pushed: the agent's list counts at once, and a drain has its grace
-AT = ("platform", 8500)
-OTHER = ("elsewhere", 8500)
+PUSHED_WITHIN_S = 0.5  # in mode `pushed`, where the list of the local agent applies at once
+DISCOVERY_ADDRESS = ("platform", 8500)
+NEW_DISCOVERY_ADDRESS = ("elsewhere", 8500)
 SECOND = 1_000_000
 
 
 def config(state: Path, discovery: tuple[str, int], mode: str, fleet: int = 40) -> DaemonConfig:
-    class At:
+    class DiscoveryPeer:
         dial = f"{discovery[0]}:{discovery[1]}"
 
-    values = config_json(At, host("10.0.0.9:1"), mode=mode) | {"listen": "sender:3000"}  # type: ignore[arg-type]
+    values = config_json(DiscoveryPeer, host("10.0.0.9:1"), mode=mode) | {"listen": "sender:3000"}  # type: ignore[arg-type]
     values["settings"] |= {"fleet_size": fleet}
     return decode_config(values, state)
 
@@ -40,9 +42,10 @@
 class Discovery:
     """A discovery service that lists one receiver.
 
-    `mode` determines how calls are answered; it may be changed while calls are in flight."""
+    `mode` determines how calls are answered; it may be changed while calls are in flight.
+    """
 
-    def __init__(self, net: Net, address: tuple[str, int] = AT) -> None:
+    def __init__(self, net: Net, address: tuple[str, int] = DISCOVERY_ADDRESS) -> None:
         self.net, self.address = net, address
         self.mode = "fine"
         self.seq, self.health, self.changed_at = 41, "ready", float("-inf")
@@ -100,17 +103,17 @@
     def chunk(self, writer: asyncio.StreamWriter, text: str) -> None:
         writer.write(f"{len(text):x}\r\n{text}\r\n".encode())
 
-    def drains(self) -> None:
+    def start_drain(self) -> None:
         self.seq, self.health = 43, "draining"
 
 
 class World:
-    """A sender and discovery; `closed` is the state or delay in seconds of the sender's network paths."""
+    """A sender and discovery; `path_delay` is that of the sender's network: seconds, SILENT or REFUSED."""
 
     def __init__(self, net: Net, loop: VirtualLoop, state: Path, mode: str) -> None:
-        self.net, self.loop, self.closed = net, loop, 0.0
+        self.net, self.loop, self.path_delay = net, loop, 0.0
         self.discovery = Discovery(net)
-        self.config = config(state, AT, mode)
+        self.config = config(state, DISCOVERY_ADDRESS, mode)
         self.sender: PlatformSender
 
     async def start(self) -> None:
@@ -120,34 +123,36 @@
         await self.sender.start()
         HOST.reset(token)
 
-    def knows(self) -> bool:
+    def has_learned_drain(self) -> bool:
         """Whether the sender knows that its one receiver is draining."""
         return "r" not in self.sender.engine.dispatcher.endpoints
 
-    async def until_known(self) -> float:
+    async def wait_until_known(self) -> float:
         """Waits until the sender knows; returns how many seconds that took."""
         started_at = self.loop.time()
-        while not self.knows():
+        while not self.has_learned_drain():
             await asyncio.sleep(0.01)
             assert self.loop.time() < started_at + 60
         return self.loop.time() - started_at
 
 
-def in_world(work: Callable[[World], Coroutine[Any, Any, Any]], state: Path, mode: str = "on_request") -> Any:  # noqa: ANN401
+def run_in_world(
+    scenario: Callable[[World], Coroutine[Any, Any, Any]], state: Path, mode: str = "on_request"
+) -> Any:  # noqa: ANN401
     loop = VirtualLoop()
     world: list[World] = []
 
     def path_delay(source: str, address: tuple[str, int], now: float) -> float:
-        return world[0].closed if world and "sender" in (source, address[0]) else 0.01
+        return world[0].path_delay if world and "sender" in (source, address[0]) else 0.01
 
     net = loop.virtual.net = Net(loop.time, path_delay)
 
     async def run() -> Any:  # noqa: ANN401
         world.append(World(net, loop, state, mode))
-        world[0].closed = 0.01
+        world[0].path_delay = 0.01
         await world[0].start()
         try:
-            return await work(world[0])
+            return await scenario(world[0])
         finally:
             world[0].sender.engine.close()
             world[0].sender.server.close()
@@ -174,92 +179,94 @@
 
 @pytest.mark.parametrize("mode", ["on_request", "pushed"])
 @pytest.mark.parametrize("failing", FAILING)
-@pytest.mark.parametrize("began", [0.0, 0.7, 1.9, 3.1])
+@pytest.mark.parametrize("recovery_offset_s", [0.0, 0.7, 1.9, 3.1])
 def test_a_change_is_known_within_6_s_after_discovery_recovers(
-    failing: str, began: float, mode: str, tmp_path: Path
+    failing: str, recovery_offset_s: float, mode: str, tmp_path: Path
 ) -> None:
     """Discovery recovers at any point of the longest backoff, or of a call that hangs."""
 
-    async def work(world: World) -> float:
+    async def scenario(world: World) -> float:
         await asyncio.sleep(3)
         world.discovery.mode = failing
         for each in world.discovery.watches:
             each.transport.abort()
-        await asyncio.sleep(20 + began)
-        world.discovery.drains()
+        await asyncio.sleep(20 + recovery_offset_s)
+        world.discovery.start_drain()
         world.discovery.mode = "fine"
-        return await world.until_known()
+        return await world.wait_until_known()
 
     is_pushed = mode == "pushed" and failing != "a line without end"
-    assert in_world(work, tmp_path, mode) < (PUSHED_WITHIN_S if is_pushed else KNOWN_WITHIN_S)
+    assert run_in_world(scenario, tmp_path, mode) < (PUSHED_WITHIN_S if is_pushed else KNOWN_WITHIN_S)
 
 
 @pytest.mark.parametrize("mode", ["on_request", "pushed"])
-@pytest.mark.parametrize("since", [0.0, 0.5, 1.0, 1.5])
+@pytest.mark.parametrize("silent_after_s", [0.0, 0.5, 1.0, 1.5])
 def test_a_change_is_known_within_6_s_after_a_watch_falls_silent(
-    since: float, mode: str, tmp_path: Path
+    silent_after_s: float, mode: str, tmp_path: Path
 ) -> None:
-    async def work(world: World) -> float:
-        await asyncio.sleep(20.1 + since)
-        world.discovery.mode = "silent from here on"  # applies to the open watch; new ones work
-        world.discovery.drains()
-        return await world.until_known()
+    async def scenario(world: World) -> float:
+        await asyncio.sleep(20.1 + silent_after_s)
+        world.discovery.mode = "silent"  # applies to the open watch; new ones work
+        world.discovery.start_drain()
+        return await world.wait_until_known()
 
-    assert in_world(work, tmp_path, mode) < KNOWN_WITHIN_S
+    assert run_in_world(scenario, tmp_path, mode) < KNOWN_WITHIN_S
 
 
-@pytest.mark.parametrize("closed", [SILENT, REFUSED])
-def test_a_change_is_known_within_6_s_after_a_network_cut_ends(closed: float, tmp_path: Path) -> None:
+@pytest.mark.parametrize("path_delay", [SILENT, REFUSED])
+def test_a_change_is_known_within_6_s_after_a_network_cut_ends(path_delay: float, tmp_path: Path) -> None:
     """The cut ends while a connect hangs, or directly after one was refused."""
 
-    async def work(world: World) -> float:
+    async def scenario(world: World) -> float:
         await asyncio.sleep(3)
-        world.closed = closed
-        for each in world.discovery.watches if closed == REFUSED else ():
+        world.path_delay = path_delay
+        for each in world.discovery.watches if path_delay == REFUSED else ():
             each.transport.abort()  # otherwise data in flight on the watch would still arrive
         await asyncio.sleep(17.3)
-        world.discovery.drains()
-        world.closed = 0.01
-        return await world.until_known()
+        world.discovery.start_drain()
+        world.path_delay = 0.01
+        return await world.wait_until_known()
 
-    assert in_world(work, tmp_path) < KNOWN_WITHIN_S
+    assert run_in_world(scenario, tmp_path) < KNOWN_WITHIN_S
 
 
 def test_a_change_is_known_within_6_s_by_a_new_process_and_after_discovery_moved(tmp_path: Path) -> None:
     async def started(world: World) -> float:
-        world.discovery.drains()
-        return await world.until_known()
+        world.discovery.start_drain()
+        return await world.wait_until_known()
 
     async def moved(world: World) -> float:
         await asyncio.sleep(3)
-        other = Discovery(world.net, OTHER)
-        other.drains()
+        other = Discovery(world.net, NEW_DISCOVERY_ADDRESS)
+        other.start_drain()
         other.mode = "hangs"
         await other.listen()
         token = HOST.set("sender")
-        world.sender.reconfigure(config(tmp_path, OTHER, "on_request"))
+        world.sender.reconfigure(config(tmp_path, NEW_DISCOVERY_ADDRESS, "on_request"))
         HOST.reset(token)
         await asyncio.sleep(5)
         other.mode = "fine"
-        return await world.until_known()
+        return await world.wait_until_known()
 
-    assert in_world(started, tmp_path) < KNOWN_WITHIN_S and in_world(moved, tmp_path) < KNOWN_WITHIN_S
+    assert run_in_world(started, tmp_path) < KNOWN_WITHIN_S and run_in_world(moved, tmp_path) < KNOWN_WITHIN_S
 
 
 def test_a_watch_of_indented_json_is_read(tmp_path: Path) -> None:
-    async def work(world: World) -> tuple[bool, int]:
+    async def scenario(world: World) -> tuple[bool, int]:
         world.discovery.mode = "indented"
-        world.discovery.drains()
+        world.discovery.start_drain()
         await asyncio.sleep(8)
-        return world.knows(), len(world.discovery.calls)
+        return world.has_learned_drain(), len(world.discovery.calls)
 
-    assert in_world(work, tmp_path) == (True, 1)
+    assert run_in_world(scenario, tmp_path) == (True, 1)
 
 
 class SequentialDiscovery:
-    """A model of discovery as the bench's page describes it: calls are served one after another, each in
-    `service_s`, and rejected if they would wait longer than `max_wait_s`. A call whose caller has given up is
-    served all the same."""
+    """A model of discovery as the page of the test bench describes it.
+
+    Calls are served one after another, each in `service_s`, and rejected if they would wait longer than
+    `max_wait_s`. A call is served even if its caller has given up.
+    """
 
     def __init__(self, service_s: float, down: tuple[float, float], max_wait_s: float = 2.0) -> None:
         self.service_s, self.down, self.max_wait_s, self.free_at = service_s, down, max_wait_s, 0.0
--- a/tests/test_log_events.py
+++ b/tests/test_log_events.py
@@ -147,8 +147,10 @@
 
 def test_each_logger_has_a_name_by_which_its_calls_are_found() -> None:
     """The root logger, whose handlers the command line sets, logs nothing itself."""
-    found = {line.split(":")[0] for file in SOURCES.rglob("*.py") for line in loggers_with_another_name(file)}
-    assert found <= {"message_sender/cli/log_format.py"}
+    modules = {
+        line.split(":")[0] for file in SOURCES.rglob("*.py") for line in loggers_with_another_name(file)
+    }
+    assert modules <= {"message_sender/cli/log_format.py"}
 
 
 @pytest.mark.parametrize(
--- a/tests/test_many_destinations.py
+++ b/tests/test_many_destinations.py
@@ -72,7 +72,7 @@
 
 
 @run_async_test
-async def test_ten_thousand_destinations_keep_every_rule(state: Path) -> None:
+async def test_ten_thousand_destinations_violate_no_rule(state: Path) -> None:
     scenario = Scenario()
     async with AsyncExitStack() as stack:
         listeners = [HttpEndpoint(f"l{n}", scenario.script, scenario.history) for n in range(LISTENERS)]
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -204,9 +204,9 @@
         idle = [await asyncio.open_connection(*address) for _ in range(2 * sockets)]
         assert (await ask(address, message("m1"))).status == 202
         (await receiver.next()).answer(200)
-        back = await asyncio.start_server(platform.serve, *platform.address)
+        reopened_server = await asyncio.start_server(platform.serve, *platform.address)
         assert (await with_timeout(platform.watches.get())).target
-        back.close()
+        reopened_server.close()
         for _, writer in idle:
             writer.transport.abort()
         process.kill()
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -69,8 +69,8 @@
 
 def test_points_beyond_the_linear_range_are_kept_and_not_fitted() -> None:
     points = [Point(10, 10.0), Point(20, 20.0), Point(100, 30.0)]
-    found = quantity_of("q", "t", "B", "items", Source.COUNT, points, 40, fit_up_to=20)
-    assert found.planned_value == pytest.approx(40.0) and len(found.points) == 3
+    quantity = quantity_of("q", "t", "B", "items", Source.COUNT, points, 40, fit_up_to=20)
+    assert quantity.planned_value == pytest.approx(40.0) and len(quantity.points) == 3
 
 
 # Limits.
@@ -167,21 +167,21 @@
 
 
 def test_the_dimension_members_reports_each_quantity() -> None:
-    found = by_name(members.run(Effort.SMALL))
-    assert set(found) == {"bytes_at_rest", "datagrams_at_rest", "cpu_at_rest", "spread", "memory"}
-    assert found["bytes_at_rest"].line.slope > 0 and found["memory"].line.slope > 0
-    assert found["bytes_at_rest"].is_extrapolated  # 630 members from 20
+    quantities = by_name(members.run(Effort.SMALL))
+    assert set(quantities) == {"bytes_at_rest", "datagrams_at_rest", "cpu_at_rest", "spread", "memory"}
+    assert quantities["bytes_at_rest"].line.slope > 0 and quantities["memory"].line.slope > 0
+    assert quantities["bytes_at_rest"].is_extrapolated  # 630 members from 20
 
 
 # Destinations.
 
 
 def test_a_used_destination_takes_more_memory_than_a_listed_one() -> None:
-    found = by_name(destinations.run(Effort.SMALL))
-    listed, used = found["listed_bytes"].line, found["used_bytes"].line
+    quantities = by_name(destinations.run(Effort.SMALL))
+    listed, used = quantities["listed_bytes"].line, quantities["used_bytes"].line
     assert 200 < listed.slope < used.slope < 10_000
     assert listed.relative_residual < 0.05 and used.relative_residual < 0.05
-    line = found["list_line_bytes"]
+    line = quantities["list_line_bytes"]
     assert line.allowance and line.planned_value > line.allowance.most  # no sender can read the planned list
 
 
@@ -194,12 +194,12 @@
 
 
 def test_memory_and_disk_space_grow_in_proportion_to_held_messages() -> None:
-    found = by_name(held.run(Effort.SMALL))
-    assert set(found) == {"journal_bytes", "policy_bytes", "held_bytes", "disk_bytes", "ready_s"}
+    quantities = by_name(held.run(Effort.SMALL))
+    assert set(quantities) == {"journal_bytes", "policy_bytes", "held_bytes", "disk_bytes", "ready_s"}
     for name in ("journal_bytes", "policy_bytes", "disk_bytes"):
-        assert 300 < found[name].line.slope < 3_000 and found[name].line.relative_residual < 0.1
-    both = found["journal_bytes"].line.slope + found["policy_bytes"].line.slope
-    assert found["held_bytes"].line.slope == pytest.approx(both)
+        assert 300 < quantities[name].line.slope < 3_000 and quantities[name].line.relative_residual < 0.1
+    both = quantities["journal_bytes"].line.slope + quantities["policy_bytes"].line.slope
+    assert quantities["held_bytes"].line.slope == pytest.approx(both)
 
 
 def test_the_journal_writes_each_delivered_message_several_times() -> None:
