--- a/tests/compatibility/samples.py
+++ b/tests/compatibility/samples.py
@@ -522,8 +522,8 @@
 def people_json() -> Sample:
     """Objects in replies of the control socket and in a state file: destinations, endpoints, `explain`."""
     world = World(endpoint("a"), endpoint("b", destination=2))
-    world.take()
-    world.answer("m1", Outcome.FULL, wait=500_000)
+    world.accept()
+    world.end_attempt("m1", Outcome.FULL, wait=500_000)
     dispatcher, now = world.dispatcher, world.now
     destinations = [asdict(each) for each in inventory.inventory(dispatcher, now)]
     output = {
