--- a/message_sender/journal/checkpoints.py
+++ b/message_sender/journal/checkpoints.py
@@ -1,4 +1,4 @@
-"""Identifies the messages whose records may be lost in a gap, from the records around the gap. Pure.
+"""Identifies the messages that may have lost records in a gap, from the records around the gap. Pure.
 
 A *decisive* record is one whose loss could cause a message to be sent again or to complete with a different
 state: `sent`, `verdict` and `doubt`. The writer counts these records and combines the checksums of their
@@ -39,7 +39,7 @@
 
 @dataclass(slots=True)
 class DecisiveDigest:
-    """Summary of the decisive records of a file up to some offset.
+    """Summary of the decisive records in a part of a file.
 
     Attributes:
         count: Number of decisive records.
@@ -147,8 +147,8 @@
         Returns None if no checkpoint follows the gap, or if the checkpoints contradict the records found.
         """
         gap_end = gap.offset + gap.size_bytes
-        before = next(x for x in reversed(self.checkpoints) if x.offset <= gap.offset)
-        after = next((x for x in self.checkpoints if x.offset >= gap_end), None)
+        before = next(point for point in reversed(self.checkpoints) if point.offset <= gap.offset)
+        after = next((point for point in self.checkpoints if point.offset >= gap_end), None)
         if after is None:
             return DecisiveDigest() if self.is_damaged_sync_record(gap) else None
         written = after.digest.difference(before.digest)
--- a/message_sender/journal/compaction.py
+++ b/message_sender/journal/compaction.py
@@ -13,8 +13,8 @@
   replacement is being installed, this counts as a failed sync: the file may already have the journal's name,
   and the next file is written from memory again.
 - *Older versions refuse to open this format*; otherwise they would find no record that they can read and
-  start with an empty journal. The folder GUARD_FOLDER has the name of the file that they delete first, and
-  the deletion fails.
+  start with an empty journal. They delete the file GUARD_FOLDER before they open the journal; a folder of
+  that name makes the deletion fail.
 """
 
 import asyncio
@@ -45,10 +45,10 @@
         file: File descriptor.
         size_bytes: Number of bytes written to the file.
         is_installed: Whether the file has been synced, so that it may have the journal's name.
-        is_complete: Whether all unfinished messages are in the file.
+        is_complete: Whether all unfinished messages, and the records deferred until then, are in the file.
         is_installing: Whether `install_replacement` is running; the file must not be closed meanwhile.
         misses_record: Whether a record that was added meanwhile could not be written to the file.
-        pending_ids: Ids of the messages that are not in the file yet.
+        pending_ids: Ids of the unfinished messages that are not in the file yet.
         deferred_records: Records to write after all unfinished messages.
         digest: Digest of the records in the file.
     """
--- a/message_sender/journal/contents.py
+++ b/message_sender/journal/contents.py
@@ -34,7 +34,7 @@
 from message_sender.journal.process_journal import RECORD_ERRORS, Journal
 from message_sender.policy.model import Outcome
 
-MAX_FINISHED_MESSAGES = 4096  # whose ids are kept
+MAX_FINISHED_MESSAGES = 4096  # finished messages to remember
 MAX_LOGGED_IDS = 30  # per log line
 
 log = logging.getLogger(__name__)
@@ -213,7 +213,9 @@
                 message whose id the caller removes earlier is skipped.
             digest: Digest to which the yielded records are added.
         """
-        yield b"".join(records.frame_record(json.dumps(x).encode(), 0) for x in self.run_records[-2:])
+        yield b"".join(
+            records.frame_record(json.dumps(record).encode(), 0) for record in self.run_records[-2:]
+        )
         for message_id, finished in list(self.finished.items()):
             yield records.frame_record(finished_line(message_id, finished)[:-1], 0)
         for message_id in list(pending_ids):
--- a/message_sender/journal/durable.py
+++ b/message_sender/journal/durable.py
@@ -5,8 +5,8 @@
   is not safe to repeat (`sent`), the delivery of a completion (`outcome`, `verdict`). An `end` record, or an
   outcome that no delivery waits for, becomes durable with the next sync. If it is lost, the recorded
   completion is delivered again, or the attempt counts as one that may have run.
-- *Reserved space.* A ballast file is deleted when the disk is full, so that the records of ends can still be
-  written.
+- *Reserved space.* A ballast file is deleted when the disk is full, so that outcomes, completions and ends of
+  accepted messages can still be recorded.
 
 syncing.py schedules the syncs, contents.py interprets the records, compaction.py compacts the file.
 """
--- a/message_sender/journal/payloads.py
+++ b/message_sender/journal/payloads.py
@@ -27,7 +27,7 @@
 
 
 def accepted_line(message: Message) -> bytes:
-    """Returns the record of an accepted message; empty extras are omitted."""
+    """Returns the record of an accepted message; the field `extras` is omitted if the message has none."""
     values = [(name, getattr(message, field)) for name, field in RECORDED_FIELDS.items()]
     fields = ",".join([f'"{k}":{v if isinstance(v, int) else quote(v)}' for k, v in values])
     is_repeat = "true" if message.is_repeat else "false"
--- a/message_sender/journal/records.py
+++ b/message_sender/journal/records.py
@@ -122,7 +122,7 @@
 
 
 def scan_records(data: bytes) -> ScanResult:
-    """Finds all valid records of a file and the gaps between them; raises for no content of the file."""
+    """Finds all valid records of a file and the gaps between them; damaged contents never raise an error."""
     records, ranges = _records_and_gaps(data)
     proven_bytes = max((proven_bytes_after(record) for record in records), default=0)
     tail_bytes = 0
--- a/message_sender/journal/syncing.py
+++ b/message_sender/journal/syncing.py
@@ -201,7 +201,7 @@
         self.sync_timer = loop.call_later(RETRY_INTERVAL_S, self.retry_rewrite)
 
     def retry_rewrite(self) -> None:
-        """Retries to rewrite the journal."""
+        """Tries again to rewrite the journal; if that fails, no records are accepted until the next try."""
         self.sync_timer = None
         self.failed_at_s = None
         if self.file >= 0:
