--- a/message_sender/control_socket.py
+++ b/message_sender/control_socket.py
@@ -23,7 +23,7 @@
 CONNECTIONS_LIMIT = 16  # concurrent connections; further connections are closed without a response
 REQUEST_BYTES_LIMIT = 64 * 1024
 REQUEST_TIMEOUT_S = 5.0  # time for a complete request to arrive
-RESPONSE_CHUNK_BYTES = 65_536  # read by a client in one call
+RESPONSE_CHUNK_BYTES = 65_536  # maximum number of bytes that a client reads in one call
 PEER_CREDENTIALS = struct.Struct("3i")  # process, user and group id
 
 log = logging.getLogger(__name__)
@@ -157,7 +157,7 @@
 
 
 def failure_response(error: Exception) -> dict[str, Any]:
-    """The response to a request that raised `error`."""
+    """Returns the response to a request that raised `error`; an unexpected error is logged."""
     if isinstance(error, ValueError | RecursionError):
         return {"ok": False, "faults": getattr(error, "faults", [str(error)])}
     if isinstance(error, KeyError):
--- a/message_sender/handover/drain.py
+++ b/message_sender/handover/drain.py
@@ -19,7 +19,8 @@
 
 from enum import Enum
 
-#: The load balancer checks every 0.1 s and assigns connections for up to 0.4 s after the first failed check.
+#: The load balancer checks readiness every 0.1 s and assigns connections for up to 0.4 s after the first
+#: failed check.
 GRACE_S = 0.6
 EXIT_DELAY_S = 3.3  # from SIGTERM; SIGKILL may follow 3.7 s from SIGTERM
 
--- a/message_sender/handover/link.py
+++ b/message_sender/handover/link.py
@@ -18,7 +18,7 @@
 MAX_PACKETS_PER_ITERATION = 32  # packets read per loop iteration
 MAX_DESCRIPTORS = 8  # per packet
 MAX_PATH_BYTES = 100  # of a Unix socket's path; longer paths are reached through the folder's descriptor
-RETRY_DELAY_S = 0.01  # after the system has refused more descriptors in transit
+RETRY_DELAY_S = 0.01  # after the system refused to send descriptors because too many are in transit
 BACKLOG = 4
 
 log = logging.getLogger(__name__)
--- a/message_sender/handover/ownership.py
+++ b/message_sender/handover/ownership.py
@@ -21,7 +21,7 @@
 
 
 class OwnershipState(Enum):
-    """Progress of a process' handover to its successor."""
+    """Progress of a process's handover to its successor."""
 
     OWNER = "owner"
     OFFERED = "offered"
@@ -51,7 +51,7 @@
         return True
 
     def lose_successor(self, is_locked: bool) -> bool:
-        """Handles the end of the successor; returns whether this process is the owner again and resumes.
+        """Handles the loss of the successor; returns whether this process is the owner again and must resume.
 
         Args:
             is_locked: Whether this process has the lock again.
--- a/message_sender/handover/takeover.py
+++ b/message_sender/handover/takeover.py
@@ -58,7 +58,7 @@
 
 
 class OwnershipHandover:
-    """One process' part in two handovers: from its predecessor, and to its successor.
+    """One process's part in two handovers: from its predecessor, and to its successor.
 
     Attributes:
         folder: The state folder.
@@ -143,7 +143,7 @@
         return None
 
     def kill_holder(self) -> None:
-        """Kills an unresponsive owner: once it ran again, it would act as a second owner."""
+        """Kills an unresponsive owner, which could otherwise resume later and act as a second owner."""
         pid = read_holder_pid(self.folder)
         if pid is None or pid == os.getpid():
             return
