--- a/message_sender/pcap/capture.py
+++ b/message_sender/pcap/capture.py
@@ -57,7 +57,7 @@
         self._packet_sources = [read_packets(stream, self._note) for stream in streams]
 
     def messages(self) -> Iterator[CapturedMessage]:
-        """Yields each message as soon as its last byte, or the event that aborts it, has been read."""
+        """Yields each message as soon as it has ended, whether complete or not."""
         decode = self.decoder.decode
         process = self.flows.process
         for packet in self._merge_packets():
--- a/message_sender/pcap/capture_writer.py
+++ b/message_sender/pcap/capture_writer.py
@@ -41,7 +41,7 @@
     """
 
     def __init__(self, names: Iterable[str]) -> None:
-        """Creates a blanker of the headers with these names, in any case."""
+        """Creates a blanker of the headers with these names, which are compared without regard to case."""
         self._prefixes = tuple(name.lower().encode() + b":" for name in names)
         self._held_back = b""
         self._is_line_start = True  # the next byte begins a line
@@ -82,7 +82,7 @@
         return line[:shown_size] + blank_value(line[shown_size:])
 
     def _find_value(self, line: bytes) -> int | None:
-        """Returns where the value to blank begins in a line; None without one."""
+        """Returns the offset of the value to blank in a line; None if there is none."""
         if self._may_fold and line[:1] in (b" ", b"\t"):
             return 0
         lower_line = line.lower()
@@ -113,7 +113,15 @@
 
 
 class CaptureWriter:
-    """Writes records to rotating capture files."""
+    """Writes records to rotating capture files.
+
+    Attributes:
+        folder: Where the files are written.
+        file_bytes_limit: Size at which a file is closed.
+        files_limit: Number of files that are kept.
+        blanked_headers: Names of headers whose values are blanked.
+        number: Number of the current file.
+    """
 
     def __init__(
         self,
@@ -167,7 +175,7 @@
             self._addresses[connection] = (parse_address(client), parse_address(server))
             self._begin_connection(connection, at_ns)
         elif connection not in self._addresses:
-            return  # the record of its beginning was lost, or the connection has ended
+            return  # its record `OPENED` was lost, or the connection has ended
         elif kind == RecordKind.DATA:
             blanked_data = self._blanker(connection, side).blank(data)
             self._connection(connection, at_ns).write_data(side, at_ns, blanked_data)
--- a/message_sender/pcap/compare.py
+++ b/message_sender/pcap/compare.py
@@ -18,10 +18,10 @@
     """The result of a comparison.
 
     Attributes:
-        requests: Number of requests in each capture.
+        requests: Number of requests in the first and in the second capture.
         descriptions: Descriptions of the first differences.
         omitted_descriptions: Number of differences without a description.
-        max_apart_ns: The largest difference between the times of a request in the two captures, each
+        max_apart_ns: The largest difference between the times of a request in the two captures, each time
             counted from the first request of its capture.
         max_apart_request: Number of the request with that difference; -1 for none.
     """
--- a/message_sender/pcap/files.py
+++ b/message_sender/pcap/files.py
@@ -188,14 +188,21 @@
 
 
 class Section:
-    """A section of a pcapng file: its byte order and its interfaces."""
+    """A section of a pcapng file.
+
+    Attributes:
+        byte_order: Byte order of its fields, as a prefix of `struct` formats.
+        first_interface: Number of its first interface in the file.
+        interfaces: Its interfaces, in the order of their blocks.
+        last_packet_at_ns: Time of its last packet; used for simple packets, which have no time of their own.
+    """
 
     def __init__(self, byte_order: str, first_interface: int) -> None:
-        """Creates a section; `first_interface` is the number of its first interface in the file."""
+        """Creates a section without interfaces."""
         self.byte_order = byte_order
         self.first_interface = first_interface
         self.interfaces: list[Interface] = []
-        self.last_packet_at_ns = 0  # used as the time of a simple packet, which has no time of its own
+        self.last_packet_at_ns = 0
 
     def unpack(self, fields: str, data: bytes, offset: int = 0) -> tuple[int, ...]:
         """Unpacks fields in the section's byte order."""
@@ -292,7 +299,7 @@
     size_bytes = source.read(4)
     byte_order = SECTION_BYTE_ORDERS.get(source.read(4))
     if byte_order is None:
-        note("a section tells no byte order; nothing behind it can be read")
+        note("a section has an unknown byte order; nothing behind it can be read")
         return None
     section = Section(byte_order, first_interface)
     (size,) = section.unpack("I", size_bytes)
--- a/message_sender/pcap/flows.py
+++ b/message_sender/pcap/flows.py
@@ -44,7 +44,7 @@
 
     Attributes:
         flow: The connection.
-        side: The sender of `parts`: 0 for the client, 1 for the server.
+        side: Side that sent `parts`: 0 for the client, 1 for the server.
         parts: New parts of that direction.
         end_reason: "closed", "reset", "replaced", "silent" or "the capture ends"; empty if it has not ended.
     """
@@ -56,13 +56,19 @@
 
 
 class FlowTable:
-    """The open connections of a capture."""
+    """The open connections of a capture.
+
+    Attributes:
+        open: The open connections by their endpoints, least recently used first.
+        open_limit: Maximum number of open connections.
+        count: Number of connections since the capture began.
+    """
 
     def __init__(self, open_limit: int = OPEN_CONNECTIONS_LIMIT) -> None:
         """Creates an empty table of at most `open_limit` connections."""
-        self.open: OrderedDict[tuple[Endpoint, Endpoint], Flow] = OrderedDict()  # least recently used first
+        self.open: OrderedDict[tuple[Endpoint, Endpoint], Flow] = OrderedDict()
         self.open_limit = open_limit
-        self.count = 0  # connections since the capture began
+        self.count = 0
 
     def process(self, segment: Segment) -> Iterator[FlowEvent]:
         """Yields the events that the next segment of the capture causes."""
--- a/message_sender/pcap/layers.py
+++ b/message_sender/pcap/layers.py
@@ -204,7 +204,7 @@
         end: Where the datagram ends according to its IP header; truncated `data` ends before it.
 
     Returns:
-        The segment; None if the header states an impossible size of its own.
+        The segment; None if the header size that the header states is impossible.
 
     Raises:
         struct.error: The header is incomplete.
--- a/message_sender/pcap/messages.py
+++ b/message_sender/pcap/messages.py
@@ -18,7 +18,7 @@
 from message_sender.pcap.reassembly import Gap, Part
 
 HEAD_BYTES_LIMIT = 64 * 1024  # of the head of a message or of a chunk
-BODY_BYTES_LIMIT = 16 * 1024 * 1024  # of a body; the rest is dropped
+BODY_BYTES_LIMIT = 16 * 1024 * 1024  # kept of a body; the rest is dropped
 FILLED_GAP_BYTES_LIMIT = 16 * 1024 * 1024
 FILL_STEP_BYTES = 64 * 1024
 SWITCHING_PROTOCOLS = 101
@@ -76,7 +76,12 @@
 
 
 class MessageReader:
-    """Reads the requests or the responses of one connection."""
+    """Reads the requests or the responses of one connection.
+
+    Attributes:
+        side: `CLIENT_SIDE` for requests, `SERVER_SIDE` for responses.
+        has_switched_protocol: Whether the connection uses another protocol now; further bytes are ignored.
+    """
 
     def __init__(
         self,
@@ -169,10 +174,10 @@
     def _read_fast(self, at_ns: int, data: bytes) -> bool:
         """Reads a simple message that one segment holds completely, without h11.
 
-        h11 accepts every message that these patterns match, and parses it alike (tests/test_fast_path.py).
+        h11 accepts every message that these patterns match, with the same result (tests/test_fast_path.py).
 
         Returns:
-            False: the message has another form and must be read by h11.
+            Whether the message was read; False if it has another form and must be read by h11.
         """
         is_response = self.side == SERVER_SIDE
         pattern = fast_path.ANSWER if is_response else fast_path.REQUEST
@@ -307,7 +312,11 @@
 
 
 class MessagePairs:
-    """Reads both directions of a connection, and assigns responses to requests."""
+    """Reads both directions of a connection, and assigns responses to requests.
+
+    Attributes:
+        sides: The readers of the requests and of the responses.
+    """
 
     def __init__(self, on_message: MessageListener) -> None:
         """Creates the readers; `on_message` is called with each message that has ended."""
--- a/message_sender/pcap/replay.py
+++ b/message_sender/pcap/replay.py
@@ -45,7 +45,7 @@
 
 
 class IdReplacer:
-    """Replaces the ids in a capture.
+    """Replaces recorded correlation ids and idempotency keys by random ones.
 
     Equal ids get equal replacements, so that a repeated request has the id of the original one.
     """
@@ -158,7 +158,7 @@
         """Opens a connection.
 
         Raises:
-            OSError: It cannot be opened.
+            OSError: The connection cannot be opened.
         """
         reader, writer = await asyncio.open_connection(host, port)
         return cls(reader, writer)
@@ -225,7 +225,7 @@
         started_at = loop.time()
         for request in planned:
             due_at = started_at + request.due_s
-            # Even a sleep of 0 lets responses be read, for the case that all requests are due at once.
+            # If many requests are due at once, a sleep of 0 still lets the loop read responses between them.
             await asyncio.sleep(max(due_at - loop.time(), 0))
             self._outcome.max_delay_s = max(self._outcome.max_delay_s, loop.time() - due_at)
             self._begin_request(request, due_at)
--- a/message_sender/pcap/traffic_tap.py
+++ b/message_sender/pcap/traffic_tap.py
@@ -2,9 +2,9 @@
 
 On the event loop, a record is only appended to a list. Once per loop iteration, the list is written to the
 pipe of the writing process (message_sender/pcap/capture_writer.py), as far as the pipe accepts it without
-blocking. If more than `PENDING_BYTES_LIMIT` bytes wait for the pipe, records
-are dropped and counted, and the sender does not wait. The number of dropped bytes is reported to the process,
-so that the capture has a gap there.
+blocking. If more than `PENDING_BYTES_LIMIT` bytes wait for the pipe, records are dropped and counted, and the
+sender does not wait. The number of dropped bytes is reported to the process, so that the capture has a gap
+there.
 """
 
 import asyncio
@@ -32,8 +32,10 @@
     """A `TrafficObserver` that writes capture files. Its methods run on the event loop and never wait.
 
     Attributes:
+        process: The writing process.
         dropped_records: Number of records that were not written.
-        dropped_bytes: Bytes not yet reported as lost, by connection and side.
+        dropped_bytes: Number of dropped bytes not yet reported to the writing process, by connection and
+            side.
         failure: Why recording has stopped; empty while it is running.
     """
 
@@ -81,7 +83,7 @@
             self.dropped_bytes[connection, side] = dropped_bytes + len(data)
 
     def connection_closed(self, connection: int, side: int, reset: bool) -> None:
-        """Records that the given side closed the connection."""
+        """Records that the given side closed the connection, or reset it."""
         for ended_side in (0, 1):
             self.dropped_bytes.pop((connection, ended_side), None)
         self._add_record(RecordKind.RESET if reset else RecordKind.ENDED, connection, side, b"")
--- a/message_sender/pcap/writer.py
+++ b/message_sender/pcap/writer.py
@@ -11,14 +11,14 @@
 from message_sender.pcap.layers import ACK, FIN, PROTOCOL_TCP, RST, SYN, TCP_HEADER_BYTES, Endpoint
 from message_sender.pcap.reassembly import SEQUENCE_MODULUS
 
-SEGMENT_DATA_BYTES = 1460  # what an Ethernet frame holds with IPv4
+SEGMENT_DATA_BYTES = 1460  # fits into an Ethernet frame with IPv4
 WINDOW_BYTES = 65535
 HOP_LIMIT = 64
 DONT_FRAGMENT = 0x4000
 PSH = 8
 MAXIMUM_SEGMENT_SIZE_OPTION = struct.pack(">BBH", 2, 4, SEGMENT_DATA_BYTES)
 DEFAULT_CLIENT_SEQ = 1000
-SERVER_SEQ_DISTANCE = 0x10000
+SERVER_SEQ_DISTANCE = 0x10000  # from the client's first sequence number to the server's
 IPV4_ADDRESS_BYTES = 4
 IPV4_HEADER_BYTES = 20
 _TCP_CHECKSUM = slice(16, 18)
@@ -66,7 +66,11 @@
 
 
 class ConnectionWriter:
-    """Writes one connection. Side 0 is the client, side 1 the server; times are ns since the epoch."""
+    """Writes one connection. Side 0 is the client, side 1 the server; times are ns since the epoch.
+
+    Attributes:
+        last_packet_at_ns: Time of the last packet written.
+    """
 
     def __init__(
         self,
