--- a/message_sender/policy/breaker.py
+++ b/message_sender/policy/breaker.py
@@ -7,16 +7,16 @@
   the count. Where the endpoint list announces rates, a refusal raises the gap to the time between calls at
   this sender's part of the announced rate. The gap grows beyond that in two cases: if all calls are refused
   for longer than the window of a rate limit, since the destination is then out of service; and in a large
-  fleet, since the limit may have been lowered. In a large fleet the gap shrinks by the time since its last
-  change.
+  fleet, since the limit may have been lowered. In a large fleet with announced rates, the gap shrinks
+  exponentially with the time since the last success or the last growth of the gap, whichever is later.
 - **open**: the threshold is reached. No call is sent until `trial_at`, which is the reset timeout after the
   last failure.
-- **half-open**: one call is in flight as `trial`. A success closes the breaker, with a gap that begins at
-  the smallest step; any failure or refusal restarts the timeout.
+- **half-open**: one call is in flight as `trial`. A success closes the breaker, and the gap begins at
+  `base_gap` unless it is longer; any failure or refusal restarts the timeout.
 
 Independently of these states, `wait_until` is the end of a Retry-After that the destination announced: no
-call is sent before it. `warm_up_since` begins the slow start of a destination that may have been down: calls
-are limited to a stated multiple of the load that a cold destination can serve.
+call is sent before it. `warm_up_since` is the start of the warm-up (slow start) of a destination that may
+have been down: calls are limited to a fraction of the load under which a cold destination fails.
 
 The algorithm does no I/O and reads no clock: all times are whole microseconds that the caller passes in.
 """
@@ -36,7 +36,7 @@
 RESET_TIMEOUT_US = 2_000_000  # from the last failure to the trial call
 
 # The gap between calls where the endpoint list announces no rate.
-BASE_GAP_US = 100_000  # the smallest gap
+BASE_GAP_US = 100_000  # the gap after the first refusal; a gap below half of it ends
 GAP_SHRINK = 0.15  # fraction by which each served call shrinks the gap
 
 # The gap where the endpoint list announces a rate. The factors multiply the time between calls at this
@@ -48,9 +48,9 @@
 
 # Large fleets: each member sees few calls.
 SMALL_FLEET_SIZE = 4  # up to this fleet size the longest gap is the reset timeout
-LARGE_FLEET_SHRINK_TIME_US = 5_000_000  # in which served calls shrink a gap above the first gap to 1/e
+LARGE_FLEET_SHRINK_TIME_US = 5_000_000  # time in which served calls shrink a gap above the first to 1/e
 LARGE_FLEET_ANNOUNCED_SHRINK_TIME_US = 15_000_000  # the same for a gap up to the first gap
-LARGE_FLEET_GAP_DIVISOR = 8  # the gap ends below the first gap divided by this
+LARGE_FLEET_GAP_DIVISOR = 8  # a gap below the first gap divided by this number ends
 
 # Health and latency.
 SUSPECT_FAILURE_RATE = 0.4  # recent failures per call from which a destination may have been down
@@ -156,7 +156,8 @@
         failures: Weighted failures since the last success.
         trial_at: While the breaker is open: when the trial call may be sent.
         trial: The trial call in flight; None if there is none.
-        gap: Least time between calls; `base_gap` is its smallest step, `max_gap` its upper bound.
+        gap: Least time between calls; 0: calls are not paced. A first refusal raises it to `base_gap`, in a
+            large fleet to this value at most; `max_gap` is its upper bound.
         gap_changed: When the gap last grew.
         announced_gap: Time between calls at this sender's part of the announced rate; NEVER without a rate.
         in_flight: Number of calls in flight.
@@ -169,8 +170,8 @@
         mean_latency: Moving average over successful calls; `latency_deviation` is the mean deviation and
             `latency_samples` the number of calls, where the initial guess counts as one call.
         success_count: Successful calls, decayed by age; `success_time` is the time between them, likewise.
-        last_success: When a call last succeeded.
-        refused_since: When the first refusal since the last success came.
+        last_success: When a call last succeeded; NEVER before the first success.
+        refused_since: When the first refusal since the last success came; NEVER if there is none.
         on_time_calls: Calls in flight that are not overdue, oldest first.
         overdue_calls: Calls in flight that are overdue.
     """
@@ -269,9 +270,10 @@
     def warm_up_gap(self, now: int) -> float:
         """Returns the time between calls while the destination warms up, us; 0 after the warm-up.
 
-        The load is this sender's usual rate (or, in a new process, its part of the announced rate) times
-        the warm fraction of the capacity. That fraction continues to grow beyond 1 for some time, so that
-        the senders do not send all their pending messages together once the destination is warm.
+        The permitted rate is this sender's usual rate (or, in a new process, its part of the announced rate)
+        times the load that the destination is expected to bear, which grows with the warm fraction of its
+        capacity. That fraction continues to grow beyond 1 for some time, so that the senders do not send all
+        their pending messages together once the destination is warm.
         """
         settings = self.context.settings
         progress = (now - self.warm_up_since) / settings.slow_start
@@ -297,7 +299,7 @@
         """Counts a failure.
 
         A member of a large fleet sees few calls during an outage, so one failure restarts the warm-up unless
-        failures of its kind are commonly isolated. As all members see the outage, their calls are spread.
+        failures of its kind are commonly isolated. All members see the outage: their next calls are spread.
         """
         self.failures += ERROR_WEIGHT if outcome in ANSWERED_FAILURES else 1
         self.restart_timeout(now)
@@ -377,7 +379,7 @@
         self.failure_rate *= 1 - SMOOTHING_WEIGHT
 
     def shrink_gap(self, now: int, since_success: float) -> None:
-        """Shrinks the gap after a served call; a gap that has become small ends.
+        """Shrinks the gap after a served call, and ends it once it is a small fraction of `base_gap`.
 
         Args:
             now: The time.
--- a/message_sender/policy/destination.py
+++ b/message_sender/policy/destination.py
@@ -13,6 +13,7 @@
     the time of its last use is kept.
 
     Attributes:
+        number: Number of the destination.
         endpoints: Its endpoints that are listed as ready.
         breakers_by_route: Its breakers by endpoint id where the endpoints are separate routes, otherwise a
             single breaker under ""; None unless the destination is active.
--- a/message_sender/policy/dispatcher.py
+++ b/message_sender/policy/dispatcher.py
@@ -1,10 +1,10 @@
 """The delivery policy of one sender: turns events into actions (see `events` and `actions`).
 
-In the usual case a circuit breaker per destination, or per endpoint where the endpoints are separate routes,
-decides (`breaker`): consecutive failures open it and messages stay pending; after the reset timeout one trial
-call closes it or restarts the timeout; while it is closed, a gap paces the calls. The other modules enforce
-the delivery rules: `registry` holds the endpoints, `pending` the messages and `inflight` the calls. This
-module selects the message to send next, and its endpoint.
+A circuit breaker for each destination, or for each endpoint where the endpoints are separate routes, decides
+when a call may be sent (`breaker`): consecutive failures open it and messages stay pending; after the reset
+timeout one trial call closes it or restarts the timeout; while it is closed, a gap paces the calls. The
+modules `endpoints`, `pending` and `inflight` hold the endpoints, the messages and the calls, and enforce the
+delivery rules. This module selects the message to send next, and its endpoint.
 """
 
 import heapq
@@ -37,7 +37,7 @@
 from message_sender.policy.urgency import Rank
 
 DESTINATION_SLOT_FRACTION = 0.5  # of the slots: limit on the calls in flight to one destination
-MAX_EXAMINED = 256  # destinations examined per iteration; the next iteration begins with the others
+MAX_EXAMINED = 256  # limit on the destinations examined per iteration; the next one begins with the others
 
 #: Outcomes after which the attempt may still be running at the destination.
 UNCERTAIN_OUTCOMES = frozenset(
--- a/message_sender/policy/endpoints.py
+++ b/message_sender/policy/endpoints.py
@@ -20,8 +20,8 @@
 from message_sender.policy.model import DestinationKind, Endpoint, EndpointState, ListingKind
 from message_sender.policy.timers import TimerQueue
 
-UNUSED_BREAKER_AGE_US = 60_000_000  # a breaker without a listed endpoint is dropped: longer than any outage
-INACTIVE_DESTINATION_AGE_US = 3_600_000_000  # an unused listed destination becomes inactive
+UNUSED_BREAKER_AGE_US = 60_000_000  # an unused breaker without a listed endpoint is dropped; above any outage
+INACTIVE_DESTINATION_AGE_US = 3_600_000_000  # a destination without calls for this time becomes inactive
 
 
 class EndpointRegistry:
@@ -130,7 +130,9 @@
         endpoint.breaker = None
 
     def warm_up_returned(self, returned: frozenset[str]) -> None:
-        """Warms up destinations whose endpoints were all out of service, since messages are waiting for them.
+        """Starts the warm-up of each breaker whose endpoints were all out of service.
+
+        Messages are waiting for them and would otherwise be sent together.
 
         Args:
             returned: Ids of the endpoints that were out of service.
--- a/message_sender/policy/inflight.py
+++ b/message_sender/policy/inflight.py
@@ -9,8 +9,8 @@
 from message_sender.policy.pending import PendingQueue
 from message_sender.policy.pending_message import PendingMessage
 
-SCARCE_IDLE_TIMES = 3  # a large fleet closes scarce connections after use for this multiple of conn_idle
-SCARCITY_WINDOW_US = 1_000_000  # from a refused connection to a success; an outage lasts longer
+SCARCITY_IDLE_FACTOR = 3  # connections count as scarce for this multiple of conn_idle
+SCARCITY_WINDOW_US = 1_000_000  # a success so soon after a refused connection shows scarcity, not an outage
 GONE_RESET_TIMEOUTS = 4  # an endpoint that may be gone is avoided for this multiple of the reset timeout
 CANCEL_OVERDUE_FACTOR = 1.5  # a call may be cancelled for its slot from this multiple of the overdue limit
 
@@ -68,7 +68,7 @@
             breaker.record_success(now, call)
             endpoint.suspect_until = 0.0
             if now - endpoint.connect_refused_at < SCARCITY_WINDOW_US:
-                endpoint.connections_scarce_until = now + SCARCE_IDLE_TIMES * self.settings.conn_idle
+                endpoint.connections_scarce_until = now + SCARCITY_IDLE_FACTOR * self.settings.conn_idle
         elif ended.outcome is Outcome.FULL:
             breaker.record_refusal(now, call, ended.wait)
         elif self.is_evidence(call, ended.outcome):
@@ -201,7 +201,10 @@
         )
 
     def close_scarce_connections(self) -> None:
-        """In a large fleet, closes idle connections to endpoints that accept no further connections."""
+        """In a large fleet, closes idle connections to endpoints whose connections are scarce.
+
+        Such an endpoint has refused a connection although it serves calls.
+        """
         idle = self.just_idle
         self.just_idle = {}
         if self.loop.context.fleet_factor <= 1:
--- a/message_sender/policy/pending.py
+++ b/message_sender/policy/pending.py
@@ -24,7 +24,7 @@
 CREDIT_TOLERANCE = 1e-9  # messages; absorbs rounding errors in a credit that should be 1
 CALL_TIME_FRACTION = 1 / 8  # of the latency objective: the expected time of a call
 SHEDDING_AGE_FRACTION = 0.7  # of the lifetime of a message, after which it may be shed
-SHEDDING_ORDER_AGE_US = 25  # lifetime of the shedding order per message; bounds the cost of sorting
+SHEDDING_ORDER_AGE_US = 25  # the shedding order is kept for this time per message: bounds the cost of sorting
 
 #: An entry of the shedding order: expected weight and sequence number of a message, and the message.
 SheddingRank = tuple[float, int, PendingMessage]
@@ -95,7 +95,7 @@
         if accepted.message_class not in self.classes:
             raise ValueError(f"unknown class {accepted.message_class}")
         if accepted.message in self.messages:
-            raise ValueError(f"message {accepted.message} was taken before")
+            raise ValueError(f"message {accepted.message} was accepted before")
         if weight_factor is None:
             weight_factor = self.weight_factor_for(accepted.tenant)
         message_class = self.classes[accepted.message_class]
@@ -280,9 +280,9 @@
         """Whether a message may be completed to make room in the queue.
 
         It may be if most of its lifetime has passed. A message that was not restored may also be completed in
-        three other cases: the destination announced a wait beyond the deadline; it is the iteration that
-        accepted the message, so that the client has not received the acceptance; or the fleet is small, so
-        that its members can predict which message will be sent.
+        three other cases: the destination announced a wait beyond the deadline; the message was accepted in
+        this iteration, so the client has not been told yet; or the fleet is small, so its members can predict
+        which message will be sent.
         """
         age = self.loop.now - message.received_at
         lifetime = message.deadline - message.received_at
