--- a/message_sender/core/attempts.py
+++ b/message_sender/core/attempts.py
@@ -274,7 +274,7 @@
         journal, withdrawn = self.table.journal, self.table.withdrawn
         if message_id in journal.entries:
             journal.record_outcome(message_id, number, result.outcome)
-            # After its completion, the id of a message may have been used again for another message.
+            # If the message was completed and its id used again, the entry is that of another message.
             if attempt := journal.entries[message_id].attempts.get(number):
                 self.hooks.attempt_finished(attempt.endpoint, result.outcome)
             if result.is_final:
--- a/message_sender/core/engine.py
+++ b/message_sender/core/engine.py
@@ -55,9 +55,9 @@
 from message_sender.policy.model import ListingKind, Settings
 from message_sender.policy.state_transfer import export_state
 
-PERIODIC_INTERVAL_S = 0.25  # clients have to be answered within 3 s, and periodic tasks do that
-#: A timer that ran before its time on the policy's clock would find nothing due, and the policy would not set
-#: another timer.
+PERIODIC_INTERVAL_S = 0.25  # clients must be answered within 3 s, for some of them by a periodic task
+#: Added to the delay of each wake-up. A timer that ran before its time on the policy's clock would find
+#: nothing due, and the policy would not set another timer.
 TIMER_SLACK_S = 0.0005
 
 log = logging.getLogger(__name__)
--- a/message_sender/core/engine_config.py
+++ b/message_sender/core/engine_config.py
@@ -39,7 +39,7 @@
         inherited: State of the delivery policy.
         calls: The calls in flight by message id, each with the number of its attempt.
         pending_completions: Completions that were notified and are not acknowledged yet, by message id.
-        weight_factors: The remaining factor of the priority weight of each accepted message, by message id.
+        weight_factors: Factor applied to the weight of each accepted message's class, by message id.
         completed_ids: Ids of completed messages.
     """
 
--- a/message_sender/core/event_loop_lag.py
+++ b/message_sender/core/event_loop_lag.py
@@ -8,15 +8,15 @@
 import logging
 import math
 
-#: A Retry-After has to be observed from 0.1 s after it was written; half of that time may pass on the network
-#: and in the loop iteration.
+#: Lag above which the data read from sockets may be too old to act on. A Retry-After has to be observed from
+#: 0.1 s after it was written; half of that time may pass on the network and in the loop iteration.
 STALE_AFTER_S = 0.02
 REPORTED_LAG_S = 0.05  # a longer lag is logged
 REPORT_INTERVAL_S = 10.0
 BUCKET_GROWTH = 1.1  # ratio of the bounds of adjacent buckets: a percentile is at most 10 % too high
 FIRST_BUCKET_S = 1e-4
 BUCKETS = 128  # up to 18 s
-REPORTED_SHARE = 0.999
+REPORTED_SHARE = 0.999  # the logged percentile, as a fraction
 
 log = logging.getLogger(__name__)
 
--- a/message_sender/core/ports.py
+++ b/message_sender/core/ports.py
@@ -17,7 +17,7 @@
 from message_sender.message import Message
 from message_sender.policy.model import Outcome
 
-MAX_RETRY_AFTER_S = 3600.0  # no deadline is longer; a longer wait would only keep its breaker indefinitely
+MAX_RETRY_AFTER_S = 3600.0  # no deadline is longer; an unbounded wait would keep its breaker in memory
 
 
 @dataclass(frozen=True, slots=True)
@@ -106,7 +106,7 @@
         """Called when the message is rejected; no other call follows."""
 
     def withdrawn(self) -> None:
-        """Called when the message was dropped before acceptance, since `is_gone`; no other call follows."""
+        """Called when the message was dropped unaccepted as the client is gone; no other call follows."""
 
     def completed(self, completion: Completion) -> None:
         """Called with the completion, if the caller waits for it.
--- a/message_sender/core/restoration.py
+++ b/message_sender/core/restoration.py
@@ -86,11 +86,11 @@
             entry: The journal's entry of the message.
             in_flight: Number of the attempt whose result is still expected; `NO_ATTEMPT` for none.
         """
-        risky_attempt = entry.first_uncertain_attempt(in_flight)
+        uncertain_attempt = entry.first_uncertain_attempt(in_flight)
         return MessageRestored(
             accepted=self.arrivals.acceptance_event(entry.message),
             attempts=max(entry.attempts, default=-1) + 1,
-            uncertain_since=min(risky_attempt.started_us, self.now()) if risky_attempt else None,
-            uncertain_zone=risky_attempt.zone if risky_attempt else "",
+            uncertain_since=min(uncertain_attempt.started_us, self.now()) if uncertain_attempt else None,
+            uncertain_zone=uncertain_attempt.zone if uncertain_attempt else "",
             outcomes=tuple((each.endpoint, each.outcome) for each in entry.attempts.values() if each.outcome),
         )
