--- a/message_sender/adapter.py
+++ b/message_sender/adapter.py
@@ -54,6 +54,7 @@
 #: Types of lines whose last field is free text up to the end of the line, and the text that begins the field.
 TEXT_FIELDS = {"power_on": " env="}
 IS_REPEAT_BIT = 2  # in the field `bitmap` of a message
+#: Types of events that the policy does not use.
 IGNORED_EVENTS = {"head_received", "probe_result", "whisper"}
 
 Value = TypeVar("Value")
@@ -79,7 +80,13 @@
 
 
 class Line:
-    """One line of the input: its type and its fields, as text."""
+    """One line of the input.
+
+    Attributes:
+        number: Number of the line, from 1.
+        type: Type of the line: its first word.
+        fields: The texts of its fields, by name.
+    """
 
     def __init__(self, number: int, text: str) -> None:
         """Parses a line.
@@ -214,7 +221,15 @@
 
 
 class Adapter:
-    """Converts batches of lines into events, and the resulting actions into lines."""
+    """Converts batches of lines into events, and the resulting actions into lines.
+
+    Attributes:
+        source: The input.
+        sink: The output.
+        senders: The running instances of the policy, by name.
+        endpoint_lists: The endpoint lists received so far, by the number of their `sheet`.
+        line_number: Number of lines read.
+    """
 
     def __init__(self, source: IO[str], sink: IO[str]) -> None:
         """Creates an adapter without instances."""
@@ -331,7 +346,7 @@
             return EndpointsUpdated(listing)
         table = line.integer("table")
         if table not in self.endpoint_lists:
-            raise line.error("table", f"no sheet {table}")
+            raise line.error("table", f"sheet {table} has not been received")
         return EndpointsUpdated(listing, self.endpoint_lists[table])
 
 
--- a/message_sender/start.py
+++ b/message_sender/start.py
@@ -121,7 +121,7 @@
 
 def reject_call(_call: ManagementCall) -> ManagementReply:
     """Rejects calls of operators until the sender is built."""
-    return ManagementReply(503, "not yet: this process does not take clients")
+    return ManagementReply(503, "this process is starting and does not serve clients yet")
 
 
 async def build_sender(config: DaemonConfig) -> PlatformSender:
