--- a/tests/conformance/sides.py
+++ b/tests/conformance/sides.py
@@ -160,7 +160,7 @@
         await self.close()
         self.history.record(SenderRestarted(self.history.clock()))
         self.restarts += 1
-        await self.calls_ended()
+        await self.wait_until_calls_ended()
         await self.open()
 
     def record_admission(self, message: Message) -> MessageAdmitted:
@@ -210,7 +210,7 @@
             while self.script.call_counts[message_id] < count:
                 await asyncio.sleep(0.002)
 
-    async def calls_ended(self) -> None:
+    async def wait_until_calls_ended(self) -> None:
         """Waits until the endpoints have recorded the end of every call that they have received.
 
         The endpoints share the event loop with the sender. Without this wait, a slow start of the sender
